--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -28,15 +28,15 @@
     /// It takes new statements.
     pub open: Vec<bool>,
     /// What the list says of it.
-    pub listed: Vec<Option<EngineEntry>>,
+    pub entries: Vec<Option<EngineEntry>>,
     /// Its cores, as threads, and its memory.
     pub size: Vec<Load>,
     /// What this front holds there.
-    pub own: Vec<Load>,
+    pub local_load: Vec<Load>,
     /// The attempts of this front in flight there.
     pub in_flight: Vec<BTreeSet<AttemptId>>,
     /// When it was last heard of.
-    pub heard_at: Vec<Micros>,
+    pub last_seen: Vec<Micros>,
     /// Attempts that can leave now, over connections that are there or may be made.
     pub send_capacity: Vec<usize>,
     locked_data: Vec<Vec<DataLock>>,
@@ -45,22 +45,22 @@
 impl EngineTable {
     /// Whether an engine is on the list, ready or draining.
     pub fn is_listed(&self, engine: EngineId) -> bool {
-        let entry = self.listed.get(engine).and_then(|entry| entry.as_ref());
+        let entry = self.entries.get(engine).and_then(|entry| entry.as_ref());
         entry.is_some_and(|entry| entry.mode != Mode::Gone)
     }
 
     /// The engines listed in the zone of this one, itself included; those that are gone are left out.
-    pub fn same_zone(&self, engine: EngineId) -> impl Iterator<Item = EngineId> + '_ {
+    pub fn zone_members(&self, engine: EngineId) -> impl Iterator<Item = EngineId> + '_ {
         let zone = |engine: EngineId| {
-            let entry = self.listed.get(engine).and_then(|entry| entry.as_ref());
+            let entry = self.entries.get(engine).and_then(|entry| entry.as_ref());
             entry.map(|entry| entry.location)
         };
-        let of_this = zone(engine);
-        (0..self.listed.len()).filter(move |o| self.is_listed(*o) && zone(*o) == of_this)
+        let zone_of_engine = zone(engine);
+        (0..self.entries.len()).filter(move |o| self.is_listed(*o) && zone(*o) == zone_of_engine)
     }
 
     /// Whether a load of another front holds the data set there.
-    pub fn holds(&self, engine: EngineId, data_set: Option<u32>, now: Micros) -> bool {
+    pub fn is_data_set_locked(&self, engine: EngineId, data_set: Option<u32>, now: Micros) -> bool {
         self.locked_data[engine]
             .iter()
             .any(|lock| data_set == Some(lock.data_set) && lock.until > now)
@@ -68,7 +68,7 @@
 
     /// What the list says of an engine that is open.
     pub fn entry(&self, engine: EngineId) -> Option<&EngineEntry> {
-        self.listed[engine].as_ref().filter(|_| self.open[engine])
+        self.entries[engine].as_ref().filter(|_| self.open[engine])
     }
 
     /// Whether no attempt of this front is in flight there.
@@ -79,7 +79,7 @@
     /// An attempt is in flight there, and what it counts for.
     pub fn add(&mut self, engine: EngineId, attempt: AttemptId, load: Load) {
         self.in_flight[engine].insert(attempt);
-        self.own[engine].add(load, 1.0);
+        self.local_load[engine].add(load, 1.0);
         self.send_capacity[engine] = self.send_capacity[engine].saturating_sub(1);
     }
 
@@ -93,11 +93,11 @@
     /// It is in flight no more.
     pub fn remove(&mut self, engine: EngineId, attempt: AttemptId, load: Load) {
         self.in_flight[engine].remove(&attempt);
-        self.own[engine].add(load, -1.0);
+        self.local_load[engine].add(load, -1.0);
     }
 
     /// A load of another front holds the data set there until then.
-    pub fn lock(&mut self, engine: EngineId, data_set: u32, now: Micros, until: Micros) {
+    pub fn lock_data_set(&mut self, engine: EngineId, data_set: u32, now: Micros, until: Micros) {
         let locks = &mut self.locked_data[engine];
         locks.retain(|lock| lock.data_set != data_set && lock.until > now);
         locks.push(DataLock { data_set, until });
@@ -105,29 +105,29 @@
 
     /// The place of an engine's kind, where it is listed.
     pub fn kind(&self, engine: EngineId) -> Option<usize> {
-        self.listed[engine].as_ref().map(|entry| entry.kind)
+        self.entries[engine].as_ref().map(|entry| entry.kind)
     }
 
     /// An engine and what this front holds there.
-    pub fn use_of(&self, engine: EngineId) -> EngineUse {
+    pub fn engine_use(&self, engine: EngineId) -> EngineUse {
         EngineUse {
             engine,
             size: self.size[engine],
-            own: self.own[engine],
+            local_load: self.local_load[engine],
         }
     }
 
     /// The open engines and what this front holds there.
-    pub fn in_use(&self) -> impl Iterator<Item = EngineUse> + '_ {
+    pub fn open_engines(&self) -> impl Iterator<Item = EngineUse> + '_ {
         let open = (0..self.open.len()).filter(|engine| self.open[*engine]);
-        open.map(|engine| self.use_of(engine))
+        open.map(|engine| self.engine_use(engine))
     }
 
     /// Makes place for an engine.
-    pub fn ensure(&mut self, engine: EngineId) {
+    pub fn grow_to_include(&mut self, engine: EngineId) {
         let count = self.open.len().max(engine + 1);
         self.open.resize(count, false);
-        self.listed.resize(count, None);
+        self.entries.resize(count, None);
         self.size.resize(
             count,
             Load {
@@ -135,19 +135,19 @@
                 memory: f64::INFINITY,
             },
         );
-        self.own.resize(count, Load::default());
+        self.local_load.resize(count, Load::default());
         self.in_flight.resize(count, BTreeSet::new());
         self.locked_data.resize(count, Vec::new());
-        self.heard_at.resize(count, 0);
+        self.last_seen.resize(count, 0);
         self.send_capacity.resize(count, usize::MAX);
     }
 }
 
 /// An engine's cores and memory, by its kind.
-pub fn size_of(agreed: &Agreement, kind: usize) -> Load {
+pub fn engine_size(agreement: &Agreement, kind: usize) -> Load {
     let of = |list: &[f64], other| list.get(kind).copied().unwrap_or(other);
     Load {
-        threads: of(&agreed.cores, 1.0),
-        memory: of(&agreed.memory_mb, f64::MAX),
+        threads: of(&agreement.cores, 1.0),
+        memory: of(&agreement.memory_mb, f64::MAX),
     }
 }
--- a/src/interface/agreement.rs
+++ b/src/interface/agreement.rs
@@ -85,11 +85,15 @@
     }
 
     /// The statements that an engine has by its report. Where that is missing, the share of busy cores times
-    /// `of_busy`, the statements that all its cores come to, and those that wait for memory stand in for it.
+    /// `statements_on_all_cores`, the statements that all its cores come to, and those that wait for memory stand in for it.
     /// None where the report holds neither.
-    pub fn active_statements(&self, report: &LoadReport, of_busy: f64) -> Option<f64> {
+    pub fn active_statements(
+        &self,
+        report: &LoadReport,
+        statements_on_all_cores: f64,
+    ) -> Option<f64> {
         let waiting = || Self::read(self.waiting, report).unwrap_or(0.0);
-        let busy = || Some(Self::read(self.busy, report)? * of_busy + waiting());
+        let busy = || Some(Self::read(self.busy, report)? * statements_on_all_cores + waiting());
         Self::read(self.active, report).or_else(busy)
     }
 
@@ -99,7 +103,7 @@
     }
 
     /// Whether reports hold the load of an engine: its statements, or its busy cores.
-    pub fn names_load(&self) -> bool {
+    pub fn reports_load(&self) -> bool {
         self.active.is_some() || self.busy.is_some()
     }
 }
--- a/src/interface/engines.rs
+++ b/src/interface/engines.rs
@@ -36,7 +36,7 @@
 
 impl EngineEntry {
     /// Whether both engines are in one group that drops the repeats of a statement.
-    pub fn drops_repeats_of(&self, other: &EngineEntry, group: DedupGroup) -> bool {
+    pub fn deduplicates_with(&self, other: &EngineEntry, group: DedupGroup) -> bool {
         match group {
             DedupGroup::All => true,
             DedupGroup::Location => self.location == other.location,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -29,7 +29,7 @@
 
 impl CustomerShare {
     /// Its place, 0 or 1, among the two classes of a workload and customer.
-    pub fn place(self) -> usize {
+    pub fn index(self) -> usize {
         match self {
             CustomerShare::Within => 0,
             CustomerShare::Beyond => 1,
@@ -57,20 +57,20 @@
     /// The share of what each customer asks the fleet that is beyond its own; none: not known.
     beyond: Vec<f64>,
     /// The share of each workload's statements here that are beyond their customers' shares.
-    usually_beyond: Vec<Mean>,
+    beyond_share_means: Vec<Mean>,
     /// The admitted share of each workload, inside and beyond customers' shares; none: all.
     admitted: Vec<f64>,
 }
 
 impl Admission {
     /// Nothing is known of the fleet yet: all is admitted.
-    pub fn new(agreed: &Agreement) -> Self {
+    pub fn new(agreement: &Agreement) -> Self {
         let full = TokenBucket::new(f64::INFINITY);
         Admission {
-            customers_per_s: agreed.customers.clone(),
-            fronts: agreed.fronts,
-            buckets: vec![full; agreed.customers.len()],
-            usually_beyond: vec![Mean::default(); agreed.workloads.len()],
+            customers_per_s: agreement.customers.clone(),
+            fronts: agreement.fronts,
+            buckets: vec![full; agreement.customers.len()],
+            beyond_share_means: vec![Mean::default(); agreement.workloads.len()],
             ..Admission::default()
         }
     }
@@ -87,12 +87,12 @@
         let share = self.customers_per_s.get(customer);
         let rate = share.map_or(f64::INFINITY, |share| share / self.fronts);
         let bucket = self.buckets.get_mut(customer);
-        let beyond_here = bucket.is_some_and(|bucket| !bucket.take(rate, now));
+        let beyond_here = bucket.is_some_and(|bucket| !bucket.try_take(rate, now));
         let beyond = match self.beyond.get(customer) {
             Some(share) => random.next() < *share,
             None => beyond_here,
         };
-        self.usually_beyond[workload].take(f64::from(u8::from(beyond)));
+        self.beyond_share_means[workload].add(f64::from(u8::from(beyond)));
         if beyond {
             CustomerShare::Beyond
         } else {
@@ -108,8 +108,8 @@
         sticky: bool,
         random: &mut Random,
     ) -> AdmissionOutcome {
-        let place = workload * 2 + share.place();
-        let admitted = self.admitted.get(place).copied().unwrap_or(1.0);
+        let index = workload * 2 + share.index();
+        let admitted = self.admitted.get(index).copied().unwrap_or(1.0);
         if admitted >= 1.0 || sticky || random.next() < admitted {
             AdmissionOutcome::Admitted
         } else {
@@ -119,13 +119,13 @@
 
     /// The fleet's demand changed. `penalty` ranks a workload's statements, inside or beyond customers' shares, at a
     /// conformance.
-    pub fn demand_changed(
+    pub fn update_demand(
         &mut self,
         fleet: &FleetDemand,
         penalty: impl Fn(usize, CustomerShare, f64) -> f64,
     ) {
         self.beyond = beyond_shares(&fleet.customers_per_s, &self.customers_per_s);
-        let workloads = fleet.workloads.iter().zip(&self.usually_beyond);
+        let workloads = fleet.workloads.iter().zip(&self.beyond_share_means);
         let parts: Vec<Demand> = workloads
             .flat_map(|(demand, beyond)| demand.split(beyond.value()))
             .collect();
@@ -155,10 +155,11 @@
 }
 
 /// Of each customer the share of what it asks a second that is beyond its own.
-fn beyond_shares(arrived: &[f64], agreed: &[f64]) -> Vec<f64> {
-    let beyond =
-        |(arrived, own): (&f64, &f64)| (arrived - own).max(0.0) / arrived.max(f64::MIN_POSITIVE);
-    arrived.iter().zip(agreed).map(beyond).collect()
+fn beyond_shares(arrived: &[f64], allowed: &[f64]) -> Vec<f64> {
+    let beyond = |(arrived, allowed): (&f64, &f64)| {
+        (arrived - allowed).max(0.0) / arrived.max(f64::MIN_POSITIVE)
+    };
+    arrived.iter().zip(allowed).map(beyond).collect()
 }
 
 impl Demand {
@@ -178,8 +179,8 @@
     }
 
     /// The share of what was asked that was answered in time, with so many timely ones on top.
-    fn conformance(&self, on_top: f64) -> f64 {
-        (self.timely + on_top) / (self.arrived + on_top)
+    fn conformance(&self, prior_timely: f64) -> f64 {
+        (self.timely + prior_timely) / (self.arrived + prior_timely)
     }
 
     /// What all that was asked takes on one thread, in microseconds.
@@ -190,15 +191,17 @@
 
 /// The share of each that fits into so much work, those of the highest rank first; all of what takes none.
 fn admit_by_rank(work: f64, demands: &[Demand], rank: impl Fn(usize) -> f64) -> Vec<f64> {
-    let mut left = work;
+    let mut remaining = work;
     let mut shares = vec![1.0; demands.len()];
-    let mut ranked: Vec<(f64, usize)> = (0..demands.len()).map(|d| (rank(d), d)).collect();
+    let mut ranked: Vec<(f64, usize)> = (0..demands.len())
+        .map(|index| (rank(index), index))
+        .collect();
     ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let some_work = |(_, d): &(f64, usize)| demands[*d].arrived_work() > 0.0;
-    for (_, d) in ranked.into_iter().filter(some_work) {
-        let arrived = demands[d].arrived_work();
-        shares[d] = (left / arrived).min(1.0);
-        left = (left - arrived).max(0.0);
+    let has_work = |(_, index): &(f64, usize)| demands[*index].arrived_work() > 0.0;
+    for (_, index) in ranked.into_iter().filter(has_work) {
+        let arrived = demands[index].arrived_work();
+        shares[index] = (remaining / arrived).min(1.0);
+        remaining = (remaining - arrived).max(0.0);
     }
     shares
 }
--- a/src/policy/admission_tests.rs
+++ b/src/policy/admission_tests.rs
@@ -6,7 +6,7 @@
 
 use super::{Admission, AdmissionOutcome, CustomerShare};
 
-fn agreed(customers: Vec<f64>) -> Agreement {
+fn agreement(customers: Vec<f64>) -> Agreement {
     Agreement {
         fronts: 1.0,
         customers,
@@ -34,27 +34,27 @@
 }
 
 /// The first workload goes before the second.
-fn told(late_share: f64, workloads: Vec<Demand>) -> Admission {
-    let mut admission = Admission::new(&agreed(vec![]));
+fn admission_with_demand(late_share: f64, workloads: Vec<Demand>) -> Admission {
+    let mut admission = Admission::new(&agreement(vec![]));
     let fleet = FleetDemand {
         late_share,
         workloads,
         ..FleetDemand::default()
     };
-    admission.demand_changed(&fleet, |workload, _, _| -(workload as f64));
+    admission.update_demand(&fleet, |workload, _, _| -(workload as f64));
     admission
 }
 
 #[test]
 fn all_is_admitted_until_the_demand_is_known() {
-    let admission = Admission::new(&agreed(vec![]));
+    let admission = Admission::new(&agreement(vec![]));
     assert_eq!(admitted(&admission, 0, false), 1000);
 }
 
 #[test]
 fn what_was_answered_and_a_quarter_more_is_admitted_by_rank() {
     // 80 answered: 100 are admitted, all 60 of the first workload and 40 of the second's 80.
-    let admission = told(
+    let admission = admission_with_demand(
         0.0,
         vec![demand(60.0, 40.0, 40.0), demand(80.0, 40.0, 40.0)],
     );
@@ -67,7 +67,7 @@
 #[test]
 fn in_a_jam_what_came_in_time_is_the_measure() {
     let demands = vec![demand(60.0, 40.0, 0.0), demand(80.0, 40.0, 0.0)];
-    let admission = told(0.16, demands);
+    let admission = admission_with_demand(0.16, demands);
     assert_eq!(admitted(&admission, 1, false), 0);
     // A twentieth of all that is asked is admitted in any case: 7 of the first workload's 60.
     let first = admitted(&admission, 0, false);
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_customer_has_its_share_here_until_the_fleets_figures_are_known() {
-    let mut admission = Admission::new(&agreed(vec![2.0]));
+    let mut admission = Admission::new(&agreement(vec![2.0]));
     let mut random = Random::new(1);
     let mut share = |now| admission.customer_share(0, 0, &mut random, now);
     assert_eq!(share(1), CustomerShare::Within);
@@ -87,12 +87,12 @@
 
 #[test]
 fn the_fleets_figures_say_how_much_is_beyond() {
-    let mut admission = Admission::new(&agreed(vec![10.0]));
+    let mut admission = Admission::new(&agreement(vec![10.0]));
     let fleet = FleetDemand {
         customers_per_s: vec![40.0],
         ..FleetDemand::default()
     };
-    admission.demand_changed(&fleet, |_, _, _| 0.0);
+    admission.update_demand(&fleet, |_, _, _| 0.0);
     let mut random = Random::new(1);
     let beyond = (0..1000)
         .filter(|_| admission.customer_share(0, 0, &mut random, 1) == CustomerShare::Beyond)
--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -19,7 +19,7 @@
     /// The time that clients of its workload wait for a first attempt.
     pub statement_timeout: Micros,
     /// The time for which this front stood still just now, if it did.
-    pub stalled_for: Option<Micros>,
+    pub stall_duration: Option<Micros>,
 }
 
 #[derive(Clone, Default)]
@@ -27,7 +27,7 @@
     /// First attempts shed whose clients may come back.
     shed: f64,
     /// The most time that a statement had left on arrival: what a first attempt gets.
-    first_try: Micros,
+    max_time_left: Micros,
 }
 
 /// What is known of clients that come back, by workload.
@@ -41,16 +41,19 @@
     }
 
     /// The time for which a statement has been waiting when it arrives.
-    pub fn waited(&mut self, workload: usize, arrival: &ArrivalTime) -> Micros {
+    pub fn time_waited(&mut self, workload: usize, arrival: &ArrivalTime) -> Micros {
         let known = &mut self.0[workload];
-        known.first_try = known.first_try.max(arrival.time_left);
-        let missing = known.first_try - arrival.time_left;
-        let later = missing > FIRST_TRY_TOLERANCE && known.shed >= 1.0;
-        known.shed = known.shed * SHED_RETRY_DECAY_PER_ARRIVAL - f64::from(u8::from(later));
+        known.max_time_left = known.max_time_left.max(arrival.time_left);
+        let missing_time = known.max_time_left - arrival.time_left;
+        let is_retry = missing_time > FIRST_TRY_TOLERANCE && known.shed >= 1.0;
+        known.shed = known.shed * SHED_RETRY_DECAY_PER_ARRIVAL - f64::from(u8::from(is_retry));
         // What a front that stood still finds has waited; what first attempts have left tells how long.
-        if arrival.stalled_for.is_some_and(|stall| missing <= stall) {
-            missing
-        } else if later {
+        if arrival
+            .stall_duration
+            .is_some_and(|stall| missing_time <= stall)
+        {
+            missing_time
+        } else if is_retry {
             (arrival.statement_timeout - arrival.time_left).max(0)
         } else {
             0
@@ -58,7 +61,7 @@
     }
 
     /// A client's first attempt was shed; the client may come back.
-    pub fn first_attempt_shed(&mut self, workload: usize) {
+    pub fn record_shed_first_attempt(&mut self, workload: usize) {
         self.0[workload].shed += 1.0;
     }
 }
--- a/src/policy/client_retries_tests.rs
+++ b/src/policy/client_retries_tests.rs
@@ -8,47 +8,47 @@
     ArrivalTime {
         time_left,
         statement_timeout: 5_000 * MS,
-        stalled_for: None,
+        stall_duration: None,
     }
 }
 
 #[test]
 fn a_later_attempt_counts_from_the_first_where_one_was_shed() {
     let mut retries = ClientRetries::new(1);
-    assert_eq!(retries.waited(0, &with_left(5_000 * MS)), 0);
+    assert_eq!(retries.time_waited(0, &with_left(5_000 * MS)), 0);
     assert_eq!(
-        retries.waited(0, &with_left(3_000 * MS)),
+        retries.time_waited(0, &with_left(3_000 * MS)),
         0,
         "none was shed"
     );
-    retries.first_attempt_shed(0);
-    let waited = retries.waited(0, &with_left(3_000 * MS));
+    retries.record_shed_first_attempt(0);
+    let waited = retries.time_waited(0, &with_left(3_000 * MS));
     assert_eq!(waited, 2_000 * MS);
-    let waited = retries.waited(0, &with_left(3_000 * MS));
+    let waited = retries.time_waited(0, &with_left(3_000 * MS));
     assert_eq!(waited, 0, "only as many come back as were shed");
 }
 
 #[test]
 fn what_lacks_little_time_is_a_first_attempt() {
     let mut retries = ClientRetries::new(1);
-    retries.waited(0, &with_left(5_000 * MS));
+    retries.time_waited(0, &with_left(5_000 * MS));
     for _ in 0..9 {
-        retries.first_attempt_shed(0);
+        retries.record_shed_first_attempt(0);
     }
-    assert_eq!(retries.waited(0, &with_left(4_980 * MS)), 0);
-    assert_eq!(retries.waited(0, &with_left(4_979 * MS)), 21 * MS);
+    assert_eq!(retries.time_waited(0, &with_left(4_980 * MS)), 0);
+    assert_eq!(retries.time_waited(0, &with_left(4_979 * MS)), 21 * MS);
 }
 
 #[test]
 fn what_a_front_finds_that_stood_still_has_waited_as_long_as_it_lacks() {
     let mut retries = ClientRetries::new(1);
-    retries.waited(0, &with_left(5_000 * MS));
+    retries.time_waited(0, &with_left(5_000 * MS));
     let stalled = |time_left, stall| ArrivalTime {
-        stalled_for: Some(stall),
+        stall_duration: Some(stall),
         ..with_left(time_left)
     };
-    let waited = retries.waited(0, &stalled(4_600 * MS, 500 * MS));
+    let waited = retries.time_waited(0, &stalled(4_600 * MS, 500 * MS));
     assert_eq!(waited, 400 * MS);
-    let waited = retries.waited(0, &stalled(4_400 * MS, 500 * MS));
+    let waited = retries.time_waited(0, &stalled(4_400 * MS, 500 * MS));
     assert_eq!(waited, 0, "it lacks more than this front stood still");
 }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -40,11 +40,15 @@
 }
 
 impl LimitScope {
-    fn of(agreed: &Agreement) -> Self {
-        let threads = agreed.workloads.iter().map(|w| w.threads);
-        let narrowest = threads.fold(f64::INFINITY, f64::min);
-        let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
-        if INITIAL_THREADS_PER_CORE * smallest / agreed.fronts < narrowest {
+    fn of(agreement: &Agreement) -> Self {
+        let threads = agreement.workloads.iter().map(|w| w.threads);
+        let min_statement_threads = threads.fold(f64::INFINITY, f64::min);
+        let min_cores = agreement
+            .cores
+            .iter()
+            .copied()
+            .fold(f64::INFINITY, f64::min);
+        if INITIAL_THREADS_PER_CORE * min_cores / agreement.fronts < min_statement_threads {
             LimitScope::Pooled
         } else {
             LimitScope::PerEngine
@@ -72,7 +76,7 @@
     /// Its cores and memory.
     pub size: Load,
     /// What this front holds there.
-    pub own: Load,
+    pub local_load: Load,
 }
 
 /// An engine at the moment when a statement might go there.
@@ -82,7 +86,7 @@
     /// This front has nothing in flight there.
     pub idle: bool,
     /// What other fronts hold there.
-    pub others: Load,
+    pub peer_load: Load,
     /// How far the engine is trusted, 0 to 1.
     pub trust: f64,
     /// The share of its capacity that a warming engine has by now, 0 to 1.
@@ -116,7 +120,7 @@
     /// Microseconds within which an answer is timely.
     pub slo: f64,
     /// Threads that this front holds there.
-    pub own_threads: f64,
+    pub local_threads: f64,
 }
 
 /// The concurrency limit of each engine, in threads.
@@ -130,10 +134,10 @@
 
 impl ConcurrencyLimits {
     /// No engine is known yet.
-    pub fn new(agreed: &Agreement) -> Self {
+    pub fn new(agreement: &Agreement) -> Self {
         ConcurrencyLimits {
-            scope: LimitScope::of(agreed),
-            fronts: agreed.fronts,
+            scope: LimitScope::of(agreement),
+            fronts: agreement.fronts,
             limits: Vec::new(),
         }
     }
@@ -149,12 +153,12 @@
     }
 
     /// An engine is listed for the first time.
-    pub fn listed(&mut self, engine: EngineId, cores: f64) {
+    pub fn init_engine(&mut self, engine: EngineId, cores: f64) {
         self.limits[engine] = INITIAL_THREADS_PER_CORE * cores / self.fronts;
     }
 
     /// The threads that all fronts together may have at an engine.
-    pub fn full_engine(cores: f64) -> f64 {
+    pub fn max_engine_threads(cores: f64) -> f64 {
         MAX_THREADS_PER_CORE * cores
     }
 
@@ -166,9 +170,9 @@
             let limit = self.limits[at.engine];
             let memory_share = (limit * memory_per_thread / at.size.threads).min(1.0);
             pool.thread_limit += limit;
-            pool.threads += at.own.threads;
+            pool.threads += at.local_load.threads;
             pool.memory_limit += at.size.memory * memory_share;
-            pool.memory += at.own.memory;
+            pool.memory += at.local_load.memory;
         }
         pool
     }
@@ -176,28 +180,31 @@
     /// Whether an engine has capacity for a statement. An idle engine has it for one statement, unless others have used
     /// up its threads or memory; where limits are pooled, a front with nothing in flight may always send one.
     pub fn check(&self, request: &LimitRequest) -> LimitOutcome {
-        let (size, own) = (request.at.size, request.at.own);
+        let (size, local_load) = (request.at.size, request.at.local_load);
         let limit =
             self.limits[request.at.engine] * request.trust.max(MIN_TRUST) * request.capacity_share;
         let cores = size.threads * request.capacity_share;
-        let all_fronts = MAX_THREADS_PER_CORE * cores;
+        let max_fleet_threads = MAX_THREADS_PER_CORE * cores;
         let share = match self.scope {
-            LimitScope::Pooled => all_fronts * request.trust,
+            LimitScope::Pooled => max_fleet_threads * request.trust,
             LimitScope::PerEngine => limit,
         };
-        let threads = share.min(all_fronts - request.others.threads) - own.threads;
+        let threads = share.min(max_fleet_threads - request.peer_load.threads) - local_load.threads;
         let memory_limit = size.memory
             * INITIAL_MEMORY_SHARE
             * (limit / (INITIAL_THREADS_PER_CORE * size.threads)).min(1.0);
-        let memory = own.memory + request.need.memory;
-        let memory_full = memory + request.others.memory > size.memory;
+        let memory = local_load.memory + request.need.memory;
+        let memory_full = memory + request.peer_load.memory > size.memory;
         let memory_fits = memory <= memory_limit || self.scope == LimitScope::Pooled;
         let fits = threads >= request.need.threads && memory_fits && !memory_full;
         let idle = match self.scope {
             LimitScope::Pooled => request.pool.threads <= 0.0,
             LimitScope::PerEngine => request.idle && threads > 0.0 && !memory_full,
         };
-        if idle || fits && (self.is_within_pool(request) || Self::is_known_idle(request, cores)) {
+        if idle
+            || fits
+                && (self.is_within_pool(request) || Self::has_reported_idle_cores(request, cores))
+        {
             LimitOutcome::Capacity { threads }
         } else {
             LimitOutcome::Exhausted
@@ -213,14 +220,16 @@
     }
 
     /// A fresh report says that the engine has idle cores enough.
-    fn is_known_idle(request: &LimitRequest, cores: f64) -> bool {
-        let spare = IDLE_THREADS_PER_CORE * cores - request.others.threads - request.at.own.threads;
-        spare >= request.need.threads && request.fresh_report
+    fn has_reported_idle_cores(request: &LimitRequest, cores: f64) -> bool {
+        let idle_threads = IDLE_THREADS_PER_CORE * cores
+            - request.peer_load.threads
+            - request.at.local_load.threads;
+        idle_threads >= request.need.threads && request.fresh_report
     }
 
     /// An answer moves the limit: a quick one up while the limit is in use, a late one down. `cores` gives those of
     /// each engine.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         answer: &AnsweredAttempt,
         pool: impl FnOnce(&Self) -> Pool,
@@ -231,7 +240,7 @@
                 let pool = pool(self);
                 (pool.thread_limit, pool.threads)
             }
-            LimitScope::PerEngine => (self.limits[answer.engine], answer.own_threads),
+            LimitScope::PerEngine => (self.limits[answer.engine], answer.local_threads),
         };
         let in_use = held + 2.0 * answer.threads >= limit;
         if answer.took <= answer.slo * QUICK_ANSWER_SLO_SHARE && in_use {
@@ -253,16 +262,16 @@
 
     /// Moves an engine's limit, or all alike: a front among many hears too seldom of each to know its own.
     fn adjust(&mut self, engine: EngineId, threads: f64, cores: impl Fn(EngineId) -> f64) {
-        let moved = match self.scope {
+        let adjusted = match self.scope {
             LimitScope::Pooled => 0..self.limits.len(),
             LimitScope::PerEngine => engine..engine + 1,
         };
-        let all: f64 = self.limits[moved.clone()].iter().sum();
-        for engine in moved {
+        let total: f64 = self.limits[adjusted.clone()].iter().sum();
+        for engine in adjusted {
             let cores = cores(engine);
-            let least = MIN_LIMIT_SHARE * INITIAL_THREADS_PER_CORE * cores / self.fronts;
-            let limit = self.limits[engine] * (1.0 + threads / all.max(0.01)).max(0.5);
-            self.limits[engine] = limit.clamp(least, MAX_THREADS_PER_CORE * cores);
+            let min_limit = MIN_LIMIT_SHARE * INITIAL_THREADS_PER_CORE * cores / self.fronts;
+            let limit = self.limits[engine] * (1.0 + threads / total.max(0.01)).max(0.5);
+            self.limits[engine] = limit.clamp(min_limit, MAX_THREADS_PER_CORE * cores);
         }
     }
 }
--- a/src/policy/concurrency_limit_tests.rs
+++ b/src/policy/concurrency_limit_tests.rs
@@ -24,7 +24,7 @@
         ..Agreement::default()
     });
     limits.resize(1);
-    limits.listed(0, 8.0);
+    limits.init_engine(0, 8.0);
     limits
 }
 
@@ -32,15 +32,15 @@
     Load { threads, memory }
 }
 
-fn request(own: Load, others: Load, need: Load) -> LimitRequest<'static> {
+fn request(local_load: Load, peer_load: Load, need: Load) -> LimitRequest<'static> {
     LimitRequest {
         at: EngineUse {
             engine: 0,
             size: load(8.0, 1000.0),
-            own,
+            local_load,
         },
-        idle: own.threads == 0.0,
-        others,
+        idle: local_load.threads == 0.0,
+        peer_load,
         trust: 1.0,
         capacity_share: 1.0,
         fresh_report: false,
@@ -61,7 +61,7 @@
     let limits = limits();
     let nothing = Load::default();
     let need = load(1.0, 0.0);
-    let left = |own| capacity(limits.check(&request(load(own, 0.0), nothing, need)));
+    let left = |local_load| capacity(limits.check(&request(load(local_load, 0.0), nothing, need)));
     assert_eq!(left(15.0), Some(1.0));
     assert_eq!(left(16.0), None);
 }
@@ -69,9 +69,9 @@
 #[test]
 fn all_fronts_together_have_three_threads_a_core() {
     let limits = limits();
-    let own = load(2.0, 0.0);
-    let check = |others, need| {
-        let request = request(own, load(others, 0.0), load(need, 0.0));
+    let local_load = load(2.0, 0.0);
+    let check = |peer_load, need| {
+        let request = request(local_load, load(peer_load, 0.0), load(need, 0.0));
         capacity(limits.check(&request))
     };
     assert_eq!(check(20.0, 2.0), Some(2.0));
@@ -81,8 +81,8 @@
 #[test]
 fn memory_bounds_before_threads_do() {
     let limits = limits();
-    let check = |own, others, need| {
-        let request = request(load(1.0, own), load(0.0, others), load(1.0, need));
+    let check = |local_load, peer_load, need| {
+        let request = request(load(1.0, local_load), load(0.0, peer_load), load(1.0, need));
         capacity(limits.check(&request)).is_some()
     };
     // A front promises nine tenths at the initial limit.
@@ -104,26 +104,26 @@
 #[test]
 fn quick_answers_raise_the_limit_while_it_is_in_use_and_late_ones_lower_it() {
     let mut limits = limits();
-    let answer = |took, own_threads| AnsweredAttempt {
+    let answer = |took, local_threads| AnsweredAttempt {
         engine: 0,
         threads: 1.0,
         took,
         slo: 1e6,
-        own_threads,
+        local_threads,
     };
     let limit = |limits: &ConcurrencyLimits| {
         let need = load(0.0, 0.0);
         let nothing = Load::default();
         capacity(limits.check(&request(nothing, nothing, need))).unwrap()
     };
-    limits.answered(&answer(350_000.0, 13.0), |_| POOL, |_| 8.0);
+    limits.record_answer(&answer(350_000.0, 13.0), |_| POOL, |_| 8.0);
     assert_eq!(limit(&limits), 16.0, "it is not in use");
-    limits.answered(&answer(360_000.0, 14.0), |_| POOL, |_| 8.0);
+    limits.record_answer(&answer(360_000.0, 14.0), |_| POOL, |_| 8.0);
     assert_eq!(limit(&limits), 16.0, "neither quick nor late");
-    limits.answered(&answer(350_000.0, 14.0), |_| POOL, |_| 8.0);
+    limits.record_answer(&answer(350_000.0, 14.0), |_| POOL, |_| 8.0);
     let raised = limit(&limits);
     assert!(raised > 16.0);
-    limits.answered(&answer(1_000_001.0, 1.0), |_| POOL, |_| 8.0);
+    limits.record_answer(&answer(1_000_001.0, 1.0), |_| POOL, |_| 8.0);
     assert!(limit(&limits) < raised);
 }
 
@@ -142,13 +142,13 @@
 #[test]
 fn limits_are_pooled_where_a_share_of_one_engine_holds_no_statement() {
     let scope = |fronts| {
-        let mut agreed = Agreement {
+        let mut agreement = Agreement {
             fronts,
             cores: vec![8.0, 16.0],
             ..Agreement::default()
         };
-        agreed.workloads.push(workload(1.0));
-        ConcurrencyLimits::new(&agreed).scope()
+        agreement.workloads.push(workload(1.0));
+        ConcurrencyLimits::new(&agreement).scope()
     };
     assert_eq!(scope(16.0), LimitScope::PerEngine);
     assert_eq!(scope(17.0), LimitScope::Pooled);
@@ -156,22 +156,22 @@
 
 #[test]
 fn a_pool_bounds_a_front_unless_it_holds_nothing_or_an_engine_is_known_idle() {
-    let mut agreed = Agreement {
+    let mut agreement = Agreement {
         fronts: 100.0,
         cores: vec![8.0],
         ..Agreement::default()
     };
-    agreed.workloads.push(workload(1.0));
-    let mut limits = ConcurrencyLimits::new(&agreed);
+    agreement.workloads.push(workload(1.0));
+    let mut limits = ConcurrencyLimits::new(&agreement);
     limits.resize(1);
-    limits.listed(0, 8.0);
-    let check = |threads, fresh_report, others| {
+    limits.init_engine(0, 8.0);
+    let check = |threads, fresh_report, peer_load| {
         let pool = Pool {
             thread_limit: 1.5,
             threads,
             ..POOL
         };
-        let mut request = request(load(threads, 0.0), load(others, 0.0), load(1.0, 0.0));
+        let mut request = request(load(threads, 0.0), load(peer_load, 0.0), load(1.0, 0.0));
         request.pool = &pool;
         request.fresh_report = fresh_report;
         capacity(limits.check(&request)).is_some()
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -29,7 +29,7 @@
 
 /// How a held statement stands at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Urgency {
     /// It can still be answered within its SLO time.
     Timely,
     /// It must be late.
@@ -56,13 +56,13 @@
     }
 
     /// How it stands at a time.
-    pub fn standing(&self, now: Micros) -> Standing {
+    pub fn urgency(&self, now: Micros) -> Urgency {
         if now >= self.latest_start() {
-            Standing::Overdue
+            Urgency::Overdue
         } else if now >= self.last_timely_start() {
-            Standing::Late
+            Urgency::Late
         } else {
-            Standing::Timely
+            Urgency::Timely
         }
     }
 }
@@ -73,7 +73,7 @@
 }
 
 /// When a held statement is rejected whose client gives up at `deadline`.
-pub fn rejected_at(deadline: Micros) -> Micros {
+pub fn rejection_time(deadline: Micros) -> Micros {
     deadline - REJECT_BEFORE_DEADLINE
 }
 
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -34,20 +34,20 @@
     }
 
     /// Takes a sample; the weight of the newest is its share of all, but not under `MIN_SAMPLE_WEIGHT`.
-    pub fn take(&mut self, sample: f64) {
+    pub fn add(&mut self, sample: f64) {
         self.samples += 1.0;
         self.value += (sample - self.value) * MIN_SAMPLE_WEIGHT.max(1.0 / self.samples);
     }
 
     /// The same; a sample of 0 is not known and is not taken.
-    fn take_known(&mut self, sample: f64) {
+    fn add_known(&mut self, sample: f64) {
         if sample > 0.0 {
-            self.take(sample);
+            self.add(sample);
         }
     }
 
     /// The same for ratios, as a geometric mean.
-    fn take_ratio(&mut self, sample: f64) {
+    fn add_ratio(&mut self, sample: f64) {
         let (sample, value) = (sample.max(MIN_RATIO), positive_or(self.value, 1.0));
         self.samples += 1.0;
         let weight = MIN_SAMPLE_WEIGHT.max(1.0 / self.samples);
@@ -77,7 +77,7 @@
     /// Run of an attempt.
     run: Mean,
     /// Run over the estimated run; a geometric mean.
-    pace: Mean,
+    run_ratio: Mean,
     /// True memory need over its estimate.
     memory_bias: Mean,
 }
@@ -93,17 +93,17 @@
 impl Estimates {
     /// Nothing is learned yet.
     pub fn new(workloads: usize) -> Self {
-        let fresh = WorkloadEstimates {
+        let initial = WorkloadEstimates {
             work: Mean::default(),
             run: Mean::default(),
-            pace: Mean::default(),
+            run_ratio: Mean::default(),
             memory_bias: Mean {
                 value: 1.0,
                 samples: ESTIMATE_PRIOR_SAMPLES,
             },
         };
         Estimates {
-            workloads: vec![fresh; workloads],
+            workloads: vec![initial; workloads],
             typical: Load {
                 threads: 1.0,
                 memory: 0.0,
@@ -122,12 +122,12 @@
     }
 
     /// The usual run of a workload's attempts; 0 before any was answered.
-    pub fn usual_run(&self, workload: usize) -> f64 {
+    pub fn mean_run(&self, workload: usize) -> f64 {
         self.workloads[workload].run.value
     }
 
     /// The longest of all workloads' usual runs, in microseconds.
-    pub fn longest_run(&self) -> f64 {
+    pub fn longest_mean_run(&self) -> f64 {
         let runs = self.workloads.iter().map(|learned| learned.run.value);
         runs.fold(0.0, f64::max)
     }
@@ -139,12 +139,12 @@
 
     /// The run of a statement, from its estimated run; 0 before any of its workload was answered.
     pub fn expected_run(&self, workload: usize, estimated: f64) -> f64 {
-        self.workloads[workload].pace.value * estimated
+        self.workloads[workload].run_ratio.value * estimated
     }
 
     /// Work of a usual statement: as estimates tell, else as its runs do, which are no shorter; before any was
     /// answered, as long as one may run to be in time.
-    pub fn usual_work(&self, workload: usize, threads: f64, slo: f64) -> f64 {
+    pub fn typical_work(&self, workload: usize, threads: f64, slo: f64) -> f64 {
         let learned = &self.workloads[workload];
         positive_or(
             learned.work.value,
@@ -158,29 +158,35 @@
     }
 
     /// The memory to grant a statement that needs so much, `most` at most.
-    pub fn memory_grant(need_mb: f64, most_mb: f64) -> f64 {
-        (need_mb * MEMORY_GRANT_FACTOR).min(most_mb)
+    pub fn memory_grant(need_mb: f64, max_mb: f64) -> f64 {
+        (need_mb * MEMORY_GRANT_FACTOR).min(max_mb)
     }
 
     /// A statement arrived with an estimate of its work; 0 where there is none.
-    pub fn arrived(&mut self, workload: usize, work: f64) {
-        self.workloads[workload].work.take_known(work);
+    pub fn record_arrival(&mut self, workload: usize, work: f64) {
+        self.workloads[workload].work.add_known(work);
     }
 
     /// An attempt spilled: it lacks memory beyond what was expected.
-    pub fn spilled(&mut self, workload: usize, need_mb: f64, lacks_mb: f64, estimate_mb: f64) {
-        let need = (need_mb * MEMORY_GRANT_FACTOR + lacks_mb) / estimate_mb.max(1.0);
-        self.workloads[workload].memory_bias.take_ratio(need);
+    pub fn record_spill(
+        &mut self,
+        workload: usize,
+        need_mb: f64,
+        lacking_mb: f64,
+        estimate_mb: f64,
+    ) {
+        let need = (need_mb * MEMORY_GRANT_FACTOR + lacking_mb) / estimate_mb.max(1.0);
+        self.workloads[workload].memory_bias.add_ratio(need);
     }
 
     /// An attempt that held so much was answered.
-    pub fn answered(&mut self, workload: usize, load: Load, answer: &AnsweredRun) {
+    pub fn record_answer(&mut self, workload: usize, load: Load, answer: &AnsweredRun) {
         let seconds = answer.took / SECOND as f64;
         self.typical
             .blend(load, MIN_SAMPLE_WEIGHT * seconds.min(1.0));
         let learned = &mut self.workloads[workload];
-        learned.run.take(answer.took);
-        learned.pace.take_ratio(answer.took / answer.estimated);
+        learned.run.add(answer.took);
+        learned.run_ratio.add_ratio(answer.took / answer.estimated);
         if !answer.spilled {
             learned.memory_bias.value *= MEMORY_BIAS_DECAY_PER_ANSWER;
         }
--- a/src/policy/fleet_budget_tests.rs
+++ b/src/policy/fleet_budget_tests.rs
@@ -1,10 +1,10 @@
 //! Shares of a budget of all fronts.
 
-use super::share_of;
+use super::budget_share;
 
 #[test]
 fn the_share_grows_with_the_demand_up_to_three_times_the_mean() {
-    let share = |demand| share_of(100.0, demand, 10.0);
+    let share = |demand| budget_share(100.0, demand, 10.0);
     assert_eq!((share(0.0), share(1.0)), (2.0, 4.0));
     assert_eq!((share(3.0), share(9.0)), (8.0, 8.0));
     assert_eq!(share(f64::NAN), 2.0, "a demand that is not known");
@@ -13,7 +13,7 @@
 #[test]
 fn the_shares_stay_under_the_budget_whatever_is_said() {
     for demand in [0.0, 0.5, 1.0, 3.0, 1e9, f64::INFINITY] {
-        let sum = 10.0 * share_of(100.0, demand, 10.0);
+        let sum = 10.0 * budget_share(100.0, demand, 10.0);
         assert!(sum <= 100.0, "{demand}: {sum}");
     }
 }
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -13,7 +13,7 @@
 /// Probes that each statement taken pays for.
 const PROBES_PER_STATEMENT: f64 = 1.0;
 /// Probes that may be saved up.
-const MAX_SAVED_PROBES: f64 = 8.0;
+const MAX_EARNED_PROBES: f64 = 8.0;
 /// Probes a second into evacuated zones, of all fronts together.
 const FLEET_PROBES_PER_SECOND: f64 = 4.0;
 
@@ -21,23 +21,23 @@
 #[derive(Default)]
 pub struct HealthChecks {
     /// Probes are allowed, and only they bring load reports.
-    wanted: bool,
+    enabled: bool,
     /// Probes that statements have paid for.
-    saved: f64,
+    earned_probes: f64,
     /// The engine that is probed next.
     next: usize,
     /// Of the fleet's budget.
     tokens: TokenBucket,
     /// When each engine was last probed.
-    probed_at: Vec<Micros>,
+    last_probed_at: Vec<Micros>,
 }
 
 impl HealthChecks {
     /// Nothing has been probed yet. `first_token` and `first_engine` are drawn, from 0 up to 1: fronts that start
     /// together probe apart.
-    pub fn new(agreed: &Agreement, first_token: f64, first_engine: f64) -> Self {
+    pub fn new(agreement: &Agreement, first_token: f64, first_engine: f64) -> Self {
         HealthChecks {
-            wanted: agreed.report_on_probe && agreed.probes,
+            enabled: agreement.report_on_probe && agreement.probes,
             next: (first_engine * 256.0) as usize,
             tokens: TokenBucket::new(first_token),
             ..HealthChecks::default()
@@ -46,16 +46,16 @@
 
     /// Makes place for so many engines.
     pub fn resize(&mut self, engines: usize) {
-        self.probed_at.resize(engines, 0);
+        self.last_probed_at.resize(engines, 0);
     }
 
     /// A statement is taken and pays for probes.
-    pub fn statement_taken(&mut self) {
-        self.saved = (self.saved + PROBES_PER_STATEMENT).min(MAX_SAVED_PROBES);
+    pub fn record_statement(&mut self) {
+        self.earned_probes = (self.earned_probes + PROBES_PER_STATEMENT).min(MAX_EARNED_PROBES);
     }
 
     /// Probes of evacuated zones in an interval, over all fronts.
-    pub fn fleet_probes_per(interval: Micros) -> f64 {
+    pub fn fleet_probes_in(interval: Micros) -> f64 {
         FLEET_PROBES_PER_SECOND * interval as f64 / SECOND as f64
     }
 
@@ -70,14 +70,14 @@
         let engines = open.len();
         for _ in 0..engines {
             let engine = self.next % engines;
-            let recent = self.probed_at[engine] > now - MIN_PROBE_INTERVAL;
-            if !self.wanted || self.saved < 1.0 || recent {
+            let recent = self.last_probed_at[engine] > now - MIN_PROBE_INTERVAL;
+            if !self.enabled || self.earned_probes < 1.0 || recent {
                 return;
             }
             self.next = engine + 1;
-            if open[engine] && self.tokens.take(probes_per_s * engines as f64, now) {
-                self.saved -= 1.0;
-                self.probed_at[engine] = now;
+            if open[engine] && self.tokens.try_take(probes_per_s * engines as f64, now) {
+                self.earned_probes -= 1.0;
+                self.last_probed_at[engine] = now;
                 probe(engine);
             }
         }
--- a/src/policy/health_checks_tests.rs
+++ b/src/policy/health_checks_tests.rs
@@ -2,17 +2,17 @@
 
 use crate::interface::Agreement;
 
-use super::{HealthChecks, MAX_SAVED_PROBES, MIN_PROBE_INTERVAL};
+use super::{HealthChecks, MAX_EARNED_PROBES, MIN_PROBE_INTERVAL};
 
 const START: i64 = 1_000_000;
 
 fn checks(report_on_probe: bool) -> HealthChecks {
-    let agreed = Agreement {
+    let agreement = Agreement {
         report_on_probe,
         probes: true,
         ..Agreement::default()
     };
-    let mut checks = HealthChecks::new(&agreed, 0.0, 0.0);
+    let mut checks = HealthChecks::new(&agreement, 0.0, 0.0);
     checks.resize(3);
     checks
 }
@@ -27,10 +27,10 @@
 fn each_statement_pays_for_one_probe_in_rotation() {
     let mut checks = checks(true);
     assert_eq!(probed(&mut checks, [true; 3], START), []);
-    checks.statement_taken();
+    checks.record_statement();
     assert_eq!(probed(&mut checks, [true; 3], START), [0]);
-    checks.statement_taken();
-    checks.statement_taken();
+    checks.record_statement();
+    checks.record_statement();
     assert_eq!(probed(&mut checks, [true; 3], START), [1, 2]);
 }
 
@@ -38,7 +38,7 @@
 fn an_engine_is_probed_twice_a_second_at_most() {
     let mut checks = checks(true);
     for _ in 0..9 {
-        checks.statement_taken();
+        checks.record_statement();
     }
     assert_eq!(probed(&mut checks, [true; 3], START), [0, 1, 2]);
     let soon = START + MIN_PROBE_INTERVAL - 1;
@@ -51,25 +51,25 @@
 fn so_many_probes_are_saved_up_and_no_more() {
     let mut checks = checks(true);
     for _ in 0..100 {
-        checks.statement_taken();
+        checks.record_statement();
     }
     let rounds = (0..9).map(|round| START + round * MIN_PROBE_INTERVAL);
     let sent: usize = rounds
         .map(|now| probed(&mut checks, [true; 3], now).len())
         .sum();
-    assert_eq!(sent as f64, MAX_SAVED_PROBES);
+    assert_eq!(sent as f64, MAX_EARNED_PROBES);
 }
 
 #[test]
 fn engines_that_are_not_open_are_passed_over() {
     let mut checks = checks(true);
-    checks.statement_taken();
+    checks.record_statement();
     assert_eq!(probed(&mut checks, [false, false, true], START), [2]);
 }
 
 #[test]
 fn where_answers_bring_reports_nothing_is_probed() {
     let mut checks = checks(false);
-    checks.statement_taken();
+    checks.record_statement();
     assert_eq!(probed(&mut checks, [true; 3], START), []);
 }
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -32,17 +32,17 @@
 }
 
 /// Whether no harm comes of sending a statement to the engine `at`, whatever its earlier attempts have done.
-/// `listed` is the engine list by engine id.
+/// `entries` is the engine list by engine id.
 pub fn is_safe_repeat(
     workload: &Workload,
     statement: &Statement,
-    listed: &[Option<EngineEntry>],
+    entries: &[Option<EngineEntry>],
     at: &EngineEntry,
     now: Micros,
 ) -> bool {
     let is_dropped = |attempt: &Attempt| {
-        let earlier = listed[attempt.engine].as_ref();
-        let same_group = earlier.is_some_and(|e| at.drops_repeats_of(e, workload.dedup_group));
+        let earlier = entries[attempt.engine].as_ref();
+        let same_group = earlier.is_some_and(|e| at.deduplicates_with(e, workload.dedup_group));
         let remembered = now - attempt.sent_at < workload.dedup_window;
         same_group && at.mode == Mode::Ready && remembered
     };
@@ -59,11 +59,11 @@
 pub fn has_safe_engine(
     workload: &Workload,
     statement: &Statement,
-    listed: &[Option<EngineEntry>],
+    entries: &[Option<EngineEntry>],
     now: Micros,
 ) -> bool {
-    let safe = |at: &EngineEntry| is_safe_repeat(workload, statement, listed, at, now);
-    statement.attempts.is_empty() || listed.iter().flatten().any(safe)
+    let safe = |at: &EngineEntry| is_safe_repeat(workload, statement, entries, at, now);
+    statement.attempts.is_empty() || entries.iter().flatten().any(safe)
 }
 
 #[cfg(test)]
--- a/src/policy/idempotency_tests.rs
+++ b/src/policy/idempotency_tests.rs
@@ -33,7 +33,7 @@
 
 /// A statement with one attempt, sent to engine 0 at 0.
 fn attempted(outcome: Outcome) -> Statement {
-    let asked = Arrival {
+    let arrival = Arrival {
         statement: 0,
         workload: 0,
         customer: 0,
@@ -46,7 +46,7 @@
         sticky_engine: None,
         allowed_locations: None,
     };
-    let mut statement = Statement::new(asked, 0, 0, 1, Load::default());
+    let mut statement = Statement::new(arrival, 0, 0, 1, Load::default());
     statement.attempts.push(Attempt {
         outcome: Some(outcome),
         ..Attempt::default()
@@ -57,8 +57,8 @@
 #[test]
 fn what_surely_never_ran_may_go_anywhere() {
     let workload = workload(Effect::NonIdempotent, DedupGroup::All);
-    let listed = [Some(engine(0, 0))];
-    let safe = |outcome| has_safe_engine(&workload, &attempted(outcome), &listed, 0);
+    let entries = [Some(engine(0, 0))];
+    let safe = |outcome| has_safe_engine(&workload, &attempted(outcome), &entries, 0);
     for outcome in [Outcome::NoCapacity, Outcome::Unreachable, Outcome::NotSent] {
         assert!(safe(outcome), "{outcome:?}");
     }
@@ -75,11 +75,11 @@
 #[test]
 fn a_deduplicated_statement_goes_where_its_repeat_is_dropped() {
     let workload = workload(Effect::Deduplicated, DedupGroup::Location);
-    let listed = [Some(engine(0, 0)), Some(engine(1, 0)), Some(engine(2, 1))];
+    let entries = [Some(engine(0, 0)), Some(engine(1, 0)), Some(engine(2, 1))];
     let statement = attempted(Outcome::Reset);
     let safe = |at: usize, now| {
-        let at = listed[at].as_ref().unwrap();
-        is_safe_repeat(&workload, &statement, &listed, at, now)
+        let at = entries[at].as_ref().unwrap();
+        is_safe_repeat(&workload, &statement, &entries, at, now)
     };
     assert!(safe(1, WINDOW - 1));
     assert!(!safe(2, WINDOW - 1), "another group");
@@ -93,9 +93,9 @@
         mode: Mode::Draining,
         ..engine(0, 0)
     };
-    let listed = [Some(draining)];
+    let entries = [Some(draining)];
     let statement = attempted(Outcome::Reset);
-    assert!(!has_safe_engine(&workload, &statement, &listed, 0));
+    assert!(!has_safe_engine(&workload, &statement, &entries, 0));
 }
 
 #[test]
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -12,9 +12,9 @@
 use crate::random::positive_or;
 
 /// Share of the reported load that each engine check forgets: half is gone in about 10 s.
-const OTHERS_LOAD_DECAY: f64 = 0.007;
+const PEER_LOAD_DECAY: f64 = 0.007;
 /// Share of one engine's reported load that each engine check turns into the usual: half in 3.5 s.
-const OTHERS_LOAD_DRIFT_TO_USUAL: f64 = 0.02;
+const PEER_LOAD_DRIFT_TO_TYPICAL: f64 = 0.02;
 /// Age up to which a report is fresh; reports are refreshed about once a second.
 const FRESH_REPORT_AGE: Micros = SECOND;
 /// Weight of a report against what was taken to be held before, where a front hears of each engine often.
@@ -29,17 +29,17 @@
     /// Its cores and memory.
     pub size: Load,
     /// What this front holds there.
-    pub own: Load,
+    pub local_load: Load,
     /// Attempts of this front in flight there.
     pub in_flight: usize,
 }
 
 #[derive(Clone, Copy, Default)]
-struct OthersLoad {
+struct PeerLoad {
     /// What other fronts hold there, as far as is known.
     held: Load,
     /// What this front held there when the engine reported.
-    own_at_report: Load,
+    local_load_at_report: Load,
     reported_at: Micros,
 }
 
@@ -49,8 +49,8 @@
     layout: ReportLayout,
     scope: LimitScope,
     /// What other fronts usually hold for each core, by the engine's kind.
-    usual: Vec<Load>,
-    engines: Vec<OthersLoad>,
+    typical_peer_load: Vec<Load>,
+    engines: Vec<PeerLoad>,
 }
 
 impl LoadReports {
@@ -59,34 +59,34 @@
         LoadReports {
             layout,
             scope,
-            usual: vec![Load::default(); kinds],
+            typical_peer_load: vec![Load::default(); kinds],
             engines: Vec::new(),
         }
     }
 
     /// Makes place for so many engines.
     pub fn resize(&mut self, engines: usize) {
-        self.engines.resize(engines, OthersLoad::default());
+        self.engines.resize(engines, PeerLoad::default());
     }
 
     /// Whether reports hold the load of an engine at all.
-    pub fn name_load(&self) -> bool {
-        self.layout.names_load()
+    pub fn reports_load(&self) -> bool {
+        self.layout.reports_load()
     }
 
     /// Whether an engine's load is known from a fresh report.
     pub fn is_fresh(&self, engine: EngineId, now: Micros) -> bool {
-        self.name_load() && self.engines[engine].reported_at >= now - FRESH_REPORT_AGE
+        self.reports_load() && self.engines[engine].reported_at >= now - FRESH_REPORT_AGE
     }
 
     /// What other fronts hold by now: each is taken to have added what this one has since the report.
-    pub fn held_by_others(&self, engine: EngineId, own: Load, fronts: f64) -> Load {
+    pub fn peer_load(&self, engine: EngineId, local_load: Load, fronts: f64) -> Load {
         let known = &self.engines[engine];
-        let mut added = own;
-        added.add(known.own_at_report, -1.0);
-        let mut others = known.held;
-        others.add(added, fronts - 1.0);
-        others
+        let mut added = local_load;
+        added.add(known.local_load_at_report, -1.0);
+        let mut peer_load = known.held;
+        peer_load.add(added, fronts - 1.0);
+        peer_load
     }
 
     /// An engine has restarted: nobody holds anything there.
@@ -100,66 +100,74 @@
     }
 
     /// Takes an engine's load report. `typical` is what a statement usually holds.
-    pub fn reported(
-        &mut self,
-        at: &ReportedEngine,
-        report: &LoadReport,
-        typical: Load,
-        now: Micros,
-    ) {
-        let reported = self.read(at, report, typical);
+    pub fn record(&mut self, at: &ReportedEngine, report: &LoadReport, typical: Load, now: Micros) {
+        let reported = self.peer_load_from_report(at, report, typical);
         let known = &mut self.engines[at.engine];
-        (known.own_at_report, known.reported_at) = (at.own, now);
+        (known.local_load_at_report, known.reported_at) = (at.local_load, now);
         let weight = match self.scope {
             LimitScope::Pooled => 1.0,
             LimitScope::PerEngine => REPORT_WEIGHT,
         };
         known.held.blend(reported, weight);
-        if let Some(usual) = at.kind.and_then(|kind| self.usual.get_mut(kind)) {
-            usual.blend(reported.times(1.0 / at.size.threads), MIN_SAMPLE_WEIGHT);
+        if let Some(typical_peer_load) = at
+            .kind
+            .and_then(|kind| self.typical_peer_load.get_mut(kind))
+        {
+            typical_peer_load.blend(reported.times(1.0 / at.size.threads), MIN_SAMPLE_WEIGHT);
         }
     }
 
     /// What a report says that others hold.
-    fn read(&self, at: &ReportedEngine, report: &LoadReport, typical: Load) -> Load {
-        let own_attempts = at.in_flight as f64;
+    fn peer_load_from_report(
+        &self,
+        at: &ReportedEngine,
+        report: &LoadReport,
+        typical: Load,
+    ) -> Load {
+        let local_attempts = at.in_flight as f64;
         let (threads_each, memory_each) = match self.scope {
             LimitScope::Pooled => (typical.threads, typical.memory),
             LimitScope::PerEngine => (
-                positive_or(at.own.threads, 1.0) / own_attempts.max(1.0),
+                positive_or(at.local_load.threads, 1.0) / local_attempts.max(1.0),
                 0.0,
             ),
         };
-        let of_busy = at.size.threads / threads_each.max(0.01);
-        let active = self.layout.active_statements(report, of_busy);
-        let of_others = active.map_or(0.0, |active| (active - own_attempts).max(0.0));
+        let statements_on_all_cores = at.size.threads / threads_each.max(0.01);
+        let active = self
+            .layout
+            .active_statements(report, statements_on_all_cores);
+        let peer_statements = active.map_or(0.0, |active| (active - local_attempts).max(0.0));
         let granted = self.layout.granted_memory(report);
-        let memory = granted.map(|share| share * at.size.memory - at.own.memory);
+        let memory = granted.map(|share| share * at.size.memory - at.local_load.memory);
         // Where nothing tells what an engine holds, a report leaves what others are taken to hold.
         let threads = if active.is_some() {
-            of_others * threads_each
+            peer_statements * threads_each
         } else {
             self.engines[at.engine].held.threads
         };
         Load {
             threads,
-            memory: memory.unwrap_or(of_others * memory_each).max(0.0),
+            memory: memory.unwrap_or(peer_statements * memory_each).max(0.0),
         }
     }
 
     /// What is held of each engine is half known and grows old. `shape` gives an engine's kind and cores.
     pub fn decay(&mut self, shape: impl Fn(EngineId) -> (Option<usize>, f64)) {
-        for usual in &mut self.usual {
-            usual.blend(Load::default(), OTHERS_LOAD_DECAY);
+        for typical_peer_load in &mut self.typical_peer_load {
+            typical_peer_load.blend(Load::default(), PEER_LOAD_DECAY);
         }
         for (engine, known) in self.engines.iter_mut().enumerate() {
             match self.scope {
-                LimitScope::PerEngine => known.held.blend(Load::default(), OTHERS_LOAD_DECAY),
+                LimitScope::PerEngine => known.held.blend(Load::default(), PEER_LOAD_DECAY),
                 LimitScope::Pooled => {
                     let (kind, cores) = shape(engine);
-                    let each = kind.and_then(|kind| self.usual.get(kind)).copied();
-                    let usual = each.unwrap_or_default().times(cores);
-                    known.held.blend(usual, OTHERS_LOAD_DRIFT_TO_USUAL);
+                    let each = kind
+                        .and_then(|kind| self.typical_peer_load.get(kind))
+                        .copied();
+                    let typical_peer_load = each.unwrap_or_default().times(cores);
+                    known
+                        .held
+                        .blend(typical_peer_load, PEER_LOAD_DRIFT_TO_TYPICAL);
                 }
             }
         }
--- a/src/policy/load_reports_tests.rs
+++ b/src/policy/load_reports_tests.rs
@@ -24,12 +24,12 @@
     reports
 }
 
-fn engine(own: Load, in_flight: usize) -> ReportedEngine {
+fn engine(local_load: Load, in_flight: usize) -> ReportedEngine {
     ReportedEngine {
         engine: 0,
         kind: Some(0),
         size: load(8.0, 1000.0),
-        own,
+        local_load,
         in_flight,
     }
 }
@@ -37,21 +37,21 @@
 #[test]
 fn what_is_not_this_fronts_is_held_by_others() {
     let mut reports = reports();
-    let own = load(2.0, 100.0);
+    let local_load = load(2.0, 100.0);
     let typical = load(2.0, 50.0);
-    reports.reported(&engine(own, 1), &vec![4.0, 0.5], typical, NOW);
-    let others = reports.held_by_others(0, own, 10.0);
-    assert_eq!((others.threads, others.memory), (6.0, 400.0));
+    reports.record(&engine(local_load, 1), &vec![4.0, 0.5], typical, NOW);
+    let peer_load = reports.peer_load(0, local_load, 10.0);
+    assert_eq!((peer_load.threads, peer_load.memory), (6.0, 400.0));
 }
 
 #[test]
 fn the_others_are_taken_to_add_what_this_front_adds() {
     let mut reports = reports();
-    let own = load(2.0, 100.0);
+    let local_load = load(2.0, 100.0);
     let typical = load(2.0, 50.0);
-    reports.reported(&engine(own, 1), &vec![4.0, 0.5], typical, NOW);
-    let others = reports.held_by_others(0, load(3.0, 100.0), 10.0);
-    assert_eq!(others.threads, 6.0 + 9.0);
+    reports.record(&engine(local_load, 1), &vec![4.0, 0.5], typical, NOW);
+    let peer_load = reports.peer_load(0, load(3.0, 100.0), 10.0);
+    assert_eq!(peer_load.threads, 6.0 + 9.0);
 }
 
 #[test]
@@ -59,9 +59,9 @@
     let mut reports = reports();
     reports.assume_full(0, 24.0);
     let nothing = Load::default();
-    let held = |reports: &LoadReports| reports.held_by_others(0, nothing, 1.0).threads;
+    let held = |reports: &LoadReports| reports.peer_load(0, nothing, 1.0).threads;
     assert_eq!(held(&reports), 24.0);
-    reports.reported(&engine(nothing, 0), &vec![0.0, 0.0], nothing, NOW);
+    reports.record(&engine(nothing, 0), &vec![0.0, 0.0], nothing, NOW);
     assert_eq!(held(&reports), 0.0);
 }
 
@@ -69,7 +69,7 @@
 fn a_report_is_fresh_for_a_second() {
     let mut reports = reports();
     let nothing = Load::default();
-    reports.reported(&engine(nothing, 0), &vec![0.0, 0.0], nothing, NOW);
+    reports.record(&engine(nothing, 0), &vec![0.0, 0.0], nothing, NOW);
     assert!(reports.is_fresh(0, NOW + FRESH_REPORT_AGE));
     assert!(!reports.is_fresh(0, NOW + FRESH_REPORT_AGE + 1));
 }
@@ -79,8 +79,8 @@
     let mut reports = reports();
     let nothing = Load::default();
     let typical = load(1.0, 0.0);
-    reports.reported(&engine(nothing, 0), &vec![8.0, 0.0], typical, NOW);
-    let held = |reports: &LoadReports| reports.held_by_others(0, nothing, 1.0).threads;
+    reports.record(&engine(nothing, 0), &vec![8.0, 0.0], typical, NOW);
+    let held = |reports: &LoadReports| reports.peer_load(0, nothing, 1.0).threads;
     // The usual was learned from one report, of weight 0.05: 0.05 threads a core.
     for _ in 0..35 {
         reports.decay(|_| (Some(0), 8.0));
--- a/src/policy/order_key.rs
+++ b/src/policy/order_key.rs
@@ -25,14 +25,14 @@
 pub struct OrderQueues(BTreeMap<KeyId, OrderQueue>);
 
 impl OrderQueues {
-    fn of(&self, key: Option<KeyId>) -> Option<&OrderQueue> {
+    fn queue(&self, key: Option<KeyId>) -> Option<&OrderQueue> {
         key.and_then(|key| self.0.get(&key))
     }
 
-    fn change(&mut self, key: Option<KeyId>, change: impl FnMut(&mut OrderQueue)) {
+    fn update(&mut self, key: Option<KeyId>, update: impl FnMut(&mut OrderQueue)) {
         key.and_then(|key| self.0.get_mut(&key))
             .into_iter()
-            .for_each(change);
+            .for_each(update);
     }
 
     /// A statement arrives: it is the last of its key.
@@ -43,7 +43,7 @@
 
     /// A statement is over, with so many of its executions still out.
     pub fn remove(&mut self, key: Option<KeyId>, id: StatementId, unresolved: usize) {
-        self.change(key, |queue| {
+        self.update(key, |queue| {
             queue.statements.retain(|other| *other != id);
             queue.unresolved += unresolved;
         });
@@ -51,15 +51,15 @@
 
     /// An execution has ended, unresolved where its statement was over; the key may pause until then.
     pub fn resolve(&mut self, key: Option<KeyId>, unresolved: bool, paused_until: Option<Micros>) {
-        self.change(key, |queue| {
+        self.update(key, |queue| {
             queue.unresolved -= usize::from(unresolved && queue.unresolved > 0);
             queue.paused_until = paused_until.unwrap_or(queue.paused_until);
         });
     }
 
     /// The transaction of a statement that is over goes on and keeps the key.
-    pub fn keep(&mut self, key: Option<KeyId>) {
-        self.change(key, |queue| queue.unresolved += 1);
+    pub fn hold(&mut self, key: Option<KeyId>) {
+        self.update(key, |queue| queue.unresolved += 1);
     }
 
     /// Whether it is a statement's turn: it is the first of its key, nothing of an earlier one may still run, and
@@ -71,7 +71,7 @@
         attempted: bool,
         now: Micros,
     ) -> bool {
-        self.of(key).is_none_or(|queue| {
+        self.queue(key).is_none_or(|queue| {
             let resumed = queue.paused_until <= now || attempted;
             queue.statements.front() == Some(&id) && queue.unresolved == 0 && resumed
         })
@@ -79,17 +79,18 @@
 
     /// Until when the key pauses; 0 where it doesn't.
     pub fn paused_until(&self, key: Option<KeyId>) -> Micros {
-        self.of(key).map_or(0, |queue| queue.paused_until)
+        self.queue(key).map_or(0, |queue| queue.paused_until)
     }
 
     /// Whether several statements of a key are not over.
     pub fn is_shared(&self, key: Option<KeyId>) -> bool {
-        self.of(key).is_some_and(|queue| queue.statements.len() > 1)
+        self.queue(key)
+            .is_some_and(|queue| queue.statements.len() > 1)
     }
 
     /// The first statement of a key; a queue with nothing in it, unresolved or paused is dropped.
     pub fn first(&mut self, key: Option<KeyId>, now: Micros) -> Option<StatementId> {
-        let queue = self.of(key)?;
+        let queue = self.queue(key)?;
         let first = queue.statements.front().copied();
         if first.is_none() && queue.unresolved == 0 && queue.paused_until <= now {
             key.into_iter().for_each(|key| _ = self.0.remove(&key));
--- a/src/policy/order_key_tests.rs
+++ b/src/policy/order_key_tests.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_transaction_that_goes_on_holds_the_key() {
     let mut queues = queue(&[1, 2]);
-    queues.keep(KEY);
+    queues.hold(KEY);
     queues.remove(KEY, 1, 0);
     assert!(!queues.is_first(KEY, 2, false, 0));
     queues.resolve(KEY, true, None);
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -55,13 +55,13 @@
 struct Health {
     /// 0 to 1.
     credit: f64,
-    unreachable_in_a_row: usize,
+    consecutive_unreachable: usize,
     ejected_until: Micros,
 }
 
-const NEW_ENGINE: Health = Health {
+const INITIAL_HEALTH: Health = Health {
     credit: TRUSTED_CREDIT,
-    unreachable_in_a_row: 0,
+    consecutive_unreachable: 0,
     ejected_until: 0,
 };
 
@@ -72,7 +72,7 @@
 impl Outliers {
     /// Makes place for so many engines.
     pub fn resize(&mut self, engines: usize) {
-        self.0.resize(engines, NEW_ENGINE);
+        self.0.resize(engines, INITIAL_HEALTH);
     }
 
     /// Whether it gets nothing at all now.
@@ -93,17 +93,18 @@
     /// It has restarted, or is used again: it is trusted like a new one.
     pub fn reset(&mut self, engine: EngineId) {
         let health = &mut self.0[engine];
-        (health.credit, health.ejected_until) = (NEW_ENGINE.credit, NEW_ENGINE.ejected_until);
+        (health.credit, health.ejected_until) =
+            (INITIAL_HEALTH.credit, INITIAL_HEALTH.ejected_until);
     }
 
     /// It answered a statement.
-    pub fn answered(&mut self, engine: EngineId) {
+    pub fn record_answer(&mut self, engine: EngineId) {
         let health = &mut self.0[engine];
         health.credit = (health.credit + CREDIT_PER_ANSWER).min(1.0);
     }
 
     /// A health check there failed.
-    pub fn health_check_failed(&mut self, engine: EngineId) {
+    pub fn record_failed_health_check(&mut self, engine: EngineId) {
         self.0[engine].credit *= CREDIT_FACTOR_FAILED;
     }
 
@@ -121,28 +122,28 @@
 
     /// An attempt ended there: whether it could be reached, and how often in a row it could not. One that could
     /// not be reached is ejected.
-    pub fn attempt_ended(
+    pub fn record_attempt_end(
         &mut self,
         engine: EngineId,
         outcome: Outcome,
         now: Micros,
     ) -> UnreachableStreak {
         let health = &mut self.0[engine];
-        let before = health.unreachable_in_a_row;
+        let before = health.consecutive_unreachable;
         match outcome {
             Outcome::Unreachable => {
-                health.unreachable_in_a_row += 1;
+                health.consecutive_unreachable += 1;
                 health.ejected_until = now + EJECTION_TIME;
             }
             Outcome::Completed | Outcome::NoCapacity | Outcome::Error => {
-                health.unreachable_in_a_row = 0;
+                health.consecutive_unreachable = 0;
             }
             // Nothing has come from there.
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => {}
         }
         UnreachableStreak {
             before,
-            now: health.unreachable_in_a_row,
+            now: health.consecutive_unreachable,
         }
     }
 }
--- a/src/policy/outliers_tests.rs
+++ b/src/policy/outliers_tests.rs
@@ -17,7 +17,7 @@
     outliers.charge(0, Charge::Failed, 0);
     assert!(!outliers.is_trusted(0) && !outliers.is_ejected(0, 0));
     assert!(outliers.limit_share(0) < 1.0);
-    outliers.answered(0);
+    outliers.record_answer(0);
     assert!(outliers.is_trusted(0));
 }
 
@@ -32,25 +32,25 @@
 #[test]
 fn two_connections_in_a_row_that_fail_mean_that_it_is_gone() {
     let mut outliers = one_engine();
-    let first = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    let first = outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     assert_eq!(first.charge(Outcome::Unreachable), Charge::Failed);
     assert!(!first.may_have_restarted());
-    let second = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    let second = outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     assert_eq!(second.charge(Outcome::Unreachable), Charge::Unreachable);
     assert!(second.may_have_restarted());
     // The first that comes back says so once more: it may have restarted meanwhile.
-    let back = outliers.attempt_ended(0, Outcome::Completed, 0);
+    let back = outliers.record_attempt_end(0, Outcome::Completed, 0);
     assert!(back.may_have_restarted());
-    let next = outliers.attempt_ended(0, Outcome::Completed, 0);
+    let next = outliers.record_attempt_end(0, Outcome::Completed, 0);
     assert!(!next.may_have_restarted());
 }
 
 #[test]
 fn what_says_nothing_of_the_engine_keeps_the_streak() {
     let mut outliers = one_engine();
-    outliers.attempt_ended(0, Outcome::Unreachable, 0);
-    outliers.attempt_ended(0, Outcome::NotSent, 0);
-    let again = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    outliers.record_attempt_end(0, Outcome::Unreachable, 0);
+    outliers.record_attempt_end(0, Outcome::NotSent, 0);
+    let again = outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     assert!(again.may_have_restarted());
 }
 
--- a/src/policy/peer_evidence.rs
+++ b/src/policy/peer_evidence.rs
@@ -23,12 +23,12 @@
 /// The most that reports take of a limit, however many there are.
 const MAX_SUSPICION: f64 = 0.5;
 /// The most that one reporter adds to an engine's suspicion.
-const MAX_SUSPICION_OF_ONE: f64 = 0.5;
+const MAX_SUSPICION_PER_REPORTER: f64 = 0.5;
 
 /// What this front knows of the engine that a report is on.
 pub struct ReportContext {
     /// The longest of all workloads' usual runs, in microseconds.
-    pub longest_run: f64,
+    pub longest_mean_run: f64,
     /// The engine's last start, as far as is known: what was reported before is over.
     pub healthy_since: Micros,
     /// The time now.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
     /// The report is kept, or counts for nothing.
-    Noted,
+    Recorded,
     /// A quorum has found an engine of an evacuated zone healthy.
     FoundHealthy,
 }
@@ -116,23 +116,28 @@
     /// The share of an engine's limit that reports leave, outside evacuated zones: one believed front takes half
     /// of `MAX_SUSPICION` at most, fading with age.
     pub fn limit_share(&self, engine: EngineId, now: Micros) -> f64 {
-        let worth = |(reporter, report): (usize, AdverseReport)| {
+        let weighted_severity = |(reporter, report): (usize, AdverseReport)| {
             let left = (report.until - now).max(0) as f64 / PEER_REPORT_LIFETIME as f64;
             (self.credibility_of(reporter) * report.severity * left.sqrt())
-                .min(MAX_SUSPICION_OF_ONE)
+                .min(MAX_SUSPICION_PER_REPORTER)
         };
-        let suspicion = MAX_SUSPICION * self.on(engine).map(worth).sum::<f64>().min(1.0);
+        let suspicion = MAX_SUSPICION
+            * self
+                .adverse_reports_on(engine)
+                .map(weighted_severity)
+                .sum::<f64>()
+                .min(1.0);
         1.0 - suspicion
     }
 
     /// Takes a report. `zone` gives the engines of the zone of the engine reported on.
-    pub fn reported(
+    pub fn record(
         &mut self,
         report: &PeerReport,
         context: &ReportContext,
         zone: impl FnOnce() -> Vec<EngineId>,
     ) -> ReportOutcome {
-        let severity = severity(report, context.longest_run);
+        let severity = severity(report, context.longest_mean_run);
         let (engine, reporter) = (report.engine, report.reporter);
         let until = context.now - report.age + PEER_REPORT_LIFETIME;
         self.adverse.retain(|_, report| report.until > context.now);
@@ -141,25 +146,25 @@
             self.adverse
                 .insert((engine, reporter), AdverseReport { severity, until });
             self.evacuate(&zone());
-            ReportOutcome::Noted
+            ReportOutcome::Recorded
         } else {
             self.adverse.remove(&(engine, reporter));
-            self.count_healthy(report)
+            self.record_healthy_report(report)
         }
     }
 
     /// A report that isn't adverse may say that a suspect is healthy; a quorum of believed fronts decides.
-    fn count_healthy(&mut self, report: &PeerReport) -> ReportOutcome {
-        if !self.is_believed(report.reporter) || !report.answers() {
-            return ReportOutcome::Noted;
+    fn record_healthy_report(&mut self, report: &PeerReport) -> ReportOutcome {
+        if !self.is_credible(report.reporter) || !report.answers() {
+            return ReportOutcome::Recorded;
         }
-        let Some(finders) = self.evacuated.get_mut(&report.engine) else {
-            return ReportOutcome::Noted;
+        let Some(healthy_reporters) = self.evacuated.get_mut(&report.engine) else {
+            return ReportOutcome::Recorded;
         };
-        if finders.insert(report.reporter) && finders.len() >= self.quorum {
+        if healthy_reporters.insert(report.reporter) && healthy_reporters.len() >= self.quorum {
             ReportOutcome::FoundHealthy
         } else {
-            ReportOutcome::Noted
+            ReportOutcome::Recorded
         }
     }
 
@@ -176,7 +181,7 @@
     }
 
     /// An engine is healthy: once half of its evacuated zone is, the zone is used again.
-    pub fn found_healthy(&mut self, engine: EngineId, zone: &[EngineId]) -> ZoneOutcome {
+    pub fn mark_healthy(&mut self, engine: EngineId, zone: &[EngineId]) -> ZoneOutcome {
         self.evacuated.remove(&engine);
         let suspects = zone.iter().filter(|e| self.is_suspect(**e)).count();
         if 2 * suspects > zone.len() {
@@ -184,23 +189,23 @@
         }
         for engine in zone {
             self.evacuated.remove(engine);
-            self.forget(*engine);
+            self.clear_reports(*engine);
         }
         ZoneOutcome::Reopened
     }
 
     /// An engine has answered in time here: adverse reports on it were wrong.
-    pub fn proved_wrong(&mut self, engine: EngineId) {
+    pub fn refute_reports(&mut self, engine: EngineId) {
         self.change_credibility(engine, |c| c * CREDIBILITY_FACTOR_FALSE_REPORT);
     }
 
     /// An engine has failed here: adverse reports on it were right.
-    pub fn proved_right(&mut self, engine: EngineId) {
+    pub fn confirm_reports(&mut self, engine: EngineId) {
         self.change_credibility(engine, |c| (c + CREDIBILITY_PER_TRUE_REPORT).min(1.0));
     }
 
     /// Lets go of all reports on an engine.
-    pub fn forget(&mut self, engine: EngineId) {
+    pub fn clear_reports(&mut self, engine: EngineId) {
         self.adverse.retain(|(at, _), _| *at != engine);
     }
 
@@ -219,12 +224,15 @@
         known.unwrap_or(INITIAL_CREDIBILITY)
     }
 
-    fn is_believed(&self, reporter: usize) -> bool {
+    fn is_credible(&self, reporter: usize) -> bool {
         self.credibility_of(reporter) >= INITIAL_CREDIBILITY
     }
 
     /// The adverse reports on an engine, each with its reporter.
-    fn on(&self, engine: EngineId) -> impl Iterator<Item = (usize, AdverseReport)> + '_ {
+    fn adverse_reports_on(
+        &self,
+        engine: EngineId,
+    ) -> impl Iterator<Item = (usize, AdverseReport)> + '_ {
         self.adverse
             .range((engine, 0)..(engine + 1, 0))
             .map(|((_, reporter), report)| (*reporter, *report))
@@ -236,23 +244,25 @@
             reporters: BTreeSet::new(),
         };
         for engine in zone {
-            let reporters = self.on(*engine).map(|(reporter, _)| reporter);
-            let mut believed = reporters
-                .filter(|reporter| self.is_believed(*reporter))
+            let reporters = self
+                .adverse_reports_on(*engine)
+                .map(|(reporter, _)| reporter);
+            let mut credible = reporters
+                .filter(|reporter| self.is_credible(*reporter))
                 .peekable();
-            if believed.peek().is_some() {
+            if credible.peek().is_some() {
                 suspects.engines.push(*engine);
             }
-            suspects.reporters.extend(believed);
+            suspects.reporters.extend(credible);
         }
         suspects
     }
 }
 
 /// The share of failures, or how sure silence is to be a fault, 0 to 1; long statements are silent too.
-fn severity(report: &PeerReport, longest_run: f64) -> f64 {
-    let beyond = (report.silent as f64 - MAX_SILENT_RUNS * longest_run).max(0.0);
-    let silence = beyond / (beyond + SECOND as f64);
+fn severity(report: &PeerReport, longest_mean_run: f64) -> f64 {
+    let excess = (report.silent as f64 - MAX_SILENT_RUNS * longest_mean_run).max(0.0);
+    let silence = excess / (excess + SECOND as f64);
     (report.failed / (report.failed + report.answered + 1.0)).max(silence)
 }
 
--- a/src/policy/peer_evidence_tests.rs
+++ b/src/policy/peer_evidence_tests.rs
@@ -8,7 +8,7 @@
 
 fn context(now: i64) -> ReportContext {
     ReportContext {
-        longest_run: 0.0,
+        longest_mean_run: 0.0,
         healthy_since: 0,
         now,
     }
@@ -26,18 +26,18 @@
 }
 
 /// Engines 0 to 2 are one zone.
-fn tell(evidence: &mut PeerEvidence, report: PeerReport) -> ReportOutcome {
-    evidence.reported(&report, &context(NOW), || vec![0, 1, 2])
+fn record(evidence: &mut PeerEvidence, report: PeerReport) -> ReportOutcome {
+    evidence.record(&report, &context(NOW), || vec![0, 1, 2])
 }
 
 #[test]
 fn however_many_report_half_of_the_limit_is_left() {
     let mut evidence = PeerEvidence::new(0);
-    tell(&mut evidence, report(1, 0, 1e9, 0.0));
+    record(&mut evidence, report(1, 0, 1e9, 0.0));
     let after_one = evidence.limit_share(0, NOW);
     assert!((0.75..1.0).contains(&after_one), "{after_one}");
     for reporter in 2..50 {
-        tell(&mut evidence, report(reporter, 0, 1e9, 0.0));
+        record(&mut evidence, report(reporter, 0, 1e9, 0.0));
     }
     assert_eq!(evidence.limit_share(0, NOW), 0.5);
     assert_eq!(evidence.limit_share(1, NOW), 1.0);
@@ -46,7 +46,7 @@
 #[test]
 fn a_report_fades_and_ends() {
     let mut evidence = PeerEvidence::new(0);
-    tell(&mut evidence, report(1, 0, 1e9, 0.0));
+    record(&mut evidence, report(1, 0, 1e9, 0.0));
     let fresh = evidence.limit_share(0, NOW);
     let older = evidence.limit_share(0, NOW + PEER_REPORT_LIFETIME / 2);
     assert!(older > fresh);
@@ -56,9 +56,9 @@
 #[test]
 fn a_reporter_proved_wrong_counts_for_less() {
     let mut evidence = PeerEvidence::new(0);
-    tell(&mut evidence, report(1, 0, 1e9, 0.0));
+    record(&mut evidence, report(1, 0, 1e9, 0.0));
     let before = evidence.limit_share(0, NOW);
-    evidence.proved_wrong(0);
+    evidence.refute_reports(0);
     assert!(evidence.limit_share(0, NOW) > before);
 }
 
@@ -66,10 +66,10 @@
 fn a_quorum_against_most_of_a_zone_evacuates_it() {
     let mut evidence = PeerEvidence::new(2);
     let zone = || [0, 1, 2].into_iter();
-    tell(&mut evidence, report(1, 0, 1e9, 0.0));
-    tell(&mut evidence, report(1, 1, 1e9, 0.0));
+    record(&mut evidence, report(1, 0, 1e9, 0.0));
+    record(&mut evidence, report(1, 1, 1e9, 0.0));
     assert!(!evidence.is_evacuated(zone()), "one reporter is no quorum");
-    tell(&mut evidence, report(2, 1, 1e9, 0.0));
+    record(&mut evidence, report(2, 1, 1e9, 0.0));
     assert!(evidence.is_evacuated(zone()));
     assert!(evidence.is_suspect(0) && !evidence.is_suspect(2));
 }
@@ -78,7 +78,7 @@
 fn without_a_quorum_no_zone_is_evacuated() {
     let mut evidence = PeerEvidence::new(0);
     for engine in 0..3 {
-        tell(&mut evidence, report(1, engine, 1e9, 0.0));
+        record(&mut evidence, report(1, engine, 1e9, 0.0));
     }
     assert!(!evidence.has_evacuated());
 }
@@ -88,12 +88,12 @@
     let mut evidence = PeerEvidence::new(2);
     for engine in 0..3 {
         for reporter in 1..3 {
-            tell(&mut evidence, report(reporter, engine, 1e9, 0.0));
+            record(&mut evidence, report(reporter, engine, 1e9, 0.0));
         }
     }
     let zone = [0, 1, 2];
-    assert_eq!(evidence.found_healthy(0, &zone), ZoneOutcome::Unchanged);
-    assert_eq!(evidence.found_healthy(1, &zone), ZoneOutcome::Reopened);
+    assert_eq!(evidence.mark_healthy(0, &zone), ZoneOutcome::Unchanged);
+    assert_eq!(evidence.mark_healthy(1, &zone), ZoneOutcome::Reopened);
     assert!(!evidence.has_evacuated() && !evidence.has_adverse());
 }
 
@@ -102,13 +102,16 @@
     let mut evidence = PeerEvidence::new(2);
     for engine in 0..3 {
         for reporter in 1..3 {
-            tell(&mut evidence, report(reporter, engine, 1e9, 0.0));
+            record(&mut evidence, report(reporter, engine, 1e9, 0.0));
         }
     }
-    let well = |reporter| report(reporter, 0, 0.0, 5.0);
-    assert_eq!(tell(&mut evidence, well(1)), ReportOutcome::Noted);
-    assert_eq!(tell(&mut evidence, well(1)), ReportOutcome::Noted);
-    assert_eq!(tell(&mut evidence, well(2)), ReportOutcome::FoundHealthy);
+    let healthy = |reporter| report(reporter, 0, 0.0, 5.0);
+    assert_eq!(record(&mut evidence, healthy(1)), ReportOutcome::Recorded);
+    assert_eq!(record(&mut evidence, healthy(1)), ReportOutcome::Recorded);
+    assert_eq!(
+        record(&mut evidence, healthy(2)),
+        ReportOutcome::FoundHealthy
+    );
 }
 
 #[test]
@@ -118,6 +121,6 @@
         healthy_since: NOW + 1,
         ..context(NOW)
     };
-    evidence.reported(&report(1, 0, 1e9, 0.0), &context, Vec::new);
+    evidence.record(&report(1, 0, 1e9, 0.0), &context, Vec::new);
     assert!(!evidence.has_adverse());
 }
--- a/src/policy/penalty.rs
+++ b/src/policy/penalty.rs
@@ -30,14 +30,14 @@
 #[derive(Default)]
 pub struct Conformance {
     timely: f64,
-    counted: f64,
-    counted_at: Micros,
+    total: f64,
+    updated_at: Micros,
 }
 
 impl Conformance {
     /// The timely share, 0 to 1.
     pub fn share(&self) -> f64 {
-        (self.timely + PRIOR_TIMELY_STATEMENTS) / (self.counted + PRIOR_TIMELY_STATEMENTS)
+        (self.timely + PRIOR_TIMELY_STATEMENTS) / (self.total + PRIOR_TIMELY_STATEMENTS)
     }
 
     /// Whether it is in the highest level.
@@ -46,18 +46,18 @@
     }
 
     /// Lets the counts halve with each half-life since the last call.
-    pub fn fade(&mut self, now: Micros) {
-        let half_lives = (now - self.counted_at) as f64 / CONFORMANCE_HALF_LIFE as f64;
-        let left = 0.5f64.powf(half_lives);
-        self.timely *= left;
-        self.counted *= left;
-        self.counted_at = now;
+    pub fn decay(&mut self, now: Micros) {
+        let half_lives = (now - self.updated_at) as f64 / CONFORMANCE_HALF_LIFE as f64;
+        let remaining = 0.5f64.powf(half_lives);
+        self.timely *= remaining;
+        self.total *= remaining;
+        self.updated_at = now;
     }
 
     /// Counts a statement that is over.
     pub fn count(&mut self, timeliness: Timeliness, now: Micros) {
-        self.fade(now);
-        self.counted += 1.0;
+        self.decay(now);
+        self.total += 1.0;
         if timeliness == Timeliness::Timely {
             self.timely += 1.0;
         }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -51,14 +51,14 @@
 
 /// Times of events, oldest first.
 #[derive(Default)]
-struct Times(VecDeque<Micros>);
+struct Timestamps(VecDeque<Micros>);
 
-impl Times {
+impl Timestamps {
     fn count_after(&self, time: Micros) -> f64 {
         (self.0.len() - self.0.partition_point(|t| *t <= time)) as f64
     }
 
-    fn forget_before(&mut self, time: Micros) {
+    fn drop_before(&mut self, time: Micros) {
         self.0.drain(..self.0.partition_point(|t| *t < time));
     }
 }
@@ -70,38 +70,38 @@
     /// Attempts that a statement may have, its first included.
     max_attempts: usize,
     /// When statements were admitted, within the window.
-    admissions: Times,
+    admissions: Timestamps,
     /// When statements were sent again, within the window.
-    retries: Times,
+    retries: Timestamps,
 }
 
 impl RetryBudget {
     /// Nothing has been admitted yet.
-    pub fn new(agreed: &Agreement) -> Self {
+    pub fn new(agreement: &Agreement) -> Self {
         RetryBudget {
-            budget: agreed.retry_allowance,
-            max_attempts: agreed.max_attempts,
+            budget: agreement.retry_allowance,
+            max_attempts: agreement.max_attempts,
             ..RetryBudget::default()
         }
     }
 
     /// A statement is admitted: the budget grows where there is one.
-    pub fn admitted(&mut self, now: Micros) {
+    pub fn record_admission(&mut self, now: Micros) {
         if self.budget.is_some() {
             self.admissions.0.push_back(now);
         }
     }
 
     /// A statement is sent again.
-    pub fn retried(&mut self, now: Micros) {
+    pub fn record_retry(&mut self, now: Micros) {
         self.retries.0.push_back(now);
     }
 
     /// Lets go of what is outside the window.
-    pub fn forget_old(&mut self, now: Micros) {
+    pub fn prune(&mut self, now: Micros) {
         let window = self.budget.map_or(0, |budget| budget.window);
-        self.admissions.forget_before(now - window);
-        self.retries.forget_before(now - window);
+        self.admissions.drop_before(now - window);
+        self.retries.drop_before(now - window);
     }
 
     /// Whether a statement may be attempted again now.
--- a/src/policy/retry_tests.rs
+++ b/src/policy/retry_tests.rs
@@ -29,7 +29,7 @@
 fn what_is_spent_comes_back_after_the_window() {
     let mut budget = budget(1.0, 0.0);
     assert_eq!(budget.check(after(1), 0), RetryOutcome::Allowed);
-    budget.retried(0);
+    budget.record_retry(0);
     assert_eq!(budget.check(after(1), 0), RetryOutcome::BudgetSpent);
     assert_eq!(budget.check(after(1), WINDOW), RetryOutcome::BudgetSpent);
     assert_eq!(budget.check(after(1), WINDOW + 1), RetryOutcome::Allowed);
@@ -39,10 +39,10 @@
 fn the_budget_grows_with_the_statements_admitted() {
     let mut budget = budget(0.0, 0.1);
     for _ in 0..9 {
-        budget.admitted(1);
+        budget.record_admission(1);
     }
     assert_eq!(budget.check(after(1), 1), RetryOutcome::BudgetSpent);
-    budget.admitted(1);
+    budget.record_admission(1);
     assert_eq!(budget.check(after(1), 1), RetryOutcome::Allowed);
 }
 
@@ -65,7 +65,7 @@
         ..Agreement::default()
     });
     for _ in 0..100 {
-        budget.retried(0);
+        budget.record_retry(0);
     }
     assert_eq!(budget.check(after(2), 0), RetryOutcome::Allowed);
 }
--- a/src/policy/shedding.rs
+++ b/src/policy/shedding.rs
@@ -5,7 +5,7 @@
 //! Source: the paper, section 2.3; ours: `docs/design.md`, "Changed, and when each change acts".
 
 use crate::interface::{Micros, RejectReason, SECOND};
-use crate::policy::deadlines::{rejected_at, StatementTiming};
+use crate::policy::deadlines::{rejection_time, StatementTiming};
 
 /// Late share under which a statement that must be late is shed at once.
 const MIN_LATE_VALUE_SHARE_TO_RUN: f64 = 0.25;
@@ -46,13 +46,13 @@
 
     /// Why it ends now that its standing has changed, if it does. Past its latest start it goes ahead of all, unless
     /// others wait that can still be in time.
-    pub fn reason_at_expiry(&self, others_wait: bool, now: Micros) -> Option<RejectReason> {
-        if now >= rejected_at(self.timing.deadline) {
+    pub fn reason_at_expiry(&self, timely_waiting: bool, now: Micros) -> Option<RejectReason> {
+        if now >= rejection_time(self.timing.deadline) {
             return Some(RejectReason::Expiring);
         }
         let overdue = now >= self.timing.latest_start();
         self.reason(now)
-            .or((overdue && others_wait).then_some(RejectReason::LatestStartPassed))
+            .or((overdue && timely_waiting).then_some(RejectReason::LatestStartPassed))
     }
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -74,12 +74,12 @@
 
 impl SlowStart {
     /// No engine is known yet; `first_slot` is drawn by each front, from 0 up to 1.
-    pub fn new(agreed: &Agreement, first_slot: f64) -> Self {
+    pub fn new(agreement: &Agreement, first_slot: f64) -> Self {
         SlowStart {
-            initial_capacity: agreed.initial_capacity_share,
-            duration: agreed.warm_up_time,
-            overload_factor: agreed.overload_factor,
-            overload_window: agreed.overload_window,
+            initial_capacity: agreement.initial_capacity_share,
+            duration: agreement.warm_up_time,
+            overload_factor: agreement.overload_factor,
+            overload_window: agreement.overload_window,
             first_slot,
             engines: Vec::new(),
         }
@@ -137,7 +137,7 @@
     }
 
     /// Counts what was allowed and is sent now.
-    pub fn sent(&mut self, engine: EngineId, outcome: SlowStartOutcome, now: Micros) {
+    pub fn record_sent(&mut self, engine: EngineId, outcome: SlowStartOutcome, now: Micros) {
         if let SlowStartOutcome::Allowed { outstanding_work } = outcome {
             self.engines[engine].outstanding_work = outstanding_work;
             self.engines[engine].counted_at = now;
@@ -146,15 +146,15 @@
 
     /// A statement longer than the budget goes in slots that begin at random.
     fn check_slot(&self, request: &SlowStartRequest, budget: &Budget) -> SlowStartOutcome {
-        let slots = self.statements_done(request) - self.first_slot;
-        let past = if request.fronts > MAX_FRONTS_WITHOUT_SLOTS {
+        let slots = self.rounds_completed(request) - self.first_slot;
+        let elapsed_work = if request.fronts > MAX_FRONTS_WITHOUT_SLOTS {
             slots.rem_euclid(1.0) * request.work
         } else {
             0.0
         };
-        if budget.outstanding <= 0.0 && past <= budget.limit {
+        if budget.outstanding <= 0.0 && elapsed_work <= budget.limit {
             SlowStartOutcome::Allowed {
-                outstanding_work: request.work - past,
+                outstanding_work: request.work - elapsed_work,
             }
         } else {
             SlowStartOutcome::Denied
@@ -162,11 +162,11 @@
     }
 
     /// How often the engine could have done such work of every front since its start.
-    fn statements_done(&self, request: &SlowStartRequest) -> f64 {
+    fn rounds_completed(&self, request: &SlowStartRequest) -> f64 {
         let work = request.work * request.fronts;
-        let since = (request.now - self.started_at(request.engine)).max(0) as f64;
+        let elapsed = (request.now - self.started_at(request.engine)).max(0) as f64;
         let capacity = self.capacity_share(request.engine, request.now);
-        request.cores * since * (self.initial_capacity + capacity) / 2.0 / work
+        request.cores * elapsed * (self.initial_capacity + capacity) / 2.0 / work
     }
 
     /// Any window holds less than the overload factor.
@@ -175,9 +175,9 @@
         let rate =
             self.capacity_share(request.engine, request.now) * request.cores / request.fronts;
         let burst = (self.overload_factor * OVERLOAD_FACTOR_SHARE - 0.5).max(0.1) * rate;
-        let done = rate * (request.now - warm_up.counted_at) as f64;
+        let completed_work = rate * (request.now - warm_up.counted_at) as f64;
         Budget {
-            outstanding: (warm_up.outstanding_work - done).max(0.0),
+            outstanding: (warm_up.outstanding_work - completed_work).max(0.0),
             limit: burst * self.overload_window as f64,
         }
     }
--- a/src/policy/slow_start_tests.rs
+++ b/src/policy/slow_start_tests.rs
@@ -56,7 +56,7 @@
     let first = slow_start.check(&request(300_000.0, 1.0, 0));
     let outstanding_work = 300_000.0;
     assert_eq!(first, SlowStartOutcome::Allowed { outstanding_work });
-    slow_start.sent(0, first, 0);
+    slow_start.record_sent(0, first, 0);
     let second = request(300_000.0, 1.0, 0);
     assert_eq!(slow_start.check(&second), SlowStartOutcome::Denied);
     let later = slow_start.check(&request(300_000.0, 1.0, SECOND / 10));
--- a/src/policy/stuck_attempts.rs
+++ b/src/policy/stuck_attempts.rs
@@ -11,7 +11,7 @@
 /// Expected runs, on top of a second, that an attempt may be silent for without progress notes.
 pub(super) const MAX_SILENT_RUNS: f64 = 4.0;
 /// Gaps between progress notes that an attempt may be silent for.
-const MAX_SILENT_PROGRESS_GAPS: f64 = 1.5;
+const MAX_SILENT_PROGRESS_INTERVALS: f64 = 1.5;
 /// Times its expected run that an attempt must head for to be cancelled.
 const BAD_PLAN_RUN_FACTOR: f64 = 6.0;
 /// Least share of the work that is taken as done.
@@ -23,9 +23,9 @@
     /// When it was sent.
     pub sent_at: Micros,
     /// When it was last heard of.
-    pub heard_at: Micros,
+    pub last_seen: Micros,
     /// When its engine was last heard of.
-    pub engine_heard_at: Micros,
+    pub engine_last_seen: Micros,
     /// The time between its progress notes; None where it sends none.
     pub progress_interval: Option<Micros>,
     /// Its expected run in microseconds.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SilenceOutcome {
     /// It was.
-    Heard,
+    Active,
     /// It is silent; what its engine is charged for.
     Silent(Charge),
 }
@@ -47,23 +47,26 @@
     running_since: Micros,
     now: Micros,
 ) -> SilenceOutcome {
-    let (heard, patience) = match attempt.progress_interval {
+    let (last_seen, timeout) = match attempt.progress_interval {
         None => (
-            attempt.sent_at.max(attempt.engine_heard_at),
+            attempt.sent_at.max(attempt.engine_last_seen),
             SECOND as f64 + MAX_SILENT_RUNS * attempt.expected_run,
         ),
-        Some(gap) => (attempt.heard_at, MAX_SILENT_PROGRESS_GAPS * gap as f64),
+        Some(interval) => (
+            attempt.last_seen,
+            MAX_SILENT_PROGRESS_INTERVALS * interval as f64,
+        ),
     };
-    if (now - heard.max(running_since)) as f64 > patience {
+    if (now - last_seen.max(running_since)) as f64 > timeout {
         SilenceOutcome::Silent(engine_charge(attempt))
     } else {
-        SilenceOutcome::Heard
+        SilenceOutcome::Active
     }
 }
 
 /// An engine that has been heard of since the attempt was is charged for that attempt alone.
 fn engine_charge(attempt: &InFlightAttempt) -> Charge {
-    if attempt.engine_heard_at <= attempt.heard_at {
+    if attempt.engine_last_seen <= attempt.last_seen {
         Charge::Unreachable
     } else {
         Charge::Failed
@@ -75,8 +78,8 @@
 pub fn is_bad_plan(attempt: &InFlightAttempt, share_done: f64, now: Micros) -> bool {
     let run = (now - attempt.sent_at) as f64;
     let expected = attempt.expected_run;
-    let heads_for = run / share_done.max(MIN_SHARE_DONE);
-    expected > 0.0 && run > expected && heads_for > BAD_PLAN_RUN_FACTOR * expected
+    let projected_run = run / share_done.max(MIN_SHARE_DONE);
+    expected > 0.0 && run > expected && projected_run > BAD_PLAN_RUN_FACTOR * expected
 }
 
 #[cfg(test)]
--- a/src/policy/stuck_attempts_tests.rs
+++ b/src/policy/stuck_attempts_tests.rs
@@ -9,8 +9,8 @@
 fn attempt(progress_interval: Option<i64>) -> InFlightAttempt {
     InFlightAttempt {
         sent_at: 0,
-        heard_at: 0,
-        engine_heard_at: 0,
+        last_seen: 0,
+        engine_last_seen: 0,
         progress_interval,
         expected_run: 500_000.0,
     }
@@ -20,7 +20,7 @@
 fn with_progress_notes_one_and_a_half_gaps_are_too_long() {
     let noted = attempt(Some(SECOND));
     let silent = SilenceOutcome::Silent(Charge::Unreachable);
-    assert_eq!(check_silence(&noted, 0, 1_500_000), SilenceOutcome::Heard);
+    assert_eq!(check_silence(&noted, 0, 1_500_000), SilenceOutcome::Active);
     assert_eq!(check_silence(&noted, 0, 1_500_001), silent);
 }
 
@@ -30,23 +30,23 @@
     let silent = SilenceOutcome::Silent(Charge::Unreachable);
     assert_eq!(
         check_silence(&without, 0, 3 * SECOND),
-        SilenceOutcome::Heard
+        SilenceOutcome::Active
     );
     assert_eq!(check_silence(&without, 0, 3 * SECOND + 1), silent);
     // Whatever the engine answers counts for it too.
-    let engine_heard_at = SECOND;
+    let engine_last_seen = SECOND;
     let heard = InFlightAttempt {
-        engine_heard_at,
+        engine_last_seen,
         ..without
     };
     let outcome = check_silence(&heard, 0, 3 * SECOND + 1);
-    assert_eq!(outcome, SilenceOutcome::Heard);
+    assert_eq!(outcome, SilenceOutcome::Active);
 }
 
 #[test]
 fn an_engine_heard_of_meanwhile_is_charged_for_that_attempt_alone() {
     let heard = InFlightAttempt {
-        engine_heard_at: SECOND,
+        engine_last_seen: SECOND,
         ..attempt(Some(SECOND))
     };
     let outcome = check_silence(&heard, 0, 2 * SECOND);
@@ -57,7 +57,7 @@
 fn the_time_for_which_this_front_stood_still_is_no_silence() {
     let noted = attempt(Some(SECOND));
     let outcome = check_silence(&noted, 9 * SECOND, 10 * SECOND);
-    assert_eq!(outcome, SilenceOutcome::Heard);
+    assert_eq!(outcome, SilenceOutcome::Active);
 }
 
 #[test]
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -40,7 +40,7 @@
 /// The decisions of one front: what was agreed, what it knows, and the rules with their state.
 #[derive(Default)]
 pub struct Scheduler {
-    agreed: Agreement,
+    agreement: Agreement,
     random: Random,
     clock: Clock,
     /// What is to be done, in order.
@@ -61,7 +61,7 @@
     peer_evidence: PeerEvidence,
     health_checks: HealthChecks,
     /// New connections a second to each engine, as last ordered.
-    connection_pace: Option<f64>,
+    connection_rate: Option<f64>,
     /// Where in the list of engines the next search starts, 0 to 1.
     placement_start: f64,
 }
@@ -71,7 +71,7 @@
 struct Clock {
     now: Micros,
     /// The time since the last call.
-    gap: Micros,
+    since_last_call: Micros,
     /// Since when this front has not stood still.
     running_since: Micros,
     /// When it was first called.
@@ -83,16 +83,16 @@
 impl Clock {
     /// Guards against a front that stood still: what it finds is old, and its silence is nobody's fault.
     fn advance(&mut self, now: Micros) {
-        self.gap = now - self.now;
+        self.since_last_call = now - self.now;
         self.now = now;
-        if self.gap > STALL_THRESHOLD {
+        if self.since_last_call > STALL_THRESHOLD {
             self.running_since = now;
         }
     }
 
     /// The time for which this front stood still just now, if it did.
-    fn stalled_for(&self) -> Option<Micros> {
-        (self.running_since == self.now).then_some(self.gap)
+    fn stall_duration(&self) -> Option<Micros> {
+        (self.running_since == self.now).then_some(self.since_last_call)
     }
 
     fn just_started(&self) -> bool {
@@ -117,33 +117,36 @@
 
 impl Scheduler {
     /// A front at its start. All its random draws follow from the seed, which differs from front to front.
-    pub fn new(agreed: Agreement, seed: u64) -> Self {
-        let workloads = agreed.workloads.len();
+    pub fn new(agreement: Agreement, seed: u64) -> Self {
+        let workloads = agreement.workloads.len();
         let mut random = Random::new(seed);
         let placement_start = random.next();
         let first_probe = random.next();
-        let limits = ConcurrencyLimits::new(&agreed);
-        let load_reports =
-            LoadReports::new(agreed.report.clone(), limits.scope(), agreed.cores.len());
+        let limits = ConcurrencyLimits::new(&agreement);
+        let load_reports = LoadReports::new(
+            agreement.report.clone(),
+            limits.scope(),
+            agreement.cores.len(),
+        );
         Scheduler {
-            queues: StatementQueues::new(workloads, agreed.customers.len()),
+            queues: StatementQueues::new(workloads, agreement.customers.len()),
             fleet: Fleet {
-                known: agreed.fronts,
-                probers: agreed.fronts,
+                known: agreement.fronts,
+                probers: agreement.fronts,
                 relative_demand: 0.0,
             },
             estimates: Estimates::new(workloads),
             client_retries: ClientRetries::new(workloads),
-            admission: Admission::new(&agreed),
-            retry_budget: RetryBudget::new(&agreed),
-            slow_start: SlowStart::new(&agreed, placement_start),
+            admission: Admission::new(&agreement),
+            retry_budget: RetryBudget::new(&agreement),
+            slow_start: SlowStart::new(&agreement, placement_start),
             limits,
             load_reports,
-            peer_evidence: PeerEvidence::new(agreed.zone_quorum),
-            health_checks: HealthChecks::new(&agreed, placement_start, first_probe),
+            peer_evidence: PeerEvidence::new(agreement.zone_quorum),
+            health_checks: HealthChecks::new(&agreement, placement_start, first_probe),
             placement_start,
             random,
-            agreed,
+            agreement,
             ..Scheduler::default()
         }
     }
@@ -162,8 +165,8 @@
         self.expire();
         self.sweep();
         self.dispatch();
-        self.pace_connections();
-        self.retry_budget.forget_old(now);
+        self.update_connection_rate();
+        self.retry_budget.prune(now);
         self.schedule_sweep();
         std::mem::take(&mut self.actions)
     }
@@ -177,7 +180,7 @@
     }
 
     fn subscribe(&mut self) {
-        if self.agreed.subscribe {
+        if self.agreement.subscribe {
             self.actions.push(Action::Subscribe);
         }
     }
@@ -193,7 +196,7 @@
 
     /// Makes place for an engine in all state that is kept by engine.
     fn ensure_engine(&mut self, engine: EngineId) {
-        self.engines.ensure(engine);
+        self.engines.grow_to_include(engine);
         let count = self.engines.open.len();
         self.slow_start.resize(count);
         self.outliers.resize(count);
@@ -203,6 +206,6 @@
     }
 
     fn workload(&self, statement: &Statement) -> &Workload {
-        &self.agreed.workloads[statement.asked.workload]
+        &self.agreement.workloads[statement.arrival.workload]
     }
 }
--- a/src/scheduler/admit.rs
+++ b/src/scheduler/admit.rs
@@ -11,20 +11,20 @@
 
 impl Scheduler {
     /// A statement arrived: it is held, or rejected where the fleet does not admit it.
-    pub(super) fn arrived(&mut self, mut arrival: Arrival) {
+    pub(super) fn on_arrival(&mut self, mut arrival: Arrival) {
         let now = self.clock.now;
         let (id, workload) = (arrival.statement, arrival.workload);
         let share =
             self.admission
                 .customer_share(workload, arrival.customer, &mut self.random, now);
-        let waited = self.waited(&arrival);
-        self.estimates.arrived(workload, arrival.work);
-        self.health_checks.statement_taken();
-        let agreed = &self.agreed.workloads[workload];
-        arrival.order_key = arrival.order_key.filter(|_| agreed.in_order);
+        let waited = self.time_waited(&arrival);
+        self.estimates.record_arrival(workload, arrival.work);
+        self.health_checks.record_statement();
+        let agreement = &self.agreement.workloads[workload];
+        arrival.order_key = arrival.order_key.filter(|_| agreement.in_order);
         self.order_queues.enqueue(arrival.order_key, id);
         let load = Load {
-            threads: agreed.threads,
+            threads: agreement.threads,
             memory: self.memory_need(&arrival),
         };
         let sticky = arrival.sticky_engine.is_some();
@@ -32,7 +32,7 @@
             .admission
             .check(workload, share, sticky, &mut self.random);
         if outcome == AdmissionOutcome::Admitted {
-            self.retry_budget.admitted(now);
+            self.retry_budget.record_admission(now);
         }
         let class = self.queues.class_of(workload, arrival.customer, share);
         let deadline = now + arrival.time_left;
@@ -45,13 +45,13 @@
     }
 
     /// The time for which a statement has been waiting when it arrives.
-    fn waited(&mut self, arrival: &Arrival) -> Micros {
+    fn time_waited(&mut self, arrival: &Arrival) -> Micros {
         let time = ArrivalTime {
             time_left: arrival.time_left,
-            statement_timeout: self.agreed.workloads[arrival.workload].statement_timeout,
-            stalled_for: self.clock.stalled_for(),
+            statement_timeout: self.agreement.workloads[arrival.workload].statement_timeout,
+            stall_duration: self.clock.stall_duration(),
         };
-        self.client_retries.waited(arrival.workload, &time)
+        self.client_retries.time_waited(arrival.workload, &time)
     }
 
     /// The memory that a statement counts for, in MB: no more than the smallest kind of engine grants.
@@ -59,15 +59,15 @@
         let need = self
             .estimates
             .memory_need(arrival.workload, arrival.memory_mb);
-        let kinds = self.agreed.memory_mb.iter().copied();
+        let kinds = self.agreement.memory_mb.iter().copied();
         let smallest = kinds.fold(f64::INFINITY, f64::min);
-        need.min(smallest * self.agreed.max_grant_share)
+        need.min(smallest * self.agreement.max_grant_share)
     }
 
     /// The fleet's demand changed: what is admitted follows the penalty at the fleet's conformance.
-    pub(super) fn fleet_demand_changed(&mut self, demand: &FleetDemand) {
+    pub(super) fn on_fleet_demand(&mut self, demand: &FleetDemand) {
         let mut admission = std::mem::take(&mut self.admission);
-        admission.demand_changed(demand, |workload, share, conformance| {
+        admission.update_demand(demand, |workload, share, conformance| {
             penalty(conformance, self.class_weight(workload, share))
         });
         self.admission = admission;
@@ -78,10 +78,10 @@
     pub(super) fn class_weight(&self, workload: usize, share: CustomerShare) -> f64 {
         let share_weight = match share {
             CustomerShare::Within => 1.0,
-            CustomerShare::Beyond => self.agreed.beyond_share_weight,
+            CustomerShare::Beyond => self.agreement.beyond_share_weight,
         };
         class_weight(
-            self.agreed.workloads[workload].importance,
+            self.agreement.workloads[workload].importance,
             share_weight,
             self.estimates.mean_work(workload),
         )
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -43,7 +43,7 @@
 impl Scheduler {
     /// Whether a statement may be sent at all now; never a second copy beside one in flight.
     pub(super) fn may_be_sent(&self, id: StatementId, statement: &Statement) -> bool {
-        !statement.over
+        !statement.closed
             && !statement.is_in_flight()
             && self.clock.now < statement.deadline
             && self.is_first_in_order(id, statement)
@@ -59,7 +59,7 @@
         avoid_evacuated: bool,
     ) -> Eligibility {
         let retry = !statement.attempts.is_empty();
-        let sticky = statement.asked.sticky_engine;
+        let sticky = statement.arrival.sticky_engine;
         if retry && !self.outliers.is_trusted(engine) {
             return Eligibility::Untrusted;
         }
@@ -81,7 +81,7 @@
         if sticky.is_some_and(|sticky| sticky != engine) {
             return Eligibility::OtherStickyEngine;
         }
-        if entry.protocols & statement.asked.protocols == 0 {
+        if entry.protocols & statement.arrival.protocols == 0 {
             return Eligibility::OtherProtocol;
         }
         if self.check_slow_start(engine, statement) == SlowStartOutcome::Denied {
@@ -100,7 +100,7 @@
         is_safe_repeat(
             self.workload(statement),
             statement,
-            &self.engines.listed,
+            &self.engines.entries,
             at,
             self.clock.now,
         )
@@ -110,15 +110,15 @@
     fn is_data_set_locked(&self, statement: &Statement, engine: EngineId) -> bool {
         let workload = self.workload(statement);
         let uses_data = workload.waits_for_data || workload.holds_data;
-        if !uses_data || statement.asked.data_set.is_none() {
+        if !uses_data || statement.arrival.data_set.is_none() {
             return false;
         }
         let holds = |other: &Statement| {
-            self.workload(other).holds_data && other.asked.data_set == statement.asked.data_set
+            self.workload(other).holds_data && other.arrival.data_set == statement.arrival.data_set
         };
         let mut in_flight = self.engines.in_flight[engine].iter();
         self.engines
-            .holds(engine, statement.asked.data_set, self.clock.now)
+            .is_data_set_locked(engine, statement.arrival.data_set, self.clock.now)
             || in_flight.any(|attempt| holds(&self.statements[&attempt.statement]))
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -5,7 +5,7 @@
 
 use crate::engine_table::AttemptId;
 use crate::interface::{Action, EngineId, KeyId, RejectReason, StatementId};
-use crate::policy::deadlines::rejected_at;
+use crate::policy::deadlines::rejection_time;
 use crate::policy::estimates::Estimates;
 use crate::policy::penalty::penalty;
 use crate::statement::{Attempt, Statement};
@@ -40,7 +40,7 @@
     pub(super) fn dispatch(&mut self) {
         self.dispatch_overdue();
         self.dispatch_by_penalty();
-        if !self.queues.any_ready() {
+        if !self.queues.has_timely() {
             for id in candidates(&self.queues.late) {
                 self.try_dispatch(id);
             }
@@ -50,11 +50,11 @@
     /// Past its latest start a statement could only be answered after its client gives up: now or never.
     fn dispatch_overdue(&mut self) {
         let overdue = candidates(&self.queues.overdue);
-        let stuck: Vec<StatementId> = overdue
+        let unplaced: Vec<StatementId> = overdue
             .into_iter()
             .filter(|id| !self.try_dispatch(*id))
             .collect();
-        for id in stuck {
+        for id in unplaced {
             self.reject(id, RejectReason::NoCapacityAtLatestStart);
         }
     }
@@ -63,10 +63,10 @@
     fn dispatch_by_penalty(&mut self) {
         let mut waiting = self.classes_by_penalty();
         while let Some(class) = self.most_urgent(&waiting) {
-            let sent = candidates(&self.queues.classes[class].ready)
+            let sent = candidates(&self.queues.classes[class].timely)
                 .into_iter()
                 .any(|id| self.try_dispatch(id));
-            if !sent || self.queues.classes[class].ready.is_empty() {
+            if !sent || self.queues.classes[class].timely.is_empty() {
                 waiting.retain(|waiting| waiting.class != class);
             }
         }
@@ -76,7 +76,7 @@
         let mut waiting = Vec::new();
         for class in 0..self.queues.classes.len() {
             let conformance = &mut self.queues.classes[class].conformance;
-            conformance.fade(self.clock.now);
+            conformance.decay(self.clock.now);
             let conformance = conformance.share();
             let workload = self.queues.workload_of(class);
             let weight = self.class_weight(workload, self.queues.share_of(class));
@@ -88,7 +88,7 @@
 
     /// The class of the highest penalty; of those alike the one whose statement arrived first.
     fn most_urgent(&self, waiting: &[WaitingClass]) -> Option<usize> {
-        let oldest = |class: usize| Reverse(self.queues.classes[class].ready.first().copied());
+        let oldest = |class: usize| Reverse(self.queues.classes[class].timely.first().copied());
         let by_urgency = |a: &&WaitingClass, b: &&WaitingClass| {
             let by_penalty = a.penalty.total_cmp(&b.penalty);
             by_penalty.then(oldest(a.class).cmp(&oldest(b.class)))
@@ -99,7 +99,7 @@
 
     /// Sends a statement, if an engine may have it now: whether it was sent.
     fn try_dispatch(&mut self, id: StatementId) -> bool {
-        let Some(engine) = self.place(id) else {
+        let Some(engine) = self.choose_engine(id) else {
             return false;
         };
         self.send(id, engine);
@@ -116,14 +116,14 @@
         let (class, load) = (statement.class, statement.load);
         let latest_start = self.latest_start(statement);
         let slow_start = self.check_slow_start(engine, statement);
-        self.slow_start.sent(engine, slow_start, now);
-        self.order_execution(id, engine, priority);
+        self.slow_start.record_sent(engine, slow_start, now);
+        self.push_execution(id, engine, priority);
         let Some(statement) = self.statements.get_mut(&id) else {
             return;
         };
         let number = statement.attempts.len();
         if number > 0 {
-            self.retry_budget.retried(now);
+            self.retry_budget.record_retry(now);
         }
         let attempt = AttemptId {
             statement: id,
@@ -134,17 +134,17 @@
         statement.attempts.push(Attempt {
             engine,
             sent_at: now,
-            heard_at: now,
+            last_seen: now,
             ..Attempt::default()
         });
         self.queues.classes[class].in_flight.insert(id);
-        self.queues.due_at(latest_start.max(now + 1), id);
+        self.queues.schedule_check(latest_start.max(now + 1), id);
     }
 
     /// The orders that send a statement.
-    fn order_execution(&mut self, id: StatementId, engine: EngineId, priority: u8) {
+    fn push_execution(&mut self, id: StatementId, engine: EngineId, priority: u8) {
         let grant_mb = self.memory_grant(&self.statements[&id], engine);
-        if self.agreed.priorities || grant_mb > 0.0 {
+        if self.agreement.priorities || grant_mb > 0.0 {
             self.actions.push(Action::SetResources {
                 statement: id,
                 grant_mb,
@@ -159,9 +159,9 @@
 
     /// The memory that an engine is to grant, in MB; 0 leaves it to the engine.
     fn memory_grant(&self, statement: &Statement, engine: EngineId) -> f64 {
-        let most = self.engines.size[engine].memory * self.agreed.max_grant_share;
-        if self.agreed.grants && statement.asked.memory_mb > 0.0 {
-            Estimates::memory_grant(statement.load.memory, most)
+        let max_grant = self.engines.size[engine].memory * self.agreement.max_grant_share;
+        if self.agreement.grants && statement.arrival.memory_mb > 0.0 {
+            Estimates::memory_grant(statement.load.memory, max_grant)
         } else {
             0.0
         }
@@ -187,11 +187,11 @@
         let Some(statement) = self
             .statements
             .get_mut(&id)
-            .filter(|statement| !statement.over)
+            .filter(|statement| !statement.closed)
         else {
             return;
         };
-        if statement.priority != priority && self.agreed.priorities {
+        if statement.priority != priority && self.agreement.priorities {
             statement.priority = priority;
             self.actions.push(Action::SetResources {
                 statement: id,
@@ -203,8 +203,8 @@
 
     /// A statement waits in the queue of its standing, if it is its turn, until its standing changes next.
     pub(super) fn enqueue(&mut self, id: StatementId) {
-        let waits = |statement: &&Statement| !statement.over && !statement.is_in_flight();
-        let Some(statement) = self.statements.get(&id).filter(waits) else {
+        let is_held = |statement: &&Statement| !statement.closed && !statement.is_in_flight();
+        let Some(statement) = self.statements.get(&id).filter(is_held) else {
             return;
         };
         let now = self.clock.now;
@@ -212,24 +212,25 @@
         let timing = request.timing;
         let is_first = self.is_first_in_order(id, statement);
         // Once it is to be shed it is due now; till then when its standing changes next.
-        let ends = match request.reason(now) {
+        let rejection = match request.reason(now) {
             Some(_) => now,
-            None => rejected_at(statement.deadline),
+            None => rejection_time(statement.deadline),
         };
         let first_sent = statement.attempts.first().map(|attempt| attempt.sent_at);
-        let forgotten = first_sent.map_or(0, |sent| sent + self.workload(statement).dedup_window);
-        let paused_until = self.order_queues.paused_until(statement.asked.order_key);
-        let changes = [
+        let window_end = first_sent.map_or(0, |sent| sent + self.workload(statement).dedup_window);
+        let paused_until = self.order_queues.paused_until(statement.arrival.order_key);
+        let urgency_changes = [
             timing.last_timely_start(),
             timing.latest_start(),
             paused_until,
-            forgotten,
+            window_end,
         ];
-        let next = changes.into_iter().filter(|at| *at > now).min();
-        self.queues.due_at(next.map_or(ends, |at| at.min(ends)), id);
+        let next = urgency_changes.into_iter().filter(|at| *at > now).min();
+        self.queues
+            .schedule_check(next.map_or(rejection, |at| at.min(rejection)), id);
         self.dequeue(id);
         if is_first {
-            self.queues.enqueue(id, class, timing.standing(now));
+            self.queues.enqueue(id, class, timing.urgency(now));
         }
     }
 
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -11,8 +11,11 @@
 impl Scheduler {
     /// Looks at the statements whose standing may have changed by time alone.
     pub(super) fn expire(&mut self) {
-        while let Some(id) = self.queues.next_due(self.clock.now) {
-            let Some(statement) = self.statements.get(&id).filter(|statement| !statement.over)
+        while let Some(id) = self.queues.next_check(self.clock.now) {
+            let Some(statement) = self
+                .statements
+                .get(&id)
+                .filter(|statement| !statement.closed)
             else {
                 continue;
             };
@@ -31,7 +34,7 @@
         ShedRequest {
             timing: self.timing(statement),
             late_value_share: self.workload(statement).late_value_share,
-            shares_order_key: self.order_queues.is_shared(statement.asked.order_key),
+            shares_order_key: self.order_queues.is_shared(statement.arrival.order_key),
             sticky_engine_closed: self.sticky_engine_closed(statement),
             has_safe_engine: self.has_safe_engine(statement),
         }
@@ -39,16 +42,16 @@
 
     /// Why a held statement whose standing has changed ends now, if it does.
     fn expiry_reason(&self, statement: &Statement) -> Option<RejectReason> {
-        let others_wait = self.queues.any_ready();
+        let timely_waiting = self.queues.has_timely();
         self.shed_request(statement)
-            .reason_at_expiry(others_wait, self.clock.now)
+            .reason_at_expiry(timely_waiting, self.clock.now)
     }
 
     /// Whether the engine that holds its transaction takes nothing new any more.
     pub(super) fn sticky_engine_closed(&self, statement: &Statement) -> bool {
         let is_open = |engine: EngineId| self.engines.open.get(engine).is_some_and(|open| *open);
         statement
-            .asked
+            .arrival
             .sticky_engine
             .is_some_and(|engine| !is_open(engine))
     }
@@ -57,11 +60,14 @@
     pub(super) fn reject(&mut self, id: StatementId, reason: RejectReason) {
         let statement = &self.statements[&id];
         let may_have_run = statement.may_have_run().next().is_some();
-        let (workload, first_try) = (statement.asked.workload, statement.is_first_try());
+        let (workload, first_client_attempt) = (
+            statement.arrival.workload,
+            statement.is_first_client_attempt(),
+        );
         let action = match answer_without_result(self.workload(statement), may_have_run) {
             Answer::Reject => Action::Reject {
                 statement: id,
-                retry_after: retry_after(self.random.next(), self.agreed.max_retry_after),
+                retry_after: retry_after(self.random.next(), self.agreement.max_retry_after),
                 reason,
             },
             Answer::Abort => Action::Abort {
@@ -70,8 +76,8 @@
             },
         };
         self.actions.push(action);
-        if first_try {
-            self.client_retries.first_attempt_shed(workload);
+        if first_client_attempt {
+            self.client_retries.record_shed_first_attempt(workload);
         }
         self.close(id, Timeliness::NotTimely);
     }
@@ -82,28 +88,28 @@
         let Some(statement) = self
             .statements
             .get_mut(&id)
-            .filter(|statement| !statement.over)
+            .filter(|statement| !statement.closed)
         else {
             return;
         };
-        statement.over = true;
-        let (class, key) = (statement.class, statement.asked.order_key);
-        let unresolved = statement.in_flight();
-        if self.agreed.cancel {
+        statement.closed = true;
+        let (class, key) = (statement.class, statement.arrival.order_key);
+        let unresolved = statement.in_flight_attempts();
+        if self.agreement.cancel {
             let cancel = |number: &usize| Action::Cancel {
                 statement: id,
                 execution: *number,
             };
             self.actions.extend(unresolved.iter().map(cancel));
         }
-        self.count_closed(id, class, timeliness);
+        self.record_closed(id, class, timeliness);
         self.order_queues.remove(key, id, unresolved.len());
         self.enqueue_first_in_order(key);
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
     /// Counts a statement that is over in its class; a change of level changes priorities.
-    fn count_closed(&mut self, id: StatementId, class: usize, timeliness: Timeliness) {
+    fn record_closed(&mut self, id: StatementId, class: usize, timeliness: Timeliness) {
         let counts = &mut self.queues.classes[class];
         counts.in_flight.remove(&id);
         let was_top = counts.conformance.is_top_level();
@@ -116,8 +122,8 @@
     }
 
     /// Lets go of a statement that is over with nothing in flight.
-    pub(super) fn forget(&mut self, id: StatementId) {
-        let done = |statement: &Statement| statement.over && !statement.is_in_flight();
+    pub(super) fn remove_if_finished(&mut self, id: StatementId) {
+        let done = |statement: &Statement| statement.closed && !statement.is_in_flight();
         if self.statements.get(&id).is_some_and(done) {
             self.statements.remove(&id);
         }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -11,7 +11,7 @@
 /// What is the same for all engines while one statement is placed.
 struct PlacementScan {
     /// Other fronts' reports take from the limits of the engines they suspect.
-    heed_suspicion: bool,
+    apply_suspicion: bool,
     /// Engines outside evacuated zones may have the statement.
     avoid_evacuated: bool,
     pool: Pool,
@@ -19,7 +19,7 @@
 
 impl Scheduler {
     /// The engine that a statement goes to; None where none may have it now.
-    pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
+    pub(super) fn choose_engine(&self, id: StatementId) -> Option<EngineId> {
         let statement = &self.statements[&id];
         if !self.may_be_sent(id, statement) {
             return None;
@@ -47,7 +47,7 @@
     }
 
     fn ranking_mode(&self) -> RankingMode {
-        if self.limits.scope() == LimitScope::Pooled && !self.load_reports.name_load() {
+        if self.limits.scope() == LimitScope::Pooled && !self.load_reports.reports_load() {
             RankingMode::DrawByCapacity
         } else {
             RankingMode::MostCapacity
@@ -63,11 +63,11 @@
         let allowed = || (0..self.engines.open.len()).filter(is_allowed);
         // Where all engines that it may use are suspected, none is.
         PlacementScan {
-            heed_suspicion: self.peer_evidence.has_adverse()
-                && allowed().any(|engine| self.unsuspected_share(engine) >= 1.0),
+            apply_suspicion: self.peer_evidence.has_adverse()
+                && allowed().any(|engine| self.peer_limit_share(engine) >= 1.0),
             avoid_evacuated: self.peer_evidence.has_evacuated()
                 && allowed().any(|engine| !self.is_evacuated(engine)),
-            pool: self.limits.pool(self.engines.in_use()),
+            pool: self.limits.pool(self.engines.open_engines()),
         }
     }
 
@@ -78,20 +78,20 @@
         scan: &PlacementScan,
     ) -> LimitOutcome {
         let credit = self.outliers.limit_share(engine);
-        let trust = if scan.heed_suspicion {
-            credit * self.unsuspected_share(engine)
+        let trust = if scan.apply_suspicion {
+            credit * self.peer_limit_share(engine)
         } else {
             credit
         };
-        let own = self.engines.own[engine];
+        let local_load = self.engines.local_load[engine];
         let mut need = statement.load;
         need.threads = self.workload(statement).threads;
         self.limits.check(&LimitRequest {
-            at: self.engines.use_of(engine),
+            at: self.engines.engine_use(engine),
             idle: self.engines.is_idle(engine),
-            others: self
+            peer_load: self
                 .load_reports
-                .held_by_others(engine, own, self.agreed.fronts),
+                .peer_load(engine, local_load, self.agreement.fronts),
             trust,
             capacity_share: self.slow_start.capacity_share(engine, self.clock.now),
             fresh_report: self.load_reports.is_fresh(engine, self.clock.now),
@@ -105,9 +105,9 @@
         let is_bound =
             |workload: &Workload| workload.kinds.is_some() || workload.locations.is_some();
         let needs = |workload: &Workload| {
-            let entry = self.engines.listed[engine].as_ref();
+            let entry = self.engines.entries[engine].as_ref();
             is_bound(workload) && entry.is_some_and(|entry| workload.allows(entry))
         };
-        !is_bound(self.workload(statement)) && self.agreed.workloads.iter().any(needs)
+        !is_bound(self.workload(statement)) && self.agreement.workloads.iter().any(needs)
     }
 }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,7 +1,7 @@
 //! Whether a statement is attempted again, and attempts that are cancelled for it.
 
 use crate::interface::{Action, Effect, Micros, RejectReason, StatementId};
-use crate::policy::deadlines::rejected_at;
+use crate::policy::deadlines::rejection_time;
 use crate::policy::idempotency::has_safe_engine;
 use crate::policy::retry::{RetryOutcome, RetryRequest};
 use crate::statement::Statement;
@@ -10,11 +10,11 @@
 
 impl Scheduler {
     /// Why a statement whose attempt ended without a result gets no retry; None if it may have one.
-    pub(super) fn no_retry_reason(&self, statement: &Statement) -> Option<RejectReason> {
+    pub(super) fn retry_denial_reason(&self, statement: &Statement) -> Option<RejectReason> {
         if !self.has_safe_engine(statement) {
             return Some(RejectReason::NoSafeEngine);
         }
-        let expiring = self.clock.now >= rejected_at(statement.deadline);
+        let expiring = self.clock.now >= rejection_time(statement.deadline);
         self.retry_outcome(statement)
             .reject_reason()
             .or(expiring.then_some(RejectReason::Expiring))
@@ -24,7 +24,7 @@
     fn retry_outcome(&self, statement: &Statement) -> RetryOutcome {
         let request = RetryRequest {
             attempts: statement.attempts.len(),
-            sticky: statement.asked.sticky_engine.is_some(),
+            sticky: statement.arrival.sticky_engine.is_some(),
         };
         self.retry_budget.check(request, self.clock.now)
     }
@@ -39,7 +39,7 @@
         has_safe_engine(
             self.workload(statement),
             statement,
-            &self.engines.listed,
+            &self.engines.entries,
             self.clock.now,
         )
     }
@@ -47,14 +47,14 @@
     /// Cancels an attempt of an idempotent statement, where cancelling is agreed and a retry is allowed and in time.
     pub(super) fn cancel_to_retry(&mut self, id: StatementId, number: usize) {
         let statement = &self.statements[&id];
-        let run = self.estimates.usual_run(statement.asked.workload) as Micros;
+        let run = self.estimates.mean_run(statement.arrival.workload) as Micros;
         let in_time = self.clock.now + run < statement.deadline;
         let idempotent = self.workload(statement).effect == Effect::Idempotent;
         if idempotent
             && self.is_within_retry_limits(statement)
             && in_time
-            && self.agreed.cancel
-            && !statement.over
+            && self.agreement.cancel
+            && !statement.closed
         {
             self.actions.push(Action::Cancel {
                 statement: id,
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -2,7 +2,7 @@
 
 use crate::engine_table::AttemptId;
 use crate::interface::{Action, EngineId};
-use crate::policy::fleet_budget::share_of;
+use crate::policy::fleet_budget::budget_share;
 use crate::policy::health_checks::HealthChecks;
 use crate::policy::outliers::Charge;
 use crate::policy::stuck_attempts::{check_silence, InFlightAttempt, SilenceOutcome};
@@ -39,18 +39,18 @@
 
     /// Probes the engines that are due.
     fn probe_for_load(&mut self) {
-        let budget = self.agreed.budgets.map(|budgets| budgets.probes);
-        let each = budget.map_or(f64::INFINITY, |probes| self.fleet_share(probes));
+        let budget = self.agreement.budgets.map(|budgets| budgets.probes);
+        let probe_rate = budget.map_or(f64::INFINITY, |probes| self.fleet_share(probes));
         let (open, actions) = (&self.engines.open, &mut self.actions);
         let probe = |engine| actions.push(Action::Probe { engine });
         self.health_checks
-            .probe_due(open, each, self.clock.now, probe);
+            .probe_due(open, probe_rate, self.clock.now, probe);
     }
 
     /// All fronts together probe evacuated zones: each draws at its share of the rate. Where probes are not
     /// allowed the engine counts as healthy without proof, and gets a statement or two as one that is warming up.
     fn probe_evacuated(&mut self) {
-        let rate = HealthChecks::fleet_probes_per(SWEEP_INTERVAL);
+        let rate = HealthChecks::fleet_probes_in(SWEEP_INTERVAL);
         let drawn =
             self.peer_evidence.has_evacuated() && self.random.next() * self.fleet.probers < rate;
         if !drawn {
@@ -58,10 +58,10 @@
         }
         let draw = self.random.next();
         match self.pick_suspect(draw) {
-            Some(engine) if self.agreed.probes => {
+            Some(engine) if self.agreement.probes => {
                 self.actions.push(Action::ProbeEvacuated { engine });
             }
-            Some(engine) => self.found_healthy(engine),
+            Some(engine) => self.mark_healthy(engine),
             None => {}
         }
     }
@@ -74,15 +74,15 @@
     ) -> InFlightAttempt {
         let statement = &self.statements[&attempt.statement];
         let known = &statement.attempts[attempt.number];
-        let sends_progress = self.engines.listed[engine]
+        let sends_progress = self.engines.entries[engine]
             .as_ref()
             .is_some_and(|entry| entry.sends_progress);
-        let agreed = Some(self.agreed.progress_interval).filter(|every| *every != 0);
+        let interval = Some(self.agreement.progress_interval).filter(|every| *every != 0);
         InFlightAttempt {
             sent_at: known.sent_at,
-            heard_at: known.heard_at,
-            engine_heard_at: self.engines.heard_at[engine],
-            progress_interval: agreed.filter(|_| sends_progress),
+            last_seen: known.last_seen,
+            engine_last_seen: self.engines.last_seen[engine],
+            progress_interval: interval.filter(|_| sends_progress),
             expected_run: self.expected_run(statement),
         }
     }
@@ -110,24 +110,24 @@
         let known = self.in_flight_attempt(attempt, engine);
         match check_silence(&known, self.clock.running_since, self.clock.now) {
             SilenceOutcome::Silent(charge) => Some(StuckAttempt { attempt, charge }),
-            SilenceOutcome::Heard => None,
+            SilenceOutcome::Active => None,
         }
     }
 
     /// This front's share of the fleet's budget for connections, where it has changed.
-    pub(super) fn pace_connections(&mut self) {
-        let budget = self.agreed.budgets.map(|budgets| budgets.connections);
-        let pace = budget.map(|connections| self.fleet_share(connections));
-        if self.connection_pace == pace {
+    pub(super) fn update_connection_rate(&mut self) {
+        let budget = self.agreement.budgets.map(|budgets| budgets.connections);
+        let rate = budget.map(|connections| self.fleet_share(connections));
+        if self.connection_rate == rate {
             return;
         }
-        self.connection_pace = pace;
-        if let Some(connections) = pace {
+        self.connection_rate = rate;
+        if let Some(connections) = rate {
             self.actions.push(Action::SetConnectionRate { connections });
         }
     }
 
     fn fleet_share(&self, budget: f64) -> f64 {
-        share_of(budget, self.fleet.relative_demand, self.fleet.known)
+        budget_share(budget, self.fleet.relative_demand, self.fleet.known)
     }
 }
--- a/src/scheduler/timing.rs
+++ b/src/scheduler/timing.rs
@@ -12,20 +12,20 @@
     pub(super) fn slo_time(&self, statement: &Statement) -> Micros {
         let work = self
             .estimates
-            .expected_work(statement.asked.workload, statement.asked.work);
+            .expected_work(statement.arrival.workload, statement.arrival.work);
         slo_time(self.workload(statement), work)
     }
 
     /// The run that its estimate gives, in microseconds.
     pub(super) fn estimated_run(&self, statement: &Statement) -> f64 {
-        estimated_run(statement.asked.work, self.workload(statement).threads)
+        estimated_run(statement.arrival.work, self.workload(statement).threads)
     }
 
     /// The run to be expected of it, in microseconds.
     pub(super) fn expected_run(&self, statement: &Statement) -> f64 {
         let estimated = self.estimated_run(statement);
         self.estimates
-            .expected_run(statement.asked.workload, estimated)
+            .expected_run(statement.arrival.workload, estimated)
     }
 
     /// What decides how urgent it is.
@@ -49,6 +49,6 @@
     pub(super) fn is_first_in_order(&self, id: StatementId, statement: &Statement) -> bool {
         let attempted = !statement.attempts.is_empty();
         self.order_queues
-            .is_first(statement.asked.order_key, id, attempted, self.clock.now)
+            .is_first(statement.arrival.order_key, id, attempted, self.clock.now)
     }
 }
--- a/src/scheduler/warm_up.rs
+++ b/src/scheduler/warm_up.rs
@@ -26,8 +26,8 @@
         statement: &Statement,
     ) -> SlowStartOutcome {
         let workload = self.workload(statement);
-        let work = self.estimates.usual_work(
-            statement.asked.workload,
+        let work = self.estimates.typical_work(
+            statement.arrival.workload,
             workload.threads,
             workload.slo_time as f64,
         );
--- a/src/scheduler/zones.rs
+++ b/src/scheduler/zones.rs
@@ -7,17 +7,17 @@
 
 impl Scheduler {
     /// Another front reported on an engine.
-    pub(super) fn peer_reported(&mut self, report: PeerReport) {
+    pub(super) fn on_peer_report(&mut self, report: PeerReport) {
         let context = ReportContext {
-            longest_run: self.estimates.longest_run(),
+            longest_mean_run: self.estimates.longest_mean_run(),
             healthy_since: self.slow_start.started_at(report.engine),
             now: self.clock.now,
         };
         let engines = &self.engines;
-        let zone = || engines.same_zone(report.engine).collect();
-        let outcome = self.peer_evidence.reported(&report, &context, zone);
+        let zone = || engines.zone_members(report.engine).collect();
+        let outcome = self.peer_evidence.record(&report, &context, zone);
         if outcome == ReportOutcome::FoundHealthy {
-            self.found_healthy(report.engine);
+            self.mark_healthy(report.engine);
         }
     }
 
@@ -26,11 +26,11 @@
         self.peer_evidence.has_evacuated()
             && self
                 .peer_evidence
-                .is_evacuated(self.engines.same_zone(engine))
+                .is_evacuated(self.engines.zone_members(engine))
     }
 
     /// The share of an engine's limit that other fronts' reports leave; of an evacuated zone nothing.
-    pub(super) fn unsuspected_share(&self, engine: EngineId) -> f64 {
+    pub(super) fn peer_limit_share(&self, engine: EngineId) -> f64 {
         if self.is_evacuated(engine) {
             0.0
         } else {
@@ -39,12 +39,12 @@
     }
 
     /// An engine is healthy. If it was a suspect of an evacuated zone that reopens now, the zone warms up.
-    pub(super) fn found_healthy(&mut self, engine: EngineId) {
+    pub(super) fn mark_healthy(&mut self, engine: EngineId) {
         if !self.peer_evidence.is_suspect(engine) {
             return;
         }
-        let zone: Vec<EngineId> = self.engines.same_zone(engine).collect();
-        if self.peer_evidence.found_healthy(engine, &zone) == ZoneOutcome::Reopened {
+        let zone: Vec<EngineId> = self.engines.zone_members(engine).collect();
+        if self.peer_evidence.mark_healthy(engine, &zone) == ZoneOutcome::Reopened {
             for engine in zone {
                 self.outliers.reset(engine);
                 self.start_warm_up(engine, self.clock.now);
@@ -54,8 +54,8 @@
 
     /// One suspect of the evacuated zones, at a share of their count.
     pub(super) fn pick_suspect(&self, share: f64) -> Option<EngineId> {
-        let listed = |engine: &EngineId| self.engines.is_listed(*engine);
-        let suspects: Vec<EngineId> = self.peer_evidence.suspects().filter(listed).collect();
+        let is_listed = |engine: &EngineId| self.engines.is_listed(*engine);
+        let suspects: Vec<EngineId> = self.peer_evidence.suspects().filter(is_listed).collect();
         let place = (share * suspects.len() as f64) as usize;
         suspects.get(place).copied()
     }
--- a/src/statement.rs
+++ b/src/statement.rs
@@ -14,7 +14,7 @@
     /// When it was sent.
     pub sent_at: Micros,
     /// When it was last heard of.
-    pub heard_at: Micros,
+    pub last_seen: Micros,
     /// It had less memory than it needed.
     pub spilled: bool,
     /// Nothing was heard of it for too long.
@@ -25,20 +25,20 @@
 
 impl Attempt {
     /// There is word of it: whether that tells of its engine too. One that has not left is sent from then on.
-    pub fn noted(&mut self, now: Micros, progress: ProgressReport) -> bool {
-        let has_left = progress != ProgressReport::NotSentYet;
-        self.heard_at = now;
-        if !has_left {
+    pub fn record_progress(&mut self, now: Micros, progress: ProgressReport) -> bool {
+        let is_sent = progress != ProgressReport::NotSentYet;
+        self.last_seen = now;
+        if !is_sent {
             self.sent_at = now;
         }
-        has_left
+        is_sent
     }
 }
 
 /// A statement and its attempts.
 pub struct Statement {
     /// As it arrived.
-    pub asked: Arrival,
+    pub arrival: Arrival,
     /// The place of its service class.
     pub class: usize,
     /// When its first attempt arrived at a front, as far as the time that is left tells.
@@ -52,39 +52,39 @@
     /// Its attempts by number.
     pub attempts: Vec<Attempt>,
     /// It has its final answer.
-    pub over: bool,
+    pub closed: bool,
 }
 
 impl Statement {
     /// A statement that has had no attempt.
     pub fn new(
-        asked: Arrival,
+        arrival: Arrival,
         class: usize,
         first_arrival: Micros,
         deadline: Micros,
         load: Load,
     ) -> Self {
         Statement {
-            asked,
+            arrival,
             class,
             first_arrival,
             deadline,
             load,
             priority: INITIAL_PRIORITY,
             attempts: Vec::new(),
-            over: false,
+            closed: false,
         }
     }
 
     /// Whether it may be sent to an engine at all: its workload and what is allowed to it agree.
     pub fn allows(&self, workload: &Workload, at: &EngineEntry) -> bool {
-        let allowed = self.asked.allowed_locations.as_ref();
+        let allowed = self.arrival.allowed_locations.as_ref();
         workload.allows(at) && allowed.is_none_or(|locations| locations.contains(&at.location))
     }
 
     /// Whether it is its client's first attempt, as far as is known.
-    pub fn is_first_try(&self) -> bool {
-        self.first_arrival == self.deadline - self.asked.time_left
+    pub fn is_first_client_attempt(&self) -> bool {
+        self.first_arrival == self.deadline - self.arrival.time_left
     }
 
     /// Attempts that their outcomes do not prove to have been without effect.
@@ -103,7 +103,7 @@
     }
 
     /// The numbers of the attempts in flight.
-    pub fn in_flight(&self) -> Vec<usize> {
+    pub fn in_flight_attempts(&self) -> Vec<usize> {
         (0..self.attempts.len())
             .filter(|number| self.attempts[*number].outcome.is_none())
             .collect()
--- a/src/statement_queues.rs
+++ b/src/statement_queues.rs
@@ -4,7 +4,7 @@
 
 use crate::interface::{Micros, StatementId};
 use crate::policy::admission::CustomerShare;
-use crate::policy::deadlines::Standing;
+use crate::policy::deadlines::Urgency;
 use crate::policy::penalty::Conformance;
 
 /// The statements of one workload and customer, inside or beyond the customer's share.
@@ -13,7 +13,7 @@
     /// Its timely share.
     pub conformance: Conformance,
     /// Held statements that can still be in time.
-    pub ready: BTreeSet<StatementId>,
+    pub timely: BTreeSet<StatementId>,
     /// Statements with an attempt in flight.
     pub in_flight: BTreeSet<StatementId>,
 }
@@ -29,7 +29,7 @@
     /// Held statements that must be late.
     pub late: BTreeSet<StatementId>,
     /// When a statement's standing changes by time alone.
-    due: BTreeSet<(Micros, StatementId)>,
+    checks: BTreeSet<(Micros, StatementId)>,
 }
 
 impl StatementQueues {
@@ -47,7 +47,7 @@
     /// The place of a statement's class.
     pub fn class_of(&self, workload: usize, customer: usize, share: CustomerShare) -> usize {
         let customer = customer.min(self.customers - 1);
-        (workload * self.customers + customer) * 2 + share.place()
+        (workload * self.customers + customer) * 2 + share.index()
     }
 
     /// The workload of a class.
@@ -65,37 +65,37 @@
     }
 
     /// Whether any held statement can still be in time.
-    pub fn any_ready(&self) -> bool {
-        self.classes.iter().any(|class| !class.ready.is_empty())
+    pub fn has_timely(&self) -> bool {
+        self.classes.iter().any(|class| !class.timely.is_empty())
     }
 
     /// A statement waits by its standing.
-    pub fn enqueue(&mut self, id: StatementId, class: usize, standing: Standing) {
-        match standing {
-            Standing::Overdue => self.overdue.insert(id),
-            Standing::Late => self.late.insert(id),
-            Standing::Timely => self.classes[class].ready.insert(id),
+    pub fn enqueue(&mut self, id: StatementId, class: usize, urgency: Urgency) {
+        match urgency {
+            Urgency::Overdue => self.overdue.insert(id),
+            Urgency::Late => self.late.insert(id),
+            Urgency::Timely => self.classes[class].timely.insert(id),
         };
     }
 
     /// A statement waits no more.
     pub fn dequeue(&mut self, id: StatementId, class: Option<usize>) {
         if let Some(class) = class {
-            self.classes[class].ready.remove(&id);
+            self.classes[class].timely.remove(&id);
         }
         self.late.remove(&id);
         self.overdue.remove(&id);
     }
 
     /// A statement's standing may change at that time.
-    pub fn due_at(&mut self, at: Micros, id: StatementId) {
-        self.due.insert((at, id));
+    pub fn schedule_check(&mut self, at: Micros, id: StatementId) {
+        self.checks.insert((at, id));
     }
 
     /// The next statement whose standing may have changed by now.
-    pub fn next_due(&mut self, now: Micros) -> Option<StatementId> {
-        let due = *self.due.first().filter(|(at, _)| *at <= now)?;
-        self.due.remove(&due);
-        Some(due.1)
+    pub fn next_check(&mut self, now: Micros) -> Option<StatementId> {
+        let check = *self.checks.first().filter(|(at, _)| *at <= now)?;
+        self.checks.remove(&check);
+        Some(check.1)
     }
 }
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -6,7 +6,7 @@
 #[derive(Default, Clone)]
 pub struct TokenBucket {
     tokens: f64,
-    counted_at: Micros,
+    refilled_at: Micros,
 }
 
 impl TokenBucket {
@@ -14,19 +14,19 @@
     pub fn new(tokens: f64) -> Self {
         TokenBucket {
             tokens,
-            counted_at: 0,
+            refilled_at: 0,
         }
     }
 
     /// Takes a token, where there is one; `rate` is tokens a second.
-    pub fn take(&mut self, rate: f64, now: Micros) -> bool {
-        if self.counted_at == 0 {
+    pub fn try_take(&mut self, rate: f64, now: Micros) -> bool {
+        if self.refilled_at == 0 {
             // One that was not asked before is as full as it was made.
-            self.counted_at = now;
+            self.refilled_at = now;
         }
-        let grown = self.tokens + rate * (now - self.counted_at) as f64 / 1e6;
-        self.tokens = grown.min(rate.max(1.0));
-        self.counted_at = now;
+        let refilled = self.tokens + rate * (now - self.refilled_at) as f64 / 1e6;
+        self.tokens = refilled.min(rate.max(1.0));
+        self.refilled_at = now;
         let taken = self.tokens >= 1.0;
         if taken {
             self.tokens -= 1.0;
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -96,7 +96,7 @@
 /// What `site` lines agree.
 pub struct Site {
     /// The settings.
-    pub agreed: Agreement,
+    pub agreement: Agreement,
     /// The seed of the random draws.
     pub seed: u64,
 }
@@ -110,32 +110,32 @@
     }
 
     fn set_one(&mut self, name: &str, value: &str) {
-        let agreed = &mut self.agreed;
+        let agreement = &mut self.agreement;
         match name {
-            "fronts" => agreed.fronts = number(value),
-            "cores" => agreed.cores = numbers(value),
-            "memory" => agreed.memory_mb = numbers(value),
-            "executions" => agreed.max_attempts = number(value) as usize,
-            "retry-after" => agreed.max_retry_after = Some(micros(value)),
-            "notes" => agreed.progress_interval = micros(value),
-            "cancel" => agreed.cancel = true,
-            "probes" => agreed.probes = true,
-            "priorities" => agreed.priorities = true,
-            "grants" => agreed.grants = true,
-            "active" => agreed.report.active = Some(0),
-            "busy" => agreed.report.busy = Some(0),
-            "turn-gap" => agreed.order_gap = micros(value),
+            "fronts" => agreement.fronts = number(value),
+            "cores" => agreement.cores = numbers(value),
+            "memory" => agreement.memory_mb = numbers(value),
+            "executions" => agreement.max_attempts = number(value) as usize,
+            "retry-after" => agreement.max_retry_after = Some(micros(value)),
+            "notes" => agreement.progress_interval = micros(value),
+            "cancel" => agreement.cancel = true,
+            "probes" => agreement.probes = true,
+            "priorities" => agreement.priorities = true,
+            "grants" => agreement.grants = true,
+            "active" => agreement.report.active = Some(0),
+            "busy" => agreement.report.busy = Some(0),
+            "turn-gap" => agreement.order_gap = micros(value),
             "seed" => self.seed = number(value) as u64,
-            "cold-from" => agreed.initial_capacity_share = number(value),
-            "warm-within" => agreed.warm_up_time = micros(value),
-            "overload" => agreed.overload_factor = number(value),
-            "fall" => agreed.overload_window = micros(value),
-            "zone-quorum" => agreed.zone_quorum = number(value) as usize,
-            "on-probe" => agreed.report_on_probe = true,
-            "budgets" => agreed.budgets = Some(engine_budgets(value)),
-            "customers" => agreed.customers = numbers(value),
+            "cold-from" => agreement.initial_capacity_share = number(value),
+            "warm-within" => agreement.warm_up_time = micros(value),
+            "overload" => agreement.overload_factor = number(value),
+            "fall" => agreement.overload_window = micros(value),
+            "zone-quorum" => agreement.zone_quorum = number(value) as usize,
+            "on-probe" => agreement.report_on_probe = true,
+            "budgets" => agreement.budgets = Some(engine_budgets(value)),
+            "customers" => agreement.customers = numbers(value),
             "spare" => {
-                agreed.retry_allowance = Some(RetryAllowance {
+                agreement.retry_allowance = Some(RetryAllowance {
                     spare: number(value),
                     ratio: 0.1,
                     window: RETRY_WINDOW,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -37,7 +37,7 @@
 
 impl ScenarioRun {
     fn new() -> Self {
-        let agreed = Agreement {
+        let agreement = Agreement {
             fronts: 1.0,
             max_attempts: 3,
             cores: vec![8.0],
@@ -46,7 +46,10 @@
             ..Agreement::default()
         };
         ScenarioRun {
-            site: Site { agreed, seed: SEED },
+            site: Site {
+                agreement,
+                seed: SEED,
+            },
             names: ScenarioNames::default(),
             listed: Vec::new(),
             scheduler: None,
@@ -58,7 +61,7 @@
     }
 
     fn decide(&mut self) {
-        let start = || Scheduler::new(self.site.agreed.clone(), self.site.seed);
+        let start = || Scheduler::new(self.site.agreement.clone(), self.site.seed);
         let scheduler = self.scheduler.get_or_insert_with(start);
         for action in scheduler.decide(self.now, self.events.drain(..)) {
             if let Action::Wake { at } = action {
@@ -91,7 +94,7 @@
             ["workload", name, ref rest @ ..] => {
                 self.names.workloads.place(name);
                 let workload = workload(&Options::of(rest));
-                self.site.agreed.workloads.push(workload);
+                self.site.agreement.workloads.push(workload);
             }
             ["engine", name, ref rest @ ..] => {
                 let entry = self.names.engine(name, &Options::of(rest));
