--- a/src/policy/admission_tests.rs
+++ b/src/policy/admission_tests.rs
@@ -46,13 +46,13 @@
 }
 
 #[test]
-fn all_is_admitted_until_the_demand_is_known() {
+fn all_statements_are_admitted_until_fleet_demand_is_known() {
     let admission = Admission::new(&agreement(vec![]));
     assert_eq!(admitted(&admission, 0, false), 1000);
 }
 
 #[test]
-fn what_was_answered_and_a_quarter_more_is_admitted_by_rank() {
+fn admitted_work_is_125_percent_of_answered_work_in_penalty_order() {
     // 80 answered: 100 are admitted, all 60 of the first workload and 40 of the second's 80.
     let admission = admission_with_demand(
         0.0,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn in_a_jam_what_came_in_time_is_the_measure() {
+fn above_the_late_limit_only_timely_answers_count_as_answered_work() {
     let demands = vec![demand(60.0, 40.0, 0.0), demand(80.0, 40.0, 0.0)];
     let admission = admission_with_demand(0.16, demands);
     assert_eq!(admitted(&admission, 1, false), 0);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_customer_has_its_share_here_until_the_fleets_figures_are_known() {
+fn without_fleet_demand_each_front_limits_a_customer_to_its_local_share() {
     let mut admission = Admission::new(&agreement(vec![2.0]));
     let mut random = Random::new(1);
     let mut share = |now| admission.customer_share(0, 0, &mut random, now);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_fleets_figures_say_how_much_is_beyond() {
+fn fleet_demand_determines_the_fraction_beyond_a_customers_share() {
     let mut admission = Admission::new(&agreement(vec![10.0]));
     let fleet = FleetDemand {
         customers_per_s: vec![40.0],
--- a/src/policy/client_retries_tests.rs
+++ b/src/policy/client_retries_tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_later_attempt_counts_from_the_first_where_one_was_shed() {
+fn a_client_retry_counts_from_its_first_attempt_if_one_was_shed() {
     let mut retries = ClientRetries::new(1);
     assert_eq!(retries.time_waited(0, &with_left(5_000 * MS)), 0);
     assert_eq!(
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_lacks_little_time_is_a_first_attempt() {
+fn a_statement_within_the_tolerance_is_a_first_attempt() {
     let mut retries = ClientRetries::new(1);
     retries.time_waited(0, &with_left(5_000 * MS));
     for _ in 0..9 {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_a_front_finds_that_stood_still_has_waited_as_long_as_it_lacks() {
+fn after_a_stall_the_missing_time_counts_as_time_waited() {
     let mut retries = ClientRetries::new(1);
     retries.time_waited(0, &with_left(5_000 * MS));
     let stalled = |time_left, stall| ArrivalTime {
--- a/src/policy/concurrency_limit_tests.rs
+++ b/src/policy/concurrency_limit_tests.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn all_fronts_together_have_three_threads_a_core() {
+fn all_fronts_together_are_limited_to_three_threads_a_core() {
     let limits = limits();
     let local_load = load(2.0, 0.0);
     let check = |peer_load, need| {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn memory_bounds_before_threads_do() {
+fn memory_limits_an_engine_before_threads_do() {
     let limits = limits();
     let check = |local_load, peer_load, need| {
         let request = request(load(1.0, local_load), load(0.0, peer_load), load(1.0, need));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_idle_engine_has_capacity_for_one() {
+fn an_idle_engine_has_capacity_for_one_statement() {
     let limits = limits();
     let wide = request(Load::default(), Load::default(), load(99.0, 0.0));
     assert_eq!(
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_limit_falls_to_its_least_and_no_further() {
+fn a_limit_never_falls_below_its_minimum() {
     let mut limits = limits();
     for _ in 0..1000 {
         limits.shrink(0, 8.0, |_| 8.0);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_pool_bounds_a_front_unless_it_holds_nothing_or_an_engine_is_known_idle() {
+fn a_pool_limits_a_front_unless_it_is_idle_or_an_engine_reports_idle_cores() {
     let mut agreement = Agreement {
         fronts: 100.0,
         cores: vec![8.0],
--- a/src/policy/fleet_budget_tests.rs
+++ b/src/policy/fleet_budget_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_shares_stay_under_the_budget_whatever_is_said() {
+fn the_sum_of_shares_stays_within_the_budget_for_any_reported_demand() {
     for demand in [0.0, 0.5, 1.0, 3.0, 1e9, f64::INFINITY] {
         let sum = 10.0 * budget_share(100.0, demand, 10.0);
         assert!(sum <= 100.0, "{demand}: {sum}");
--- a/src/policy/health_checks_tests.rs
+++ b/src/policy/health_checks_tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_statement_pays_for_one_probe_in_rotation() {
+fn each_statement_earns_one_probe_and_engines_are_probed_in_rotation() {
     let mut checks = checks(true);
     assert_eq!(probed(&mut checks, [true; 3], START), []);
     checks.record_statement();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_engine_is_probed_twice_a_second_at_most() {
+fn an_engine_is_probed_at_most_twice_a_second() {
     let mut checks = checks(true);
     for _ in 0..9 {
         checks.record_statement();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn so_many_probes_are_saved_up_and_no_more() {
+fn earned_probes_are_capped() {
     let mut checks = checks(true);
     for _ in 0..100 {
         checks.record_statement();
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn engines_that_are_not_open_are_passed_over() {
+fn engines_that_are_not_open_are_skipped() {
     let mut checks = checks(true);
     checks.record_statement();
     assert_eq!(probed(&mut checks, [false, false, true], START), [2]);
 }
 
 #[test]
-fn where_answers_bring_reports_nothing_is_probed() {
+fn no_engine_is_probed_if_answers_carry_load_reports() {
     let mut checks = checks(false);
     checks.record_statement();
     assert_eq!(probed(&mut checks, [true; 3], START), []);
--- a/src/policy/idempotency_tests.rs
+++ b/src/policy/idempotency_tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_surely_never_ran_may_go_anywhere() {
+fn a_statement_that_never_ran_may_be_sent_to_any_engine() {
     let workload = workload(Effect::NonIdempotent, DedupGroup::All);
     let entries = [Some(engine(0, 0))];
     let safe = |outcome| has_safe_engine(&workload, &attempted(outcome), &entries, 0);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_deduplicated_statement_goes_where_its_repeat_is_dropped() {
+fn a_deduplicated_statement_is_repeated_only_within_its_group_and_window() {
     let workload = workload(Effect::Deduplicated, DedupGroup::Location);
     let entries = [Some(engine(0, 0)), Some(engine(1, 0)), Some(engine(2, 1))];
     let statement = attempted(Outcome::Reset);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_engine_that_drains_may_forget_what_it_has_seen() {
+fn a_draining_engine_is_not_safe_for_a_repeat() {
     let workload = workload(Effect::Deduplicated, DedupGroup::All);
     let draining = EngineEntry {
         mode: Mode::Draining,
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_statement_is_aborted_where_trying_again_might_do_harm() {
+fn a_statement_is_aborted_if_a_client_retry_could_run_it_twice() {
     let answer = |effect, group, ran| answer_without_result(&workload(effect, group), ran);
     let all = DedupGroup::All;
     assert_eq!(answer(Effect::Idempotent, all, true), Answer::Reject);
--- a/src/policy/load_reports_tests.rs
+++ b/src/policy/load_reports_tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_not_this_fronts_is_held_by_others() {
+fn reported_load_beyond_this_fronts_is_peer_load() {
     let mut reports = reports();
     let local_load = load(2.0, 100.0);
     let typical = load(2.0, 50.0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_others_are_taken_to_add_what_this_front_adds() {
+fn peers_are_assumed_to_add_as_much_load_as_this_front() {
     let mut reports = reports();
     let local_load = load(2.0, 100.0);
     let typical = load(2.0, 50.0);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_engine_is_full_until_it_reports_again() {
+fn an_engine_assumed_full_stays_full_until_its_next_report() {
     let mut reports = reports();
     reports.assume_full(0, 24.0);
     let nothing = Load::default();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn among_many_fronts_what_is_old_turns_into_the_usual() {
+fn among_many_fronts_old_peer_load_drifts_to_the_typical_load() {
     let mut reports = reports();
     let nothing = Load::default();
     let typical = load(1.0, 0.0);
--- a/src/policy/order_key_tests.rs
+++ b/src/policy/order_key_tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn statements_of_a_key_have_their_turn_in_the_order_of_arrival() {
+fn statements_of_a_key_run_in_order_of_arrival() {
     let mut queues = queue(&[1, 2]);
     assert!(queues.is_first(KEY, 1, false, 0) && !queues.is_first(KEY, 2, false, 0));
     queues.remove(KEY, 1, 0);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_may_still_run_holds_the_key() {
+fn an_execution_that_may_still_run_holds_the_key() {
     let mut queues = queue(&[1, 2]);
     queues.remove(KEY, 1, 1);
     assert!(!queues.is_first(KEY, 2, false, 0));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_transaction_that_goes_on_holds_the_key() {
+fn an_open_transaction_holds_the_key() {
     let mut queues = queue(&[1, 2]);
     queues.hold(KEY);
     queues.remove(KEY, 1, 0);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_pause_holds_first_attempts_alone() {
+fn a_paused_key_delays_first_attempts_only() {
     let mut queues = queue(&[1]);
     queues.resolve(KEY, false, Some(100));
     assert_eq!(queues.paused_until(KEY), 100);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_key_is_shared_while_several_are_not_over() {
+fn a_key_is_shared_while_it_has_several_unfinished_statements() {
     let mut queues = queue(&[1, 2]);
     assert!(queues.is_shared(KEY));
     queues.remove(KEY, 2, 0);
--- a/src/policy/outliers_tests.rs
+++ b/src/policy/outliers_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_new_engine_is_trusted_and_one_failure_ends_that() {
+fn a_new_engine_is_trusted_until_its_first_failure() {
     let mut outliers = one_engine();
     assert!(outliers.is_trusted(0));
     outliers.charge(0, Charge::Failed, 0);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_engine_that_seems_gone_is_ejected_for_a_time() {
+fn an_unreachable_engine_is_ejected_for_the_ejection_time() {
     let mut outliers = one_engine();
     outliers.charge(0, Charge::Unreachable, 5);
     assert!(outliers.is_ejected(0, 5 + EJECTION_TIME - 1));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn two_connections_in_a_row_that_fail_mean_that_it_is_gone() {
+fn two_consecutive_connection_failures_mark_an_engine_unreachable() {
     let mut outliers = one_engine();
     let first = outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     assert_eq!(first.charge(Outcome::Unreachable), Charge::Failed);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_says_nothing_of_the_engine_keeps_the_streak() {
+fn an_execution_that_was_not_sent_keeps_the_unreachable_streak() {
     let mut outliers = one_engine();
     outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     outliers.record_attempt_end(0, Outcome::NotSent, 0);
--- a/src/policy/peer_evidence_tests.rs
+++ b/src/policy/peer_evidence_tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn however_many_report_half_of_the_limit_is_left() {
+fn any_number_of_reporters_leaves_half_of_the_limit() {
     let mut evidence = PeerEvidence::new(0);
     record(&mut evidence, report(1, 0, 1e9, 0.0));
     let after_one = evidence.limit_share(0, NOW);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_report_fades_and_ends() {
+fn a_report_loses_weight_with_age_and_expires() {
     let mut evidence = PeerEvidence::new(0);
     record(&mut evidence, report(1, 0, 1e9, 0.0));
     let fresh = evidence.limit_share(0, NOW);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_reporter_proved_wrong_counts_for_less() {
+fn a_refuted_reporter_loses_weight() {
     let mut evidence = PeerEvidence::new(0);
     record(&mut evidence, report(1, 0, 1e9, 0.0));
     let before = evidence.limit_share(0, NOW);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_was_reported_before_an_engine_restarted_is_over() {
+fn a_report_from_before_an_engine_restart_is_ignored() {
     let mut evidence = PeerEvidence::new(0);
     let context = ReportContext {
         healthy_since: NOW + 1,
--- a/src/policy/ranking_tests.rs
+++ b/src/policy/ranking_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_most_capacity_wins_and_the_first_of_those_alike() {
+fn the_first_engine_with_the_most_capacity_is_chosen() {
     let engines = [
         ranked(3, 1.0, false),
         ranked(1, 2.0, false),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_engine_that_bound_workloads_need_counts_as_fuller_by_a_thread_a_core() {
+fn a_scarce_engine_ranks_lower_by_one_thread_per_core() {
     let engines = [ranked(0, 10.0, true), ranked(1, 2.5, false)];
     let chosen = choose(RankingMode::MostCapacity, &engines, 0.0);
     assert_eq!(chosen, Some(1));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_draw_goes_by_capacity() {
+fn engines_are_drawn_in_proportion_to_capacity() {
     let engines = [ranked(0, 1.0, false), ranked(1, 3.0, false)];
     let mode = RankingMode::DrawByCapacity;
     assert_eq!(choose(mode, &engines, 0.0), Some(0));
--- a/src/policy/retry_tests.rs
+++ b/src/policy/retry_tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_is_spent_comes_back_after_the_window() {
+fn a_spent_retry_is_available_again_after_the_window() {
     let mut budget = budget(1.0, 0.0);
     assert_eq!(budget.check(after(1), 0), RetryOutcome::Allowed);
     budget.record_retry(0);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_statement_has_so_many_attempts_and_a_sticky_one_has_one() {
+fn attempts_are_limited_and_a_sticky_statement_is_never_retried() {
     let budget = budget(9.0, 0.0);
     assert_eq!(budget.check(after(2), 0), RetryOutcome::Allowed);
     assert_eq!(budget.check(after(3), 0), RetryOutcome::AttemptsExhausted);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn without_a_budget_only_the_attempts_count() {
+fn without_a_budget_only_the_attempt_limit_applies() {
     let mut budget = RetryBudget::new(&Agreement {
         max_attempts: 3,
         ..Agreement::default()
--- a/src/policy/shedding_tests.rs
+++ b/src/policy/shedding_tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_late_statement_is_shed_where_a_late_answer_is_worth_little() {
+fn a_late_statement_is_shed_if_a_late_answer_has_little_value() {
     let worthless = ShedRequest {
         late_value_share: 0.0,
         ..held()
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_late_statement_is_shed_where_it_shares_its_order_key() {
+fn a_late_statement_is_shed_if_its_order_key_is_shared() {
     let shared = ShedRequest {
         shares_order_key: true,
         ..held()
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn past_its_latest_start_it_ends_where_others_wait() {
+fn past_its_latest_start_a_statement_is_shed_if_timely_ones_wait() {
     let latest = 4_800_000;
     assert_eq!(held().reason_at_expiry(true, latest - 1), None);
     assert_eq!(held().reason_at_expiry(false, latest), None);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn shortly_before_its_client_gives_up_it_ends_in_any_case() {
+fn a_statement_is_rejected_shortly_before_its_deadline() {
     let expires = 5 * SECOND - 40_000;
     assert_eq!(held().reason_at_expiry(false, expires - 1), None);
     let reason = Some(RejectReason::Expiring);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn while_few_run_half_the_slo_time_may_be_waited() {
+fn while_few_statements_run_half_the_slo_time_may_be_spent_waiting() {
     let long = StatementTiming {
         expected_run: 3e6,
         ..held().timing
--- a/src/policy/slow_start_tests.rs
+++ b/src/policy/slow_start_tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_capacity_grows_evenly_until_the_engine_is_warm() {
+fn capacity_grows_linearly_until_the_engine_is_warm() {
     let slow_start = warming(1.0);
     assert_eq!(slow_start.capacity_share(0, 0), 0.5);
     assert_eq!(slow_start.capacity_share(0, 5 * SECOND), 0.75);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_is_sent_counts_until_the_engine_has_done_it() {
+fn sent_work_counts_as_outstanding_until_the_engine_completes_it() {
     let mut slow_start = warming(1.0);
     // The burst is a tenth of a second of four cores' work: 400,000 us.
     let first = slow_start.check(&request(300_000.0, 1.0, 0));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_front_that_has_just_started_has_nothing_left_at_first() {
+fn a_front_that_just_started_assumes_its_budget_is_used_up() {
     let mut slow_start = warming(1.0);
     slow_start.start(0, 0, &request(0.0, 1.0, 0), EarlierWork::Unknown);
     let outcome = slow_start.check(&request(300_000.0, 1.0, 0));
--- a/src/policy/stuck_attempts_tests.rs
+++ b/src/policy/stuck_attempts_tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn with_progress_notes_one_and_a_half_gaps_are_too_long() {
+fn with_progress_reports_an_attempt_is_silent_after_one_and_a_half_intervals() {
     let noted = attempt(Some(SECOND));
     let silent = SilenceOutcome::Silent(Charge::Unreachable);
     assert_eq!(check_silence(&noted, 0, 1_500_000), SilenceOutcome::Active);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn without_them_a_second_and_four_expected_runs_are_too_long() {
+fn without_progress_reports_an_attempt_is_silent_after_a_second_and_four_expected_runs() {
     let without = attempt(None);
     let silent = SilenceOutcome::Silent(Charge::Unreachable);
     assert_eq!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_engine_heard_of_meanwhile_is_charged_for_that_attempt_alone() {
+fn an_engine_seen_since_is_charged_for_one_failed_attempt_only() {
     let heard = InFlightAttempt {
         engine_last_seen: SECOND,
         ..attempt(Some(SECOND))
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn the_time_for_which_this_front_stood_still_is_no_silence() {
+fn silence_during_a_stall_of_this_front_does_not_count() {
     let noted = attempt(Some(SECOND));
     let outcome = check_silence(&noted, 9 * SECOND, 10 * SECOND);
     assert_eq!(outcome, SilenceOutcome::Active);
 }
 
 #[test]
-fn a_bad_plan_heads_for_more_than_six_expected_runs() {
+fn an_attempt_projected_beyond_six_expected_runs_has_a_bad_plan() {
     let known = attempt(None);
     assert!(!is_bad_plan(&known, 0.2, 600_000));
     assert!(is_bad_plan(&known, 0.19, 600_000));
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -28,9 +28,9 @@
 const LIST: &str = "test --workspace --locked -- --list";
 
 /// A root with the script, the stand-in and, perhaps, a list; gone when it goes out of use.
-struct Root(PathBuf);
+struct TestRoot(PathBuf);
 
-impl Drop for Root {
+impl Drop for TestRoot {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -44,37 +44,37 @@
     calls: Vec<String>,
 }
 
-fn program(path: &Path, text: &str) {
+fn write_executable(path: &Path, text: &str) {
     fs::write(path, text).unwrap();
     fs::set_permissions(path, fs::Permissions::from_mode(0o755)).unwrap();
 }
 
-impl Root {
-    fn new(name: &str) -> Root {
-        let root = Root(
+impl TestRoot {
+    fn new(name: &str) -> TestRoot {
+        let root = TestRoot(
             std::env::temp_dir().join(format!("hallmux-known-red-{}-{name}", std::process::id())),
         );
         fs::create_dir_all(root.0.join(".ci")).unwrap();
         fs::create_dir_all(root.0.join("bin")).unwrap();
         let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
-        program(
+        write_executable(
             &root.0.join(".ci/known-red"),
             &fs::read_to_string(script).unwrap(),
         );
-        program(&root.0.join("bin/cargo"), CARGO);
-        root.says("tests", TESTS)
-            .says("ordinary", "0")
-            .says("alone", "101")
-            .says("alone-says", FAILED);
+        write_executable(&root.0.join("bin/cargo"), CARGO);
+        root.write("tests", TESTS)
+            .write("ordinary", "0")
+            .write("alone", "101")
+            .write("alone-says", FAILED);
         root
     }
 
-    fn says(&self, file: &str, text: &str) -> &Root {
+    fn write(&self, file: &str, text: &str) -> &TestRoot {
         fs::write(self.0.join("bin").join(file), text).unwrap();
         self
     }
 
-    fn list(&self, text: &str) -> &Root {
+    fn list(&self, text: &str) -> &TestRoot {
         fs::write(self.0.join("KNOWN-RED.txt"), text).unwrap();
         self
     }
@@ -104,34 +104,34 @@
     }
 
     /// Asks that the list is refused with this one line, before any test was run.
-    fn refused(&self, list: &str, line: &str) {
-        let ended = self.list(list).run();
-        assert!(!ended.passed, "{list:?} was taken");
+    fn assert_rejected(&self, list: &str, line: &str) {
+        let result = self.list(list).run();
+        assert!(!result.passed, "{list:?} was taken");
         assert_eq!(
-            (ended.out.as_str(), ended.err.as_str()),
+            (result.out.as_str(), result.err.as_str()),
             ("", format!("KNOWN-RED.txt: {line}\n").as_str())
         );
         assert!(
-            ended.calls.iter().all(|call| call == LIST),
+            result.calls.iter().all(|call| call == LIST),
             "{list:?}: {:?}",
-            ended.calls
+            result.calls
         );
     }
 }
 
 #[test]
-fn without_a_list_all_tests_run_as_ever() {
-    let root = Root::new("none");
+fn without_a_list_all_tests_run_in_one_call() {
+    let root = TestRoot::new("none");
     for list in [None, Some(""), Some("# nothing is red\n\n  \n")] {
         if let Some(list) = list {
             root.list(list);
         }
         for (status, passes) in [("0", true), ("101", false)] {
-            let ended = root.says("ordinary", status).run();
-            assert_eq!(ended.passed, passes, "{list:?}");
-            assert_eq!(ended.calls, ["test --workspace --locked"], "{list:?}");
+            let result = root.write("ordinary", status).run();
+            assert_eq!(result.passed, passes, "{list:?}");
+            assert_eq!(result.calls, ["test --workspace --locked"], "{list:?}");
             assert_eq!(
-                (ended.out.as_str(), ended.err.as_str()),
+                (result.out.as_str(), result.err.as_str()),
                 ("", ""),
                 "{list:?}"
             );
@@ -140,18 +140,18 @@
 }
 
 #[test]
-fn listed_tests_run_apart_and_are_not_counted() {
-    let root = Root::new("listed");
-    let ended = root
+fn listed_tests_run_alone_and_their_failures_are_not_counted() {
+    let root = TestRoot::new("listed");
+    let result = root
         .list("# mended first\r\n\n  a::b | a cause, in words | #12\t\r\nc | another | #13")
         .run();
-    assert!(ended.passed, "{}", ended.err);
+    assert!(result.passed, "{}", result.err);
     assert_eq!(
-        ended.out,
+        result.out,
         "known red: a::b: failed as listed\nknown red: c: failed as listed\n"
     );
     assert_eq!(
-        ended.calls,
+        result.calls,
         [
             LIST,
             "test --workspace --locked -- --exact --skip a::b --skip c",
@@ -159,55 +159,55 @@
             "test --workspace --locked -- --exact c",
         ]
     );
-    let ended = root.says("alone", "0").says("alone-says", PASSED).run();
-    assert!(ended.passed, "{}", ended.err);
+    let result = root.write("alone", "0").write("alone-says", PASSED).run();
+    assert!(result.passed, "{}", result.err);
     let off = "passes now: take it off the list";
     assert_eq!(
-        ended.out,
+        result.out,
         format!("known red: a::b: {off}\nknown red: c: {off}\n")
     );
 }
 
 #[test]
 fn a_test_that_is_not_listed_still_fails_the_run() {
-    let ended = Root::new("ordinary")
+    let result = TestRoot::new("ordinary")
         .list("c | a cause | #1")
-        .says("ordinary", "101")
+        .write("ordinary", "101")
         .run();
-    assert!(!ended.passed);
+    assert!(!result.passed);
     assert_eq!(
-        ended.calls,
+        result.calls,
         [LIST, "test --workspace --locked -- --exact --skip c"]
     );
 }
 
 #[test]
 fn a_listed_test_without_a_result_fails_the_run() {
-    let root = Root::new("alone");
+    let root = TestRoot::new("alone");
     let ignored = "test result: ok. 0 passed; 0 failed; 1 ignored\n";
     let aborted = "error: test failed (signal: 6, SIGABRT: process abort signal)\n";
-    for (status, says) in [
+    for (status, output) in [
         ("0", ignored),
         ("101", aborted),
         ("101", PASSED),
         ("0", FAILED),
     ] {
-        let ended = root
+        let result = root
             .list("c | a cause | #1")
-            .says("alone", status)
-            .says("alone-says", says)
+            .write("alone", status)
+            .write("alone-says", output)
             .run();
-        assert!(!ended.passed, "{says}");
-        assert_eq!(ended.out, "");
+        assert!(!result.passed, "{output}");
+        assert_eq!(result.out, "");
         let line =
             format!("KNOWN-RED.txt: c neither passed nor failed (exit {status}, output above)\n");
-        assert!(ended.err.ends_with(&line), "{}", ended.err);
+        assert!(result.err.ends_with(&line), "{}", result.err);
     }
 }
 
 #[test]
-fn a_list_that_can_not_be_followed_is_refused() {
-    let root = Root::new("refused");
+fn an_invalid_list_is_rejected_before_any_test_runs() {
+    let root = TestRoot::new("refused");
     let form = "is not of the form TEST | CAUSE | ISSUE";
     for line in [
         "c",
@@ -218,46 +218,49 @@
         "| cause | #1",
         "c | a | b | #1",
     ] {
-        root.refused(
+        root.assert_rejected(
             &format!("# one\n{line}\n"),
             &format!("line 2 {form}: {}", line.trim()),
         );
     }
-    root.refused(
+    root.assert_rejected(
         "c | cause | #1\nc | cause | #2\n",
         "line 2: c is listed twice",
     );
-    root.refused("gone | cause | #1\n", "line 1: no test is named gone");
-    root.refused("a::b_ | cause | #1\n", "line 1: no test is named a::b_");
-    root.refused("a.*b | cause | #1\n", "line 1: no test is named a.*b");
-    root.refused("short | cause | #1\n", "line 1: no test is named short");
-    root.refused(
+    root.assert_rejected("gone | cause | #1\n", "line 1: no test is named gone");
+    root.assert_rejected("a::b_ | cause | #1\n", "line 1: no test is named a::b_");
+    root.assert_rejected("a.*b | cause | #1\n", "line 1: no test is named a.*b");
+    root.assert_rejected("short | cause | #1\n", "line 1: no test is named short");
+    root.assert_rejected(
         "\ntwice | cause | #1\n",
         "line 2: 2 tests are named twice; give this one a name of its own",
     );
     let four: String = ["a::b", "a::b_too", "c", "gone"]
         .map(|name| format!("{name} | cause | #1\n"))
         .concat();
-    root.refused(&four, "lists 4 tests, at most 3 may be listed");
+    root.assert_rejected(&four, "lists 4 tests, at most 3 may be listed");
     fs::remove_file(root.0.join("KNOWN-RED.txt")).unwrap();
     fs::create_dir(root.0.join("KNOWN-RED.txt")).unwrap();
-    let ended = root.run();
-    assert!(!ended.passed && ended.calls.is_empty());
-    assert_eq!(ended.err, "KNOWN-RED.txt: is not a file that can be read\n");
+    let result = root.run();
+    assert!(!result.passed && result.calls.is_empty());
+    assert_eq!(
+        result.err,
+        "KNOWN-RED.txt: is not a file that can be read\n"
+    );
 }
 
 #[test]
 fn a_broken_list_of_tests_fails_the_run() {
-    let root = Root::new("broken");
-    program(&root.0.join("bin/cargo"), "#!/usr/bin/env bash\nexit 101\n");
+    let root = TestRoot::new("broken");
+    write_executable(&root.0.join("bin/cargo"), "#!/usr/bin/env bash\nexit 101\n");
     assert!(!root.list("c | a cause | #1").run().passed);
 }
 
-const NAME: &str = "skipping_goes_by_the_whole_name";
+const NAME: &str = "skip_filters_match_exact_names";
 
 #[test]
-fn skipping_goes_by_the_whole_name() {
-    let told = |arguments: &[&str]| {
+fn skip_filters_match_exact_names() {
+    let listed_tests = |arguments: &[&str]| {
         let ran = Command::new(std::env::current_exe().unwrap())
             .arg("--list")
             .args(arguments)
@@ -269,15 +272,15 @@
             .filter_map(|line| Some(line.strip_suffix(": test")?.to_string()))
             .collect::<Vec<_>>()
     };
-    let all = told(&[]);
+    let all = listed_tests(&[]);
     assert!(all.iter().filter(|test| test.contains(NAME)).count() > 1);
     let others: Vec<_> = all.iter().filter(|test| *test != NAME).cloned().collect();
-    assert_eq!(told(&["--exact", "--skip", NAME]), others);
-    assert_eq!(told(&["--exact", NAME]), [NAME]);
+    assert_eq!(listed_tests(&["--exact", "--skip", NAME]), others);
+    assert_eq!(listed_tests(&["--exact", NAME]), [NAME]);
 }
 
 /// Its name holds the one above; it is there to be left in.
 #[test]
-fn skipping_goes_by_the_whole_name_only() {
-    assert_ne!("skipping_goes_by_the_whole_name_only", NAME);
+fn skip_filters_match_exact_names_only() {
+    assert_ne!("skip_filters_match_exact_names_only", NAME);
 }
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -35,22 +35,22 @@
 
 impl Names {
     /// The place of a name, which may be a new one.
-    pub fn place(&mut self, name: &str) -> usize {
-        let known = self.0.iter().position(|n| n == name);
-        known.unwrap_or_else(|| {
+    pub fn index_of(&mut self, name: &str) -> usize {
+        let index = self.0.iter().position(|n| n == name);
+        index.unwrap_or_else(|| {
             self.0.push(name.to_string());
             self.0.len() - 1
         })
     }
 
     /// The place of a name that is known.
-    fn known(&self, name: &str) -> Option<usize> {
+    fn find(&self, name: &str) -> Option<usize> {
         self.0.iter().position(|n| n == name)
     }
 
     /// The name at a place.
-    fn at(&self, place: usize) -> &str {
-        &self.0[place]
+    fn name_at(&self, index: usize) -> &str {
+        &self.0[index]
     }
 }
 
@@ -88,7 +88,7 @@
         self.get(name).map_or(absent_ms * MS, micros)
     }
 
-    fn place(&self, name: &str) -> usize {
+    fn index(&self, name: &str) -> usize {
         self.number(name) as usize
     }
 }
@@ -199,10 +199,10 @@
     /// What an `engine` line lists.
     pub fn engine(&mut self, name: &str, options: &Options) -> EngineEntry {
         EngineEntry {
-            engine: self.engines.place(name),
-            location: options.place("location"),
-            kind: options.place("kind"),
-            cell: options.place("cell"),
+            engine: self.engines.index_of(name),
+            location: options.index("location"),
+            kind: options.index("kind"),
+            cell: options.index("cell"),
             mode: match options.get("mode") {
                 Some("draining") => Mode::Draining,
                 Some("gone") => Mode::Gone,
@@ -227,7 +227,7 @@
             "hear" => self.peer_report(words),
             "asked" => Some(self.fleet_demand(&Options::of(&words[1..]))),
             "room" => Some(Event::SendCapacity {
-                engine: self.engines.known(words[1])?,
+                engine: self.engines.find(words[1])?,
                 executions: number(words[2]) as usize,
             }),
             "fleet" => {
@@ -238,12 +238,12 @@
                 })
             }
             "probed" => Some(Event::Probed {
-                engine: self.engines.known(words[1])?,
+                engine: self.engines.find(words[1])?,
                 alive: Options::of(&words[2..]).has("alive"),
                 report: None,
             }),
             "free" => Some(Event::OrderKeyReleased {
-                key: self.keys.known(words[1])? as KeyId,
+                key: self.keys.find(words[1])? as KeyId,
                 pauses: Options::of(&words[2..]).has("rests"),
             }),
             _ => None,
@@ -251,7 +251,7 @@
     }
 
     fn statement(&mut self, name: &str) -> StatementId {
-        self.statements.place(name) as StatementId
+        self.statements.index_of(name) as StatementId
     }
 
     fn arrival(&mut self, words: &[&str]) -> Option<Event> {
@@ -260,19 +260,19 @@
             let named = list.split(',').filter(|location| !location.is_empty());
             named.map(|location| number(location) as usize).collect()
         };
-        let key = options.get("key").map(|key| self.keys.place(key));
+        let key = options.get("key").map(|key| self.keys.index_of(key));
         let sticky_engine = options.get("pinned");
         Some(Event::Arrived(Arrival {
             statement: self.statement(words[1]),
-            workload: self.workloads.known(words[2])?,
-            customer: options.place("customer"),
+            workload: self.workloads.find(words[2])?,
+            customer: options.index("customer"),
             order_key: key.map(|key| key as KeyId),
             time_left: options.micros_or("left", 5000),
             work: options.number("work") * MS as f64,
             memory_mb: options.number("memory"),
             data_set: options.get("data").map(|d| number(d) as u32),
             protocols: options.number_or("speech", 1.0) as u8,
-            sticky_engine: sticky_engine.and_then(|name| self.engines.known(name)),
+            sticky_engine: sticky_engine.and_then(|name| self.engines.find(name)),
             allowed_locations: options.get("allowed").map(locations),
         }))
     }
@@ -283,8 +283,8 @@
         let report = options.get("active").or(options.get("busy"));
         Some(Event::ExecutionEnded(ExecutionEnded {
             statement: self.statement(words[1]),
-            execution: options.place("execution"),
-            engine: self.engines.known(words[2])?,
+            execution: options.index("execution"),
+            engine: self.engines.find(words[2])?,
             outcome,
             took: options.micros_or("took", 100),
             settled: outcome == Outcome::Completed || options.has("settled"),
@@ -302,8 +302,8 @@
         };
         Some(Event::Progress {
             statement: self.statement(words[1]),
-            execution: options.place("execution"),
-            engine: self.engines.known(words[2])?,
+            execution: options.index("execution"),
+            engine: self.engines.find(words[2])?,
             progress,
         })
     }
@@ -312,7 +312,7 @@
         let options = Options::of(&words[2..]);
         Some(Event::PeerReport(PeerReport {
             reporter: number(words[1]) as usize,
-            engine: self.engines.known(words[2])?,
+            engine: self.engines.find(words[2])?,
             failed: options.number("failed"),
             answered: options.number("answered"),
             silent: options.micros_or("silent", 0),
@@ -329,7 +329,7 @@
                 .filter(|count| !count.is_empty())
                 .map(number)
                 .collect();
-            let count = |place: usize| counts.get(place).copied().unwrap_or(0.0);
+            let count = |index: usize| counts.get(index).copied().unwrap_or(0.0);
             Demand {
                 arrived: count(0),
                 ended: count(1),
@@ -347,14 +347,14 @@
 
     /// An action as scenarios expect it; a wake has no text.
     pub fn action(&self, action: &Action) -> Option<String> {
-        let statement = |id: &StatementId| self.statements.at(*id as usize);
-        let engine = |place: &usize| self.engines.at(*place);
+        let statement = |id: &StatementId| self.statements.name_at(*id as usize);
+        let engine = |index: &usize| self.engines.name_at(*index);
         Some(match action {
             Action::Wake { .. } => return None,
             Action::Execute {
                 statement: id,
-                engine: place,
-            } => format!("execute {} {}", statement(id), engine(place)),
+                engine: index,
+            } => format!("execute {} {}", statement(id), engine(index)),
             Action::SetResources {
                 statement: id,
                 grant_mb,
@@ -379,9 +379,9 @@
                 statement: id,
                 reason,
             } => format!("abort {}: {reason}", statement(id)),
-            Action::Probe { engine: place } => format!("probe {}", engine(place)),
-            Action::ProbeEvacuated { engine: place } => {
-                format!("probe-evacuated {}", engine(place))
+            Action::Probe { engine: index } => format!("probe {}", engine(index)),
+            Action::ProbeEvacuated { engine: index } => {
+                format!("probe-evacuated {}", engine(index))
             }
             Action::SetConnectionRate { connections } => format!("pace {connections:.2}"),
             Action::Subscribe => "subscribe".to_string(),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -87,12 +87,12 @@
     }
 
     /// Takes in one part of a line, or says what is wrong.
-    fn line(&mut self, text: &str) -> Result<(), String> {
+    fn run_line(&mut self, text: &str) -> Result<(), String> {
         let words: Vec<&str> = text.split_whitespace().collect();
         match words[..] {
             ["site", ref rest @ ..] => self.site.set(&Options::of(rest)),
             ["workload", name, ref rest @ ..] => {
-                self.names.workloads.place(name);
+                self.names.workloads.index_of(name);
                 let workload = workload(&Options::of(rest));
                 self.site.agreement.workloads.push(workload);
             }
@@ -130,14 +130,14 @@
     }
 
     /// The next action is this one, with or without its time.
-    fn expect(&mut self, wanted: &str) -> Result<(), String> {
+    fn expect(&mut self, expected_text: &str) -> Result<(), String> {
         self.run_to(self.now);
         let got = if self.actions.is_empty() {
             "nothing".to_string()
         } else {
             self.actions.remove(0)
         };
-        if got != wanted && got.split(" at ").next() != Some(wanted) {
+        if got != expected_text && got.split(" at ").next() != Some(expected_text) {
             return Err(format!("got '{got}'"));
         }
         Ok(())
@@ -145,7 +145,7 @@
 }
 
 /// What is wrong with a scenario; None where it holds.
-fn fault(file: &Path) -> Option<String> {
+fn scenario_error(file: &Path) -> Option<String> {
     let name = file.file_name().unwrap().to_string_lossy();
     let text = fs::read_to_string(file).unwrap();
     let mut run = ScenarioRun::new();
@@ -154,7 +154,7 @@
             continue;
         }
         for part in line.split("; ") {
-            if let Err(why) = run.line(part) {
+            if let Err(why) = run.run_line(part) {
                 return Some(format!("{name}:{}: {part}: {why}", number + 1));
             }
         }
@@ -173,8 +173,11 @@
         .collect();
     files.sort();
     assert!(!files.is_empty());
-    let wrong: Vec<String> = files.iter().filter_map(|file| fault(file)).collect();
-    assert!(wrong.is_empty(), "\n{}", wrong.join("\n"));
+    let errors: Vec<String> = files
+        .iter()
+        .filter_map(|file| scenario_error(file))
+        .collect();
+    assert!(errors.is_empty(), "\n{}", errors.join("\n"));
 }
 
 /// Every reason why a statement is rejected has a word of its own, the variant's name, which the page for on-call
