--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines: what the list says of them and what this front has in flight there.
+//! The known engines: their list entries and this front's attempts in flight.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use crate::load::Load;
 use crate::policy::concurrency_limit::EngineUse;
 
-/// An attempt, by its statement and its number among the statement's attempts, from 0.
+/// Identifies an attempt by its statement and its number among the statement's attempts, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The statement.
@@ -15,41 +15,42 @@
     pub number: usize,
 }
 
-/// A data set that a load of another front holds on an engine.
+/// A data set that a peer's load statement locks on an engine.
 #[derive(Clone, Copy)]
 struct DataLock {
     data_set: u32,
     until: Micros,
 }
 
-/// What the list says of each engine, and what this front has in flight there, by engine id.
+/// The list entry of each engine and this front's attempts in flight, by engine id.
 #[derive(Default)]
 pub struct EngineTable {
-    /// It takes new statements.
+    /// Whether the engine accepts new statements.
     pub open: Vec<bool>,
-    /// What the list says of it.
+    /// The engine's list entry; `None` if it was never listed.
     pub entries: Vec<Option<EngineEntry>>,
-    /// Its cores, as threads, and its memory.
+    /// The engine's cores, as threads, and its memory.
     pub size: Vec<Load>,
-    /// What this front holds there.
+    /// The load of this front on the engine.
     pub local_load: Vec<Load>,
-    /// The attempts of this front in flight there.
+    /// The attempts of this front in flight on the engine.
     pub in_flight: Vec<BTreeSet<AttemptId>>,
-    /// When it was last heard of.
+    /// When the engine last gave a sign of life.
     pub last_seen: Vec<Micros>,
-    /// Attempts that can leave now, over connections that are there or may be made.
+    /// The attempts that can be sent now, over open connections and those that may be opened.
     pub send_capacity: Vec<usize>,
     locked_data: Vec<Vec<DataLock>>,
 }
 
 impl EngineTable {
-    /// Whether an engine is on the list, ready or draining.
+    /// Whether an engine is listed as ready or draining.
     pub fn is_listed(&self, engine: EngineId) -> bool {
         let entry = self.entries.get(engine).and_then(|entry| entry.as_ref());
         entry.is_some_and(|entry| entry.mode != Mode::Gone)
     }
 
-    /// The engines listed in the zone of this one, itself included; those that are gone are left out.
+    /// The listed engines in the zone of an engine, including itself. Engines that are gone are
+    /// excluded.
     pub fn zone_members(&self, engine: EngineId) -> impl Iterator<Item = EngineId> + '_ {
         let zone = |engine: EngineId| {
             let entry = self.entries.get(engine).and_then(|entry| entry.as_ref());
@@ -59,56 +60,56 @@
         (0..self.entries.len()).filter(move |o| self.is_listed(*o) && zone(*o) == zone_of_engine)
     }
 
-    /// Whether a load of another front holds the data set there.
+    /// Whether a peer's load statement locks the data set on the engine.
     pub fn is_data_set_locked(&self, engine: EngineId, data_set: Option<u32>, now: Micros) -> bool {
         self.locked_data[engine]
             .iter()
             .any(|lock| data_set == Some(lock.data_set) && lock.until > now)
     }
 
-    /// What the list says of an engine that is open.
+    /// The list entry of an engine; `None` if the engine does not accept new statements.
     pub fn entry(&self, engine: EngineId) -> Option<&EngineEntry> {
         self.entries[engine].as_ref().filter(|_| self.open[engine])
     }
 
-    /// Whether no attempt of this front is in flight there.
+    /// Whether no attempt of this front is in flight on the engine.
     pub fn is_idle(&self, engine: EngineId) -> bool {
         self.in_flight[engine].is_empty()
     }
 
-    /// An attempt is in flight there, and what it counts for.
+    /// Adds an attempt in flight and its load, and uses one unit of send capacity.
     pub fn add(&mut self, engine: EngineId, attempt: AttemptId, load: Load) {
         self.in_flight[engine].insert(attempt);
         self.local_load[engine].add(load, 1.0);
         self.send_capacity[engine] = self.send_capacity[engine].saturating_sub(1);
     }
 
-    /// How many attempts can leave for it now.
+    /// Sets how many attempts can be sent to an engine now. Unknown engines are ignored.
     pub fn set_send_capacity(&mut self, engine: EngineId, attempts: usize) {
         if let Some(known) = self.send_capacity.get_mut(engine) {
             *known = attempts;
         }
     }
 
-    /// It is in flight no more.
+    /// Removes an attempt that is no longer in flight, and its load.
     pub fn remove(&mut self, engine: EngineId, attempt: AttemptId, load: Load) {
         self.in_flight[engine].remove(&attempt);
         self.local_load[engine].add(load, -1.0);
     }
 
-    /// A load of another front holds the data set there until then.
+    /// Records that a peer's load statement locks the data set on the engine until `until`.
     pub fn lock_data_set(&mut self, engine: EngineId, data_set: u32, now: Micros, until: Micros) {
         let locks = &mut self.locked_data[engine];
         locks.retain(|lock| lock.data_set != data_set && lock.until > now);
         locks.push(DataLock { data_set, until });
     }
 
-    /// The place of an engine's kind, where it is listed.
+    /// The index of an engine's kind; `None` if it was never listed.
     pub fn kind(&self, engine: EngineId) -> Option<usize> {
         self.entries[engine].as_ref().map(|entry| entry.kind)
     }
 
-    /// An engine and what this front holds there.
+    /// An engine and this front's load on it.
     pub fn engine_use(&self, engine: EngineId) -> EngineUse {
         EngineUse {
             engine,
@@ -117,13 +118,13 @@
         }
     }
 
-    /// The open engines and what this front holds there.
+    /// The engines that accept new statements, with this front's load on each.
     pub fn open_engines(&self) -> impl Iterator<Item = EngineUse> + '_ {
         let open = (0..self.open.len()).filter(|engine| self.open[*engine]);
         open.map(|engine| self.engine_use(engine))
     }
 
-    /// Makes place for an engine.
+    /// Extends the table to include an engine.
     pub fn grow_to_include(&mut self, engine: EngineId) {
         let count = self.open.len().max(engine + 1);
         self.open.resize(count, false);
@@ -143,7 +144,7 @@
     }
 }
 
-/// An engine's cores and memory, by its kind.
+/// The cores and memory of an engine kind.
 pub fn engine_size(agreement: &Agreement, kind: usize) -> Load {
     let of = |list: &[f64], other| list.get(kind).copied().unwrap_or(other);
     Load {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,13 +1,13 @@
-//! What goes into the decision module and what comes out of it.
+//! Input and output types of the scheduler.
 //!
-//! [`Agreement`] is read once, at the start. [`Event`] is what has happened since the last decision,
-//! [`Action`] what is to be done. All of it is plain data: whoever calls the module reads the clock, the
-//! network and the settings.
+//! [`Agreement`] is read once, at the start. An [`Event`] reports what has happened since the last
+//! decision; an [`Action`] is a command to the caller. All types are plain data: the caller reads
+//! the clock, the network and the settings.
 //!
-//! Times are whole microseconds on the caller's clock, which must not run backwards. Engines, order keys and
-//! statements are small indices that the caller hands out in the order in which it first meets them;
-//! statements therefore count upwards. Places, such as that of a workload, a location or a kind, count from 0
-//! in the order of the settings.
+//! Times are whole microseconds on the caller's clock, which must not run backwards. Engines,
+//! order keys and statements are identified by small indices that the caller assigns in the order
+//! of first use, so a later statement has a higher index. Indices of workloads, customers,
+//! locations and kinds count from 0 in the order of the settings.
 
 mod actions;
 mod agreement;
@@ -25,17 +25,17 @@
 };
 pub use reject_reason::RejectReason;
 
-/// A time or a length of time on the caller's clock, in microseconds.
+/// A time or a duration on the caller's clock, in microseconds.
 pub type Micros = i64;
 
-/// A second.
+/// One second.
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// An engine, by an index that the caller hands out and may hand out again once the engine is gone.
+/// The index of an engine, assigned by the caller. It may be reused once the engine is gone.
 pub type EngineId = usize;
 
-/// An order key, by an index that the caller hands out.
+/// The index of an order key, assigned by the caller.
 pub type KeyId = u32;
 
-/// A statement, by an index that the caller hands out; a later statement has a higher one.
+/// The index of a statement, assigned by the caller. A later statement has a higher index.
 pub type StatementId = u32;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,69 +1,72 @@
-//! What the module orders.
+//! Commands of the scheduler to its caller.
 
 use super::{EngineId, Micros, RejectReason, StatementId};
 
-/// One order of the module. Orders are carried out in the order in which they are returned.
+/// A command of the scheduler. The caller carries out actions in the order in which they are
+/// returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Holds for the statement's later executions; the priority also for those in flight.
+    /// Set the memory grant and the priority of the statement's later executions. The priority
+    /// also applies to executions in flight.
     SetResources {
-        /// The statement that it holds for.
+        /// The statement that the values apply to.
         statement: StatementId,
-        /// The memory to grant, in MB; 0 leaves it to the engine.
+        /// The memory to grant, in MB; with 0 the engine decides.
         grant_mb: f64,
-        /// 0 to 3; a higher one goes first.
+        /// The priority, 0 to 3; engines serve higher values first.
         priority: u8,
     },
-    /// Send the statement to the engine: its next execution.
+    /// Send the statement to the engine as its next execution.
     Execute {
         /// The statement to send.
         statement: StatementId,
         /// The engine to send it to.
         engine: EngineId,
     },
-    /// Cancel an execution and report its end.
+    /// Cancel an execution. The caller reports its end as for any other execution.
     Cancel {
-        /// The statement that the execution is of.
+        /// The statement being executed.
         statement: StatementId,
-        /// The number of the execution among those of its statement, from 0.
+        /// The number of the execution among those of the statement, from 0.
         execution: usize,
     },
-    /// The final answer: the statement is rejected, and trying again is harmless.
+    /// Answer the client that the statement is rejected. The client may safely submit it again.
     Reject {
-        /// The statement rejected.
+        /// The rejected statement.
         statement: StatementId,
-        /// The time after which the client may try again; None where no time may be named.
+        /// The time after which the client may submit the statement again; `None` if rejections
+        /// may not name a time.
         retry_after: Option<Micros>,
-        /// Why; for the log, not for the client.
+        /// The reason, for the log. Clients do not see it.
         reason: RejectReason,
     },
-    /// The final answer: the statement is aborted, and it may have run.
+    /// Answer the client that the statement is aborted. It may have run.
     Abort {
-        /// The statement aborted.
+        /// The aborted statement.
         statement: StatementId,
-        /// Why; for the log, not for the client.
+        /// The reason, for the log. Clients do not see it.
         reason: RejectReason,
     },
-    /// Probe the engine for its load.
+    /// Send a health check to the engine to get its load report.
     Probe {
         /// The engine to probe.
         engine: EngineId,
     },
-    /// Probe an engine of an evacuated zone, on behalf of the fleet.
+    /// Send a health check to an engine of an evacuated zone, on behalf of the fleet.
     ProbeEvacuated {
         /// The engine to probe.
         engine: EngineId,
     },
     /// Subscribe to the engine list.
     Subscribe,
-    /// From now on this front may make so many connections to each engine.
+    /// Limit the rate at which this front opens connections to each engine.
     SetConnectionRate {
-        /// New connections a second.
+        /// New connections per second.
         connections: f64,
     },
-    /// Call again with [`Event::Woken`](super::Event::Woken).
+    /// Call the scheduler again with [`Event::Woken`](super::Event::Woken).
     Wake {
-        /// The time to call at, or soon after.
+        /// The earliest time of the call; the call should follow soon after it.
         at: Micros,
     },
 }
--- a/src/interface/engines.rs
+++ b/src/interface/engines.rs
@@ -1,41 +1,42 @@
-//! Engines, as the engine list and their load reports describe them.
+//! Engines as described by the engine list and by their load reports.
 
 use super::{DedupGroup, EngineId, Micros};
 
-/// Whether an engine takes statements.
+/// Whether an engine accepts statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It takes new statements.
+    /// The engine accepts new statements.
     Ready,
-    /// It completes what it has and takes nothing new.
+    /// The engine completes its statements and accepts no new ones.
     Draining,
-    /// It is off the list.
+    /// The engine was removed from the list.
     Gone,
 }
 
-/// One line of the engine list.
+/// One entry of the engine list.
 #[derive(Clone, Debug)]
 pub struct EngineEntry {
-    /// The engine that the line is about.
+    /// The engine that the entry describes.
     pub engine: EngineId,
-    /// The place of its location.
+    /// The index of the engine's location.
     pub location: usize,
-    /// The place of its kind.
+    /// The index of the engine's kind.
     pub kind: usize,
-    /// Its cell, a part of a location.
+    /// The engine's cell, a part of its location.
     pub cell: usize,
-    /// Whether it takes statements.
+    /// Whether the engine accepts statements.
     pub mode: Mode,
-    /// The time of its last start; None where that is unknown, or too long ago to matter.
+    /// The time of the engine's last start; `None` if unknown or too long ago to matter.
     pub started: Option<Micros>,
-    /// The protocols that it takes statements in, a bit for each.
+    /// The protocols that the engine accepts, one bit each.
     pub protocols: u8,
-    /// It sends notes of progress, where they are agreed.
+    /// Whether the engine sends progress reports if they are agreed.
     pub sends_progress: bool,
 }
 
 impl EngineEntry {
-    /// Whether both engines are in one group that drops the repeats of a statement.
+    /// Whether both engines belong to one deduplication group, so that each drops repeats of a
+    /// statement that the other has executed.
     pub fn deduplicates_with(&self, other: &EngineEntry, group: DedupGroup) -> bool {
         match group {
             DedupGroup::All => true,
@@ -45,5 +46,5 @@
     }
 }
 
-/// A load report: the figures in the order that the agreement names.
+/// A load report: the figures in the order given by [`ReportLayout`](super::ReportLayout).
 pub type LoadReport = Vec<f64>;
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What happens outside the module.
+//! Events that the caller reports to the scheduler.
 
 use super::{EngineEntry, EngineId, KeyId, LoadReport, Micros, StatementId};
 
@@ -7,203 +7,214 @@
 pub enum Outcome {
     /// The engine answered with the result.
     Completed,
-    /// The engine answered that it failed; the statement may have run.
+    /// The engine answered with an error. The statement may have run.
     Error,
-    /// The engine refused it, as it has no capacity: it has not run.
+    /// The engine rejected the execution for lack of capacity. The statement has not run.
     NoCapacity,
-    /// The client's time was up; the statement may be running on.
+    /// The client's wait time ended. The statement may still be running.
     TimedOut,
-    /// No connection to the engine came up: it has not run.
+    /// No connection to the engine could be made. The statement has not run.
     Unreachable,
-    /// The connection broke; the statement may be running on.
+    /// The connection was lost. The statement may still be running.
     Reset,
-    /// It was cancelled; the statement may be running on.
+    /// The execution was cancelled. The statement may still be running.
     Cancelled,
-    /// It never left this front: it has not run, which says nothing of the engine.
+    /// The execution was never sent by this front. The statement has not run, and the outcome is
+    /// no evidence about the engine.
     NotSent,
 }
 
-/// What is learned of an execution in flight.
+/// A progress report on an execution in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressReport {
-    /// The share of its work that is done, 0 to 1.
+    /// The share of the work that is done, 0 to 1.
     ShareDone(f64),
-    /// It has too little memory and spills to disk: the memory that it lacks, in MB.
+    /// The execution has too little memory and spills to disk. The value is the missing memory in
+    /// MB.
     SpillsMb(f64),
-    /// It stands still until its engine has memory for it.
+    /// The execution waits until its engine has memory for it.
     WaitsForMemory,
-    /// It stands still while a load holds its data set.
+    /// The execution waits while a load locks its data set.
     WaitsForData,
-    /// Its engine has answered something else meanwhile.
+    /// The engine has answered something else in the meantime.
     Alive,
-    /// It has not left its front yet, which says nothing of its engine.
+    /// The execution has not been sent by its front yet. This is no evidence about its engine.
     NotSentYet,
 }
 
-/// A statement as its client sent it.
+/// A statement as received from its client.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The statement.
     pub statement: StatementId,
-    /// The place of its workload in the agreement.
+    /// The index of its workload in the agreement.
     pub workload: usize,
-    /// The place of its customer in the agreement; 0 where no customers are agreed.
+    /// The index of its customer in the agreement; 0 if no customers are agreed.
     pub customer: usize,
-    /// Its order key; used where its workload runs in order.
+    /// Its order key; used only if its workload runs in order.
     pub order_key: Option<KeyId>,
-    /// The time that its client still waits.
+    /// The remaining time that its client waits for an answer.
     pub time_left: Micros,
-    /// An estimate of its work on one thread, in microseconds; 0 where the site gives none.
+    /// An estimate of its work on one thread, in microseconds; 0 if the site gives none.
     pub work: f64,
-    /// An estimate of the memory that it needs, in MB; 0 where the site gives none.
+    /// An estimate of the memory that it needs, in MB; 0 if the site gives none.
     pub memory_mb: f64,
-    /// The data set that it reads or loads, where that is known.
+    /// The data set that it reads or loads, if known.
     pub data_set: Option<u32>,
-    /// The protocols that it can be sent in, a bit for each.
+    /// The protocols in which it can be sent, one bit each.
     pub protocols: u8,
-    /// The engine that holds the open transaction it belongs to: it goes there or nowhere, and once.
+    /// The sticky engine: the engine of the open transaction that the statement belongs to. The
+    /// statement is sent to this engine only, and at most once.
     pub sticky_engine: Option<EngineId>,
-    /// The places of the locations it may be sent to; None: all that its workload allows.
+    /// The indices of the locations to which it may be sent; `None` for all that its workload
+    /// allows.
     pub allowed_locations: Option<Vec<usize>>,
 }
 
 /// The end of an execution.
 #[derive(Clone, Debug)]
 pub struct ExecutionEnded {
-    /// The statement that the execution is of.
+    /// The statement that was executed.
     pub statement: StatementId,
-    /// The number of the execution among those of its statement, from 0.
+    /// The number of the execution among those of the statement, from 0.
     pub execution: usize,
-    /// The engine that it was sent to.
+    /// The engine that the execution was sent to.
     pub engine: EngineId,
-    /// How it ended.
+    /// How the execution ended.
     pub outcome: Outcome,
-    /// The time since it was sent.
+    /// The time since the execution was sent.
     pub took: Micros,
-    /// The statement has its final answer, through this outcome or before it.
+    /// Whether the statement has its final answer, through this outcome or earlier.
     pub settled: bool,
-    /// Its transaction goes on and keeps its order key until [`Event::OrderKeyReleased`].
+    /// Whether the statement's transaction stays open and holds the order key until
+    /// [`Event::OrderKeyReleased`].
     pub keeps_order_key: bool,
-    /// The engine's load report, where the answer carries one.
+    /// The engine's load report, if the answer carries one.
     pub report: Option<LoadReport>,
 }
 
-/// What another front reports of an engine.
+/// A peer's report on an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerReport {
-    /// The front that reports, by an index that the caller hands out.
+    /// The reporting front, by an index that the caller assigns.
     pub reporter: usize,
-    /// The engine reported on.
+    /// The engine that the report is about.
     pub engine: EngineId,
-    /// Executions there that failed over the last seconds; older ones count less.
+    /// Executions that failed on the engine over the last seconds; older ones weigh less.
     pub failed: f64,
-    /// Executions there that were answered over the last seconds; older ones count less.
+    /// Executions that the engine answered over the last seconds; older ones weigh less.
     pub answered: f64,
-    /// The time for which the engine has sent nothing with executions in flight; 0 where it answers.
+    /// The time for which the engine has sent nothing although it has executions in flight; 0 if
+    /// it answers.
     pub silent: Micros,
-    /// The time since the report was made.
+    /// The age of the report.
     pub age: Micros,
 }
 
 impl PeerReport {
-    /// Whether it reports that the engine answers, with no silence.
+    /// Whether the report says that the engine answers and is not silent.
     pub fn answers(&self) -> bool {
         self.answered >= 1.0 && self.silent == 0
     }
 }
 
-/// What the fronts that report their demand were asked of one workload over the last seconds; the same
-/// figures at every front.
+/// The demand of one workload over the last seconds, summed over the fronts that report theirs.
+/// Every front has the same figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     /// Statements that arrived.
     pub arrived: f64,
-    /// Statements, of those admitted, that had their final answer.
+    /// Admitted statements that got their final answer.
     pub ended: f64,
-    /// Statements, of those ended, that were answered within their SLO time.
+    /// Ended statements that were answered within their SLO time.
     pub timely: f64,
-    /// The work of a statement on one thread, in microseconds.
+    /// The mean work of a statement on one thread, in microseconds.
     pub work: f64,
 }
 
-/// The demand on the fleet, by the reports of its fronts.
+/// The demand on the fleet according to the reports of its fronts.
 #[derive(Clone, Debug, Default)]
 pub struct FleetDemand {
-    /// The share of the admitted statements that were not answered within their SLO time, 0 to 1.
+    /// The share of admitted statements that were not answered within their SLO time, 0 to 1.
     pub late_share: f64,
-    /// The demand on this front over the mean of those that report theirs; 0 where none does.
+    /// The demand on this front divided by the mean of the fronts that report theirs; 0 if none
+    /// does.
     pub relative: f64,
     /// The demand of each workload, in the order of the agreement.
     pub workloads: Vec<Demand>,
-    /// Statements a second over all fronts, by customer; empty where no shares are agreed.
+    /// Statements per second over all fronts, by customer; empty if no shares are agreed.
     pub customers_per_s: Vec<f64>,
 }
 
-/// Something that has happened.
+/// An event outside the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The engine list.
+    /// The engine list or an update to it.
     EngineList {
-        /// The entries are the whole list: an engine that is missing takes nothing new. Else only what
-        /// changed.
+        /// Whether the entries are the complete list, so that a missing engine accepts no new
+        /// statements. Otherwise the entries are changes.
         complete: bool,
-        /// The lines of the list.
+        /// The entries of the list.
         entries: Vec<EngineEntry>,
     },
-    /// A subscription to the engine list failed or broke.
+    /// A subscription to the engine list failed or was lost.
     EngineListFailed,
-    /// A statement arrived. It has exactly one final answer: an answer of an engine, a rejection or an abort.
+    /// A statement arrived. It gets exactly one final answer: an engine's answer, a rejection or
+    /// an abort.
     Arrived(Arrival),
     /// An execution ended.
     ExecutionEnded(ExecutionEnded),
-    /// Something is learned of an execution in flight.
+    /// A progress report on an execution in flight arrived.
     Progress {
-        /// The statement that the execution is of.
+        /// The statement being executed.
         statement: StatementId,
-        /// The number of the execution among those of its statement, from 0.
+        /// The number of the execution among those of the statement, from 0.
         execution: usize,
-        /// The engine that it was sent to.
+        /// The engine that the execution was sent to.
         engine: EngineId,
-        /// What is learned.
+        /// The content of the report.
         progress: ProgressReport,
     },
-    /// The client of a statement left; the statement is over.
+    /// The statement was withdrawn, as its client disconnected or its front answered it. It is
+    /// complete and needs no answer of the scheduler.
     StatementWithdrawn(StatementId),
-    /// A transaction that kept an order key is over.
+    /// A transaction that held an order key has ended.
     OrderKeyReleased {
         /// The order key.
         key: KeyId,
-        /// The transaction may still run: the key pauses for the `order_gap` of the agreement.
+        /// Whether the transaction may still be running, so that the key pauses for the
+        /// agreement's `order_gap`.
         pauses: bool,
     },
-    /// A probe ended.
+    /// A health check ended.
     Probed {
-        /// The engine probed.
+        /// The probed engine.
         engine: EngineId,
-        /// It answered.
+        /// Whether the engine answered.
         alive: bool,
-        /// The load report that it answered with.
+        /// The load report in the answer, if any.
         report: Option<LoadReport>,
     },
-    /// Another front reported on an engine.
+    /// A peer reported on an engine.
     PeerReport(PeerReport),
     /// The number of fronts changed.
     Fleet {
-        /// Fronts that this one knows of and that have not left, itself included.
+        /// Fronts that this front knows and that have not left the fleet, including itself.
         known: f64,
-        /// Those of them that this front hears of, itself included; infinite where others probe for the
-        /// fleet.
+        /// The known fronts from which this front receives messages, including itself; infinite if
+        /// other fronts run the fleet's health checks.
         up: f64,
     },
     /// The demand on the fleet changed.
     FleetDemand(FleetDemand),
-    /// The executions that can leave for an engine now changed.
+    /// The number of executions that can be sent to an engine now has changed.
     SendCapacity {
         /// The engine.
         engine: EngineId,
-        /// Executions that connections which are up, or may be made, can carry at once.
+        /// The executions that can be sent at once over open connections and those that may be
+        /// opened.
         executions: usize,
     },
-    /// The time of the last [`Action::Wake`](super::Action::Wake) has come.
+    /// The time of the last [`Action::Wake`](super::Action::Wake) has been reached.
     Woken,
 }
--- a/src/interface/reject_reason.rs
+++ b/src/interface/reject_reason.rs
@@ -1,32 +1,35 @@
-//! Why the decisions ended a statement without a result.
+//! Reasons for which the scheduler ends a statement without a result.
 
 use std::fmt;
 
-/// Why a statement was rejected or aborted. The word that [`RejectReason::name`] gives stands in the log line of
-/// level `debug` and in `docs/on-call.md`; nothing of it goes to the client.
+/// The reason for a rejection or an abort. Its [`RejectReason::name`] appears in the log line of
+/// level `debug` and in `docs/on-call.md`. It is not sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The fleet admits only a share of the workload's statements, and this one is not in it.
+    /// The fleet admits only a share of the workload's statements, and this one is outside it.
     OverFleetQuota,
-    /// No answer can come within the SLO time any more, and a late one is worth too little.
+    /// The statement can no longer be answered within its SLO time, and a late answer is worth too
+    /// little.
     TooLate,
-    /// No answer can come within the SLO time any more, and others of its order key are not over.
+    /// The statement can no longer be answered within its SLO time, and other statements of its
+    /// order key are waiting or running.
     OrderKeyBlocked,
-    /// The engine that holds its transaction takes nothing new any more.
+    /// The engine of its transaction no longer accepts statements.
     StickyEngineClosed,
-    /// It belongs to a transaction and failed there: it is never attempted again.
+    /// The statement belongs to a transaction, and its attempt failed. Such statements are never
+    /// retried.
     StickyAttemptFailed,
     /// An earlier attempt may have run, and no engine is known to drop the repeat.
     NoSafeEngine,
-    /// Its latest start has passed, and statements wait that can still be in time.
+    /// The latest start has passed, and other statements wait that can still be timely.
     LatestStartPassed,
-    /// Its latest start has passed, and no engine has capacity for it now.
+    /// The latest start has passed, and no engine has capacity for the statement.
     NoCapacityAtLatestStart,
-    /// It has had all the attempts that a statement may have.
+    /// The statement has used all the attempts that it may have.
     AttemptsExhausted,
-    /// The budget of retries in this window is spent.
+    /// The retry budget of this window is spent.
     RetryBudgetSpent,
-    /// Its client stops waiting within moments.
+    /// The client's wait ends within milliseconds.
     Expiring,
 }
 
@@ -46,7 +49,7 @@
         RejectReason::Expiring,
     ];
 
-    /// Its word in the log, the same as the variant's name.
+    /// The reason's name in the log, equal to the variant's name.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::OverFleetQuota => "OverFleetQuota",
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! hallmux: a front for query engines with limited memory.
+//! hallmux: the scheduler of a front for query engines with limited memory.
 //!
-//! The library decides and does nothing else: no input or output, no clock, no threads. [`interface`] has the types
-//! that go in and come out. [`Scheduler`] joins the rules, which stand in `policy`, a module each. The other modules
-//! keep plain figures and decide nothing.
+//! The library makes decisions only. It performs no input or output, reads no clock and starts no
+//! threads. [`interface`] holds its input and output types. [`Scheduler`] combines the policy
+//! rules, one module each in `policy`. The other modules keep state and make no decisions.
 
 #![warn(missing_docs)]
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,5 +1,6 @@
-//! The rules by which a statement is admitted, sent, attempted again or rejected: one module each, with its constants
-//! and its state. No rule reads the state of another; [`Scheduler`](crate::Scheduler) joins them.
+//! The policy rules by which a statement is admitted, sent, retried or rejected. Each module holds
+//! one rule with its constants and state. No rule reads the state of another;
+//! [`Scheduler`](crate::Scheduler) combines them.
 
 pub(crate) mod admission;
 pub(crate) mod client_retries;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,9 +1,14 @@
-//! Admission: is a statement inside its customer's share, and does the fleet admit it?
+//! Admission: decides whether a statement is within its customer's share and whether the fleet
+//! admits it.
 //!
-//! Inputs: the fleet's demand, ends and timely ends of each workload, the customers' shares (statements a second).
-//! Reason: the fleet admits what its engines answered and a quarter more, first where the penalty is highest; each front
-//! sheds the same share on arrival, so that what is shed costs no engine anything.
-//! Source: our extension, `docs/design.md`, "Shedding as one"; customers' shares: the contract.
+//! Inputs: the fleet's arrived, ended and timely statements per workload, and the customers'
+//! shares in statements per second.
+//!
+//! The fleet admits the work that its engines answered plus a quarter, in the order of penalty.
+//! Each front sheds the same share on arrival, so shed statements cost the engines nothing.
+//!
+//! Source: our extension, `docs/design.md`, "Shedding as one"; the customers' shares are part of
+//! the contract.
 
 use crate::interface::{Agreement, Demand, FleetDemand, Micros};
 use crate::policy::estimates::Mean;
@@ -11,24 +16,27 @@
 use crate::random::Random;
 use crate::token_bucket::TokenBucket;
 
-/// Late share of admitted statements above which the fleet admits by timely answers, not by all answers.
+/// Late share of admitted statements above which the fleet counts timely answers only, instead of
+/// all answers.
 const MAX_FLEET_LATE_SHARE: f64 = 0.15;
-/// Times what engines answer that the fleet admits; less would leave them idle.
+/// Admitted work as a multiple of the work that engines answer; a smaller factor would leave
+/// engines idle.
 const ADMITTED_PER_ANSWERED: f64 = 1.25;
-/// Share of what is asked that is admitted in any case; else nothing would tell that there is capacity again.
+/// Share of the arriving work that is always admitted. Without it no answers would show that
+/// capacity is available again.
 const MIN_ADMITTED_SHARE: f64 = 0.05;
 
-/// How a statement stands against its customer's share.
+/// Whether a statement is within its customer's share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CustomerShare {
-    /// Inside it.
+    /// The statement is within the share.
     Within,
-    /// Beyond it.
+    /// The statement is beyond the share.
     Beyond,
 }
 
 impl CustomerShare {
-    /// Its place, 0 or 1, among the two classes of a workload and customer.
+    /// The index, 0 or 1, among the two service classes of a workload and customer.
     pub fn index(self) -> usize {
         match self {
             CustomerShare::Within => 0,
@@ -40,30 +48,33 @@
 /// Whether the fleet admits a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionOutcome {
-    /// It does.
+    /// The fleet admits the statement.
     Admitted,
-    /// The fleet admits a share of the workload's statements, and this one is not in it.
+    /// The fleet admits only a share of the workload's statements, and this one is outside it.
     OverFleetQuota,
 }
 
-/// What this front knows of shares and of the fleet's demand.
+/// The admission state: customers' shares and the fleet's demand as known to this front.
 #[derive(Default)]
 pub struct Admission {
-    /// Statements a second inside each customer's share: over all fronts.
+    /// Each customer's share in statements per second, over all fronts.
     customers_per_s: Vec<f64>,
     fronts: f64,
-    /// This front's part of each customer's share.
+    /// One bucket per customer, filled at this front's part of the customer's share.
     buckets: Vec<TokenBucket>,
-    /// The share of what each customer asks the fleet that is beyond its own; none: not known.
+    /// The fraction of each customer's statements at the fleet that is beyond its share; missing
+    /// if unknown.
     beyond: Vec<f64>,
-    /// The share of each workload's statements here that are beyond their customers' shares.
+    /// The mean fraction of each workload's statements at this front that are beyond their
+    /// customers' shares.
     beyond_share_means: Vec<Mean>,
-    /// The admitted share of each workload, inside and beyond customers' shares; none: all.
+    /// The admitted fraction of each workload, within and beyond customers' shares; missing if all
+    /// are admitted.
     admitted: Vec<f64>,
 }
 
 impl Admission {
-    /// Nothing is known of the fleet yet: all is admitted.
+    /// Creates the state without knowledge of the fleet's demand: all statements are admitted.
     pub fn new(agreement: &Agreement) -> Self {
         let full = TokenBucket::new(f64::INFINITY);
         Admission {
@@ -75,8 +86,9 @@
         }
     }
 
-    /// How an arriving statement stands against its customer's share. Where the fleet's figures are known they say how
-    /// much is beyond, whichever fronts a customer asks; else this front's part of the share does.
+    /// Whether an arriving statement is within its customer's share. If the fleet's demand is
+    /// known, the fleet-wide fraction beyond the share is drawn at random, whichever fronts a
+    /// customer uses. Otherwise this front's part of the share decides.
     pub fn customer_share(
         &mut self,
         workload: usize,
@@ -100,7 +112,8 @@
         }
     }
 
-    /// Whether the fleet admits a statement; what an open transaction waits for always.
+    /// Whether the fleet admits a statement. A sticky statement is always admitted, as an open
+    /// transaction waits for it.
     pub fn check(
         &self,
         workload: usize,
@@ -117,8 +130,8 @@
         }
     }
 
-    /// The fleet's demand changed. `penalty` ranks a workload's statements, inside or beyond customers' shares, at a
-    /// conformance.
+    /// Updates the admitted fractions from the fleet's demand. `penalty` gives the rank of a
+    /// workload's statements, within or beyond customers' shares, at a conformance.
     pub fn update_demand(
         &mut self,
         fleet: &FleetDemand,
@@ -154,7 +167,7 @@
     served.max(MIN_ADMITTED_SHARE * arrived)
 }
 
-/// Of each customer the share of what it asks a second that is beyond its own.
+/// The fraction of each customer's arrivals that is beyond its allowed rate.
 fn beyond_shares(arrived: &[f64], allowed: &[f64]) -> Vec<f64> {
     let beyond = |(arrived, allowed): (&f64, &f64)| {
         (arrived - allowed).max(0.0) / arrived.max(f64::MIN_POSITIVE)
@@ -163,7 +176,8 @@
 }
 
 impl Demand {
-    /// What of it is within customers' shares and what beyond: of those within more came in time.
+    /// Splits the demand into the parts within and beyond customers' shares. Timely answers count
+    /// towards the part within the shares first.
     fn split(&self, beyond: f64) -> [Demand; 2] {
         let within = Demand {
             arrived: self.arrived * (1.0 - beyond),
@@ -178,18 +192,19 @@
         [within, beyond]
     }
 
-    /// The share of what was asked that was answered in time, with so many timely ones on top.
+    /// The timely fraction of the arrived statements, with `prior_timely` timely statements added.
     fn conformance(&self, prior_timely: f64) -> f64 {
         (self.timely + prior_timely) / (self.arrived + prior_timely)
     }
 
-    /// What all that was asked takes on one thread, in microseconds.
+    /// The work of all arrived statements on one thread, in microseconds.
     fn arrived_work(&self) -> f64 {
         self.work * self.arrived
     }
 }
 
-/// The share of each that fits into so much work, those of the highest rank first; all of what takes none.
+/// The fraction of each demand that fits into the given work, assigned by descending rank. Demands
+/// without work are admitted in full.
 fn admit_by_rank(work: f64, demands: &[Demand], rank: impl Fn(usize) -> f64) -> Vec<f64> {
     let mut remaining = work;
     let mut shares = vec![1.0; demands.len()];
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,41 +1,46 @@
-//! Concurrency limit: does an engine have capacity for this statement, and how much is left?
+//! Concurrency limit: decides whether an engine has capacity for a statement and how much is left.
 //!
-//! Inputs: an engine's cores and memory, what this front and others hold there, how answers came back; limits are
-//! threads, memory is megabytes, times are microseconds.
-//! Reason: memory runs out before threads do, and a fixed count bounds neither memory nor slow engines. The limit starts
-//! at this front's share of two threads a core, grows by quick answers and shrinks by late ones.
-//! Source: the paper, section 4; ours: `docs/design.md`, "Changed, and when each change acts".
+//! Inputs: an engine's cores and memory, the load of this front and its peers on the engine, and
+//! the times of answers. Limits are in threads, memory in megabytes, times in microseconds.
+//!
+//! Memory runs out before threads do, and a fixed statement count bounds neither memory nor slow
+//! engines. The limit starts at this front's share of two threads per core, grows with quick
+//! answers and shrinks with late ones.
+//!
+//! Source: the paper, section 4; changes: `docs/design.md`, "Changed, and when each change acts".
 
 use crate::interface::{Agreement, EngineId, SECOND};
 use crate::load::Load;
 
-/// Threads a core that all fronts may use at the start.
+/// Threads per core that all fronts together may use initially.
 const INITIAL_THREADS_PER_CORE: f64 = 2.0;
-/// Threads a core that all fronts may use at most: more than one, as some threads wait for reads.
+/// Threads per core that all fronts together may use at most; more than one, as some threads wait
+/// for reads.
 const MAX_THREADS_PER_CORE: f64 = 3.0;
-/// Share of memory promised at the initial limit; the rest covers low estimates.
+/// Share of an engine's memory committed at the initial limit; the rest covers estimates that are
+/// too low.
 const INITIAL_MEMORY_SHARE: f64 = 0.9;
-/// Share of the SLO time: answers within it say that there is capacity left.
+/// Share of the SLO time within which an answer shows that the engine has capacity left.
 const QUICK_ANSWER_SLO_SHARE: f64 = 0.35;
-/// Threads gained, where limits are pooled, for each thread-second answered quickly.
+/// With pooled limits, threads gained per thread-second of quick answers.
 const LIMIT_GROWTH_PER_THREAD_SECOND: f64 = 0.15;
-/// Threads lost for each thread of a late answer.
+/// Threads lost per thread of a late answer.
 const LIMIT_SHRINK_PER_LATE_THREAD: f64 = 0.2;
-/// Share of the initial limit that is always left: no engine is given up.
+/// Share of the initial limit that always remains, so that every engine stays in use.
 const MIN_LIMIT_SHARE: f64 = 0.06;
-/// Threads a core up to which a fresh report lets a front go beyond its pool.
+/// Threads per core up to which a front may exceed its pool if a fresh report shows idle cores.
 const IDLE_THREADS_PER_CORE: f64 = 1.0;
-/// Least share of a limit that trust leaves.
+/// Minimum factor that trust puts on a limit.
 const MIN_TRUST: f64 = 0.01;
 
-/// What a limit is kept for.
+/// The scope of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitScope {
-    /// Each engine has its own.
+    /// Each engine has a limit of its own.
     #[default]
     PerEngine,
-    /// There are so many fronts that a share of one engine's limit holds no statement: the limits of all engines
-    /// make one pool, and move alike.
+    /// The limits of all engines form one pool and change together. Used if there are so many
+    /// fronts that one front's share of an engine's limit is too small for any statement.
     Pooled,
 }
 
@@ -56,44 +61,44 @@
     }
 }
 
-/// The pool of all open engines: limits and what this front holds of them.
+/// The pool of all open engines: their limits and this front's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pool {
-    /// Threads of all limits.
+    /// The sum of all limits, in threads.
     pub thread_limit: f64,
-    /// Threads that this front holds.
+    /// Threads that this front uses.
     pub threads: f64,
-    /// Memory that the limits stand for, in MB.
+    /// Memory that corresponds to the limits, in MB.
     pub memory_limit: f64,
-    /// Memory that this front holds, in MB.
+    /// Memory that this front uses, in MB.
     pub memory: f64,
 }
 
-/// An engine and what this front holds there.
+/// An engine and this front's load on it.
 pub struct EngineUse {
     /// The engine.
     pub engine: EngineId,
-    /// Its cores and memory.
+    /// The engine's cores and memory.
     pub size: Load,
-    /// What this front holds there.
+    /// This front's load on the engine.
     pub local_load: Load,
 }
 
-/// An engine at the moment when a statement might go there.
+/// The inputs of a capacity check for one statement on one engine.
 pub struct LimitRequest<'a> {
-    /// The engine and what this front holds there.
+    /// The engine and this front's load on it.
     pub at: EngineUse,
-    /// This front has nothing in flight there.
+    /// Whether this front has nothing in flight on the engine.
     pub idle: bool,
-    /// What other fronts hold there.
+    /// The load of peers on the engine.
     pub peer_load: Load,
-    /// How far the engine is trusted, 0 to 1.
+    /// The trust in the engine, 0 to 1.
     pub trust: f64,
-    /// The share of its capacity that a warming engine has by now, 0 to 1.
+    /// The share of its full capacity that a warming engine has reached, 0 to 1.
     pub capacity_share: f64,
-    /// What others hold is known from a fresh report.
+    /// Whether the load of peers comes from a fresh report.
     pub fresh_report: bool,
-    /// What the statement needs.
+    /// The load of the statement.
     pub need: Load,
     /// The pool of all engines.
     pub pool: &'a Pool,
@@ -102,24 +107,24 @@
 /// Whether an engine has capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitOutcome {
-    /// The statement may go there; the threads that are left, which may be below what it needs where the engine is
-    /// idle.
+    /// The statement may be sent. `threads` is the capacity left, which may be less than the
+    /// statement needs if the engine is idle.
     Capacity { threads: f64 },
-    /// There is no capacity.
+    /// The engine has no capacity for the statement.
     Exhausted,
 }
 
-/// An answer, as far as it tells whether the limit is right.
+/// An answered attempt, as evidence for adjusting the limit.
 pub struct AnsweredAttempt {
     /// The engine that answered.
     pub engine: EngineId,
-    /// Threads that the statement held.
+    /// Threads that the statement used.
     pub threads: f64,
-    /// Microseconds that it took.
+    /// The time from sending to the answer, in microseconds.
     pub took: f64,
-    /// Microseconds within which an answer is timely.
+    /// The statement's SLO time, in microseconds.
     pub slo: f64,
-    /// Threads that this front holds there.
+    /// Threads that this front uses on the engine.
     pub local_threads: f64,
 }
 
@@ -133,7 +138,7 @@
 }
 
 impl ConcurrencyLimits {
-    /// No engine is known yet.
+    /// Creates the limits without any engine.
     pub fn new(agreement: &Agreement) -> Self {
         ConcurrencyLimits {
             scope: LimitScope::of(agreement),
@@ -142,27 +147,27 @@
         }
     }
 
-    /// What limits are kept for.
+    /// The scope of the limits.
     pub fn scope(&self) -> LimitScope {
         self.scope
     }
 
-    /// Makes place for so many engines.
+    /// Extends the state to the given number of engines.
     pub fn resize(&mut self, engines: usize) {
         self.limits.resize(engines, 0.0);
     }
 
-    /// An engine is listed for the first time.
+    /// Sets the initial limit of an engine that is listed for the first time.
     pub fn init_engine(&mut self, engine: EngineId, cores: f64) {
         self.limits[engine] = INITIAL_THREADS_PER_CORE * cores / self.fronts;
     }
 
-    /// The threads that all fronts together may have at an engine.
+    /// The threads that all fronts together may use on an engine.
     pub fn max_engine_threads(cores: f64) -> f64 {
         MAX_THREADS_PER_CORE * cores
     }
 
-    /// The pool of these engines.
+    /// The pool formed by the given engines.
     pub fn pool(&self, open: impl Iterator<Item = EngineUse>) -> Pool {
         let memory_per_thread = INITIAL_MEMORY_SHARE / INITIAL_THREADS_PER_CORE;
         let mut pool = Pool::default();
@@ -177,8 +182,9 @@
         pool
     }
 
-    /// Whether an engine has capacity for a statement. An idle engine has it for one statement, unless others have used
-    /// up its threads or memory; where limits are pooled, a front with nothing in flight may always send one.
+    /// Whether an engine has capacity for a statement. An idle engine has capacity for one
+    /// statement, unless peers have used up its threads or memory. If limits are pooled, a front
+    /// with nothing in flight may always send one statement.
     pub fn check(&self, request: &LimitRequest) -> LimitOutcome {
         let (size, local_load) = (request.at.size, request.at.local_load);
         let limit =
@@ -211,7 +217,8 @@
         }
     }
 
-    /// Where limits are pooled the pool bounds a front's threads and memory; with nothing out it may send one.
+    /// Whether the statement fits into the pool. Applies to pooled limits only; a front with
+    /// nothing in flight may always send one statement.
     fn is_within_pool(&self, request: &LimitRequest) -> bool {
         let (pool, need) = (request.pool, request.need);
         let exceeds = pool.threads + need.threads > pool.thread_limit
@@ -219,7 +226,7 @@
         !(self.scope == LimitScope::Pooled && pool.threads > 0.0 && exceeds)
     }
 
-    /// A fresh report says that the engine has idle cores enough.
+    /// Whether a fresh report shows enough idle cores for the statement.
     fn has_reported_idle_cores(request: &LimitRequest, cores: f64) -> bool {
         let idle_threads = IDLE_THREADS_PER_CORE * cores
             - request.peer_load.threads
@@ -227,8 +234,8 @@
         idle_threads >= request.need.threads && request.fresh_report
     }
 
-    /// An answer moves the limit: a quick one up while the limit is in use, a late one down. `cores` gives those of
-    /// each engine.
+    /// Adjusts the limit to an answer: a quick answer raises a limit that is in use, a late one
+    /// lowers it. `cores` gives the cores of each engine.
     pub fn record_answer(
         &mut self,
         answer: &AnsweredAttempt,
@@ -255,12 +262,14 @@
         }
     }
 
-    /// A statement that held so many threads was refused, or not answered in time.
+    /// Lowers the limit after a statement that used `threads` threads was rejected or not answered
+    /// in time.
     pub fn shrink(&mut self, engine: EngineId, threads: f64, cores: impl Fn(EngineId) -> f64) {
         self.adjust(engine, -LIMIT_SHRINK_PER_LATE_THREAD * threads, cores);
     }
 
-    /// Moves an engine's limit, or all alike: a front among many hears too seldom of each to know its own.
+    /// Adjusts an engine's limit or, if limits are pooled, all limits by the same factor, as a
+    /// front among many gets too few answers from each engine.
     fn adjust(&mut self, engine: EngineId, threads: f64, cores: impl Fn(EngineId) -> f64) {
         let adjusted = match self.scope {
             LimitScope::Pooled => 0..self.limits.len(),
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,26 +1,30 @@
-//! Learned estimates: how long does a statement run, how much work and memory is it?
+//! Learned estimates of a statement's run time, work and memory.
+//!
+//! Inputs: the site's estimates and the results of attempts. Work is in microseconds on one
+//! thread, run times in microseconds, memory in megabytes.
+//!
+//! The site's estimates are inaccurate or missing. Answers, reported spills and mean run times
+//! correct them.
 //!
-//! Inputs: the site's estimates, how attempts went. Work is microseconds on one thread, runs are microseconds, memory
-//! is megabytes.
-//! Reason: estimates are off, or missing; answers, notes of spills and usual runs correct them.
 //! Source: our extension, `docs/design.md`, "learning".
 
 use crate::interface::SECOND;
 use crate::load::Load;
 use crate::random::positive_or;
 
-/// Least weight of the newest sample in a learned mean.
+/// Minimum weight of the newest sample in a learned mean.
 pub const MIN_SAMPLE_WEIGHT: f64 = 0.05;
-/// Samples that the trust in estimates counts for until answers tell their bias.
+/// Number of samples that the assumption of unbiased memory estimates counts for.
 const ESTIMATE_PRIOR_SAMPLES: f64 = 4.0;
-/// Factor on the learned memory need for an answer without a spill: answers don't tell how much was too much.
+/// Factor on the learned memory need per answer without a spill, as answers do not tell how much
+/// memory was left over.
 const MEMORY_BIAS_DECAY_PER_ANSWER: f64 = 0.99;
-/// Memory granted against the need expected, as engines grant it.
+/// Granted memory as a multiple of the expected need, equal to the factor that engines apply.
 const MEMORY_GRANT_FACTOR: f64 = 1.25;
-/// Least ratio that a geometric mean takes.
+/// Minimum ratio that a geometric mean accepts.
 const MIN_RATIO: f64 = 1e-6;
 
-/// A learned mean and the number of its samples.
+/// A learned mean with the number of its samples.
 #[derive(Default, Clone, Copy)]
 pub struct Mean {
     value: f64,
@@ -28,25 +32,26 @@
 }
 
 impl Mean {
-    /// The mean; 0 before any sample.
+    /// The mean; 0 before the first sample.
     pub fn value(self) -> f64 {
         self.value
     }
 
-    /// Takes a sample; the weight of the newest is its share of all, but not under `MIN_SAMPLE_WEIGHT`.
+    /// Adds a sample. Its weight is one over the number of samples, but at least
+    /// `MIN_SAMPLE_WEIGHT`.
     pub fn add(&mut self, sample: f64) {
         self.samples += 1.0;
         self.value += (sample - self.value) * MIN_SAMPLE_WEIGHT.max(1.0 / self.samples);
     }
 
-    /// The same; a sample of 0 is not known and is not taken.
+    /// Adds a sample unless it is 0, which means unknown.
     fn add_known(&mut self, sample: f64) {
         if sample > 0.0 {
             self.add(sample);
         }
     }
 
-    /// The same for ratios, as a geometric mean.
+    /// Adds a ratio to a geometric mean, with the same weights.
     fn add_ratio(&mut self, sample: f64) {
         let (sample, value) = (sample.max(MIN_RATIO), positive_or(self.value, 1.0));
         self.samples += 1.0;
@@ -55,43 +60,43 @@
     }
 }
 
-/// The run of a statement as its estimate has it, in microseconds; a second where there is none.
+/// The run time that a work estimate gives, in microseconds; one second if there is no estimate.
 pub fn estimated_run(work: f64, threads: f64) -> f64 {
     positive_or(work / threads, SECOND as f64)
 }
 
 /// An answered attempt.
 pub struct AnsweredRun {
-    /// Microseconds that it took.
+    /// The run time, in microseconds.
     pub took: f64,
-    /// Microseconds that its estimate gave.
+    /// The run time that its estimate gave, in microseconds.
     pub estimated: f64,
-    /// It had too little memory.
+    /// Whether the attempt spilled for lack of memory.
     pub spilled: bool,
 }
 
 #[derive(Clone)]
 struct WorkloadEstimates {
-    /// Work of a statement.
+    /// Mean work of a statement.
     work: Mean,
-    /// Run of an attempt.
+    /// Mean run time of an attempt.
     run: Mean,
-    /// Run over the estimated run; a geometric mean.
+    /// Run time divided by the estimated run time, as a geometric mean.
     run_ratio: Mean,
-    /// True memory need over its estimate.
+    /// Actual memory need divided by its estimate.
     memory_bias: Mean,
 }
 
-/// What has been learned of each workload, and of statements as a whole.
+/// The learned estimates of each workload and the typical load of any statement.
 #[derive(Default)]
 pub struct Estimates {
     workloads: Vec<WorkloadEstimates>,
-    /// What a statement usually holds while it runs.
+    /// The typical load of a running statement.
     typical: Load,
 }
 
 impl Estimates {
-    /// Nothing is learned yet.
+    /// Creates estimates before any answer.
     pub fn new(workloads: usize) -> Self {
         let initial = WorkloadEstimates {
             work: Mean::default(),
@@ -111,39 +116,41 @@
         }
     }
 
-    /// What a statement usually holds while it runs.
+    /// The typical load of a running statement.
     pub fn typical_load(&self) -> Load {
         self.typical
     }
 
-    /// The mean work of a workload's statements.
+    /// The mean work of a workload's statements; 0 before any estimate.
     pub fn mean_work(&self, workload: usize) -> f64 {
         self.workloads[workload].work.value
     }
 
-    /// The usual run of a workload's attempts; 0 before any was answered.
+    /// The mean run time of a workload's attempts, in microseconds; 0 before the first answer.
     pub fn mean_run(&self, workload: usize) -> f64 {
         self.workloads[workload].run.value
     }
 
-    /// The longest of all workloads' usual runs, in microseconds.
+    /// The longest mean run time of all workloads, in microseconds.
     pub fn longest_mean_run(&self) -> f64 {
         let runs = self.workloads.iter().map(|learned| learned.run.value);
         runs.fold(0.0, f64::max)
     }
 
-    /// The work of a statement: its own estimate, else the workload's mean.
+    /// The work of a statement: its estimate or, without one, the workload's mean.
     pub fn expected_work(&self, workload: usize, estimate: f64) -> f64 {
         positive_or(estimate, self.workloads[workload].work.value)
     }
 
-    /// The run of a statement, from its estimated run; 0 before any of its workload was answered.
+    /// The expected run time of a statement, from its estimated one; 0 before the first answer of
+    /// its workload.
     pub fn expected_run(&self, workload: usize, estimated: f64) -> f64 {
         self.workloads[workload].run_ratio.value * estimated
     }
 
-    /// Work of a usual statement: as estimates tell, else as its runs do, which are no shorter; before any was
-    /// answered, as long as one may run to be in time.
+    /// The typical work of a workload's statement: the mean of the estimates or, without
+    /// estimates, the mean run time times the threads, which is no less. Before the first answer
+    /// the SLO time stands in for the run time.
     pub fn typical_work(&self, workload: usize, threads: f64, slo: f64) -> f64 {
         let learned = &self.workloads[workload];
         positive_or(
@@ -152,22 +159,22 @@
         )
     }
 
-    /// The memory that a statement needs, from its estimate.
+    /// The memory that a statement needs, in MB, from its estimate.
     pub fn memory_need(&self, workload: usize, estimate_mb: f64) -> f64 {
         estimate_mb * self.workloads[workload].memory_bias.value
     }
 
-    /// The memory to grant a statement that needs so much, `most` at most.
+    /// The memory to grant for a need, in MB, limited to `max_mb`.
     pub fn memory_grant(need_mb: f64, max_mb: f64) -> f64 {
         (need_mb * MEMORY_GRANT_FACTOR).min(max_mb)
     }
 
-    /// A statement arrived with an estimate of its work; 0 where there is none.
+    /// Records the work estimate of an arrived statement; 0 if there is none.
     pub fn record_arrival(&mut self, workload: usize, work: f64) {
         self.workloads[workload].work.add_known(work);
     }
 
-    /// An attempt spilled: it lacks memory beyond what was expected.
+    /// Records that an attempt spilled, with the memory that it lacks beyond its grant.
     pub fn record_spill(
         &mut self,
         workload: usize,
@@ -179,7 +186,7 @@
         self.workloads[workload].memory_bias.add_ratio(need);
     }
 
-    /// An attempt that held so much was answered.
+    /// Records an answered attempt and its load.
     pub fn record_answer(&mut self, workload: usize, load: Load, answer: &AnsweredRun) {
         let seconds = answer.took / SECOND as f64;
         self.typical
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,40 +1,44 @@
-//! Health checks: which engines are probed now?
+//! Health checks: selects the engines to probe now.
+//!
+//! Inputs: the arrived statements, the probes per second that this front may send, and which
+//! engines are open.
+//!
+//! If load reports arrive only with answers to probes, engines are probed in rotation, and each
+//! arrived statement earns probes, so a front without traffic sends none. Engines of evacuated
+//! zones are probed at a rate of the whole fleet.
 //!
-//! Inputs: the statements taken, the probes a second that this front may send, which engines are open.
-//! Reason: where only probes bring load reports, engines are probed in rotation, as often as statements pay for: a front
-//! without traffic asks nothing. Engines of evacuated zones are probed at a rate of the whole fleet's.
 //! Source: our extension, `docs/design.md`, "Probes".
 
 use crate::interface::{Agreement, EngineId, Micros, SECOND};
 use crate::token_bucket::TokenBucket;
 
-/// Least time between probes of an engine.
+/// Minimum time between two probes of an engine.
 const MIN_PROBE_INTERVAL: Micros = SECOND / 2;
-/// Probes that each statement taken pays for.
+/// Probes that each arrived statement earns.
 const PROBES_PER_STATEMENT: f64 = 1.0;
-/// Probes that may be saved up.
+/// Maximum number of earned probes that are kept.
 const MAX_EARNED_PROBES: f64 = 8.0;
-/// Probes a second into evacuated zones, of all fronts together.
+/// Probes per second of evacuated zones, over all fronts.
 const FLEET_PROBES_PER_SECOND: f64 = 4.0;
 
-/// The health checks of this front.
+/// The state of this front's health checks.
 #[derive(Default)]
 pub struct HealthChecks {
-    /// Probes are allowed, and only they bring load reports.
+    /// Whether probes are allowed and are the only source of load reports.
     enabled: bool,
-    /// Probes that statements have paid for.
+    /// Probes that arrived statements have earned.
     earned_probes: f64,
-    /// The engine that is probed next.
+    /// The engine to probe next.
     next: usize,
-    /// Of the fleet's budget.
+    /// Rate limit by this front's share of the fleet's budget.
     tokens: TokenBucket,
     /// When each engine was last probed.
     last_probed_at: Vec<Micros>,
 }
 
 impl HealthChecks {
-    /// Nothing has been probed yet. `first_token` and `first_engine` are drawn, from 0 up to 1: fronts that start
-    /// together probe apart.
+    /// Creates the state before any probe. `first_token` and `first_engine` are random draws in
+    /// [0, 1), so that fronts that start together probe at different times.
     pub fn new(agreement: &Agreement, first_token: f64, first_engine: f64) -> Self {
         HealthChecks {
             enabled: agreement.report_on_probe && agreement.probes,
@@ -44,22 +48,23 @@
         }
     }
 
-    /// Makes place for so many engines.
+    /// Extends the state to the given number of engines.
     pub fn resize(&mut self, engines: usize) {
         self.last_probed_at.resize(engines, 0);
     }
 
-    /// A statement is taken and pays for probes.
+    /// Adds the probes that an arrived statement earns.
     pub fn record_statement(&mut self) {
         self.earned_probes = (self.earned_probes + PROBES_PER_STATEMENT).min(MAX_EARNED_PROBES);
     }
 
-    /// Probes of evacuated zones in an interval, over all fronts.
+    /// The expected number of probes of evacuated zones in an interval, over all fronts.
     pub fn fleet_probes_in(interval: Micros) -> f64 {
         FLEET_PROBES_PER_SECOND * interval as f64 / SECOND as f64
     }
 
-    /// Probes the engines that are due, in rotation. `probes_per_s` is this front's budget for each engine.
+    /// Calls `probe` for each engine that is due, in rotation. `probes_per_s` is this front's
+    /// budget per engine.
     pub fn probe_due(
         &mut self,
         open: &[bool],
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -1,23 +1,26 @@
-//! Idempotency and the deduplication window: does it do harm to run a statement again?
+//! Idempotency and the deduplication window: decides whether a statement may safely run again.
+//!
+//! Inputs: the workload's effect, deduplication group and window, the attempts that may have run,
+//! and the engine list.
+//!
+//! A non-idempotent statement must never run twice. One with a dedup key may be sent to engines
+//! that drop its repeats, within the deduplication window.
 //!
-//! Inputs: the workload's effect, group and window, the attempts that may have run, the engine list.
-//! Reason: a statement that isn't idempotent must never run twice; one with a dedup key may go where its repeats are
-//! dropped, for as long as they are.
 //! Source: our extension, `docs/design.md`, "what may be sent where".
 
 use crate::interface::{DedupGroup, Effect, EngineEntry, Micros, Mode, Workload};
 use crate::statement::{Attempt, Statement};
 
-/// What a statement that ends without a result is answered.
+/// The answer to a statement that ends without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Rejected: its client may try again without harm.
+    /// Rejection: the client may safely submit the statement again.
     Reject,
-    /// Aborted: it may have run, and running it again might do harm.
+    /// Abort: the statement may have run, and it may not be safe to run it again.
     Abort,
 }
 
-/// What a statement of this workload is answered when it ends without a result.
+/// The answer to a statement of the workload that ends without a result.
 pub fn answer_without_result(workload: &Workload, may_have_run: bool) -> Answer {
     let harmless = match workload.effect {
         Effect::Idempotent => true,
@@ -31,8 +34,8 @@
     }
 }
 
-/// Whether no harm comes of sending a statement to the engine `at`, whatever its earlier attempts have done.
-/// `entries` is the engine list by engine id.
+/// Whether a statement may safely be sent to the engine `at`, whatever its earlier attempts have
+/// done. `entries` is the engine list by engine id.
 pub fn is_safe_repeat(
     workload: &Workload,
     statement: &Statement,
@@ -55,7 +58,8 @@
         })
 }
 
-/// Whether a statement may be sent to any engine of the list without harm: else it would wait in vain.
+/// Whether any listed engine may safely run a statement. Without such an engine it would wait in
+/// vain.
 pub fn has_safe_engine(
     workload: &Workload,
     statement: &Statement,
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -1,8 +1,11 @@
-//! Load reports: what do other fronts hold of an engine?
+//! Load reports: estimates the load of peers on each engine.
+//!
+//! Inputs: the engines' load reports and this front's load on them, in threads and megabytes.
+//!
+//! A front sees only its own statements. As a report ages, every peer is assumed to have added as
+//! much load as this front has since. Without new reports the estimate decays or, if limits are
+//! pooled, drifts to the typical load.
 //!
-//! Inputs: the engines' load reports, what this front holds there; loads are threads and megabytes.
-//! Reason: one front sees only its own statements. A report grows old: what this front has added since is taken to
-//! have been added by every other front too, and what is not heard of again turns into what is usual.
 //! Source: our extension, `docs/design.md`, "Changed, and when each change acts" and "learning".
 
 use crate::interface::{EngineId, LoadReport, Micros, ReportLayout, SECOND};
@@ -11,50 +14,52 @@
 use crate::policy::estimates::MIN_SAMPLE_WEIGHT;
 use crate::random::positive_or;
 
-/// Share of the reported load that each engine check forgets: half is gone in about 10 s.
+/// Share of the reported load that each engine check removes; half is gone after about 10 s.
 const PEER_LOAD_DECAY: f64 = 0.007;
-/// Share of one engine's reported load that each engine check turns into the usual: half in 3.5 s.
+/// Share by which each engine check moves an engine's reported load to the typical one; half in
+/// 3.5 s.
 const PEER_LOAD_DRIFT_TO_TYPICAL: f64 = 0.02;
-/// Age up to which a report is fresh; reports are refreshed about once a second.
+/// Age up to which a report is fresh; reports arrive about once per second.
 const FRESH_REPORT_AGE: Micros = SECOND;
-/// Weight of a report against what was taken to be held before, where a front hears of each engine often.
+/// Weight of a report against the previous estimate, if limits are kept per engine and reports are
+/// frequent.
 const REPORT_WEIGHT: f64 = 0.5;
 
-/// An engine as a load report finds it.
+/// An engine at the time of its load report.
 pub struct ReportedEngine {
     /// The engine.
     pub engine: EngineId,
-    /// The place of its kind, where it is listed.
+    /// The index of the engine's kind; `None` if it was never listed.
     pub kind: Option<usize>,
-    /// Its cores and memory.
+    /// The engine's cores and memory.
     pub size: Load,
-    /// What this front holds there.
+    /// This front's load on the engine.
     pub local_load: Load,
-    /// Attempts of this front in flight there.
+    /// This front's attempts in flight on the engine.
     pub in_flight: usize,
 }
 
 #[derive(Clone, Copy, Default)]
 struct PeerLoad {
-    /// What other fronts hold there, as far as is known.
+    /// The estimated load of peers on the engine.
     held: Load,
-    /// What this front held there when the engine reported.
+    /// This front's load on the engine at the time of the report.
     local_load_at_report: Load,
     reported_at: Micros,
 }
 
-/// What other fronts hold of each engine.
+/// The estimated load of peers on each engine.
 #[derive(Default)]
 pub struct LoadReports {
     layout: ReportLayout,
     scope: LimitScope,
-    /// What other fronts usually hold for each core, by the engine's kind.
+    /// The typical load of peers per core, by engine kind.
     typical_peer_load: Vec<Load>,
     engines: Vec<PeerLoad>,
 }
 
 impl LoadReports {
-    /// Nothing has been reported yet.
+    /// Creates the state before any report.
     pub fn new(layout: ReportLayout, scope: LimitScope, kinds: usize) -> Self {
         LoadReports {
             layout,
@@ -64,12 +69,12 @@
         }
     }
 
-    /// Makes place for so many engines.
+    /// Extends the state to the given number of engines.
     pub fn resize(&mut self, engines: usize) {
         self.engines.resize(engines, PeerLoad::default());
     }
 
-    /// Whether reports hold the load of an engine at all.
+    /// Whether reports contain the load of an engine.
     pub fn reports_load(&self) -> bool {
         self.layout.reports_load()
     }
@@ -79,7 +84,8 @@
         self.reports_load() && self.engines[engine].reported_at >= now - FRESH_REPORT_AGE
     }
 
-    /// What other fronts hold by now: each is taken to have added what this one has since the report.
+    /// The estimated current load of peers, assuming that each has added as much as this front
+    /// since the report.
     pub fn peer_load(&self, engine: EngineId, local_load: Load, fronts: f64) -> Load {
         let known = &self.engines[engine];
         let mut added = local_load;
@@ -89,17 +95,17 @@
         peer_load
     }
 
-    /// An engine has restarted: nobody holds anything there.
+    /// Clears the load of an engine that has restarted.
     pub fn reset(&mut self, engine: EngineId) {
         self.engines[engine].held = Load::default();
     }
 
-    /// An engine counts as full until it reports again.
+    /// Makes an engine count as full until its next report.
     pub fn assume_full(&mut self, engine: EngineId, threads: f64) {
         self.engines[engine].held.threads = threads;
     }
 
-    /// Takes an engine's load report. `typical` is what a statement usually holds.
+    /// Records an engine's load report. `typical` is the typical load of a statement.
     pub fn record(&mut self, at: &ReportedEngine, report: &LoadReport, typical: Load, now: Micros) {
         let reported = self.peer_load_from_report(at, report, typical);
         let known = &mut self.engines[at.engine];
@@ -117,7 +123,7 @@
         }
     }
 
-    /// What a report says that others hold.
+    /// The load of peers according to a report.
     fn peer_load_from_report(
         &self,
         at: &ReportedEngine,
@@ -139,7 +145,7 @@
         let peer_statements = active.map_or(0.0, |active| (active - local_attempts).max(0.0));
         let granted = self.layout.granted_memory(report);
         let memory = granted.map(|share| share * at.size.memory - at.local_load.memory);
-        // Where nothing tells what an engine holds, a report leaves what others are taken to hold.
+        // If the report has no statement count, the estimate of the peers' threads stays.
         let threads = if active.is_some() {
             peer_statements * threads_each
         } else {
@@ -151,7 +157,7 @@
         }
     }
 
-    /// What is held of each engine is half known and grows old. `shape` gives an engine's kind and cores.
+    /// Ages the estimates, which are uncertain. `shape` gives an engine's kind and cores.
     pub fn decay(&mut self, shape: impl Fn(EngineId) -> (Option<usize>, f64)) {
         for typical_peer_load in &mut self.typical_peer_load {
             typical_peer_load.blend(Load::default(), PEER_LOAD_DECAY);
--- a/src/policy/order_key.rs
+++ b/src/policy/order_key.rs
@@ -1,26 +1,28 @@
-//! Order of a key: is it this statement's turn?
+//! Order keys: decides whether a statement is next in the order of its key.
+//!
+//! Inputs: the statement's order key, whether it has had an attempt, and the current time.
+//!
+//! Statements of one key run one at a time, in the order of their arrival. A statement with an
+//! unknown outcome holds the key while it may still be running, and so does an open transaction.
 //!
-//! Inputs: the statement's order key, whether it has had an attempt, the time now.
-//! Reason: statements of one key run one at a time, in the order of their arrival. One whose outcome is not known
-//! keeps the key for as long as it may be running; so does an open transaction.
 //! Source: the contract's settings (`docs/design.md`, "what may be sent where").
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{KeyId, Micros, StatementId};
 
-/// The statements of one order key.
+/// The queue of one order key.
 #[derive(Default)]
 struct OrderQueue {
-    /// Those that are not over, in the order in which they arrived.
+    /// The statements without a final answer, in the order of arrival.
     statements: VecDeque<StatementId>,
-    /// Executions still out of statements that are over, and transactions that keep the key.
+    /// Executions still in flight for closed statements, plus transactions that hold the key.
     unresolved: usize,
-    /// No statement leaves for the first time before.
+    /// Until this time no statement is sent for the first time.
     paused_until: Micros,
 }
 
-/// The queues of all order keys in use.
+/// The queues of all order keys in use. All methods ignore statements without a key.
 #[derive(Default)]
 pub struct OrderQueues(BTreeMap<KeyId, OrderQueue>);
 
@@ -35,13 +37,13 @@
             .for_each(update);
     }
 
-    /// A statement arrives: it is the last of its key.
+    /// Appends an arrived statement to the queue of its key.
     pub fn enqueue(&mut self, key: Option<KeyId>, id: StatementId) {
         key.into_iter()
             .for_each(|key| self.0.entry(key).or_default().statements.push_back(id));
     }
 
-    /// A statement is over, with so many of its executions still out.
+    /// Removes a closed statement of which `unresolved` executions are still in flight.
     pub fn remove(&mut self, key: Option<KeyId>, id: StatementId, unresolved: usize) {
         self.update(key, |queue| {
             queue.statements.retain(|other| *other != id);
@@ -49,7 +51,8 @@
         });
     }
 
-    /// An execution has ended, unresolved where its statement was over; the key may pause until then.
+    /// Records the end of an execution or transaction. `unresolved` says that it was counted as
+    /// unresolved. With `paused_until` the key pauses until that time.
     pub fn resolve(&mut self, key: Option<KeyId>, unresolved: bool, paused_until: Option<Micros>) {
         self.update(key, |queue| {
             queue.unresolved -= usize::from(unresolved && queue.unresolved > 0);
@@ -57,13 +60,14 @@
         });
     }
 
-    /// The transaction of a statement that is over goes on and keeps the key.
+    /// Holds the key for the open transaction of a completed statement.
     pub fn hold(&mut self, key: Option<KeyId>) {
         self.update(key, |queue| queue.unresolved += 1);
     }
 
-    /// Whether it is a statement's turn: it is the first of its key, nothing of an earlier one may still run, and
-    /// the key doesn't pause; a statement that has had an attempt goes on in a pause.
+    /// Whether a statement may be sent: it is the first of its key, nothing of an earlier
+    /// statement may still be running, and the key does not pause. A pause does not delay a
+    /// statement that has had an attempt.
     pub fn is_first(
         &self,
         key: Option<KeyId>,
@@ -77,18 +81,18 @@
         })
     }
 
-    /// Until when the key pauses; 0 where it doesn't.
+    /// Until when the key pauses; 0 if it has never paused.
     pub fn paused_until(&self, key: Option<KeyId>) -> Micros {
         self.queue(key).map_or(0, |queue| queue.paused_until)
     }
 
-    /// Whether several statements of a key are not over.
+    /// Whether several statements of a key have no final answer yet.
     pub fn is_shared(&self, key: Option<KeyId>) -> bool {
         self.queue(key)
             .is_some_and(|queue| queue.statements.len() > 1)
     }
 
-    /// The first statement of a key; a queue with nothing in it, unresolved or paused is dropped.
+    /// The first statement of a key. A queue that is empty, resolved and not paused is dropped.
     pub fn first(&mut self, key: Option<KeyId>, now: Micros) -> Option<StatementId> {
         let queue = self.queue(key)?;
         let first = queue.statements.front().copied();
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -1,33 +1,35 @@
-//! Outlier detection and ejection: how far is an engine trusted, and does it get anything at all?
+//! Outlier detection and ejection: decides how far an engine is trusted and whether it is ejected.
+//!
+//! Inputs: the results of attempts and health checks. Trust is kept as credit, from 0 to 1.
+//!
+//! An engine that fails fast would otherwise attract the most statements. An ejected engine is
+//! tried again about once per second, so that its recovery is noticed soon.
 //!
-//! Inputs: how attempts and health checks ended. Trust is counted as credit, from 0 to 1.
-//! Reason: an engine that fails fast would otherwise draw the most statements; one that seems gone is tried about once
-//! a second, so that it is found again soon.
 //! Source: our extension, `docs/design.md`, "Credit".
 
 use crate::interface::{EngineId, Micros, Outcome, SECOND};
 
-/// Credit for each answer.
+/// Credit gained per answer.
 const CREDIT_PER_ANSWER: f64 = 0.1;
-/// Factor on credit for an attempt that failed.
+/// Factor on credit per failed attempt.
 const CREDIT_FACTOR_FAILED: f64 = 0.8;
-/// Factor on credit for an engine that seems gone.
+/// Factor on credit for an engine that seems unreachable.
 const CREDIT_FACTOR_UNREACHABLE: f64 = 0.2;
-/// Credit from which retries go to an engine, and which a new one has.
+/// Minimum credit for an engine to get retries, and the initial credit.
 const TRUSTED_CREDIT: f64 = 0.5;
-/// Time for which an engine that seems gone gets nothing.
+/// Time for which an unreachable engine is ejected.
 const EJECTION_TIME: Micros = SECOND;
 
-/// What an engine is charged for.
+/// The kind of failure that an engine is charged for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Charge {
-    /// An attempt there failed.
+    /// An attempt on the engine failed.
     Failed,
-    /// The engine seems gone: it is ejected too.
+    /// The engine seems unreachable. It is also ejected.
     Unreachable,
 }
 
-/// Times in a row that an engine could not be reached.
+/// Counts of consecutive failures to reach an engine, before and after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnreachableStreak {
     before: usize,
@@ -35,13 +37,14 @@
 }
 
 impl UnreachableStreak {
-    /// It was gone, or is: once it is back it may have restarted before the engine list says so.
+    /// Whether the engine was or is unreachable, so that it may restart before the engine list
+    /// says so.
     pub fn may_have_restarted(self) -> bool {
         self.now.max(self.before) > 1
     }
 
-    /// What an attempt that failed is charged as. One connection late to come up tells little of its engine; two
-    /// in a row tell that it is gone.
+    /// The charge for a failed attempt. One connection that is not made in time is weak evidence;
+    /// two in a row mean that the engine is unreachable.
     pub fn charge(self, outcome: Outcome) -> Charge {
         if outcome == Outcome::Unreachable && self.now > 1 {
             Charge::Unreachable
@@ -53,7 +56,7 @@
 
 #[derive(Clone, Copy)]
 struct Health {
-    /// 0 to 1.
+    /// Trust in the engine, 0 to 1.
     credit: f64,
     consecutive_unreachable: usize,
     ejected_until: Micros,
@@ -65,50 +68,50 @@
     ejected_until: 0,
 };
 
-/// How far each engine is trusted.
+/// The trust in each engine.
 #[derive(Default)]
 pub struct Outliers(Vec<Health>);
 
 impl Outliers {
-    /// Makes place for so many engines.
+    /// Extends the state to the given number of engines.
     pub fn resize(&mut self, engines: usize) {
         self.0.resize(engines, INITIAL_HEALTH);
     }
 
-    /// Whether it gets nothing at all now.
+    /// Whether an engine is ejected, so that it gets no statements.
     pub fn is_ejected(&self, engine: EngineId, now: Micros) -> bool {
         self.0[engine].ejected_until > now
     }
 
-    /// Whether retries may go there.
+    /// Whether an engine may get retries.
     pub fn is_trusted(&self, engine: EngineId) -> bool {
         self.0[engine].credit >= TRUSTED_CREDIT
     }
 
-    /// The share of its concurrency limit that its credit leaves, 0 to 1.
+    /// The share of an engine's concurrency limit that its credit leaves, 0 to 1.
     pub fn limit_share(&self, engine: EngineId) -> f64 {
         (self.0[engine].credit / TRUSTED_CREDIT).min(1.0)
     }
 
-    /// It has restarted, or is used again: it is trusted like a new one.
+    /// Resets an engine that has restarted or is used again to the trust of a new one.
     pub fn reset(&mut self, engine: EngineId) {
         let health = &mut self.0[engine];
         (health.credit, health.ejected_until) =
             (INITIAL_HEALTH.credit, INITIAL_HEALTH.ejected_until);
     }
 
-    /// It answered a statement.
+    /// Adds credit for an answered statement.
     pub fn record_answer(&mut self, engine: EngineId) {
         let health = &mut self.0[engine];
         health.credit = (health.credit + CREDIT_PER_ANSWER).min(1.0);
     }
 
-    /// A health check there failed.
+    /// Reduces credit for a failed health check.
     pub fn record_failed_health_check(&mut self, engine: EngineId) {
         self.0[engine].credit *= CREDIT_FACTOR_FAILED;
     }
 
-    /// Charges an engine; one that seems gone is ejected.
+    /// Reduces an engine's credit for a failure; an unreachable engine is also ejected.
     pub fn charge(&mut self, engine: EngineId, charge: Charge, now: Micros) {
         let health = &mut self.0[engine];
         match charge {
@@ -120,8 +123,8 @@
         }
     }
 
-    /// An attempt ended there: whether it could be reached, and how often in a row it could not. One that could
-    /// not be reached is ejected.
+    /// Records the end of an attempt and returns the counts of consecutive failures to reach the
+    /// engine. An engine that could not be reached is ejected.
     pub fn record_attempt_end(
         &mut self,
         engine: EngineId,
@@ -138,7 +141,7 @@
             Outcome::Completed | Outcome::NoCapacity | Outcome::Error => {
                 health.consecutive_unreachable = 0;
             }
-            // Nothing has come from there.
+            // The engine has sent nothing.
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => {}
         }
         UnreachableStreak {
--- a/src/policy/peer_evidence.rs
+++ b/src/policy/peer_evidence.rs
@@ -1,8 +1,12 @@
-//! Peer evidence: what do other fronts' reports take from an engine, and which zones does the fleet evacuate?
+//! Peer evidence: decides how far peer reports reduce an engine's limit and which zones the fleet
+//! evacuates.
+//!
+//! Inputs: peer reports (failures, answers, silence in microseconds) and this front's own results.
+//!
+//! A front among many uses each engine too seldom to detect a fault alone, but no single front may
+//! take an engine away from the others. A reporter's credibility, 0 to 1, depends on how the
+//! engines then behave at this front.
 //!
-//! Inputs: other fronts' reports (failures, answers, silence in microseconds), what engines showed here.
-//! Reason: a front among many hears of an engine too seldom to find a fault alone, but no single front may take an
-//! engine away from the others. A reporter's credibility, 0 to 1, follows what the engines then show here.
 //! Source: our extension, `docs/design/fleet.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,59 +14,59 @@
 use crate::interface::{EngineId, Micros, PeerReport, SECOND};
 use crate::policy::stuck_attempts::MAX_SILENT_RUNS;
 
-/// Credibility of a front that has not been proved right or wrong yet, and from which a front is believed.
+/// Initial credibility of a reporter, and the minimum for its reports to count for evacuations.
 const INITIAL_CREDIBILITY: f64 = 0.5;
-/// Credibility gained for each report that proves true.
+/// Credibility gained per confirmed report.
 const CREDIBILITY_PER_TRUE_REPORT: f64 = 0.1;
-/// Factor on the credibility of a front whose adverse report proves false.
+/// Factor on the credibility of a front per refuted adverse report.
 const CREDIBILITY_FACTOR_FALSE_REPORT: f64 = 0.8;
-/// Age at which a report is worth nothing.
+/// Age at which a report expires.
 const PEER_REPORT_LIFETIME: Micros = 8 * SECOND;
-/// Share of failures or silence from which a report counts as adverse.
+/// Severity of failures or silence from which a report counts as adverse.
 const MIN_ADVERSE_SEVERITY: f64 = 0.3;
-/// The most that reports take of a limit, however many there are.
+/// Largest share of a limit that reports take, however many there are.
 const MAX_SUSPICION: f64 = 0.5;
-/// The most that one reporter adds to an engine's suspicion.
+/// Largest share of an engine's suspicion that one reporter adds.
 const MAX_SUSPICION_PER_REPORTER: f64 = 0.5;
 
-/// What this front knows of the engine that a report is on.
+/// What this front knows of the engine that a report is about.
 pub struct ReportContext {
-    /// The longest of all workloads' usual runs, in microseconds.
+    /// The longest mean run time of all workloads, in microseconds.
     pub longest_mean_run: f64,
-    /// The engine's last start, as far as is known: what was reported before is over.
+    /// The engine's last known start. Older reports no longer apply.
     pub healthy_since: Micros,
-    /// The time now.
+    /// The current time.
     pub now: Micros,
 }
 
-/// What follows from a report.
+/// The result of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// The report is kept, or counts for nothing.
+    /// The report was stored or ignored.
     Recorded,
-    /// A quorum has found an engine of an evacuated zone healthy.
+    /// A quorum reported that an engine of an evacuated zone is healthy.
     FoundHealthy,
 }
 
-/// What follows from an engine found healthy.
+/// The effect of a healthy engine on its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneOutcome {
-    /// Its zone is as it was.
+    /// The zone's state has not changed.
     Unchanged,
-    /// Its zone was evacuated and is used again.
+    /// The zone is in use and no longer evacuated.
     Reopened,
 }
 
 /// An adverse report of one front on one engine.
 #[derive(Clone, Copy)]
 struct AdverseReport {
-    /// The share of failures, or how sure silence is to be a fault: above 0 up to 1.
+    /// The share of failures, or the likelihood that a silence is a fault; above 0, up to 1.
     severity: f64,
-    /// When it is worth nothing any more.
+    /// When the report expires.
     until: Micros,
 }
 
-/// Engines that believed fronts report adversely on, and those fronts.
+/// Engines with adverse reports of credible fronts, and those fronts.
 struct Suspects {
     engines: Vec<EngineId>,
     reporters: BTreeSet<usize>,
@@ -71,16 +75,16 @@
 /// Adverse reports, the credibility of their reporters, and the evacuated zones.
 #[derive(Default)]
 pub struct PeerEvidence {
-    /// Believed reporters that evacuate a zone together; 0: none do.
+    /// Number of credible reporters that evacuate a zone; 0 turns evacuation off.
     quorum: usize,
     adverse: BTreeMap<(EngineId, usize), AdverseReport>,
     credibility: BTreeMap<usize, f64>,
-    /// Suspects in evacuated zones, each with the other fronts that have found it healthy since.
+    /// Suspects in evacuated zones, each with the peers that have since reported it healthy.
     evacuated: BTreeMap<EngineId, BTreeSet<usize>>,
 }
 
 impl PeerEvidence {
-    /// Nothing has been reported yet.
+    /// Creates the state before any report.
     pub fn new(quorum: usize) -> Self {
         PeerEvidence {
             quorum,
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Whether there is any adverse report.
+    /// Whether any adverse report is stored.
     pub fn has_adverse(&self) -> bool {
         !self.adverse.is_empty()
     }
@@ -113,8 +117,8 @@
         self.evacuated.keys().copied()
     }
 
-    /// The share of an engine's limit that reports leave, outside evacuated zones: one believed front takes half
-    /// of `MAX_SUSPICION` at most, fading with age.
+    /// The share of an engine's limit that reports leave, outside evacuated zones. One reporter
+    /// takes at most half of `MAX_SUSPICION`, and less as its report ages.
     pub fn limit_share(&self, engine: EngineId, now: Micros) -> f64 {
         let weighted_severity = |(reporter, report): (usize, AdverseReport)| {
             let left = (report.until - now).max(0) as f64 / PEER_REPORT_LIFETIME as f64;
@@ -130,7 +134,7 @@
         1.0 - suspicion
     }
 
-    /// Takes a report. `zone` gives the engines of the zone of the engine reported on.
+    /// Records a report. `zone` gives the engines in the zone of the reported engine.
     pub fn record(
         &mut self,
         report: &PeerReport,
@@ -153,7 +157,8 @@
         }
     }
 
-    /// A report that isn't adverse may say that a suspect is healthy; a quorum of believed fronts decides.
+    /// Counts a non-adverse report that a suspect answers. A quorum of credible fronts makes the
+    /// suspect healthy.
     fn record_healthy_report(&mut self, report: &PeerReport) -> ReportOutcome {
         if !self.is_credible(report.reporter) || !report.answers() {
             return ReportOutcome::Recorded;
@@ -168,8 +173,9 @@
         }
     }
 
-    /// Adverse reports on most of a zone from believed fronts at as many vantages as agreed decide for the
-    /// fleet: it is evacuated, and stays so when the reports fade, as nobody has anything out there by then.
+    /// Evacuates a zone if credible fronts at the agreed number of vantages report adversely on
+    /// most of its engines. The zone stays evacuated when the reports expire, as no front has
+    /// executions in flight there by then.
     fn evacuate(&mut self, zone: &[EngineId]) {
         let suspects = self.suspects_of(zone);
         let quorum = self.quorum > 0 && suspects.reporters.len() >= self.quorum;
@@ -180,7 +186,8 @@
         }
     }
 
-    /// An engine is healthy: once half of its evacuated zone is, the zone is used again.
+    /// Records that an engine is healthy. Once half of its evacuated zone is healthy, the zone
+    /// reopens.
     pub fn mark_healthy(&mut self, engine: EngineId, zone: &[EngineId]) -> ZoneOutcome {
         self.evacuated.remove(&engine);
         let suspects = zone.iter().filter(|e| self.is_suspect(**e)).count();
@@ -194,17 +201,19 @@
         ZoneOutcome::Reopened
     }
 
-    /// An engine has answered in time here: adverse reports on it were wrong.
+    /// Lowers the credibility of fronts with adverse reports on an engine that answered this front
+    /// in time.
     pub fn refute_reports(&mut self, engine: EngineId) {
         self.change_credibility(engine, |c| c * CREDIBILITY_FACTOR_FALSE_REPORT);
     }
 
-    /// An engine has failed here: adverse reports on it were right.
+    /// Raises the credibility of fronts with adverse reports on an engine that failed at this
+    /// front.
     pub fn confirm_reports(&mut self, engine: EngineId) {
         self.change_credibility(engine, |c| (c + CREDIBILITY_PER_TRUE_REPORT).min(1.0));
     }
 
-    /// Lets go of all reports on an engine.
+    /// Removes all reports on an engine.
     pub fn clear_reports(&mut self, engine: EngineId) {
         self.adverse.retain(|(at, _), _| *at != engine);
     }
@@ -259,7 +268,9 @@
     }
 }
 
-/// The share of failures, or how sure silence is to be a fault, 0 to 1; long statements are silent too.
+/// The severity of a report, 0 to 1: the share of failures, or the likelihood that a silence is a
+/// fault. Silence below four times the longest mean run counts as 0, as long statements are silent
+/// too.
 fn severity(report: &PeerReport, longest_mean_run: f64) -> f64 {
     let excess = (report.silent as f64 - MAX_SILENT_RUNS * longest_mean_run).max(0.0);
     let silence = excess / (excess + SECOND as f64);
--- a/src/policy/penalty.rs
+++ b/src/policy/penalty.rs
@@ -1,32 +1,34 @@
-//! The paper's penalty: which service class is served first?
+//! The paper's penalty: decides which service class is served first.
 //!
-//! Inputs: the conformance of each class (its timely share, 0 to 1), its weight.
-//! Reason: conformance is divided into levels; a class near falling below its level, or near reaching the next, is
-//! served before others.
-//! Source: the paper, sections 2 and 2.2; ours: the class's weight, and the opportunity cost of the lowest level, see
-//! `docs/design.md`, "Changed, and when each change acts".
+//! Inputs: the conformance of each class (its timely share, 0 to 1) and its weight.
+//!
+//! Conformance is divided into levels. A class about to fall below its level, or about to reach
+//! the next one, is served before others.
+//!
+//! Source: the paper, sections 2 and 2.2. Our extensions: the class's weight and the opportunity
+//! cost of the lowest level, see `docs/design.md`, "Changed, and when each change acts".
 
 use crate::interface::{Micros, SECOND};
 
-/// Conformance that opens each level.
+/// Upper bounds of the conformance levels; the last value is the lower bound of the lowest level.
 const CONFORMANCE_LEVELS: [f64; 4] = [1.0, 0.9, 0.8, 0.0];
-/// Time in which a count of conformance halves.
+/// Half-life of the conformance counts.
 const CONFORMANCE_HALF_LIFE: Micros = 10 * SECOND;
-/// Statements counted as timely on top, so that a class not seen before has conformance 1.
+/// Timely statements added to the counts, so that a class without statements has conformance 1.
 pub const PRIOR_TIMELY_STATEMENTS: f64 = 0.05;
-/// Least mean work of a class in its weight, in microseconds.
+/// Minimum mean work of a class in its weight, in microseconds.
 const MIN_MEAN_WORK: f64 = 1000.0;
 
 /// Whether a statement was answered within its SLO time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timeliness {
-    /// It was.
+    /// The statement was answered within its SLO time.
     Timely,
-    /// It was answered late, or not at all.
+    /// The statement was answered late or not at all.
     NotTimely,
 }
 
-/// The timely share of a service class.
+/// The decaying counts behind the conformance of a service class.
 #[derive(Default)]
 pub struct Conformance {
     timely: f64,
@@ -35,17 +37,17 @@
 }
 
 impl Conformance {
-    /// The timely share, 0 to 1.
+    /// The conformance: the timely share, 0 to 1.
     pub fn share(&self) -> f64 {
         (self.timely + PRIOR_TIMELY_STATEMENTS) / (self.total + PRIOR_TIMELY_STATEMENTS)
     }
 
-    /// Whether it is in the highest level.
+    /// Whether the conformance is in the highest level.
     pub fn is_top_level(&self) -> bool {
         self.share() >= CONFORMANCE_LEVELS[1]
     }
 
-    /// Lets the counts halve with each half-life since the last call.
+    /// Decays the counts by the time since the last call, halving them per half-life.
     pub fn decay(&mut self, now: Micros) {
         let half_lives = (now - self.updated_at) as f64 / CONFORMANCE_HALF_LIFE as f64;
         let remaining = 0.5f64.powf(half_lives);
@@ -54,7 +56,7 @@
         self.updated_at = now;
     }
 
-    /// Counts a statement that is over.
+    /// Counts a closed statement.
     pub fn count(&mut self, timeliness: Timeliness, now: Micros) {
         self.decay(now);
         self.total += 1.0;
@@ -64,15 +66,16 @@
     }
 }
 
-/// The larger of opportunity cost and marginal gain at a conformance, squared, times the class's weight (the paper's
-/// delta).
+/// The penalty at a conformance: the larger of opportunity cost and marginal gain, squared, times
+/// the class's weight (the paper's delta).
 pub fn penalty(conformance: f64, weight: f64) -> f64 {
     let last = CONFORMANCE_LEVELS.len() - 2;
     let level = (0..last)
         .find(|level| conformance >= CONFORMANCE_LEVELS[level + 1])
         .unwrap_or(last);
     let (high, low) = (CONFORMANCE_LEVELS[level], CONFORMANCE_LEVELS[level + 1]);
-    // Departure: the lowest level has an opportunity cost too, or a class deep in it would always rank last.
+    // Unlike in the paper, the lowest level has an opportunity cost too; otherwise a class deep in
+    // it would always rank last.
     let opportunity_cost = (high - conformance) / (high - low);
     let marginal_gain = if level > 0 {
         (conformance - low) / (high - low)
@@ -82,7 +85,8 @@
     opportunity_cost.max(marginal_gain).powi(2) * weight
 }
 
-/// A class's weight: its importance, times `share_weight`, per second of its mean work in microseconds.
+/// The weight of a class: its importance times `share_weight`, divided by its mean work in
+/// seconds. `mean_work` is in microseconds.
 pub fn class_weight(importance: f64, share_weight: f64, mean_work: f64) -> f64 {
     let work = mean_work.max(MIN_MEAN_WORK) / SECOND as f64;
     importance * share_weight / work
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -1,36 +1,40 @@
-//! Ranking of engines: which of those that have capacity gets the statement?
+//! Ranking: selects one of the engines that have capacity for a statement.
 //!
-//! Inputs: each engine's capacity in threads, whether bound workloads need it, where this front starts its search.
-//! Reason: the engine with the most capacity answers soonest. Where no report tells what others hold, the engine with
-//! the most capacity would be the largest for every front alike, so each draws by capacity.
-//! Source: the paper, section 4; ours: `docs/design.md`, "Changed, and when each change acts".
+//! Inputs: each engine's capacity in threads, whether bound workloads need it, and a random draw.
+//!
+//! The engine with the most capacity answers soonest. If no report shows the load of peers, every
+//! front would select the largest engine, so each draws an engine weighted by capacity instead.
+//!
+//! Source: the paper, section 4; changes: `docs/design.md`, "Changed, and when each change acts".
 
 use crate::interface::EngineId;
 use crate::random::draw_weighted;
 
-/// Threads a core by which an engine that bound workloads need counts as fuller for the others.
+/// Threads per core subtracted from the capacity of an engine that bound workloads need, for
+/// unbound workloads.
 const SCARCE_ENGINE_THREADS_PER_CORE: f64 = 1.0;
-/// Least weight of an engine in the draw, in threads.
+/// Minimum weight of an engine in the draw, in threads.
 const MIN_DRAW_WEIGHT: f64 = 0.06;
 
-/// How the engine is chosen.
+/// The selection rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RankingMode {
-    /// The one with the most capacity; the first of those alike.
+    /// The engine with the most capacity; the first of equal ones.
     MostCapacity,
-    /// One drawn at random, weighted by capacity.
+    /// An engine drawn at random, weighted by capacity.
     DrawByCapacity,
 }
 
-/// An engine that may take the statement.
+/// An engine that may get the statement.
 pub struct RankedEngine {
     /// The engine.
     pub engine: EngineId,
-    /// Threads that are left there.
+    /// The capacity left on the engine, in threads.
     pub capacity: f64,
-    /// Its cores.
+    /// The engine's cores.
     pub cores: f64,
-    /// A workload that can't go everywhere needs it, and the statement can go elsewhere.
+    /// Whether a workload bound to locations or kinds needs the engine, while the statement's
+    /// workload is not bound.
     pub scarce: bool,
 }
 
@@ -43,7 +47,7 @@
 }
 
 impl Ranking {
-    /// No engine is ranked yet.
+    /// Creates an empty ranking.
     pub fn new(mode: RankingMode) -> Self {
         Ranking {
             mode,
@@ -53,7 +57,7 @@
         }
     }
 
-    /// Takes an engine into the ranking.
+    /// Adds an engine to the ranking.
     pub fn add(&mut self, ranked: &RankedEngine) {
         let capacity = if ranked.scarce {
             ranked.capacity - SCARCE_ENGINE_THREADS_PER_CORE * ranked.cores
@@ -72,7 +76,7 @@
         }
     }
 
-    /// The engine chosen; `draw` is a share from 0 up to 1.
+    /// The selected engine; `None` if none was added. `draw` is in [0, 1).
     pub fn choose(self, draw: f64) -> Option<EngineId> {
         draw_weighted(draw, &self.weights).or(self.best)
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,10 +1,14 @@
-//! Retry: may this statement be attempted again?
+//! Retry: decides whether a statement may be attempted again.
+//!
+//! Inputs: the statement's attempts, whether it is sticky, and the current time.
+//!
+//! Attempts beyond the first add load when engines fail. The settings limit them for each
+//! statement and, in any window, relative to the statements admitted in it.
+//!
+//! A retry must also pass these checks elsewhere: a safe engine ([`idempotency`]); more than 40 ms
+//! left before the deadline ([`deadlines`]); a trusted engine ([`outliers`]); and, if enabled,
+//! access rules and the ledger.
 //!
-//! Inputs: the attempts that it has had, whether it is sticky, the time now.
-//! Reason: attempts beyond the first add load where engines fail; the settings bound them for each statement and, in
-//! any window, against the statements admitted in it.
-//! The whole rule for a retry: this one; a safe engine ([`idempotency`]); more than 40 ms left before the deadline
-//! ([`deadlines`]); an engine that is trusted ([`outliers`]); and, where they are on, access rules and ledger.
 //! Source: the contract's settings (`docs/design.md`, "what may be sent where").
 //!
 //! [`idempotency`]: super::idempotency
@@ -15,30 +19,30 @@
 
 use crate::interface::{Agreement, Micros, RejectReason, RetryAllowance};
 
-/// What the rule asks of a statement.
+/// The inputs of the rule for one statement.
 #[derive(Clone, Copy)]
 pub struct RetryRequest {
-    /// Attempts that it has had.
+    /// The attempts that the statement has had.
     pub attempts: usize,
-    /// It belongs to an open transaction.
+    /// Whether the statement belongs to an open transaction.
     pub sticky: bool,
 }
 
 /// Whether a statement may be attempted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryOutcome {
-    /// It may.
+    /// The statement may be attempted again.
     Allowed,
-    /// It belongs to an open transaction and is never attempted twice.
+    /// The statement belongs to an open transaction and is never attempted twice.
     Sticky,
-    /// It has had all attempts that a statement may have.
+    /// The statement has used all the attempts that it may have.
     AttemptsExhausted,
-    /// All retries of this window are used up.
+    /// The retry budget of this window is spent.
     BudgetSpent,
 }
 
 impl RetryOutcome {
-    /// Why it may not be attempted again; None where it may.
+    /// The reason against another attempt; `None` if it is allowed.
     pub fn reject_reason(self) -> Option<RejectReason> {
         match self {
             RetryOutcome::Allowed => None,
@@ -63,20 +67,20 @@
     }
 }
 
-/// The retries of this front within the budget's window.
+/// This front's retry budget.
 #[derive(Default)]
 pub struct RetryBudget {
     budget: Option<RetryAllowance>,
-    /// Attempts that a statement may have, its first included.
+    /// The maximum number of attempts of a statement, including its first.
     max_attempts: usize,
-    /// When statements were admitted, within the window.
+    /// Times of admissions within the window.
     admissions: Timestamps,
-    /// When statements were sent again, within the window.
+    /// Times of retries within the window.
     retries: Timestamps,
 }
 
 impl RetryBudget {
-    /// Nothing has been admitted yet.
+    /// Creates the budget before any admission.
     pub fn new(agreement: &Agreement) -> Self {
         RetryBudget {
             budget: agreement.retry_allowance,
@@ -85,19 +89,19 @@
         }
     }
 
-    /// A statement is admitted: the budget grows where there is one.
+    /// Records an admission, which adds to the budget, if there is one.
     pub fn record_admission(&mut self, now: Micros) {
         if self.budget.is_some() {
             self.admissions.0.push_back(now);
         }
     }
 
-    /// A statement is sent again.
+    /// Records that a retry was sent.
     pub fn record_retry(&mut self, now: Micros) {
         self.retries.0.push_back(now);
     }
 
-    /// Lets go of what is outside the window.
+    /// Drops admissions and retries outside the window.
     pub fn prune(&mut self, now: Micros) {
         let window = self.budget.map_or(0, |budget| budget.window);
         self.admissions.drop_before(now - window);
--- a/src/policy/shedding.rs
+++ b/src/policy/shedding.rs
@@ -1,34 +1,40 @@
-//! Shedding: does a held statement end now without a result, and why?
+//! Shedding: decides whether a held statement ends now without a result, and why.
 //!
-//! Inputs: how it stands against its deadlines, what a late answer is worth, whether an engine may still run it.
-//! Reason: running what must be late takes capacity from those in time; holding what nobody may run only spares a retry.
-//! Source: the paper, section 2.3; ours: `docs/design.md`, "Changed, and when each change acts".
+//! Inputs: the statement's times, the value of a late answer, and whether any engine may still run
+//! it.
+//!
+//! Running statements that must be late takes capacity from timely ones. Holding a statement that
+//! no engine may run only delays the client's retry.
+//!
+//! Source: the paper, section 2.3; changes: `docs/design.md`, "Changed, and when each change
+//! acts".
 
 use crate::interface::{Micros, RejectReason, SECOND};
 use crate::policy::deadlines::{rejection_time, StatementTiming};
 
-/// Late share under which a statement that must be late is shed at once.
+/// Value share of a late answer below which a statement that must be late is shed at once.
 const MIN_LATE_VALUE_SHARE_TO_RUN: f64 = 0.25;
-/// Seconds after which a rejected client may try again, spread by half.
+/// Mean time after which a rejected client may retry, in seconds, spread by half in both
+/// directions.
 const RETRY_AFTER_SECONDS: f64 = 0.3;
 
-/// A held statement.
+/// The inputs of the rule for a held statement.
 pub struct ShedRequest {
-    /// Its times.
+    /// The statement's times.
     pub timing: StatementTiming,
-    /// The share of its importance that a late answer is worth, 0 to 1.
+    /// The share of the importance that a late answer is worth, 0 to 1.
     pub late_value_share: f64,
-    /// Others of its order key are not over.
+    /// Whether other statements of its order key have no final answer yet.
     pub shares_order_key: bool,
-    /// The engine that holds its transaction takes nothing new.
+    /// Whether the engine of its transaction no longer accepts statements.
     pub sticky_engine_closed: bool,
-    /// Some engine may run it without harm, whatever its earlier attempts have done.
+    /// Whether some engine may safely run the statement, whatever its earlier attempts have done.
     pub has_safe_engine: bool,
 }
 
 impl ShedRequest {
-    /// Why it is shed at once, if it is: no engine may have it, or it must be late, and that is worth little or makes
-    /// others of its order key late too.
+    /// The reason to shed the statement at once, if any: no engine may run it, or it must be late
+    /// and a late answer is worth little or delays other statements of its order key.
     pub fn reason(&self, now: Micros) -> Option<RejectReason> {
         let late = now >= self.timing.last_timely_start();
         if late && self.late_value_share < MIN_LATE_VALUE_SHARE_TO_RUN {
@@ -44,8 +50,8 @@
         }
     }
 
-    /// Why it ends now that its standing has changed, if it does. Past its latest start it goes ahead of all, unless
-    /// others wait that can still be in time.
+    /// The reason to end the statement when its urgency has changed, if any. Past its latest start
+    /// it is kept and sent before all others, unless statements wait that can still be timely.
     pub fn reason_at_expiry(&self, timely_waiting: bool, now: Micros) -> Option<RejectReason> {
         if now >= rejection_time(self.timing.deadline) {
             return Some(RejectReason::Expiring);
@@ -56,7 +62,8 @@
     }
 }
 
-/// The time after which a rejected client may try again; `draw` is from 0 up to 1.
+/// The time after which a rejected client may retry, limited to `longest`; `None` if rejections
+/// name no time. `draw` is in [0, 1).
 pub fn retry_after(draw: f64, longest: Option<Micros>) -> Option<Micros> {
     let wait = RETRY_AFTER_SECONDS * (0.5 + draw) * SECOND as f64;
     longest.map(|longest| longest.min(wait as Micros))
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,52 +1,59 @@
-//! Slow start: how much work may a warming engine be sent now?
+//! Slow start: limits the work that a warming engine is sent.
+//!
+//! Inputs: the engine's cores, the statement's work in microseconds on one thread, and the number
+//! of fronts.
+//!
+//! An engine that has just started fails under the load that it could serve when warm, and fronts
+//! that are idle or start together must not all send at once. Outstanding work drains at this
+//! front's share of the engine's current capacity.
 //!
-//! Inputs: the engine's cores, the statement's work in microseconds on one thread, the number of fronts.
-//! Reason: an engine that has just started falls over when it is sent what it could do warm, and fronts that are idle
-//! or start together must not all send at once. Work drains at this front's share of what the engine can do by now.
 //! Source: our extension, `docs/design.md`, "Slow start".
 
 use crate::interface::{Agreement, EngineId, Micros};
 
-/// Share of the overload factor that is sent to a warming engine: estimates may be half off.
+/// Share of the overload factor that is sent to a warming engine, as estimates may be wrong by
+/// half.
 const OVERLOAD_FACTOR_SHARE: f64 = 0.4;
-/// Fronts up to which long statements need no slots: two statements too many do no harm.
+/// Number of fronts up to which long statements need no slots, as two excess statements do no
+/// harm.
 const MAX_FRONTS_WITHOUT_SLOTS: f64 = 2.0;
 
-/// What is to be sent to an engine.
+/// The inputs of the rule for one statement on one engine.
 pub struct SlowStartRequest {
     /// The engine.
     pub engine: EngineId,
-    /// Its cores.
+    /// The engine's cores.
     pub cores: f64,
     /// The statement's work on one thread, in microseconds.
     pub work: f64,
-    /// Fronts that may send to the engine.
+    /// The number of fronts that may send to the engine.
     pub fronts: f64,
-    /// The time now.
+    /// The current time.
     pub now: Micros,
 }
 
 /// Whether a statement may be sent to an engine that may be warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SlowStartOutcome {
-    /// The engine is warm: anything may be sent.
+    /// The engine is warm, so the rule sets no limit.
     Warm,
-    /// It may be sent; the work that then counts as sent and not yet done, in thread-microseconds.
+    /// The statement may be sent. `outstanding_work` is the work that then counts as outstanding,
+    /// in thread-microseconds.
     Allowed { outstanding_work: f64 },
-    /// This front's share of what the engine can do is used up, or its slot has not come.
+    /// This front's share of the engine's capacity is used up, or its slot has not begun.
     Denied,
 }
 
-/// What is known of the work that was sent to an engine before its warm-up is counted.
+/// Whether the work sent to an engine before its warm-up is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlierWork {
-    /// It is counted.
+    /// The work has been counted.
     Known,
-    /// This front has just started and doesn't know what its earlier incarnation sent.
+    /// This front has just started and does not know what its earlier incarnation sent.
     Unknown,
 }
 
-/// What a warming engine has been sent and what it may have outstanding, in thread-microseconds.
+/// The outstanding work of a warming engine and its limit, in thread-microseconds.
 struct Budget {
     outstanding: f64,
     limit: f64,
@@ -55,25 +62,25 @@
 #[derive(Clone, Copy, Default)]
 struct WarmUp {
     until: Micros,
-    /// Work sent and not yet done, in thread-microseconds, and when that was so.
+    /// Outstanding work in thread-microseconds, as of `counted_at`.
     outstanding_work: f64,
     counted_at: Micros,
 }
 
-/// The warm-up of each engine.
+/// The warm-up state of each engine.
 #[derive(Default)]
 pub struct SlowStart {
-    initial_capacity: f64, // share of the warm engine's capacity, 0 to 1
+    initial_capacity: f64, // share of the full capacity, 0 to 1
     duration: Micros,
     overload_factor: f64,
     overload_window: Micros,
-    /// Share of a slot that passes before the first one of this front, 0 to 1.
+    /// The offset of this front's first slot, as a share of a slot, 0 to 1.
     first_slot: f64,
     engines: Vec<WarmUp>,
 }
 
 impl SlowStart {
-    /// No engine is known yet; `first_slot` is drawn by each front, from 0 up to 1.
+    /// Creates the state without any engine. `first_slot` is a random draw of the front in [0, 1).
     pub fn new(agreement: &Agreement, first_slot: f64) -> Self {
         SlowStart {
             initial_capacity: agreement.initial_capacity_share,
@@ -85,24 +92,24 @@
         }
     }
 
-    /// Makes place for so many engines.
+    /// Extends the state to the given number of engines.
     pub fn resize(&mut self, engines: usize) {
         self.engines.resize(engines, WarmUp::default());
     }
 
-    /// When the engine's last known start was, as far as its warm-up tells.
+    /// The engine's last known start, derived from the end of its warm-up.
     pub fn started_at(&self, engine: EngineId) -> Micros {
         self.engines[engine].until - self.duration
     }
 
-    /// The share of its warm capacity that an engine has by now, 0 to 1.
+    /// The share of its full capacity that an engine has reached, 0 to 1.
     pub fn capacity_share(&self, engine: EngineId, now: Micros) -> f64 {
         let left = (self.engines[engine].until - now) as f64 / self.duration.max(1) as f64;
         1.0 - (1.0 - self.initial_capacity) * left.clamp(0.0, 1.0)
     }
 
-    /// An engine warms up from its start on, with what it may still have outstanding. Work that is not known counts as
-    /// all that might have been sent.
+    /// Starts the warm-up of an engine that started at `started`, with its outstanding work. If
+    /// earlier work is unknown, the maximum that might have been sent counts as outstanding.
     pub fn start(
         &mut self,
         engine: EngineId,
@@ -136,7 +143,7 @@
         }
     }
 
-    /// Counts what was allowed and is sent now.
+    /// Records that a statement was sent with the outcome of its check.
     pub fn record_sent(&mut self, engine: EngineId, outcome: SlowStartOutcome, now: Micros) {
         if let SlowStartOutcome::Allowed { outstanding_work } = outcome {
             self.engines[engine].outstanding_work = outstanding_work;
@@ -144,7 +151,8 @@
         }
     }
 
-    /// A statement longer than the budget goes in slots that begin at random.
+    /// Checks a statement whose work exceeds the budget. Such statements are sent in periodic
+    /// slots with a random offset per front.
     fn check_slot(&self, request: &SlowStartRequest, budget: &Budget) -> SlowStartOutcome {
         let slots = self.rounds_completed(request) - self.first_slot;
         let elapsed_work = if request.fronts > MAX_FRONTS_WITHOUT_SLOTS {
@@ -161,7 +169,8 @@
         }
     }
 
-    /// How often the engine could have done such work of every front since its start.
+    /// How many statements of this work from every front the engine could have completed since its
+    /// start.
     fn rounds_completed(&self, request: &SlowStartRequest) -> f64 {
         let work = request.work * request.fronts;
         let elapsed = (request.now - self.started_at(request.engine)).max(0) as f64;
@@ -169,7 +178,8 @@
         request.cores * elapsed * (self.initial_capacity + capacity) / 2.0 / work
     }
 
-    /// Any window holds less than the overload factor.
+    /// The budget is small enough that any overload window contains less work than the overload
+    /// factor.
     fn budget(&self, request: &SlowStartRequest) -> Budget {
         let warm_up = self.engines[request.engine];
         let rate =
--- a/src/policy/stuck_attempts.rs
+++ b/src/policy/stuck_attempts.rs
@@ -1,47 +1,53 @@
-//! Stuck attempts: has an attempt in flight been silent for too long, or does it run on a bad plan?
+//! Stuck attempts: detects attempts in flight that are silent for too long or run on a bad plan.
+//!
+//! Inputs: when an attempt was sent and last seen, its expected run time, and the share of its
+//! work done. Times are in microseconds.
+//!
+//! Attempts may be accepted and never answered: the engine hangs, answers are lost, or a statement
+//! is stuck on a healthy engine. The rule may also stop an attempt of which only the progress
+//! reports are lost.
 //!
-//! Inputs: when it was sent and last heard of, its expected run, the share of its work done; times in microseconds.
-//! Reason: attempts may be taken and never answered, whatever the cause: a hung engine, answers lost on the way, a
-//! statement stuck in a sound engine. It could stop attempts whose progress notes alone are lost.
 //! Source: our extension, `docs/design.md`, "Silence" and "Bad plans".
 
 use crate::interface::{Micros, SECOND};
 use crate::policy::outliers::Charge;
 
-/// Expected runs, on top of a second, that an attempt may be silent for without progress notes.
+/// Multiple of the expected run time, in addition to a second, for which an attempt without
+/// progress reports may be silent.
 pub(super) const MAX_SILENT_RUNS: f64 = 4.0;
-/// Gaps between progress notes that an attempt may be silent for.
+/// Progress report intervals for which an attempt may be silent.
 const MAX_SILENT_PROGRESS_INTERVALS: f64 = 1.5;
-/// Times its expected run that an attempt must head for to be cancelled.
+/// Multiple of the expected run time above which a projected run time indicates a bad plan.
 const BAD_PLAN_RUN_FACTOR: f64 = 6.0;
-/// Least share of the work that is taken as done.
+/// Minimum share of the work assumed to be done.
 const MIN_SHARE_DONE: f64 = 0.001;
 
-/// What is known of an attempt in flight.
+/// The inputs of the rules for an attempt in flight.
 #[derive(Clone, Copy)]
 pub struct InFlightAttempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// When it was last heard of.
+    /// When the last progress report on the attempt arrived, or else when it was sent.
     pub last_seen: Micros,
-    /// When its engine was last heard of.
+    /// When the engine last gave a sign of life.
     pub engine_last_seen: Micros,
-    /// The time between its progress notes; None where it sends none.
+    /// The time between its progress reports; `None` if the engine sends none.
     pub progress_interval: Option<Micros>,
-    /// Its expected run in microseconds.
+    /// The expected run time, in microseconds.
     pub expected_run: f64,
 }
 
-/// Whether an attempt was heard of lately.
+/// Whether an attempt is silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SilenceOutcome {
-    /// It was.
+    /// The attempt or its engine gave a sign of life recently.
     Active,
-    /// It is silent; what its engine is charged for.
+    /// The attempt is silent; the value is the charge against its engine.
     Silent(Charge),
 }
 
-/// Whether an attempt is silent. Silence before `running_since`, while this front itself stood still, doesn't count.
+/// Whether an attempt is silent. Silence before `running_since`, the end of this front's last
+/// stall, does not count.
 pub fn check_silence(
     attempt: &InFlightAttempt,
     running_since: Micros,
@@ -64,7 +70,8 @@
     }
 }
 
-/// An engine that has been heard of since the attempt was is charged for that attempt alone.
+/// The charge for a silent attempt. An engine that gave a sign of life after the attempt did is
+/// charged for one failed attempt only.
 fn engine_charge(attempt: &InFlightAttempt) -> Charge {
     if attempt.engine_last_seen <= attempt.last_seen {
         Charge::Unreachable
@@ -73,8 +80,8 @@
     }
 }
 
-/// Whether an attempt of which a share is done heads for many times its expected run. A plan is drawn anew at each
-/// attempt, so a second one may be sound.
+/// Whether the projected run time of an attempt is many times its expected one. Engines plan each
+/// attempt anew, so a retry may get a better plan.
 pub fn is_bad_plan(attempt: &InFlightAttempt, share_done: f64, now: Micros) -> bool {
     let run = (now - attempt.sent_at) as f64;
     let expected = attempt.expected_run;
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -1,8 +1,8 @@
-//! What tests of several rules need.
+//! Helpers shared by the tests of several rules.
 
 use crate::interface::{DedupGroup, Effect, Workload};
 
-/// An idempotent workload whose statements take so many threads.
+/// An idempotent workload whose statements use the given number of threads.
 pub fn workload(threads: f64) -> Workload {
     Workload {
         importance: 1.0,
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers from the seed, and draws by weight.
+//! Seeded random numbers and weighted draws.
 
 use crate::interface::EngineId;
 
@@ -7,14 +7,14 @@
 pub struct Random(u64);
 
 impl Random {
-    /// A generator whose numbers all follow from the seed.
+    /// Creates a generator whose numbers are determined by the seed.
     pub fn new(seed: u64) -> Self {
         let mut random = Random(seed.wrapping_mul(2).wrapping_add(1));
-        random.next(); // a small seed shows in the first number alone
+        random.next(); // a small seed skews only the first number
         random
     }
 
-    /// The next number, evenly spread over 0 up to 1.
+    /// The next number, uniform in [0, 1).
     pub fn next(&mut self) -> f64 {
         let old = self.0;
         self.0 = old
@@ -25,7 +25,7 @@
     }
 }
 
-/// The engine at a share, from 0 up to 1, of the sum of the weights; none where there is no weight.
+/// The engine at a share, in [0, 1), of the sum of the weights; `None` if no weight is positive.
 pub fn draw_weighted(share: f64, weights: &[(EngineId, f64)]) -> Option<EngineId> {
     let mut at = share * weights.iter().map(|(_, weight)| weight).sum::<f64>();
     let past = |(_, weight): &&(EngineId, f64)| {
@@ -35,7 +35,7 @@
     weights.iter().find(past).map(|(e, _)| *e)
 }
 
-/// The first where it is above 0, as no figure that is not known is, else the second.
+/// The first value if it is positive, otherwise the second. Unknown figures are 0 or NaN.
 pub fn positive_or(first: f64, second: f64) -> f64 {
     if first > 0.0 {
         first
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,5 +1,6 @@
-//! The scheduler joins the rules: it observes what happened, ends what can't be served any more, admits what arrived
-//! and dispatches what is held. `docs/design.md` says what is the paper's and what is ours.
+//! The scheduler combines the policy rules. It processes events, ends statements that can no
+//! longer be served, admits arrivals and dispatches held statements. `docs/design.md` separates
+//! what follows the paper from extensions.
 
 mod admit;
 mod candidates;
@@ -32,18 +33,18 @@
 use crate::statement::Statement;
 use crate::statement_queues::StatementQueues;
 
-/// Time between looks at what is due; finer than any slack agreed.
+/// Time between sweeps; shorter than any slack in the settings.
 const SWEEP_INTERVAL: Micros = 25_000;
-/// Time between two calls from which this front stood still.
+/// Time between two calls above which this front counts as stalled.
 const STALL_THRESHOLD: Micros = 4 * SWEEP_INTERVAL;
 
-/// The decisions of one front: what was agreed, what it knows, and the rules with their state.
+/// The scheduler of one front: its settings, what it knows, and the rules with their state.
 #[derive(Default)]
 pub struct Scheduler {
     agreement: Agreement,
     random: Random,
     clock: Clock,
-    /// What is to be done, in order.
+    /// Actions to return from the current call, in order.
     actions: Vec<Action>,
     engines: EngineTable,
     statements: BTreeMap<StatementId, Statement>,
@@ -60,28 +61,29 @@
     load_reports: LoadReports,
     peer_evidence: PeerEvidence,
     health_checks: HealthChecks,
-    /// New connections a second to each engine, as last ordered.
+    /// New connections per second to each engine, as last set.
     connection_rate: Option<f64>,
-    /// Where in the list of engines the next search starts, 0 to 1.
+    /// Where the next search in the list of engines starts, 0 to 1.
     placement_start: f64,
 }
 
-/// The time, as the caller tells it.
+/// The clock readings passed by the caller.
 #[derive(Default)]
 struct Clock {
     now: Micros,
-    /// The time since the last call.
+    /// The time between the previous call and this one.
     since_last_call: Micros,
-    /// Since when this front has not stood still.
+    /// The end of this front's last stall.
     running_since: Micros,
-    /// When it was first called.
+    /// When the scheduler was first called.
     started: Option<Micros>,
     next_sweep: Micros,
     sweeps: u32,
 }
 
 impl Clock {
-    /// Guards against a front that stood still: what it finds is old, and its silence is nobody's fault.
+    /// Advances the clock and detects a stall. After a stall, events are old, and the silence of
+    /// engines during it is not their fault.
     fn advance(&mut self, now: Micros) {
         self.since_last_call = now - self.now;
         self.now = now;
@@ -90,7 +92,7 @@
         }
     }
 
-    /// The time for which this front stood still just now, if it did.
+    /// The length of a stall that ended with this call, if any.
     fn stall_duration(&self) -> Option<Micros> {
         (self.running_since == self.now).then_some(self.since_last_call)
     }
@@ -104,19 +106,23 @@
     }
 }
 
-/// The fronts of the fleet.
+/// The fleet as known to this front.
 #[derive(Default)]
 struct Fleet {
-    /// Fronts that may send to an engine: silent ones too, no fewer than agreed.
+    /// Fronts that may send to an engine. Silent fronts count too, and the number is never below
+    /// the agreed one.
     known: f64,
-    /// Fronts that share the health checks of evacuated zones; infinite where another front does that work.
+    /// Fronts that share the health checks of evacuated zones; infinite if other fronts do all of
+    /// them.
     probers: f64,
-    /// The demand on this front against the mean; 0 where it hears of no others.
+    /// The demand on this front relative to the mean of all fronts; 0 if no peer's demand is
+    /// known.
     relative_demand: f64,
 }
 
 impl Scheduler {
-    /// A front at its start. All its random draws follow from the seed, which differs from front to front.
+    /// Creates the scheduler of a front that starts. The seed determines all random draws and must
+    /// differ between fronts.
     pub fn new(agreement: Agreement, seed: u64) -> Self {
         let workloads = agreement.workloads.len();
         let mut random = Random::new(seed);
@@ -151,7 +157,8 @@
         }
     }
 
-    /// Takes the clock and what has happened since the last call; returns what is to be done, in order.
+    /// Processes the events since the last call at the time `now` and returns the actions, in
+    /// order.
     pub fn decide(
         &mut self,
         now: Micros,
@@ -171,7 +178,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The first call subscribes to the engine list.
+    /// Subscribes to the engine list on the first call.
     fn start(&mut self) {
         if self.clock.started.is_none() {
             self.clock.started = Some(self.clock.now);
@@ -194,7 +201,7 @@
         }
     }
 
-    /// Makes place for an engine in all state that is kept by engine.
+    /// Extends all state that is kept per engine to include an engine.
     fn ensure_engine(&mut self, engine: EngineId) {
         self.engines.grow_to_include(engine);
         let count = self.engines.open.len();
--- a/src/scheduler/admit.rs
+++ b/src/scheduler/admit.rs
@@ -1,4 +1,4 @@
-//! Arrivals: what a statement counts for, and whether it is admitted.
+//! Arrivals: the load that a statement counts for, and whether it is admitted.
 
 use crate::interface::{Arrival, FleetDemand, Micros, RejectReason};
 use crate::load::Load;
@@ -10,7 +10,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// A statement arrived: it is held, or rejected where the fleet does not admit it.
+    /// Handles an arrival: the statement is held, or rejected if the fleet does not admit it.
     pub(super) fn on_arrival(&mut self, mut arrival: Arrival) {
         let now = self.clock.now;
         let (id, workload) = (arrival.statement, arrival.workload);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The time for which a statement has been waiting when it arrives.
+    /// The time for which a statement has already waited when it arrives.
     fn time_waited(&mut self, arrival: &Arrival) -> Micros {
         let time = ArrivalTime {
             time_left: arrival.time_left,
@@ -54,7 +54,8 @@
         self.client_retries.time_waited(arrival.workload, &time)
     }
 
-    /// The memory that a statement counts for, in MB: no more than the smallest kind of engine grants.
+    /// The memory that a statement counts for, in MB, limited to what the smallest engine kind may
+    /// grant.
     fn memory_need(&self, arrival: &Arrival) -> f64 {
         let need = self
             .estimates
@@ -64,7 +65,8 @@
         need.min(smallest * self.agreement.max_grant_share)
     }
 
-    /// The fleet's demand changed: what is admitted follows the penalty at the fleet's conformance.
+    /// Handles a change of the fleet's demand: admission follows the penalty at the fleet's
+    /// conformance.
     pub(super) fn on_fleet_demand(&mut self, demand: &FleetDemand) {
         let mut admission = std::mem::take(&mut self.admission);
         admission.update_demand(demand, |workload, share, conformance| {
@@ -74,7 +76,7 @@
         self.fleet.relative_demand = demand.relative;
     }
 
-    /// The weight of a class (the paper's delta).
+    /// The weight of a service class (the paper's delta).
     pub(super) fn class_weight(&self, workload: usize, share: CustomerShare) -> f64 {
         let share_weight = match share {
             CustomerShare::Within => 1.0,
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,8 +1,10 @@
-//! Candidate filter: may this engine be sent this statement now, and if not, why not?
+//! Candidate filter: decides whether a statement may be sent to an engine now, with the reason if
+//! not.
 //!
-//! It asks the rules in turn, the cheapest first. Whether the engine has capacity is asked after it, see
-//! [`placement`](super::placement).
-//! Source: ours, `docs/design.md`, "what may be sent where".
+//! The filter checks the rules in turn, the cheapest first. The engine's capacity is checked
+//! afterwards, see [`placement`](super::placement).
+//!
+//! Source: our extension, `docs/design.md`, "what may be sent where".
 
 use crate::interface::{EngineEntry, EngineId, StatementId};
 use crate::policy::idempotency::is_safe_repeat;
@@ -11,37 +13,38 @@
 
 use super::Scheduler;
 
-/// Whether an engine may be sent a statement.
+/// Whether a statement may be sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Eligibility {
-    /// It may, where it has capacity.
+    /// The statement may be sent if the engine has capacity.
     Eligible,
-    /// The statement had an attempt, and the engine hasn't earned enough credit for retries.
+    /// The statement is a retry, and the engine has too little credit for retries.
     Untrusted,
-    /// No connection can carry another statement there now.
+    /// No connection to the engine can carry another statement now.
     NoConnection,
-    /// The engine seems gone and is ejected for a time.
+    /// The engine is ejected, as it was unreachable or silent.
     Ejected,
-    /// The engine's zone is evacuated, and engines of other zones are open.
+    /// The engine's zone is evacuated, and the statement may use engines outside evacuated zones.
     EvacuatedZone,
-    /// The engine drains, or is not listed.
+    /// The engine is draining or not listed.
     NotOpen,
-    /// The workload, or what the statement is allowed, excludes the engine.
+    /// The workload or the statement's allowed locations exclude the engine.
     NotAllowed,
     /// The statement's transaction is open on another engine.
     OtherStickyEngine,
-    /// The engine doesn't take the statement's protocol.
+    /// The engine does not accept the statement's protocol.
     OtherProtocol,
-    /// The engine is warming up and has had this front's share.
+    /// The engine is warming up, and this front's share of its capacity is used up.
     WarmingUp,
-    /// An earlier attempt may have run, and this engine might run the statement again.
+    /// An earlier attempt may have run, and the engine might run the statement again.
     UnsafeRepeat,
-    /// A load holds the data set there.
+    /// A load statement locks the data set on the engine.
     DataSetLocked,
 }
 
 impl Scheduler {
-    /// Whether a statement may be sent at all now; never a second copy beside one in flight.
+    /// Whether a statement may be sent to any engine now. A statement with an attempt in flight is
+    /// never sent a second time in parallel.
     pub(super) fn may_be_sent(&self, id: StatementId, statement: &Statement) -> bool {
         !statement.closed
             && !statement.is_in_flight()
@@ -50,8 +53,9 @@
             && (statement.attempts.is_empty() || self.is_within_retry_limits(statement))
     }
 
-    /// Whether an engine may be sent a statement that may be sent at all. `avoid_evacuated`: engines outside
-    /// evacuated zones may have it.
+    /// Whether a statement for which `may_be_sent` holds may be sent to an engine. With
+    /// `avoid_evacuated`, engines of evacuated zones are excluded, as the statement may use
+    /// others.
     pub(super) fn eligibility(
         &self,
         statement: &Statement,
@@ -106,7 +110,8 @@
         )
     }
 
-    /// Whether a load, of this front or another, holds the statement's data set there.
+    /// Whether a load statement, of this front or a peer, locks the statement's data set on the
+    /// engine.
     fn is_data_set_locked(&self, statement: &Statement, engine: EngineId) -> bool {
         let workload = self.workload(statement);
         let uses_data = workload.waits_for_data || workload.holds_data;
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! In which order held statements leave, and how one is sent.
+//! Dispatch of held statements: their order, and how one is sent.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -12,7 +12,8 @@
 
 use super::Scheduler;
 
-/// Statements tried of a class, of the overdue and of the late; the next mostly need as much.
+/// Statements tried per class, and per queue of overdue and late statements. Those further back
+/// mostly need as much capacity.
 const MAX_CANDIDATES_PER_CLASS: usize = 8;
 /// Priority of a statement past its latest start.
 const PRIORITY_OVERDUE: u8 = 3;
@@ -21,13 +22,13 @@
 /// Priority of a class in the top level.
 const PRIORITY_TOP: u8 = 0;
 
-/// A class that has held statements, perhaps.
+/// A service class and its penalty. The class may have no held statements.
 struct WaitingClass {
     penalty: f64,
     class: usize,
 }
 
-/// The first held statements, in the order of arrival.
+/// The first held statements of a queue, in the order of arrival.
 fn candidates(held: &BTreeSet<StatementId>) -> Vec<StatementId> {
     held.iter()
         .copied()
@@ -36,7 +37,8 @@
 }
 
 impl Scheduler {
-    /// Lets held statements leave: those past their latest start, then by penalty, then those that must be late.
+    /// Sends held statements: first those past their latest start, then timely ones by penalty,
+    /// then late ones if no timely one is held.
     pub(super) fn dispatch(&mut self) {
         self.dispatch_overdue();
         self.dispatch_by_penalty();
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Past its latest start a statement could only be answered after its client gives up: now or never.
+    /// Sends or rejects each overdue statement. If sent later, it would be answered after its
+    /// client stops waiting.
     fn dispatch_overdue(&mut self) {
         let overdue = candidates(&self.queues.overdue);
         let unplaced: Vec<StatementId> = overdue
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Statements leave by their class's penalty, ties in the order of arrival.
+    /// Sends timely statements by their class's penalty; ties are resolved by arrival.
     fn dispatch_by_penalty(&mut self) {
         let mut waiting = self.classes_by_penalty();
         while let Some(class) = self.most_urgent(&waiting) {
@@ -86,7 +89,8 @@
         waiting
     }
 
-    /// The class of the highest penalty; of those alike the one whose statement arrived first.
+    /// The class with the highest penalty; of equal ones the one whose first statement arrived
+    /// earliest.
     fn most_urgent(&self, waiting: &[WaitingClass]) -> Option<usize> {
         let oldest = |class: usize| Reverse(self.queues.classes[class].timely.first().copied());
         let by_urgency = |a: &&WaitingClass, b: &&WaitingClass| {
@@ -97,7 +101,7 @@
         first.map(|waiting| waiting.class)
     }
 
-    /// Sends a statement, if an engine may have it now: whether it was sent.
+    /// Sends a statement if an eligible engine has capacity. Returns whether it was sent.
     fn try_dispatch(&mut self, id: StatementId) -> bool {
         let Some(engine) = self.choose_engine(id) else {
             return false;
@@ -106,7 +110,7 @@
         true
     }
 
-    /// Sends a statement to an engine and counts the attempt.
+    /// Sends a statement to an engine and records the attempt.
     fn send(&mut self, id: StatementId, engine: EngineId) {
         self.dequeue(id);
         self.placement_start = self.random.next();
@@ -141,7 +145,7 @@
         self.queues.schedule_check(latest_start.max(now + 1), id);
     }
 
-    /// The orders that send a statement.
+    /// Adds the actions that send a statement.
     fn push_execution(&mut self, id: StatementId, engine: EngineId, priority: u8) {
         let grant_mb = self.memory_grant(&self.statements[&id], engine);
         if self.agreement.priorities || grant_mb > 0.0 {
@@ -157,7 +161,7 @@
         });
     }
 
-    /// The memory that an engine is to grant, in MB; 0 leaves it to the engine.
+    /// The memory that an engine should grant, in MB; 0 leaves the amount to the engine.
     fn memory_grant(&self, statement: &Statement, engine: EngineId) -> f64 {
         let max_grant = self.engines.size[engine].memory * self.agreement.max_grant_share;
         if self.agreement.grants && statement.arrival.memory_mb > 0.0 {
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Tells the engine of a statement in flight when its priority has changed.
+    /// Sends the priority of a statement in flight to its engine if it has changed.
     pub(super) fn update_priority(&mut self, id: StatementId) {
         let priority = self.priority(id);
         let Some(statement) = self
@@ -201,7 +205,8 @@
         }
     }
 
-    /// A statement waits in the queue of its standing, if it is its turn, until its standing changes next.
+    /// Puts a held statement into the queue of its urgency if it is first in the order of its key,
+    /// and schedules its next check.
     pub(super) fn enqueue(&mut self, id: StatementId) {
         let is_held = |statement: &&Statement| !statement.closed && !statement.is_in_flight();
         let Some(statement) = self.statements.get(&id).filter(is_held) else {
@@ -211,7 +216,7 @@
         let (class, request) = (statement.class, self.shed_request(statement));
         let timing = request.timing;
         let is_first = self.is_first_in_order(id, statement);
-        // Once it is to be shed it is due now; till then when its standing changes next.
+        // A statement to be shed is checked at once, any other when its urgency changes next.
         let rejection = match request.reason(now) {
             Some(_) => now,
             None => rejection_time(statement.deadline),
@@ -234,13 +239,13 @@
         }
     }
 
-    /// A statement waits no more.
+    /// Removes a statement from its queue.
     pub(super) fn dequeue(&mut self, id: StatementId) {
         let class = self.statements.get(&id).map(|statement| statement.class);
         self.queues.dequeue(id, class);
     }
 
-    /// The first statement of an order key may have its turn now.
+    /// Puts the first statement of an order key into its queue.
     pub(super) fn enqueue_first_in_order(&mut self, key: Option<KeyId>) {
         if let Some(next) = self.order_queues.first(key, self.clock.now) {
             self.enqueue(next);
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -1,4 +1,4 @@
-//! Statements that end without a result, and attempts that are cancelled.
+//! Statements that end without a result, and the cancellation of their attempts.
 
 use crate::interface::{Action, EngineId, RejectReason, StatementId};
 use crate::policy::idempotency::{answer_without_result, Answer};
@@ -9,7 +9,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Looks at the statements whose standing may have changed by time alone.
+    /// Checks the statements whose urgency may have changed by time alone.
     pub(super) fn expire(&mut self) {
         while let Some(id) = self.queues.next_check(self.clock.now) {
             let Some(statement) = self
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What decides whether a held statement ends now.
+    /// The inputs of the shedding rule for a held statement.
     pub(super) fn shed_request(&self, statement: &Statement) -> ShedRequest {
         ShedRequest {
             timing: self.timing(statement),
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Why a held statement whose standing has changed ends now, if it does.
+    /// The reason to end a held statement whose urgency has changed; `None` if it stays.
     fn expiry_reason(&self, statement: &Statement) -> Option<RejectReason> {
         let timely_waiting = self.queues.has_timely();
         self.shed_request(statement)
             .reason_at_expiry(timely_waiting, self.clock.now)
     }
 
-    /// Whether the engine that holds its transaction takes nothing new any more.
+    /// Whether the engine of the statement's transaction no longer accepts statements.
     pub(super) fn sticky_engine_closed(&self, statement: &Statement) -> bool {
         let is_open = |engine: EngineId| self.engines.open.get(engine).is_some_and(|open| *open);
         statement
@@ -56,7 +56,8 @@
             .is_some_and(|engine| !is_open(engine))
     }
 
-    /// Ends a statement without a result: a rejection where trying again is harmless, else an abort.
+    /// Ends a statement without a result: with a rejection if the client may safely retry,
+    /// otherwise with an abort.
     pub(super) fn reject(&mut self, id: StatementId, reason: RejectReason) {
         let statement = &self.statements[&id];
         let may_have_run = statement.may_have_run().next().is_some();
@@ -82,7 +83,8 @@
         self.close(id, Timeliness::NotTimely);
     }
 
-    /// Counts a statement that is over, and lets go of all it holds but attempts still in flight.
+    /// Closes a statement that has its final answer: records it, cancels its attempts in flight
+    /// and frees its place in the order of its key.
     pub(super) fn close(&mut self, id: StatementId, timeliness: Timeliness) {
         self.dequeue(id);
         let Some(statement) = self
@@ -108,7 +110,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Counts a statement that is over in its class; a change of level changes priorities.
+    /// Counts a closed statement in its class. If the class enters or leaves the top level, the
+    /// priorities of its statements in flight are updated.
     fn record_closed(&mut self, id: StatementId, class: usize, timeliness: Timeliness) {
         let counts = &mut self.queues.classes[class];
         counts.in_flight.remove(&id);
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Lets go of a statement that is over with nothing in flight.
+    /// Removes a statement that is closed and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: StatementId) {
         let done = |statement: &Statement| statement.closed && !statement.is_in_flight();
         if self.statements.get(&id).is_some_and(done) {
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -1,4 +1,4 @@
-//! What happened: each event goes to the rules that learn from it.
+//! Event handlers: each event is passed to the rules that learn from it.
 
 use crate::engine_table::{engine_size, AttemptId};
 use crate::interface::{
@@ -16,7 +16,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Takes in one event.
+    /// Handles one event.
     pub(super) fn observe(&mut self, event: Event) {
         match event {
             Event::EngineList { complete, entries } => self.on_engine_list(complete, entries),
@@ -68,7 +68,7 @@
         for entry in entries {
             self.update_engine(entry);
         }
-        // What is sticky to an engine that takes nothing new any more is to end now.
+        // Statements that are sticky to an engine that no longer accepts statements end now.
         let statements = self.statements.iter();
         let closed = statements.filter(|(_, statement)| self.sticky_engine_closed(statement));
         let closed: Vec<StatementId> = closed.map(|(id, _)| *id).collect();
@@ -90,7 +90,7 @@
         if let Some(started) = entry.started.filter(|_| restarted) {
             self.outliers.reset(engine);
             self.load_reports.reset(engine);
-            self.peer_evidence.clear_reports(engine); // of an earlier start
+            self.peer_evidence.clear_reports(engine); // they date from an earlier start
             self.mark_healthy(engine);
             self.start_warm_up(engine, started);
         }
@@ -151,7 +151,8 @@
         );
     }
 
-    /// Another front's load holds the data set there: guards against standing still behind it.
+    /// A peer's load statement locks the data set. The attempt is cancelled for a retry elsewhere,
+    /// so that it does not wait for the load.
     fn on_data_set_locked(&mut self, attempt: AttemptId, engine: EngineId, data_set: u32) {
         let now = self.clock.now;
         let until = now + self.estimates.longest_mean_run() as Micros;
@@ -159,7 +160,8 @@
         self.cancel_to_retry(attempt.statement, attempt.number);
     }
 
-    /// Guards against a bad plan, drawn anew at each attempt, not against a long statement.
+    /// Cancels a first attempt that runs on a bad plan. The engine plans each attempt anew, so a
+    /// retry helps; it would not help a statement that is long under any plan.
     fn on_share_done(&mut self, attempt: AttemptId, engine: EngineId, share_done: f64) {
         let known = self.in_flight_attempt(attempt, engine);
         let first = self.statements[&attempt.statement].attempts.len() == 1;
@@ -206,7 +208,8 @@
         }
     }
 
-    /// What may still be running keeps its order key for a time; so does a transaction that goes on.
+    /// An execution that may still be running holds its order key for the `order_gap`, and an open
+    /// transaction holds it until the key is released.
     fn resolve_order_key(&mut self, key: Option<KeyId>, was_closed: bool, ended: &ExecutionEnded) {
         let may_run_on = matches!(
             ended.outcome,
@@ -219,7 +222,7 @@
         }
     }
 
-    /// What the end of an attempt tells of its engine.
+    /// Updates what is known of an engine from the outcome of an attempt.
     fn learn_from(
         &mut self,
         ended: &ExecutionEnded,
@@ -236,10 +239,11 @@
                 self.mark_healthy(engine);
                 self.on_answer(ended, load);
             }
-            // An engine that hangs has been charged for its silence.
+            // The engine has already been charged for its silence.
             Outcome::TimedOut if was_silent => {}
             Outcome::NoCapacity | Outcome::TimedOut => self.on_overload(ended, load),
-            // A crash resets all that an engine holds at once; single resets are the network's.
+            // A crash resets all connections of an engine at once; single resets are faults of the
+            // network.
             Outcome::Error | Outcome::Reset | Outcome::Unreachable => {
                 self.peer_evidence.confirm_reports(engine);
                 let charge = unreachable.charge(ended.outcome);
@@ -249,8 +253,9 @@
         }
     }
 
-    /// Guards against jams no answer tells of: an engine that refuses work or, where limits are pooled, lets it run
-    /// into the client's deadline is full until it reports again, whatever it said before.
+    /// Handles an overload that load reports may not show. An engine that rejects work counts as
+    /// full until its next report. If limits are pooled, so does one that does not answer before
+    /// the client's deadline.
     fn on_overload(&mut self, ended: &ExecutionEnded, load: Load) {
         let engine = ended.engine;
         let pooled = self.limits.scope() == LimitScope::Pooled;
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: which engine gets a statement? The candidate filter, the concurrency limits and the ranking in turn.
+//! Placement: selects the engine for a statement by the candidate filter, the concurrency limits
+//! and the ranking, in this order.
 
 use crate::interface::{EngineId, StatementId, Workload};
 use crate::policy::concurrency_limit::{LimitOutcome, LimitRequest, LimitScope, Pool};
@@ -8,17 +9,17 @@
 use super::candidates::Eligibility;
 use super::Scheduler;
 
-/// What is the same for all engines while one statement is placed.
+/// The inputs that are the same for all engines while one statement is placed.
 struct PlacementScan {
-    /// Other fronts' reports take from the limits of the engines they suspect.
+    /// Whether peer reports reduce the limits of the engines that they suspect.
     apply_suspicion: bool,
-    /// Engines outside evacuated zones may have the statement.
+    /// Whether engines of evacuated zones are excluded, as the statement may use others.
     avoid_evacuated: bool,
     pool: Pool,
 }
 
 impl Scheduler {
-    /// The engine that a statement goes to; None where none may have it now.
+    /// The engine to which a statement is sent; `None` if no eligible engine has capacity.
     pub(super) fn choose_engine(&self, id: StatementId) -> Option<EngineId> {
         let statement = &self.statements[&id];
         if !self.may_be_sent(id, statement) {
@@ -27,7 +28,8 @@
         let scan = self.placement_scan(statement);
         let mut ranking = Ranking::new(self.ranking_mode());
         let count = self.engines.open.len();
-        // Fronts that know the same must not all pick the same engine: each starts its search elsewhere.
+        // Fronts with the same knowledge must not all pick the same engine, so each starts its
+        // search at a different one.
         let start = self.placement_start * count as f64;
         let first = start as usize;
         for engine in (0..count).map(|i| (i + first) % count) {
@@ -61,7 +63,7 @@
             entry.is_some_and(|entry| statement.allows(workload, entry))
         };
         let allowed = || (0..self.engines.open.len()).filter(is_allowed);
-        // Where all engines that it may use are suspected, none is.
+        // If all engines that the statement may use are suspected, suspicion is ignored.
         PlacementScan {
             apply_suspicion: self.peer_evidence.has_adverse()
                 && allowed().any(|engine| self.peer_limit_share(engine) >= 1.0),
@@ -100,7 +102,8 @@
         })
     }
 
-    /// Whether a workload that can't go everywhere needs the engine, and the statement's can.
+    /// Whether some workload bound to certain locations or kinds needs the engine, while the
+    /// statement's workload is not bound.
     fn is_scarce(&self, statement: &Statement, engine: EngineId) -> bool {
         let is_bound =
             |workload: &Workload| workload.kinds.is_some() || workload.locations.is_some();
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a statement is attempted again, and attempts that are cancelled for it.
+//! Retries: whether a statement is attempted again, and the cancellation of attempts for a retry.
 
 use crate::interface::{Action, Effect, Micros, RejectReason, StatementId};
 use crate::policy::deadlines::rejection_time;
@@ -9,7 +9,8 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Why a statement whose attempt ended without a result gets no retry; None if it may have one.
+    /// The reason why a statement whose attempt ended without a result is not retried; `None` if
+    /// it may be.
     pub(super) fn retry_denial_reason(&self, statement: &Statement) -> Option<RejectReason> {
         if !self.has_safe_engine(statement) {
             return Some(RejectReason::NoSafeEngine);
@@ -20,7 +21,8 @@
             .or(expiring.then_some(RejectReason::Expiring))
     }
 
-    /// Whether attempts, stickiness and budget allow a retry; not whether one is safe, see `has_safe_engine`.
+    /// Whether attempt limit, stickiness and budget allow a retry. Safety is checked separately,
+    /// see `has_safe_engine`.
     fn retry_outcome(&self, statement: &Statement) -> RetryOutcome {
         let request = RetryRequest {
             attempts: statement.attempts.len(),
@@ -29,12 +31,13 @@
         self.retry_budget.check(request, self.clock.now)
     }
 
-    /// The same as a yes or no.
+    /// Whether `retry_outcome` allows a retry.
     pub(super) fn is_within_retry_limits(&self, statement: &Statement) -> bool {
         self.retry_outcome(statement) == RetryOutcome::Allowed
     }
 
-    /// Whether any engine may have it by what earlier attempts may have done: else it waits in vain.
+    /// Whether any engine may run the statement safely, given what earlier attempts may have done.
+    /// Without such an engine it would wait in vain.
     pub(super) fn has_safe_engine(&self, statement: &Statement) -> bool {
         has_safe_engine(
             self.workload(statement),
@@ -44,7 +47,8 @@
         )
     }
 
-    /// Cancels an attempt of an idempotent statement, where cancelling is agreed and a retry is allowed and in time.
+    /// Cancels an attempt of an idempotent statement if cancelling is agreed, a retry is allowed
+    /// and it can end before the deadline.
     pub(super) fn cancel_to_retry(&mut self, id: StatementId, number: usize) {
         let statement = &self.statements[&id];
         let run = self.estimates.mean_run(statement.arrival.workload) as Micros;
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -1,4 +1,4 @@
-//! What is looked at from time to time: silent attempts, probes, the pace of connections.
+//! Periodic work: silent attempts, health checks and the rate of new connections.
 
 use crate::engine_table::AttemptId;
 use crate::interface::{Action, EngineId};
@@ -9,17 +9,18 @@
 
 use super::{Scheduler, SWEEP_INTERVAL};
 
-/// Sweeps between looks at silent engines, which walk all attempts in flight.
+/// Sweeps between two checks for silent attempts, which visit all attempts in flight.
 const SWEEPS_PER_ENGINE_CHECK: u32 = 4;
 
-/// A silent attempt.
+/// An attempt that has been silent for too long, and the charge against its engine.
 struct StuckAttempt {
     attempt: AttemptId,
     charge: Charge,
 }
 
 impl Scheduler {
-    /// Probes engines at each sweep, looks for silent attempts at some.
+    /// Runs health checks at every sweep and looks for silent attempts at every
+    /// `SWEEPS_PER_ENGINE_CHECK`th.
     pub(super) fn sweep(&mut self) {
         if !self.clock.sweep_is_due() {
             return;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Probes the engines that are due.
+    /// Sends the health checks that are due.
     fn probe_for_load(&mut self) {
         let budget = self.agreement.budgets.map(|budgets| budgets.probes);
         let probe_rate = budget.map_or(f64::INFINITY, |probes| self.fleet_share(probes));
@@ -47,8 +48,9 @@
             .probe_due(open, probe_rate, self.clock.now, probe);
     }
 
-    /// All fronts together probe evacuated zones: each draws at its share of the rate. Where probes are not
-    /// allowed the engine counts as healthy without proof, and gets a statement or two as one that is warming up.
+    /// Probes a suspect of an evacuated zone at random. All fronts share the rate, so each draws
+    /// with its part of it. If probes are not allowed, the engine counts as healthy without proof.
+    /// As it is warming up, it then gets only a statement or two.
     fn probe_evacuated(&mut self) {
         let rate = HealthChecks::fleet_probes_in(SWEEP_INTERVAL);
         let drawn =
@@ -66,7 +68,7 @@
         }
     }
 
-    /// What is known of an attempt in flight at an engine.
+    /// The inputs of the silence rule for an attempt in flight on an engine.
     pub(super) fn in_flight_attempt(
         &self,
         attempt: AttemptId,
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Cancels the attempts at an engine that have been silent for too long.
+    /// Charges an engine for attempts that have been silent for too long, and cancels those that
+    /// may be retried.
     fn cancel_silent(&mut self, engine: EngineId) {
         let in_flight = self.engines.in_flight[engine].iter();
         let stuck: Vec<StuckAttempt> = in_flight
@@ -102,7 +105,7 @@
         }
     }
 
-    /// An attempt that has been silent for too long, the first time that it is found so.
+    /// The attempt as a stuck one if it has been silent for too long. Reported once per attempt.
     fn stuck_attempt(&self, attempt: AttemptId, engine: EngineId) -> Option<StuckAttempt> {
         if self.statements[&attempt.statement].attempts[attempt.number].silent {
             return None;
@@ -114,7 +117,7 @@
         }
     }
 
-    /// This front's share of the fleet's budget for connections, where it has changed.
+    /// Sets the rate of new connections if this front's share of the fleet's budget has changed.
     pub(super) fn update_connection_rate(&mut self) {
         let budget = self.agreement.budgets.map(|budgets| budgets.connections);
         let rate = budget.map(|connections| self.fleet_share(connections));
--- a/src/scheduler/timing.rs
+++ b/src/scheduler/timing.rs
@@ -1,4 +1,4 @@
-//! What the rules ask of a statement's time and of its order key.
+//! Inputs of the rules on a statement's times and on its order key.
 
 use crate::interface::{Micros, StatementId};
 use crate::policy::deadlines::{latest_start, slo_time, StatementTiming};
@@ -8,7 +8,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// The time within which an answer is timely.
+    /// The time from its first arrival within which an answer to the statement is timely.
     pub(super) fn slo_time(&self, statement: &Statement) -> Micros {
         let work = self
             .estimates
@@ -16,19 +16,19 @@
         slo_time(self.workload(statement), work)
     }
 
-    /// The run that its estimate gives, in microseconds.
+    /// The run time that the statement's estimate gives, in microseconds.
     pub(super) fn estimated_run(&self, statement: &Statement) -> f64 {
         estimated_run(statement.arrival.work, self.workload(statement).threads)
     }
 
-    /// The run to be expected of it, in microseconds.
+    /// The expected run time of the statement, in microseconds.
     pub(super) fn expected_run(&self, statement: &Statement) -> f64 {
         let estimated = self.estimated_run(statement);
         self.estimates
             .expected_run(statement.arrival.workload, estimated)
     }
 
-    /// What decides how urgent it is.
+    /// The times that determine the statement's urgency.
     pub(super) fn timing(&self, statement: &Statement) -> StatementTiming {
         let open = self.engines.open.iter().filter(|open| **open).count();
         StatementTiming {
@@ -40,12 +40,13 @@
         }
     }
 
-    /// The last moment at which it can still be answered before its client gives up.
+    /// The last time at which the statement can be sent and still be answered before its client
+    /// stops waiting.
     pub(super) fn latest_start(&self, statement: &Statement) -> Micros {
         latest_start(statement.deadline, self.expected_run(statement))
     }
 
-    /// Whether it is its turn among the statements of its order key.
+    /// Whether the statement is first in the order of its key and the key does not pause.
     pub(super) fn is_first_in_order(&self, id: StatementId, statement: &Statement) -> bool {
         let attempted = !statement.attempts.is_empty();
         self.order_queues
--- a/src/scheduler/warm_up.rs
+++ b/src/scheduler/warm_up.rs
@@ -1,4 +1,4 @@
-//! What the slow start is asked, and which engines warm up.
+//! Inputs of the slow start, and the start of an engine's warm-up.
 
 use crate::interface::{EngineId, Micros};
 use crate::policy::slow_start::{EarlierWork, SlowStartOutcome, SlowStartRequest};
@@ -7,7 +7,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// An engine warms up from then on, as far as is known.
+    /// Starts the warm-up of an engine at the time `started`.
     pub(super) fn start_warm_up(&mut self, engine: EngineId, started: Micros) {
         let request = self.slow_start_request(engine, 0.0);
         let earlier_work = if self.clock.just_started() {
@@ -19,7 +19,7 @@
             .start(engine, started, &request, earlier_work);
     }
 
-    /// Whether an engine that may be warming up bears this statement now.
+    /// Whether the slow start allows sending the statement to the engine now.
     pub(super) fn check_slow_start(
         &self,
         engine: EngineId,
--- a/src/scheduler/zones.rs
+++ b/src/scheduler/zones.rs
@@ -1,4 +1,4 @@
-//! What other fronts report, and zones that are evacuated and reopened.
+//! Peer reports, and zones that are evacuated and reopened.
 
 use crate::interface::{EngineId, PeerReport};
 use crate::policy::peer_evidence::{ReportContext, ReportOutcome, ZoneOutcome};
@@ -6,7 +6,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Another front reported on an engine.
+    /// Handles a peer's report on an engine.
     pub(super) fn on_peer_report(&mut self, report: PeerReport) {
         let context = ReportContext {
             longest_mean_run: self.estimates.longest_mean_run(),
@@ -29,7 +29,7 @@
                 .is_evacuated(self.engines.zone_members(engine))
     }
 
-    /// The share of an engine's limit that other fronts' reports leave; of an evacuated zone nothing.
+    /// The share of an engine's limit that peer reports leave, 0 to 1; 0 in an evacuated zone.
     pub(super) fn peer_limit_share(&self, engine: EngineId) -> f64 {
         if self.is_evacuated(engine) {
             0.0
@@ -38,7 +38,8 @@
         }
     }
 
-    /// An engine is healthy. If it was a suspect of an evacuated zone that reopens now, the zone warms up.
+    /// Records that an engine is healthy. If this reopens its evacuated zone, the engines of the
+    /// zone warm up.
     pub(super) fn mark_healthy(&mut self, engine: EngineId) {
         if !self.peer_evidence.is_suspect(engine) {
             return;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// One suspect of the evacuated zones, at a share of their count.
+    /// The suspect of the evacuated zones at a share, in [0, 1), of their count.
     pub(super) fn pick_suspect(&self, share: f64) -> Option<EngineId> {
         let is_listed = |engine: &EngineId| self.engines.is_listed(*engine);
         let suspects: Vec<EngineId> = self.peer_evidence.suspects().filter(is_listed).collect();
--- a/src/statement.rs
+++ b/src/statement.rs
@@ -1,30 +1,31 @@
-//! A statement from its arrival until it is over and nothing is in flight for it.
+//! A statement's state, kept from its arrival until it is complete and has no attempt in flight.
 
 use crate::interface::{Arrival, EngineEntry, EngineId, Micros, Outcome, ProgressReport, Workload};
 use crate::load::Load;
 
-/// Priority that engines take a statement to have before they are told.
+/// Priority that engines assume for a statement until they receive one.
 const INITIAL_PRIORITY: u8 = 1;
 
-/// One sending of a statement to an engine.
+/// One execution of a statement on an engine.
 #[derive(Default)]
 pub struct Attempt {
-    /// The engine that it was sent to.
+    /// The engine that the attempt was sent to.
     pub engine: EngineId,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// When it was last heard of.
+    /// When the last progress report on the attempt arrived, or else when it was sent.
     pub last_seen: Micros,
-    /// It had less memory than it needed.
+    /// Whether the attempt reported that it spills for lack of memory.
     pub spilled: bool,
-    /// Nothing was heard of it for too long.
+    /// Whether the attempt has been found silent for too long.
     pub silent: bool,
-    /// How it ended; None while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// There is word of it: whether that tells of its engine too. One that has not left is sent from then on.
+    /// Records a progress report. Returns whether the report is also evidence that the engine is
+    /// alive. The send time of an attempt that its front still holds moves to now.
     pub fn record_progress(&mut self, now: Micros, progress: ProgressReport) -> bool {
         let is_sent = progress != ProgressReport::NotSentYet;
         self.last_seen = now;
@@ -37,26 +38,26 @@
 
 /// A statement and its attempts.
 pub struct Statement {
-    /// As it arrived.
+    /// The statement as it arrived.
     pub arrival: Arrival,
-    /// The place of its service class.
+    /// The index of its service class.
     pub class: usize,
-    /// When its first attempt arrived at a front, as far as the time that is left tells.
+    /// When the client's first attempt arrived at a front, inferred from the remaining wait time.
     pub first_arrival: Micros,
-    /// When its client gives up.
+    /// When its client stops waiting.
     pub deadline: Micros,
-    /// What it counts for on its engine.
+    /// The load that it counts for on its engine.
     pub load: Load,
-    /// 0 to 3, as its engine was last told.
+    /// The priority last sent to its engine, 0 to 3.
     pub priority: u8,
-    /// Its attempts by number.
+    /// Its attempts, by number.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer.
+    /// Whether it has its final answer.
     pub closed: bool,
 }
 
 impl Statement {
-    /// A statement that has had no attempt.
+    /// Creates a statement without attempts.
     pub fn new(
         arrival: Arrival,
         class: usize,
@@ -76,18 +77,20 @@
         }
     }
 
-    /// Whether it may be sent to an engine at all: its workload and what is allowed to it agree.
+    /// Whether the statement may be sent to an engine according to its workload and its allowed
+    /// locations.
     pub fn allows(&self, workload: &Workload, at: &EngineEntry) -> bool {
         let allowed = self.arrival.allowed_locations.as_ref();
         workload.allows(at) && allowed.is_none_or(|locations| locations.contains(&at.location))
     }
 
-    /// Whether it is its client's first attempt, as far as is known.
+    /// Whether this is the client's first attempt, as far as is known.
     pub fn is_first_client_attempt(&self) -> bool {
         self.first_arrival == self.deadline - self.arrival.time_left
     }
 
-    /// Attempts that their outcomes do not prove to have been without effect.
+    /// The attempts that may have run: those in flight and those whose outcome does not prove the
+    /// opposite.
     pub fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         let not_run = [Outcome::NoCapacity, Outcome::Unreachable, Outcome::NotSent];
         let may_have_run = move |attempt: &&Attempt| match attempt.outcome {
@@ -109,8 +112,8 @@
             .collect()
     }
 
-    /// An attempt by its number, while it is in flight at that engine. Guards against events that name another
-    /// engine than the one it was sent to, of which nothing may be known.
+    /// An attempt in flight, by its number and engine. `None` if it has ended or if an event names
+    /// an engine other than the one it was sent to, which may be unknown.
     pub fn attempt_at(&mut self, number: usize, engine: EngineId) -> Option<&mut Attempt> {
         let attempt = self.attempts.get_mut(number);
         attempt.filter(|a| a.outcome.is_none() && a.engine == engine)
--- a/src/statement_queues.rs
+++ b/src/statement_queues.rs
@@ -1,4 +1,4 @@
-//! Held statements: in which queue each waits, and when its standing changes.
+//! Queues of held statements, and the times at which their urgency may change.
 
 use std::collections::BTreeSet;
 
@@ -7,33 +7,33 @@
 use crate::policy::deadlines::Urgency;
 use crate::policy::penalty::Conformance;
 
-/// The statements of one workload and customer, inside or beyond the customer's share.
+/// The statements of one workload and customer, within or beyond the customer's share.
 #[derive(Default)]
 pub struct ServiceClass {
-    /// Its timely share.
+    /// The share of timely answers.
     pub conformance: Conformance,
-    /// Held statements that can still be in time.
+    /// Held statements that can still be timely.
     pub timely: BTreeSet<StatementId>,
     /// Statements with an attempt in flight.
     pub in_flight: BTreeSet<StatementId>,
 }
 
-/// All service classes and queues.
+/// The service classes and the queues of held statements.
 #[derive(Default)]
 pub struct StatementQueues {
     customers: usize,
-    /// The service classes, by place.
+    /// The service classes, by index.
     pub classes: Vec<ServiceClass>,
     /// Held statements past their latest start.
     pub overdue: BTreeSet<StatementId>,
-    /// Held statements that must be late.
+    /// Held statements that can no longer be timely.
     pub late: BTreeSet<StatementId>,
-    /// When a statement's standing changes by time alone.
+    /// Times at which a statement must be checked, as its urgency may change by time alone.
     checks: BTreeSet<(Micros, StatementId)>,
 }
 
 impl StatementQueues {
-    /// Empty queues for so many workloads and customers.
+    /// Creates empty queues for the given numbers of workloads and customers.
     pub fn new(workloads: usize, customers: usize) -> Self {
         let customers = customers.max(1);
         let classes = workloads * customers * 2;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The place of a statement's class.
+    /// The index of a statement's class.
     pub fn class_of(&self, workload: usize, customer: usize, share: CustomerShare) -> usize {
         let customer = customer.min(self.customers - 1);
         (workload * self.customers + customer) * 2 + share.index()
@@ -55,7 +55,7 @@
         class / 2 / self.customers
     }
 
-    /// Whether a class is inside or beyond its customer's share.
+    /// Whether the statements of a class are within or beyond their customer's share.
     pub fn share_of(&self, class: usize) -> CustomerShare {
         if class % 2 == 1 {
             CustomerShare::Beyond
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Whether any held statement can still be in time.
+    /// Whether any held statement can still be timely.
     pub fn has_timely(&self) -> bool {
         self.classes.iter().any(|class| !class.timely.is_empty())
     }
 
-    /// A statement waits by its standing.
+    /// Adds a statement to the queue of its urgency.
     pub fn enqueue(&mut self, id: StatementId, class: usize, urgency: Urgency) {
         match urgency {
             Urgency::Overdue => self.overdue.insert(id),
@@ -78,7 +78,7 @@
         };
     }
 
-    /// A statement waits no more.
+    /// Removes a statement from its queue, if it is in one.
     pub fn dequeue(&mut self, id: StatementId, class: Option<usize>) {
         if let Some(class) = class {
             self.classes[class].timely.remove(&id);
@@ -87,12 +87,12 @@
         self.overdue.remove(&id);
     }
 
-    /// A statement's standing may change at that time.
+    /// Schedules a check of a statement whose urgency may change at `at`.
     pub fn schedule_check(&mut self, at: Micros, id: StatementId) {
         self.checks.insert((at, id));
     }
 
-    /// The next statement whose standing may have changed by now.
+    /// Removes and returns the next statement whose check is due; `None` if no check is due.
     pub fn next_check(&mut self, now: Micros) -> Option<StatementId> {
         let check = *self.checks.first().filter(|(at, _)| *at <= now)?;
         self.checks.remove(&check);
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,8 +1,8 @@
-//! A rate limit that saves up.
+//! A token bucket rate limiter.
 
 use crate::interface::Micros;
 
-/// Tokens that come at a rate, up to one second's worth or one.
+/// A token bucket. Its capacity is the number of tokens added in one second, but at least one.
 #[derive(Default, Clone)]
 pub struct TokenBucket {
     tokens: f64,
@@ -10,7 +10,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket with so many tokens.
+    /// Creates a bucket with the given number of tokens.
     pub fn new(tokens: f64) -> Self {
         TokenBucket {
             tokens,
@@ -18,10 +18,10 @@
         }
     }
 
-    /// Takes a token, where there is one; `rate` is tokens a second.
+    /// Takes a token if one is available. `rate` is in tokens per second.
     pub fn try_take(&mut self, rate: f64, now: Micros) -> bool {
         if self.refilled_at == 0 {
-            // One that was not asked before is as full as it was made.
+            // The bucket keeps its initial tokens until the first call.
             self.refilled_at = now;
         }
         let refilled = self.tokens + rate * (now - self.refilled_at) as f64 / 1e6;
