--- a/src/policy/admission_tests.rs
+++ b/src/policy/admission_tests.rs
@@ -1,4 +1,4 @@
-//! What the fleet admits.
+//! Tests of admission.
 
 use crate::interface::{Agreement, Demand, FleetDemand};
 use crate::policy::test_support::workload;
@@ -24,7 +24,7 @@
     }
 }
 
-/// How many of a thousand statements are admitted.
+/// The number of admitted statements out of 1000.
 fn admitted(admission: &Admission, workload: usize, sticky: bool) -> usize {
     let mut random = Random::new(1);
     let mut check = || admission.check(workload, CustomerShare::Within, sticky, &mut random);
@@ -33,7 +33,7 @@
         .count()
 }
 
-/// The first workload goes before the second.
+/// An admission state with the given demand. The first workload has the higher penalty.
 fn admission_with_demand(late_share: f64, workloads: Vec<Demand>) -> Admission {
     let mut admission = Admission::new(&agreement(vec![]));
     let fleet = FleetDemand {
@@ -53,7 +53,7 @@
 
 #[test]
 fn admitted_work_is_125_percent_of_answered_work_in_penalty_order() {
-    // 80 answered: 100 are admitted, all 60 of the first workload and 40 of the second's 80.
+    // With 80 answered, 100 are admitted: all 60 of the first workload and 40 of the second's 80.
     let admission = admission_with_demand(
         0.0,
         vec![demand(60.0, 40.0, 40.0), demand(80.0, 40.0, 40.0)],
@@ -61,7 +61,11 @@
     assert_eq!(admitted(&admission, 0, false), 1000);
     let second = admitted(&admission, 1, false);
     assert!((450..=550).contains(&second), "{second}");
-    assert_eq!(admitted(&admission, 1, true), 1000, "sticky ones always");
+    assert_eq!(
+        admitted(&admission, 1, true),
+        1000,
+        "sticky statements are always admitted"
+    );
 }
 
 #[test]
@@ -69,7 +73,8 @@
     let demands = vec![demand(60.0, 40.0, 0.0), demand(80.0, 40.0, 0.0)];
     let admission = admission_with_demand(0.16, demands);
     assert_eq!(admitted(&admission, 1, false), 0);
-    // A twentieth of all that is asked is admitted in any case: 7 of the first workload's 60.
+    // A twentieth of the arriving work is always admitted: 7 of the first workload's 60
+    // statements.
     let first = admitted(&admission, 0, false);
     assert!((70..=165).contains(&first), "{first}");
 }
@@ -97,6 +102,6 @@
     let beyond = (0..1000)
         .filter(|_| admission.customer_share(0, 0, &mut random, 1) == CustomerShare::Beyond)
         .count();
-    // Three quarters of what it asks.
+    // Three quarters of the customer's 40 statements per second are beyond its share of 10.
     assert!((700..=800).contains(&beyond), "{beyond}");
 }
--- a/src/policy/client_retries_tests.rs
+++ b/src/policy/client_retries_tests.rs
@@ -1,4 +1,4 @@
-//! For how long a statement has been waiting.
+//! Tests of the estimated time that a statement has waited.
 
 use super::{ArrivalTime, ClientRetries};
 
@@ -19,13 +19,13 @@
     assert_eq!(
         retries.time_waited(0, &with_left(3_000 * MS)),
         0,
-        "none was shed"
+        "no statement was shed"
     );
     retries.record_shed_first_attempt(0);
     let waited = retries.time_waited(0, &with_left(3_000 * MS));
     assert_eq!(waited, 2_000 * MS);
     let waited = retries.time_waited(0, &with_left(3_000 * MS));
-    assert_eq!(waited, 0, "only as many come back as were shed");
+    assert_eq!(waited, 0, "only as many retries as shed statements");
 }
 
 #[test]
@@ -50,5 +50,5 @@
     let waited = retries.time_waited(0, &stalled(4_600 * MS, 500 * MS));
     assert_eq!(waited, 400 * MS);
     let waited = retries.time_waited(0, &stalled(4_400 * MS, 500 * MS));
-    assert_eq!(waited, 0, "it lacks more than this front stood still");
+    assert_eq!(waited, 0, "more time is missing than the stall lasted");
 }
--- a/src/policy/concurrency_limit_tests.rs
+++ b/src/policy/concurrency_limit_tests.rs
@@ -1,4 +1,4 @@
-//! Whether an engine has capacity, and how its limit moves.
+//! Tests of the capacity check and of limit adjustments.
 
 use crate::interface::Agreement;
 use crate::load::Load;
@@ -15,7 +15,7 @@
     memory: 0.0,
 };
 
-/// One front and one engine of 8 cores: its limit is 16 threads.
+/// The limits of one front with one engine of 8 cores; its limit is 16 threads.
 fn limits() -> ConcurrencyLimits {
     let mut limits = ConcurrencyLimits::new(&Agreement {
         fronts: 1.0,
@@ -85,7 +85,7 @@
         let request = request(load(1.0, local_load), load(0.0, peer_load), load(1.0, need));
         capacity(limits.check(&request)).is_some()
     };
-    // A front promises nine tenths at the initial limit.
+    // At the initial limit a front commits nine tenths of the memory.
     assert!(check(800.0, 0.0, 100.0));
     assert!(!check(800.0, 0.0, 101.0));
     assert!(!check(800.0, 110.0, 100.0));
@@ -117,7 +117,7 @@
         capacity(limits.check(&request(nothing, nothing, need))).unwrap()
     };
     limits.record_answer(&answer(350_000.0, 13.0), |_| POOL, |_| 8.0);
-    assert_eq!(limit(&limits), 16.0, "it is not in use");
+    assert_eq!(limit(&limits), 16.0, "the limit is not in use");
     limits.record_answer(&answer(360_000.0, 14.0), |_| POOL, |_| 8.0);
     assert_eq!(limit(&limits), 16.0, "neither quick nor late");
     limits.record_answer(&answer(350_000.0, 14.0), |_| POOL, |_| 8.0);
@@ -135,7 +135,7 @@
     }
     let nothing = Load::default();
     let left = capacity(limits.check(&request(nothing, nothing, nothing))).unwrap();
-    // One thread of an engine of eight cores, roughly: 0.06 of 16.
+    // 0.06 of the initial 16 threads, about one thread on an engine of eight cores.
     assert!((left - 0.96).abs() < 1e-9, "{left}");
 }
 
@@ -176,9 +176,15 @@
         request.fresh_report = fresh_report;
         capacity(limits.check(&request)).is_some()
     };
-    assert!(check(0.0, false, 0.0), "with nothing out it may send one");
+    assert!(
+        check(0.0, false, 0.0),
+        "an idle front may send one statement"
+    );
     assert!(check(0.5, false, 0.0), "within the pool");
-    assert!(!check(1.0, false, 0.0), "beyond it");
-    assert!(check(1.0, true, 6.0), "a fresh report tells of idle cores");
-    assert!(!check(1.0, true, 6.1), "of none idle");
+    assert!(!check(1.0, false, 0.0), "beyond the pool");
+    assert!(check(1.0, true, 6.0), "a fresh report shows idle cores");
+    assert!(
+        !check(1.0, true, 6.1),
+        "the report shows too few idle cores"
+    );
 }
--- a/src/policy/fleet_budget_tests.rs
+++ b/src/policy/fleet_budget_tests.rs
@@ -1,4 +1,4 @@
-//! Shares of a budget of all fronts.
+//! Tests of a front's share of a fleet budget.
 
 use super::budget_share;
 
@@ -7,7 +7,7 @@
     let share = |demand| budget_share(100.0, demand, 10.0);
     assert_eq!((share(0.0), share(1.0)), (2.0, 4.0));
     assert_eq!((share(3.0), share(9.0)), (8.0, 8.0));
-    assert_eq!(share(f64::NAN), 2.0, "a demand that is not known");
+    assert_eq!(share(f64::NAN), 2.0, "an unknown demand");
 }
 
 #[test]
--- a/src/policy/health_checks_tests.rs
+++ b/src/policy/health_checks_tests.rs
@@ -1,4 +1,4 @@
-//! Which engines are probed.
+//! Tests of the selection of engines to probe.
 
 use crate::interface::Agreement;
 
--- a/src/policy/idempotency_tests.rs
+++ b/src/policy/idempotency_tests.rs
@@ -1,4 +1,4 @@
-//! Where a statement may run again.
+//! Tests of safe repeats and of answers without a result.
 
 use crate::interface::{Arrival, DedupGroup, Effect, EngineEntry, Mode, Outcome, Workload};
 use crate::load::Load;
@@ -31,7 +31,7 @@
     }
 }
 
-/// A statement with one attempt, sent to engine 0 at 0.
+/// A statement with one attempt, sent to engine 0 at time 0.
 fn attempted(outcome: Outcome) -> Statement {
     let arrival = Arrival {
         statement: 0,
@@ -82,8 +82,8 @@
         is_safe_repeat(&workload, &statement, &entries, at, now)
     };
     assert!(safe(1, WINDOW - 1));
-    assert!(!safe(2, WINDOW - 1), "another group");
-    assert!(!safe(1, WINDOW), "forgotten");
+    assert!(!safe(2, WINDOW - 1), "another deduplication group");
+    assert!(!safe(1, WINDOW), "the deduplication window is over");
 }
 
 #[test]
--- a/src/policy/load_reports_tests.rs
+++ b/src/policy/load_reports_tests.rs
@@ -1,4 +1,4 @@
-//! What other fronts hold of an engine.
+//! Tests of the estimated load of peers.
 
 use crate::interface::ReportLayout;
 use crate::load::Load;
@@ -12,7 +12,8 @@
     Load { threads, memory }
 }
 
-/// Reports of active statements and granted memory, among many fronts: a report counts as it stands.
+/// A state with reports of active statements and granted memory. Limits are pooled, so each report
+/// replaces the estimate.
 fn reports() -> LoadReports {
     let layout = ReportLayout {
         active: Some(0),
@@ -81,7 +82,7 @@
     let typical = load(1.0, 0.0);
     reports.record(&engine(nothing, 0), &vec![8.0, 0.0], typical, NOW);
     let held = |reports: &LoadReports| reports.peer_load(0, nothing, 1.0).threads;
-    // The usual was learned from one report, of weight 0.05: 0.05 threads a core.
+    // The typical load was learned from one report with weight 0.05: 0.05 threads per core.
     for _ in 0..35 {
         reports.decay(|_| (Some(0), 8.0));
     }
--- a/src/policy/order_key_tests.rs
+++ b/src/policy/order_key_tests.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is among the statements of one order key.
+//! Tests of the order among the statements of one key.
 
 use super::OrderQueues;
 
@@ -18,7 +18,10 @@
     assert!(queues.is_first(KEY, 1, false, 0) && !queues.is_first(KEY, 2, false, 0));
     queues.remove(KEY, 1, 0);
     assert!(queues.is_first(KEY, 2, false, 0));
-    assert!(queues.is_first(None, 9, false, 0), "without a key always");
+    assert!(
+        queues.is_first(None, 9, false, 0),
+        "a statement without a key is always first"
+    );
 }
 
 #[test]
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -37,8 +37,8 @@
 }
 
 impl UnreachableStreak {
-    /// Whether the engine was or is unreachable, so that it may restart before the engine list
-    /// says so.
+    /// Whether the engine was or is unreachable, so that it may have restarted before the engine
+    /// list shows it.
     pub fn may_have_restarted(self) -> bool {
         self.now.max(self.before) > 1
     }
--- a/src/policy/outliers_tests.rs
+++ b/src/policy/outliers_tests.rs
@@ -1,4 +1,4 @@
-//! How far an engine is trusted.
+//! Tests of trust and ejection.
 
 use crate::interface::Outcome;
 
@@ -38,7 +38,7 @@
     let second = outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     assert_eq!(second.charge(Outcome::Unreachable), Charge::Unreachable);
     assert!(second.may_have_restarted());
-    // The first that comes back says so once more: it may have restarted meanwhile.
+    // The first answer after the failures still reports a possible restart.
     let back = outliers.record_attempt_end(0, Outcome::Completed, 0);
     assert!(back.may_have_restarted());
     let next = outliers.record_attempt_end(0, Outcome::Completed, 0);
--- a/src/policy/peer_evidence_tests.rs
+++ b/src/policy/peer_evidence_tests.rs
@@ -1,4 +1,4 @@
-//! What other fronts' reports take from an engine.
+//! Tests of peer reports and zone evacuation.
 
 use crate::interface::PeerReport;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Engines 0 to 2 are one zone.
+/// Records a report; engines 0 to 2 form one zone.
 fn record(evidence: &mut PeerEvidence, report: PeerReport) -> ReportOutcome {
     evidence.record(&report, &context(NOW), || vec![0, 1, 2])
 }
--- a/src/policy/ranking_tests.rs
+++ b/src/policy/ranking_tests.rs
@@ -1,4 +1,4 @@
-//! Which engine with capacity gets a statement.
+//! Tests of the selection among engines with capacity.
 
 use super::{RankedEngine, Ranking, RankingMode};
 
--- a/src/policy/retry_tests.rs
+++ b/src/policy/retry_tests.rs
@@ -1,4 +1,4 @@
-//! When a statement may be attempted again.
+//! Tests of attempt limits and the retry budget.
 
 use crate::interface::{Agreement, RejectReason, RetryAllowance};
 
--- a/src/policy/shedding_tests.rs
+++ b/src/policy/shedding_tests.rs
@@ -1,4 +1,4 @@
-//! Why a held statement ends.
+//! Tests of the reasons for shedding a held statement.
 
 use crate::interface::RejectReason;
 use crate::policy::deadlines::StatementTiming;
@@ -7,8 +7,8 @@
 
 const SECOND: i64 = 1_000_000;
 
-/// A statement with an SLO time of 1 s and 5 s until its client gives up, whose run is 0.2 s: its last timely start
-/// is at 0.6 s, its latest start at 4.8 s.
+/// A statement with an SLO time of 1 s, a deadline of 5 s and an expected run time of 0.2 s. Its
+/// last timely start is at 0.6 s, its latest start at 4.8 s.
 fn held() -> ShedRequest {
     ShedRequest {
         timing: StatementTiming {
--- a/src/policy/slow_start_tests.rs
+++ b/src/policy/slow_start_tests.rs
@@ -1,4 +1,4 @@
-//! What a warming engine may be sent.
+//! Tests of the work that a warming engine is sent.
 
 use crate::interface::Agreement;
 
@@ -6,8 +6,8 @@
 
 const SECOND: i64 = 1_000_000;
 
-/// An engine that starts at 0 with half of its capacity and is warm after 10 s; with one front and 8 cores it bears
-/// 0.1 s of its capacity at once.
+/// A state with one engine that starts at time 0 with half of its capacity and is warm after 10 s.
+/// With one front and 8 cores its burst is 0.1 s of its capacity.
 fn warming(fronts: f64) -> SlowStart {
     let mut slow_start = SlowStart::new(
         &Agreement {
@@ -52,7 +52,7 @@
 #[test]
 fn sent_work_counts_as_outstanding_until_the_engine_completes_it() {
     let mut slow_start = warming(1.0);
-    // The burst is a tenth of a second of four cores' work: 400,000 us.
+    // The burst is 0.1 s of the work of four cores: 400,000 us.
     let first = slow_start.check(&request(300_000.0, 1.0, 0));
     let outstanding_work = 300_000.0;
     assert_eq!(first, SlowStartOutcome::Allowed { outstanding_work });
@@ -74,7 +74,8 @@
 #[test]
 fn among_many_fronts_a_long_statement_waits_for_its_slot() {
     let slow_start = warming(100.0);
-    // This front's part of four cores is 0.04 threads: a statement of 100,000 us has a slot every 2.5 s at most.
+    // This front's part of four cores is 0.04 threads, so slots for a statement of 100,000 us are
+    // up to 2.5 s apart.
     let at_start = slow_start.check(&request(100_000.0, 100.0, 0));
     assert_ne!(at_start, SlowStartOutcome::Denied);
     let between = slow_start.check(&request(100_000.0, 100.0, SECOND));
--- a/src/policy/stuck_attempts_tests.rs
+++ b/src/policy/stuck_attempts_tests.rs
@@ -1,4 +1,4 @@
-//! When an attempt counts as silent, or as run on a bad plan.
+//! Tests of silent attempts and bad plans.
 
 use crate::policy::outliers::Charge;
 
@@ -33,7 +33,7 @@
         SilenceOutcome::Active
     );
     assert_eq!(check_silence(&without, 0, 3 * SECOND + 1), silent);
-    // Whatever the engine answers counts for it too.
+    // Any answer of the engine counts as a sign of life of the attempt.
     let engine_last_seen = SECOND;
     let heard = InFlightAttempt {
         engine_last_seen,
@@ -65,6 +65,6 @@
     let known = attempt(None);
     assert!(!is_bad_plan(&known, 0.2, 600_000));
     assert!(is_bad_plan(&known, 0.19, 600_000));
-    // Within its expected run nothing is known yet.
+    // No plan counts as bad within the expected run time.
     assert!(!is_bad_plan(&known, 0.01, 500_000));
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,13 +1,16 @@
-//! `.ci/known-red`, which runs the workspace's tests beside `KNOWN-RED.txt`, played in a folder of its own with a
-//! stand-in for cargo; and that skipping by the exact name, which it counts on, leaves longer names in.
+//! Tests of `.ci/known-red`, which runs the workspace's tests apart from those listed in
+//! `KNOWN-RED.txt`. The script runs in a temporary directory with a stand-in for cargo. Two
+//! further tests check that libtest's exact skip filters, which the script relies on, do not skip
+//! longer names.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Writes down what it is called with. Tests are told by `tests`; the ordinary run ends with what `ordinary` holds,
-/// one test alone with what `alone` holds and says what `alone-says` does.
+/// Stand-in for cargo that records its arguments. It lists the tests in the file `tests`. The run
+/// without the listed tests exits with the status in `ordinary`. The run of a single test prints
+/// `alone-says` and exits with the status in `alone`.
 const CARGO: &str = r#"#!/usr/bin/env bash
 here=$(dirname "$0")
 echo "$*" >>"$here/calls"
@@ -27,7 +30,8 @@
     "test result: ok. 0 passed; 0 failed; 0 ignored\n\ntest result: FAILED. 0 passed; 1 failed;\n";
 const LIST: &str = "test --workspace --locked -- --list";
 
-/// A root with the script, the stand-in and, perhaps, a list; gone when it goes out of use.
+/// A temporary root directory with the script, the stand-in and optionally a list. Dropping it
+/// removes the directory.
 struct TestRoot(PathBuf);
 
 impl Drop for TestRoot {
@@ -36,7 +40,8 @@
     }
 }
 
-/// How a run ended: whether it passed, its lines on standard output and error, and how cargo was called.
+/// The result of a run: whether it passed, its standard output and error, and the recorded calls
+/// of cargo.
 struct RunResult {
     passed: bool,
     out: String,
@@ -103,10 +108,10 @@
         }
     }
 
-    /// Asks that the list is refused with this one line, before any test was run.
+    /// Asserts that the script rejects the list with this one line before it runs any test.
     fn assert_rejected(&self, list: &str, line: &str) {
         let result = self.list(list).run();
-        assert!(!result.passed, "{list:?} was taken");
+        assert!(!result.passed, "{list:?} was accepted");
         assert_eq!(
             (result.out.as_str(), result.err.as_str()),
             ("", format!("KNOWN-RED.txt: {line}\n").as_str())
@@ -279,7 +284,7 @@
     assert_eq!(listed_tests(&["--exact", NAME]), [NAME]);
 }
 
-/// Its name holds the one above; it is there to be left in.
+/// This test's name contains the previous test's name; the exact filters must not skip it.
 #[test]
 fn skip_filters_match_exact_names_only() {
     assert_ne!("skip_filters_match_exact_names_only", NAME);
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -1,4 +1,5 @@
-//! The notation of the scenarios: words become settings, engines and events, actions become text.
+//! The scenario notation: parses words into settings, engines and events, and formats actions as
+//! text.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +9,19 @@
     RetryAllowance, StatementId, Workload,
 };
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Micros = 1000;
 
-/// The window of the retry budget.
+/// Window of the retry budget.
 const RETRY_WINDOW: Micros = 10_000 * MS;
 
-/// A number.
+/// Parses a number; panics on anything else.
 pub fn number(text: &str) -> f64 {
     text.parse()
-        .unwrap_or_else(|_| panic!("'{text}' is no number"))
+        .unwrap_or_else(|_| panic!("'{text}' is not a number"))
 }
 
-/// A time in milliseconds.
+/// Parses a time in milliseconds.
 pub fn micros(text: &str) -> Micros {
     (number(text) * MS as f64) as Micros
 }
@@ -29,12 +30,12 @@
     text.split(',').map(number).collect()
 }
 
-/// Names, by the place in the order in which they are first met.
+/// Names, indexed in the order of first use.
 #[derive(Default)]
 pub struct Names(Vec<String>);
 
 impl Names {
-    /// The place of a name, which may be a new one.
+    /// The index of a name, which is added if it is new.
     pub fn index_of(&mut self, name: &str) -> usize {
         let index = self.0.iter().position(|n| n == name);
         index.unwrap_or_else(|| {
@@ -43,22 +44,22 @@
         })
     }
 
-    /// The place of a name that is known.
+    /// The index of a known name; `None` if the name is new.
     fn find(&self, name: &str) -> Option<usize> {
         self.0.iter().position(|n| n == name)
     }
 
-    /// The name at a place.
+    /// The name at an index.
     fn name_at(&self, index: usize) -> &str {
         &self.0[index]
     }
 }
 
-/// The `name=value` parts of a line; a bare word has the value "yes".
+/// The `name=value` options of a line; a bare word has the value "yes".
 pub struct Options<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Options<'a> {
-    /// Of these words.
+    /// Parses the options from words.
     pub fn of(words: &[&'a str]) -> Self {
         let parts = words.iter();
         Options(
@@ -93,16 +94,16 @@
     }
 }
 
-/// What `site` lines agree.
+/// The settings of `site` lines.
 pub struct Site {
-    /// The settings.
+    /// The agreement.
     pub agreement: Agreement,
     /// The seed of the random draws.
     pub seed: u64,
 }
 
 impl Site {
-    /// Takes in a `site` line.
+    /// Applies the options of a `site` line.
     pub fn set(&mut self, options: &Options) {
         for (name, value) in &options.0 {
             self.set_one(name, value);
@@ -154,7 +155,7 @@
     }
 }
 
-/// What a `workload` line agrees.
+/// The workload described by the options of a `workload` line.
 pub fn workload(options: &Options) -> Workload {
     Workload {
         importance: options.number_or("importance", 1.0),
@@ -182,21 +183,21 @@
     }
 }
 
-/// The names that a scenario uses.
+/// The names used in a scenario.
 #[derive(Default)]
 pub struct ScenarioNames {
-    /// Of workloads, in the order of the settings.
+    /// Names of workloads, in the order of the settings.
     pub workloads: Names,
-    /// Of engines.
+    /// Names of engines.
     pub engines: Names,
-    /// Of statements.
+    /// Names of statements.
     pub statements: Names,
-    /// Of order keys.
+    /// Names of order keys.
     pub keys: Names,
 }
 
 impl ScenarioNames {
-    /// What an `engine` line lists.
+    /// The list entry described by an `engine` line.
     pub fn engine(&mut self, name: &str, options: &Options) -> EngineEntry {
         EngineEntry {
             engine: self.engines.index_of(name),
@@ -214,7 +215,7 @@
         }
     }
 
-    /// The event of a line; None where it can't be read.
+    /// The event described by a line; `None` if the line is not valid.
     pub fn event(&mut self, words: &[&str]) -> Option<Event> {
         match words[0] {
             "take" => self.arrival(words),
@@ -320,7 +321,8 @@
         }))
     }
 
-    /// Each workload as `NAME=ASKED/ENDED/TIMELY`, each statement of a second on one thread.
+    /// The fleet demand with each workload as `NAME=ARRIVED/ENDED/TIMELY`. Each statement has one
+    /// second of work on one thread.
     fn fleet_demand(&self, options: &Options) -> Event {
         let demand = |name: &String| {
             let counts = options.get(name).unwrap_or_default();
@@ -345,7 +347,7 @@
         })
     }
 
-    /// An action as scenarios expect it; a wake has no text.
+    /// The text of an action in the notation; `None` for a wake.
     pub fn action(&self, action: &Action) -> Option<String> {
         let statement = |id: &StatementId| self.statements.name_at(*id as usize);
         let engine = |index: &usize| self.engines.name_at(*index);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,11 +1,14 @@
-//! Plays every file of `tests/scenarios`. A line is one or more of these, set apart by semicolons:
+//! Runs every file of `tests/scenarios` against the scheduler. A line holds one or more of these
+//! parts, separated by semicolons:
 //!
-//! - `site NAME VALUE ...` and `workload NAME ...` say what is agreed; `engine e1 kind=0 cores=8` lists one.
-//! - `at MS` moves the clock; the lines below it, up to the next, happen together at that time.
-//! - `> ...` is an action expected since the previous such line, in order; any other action fails the file.
-//!   Wakes are played at their time and not listed. A rejection or an abort names its reason.
-//! - `stall MS` moves the clock with no wakes, as for a front that stands still.
-//! - `penalty C DELTA = VALUE` asks for the penalty at a conformance.
+//! - `site NAME VALUE ...` and `workload NAME ...` set the agreement; `engine e1 kind=0 cores=8`
+//!   adds an entry to the next engine list.
+//! - `at MS` advances the clock. The events on the lines up to the next `at` happen together at
+//!   that time.
+//! - `> ...` is the next expected action, in order; any other action fails the file. Wakes are run
+//!   at their time and not listed. A rejection or an abort names its reason.
+//! - `stall MS` advances the clock without wakes, as for a stalled front.
+//! - `penalty C DELTA = VALUE` checks the penalty at a conformance.
 
 mod notation;
 
@@ -17,21 +20,21 @@
 
 use notation::{micros, number, workload, Options, ScenarioNames, Site, MS};
 
-/// The seed of a scenario that names none; those with several engines alike count on its choices.
+/// The seed of scenarios that set none. Scenarios with several equal engines depend on its draws.
 const SEED: u64 = 22;
 
-/// A scenario as it is played.
+/// The state of a running scenario.
 struct ScenarioRun {
     site: Site,
     names: ScenarioNames,
-    /// Engines to list next.
+    /// Entries of the next engine list.
     listed: Vec<EngineEntry>,
     scheduler: Option<Scheduler>,
     now: Micros,
     wake: Option<Micros>,
-    /// Events at this time that the scheduler hasn't been told.
+    /// Events at the current time that have not been passed to the scheduler.
     events: Vec<Event>,
-    /// Actions that no line has expected yet.
+    /// Returned actions that no line has matched yet.
     actions: Vec<String>,
 }
 
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Plays what has been gathered, and the wakes up to a time.
+    /// Passes the collected events to the scheduler and runs its wakes up to a time.
     fn run_to(&mut self, time: Micros) {
         if !self.events.is_empty() {
             self.decide();
@@ -86,7 +89,7 @@
         self.now = time;
     }
 
-    /// Takes in one part of a line, or says what is wrong.
+    /// Runs one part of a line. Returns a description of the first mismatch.
     fn run_line(&mut self, text: &str) -> Result<(), String> {
         let words: Vec<&str> = text.split_whitespace().collect();
         match words[..] {
@@ -120,16 +123,16 @@
             [">", ..] => return self.expect(&text[2..]),
             _ => {
                 if let Some(extra) = self.actions.first() {
-                    return Err(format!("unexpected before it: '{extra}'"));
+                    return Err(format!("unexpected action before this line: '{extra}'"));
                 }
-                let event = self.names.event(&words).ok_or("cannot be read")?;
+                let event = self.names.event(&words).ok_or("is not a valid event")?;
                 self.events.push(event);
             }
         }
         Ok(())
     }
 
-    /// The next action is this one, with or without its time.
+    /// Checks that the next action is the expected one, with or without its time.
     fn expect(&mut self, expected_text: &str) -> Result<(), String> {
         self.run_to(self.now);
         let got = if self.actions.is_empty() {
@@ -144,7 +147,7 @@
     }
 }
 
-/// What is wrong with a scenario; None where it holds.
+/// The first mismatch of a scenario; `None` if it passes.
 fn scenario_error(file: &Path) -> Option<String> {
     let name = file.file_name().unwrap().to_string_lossy();
     let text = fs::read_to_string(file).unwrap();
@@ -180,8 +183,8 @@
     assert!(errors.is_empty(), "\n{}", errors.join("\n"));
 }
 
-/// Every reason why a statement is rejected has a word of its own, the variant's name, which the page for on-call
-/// engineers explains, and a scenario that reaches it.
+/// Every reject reason has a unique name equal to its variant's name, an entry in the page for
+/// on-call engineers, and a scenario that reaches it.
 #[test]
 fn reject_reasons() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/");
