--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -46,8 +46,8 @@
     let is_dropped = |attempt: &Attempt| {
         let earlier = entries[attempt.engine].as_ref();
         let same_group = earlier.is_some_and(|e| at.deduplicates_with(e, workload.dedup_group));
-        let remembered = now - attempt.sent_at < workload.dedup_window;
-        same_group && at.mode == Mode::Ready && remembered
+        let within_window = now - attempt.sent_at < workload.dedup_window;
+        same_group && at.mode == Mode::Ready && within_window
     };
     statement
         .may_have_run()
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Default)]
 struct PeerLoad {
     /// The estimated load of peers on the engine.
-    held: Load,
+    load: Load,
     /// This front's load on the engine at the time of the report.
     local_load_at_report: Load,
     reported_at: Micros,
@@ -90,19 +90,19 @@
         let known = &self.engines[engine];
         let mut added = local_load;
         added.add(known.local_load_at_report, -1.0);
-        let mut peer_load = known.held;
+        let mut peer_load = known.load;
         peer_load.add(added, fronts - 1.0);
         peer_load
     }
 
     /// Clears the load of an engine that has restarted.
     pub fn reset(&mut self, engine: EngineId) {
-        self.engines[engine].held = Load::default();
+        self.engines[engine].load = Load::default();
     }
 
     /// Makes an engine count as full until its next report.
     pub fn assume_full(&mut self, engine: EngineId, threads: f64) {
-        self.engines[engine].held.threads = threads;
+        self.engines[engine].load.threads = threads;
     }
 
     /// Records an engine's load report. `typical` is the typical load of a statement.
@@ -114,7 +114,7 @@
             LimitScope::Pooled => 1.0,
             LimitScope::PerEngine => REPORT_WEIGHT,
         };
-        known.held.blend(reported, weight);
+        known.load.blend(reported, weight);
         if let Some(typical_peer_load) = at
             .kind
             .and_then(|kind| self.typical_peer_load.get_mut(kind))
@@ -149,7 +149,7 @@
         let threads = if active.is_some() {
             peer_statements * threads_each
         } else {
-            self.engines[at.engine].held.threads
+            self.engines[at.engine].load.threads
         };
         Load {
             threads,
@@ -164,7 +164,7 @@
         }
         for (engine, known) in self.engines.iter_mut().enumerate() {
             match self.scope {
-                LimitScope::PerEngine => known.held.blend(Load::default(), PEER_LOAD_DECAY),
+                LimitScope::PerEngine => known.load.blend(Load::default(), PEER_LOAD_DECAY),
                 LimitScope::Pooled => {
                     let (kind, cores) = shape(engine);
                     let each = kind
@@ -172,7 +172,7 @@
                         .copied();
                     let typical_peer_load = each.unwrap_or_default().times(cores);
                     known
-                        .held
+                        .load
                         .blend(typical_peer_load, PEER_LOAD_DRIFT_TO_TYPICAL);
                 }
             }
--- a/src/policy/stuck_attempts_tests.rs
+++ b/src/policy/stuck_attempts_tests.rs
@@ -18,10 +18,13 @@
 
 #[test]
 fn with_progress_reports_an_attempt_is_silent_after_one_and_a_half_intervals() {
-    let noted = attempt(Some(SECOND));
+    let reporting = attempt(Some(SECOND));
     let silent = SilenceOutcome::Silent(Charge::Unreachable);
-    assert_eq!(check_silence(&noted, 0, 1_500_000), SilenceOutcome::Active);
-    assert_eq!(check_silence(&noted, 0, 1_500_001), silent);
+    assert_eq!(
+        check_silence(&reporting, 0, 1_500_000),
+        SilenceOutcome::Active
+    );
+    assert_eq!(check_silence(&reporting, 0, 1_500_001), silent);
 }
 
 #[test]
@@ -35,28 +38,28 @@
     assert_eq!(check_silence(&without, 0, 3 * SECOND + 1), silent);
     // Any answer of the engine counts as a sign of life of the attempt.
     let engine_last_seen = SECOND;
-    let heard = InFlightAttempt {
+    let seen = InFlightAttempt {
         engine_last_seen,
         ..without
     };
-    let outcome = check_silence(&heard, 0, 3 * SECOND + 1);
+    let outcome = check_silence(&seen, 0, 3 * SECOND + 1);
     assert_eq!(outcome, SilenceOutcome::Active);
 }
 
 #[test]
 fn an_engine_seen_since_is_charged_for_one_failed_attempt_only() {
-    let heard = InFlightAttempt {
+    let seen = InFlightAttempt {
         engine_last_seen: SECOND,
         ..attempt(Some(SECOND))
     };
-    let outcome = check_silence(&heard, 0, 2 * SECOND);
+    let outcome = check_silence(&seen, 0, 2 * SECOND);
     assert_eq!(outcome, SilenceOutcome::Silent(Charge::Failed));
 }
 
 #[test]
 fn silence_during_a_stall_of_this_front_does_not_count() {
-    let noted = attempt(Some(SECOND));
-    let outcome = check_silence(&noted, 9 * SECOND, 10 * SECOND);
+    let reporting = attempt(Some(SECOND));
+    let outcome = check_silence(&reporting, 9 * SECOND, 10 * SECOND);
     assert_eq!(outcome, SilenceOutcome::Active);
 }
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -159,14 +159,10 @@
 
     /// Processes the events since the last call at the time `now` and returns the actions, in
     /// order.
-    pub fn decide(
-        &mut self,
-        now: Micros,
-        happened: impl IntoIterator<Item = Event>,
-    ) -> Vec<Action> {
+    pub fn decide(&mut self, now: Micros, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         self.clock.advance(now);
         self.start();
-        for event in happened {
+        for event in events {
             self.observe(event);
         }
         self.expire();
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -224,13 +224,13 @@
         let first_sent = statement.attempts.first().map(|attempt| attempt.sent_at);
         let window_end = first_sent.map_or(0, |sent| sent + self.workload(statement).dedup_window);
         let paused_until = self.order_queues.paused_until(statement.arrival.order_key);
-        let urgency_changes = [
+        let check_times = [
             timing.last_timely_start(),
             timing.latest_start(),
             paused_until,
             window_end,
         ];
-        let next = urgency_changes.into_iter().filter(|at| *at > now).min();
+        let next = check_times.into_iter().filter(|at| *at > now).min();
         self.queues
             .schedule_check(next.map_or(rejection, |at| at.min(rejection)), id);
         self.dequeue(id);
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -126,8 +126,8 @@
 
     /// Removes a statement that is closed and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: StatementId) {
-        let done = |statement: &Statement| statement.closed && !statement.is_in_flight();
-        if self.statements.get(&id).is_some_and(done) {
+        let is_finished = |statement: &Statement| statement.closed && !statement.is_in_flight();
+        if self.statements.get(&id).is_some_and(is_finished) {
             self.statements.remove(&id);
         }
     }
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -199,7 +199,7 @@
         if let Some(report) = &ended.report {
             self.on_load_report(engine, report);
         }
-        self.learn_from(&ended, load, was_silent, unreachable);
+        self.update_engine_evidence(&ended, load, was_silent, unreachable);
         if was_closed {
             self.remove_if_finished(ended.statement);
             self.enqueue_first_in_order(key);
@@ -223,7 +223,7 @@
     }
 
     /// Updates what is known of an engine from the outcome of an attempt.
-    fn learn_from(
+    fn update_engine_evidence(
         &mut self,
         ended: &ExecutionEnded,
         load: Load,
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -33,7 +33,7 @@
             self.load_reports
                 .decay(|engine| (engines.kind(engine), engines.size[engine].threads));
             for engine in 0..self.engines.open.len() {
-                self.cancel_silent(engine);
+                self.handle_silent_attempts(engine);
             }
         }
     }
@@ -91,7 +91,7 @@
 
     /// Charges an engine for attempts that have been silent for too long, and cancels those that
     /// may be retried.
-    fn cancel_silent(&mut self, engine: EngineId) {
+    fn handle_silent_attempts(&mut self, engine: EngineId) {
         let in_flight = self.engines.in_flight[engine].iter();
         let stuck: Vec<StuckAttempt> = in_flight
             .filter_map(|attempt| self.stuck_attempt(*attempt, engine))
