--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -1,6 +1,6 @@
 //! The end of executions and statements, and the removal of statements that are finished.
 
-use hallmux::interface::{Ended, Event, Micros, Report};
+use hallmux::interface::{Event, ExecutionEnded, LoadReport, Micros};
 
 use crate::ledger_events::{LedgerEvent, StatementFinished};
 use crate::{Deadline, Dispatcher, Ending, Ticket};
@@ -15,7 +15,7 @@
         ticket: Ticket,
         execution: usize,
         ending: Ending,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> bool {
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return false;
@@ -31,7 +31,7 @@
         statement.finished |= ends_statement;
         let settled = statement.finished;
         let keeps_order_key = ends_statement && self.share_order_key(ticket, ending);
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::ExecutionEnded(ExecutionEnded {
             statement: ticket,
             execution,
             engine,
@@ -79,7 +79,7 @@
         let is_undecided = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
         match self.events.iter().position(is_undecided) {
             Some(index) => _ = self.events.remove(index),
-            None => self.events.push(Event::ClientLeft(ticket)),
+            None => self.events.push(Event::StatementWithdrawn(ticket)),
         }
         self.remove_if_finished(now, ticket);
     }
@@ -90,7 +90,7 @@
         let Some(key) = self.order_keys.id(name) else {
             return;
         };
-        self.events.push(Event::OrderKeyFreed {
+        self.events.push(Event::OrderKeyReleased {
             key,
             pauses: may_still_run,
         });
--- a/crates/dispatcher/src/demand_tests.rs
+++ b/crates/dispatcher/src/demand_tests.rs
@@ -38,7 +38,7 @@
     assert_eq!(counts(&mut dispatcher, 2_000_000)[0], (0.5, 0.52, 0.52));
     // The fleet admits no lookup, so the statement is rejected on arrival.
     let no_answers = Demand {
-        asked: 100.0,
+        arrived: 100.0,
         ended: 0.0,
         timely: 0.0,
         work: 1.0,
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -1,7 +1,7 @@
 //! The engine list. Each engine has an index, which it keeps while it is listed or has executions
 //! in flight.
 
-use hallmux::interface::{EngineEntry, Event, Micros, Mode, Report};
+use hallmux::interface::{EngineEntry, Event, LoadReport, Micros, Mode};
 
 use crate::engine_stats::EngineStats;
 use crate::request::Protocol;
@@ -100,8 +100,8 @@
     /// Applies the engine list or changes of it. Returns the index of each entry's engine, in the
     /// order of the entries.
     pub fn update_engines(&mut self, scope: ListScope, listings: &[Listing]) -> Vec<EngineIndex> {
-        let whole = scope == ListScope::Full;
-        if whole {
+        let complete = scope == ListScope::Full;
+        if complete {
             self.mark_missing_as_gone(listings);
         }
         let mut entries = Vec::new();
@@ -121,7 +121,7 @@
             entries.push(entry);
         }
         let indices = entries.iter().map(|entry| entry.engine).collect();
-        self.events.push(Event::Engines { whole, entries });
+        self.events.push(Event::EngineList { complete, entries });
         indices
     }
 
@@ -192,7 +192,7 @@
         now: Micros,
         engine_index: EngineIndex,
         alive: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         if let Some(engine) = self.engines.get_mut(engine_index).filter(|_| alive) {
             engine.stats.decay(now);
--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -1,7 +1,7 @@
 //! Executions: the attempts of a statement at engines, each from the command that sends it until
 //! its end.
 
-use hallmux::interface::{Event, Micros, Note};
+use hallmux::interface::{Event, Micros, ProgressReport};
 
 use crate::{Dispatcher, Ending, EngineIndex, Ticket};
 
@@ -68,18 +68,18 @@
 
     /// Passes a progress report on an execution to the scheduler. Ignored if the execution is not
     /// in flight.
-    pub fn note(&mut self, ticket: Ticket, execution: usize, note: Note) {
+    pub fn note(&mut self, ticket: Ticket, execution: usize, progress: ProgressReport) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
         let Some(noted) = statement.execution_in_flight(execution) else {
             return;
         };
-        self.events.push(Event::Noted {
+        self.events.push(Event::Progress {
             statement: ticket,
             execution,
             engine: noted.engine,
-            note,
+            progress,
         });
     }
 
@@ -104,11 +104,11 @@
         self.engines[changed.engine].change_held(now, changed.held, held);
         changed.held = held;
         changed.sent = now;
-        self.events.push(Event::Noted {
+        self.events.push(Event::Progress {
             statement: ticket,
             execution,
             engine: changed.engine,
-            note: Note::NotSentYet,
+            progress: ProgressReport::NotSentYet,
         });
     }
 }
--- a/crates/dispatcher/src/ledger_events.rs
+++ b/crates/dispatcher/src/ledger_events.rs
@@ -145,7 +145,7 @@
         statement.finished = true;
         let held: Vec<usize> = statement.in_flight().collect();
         if held.is_empty() {
-            self.events.push(Event::ClientLeft(ticket));
+            self.events.push(Event::StatementWithdrawn(ticket));
             self.remove_if_finished(now, ticket);
         }
         for execution in held {
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -59,7 +59,9 @@
 pub use ending::Ending;
 pub use engines::{ListScope, Listing};
 pub use executions::Terms;
-pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
+pub use hallmux::interface::{
+    DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, ProgressReport,
+};
 pub use ledger_events::{LedgerEvent, Site, StatementArrived, StatementFinished};
 pub use observations::{EngineObservation, Recovery};
 pub use reject_cause::RejectCause;
@@ -132,7 +134,7 @@
             scheduler: Scheduler::new(agreement.clone(), seed),
             names: settings.names.clone(),
             workloads: agreement.workloads.clone(),
-            warm_up_time: agreement.warm_within,
+            warm_up_time: agreement.warm_up_time,
             next_wake: 0,
             events: Vec::new(),
             next_ticket: 0,
@@ -145,7 +147,7 @@
             customer_demand,
             ledger_events: Vec::new(),
             watched_ends: Vec::new(),
-            max_retry_after: agreement.longest_retry_after,
+            max_retry_after: agreement.max_retry_after,
         }
     }
 
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -178,7 +178,7 @@
 fn relative_load(local_work: f64, workloads: &[Demand], fronts: usize) -> f64 {
     let total: f64 = workloads
         .iter()
-        .map(|demand| demand.work * demand.asked)
+        .map(|demand| demand.work * demand.arrived)
         .sum();
     let mean = total / fronts.max(1) as f64;
     if mean > 0.0 {
@@ -209,7 +209,7 @@
         .filter(|load| load.service_us > 0)
         .map(|load| f64::from(load.service_us));
     Demand {
-        asked: capped_sum(reports, hash, |load| load.requested),
+        arrived: capped_sum(reports, hash, |load| load.requested),
         ended: completed,
         timely: capped_sum(reports, hash, |load| load.on_time).min(completed),
         work: median(service_us.collect()),
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use hallmux::interface::{Micros, Report};
+use hallmux::interface::{LoadReport, Micros};
 use hallmux_config::micros;
 
 use crate::error::LineError;
@@ -89,7 +89,7 @@
     }
 
     /// The load report of an engine; None if the line has none.
-    pub fn load_report(&self) -> Result<Option<Report>, LineError> {
+    pub fn load_report(&self) -> Result<Option<LoadReport>, LineError> {
         let Some(text) = self
             .find(field::LOAD_REPORT)
             .filter(|text| !text.is_empty())
@@ -97,7 +97,7 @@
             return Ok(None);
         };
         let figure = |text: &str| text.parse::<f64>().ok().filter(|value| value.is_finite());
-        let report: Option<Report> = text.split(',').map(figure).collect();
+        let report: Option<LoadReport> = text.split(',').map(figure).collect();
         let unreadable = || LineError::UnreadableField {
             field: field::LOAD_REPORT,
             value: text.to_string(),
--- a/crates/simulator-adapter/src/simulated_front.rs
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -4,7 +4,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux::interface::{
-    Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
+    Action, Agreement, Arrival, EngineEntry, Event, ExecutionEnded, Micros, Mode, Outcome,
+    ProgressReport,
 };
 use hallmux::Scheduler;
 
@@ -64,13 +65,13 @@
 }
 
 /// Reads a progress report; None if its kind is unknown.
-fn note(line: &Line) -> Result<Option<Note>, LineError> {
+fn note(line: &Line) -> Result<Option<ProgressReport>, LineError> {
     let figure = line.number_or(field::NOTE_FIGURE, 0.0)?;
     let note = match line.field::<u32>(field::NOTE_KIND)? {
-        value::SHARE_DONE => Note::ShareDone(figure),
-        value::SPILLS_MB => Note::SpillsMb(figure),
-        value::WAITS if figure == 1.0 => Note::WaitsForMemory,
-        value::WAITS => Note::WaitsForData,
+        value::SHARE_DONE => ProgressReport::ShareDone(figure),
+        value::SPILLS_MB => ProgressReport::SpillsMb(figure),
+        value::WAITS if figure == 1.0 => ProgressReport::WaitsForMemory,
+        value::WAITS => ProgressReport::WaitsForData,
         _ => return Ok(None),
     };
     Ok(Some(note))
@@ -155,7 +156,7 @@
             input::ARRIVAL => Some(self.arrived(line)?),
             input::EXECUTION_ENDED => self.ended(line)?,
             input::NOTE => self.noted(line)?,
-            input::CLIENT_LEFT => self.statement_index(line)?.map(Event::ClientLeft),
+            input::CLIENT_LEFT => self.statement_index(line)?.map(Event::StatementWithdrawn),
             input::WAKE => Some(Event::Woken),
             input::ENGINE_LIST => Some(self.listed(line, lists)?),
             input::PROBE_ENDED => Some(self.probed(line)?),
@@ -179,10 +180,10 @@
         line: &Line,
         lists: &BTreeMap<u32, Vec<ListedEngine>>,
     ) -> Result<Event, LineError> {
-        let whole = match line.field::<String>(field::LIST_FORM)?.as_str() {
+        let complete = match line.field::<String>(field::LIST_FORM)?.as_str() {
             value::CHANGES => false,
             value::FULL | value::CACHED => true,
-            value::FAILED => return Ok(Event::ListFailed),
+            value::FAILED => return Ok(Event::EngineListFailed),
             other => return Err(unknown_value(field::LIST_FORM, other)),
         };
         let number: u32 = line.field(field::LIST)?;
@@ -194,7 +195,7 @@
                 ..listed.entry.clone()
             });
         }
-        Ok(Event::Engines { whole, entries })
+        Ok(Event::EngineList { complete, entries })
     }
 
     fn arrived(&mut self, line: &Line) -> Result<Event, LineError> {
@@ -230,7 +231,7 @@
         };
         let outcome = outcome(line)?;
         line.optional::<u64>(field::COST)?;
-        Ok(Some(Event::Ended(Ended {
+        Ok(Some(Event::ExecutionEnded(ExecutionEnded {
             statement,
             execution: line.field(field::EXECUTION)?,
             engine: self.line_engine_index(line)?,
@@ -248,14 +249,14 @@
         let Some(statement) = self.statement_index(line)? else {
             return Ok(None);
         };
-        let Some(note) = note(line)? else {
+        let Some(progress) = note(line)? else {
             return Ok(None);
         };
-        Ok(Some(Event::Noted {
+        Ok(Some(Event::Progress {
             statement,
             execution: line.field(field::EXECUTION)?,
             engine: self.line_engine_index(line)?,
-            note,
+            progress,
         }))
     }
 
--- a/src/policy/outliers_tests.rs
+++ b/src/policy/outliers_tests.rs
@@ -1,4 +1,4 @@
-//! How far an engine is trusted.
+//! Tests of trust and ejection.
 
 use crate::interface::Outcome;
 
@@ -11,18 +11,18 @@
 }
 
 #[test]
-fn a_new_engine_is_trusted_and_one_failure_ends_that() {
+fn a_new_engine_is_trusted_until_its_first_failure() {
     let mut outliers = one_engine();
     assert!(outliers.is_trusted(0));
     outliers.charge(0, Charge::Failed, 0);
     assert!(!outliers.is_trusted(0) && !outliers.is_ejected(0, 0));
     assert!(outliers.limit_share(0) < 1.0);
-    outliers.answered(0);
+    outliers.record_answer(0);
     assert!(outliers.is_trusted(0));
 }
 
 #[test]
-fn an_engine_that_seems_gone_is_ejected_for_a_time() {
+fn an_unreachable_engine_is_ejected_for_the_ejection_time() {
     let mut outliers = one_engine();
     outliers.charge(0, Charge::Unreachable, 5);
     assert!(outliers.is_ejected(0, 5 + EJECTION_TIME - 1));
@@ -30,27 +30,27 @@
 }
 
 #[test]
-fn two_connections_in_a_row_that_fail_mean_that_it_is_gone() {
+fn two_consecutive_connection_failures_mark_an_engine_unreachable() {
     let mut outliers = one_engine();
-    let first = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    let first = outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     assert_eq!(first.charge(Outcome::Unreachable), Charge::Failed);
     assert!(!first.may_have_restarted());
-    let second = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    let second = outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     assert_eq!(second.charge(Outcome::Unreachable), Charge::Unreachable);
     assert!(second.may_have_restarted());
-    // The first that comes back says so once more: it may have restarted meanwhile.
-    let back = outliers.attempt_ended(0, Outcome::Completed, 0);
+    // The first answer after the failures still reports a possible restart.
+    let back = outliers.record_attempt_end(0, Outcome::Completed, 0);
     assert!(back.may_have_restarted());
-    let next = outliers.attempt_ended(0, Outcome::Completed, 0);
+    let next = outliers.record_attempt_end(0, Outcome::Completed, 0);
     assert!(!next.may_have_restarted());
 }
 
 #[test]
-fn what_says_nothing_of_the_engine_keeps_the_streak() {
+fn an_execution_that_was_not_sent_keeps_the_unreachable_streak() {
     let mut outliers = one_engine();
-    outliers.attempt_ended(0, Outcome::Unreachable, 0);
-    outliers.attempt_ended(0, Outcome::NotSent, 0);
-    let again = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    outliers.record_attempt_end(0, Outcome::Unreachable, 0);
+    outliers.record_attempt_end(0, Outcome::NotSent, 0);
+    let again = outliers.record_attempt_end(0, Outcome::Unreachable, 0);
     assert!(again.may_have_restarted());
 }
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,5 +1,6 @@
-//! The scheduler joins the rules: it observes what happened, ends what can't be served any more, admits what arrived
-//! and dispatches what is held. `docs/design.md` says what is the paper's and what is ours.
+//! The scheduler combines the policy rules. It processes events, ends statements that can no
+//! longer be served, admits arrivals and dispatches held statements. `docs/design.md` separates
+//! what follows the paper from extensions.
 
 mod admit;
 mod candidates;
@@ -32,18 +33,18 @@
 use crate::statement::Statement;
 use crate::statement_queues::StatementQueues;
 
-/// Time between looks at what is due; finer than any slack agreed.
+/// Time between sweeps; shorter than any slack in the settings.
 const SWEEP_INTERVAL: Micros = 25_000;
-/// Time between two calls from which this front stood still.
+/// Time between two calls above which this front counts as stalled.
 const STALL_THRESHOLD: Micros = 4 * SWEEP_INTERVAL;
 
-/// The decisions of one front: what was agreed, what it knows, and the rules with their state.
+/// The scheduler of one front: its settings, what it knows, and the rules with their state.
 #[derive(Default)]
 pub struct Scheduler {
-    agreed: Agreement,
+    agreement: Agreement,
     random: Random,
     clock: Clock,
-    /// What is to be done, in order.
+    /// Actions to return from the current call, in order.
     actions: Vec<Action>,
     engines: EngineTable,
     statements: BTreeMap<StatementId, Statement>,
@@ -60,39 +61,40 @@
     load_reports: LoadReports,
     peer_evidence: PeerEvidence,
     health_checks: HealthChecks,
-    /// New connections a second to each engine, as last ordered.
-    connection_pace: Option<f64>,
-    /// Where in the list of engines the next search starts, 0 to 1.
+    /// New connections per second to each engine, as last set.
+    connection_rate: Option<f64>,
+    /// Where the next search in the list of engines starts, 0 to 1.
     placement_start: f64,
 }
 
-/// The time, as the caller tells it.
+/// The clock readings passed by the caller.
 #[derive(Default)]
 struct Clock {
     now: Micros,
-    /// The time since the last call.
-    gap: Micros,
-    /// Since when this front has not stood still.
+    /// The time between the previous call and this one.
+    since_last_call: Micros,
+    /// The end of this front's last stall.
     running_since: Micros,
-    /// When it was first called.
+    /// When the scheduler was first called.
     started: Option<Micros>,
     next_sweep: Micros,
     sweeps: u32,
 }
 
 impl Clock {
-    /// Guards against a front that stood still: what it finds is old, and its silence is nobody's fault.
+    /// Advances the clock and detects a stall. After a stall, events are old, and the silence of
+    /// engines during it is not their fault.
     fn advance(&mut self, now: Micros) {
-        self.gap = now - self.now;
+        self.since_last_call = now - self.now;
         self.now = now;
-        if self.gap > STALL_THRESHOLD {
+        if self.since_last_call > STALL_THRESHOLD {
             self.running_since = now;
         }
     }
 
-    /// The time for which this front stood still just now, if it did.
-    fn stalled_for(&self) -> Option<Micros> {
-        (self.running_since == self.now).then_some(self.gap)
+    /// The length of a stall that ended with this call, if any.
+    fn stall_duration(&self) -> Option<Micros> {
+        (self.running_since == self.now).then_some(self.since_last_call)
     }
 
     fn just_started(&self) -> bool {
@@ -104,71 +106,75 @@
     }
 }
 
-/// The fronts of the fleet.
+/// The fleet as known to this front.
 #[derive(Default)]
 struct Fleet {
-    /// Fronts that may send to an engine: silent ones too, no fewer than agreed.
+    /// Fronts that may send to an engine. Silent fronts count too, and the number is never below
+    /// the agreed one.
     known: f64,
-    /// Fronts that share the health checks of evacuated zones; infinite where another front does that work.
+    /// Fronts that share the health checks of evacuated zones; infinite if other fronts do all of
+    /// them.
     probers: f64,
-    /// The demand on this front against the mean; 0 where it hears of no others.
+    /// The demand on this front relative to the mean of all fronts; 0 if no peer's demand is
+    /// known.
     relative_demand: f64,
 }
 
 impl Scheduler {
-    /// A front at its start. All its random draws follow from the seed, which differs from front to front.
-    pub fn new(agreed: Agreement, seed: u64) -> Self {
-        let workloads = agreed.workloads.len();
+    /// Creates the scheduler of a front that starts. The seed determines all random draws and must
+    /// differ between fronts.
+    pub fn new(agreement: Agreement, seed: u64) -> Self {
+        let workloads = agreement.workloads.len();
         let mut random = Random::new(seed);
         let placement_start = random.next();
         let first_probe = random.next();
-        let limits = ConcurrencyLimits::new(&agreed);
-        let load_reports =
-            LoadReports::new(agreed.report.clone(), limits.scope(), agreed.cores.len());
+        let limits = ConcurrencyLimits::new(&agreement);
+        let load_reports = LoadReports::new(
+            agreement.report.clone(),
+            limits.scope(),
+            agreement.cores.len(),
+        );
         Scheduler {
-            queues: StatementQueues::new(workloads, agreed.customers.len()),
+            queues: StatementQueues::new(workloads, agreement.customers.len()),
             fleet: Fleet {
-                known: agreed.fronts,
-                probers: agreed.fronts,
+                known: agreement.fronts,
+                probers: agreement.fronts,
                 relative_demand: 0.0,
             },
             estimates: Estimates::new(workloads),
             client_retries: ClientRetries::new(workloads),
-            admission: Admission::new(&agreed),
-            retry_budget: RetryBudget::new(&agreed),
-            slow_start: SlowStart::new(&agreed, placement_start),
+            admission: Admission::new(&agreement),
+            retry_budget: RetryBudget::new(&agreement),
+            slow_start: SlowStart::new(&agreement, placement_start),
             limits,
             load_reports,
-            peer_evidence: PeerEvidence::new(agreed.zone_quorum),
-            health_checks: HealthChecks::new(&agreed, placement_start, first_probe),
+            peer_evidence: PeerEvidence::new(agreement.zone_quorum),
+            health_checks: HealthChecks::new(&agreement, placement_start, first_probe),
             placement_start,
             random,
-            agreed,
+            agreement,
             ..Scheduler::default()
         }
     }
 
-    /// Takes the clock and what has happened since the last call; returns what is to be done, in order.
-    pub fn decide(
-        &mut self,
-        now: Micros,
-        happened: impl IntoIterator<Item = Event>,
-    ) -> Vec<Action> {
+    /// Processes the events since the last call at the time `now` and returns the actions, in
+    /// order.
+    pub fn decide(&mut self, now: Micros, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         self.clock.advance(now);
         self.start();
-        for event in happened {
+        for event in events {
             self.observe(event);
         }
         self.expire();
         self.sweep();
         self.dispatch();
-        self.pace_connections();
-        self.retry_budget.forget_old(now);
+        self.update_connection_rate();
+        self.retry_budget.prune(now);
         self.schedule_sweep();
         std::mem::take(&mut self.actions)
     }
 
-    /// The first call subscribes to the engine list.
+    /// Subscribes to the engine list on the first call.
     fn start(&mut self) {
         if self.clock.started.is_none() {
             self.clock.started = Some(self.clock.now);
@@ -177,7 +183,7 @@
     }
 
     fn subscribe(&mut self) {
-        if self.agreed.subscribe {
+        if self.agreement.subscribe {
             self.actions.push(Action::Subscribe);
         }
     }
@@ -191,9 +197,9 @@
         }
     }
 
-    /// Makes place for an engine in all state that is kept by engine.
+    /// Extends all state that is kept per engine to include an engine.
     fn ensure_engine(&mut self, engine: EngineId) {
-        self.engines.ensure(engine);
+        self.engines.grow_to_include(engine);
         let count = self.engines.open.len();
         self.slow_start.resize(count);
         self.outliers.resize(count);
@@ -203,6 +209,6 @@
     }
 
     fn workload(&self, statement: &Statement) -> &Workload {
-        &self.agreed.workloads[statement.asked.workload]
+        &self.agreement.workloads[statement.arrival.workload]
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,18 +1,19 @@
-//! In which order held statements leave, and how one is sent.
+//! Dispatch of held statements: their order, and how one is sent.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
 use crate::engine_table::AttemptId;
 use crate::interface::{Action, EngineId, KeyId, RejectReason, StatementId};
-use crate::policy::deadlines::rejected_at;
+use crate::policy::deadlines::rejection_time;
 use crate::policy::estimates::Estimates;
 use crate::policy::penalty::penalty;
 use crate::statement::{Attempt, Statement};
 
 use super::Scheduler;
 
-/// Statements tried of a class, of the overdue and of the late; the next mostly need as much.
+/// Statements tried per class, and per queue of overdue and late statements. Those further back
+/// mostly need as much capacity.
 const MAX_CANDIDATES_PER_CLASS: usize = 8;
 /// Priority of a statement past its latest start.
 const PRIORITY_OVERDUE: u8 = 3;
@@ -21,13 +22,13 @@
 /// Priority of a class in the top level.
 const PRIORITY_TOP: u8 = 0;
 
-/// A class that has held statements, perhaps.
+/// A service class and its penalty. The class may have no held statements.
 struct WaitingClass {
     penalty: f64,
     class: usize,
 }
 
-/// The first held statements, in the order of arrival.
+/// The first held statements of a queue, in the order of arrival.
 fn candidates(held: &BTreeSet<StatementId>) -> Vec<StatementId> {
     held.iter()
         .copied()
@@ -36,37 +37,39 @@
 }
 
 impl Scheduler {
-    /// Lets held statements leave: those past their latest start, then by penalty, then those that must be late.
+    /// Sends held statements: first those past their latest start, then timely ones by penalty,
+    /// then late ones if no timely one is held.
     pub(super) fn dispatch(&mut self) {
         self.dispatch_overdue();
         self.dispatch_by_penalty();
-        if !self.queues.any_ready() {
+        if !self.queues.has_timely() {
             for id in candidates(&self.queues.late) {
                 self.try_dispatch(id);
             }
         }
     }
 
-    /// Past its latest start a statement could only be answered after its client gives up: now or never.
+    /// Sends or rejects each overdue statement. If sent later, it would be answered after its
+    /// client stops waiting.
     fn dispatch_overdue(&mut self) {
         let overdue = candidates(&self.queues.overdue);
-        let stuck: Vec<StatementId> = overdue
+        let unplaced: Vec<StatementId> = overdue
             .into_iter()
             .filter(|id| !self.try_dispatch(*id))
             .collect();
-        for id in stuck {
+        for id in unplaced {
             self.reject(id, RejectReason::NoCapacityAtLatestStart);
         }
     }
 
-    /// Statements leave by their class's penalty, ties in the order of arrival.
+    /// Sends timely statements by their class's penalty; ties are resolved by arrival.
     fn dispatch_by_penalty(&mut self) {
         let mut waiting = self.classes_by_penalty();
         while let Some(class) = self.most_urgent(&waiting) {
-            let sent = candidates(&self.queues.classes[class].ready)
+            let sent = candidates(&self.queues.classes[class].timely)
                 .into_iter()
                 .any(|id| self.try_dispatch(id));
-            if !sent || self.queues.classes[class].ready.is_empty() {
+            if !sent || self.queues.classes[class].timely.is_empty() {
                 waiting.retain(|waiting| waiting.class != class);
             }
         }
@@ -76,7 +79,7 @@
         let mut waiting = Vec::new();
         for class in 0..self.queues.classes.len() {
             let conformance = &mut self.queues.classes[class].conformance;
-            conformance.fade(self.clock.now);
+            conformance.decay(self.clock.now);
             let conformance = conformance.share();
             let workload = self.queues.workload_of(class);
             let weight = self.class_weight(workload, self.queues.share_of(class));
@@ -86,9 +89,10 @@
         waiting
     }
 
-    /// The class of the highest penalty; of those alike the one whose statement arrived first.
+    /// The class with the highest penalty; of equal ones the one whose first statement arrived
+    /// earliest.
     fn most_urgent(&self, waiting: &[WaitingClass]) -> Option<usize> {
-        let oldest = |class: usize| Reverse(self.queues.classes[class].ready.first().copied());
+        let oldest = |class: usize| Reverse(self.queues.classes[class].timely.first().copied());
         let by_urgency = |a: &&WaitingClass, b: &&WaitingClass| {
             let by_penalty = a.penalty.total_cmp(&b.penalty);
             by_penalty.then(oldest(a.class).cmp(&oldest(b.class)))
@@ -97,16 +101,16 @@
         first.map(|waiting| waiting.class)
     }
 
-    /// Sends a statement, if an engine may have it now: whether it was sent.
+    /// Sends a statement if an eligible engine has capacity. Returns whether it was sent.
     fn try_dispatch(&mut self, id: StatementId) -> bool {
-        let Some(engine) = self.place(id) else {
+        let Some(engine) = self.choose_engine(id) else {
             return false;
         };
         self.send(id, engine);
         true
     }
 
-    /// Sends a statement to an engine and counts the attempt.
+    /// Sends a statement to an engine and records the attempt.
     fn send(&mut self, id: StatementId, engine: EngineId) {
         self.dequeue(id);
         self.placement_start = self.random.next();
@@ -116,14 +120,14 @@
         let (class, load) = (statement.class, statement.load);
         let latest_start = self.latest_start(statement);
         let slow_start = self.check_slow_start(engine, statement);
-        self.slow_start.sent(engine, slow_start, now);
-        self.order_execution(id, engine, priority);
+        self.slow_start.record_sent(engine, slow_start, now);
+        self.push_execution(id, engine, priority);
         let Some(statement) = self.statements.get_mut(&id) else {
             return;
         };
         let number = statement.attempts.len();
         if number > 0 {
-            self.retry_budget.retried(now);
+            self.retry_budget.record_retry(now);
         }
         let attempt = AttemptId {
             statement: id,
@@ -134,18 +138,18 @@
         statement.attempts.push(Attempt {
             engine,
             sent_at: now,
-            heard_at: now,
+            last_seen: now,
             ..Attempt::default()
         });
         self.queues.classes[class].in_flight.insert(id);
-        self.queues.due_at(latest_start.max(now + 1), id);
+        self.queues.schedule_check(latest_start.max(now + 1), id);
     }
 
-    /// The orders that send a statement.
-    fn order_execution(&mut self, id: StatementId, engine: EngineId, priority: u8) {
+    /// Adds the actions that send a statement.
+    fn push_execution(&mut self, id: StatementId, engine: EngineId, priority: u8) {
         let grant_mb = self.memory_grant(&self.statements[&id], engine);
-        if self.agreed.priorities || grant_mb > 0.0 {
-            self.actions.push(Action::Terms {
+        if self.agreement.priorities || grant_mb > 0.0 {
+            self.actions.push(Action::SetResources {
                 statement: id,
                 grant_mb,
                 priority,
@@ -157,11 +161,11 @@
         });
     }
 
-    /// The memory that an engine is to grant, in MB; 0 leaves it to the engine.
+    /// The memory that an engine should grant, in MB; 0 leaves the amount to the engine.
     fn memory_grant(&self, statement: &Statement, engine: EngineId) -> f64 {
-        let most = self.engines.size[engine].memory * self.agreed.largest_grant;
-        if self.agreed.grants && statement.asked.memory_mb > 0.0 {
-            Estimates::memory_grant(statement.load.memory, most)
+        let max_grant = self.engines.size[engine].memory * self.agreement.max_grant_share;
+        if self.agreement.grants && statement.arrival.memory_mb > 0.0 {
+            Estimates::memory_grant(statement.load.memory, max_grant)
         } else {
             0.0
         }
@@ -181,19 +185,19 @@
         }
     }
 
-    /// Tells the engine of a statement in flight when its priority has changed.
+    /// Sends the priority of a statement in flight to its engine if it has changed.
     pub(super) fn update_priority(&mut self, id: StatementId) {
         let priority = self.priority(id);
         let Some(statement) = self
             .statements
             .get_mut(&id)
-            .filter(|statement| !statement.over)
+            .filter(|statement| !statement.closed)
         else {
             return;
         };
-        if statement.priority != priority && self.agreed.priorities {
+        if statement.priority != priority && self.agreement.priorities {
             statement.priority = priority;
-            self.actions.push(Action::Terms {
+            self.actions.push(Action::SetResources {
                 statement: id,
                 grant_mb: 0.0,
                 priority,
@@ -201,45 +205,47 @@
         }
     }
 
-    /// A statement waits in the queue of its standing, if it is its turn, until its standing changes next.
+    /// Puts a held statement into the queue of its urgency if it is first in the order of its key,
+    /// and schedules its next check.
     pub(super) fn enqueue(&mut self, id: StatementId) {
-        let waits = |statement: &&Statement| !statement.over && !statement.is_in_flight();
-        let Some(statement) = self.statements.get(&id).filter(waits) else {
+        let is_held = |statement: &&Statement| !statement.closed && !statement.is_in_flight();
+        let Some(statement) = self.statements.get(&id).filter(is_held) else {
             return;
         };
         let now = self.clock.now;
         let (class, request) = (statement.class, self.shed_request(statement));
         let timing = request.timing;
         let is_first = self.is_first_in_order(id, statement);
-        // Once it is to be shed it is due now; till then when its standing changes next.
-        let ends = match request.reason(now) {
+        // A statement to be shed is checked at once, any other when its urgency changes next.
+        let rejection = match request.reason(now) {
             Some(_) => now,
-            None => rejected_at(statement.deadline),
+            None => rejection_time(statement.deadline),
         };
         let first_sent = statement.attempts.first().map(|attempt| attempt.sent_at);
-        let forgotten = first_sent.map_or(0, |sent| sent + self.workload(statement).dedup_window);
-        let paused_until = self.order_queues.paused_until(statement.asked.order_key);
-        let changes = [
+        let window_end = first_sent.map_or(0, |sent| sent + self.workload(statement).dedup_window);
+        let paused_until = self.order_queues.paused_until(statement.arrival.order_key);
+        let check_times = [
             timing.last_timely_start(),
             timing.latest_start(),
             paused_until,
-            forgotten,
+            window_end,
         ];
-        let next = changes.into_iter().filter(|at| *at > now).min();
-        self.queues.due_at(next.map_or(ends, |at| at.min(ends)), id);
+        let next = check_times.into_iter().filter(|at| *at > now).min();
+        self.queues
+            .schedule_check(next.map_or(rejection, |at| at.min(rejection)), id);
         self.dequeue(id);
         if is_first {
-            self.queues.enqueue(id, class, timing.standing(now));
+            self.queues.enqueue(id, class, timing.urgency(now));
         }
     }
 
-    /// A statement waits no more.
+    /// Removes a statement from its queue.
     pub(super) fn dequeue(&mut self, id: StatementId) {
         let class = self.statements.get(&id).map(|statement| statement.class);
         self.queues.dequeue(id, class);
     }
 
-    /// The first statement of an order key may have its turn now.
+    /// Puts the first statement of an order key into its queue.
     pub(super) fn enqueue_first_in_order(&mut self, key: Option<KeyId>) {
         if let Some(next) = self.order_queues.first(key, self.clock.now) {
             self.enqueue(next);
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: which engine gets a statement? The candidate filter, the concurrency limits and the ranking in turn.
+//! Placement: selects the engine for a statement by the candidate filter, the concurrency limits
+//! and the ranking, in this order.
 
 use crate::interface::{EngineId, StatementId, Workload};
 use crate::policy::concurrency_limit::{LimitOutcome, LimitRequest, LimitScope, Pool};
@@ -8,18 +9,18 @@
 use super::candidates::Eligibility;
 use super::Scheduler;
 
-/// What is the same for all engines while one statement is placed.
+/// The inputs that are the same for all engines while one statement is placed.
 struct PlacementScan {
-    /// Other fronts' reports take from the limits of the engines they suspect.
-    heed_suspicion: bool,
-    /// Engines outside evacuated zones may have the statement.
+    /// Whether peer reports reduce the limits of the engines that they suspect.
+    apply_suspicion: bool,
+    /// Whether engines of evacuated zones are excluded, as the statement may use others.
     avoid_evacuated: bool,
     pool: Pool,
 }
 
 impl Scheduler {
-    /// The engine that a statement goes to; None where none may have it now.
-    pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
+    /// The engine to which a statement is sent; `None` if no eligible engine has capacity.
+    pub(super) fn choose_engine(&self, id: StatementId) -> Option<EngineId> {
         let statement = &self.statements[&id];
         if !self.may_be_sent(id, statement) {
             return None;
@@ -27,7 +28,8 @@
         let scan = self.placement_scan(statement);
         let mut ranking = Ranking::new(self.ranking_mode());
         let count = self.engines.open.len();
-        // Fronts that know the same must not all pick the same engine: each starts its search elsewhere.
+        // Fronts with the same knowledge must not all pick the same engine, so each starts its
+        // search at a different one.
         let start = self.placement_start * count as f64;
         let first = start as usize;
         for engine in (0..count).map(|i| (i + first) % count) {
@@ -47,7 +49,7 @@
     }
 
     fn ranking_mode(&self) -> RankingMode {
-        if self.limits.scope() == LimitScope::Pooled && !self.load_reports.name_load() {
+        if self.limits.scope() == LimitScope::Pooled && !self.load_reports.reports_load() {
             RankingMode::DrawByCapacity
         } else {
             RankingMode::MostCapacity
@@ -61,13 +63,13 @@
             entry.is_some_and(|entry| statement.allows(workload, entry))
         };
         let allowed = || (0..self.engines.open.len()).filter(is_allowed);
-        // Where all engines that it may use are suspected, none is.
+        // If all engines that the statement may use are suspected, suspicion is ignored.
         PlacementScan {
-            heed_suspicion: self.peer_evidence.has_adverse()
-                && allowed().any(|engine| self.unsuspected_share(engine) >= 1.0),
+            apply_suspicion: self.peer_evidence.has_adverse()
+                && allowed().any(|engine| self.peer_limit_share(engine) >= 1.0),
             avoid_evacuated: self.peer_evidence.has_evacuated()
                 && allowed().any(|engine| !self.is_evacuated(engine)),
-            pool: self.limits.pool(self.engines.in_use()),
+            pool: self.limits.pool(self.engines.open_engines()),
         }
     }
 
@@ -78,20 +80,20 @@
         scan: &PlacementScan,
     ) -> LimitOutcome {
         let credit = self.outliers.limit_share(engine);
-        let trust = if scan.heed_suspicion {
-            credit * self.unsuspected_share(engine)
+        let trust = if scan.apply_suspicion {
+            credit * self.peer_limit_share(engine)
         } else {
             credit
         };
-        let own = self.engines.own[engine];
+        let local_load = self.engines.local_load[engine];
         let mut need = statement.load;
         need.threads = self.workload(statement).threads;
         self.limits.check(&LimitRequest {
-            at: self.engines.use_of(engine),
+            at: self.engines.engine_use(engine),
             idle: self.engines.is_idle(engine),
-            others: self
+            peer_load: self
                 .load_reports
-                .held_by_others(engine, own, self.agreed.fronts),
+                .peer_load(engine, local_load, self.agreement.fronts),
             trust,
             capacity_share: self.slow_start.capacity_share(engine, self.clock.now),
             fresh_report: self.load_reports.is_fresh(engine, self.clock.now),
@@ -100,14 +102,15 @@
         })
     }
 
-    /// Whether a workload that can't go everywhere needs the engine, and the statement's can.
+    /// Whether some workload bound to certain locations or kinds needs the engine, while the
+    /// statement's workload is not bound.
     fn is_scarce(&self, statement: &Statement, engine: EngineId) -> bool {
         let is_bound =
             |workload: &Workload| workload.kinds.is_some() || workload.locations.is_some();
         let needs = |workload: &Workload| {
-            let entry = self.engines.listed[engine].as_ref();
+            let entry = self.engines.entries[engine].as_ref();
             is_bound(workload) && entry.is_some_and(|entry| workload.allows(entry))
         };
-        !is_bound(self.workload(statement)) && self.agreed.workloads.iter().any(needs)
+        !is_bound(self.workload(statement)) && self.agreement.workloads.iter().any(needs)
     }
 }
