--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 use hallmux_ledger::Owner;
 
 use crate::event::Event;
@@ -32,7 +32,7 @@
     /// The names that rules may use.
     pub known: KnownNames,
     /// How long a lease on the rules and on shares of limits lasts, and by how much clocks may drift.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// How long what was asked is remembered, by kind; 0: not at all.
     pub remembers: Micros,
     /// The number behind which its asks to the ledger are numbered: other callers of this front keep away from them.
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -30,7 +30,7 @@
 pub use decision::Decision;
 pub use error::{FileError, FileErrors, Problem, Refused};
 pub use event::Event;
-pub use hallmux_lease::Terms;
+pub use hallmux_lease::LeaseTerms;
 pub use hallmux_ledger::{
     Entry, FrontId, Key, Kind, LedgerAnswer, LedgerRequest, Micros, Moment, Operation, Outcome,
     Owner,
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -51,7 +51,7 @@
 
 impl Shares {
     /// A share is spent under a lease by `terms`; `fronts` is how many share.
-    pub fn new(own: Owner, terms: hallmux_lease::Terms, fronts: usize) -> Shares {
+    pub fn new(own: Owner, terms: hallmux_lease::LeaseTerms, fronts: usize) -> Shares {
         Shares {
             context: ShareContext { own, terms, fronts },
             shares: BTreeMap::new(),
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 use hallmux_ledger::{Operation, Owner};
 
 use super::demand::Demand;
@@ -33,7 +33,7 @@
     /// This front.
     pub own: Owner,
     /// How long a lease on a share lasts.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// How many fronts share.
     pub fronts: usize,
 }
@@ -142,7 +142,7 @@
 
     /// How long what was spent cools.
     fn cooldown(&self) -> Micros {
-        let window = Terms {
+        let window = LeaseTerms {
             length: self.limit.window,
             drift_ppm: self.context.terms.drift_ppm,
         };
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 use hallmux_ledger::{Key, LedgerRequest, Operation, Outcome};
 
 use crate::event::Event;
@@ -80,7 +80,7 @@
 /// One front's view of the fleet's version, and its lease on it.
 pub struct Versions {
     known: KnownNames,
-    terms: Terms,
+    terms: LeaseTerms,
     held: Index,
     /// What the set held was read from; None: the empty set that holds before there is any.
     held_from: Option<StoredVersion>,
@@ -115,7 +115,7 @@
 
 impl Versions {
     /// A front that has read nothing yet. Requests are numbered from above `first_number`.
-    pub fn new(known: KnownNames, terms: Terms, first_number: u64) -> Versions {
+    pub fn new(known: KnownNames, terms: LeaseTerms, first_number: u64) -> Versions {
         Versions {
             known,
             terms,
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -4,8 +4,8 @@
 
 use hallmux_access::{
     read, Access, AccessConfig, ChangedDecision, Decision, Entry, Event, FleetHits, HeldVersion,
-    Key, KnownNames, LedgerAnswer, Moment, Operation, Outcome, Owner, Permission, Request,
-    RulesCommand, Terms, WorkloadLocations,
+    Key, KnownNames, LeaseTerms, LedgerAnswer, Moment, Operation, Outcome, Owner, Permission,
+    Request, RulesCommand, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -53,7 +53,7 @@
         fronts: vec![1],
         region: "eu".to_string(),
         known: known(),
-        terms: Terms {
+        terms: LeaseTerms {
             length: 3_000_000,
             drift_ppm: 10_000,
         },
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -4,8 +4,8 @@
 
 use hallmux_access::{
     read, Access, AccessConfig, Decision, Entry, Event, FleetHits, Head, Hit, Key, KnownNames,
-    LedgerAnswer, LedgerRequest, Moment, Operation, Outcome, Owner, Request, RuleSet, RulesCommand,
-    StoredVersion, Terms, WorkloadLocations,
+    LeaseTerms, LedgerAnswer, LedgerRequest, Moment, Operation, Outcome, Owner, Request, RuleSet,
+    RulesCommand, StoredVersion, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -435,7 +435,7 @@
         fronts: (1..=FRONTS as u64).collect(),
         region: "eu".to_string(),
         known: known(),
-        terms: Terms {
+        terms: LeaseTerms {
             length: 3_000_000,
             drift_ppm: DRIFT_PPM,
         },
--- a/crates/access/tests/shares.rs
+++ b/crates/access/tests/shares.rs
@@ -6,7 +6,7 @@
 #[path = "shares/sim.rs"]
 mod sim;
 
-use hallmux_access::Terms;
+use hallmux_access::LeaseTerms;
 use sim::{terms, Sim, Tallies, DRIFT_PPM};
 
 const RUNS: u64 = 40; // drawn runs of 90 s
@@ -17,7 +17,7 @@
     (50, 1_000_000),
 ];
 
-fn drawn(seed: u64, odd: Option<(usize, Terms)>) -> Sim {
+fn drawn(seed: u64, odd: Option<(usize, LeaseTerms)>) -> Sim {
     let (most, window) = LIMITS[seed as usize % LIMITS.len()];
     let mut sim = Sim::new(seed, 5, most, window, odd);
     sim.faults = true;
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_share_taken_back_before_its_lease_has_ended_breaks_the_limit_and_the_check_sees_it() {
-    let early = Terms {
+    let early = LeaseTerms {
         length: 200_000,
         drift_ppm: DRIFT_PPM,
     };
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    Entry, Key, LedgerRequest, Limit, Moment, Operation, Outcome, Owner, Shares, Terms,
+    Entry, Key, LeaseTerms, LedgerRequest, Limit, Moment, Operation, Outcome, Owner, Shares,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -48,7 +48,7 @@
     pub limit: Limit,
     pub fronts: Vec<Front>,
     /// Terms that a front goes by, beside those of the fleet.
-    odd: Option<(usize, Terms)>,
+    odd: Option<(usize, LeaseTerms)>,
     pub faults: bool,
     ledger: BTreeMap<Key, Entry>,
     last: u64,
@@ -58,8 +58,8 @@
     pub tallies: Tallies,
 }
 
-pub fn terms() -> Terms {
-    Terms {
+pub fn terms() -> LeaseTerms {
+    LeaseTerms {
         length: 3_000_000,
         drift_ppm: DRIFT_PPM,
     }
@@ -71,7 +71,7 @@
         fronts: usize,
         most: u32,
         window: i64,
-        odd: Option<(usize, Terms)>,
+        odd: Option<(usize, LeaseTerms)>,
     ) -> Sim {
         let mut rng = Pcg64::seed_from_u64(seed);
         let drift = f64::from(DRIFT_PPM) / 1e6;
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -17,7 +17,8 @@
 use hallmux_lease::holder::{Holder, Intent};
 use hallmux_lease::voter::{self, Voter, VoterConfig};
 use hallmux_lease::{
-    fingerprint, AddressedEnvelope, AddressedRequest, Envelope, LeaseMessage, Task, Terms, Token,
+    fingerprint, AddressedEnvelope, AddressedRequest, Envelope, LeaseMessage, LeaseTerms, Task,
+    Token,
 };
 
 use crate::{engine_hash, ClockReading};
@@ -53,7 +54,7 @@
     /// The voters, in the order in which they are asked.
     pub voters: Vec<VoterAddress>,
     /// How long a lease lasts.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The state that an earlier run of this voter saved last; None only where there was none.
     pub saved: Option<Vec<u8>>,
 }
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -7,7 +7,7 @@
 use hallmux_dispatcher::Micros;
 use hallmux_fleet::{ClockReading, Exchange, OwnershipConfig, VoterAddress};
 use hallmux_gossip::seal::peer_id;
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 
 use super::copies::{Copies, CopiesError, Found};
 use super::errors::PeersError;
@@ -38,7 +38,7 @@
         let (opened, kept) = Votes::open(&ownership.directory, socket)?;
         (votes, saved) = (Some(opened), kept);
     }
-    let terms = Terms {
+    let terms = LeaseTerms {
         length: ownership.lease,
         drift_ppm: ownership.drift_ppm,
     };
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -61,7 +61,7 @@
             fronts,
             region: rules.region.clone(),
             known,
-            terms: access::Terms {
+            terms: access::LeaseTerms {
                 length: rules.lease,
                 drift_ppm: rules.drift_ppm,
             },
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -7,7 +7,7 @@
 use hallmux_fleet::{Exchange, OwnershipConfig, VoterAddress};
 use hallmux_gossip::node::NodeConfig;
 use hallmux_gossip::seal::{peer_id, Identity};
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 use rand::Rng;
 
 use super::connections::Connections;
@@ -45,7 +45,7 @@
                     })
                     .collect();
                 let scenario = &self.scenario.fleet;
-                let terms = Terms {
+                let terms = LeaseTerms {
                     length: scenario.lease_ms as i64 * 1000,
                     drift_ppm: DRIFT_PPM,
                 };
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -1,7 +1,7 @@
 //! The owner's side: requests the lease of voters, renews it, and knows by its own monotonic clock alone
 //! until when it may act.
 
-use crate::{AddressedRequest, FrontId, Micros, Reply, Request, Task, Terms, Token};
+use crate::{AddressedRequest, FrontId, LeaseTerms, Micros, Reply, Request, Task, Token};
 
 /// Microseconds until the request goes to the next voter instead; some round trips.
 const REPLY_TIMEOUT: Micros = 250_000;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     task: Task,
-    terms: Terms,
+    terms: LeaseTerms,
     voters: Vec<FrontId>,
     held: Option<HeldLease>,
     pending: Option<Pending>,
@@ -51,7 +51,7 @@
 impl Holder {
     /// `first` is the number of its first request; it has to be above all of an earlier run, whose replies
     /// are not for this one.
-    pub fn new(task: Task, terms: Terms, voters: Vec<FrontId>, first: u64) -> Holder {
+    pub fn new(task: Task, terms: LeaseTerms, voters: Vec<FrontId>, first: u64) -> Holder {
         Holder {
             task,
             terms,
--- a/crates/lease/src/holder_tests.rs
+++ b/crates/lease/src/holder_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const TERMS: Terms = Terms {
+const TERMS: LeaseTerms = LeaseTerms {
     length: 3_000_000,
     drift_ppm: 100_000,
 };
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -42,14 +42,14 @@
 
 /// How long a lease lasts, and how far clocks may run apart meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// Microseconds from a request until the lease it was granted ends.
     pub length: Micros,
     /// The most that a clock gains or loses against true time, in parts per million.
     pub drift_ppm: u32,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// Microseconds for which an owner may act after its request: less than the length on any clock.
     pub fn owner_valid_for(&self) -> Micros {
         self.length - self.drift()
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -12,7 +12,7 @@
 use crate::disk::{Disk, StateError};
 use crate::leases::{Change, Leases};
 use crate::{
-    AddressedEnvelope, Envelope, FrontId, LeaseMessage, Micros, Reply, Request, Task, Terms,
+    AddressedEnvelope, Envelope, FrontId, LeaseMessage, LeaseTerms, Micros, Reply, Request, Task,
 };
 
 /// Microseconds between ticks of the log's clock.
@@ -32,7 +32,7 @@
     /// All voters, in any order.
     pub voters: Vec<FrontId>,
     /// How long a lease lasts.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
 }
 
 /// A request that waits until the log has decided on it.
@@ -59,7 +59,7 @@
     own: FrontId,
     /// All voters in order: the place of each, counted from 1, is its number in the log.
     voters: Vec<FrontId>,
-    terms: Terms,
+    terms: LeaseTerms,
     log: OmniPaxos<Change, LogStore<Change>>,
     disk: Disk,
     /// Messages that come out of order count as lost.
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -10,11 +10,11 @@
 use hallmux_lease::fence::Fence;
 use hallmux_lease::holder::{Holder, Intent};
 use hallmux_lease::leases::{Change, Leases};
-use hallmux_lease::{FrontId, Micros, Reply, Request, Task, Terms, Token, TokenOwner};
+use hallmux_lease::{FrontId, LeaseTerms, Micros, Reply, Request, Task, Token, TokenOwner};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const TICK: Micros = 1_000_000; // microseconds of a step of time
-const TERMS: Terms = Terms {
+const TERMS: LeaseTerms = LeaseTerms {
     length: 2 * TICK,
     drift_ppm: 250_000,
 };
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -7,14 +7,14 @@
 use hallmux_lease::holder::{Holder, Intent};
 use hallmux_lease::voter::{Output, Voter, VoterConfig};
 use hallmux_lease::{
-    fingerprint, AddressedEnvelope, AddressedRequest, Envelope, FrontId, LeaseMessage, Micros,
-    Reply, Task, Terms, Token,
+    fingerprint, AddressedEnvelope, AddressedRequest, Envelope, FrontId, LeaseMessage, LeaseTerms,
+    Micros, Reply, Task, Token,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 pub const SECOND: Micros = 1_000_000;
-pub const TERMS: Terms = Terms {
+pub const TERMS: LeaseTerms = LeaseTerms {
     length: 2 * SECOND,
     drift_ppm: 50_000,
 };
