--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -86,7 +86,7 @@
         &mut self,
         at: ClockReading,
         config: OwnershipConfig,
-    ) -> Result<(), hallmux_lease::disk::StateError> {
+    ) -> Result<(), hallmux_lease::state::StateError> {
         self.ownership = Some(Ownership::new(at, self.node.peer_id(), config)?);
         Ok(())
     }
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -12,9 +12,9 @@
 use hallmux_gossip::message::RecoveredEngine;
 use hallmux_gossip::node::Datagram;
 use hallmux_gossip::{PeerId, RandomSource};
-use hallmux_lease::disk::StateError;
 use hallmux_lease::fence::Fence;
 use hallmux_lease::holder::{Holder, Intent};
+use hallmux_lease::state::StateError;
 use hallmux_lease::voter::{self, Voter, VoterConfig};
 use hallmux_lease::{
     fingerprint, AddressedEnvelope, AddressedRequest, Envelope, LeaseMessage, LeaseTerms, Task,
--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -18,7 +18,7 @@
     #[error("gossip: ownership.{0}")]
     Votes(#[from] VotesError),
     #[error("gossip: ownership.directory: {0}")]
-    Voted(#[from] hallmux_lease::disk::StateError),
+    Voted(#[from] hallmux_lease::state::StateError),
     #[error("gossip: {0}")]
     Copies(#[from] super::copies::CopiesError),
     #[error("gossip: {0}")]
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -8,10 +8,10 @@
 
 #![warn(missing_docs)]
 
-pub mod disk;
 pub mod fence;
 pub mod holder;
 pub mod leases;
+pub mod state;
 pub mod voter;
 
 use hallmux_hash::fnv1a;
--- a/crates/lease/src/disk.rs
+++ b/crates/lease/src/state.rs
@@ -15,7 +15,7 @@
 
 /// The state, as it is saved.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct State {
+struct SavedState {
     /// The fingerprint of the fleet that it was saved in.
     fleet: u64,
     /// The replicated log.
@@ -24,9 +24,9 @@
     incarnation: u64,
 }
 
-impl State {
+impl SavedState {
     /// None where the bytes are cut short, altered or of an unknown format.
-    fn read(saved: &[u8]) -> Option<State> {
+    fn read(saved: &[u8]) -> Option<SavedState> {
         let (head, body) = saved.split_at_checked(MAGIC.len() + CHECKSUM_BYTES)?;
         let (magic, checksum) = head.split_at(MAGIC.len());
         let checksum = u32::from_be_bytes(checksum.try_into().ok()?);
@@ -68,7 +68,7 @@
 
 /// A voter's state, with what is not saved of it yet.
 #[derive(Clone, Debug)]
-pub struct Disk {
+pub struct DurableState {
     fleet: u64,
     /// Counts the voter's starts with this state.
     pub incarnation: u64,
@@ -78,10 +78,10 @@
     pub store: LogStore<Change>,
 }
 
-impl Disk {
+impl DurableState {
     /// An empty state, for a voter that never ran in this fleet.
-    pub fn new(fleet: u64) -> Disk {
-        Disk {
+    pub fn new(fleet: u64) -> DurableState {
+        DurableState {
             fleet,
             incarnation: 0,
             started: false,
@@ -90,12 +90,12 @@
     }
 
     /// Decodes the state that an earlier run of the voter saved.
-    pub fn read(fleet: u64, saved: &[u8]) -> Result<Disk, StateError> {
-        let state = State::read(saved).ok_or(StateError::Corrupt)?;
+    pub fn read(fleet: u64, saved: &[u8]) -> Result<DurableState, StateError> {
+        let state = SavedState::read(saved).ok_or(StateError::Corrupt)?;
         if state.fleet != fleet {
             return Err(StateError::OtherFleet);
         }
-        Ok(Disk {
+        Ok(DurableState {
             fleet,
             incarnation: state.incarnation,
             started: false,
@@ -116,7 +116,7 @@
         if !std::mem::take(&mut self.started) && !changed {
             return None;
         }
-        let state = State {
+        let state = SavedState {
             fleet: self.fleet,
             log: self.store.read(LogState::clone),
             incarnation: self.incarnation,
@@ -126,5 +126,5 @@
 }
 
 #[cfg(test)]
-#[path = "disk_tests.rs"]
+#[path = "state_tests.rs"]
 mod tests;
--- a/crates/lease/src/disk_tests.rs
+++ b/crates/lease/src/state_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `disk` module.
+//! Unit tests of the `state` module.
 
 use super::*;
 use crate::Task;
@@ -20,9 +20,9 @@
 
 #[test]
 fn a_saved_state_is_read_again_and_a_corrupt_one_is_refused() {
-    let mut disk = Disk::new(7);
-    let mut store = disk.store.clone();
-    assert_eq!(disk.unsaved(), None);
+    let mut state = DurableState::new(7);
+    let mut store = state.store.clone();
+    assert_eq!(state.unsaved(), None);
     store
         .append_entry(Change::Grant {
             task: Task::Zones,
@@ -32,9 +32,9 @@
         })
         .unwrap();
     store.set_decided_idx(1).unwrap();
-    let saved = disk.unsaved().unwrap();
-    assert_eq!(disk.unsaved(), None);
-    let again = Disk::read(7, &saved).unwrap();
+    let saved = state.unsaved().unwrap();
+    assert_eq!(state.unsaved(), None);
+    let again = DurableState::read(7, &saved).unwrap();
     assert_eq!(
         (
             again.store.get_decided_idx().unwrap(),
@@ -42,11 +42,14 @@
         ),
         (1, 1)
     );
-    assert_eq!(Disk::read(8, &saved).unwrap_err(), StateError::OtherFleet);
+    assert_eq!(
+        DurableState::read(8, &saved).unwrap_err(),
+        StateError::OtherFleet
+    );
     // Each incarnation has the next number, and is saved though nothing else has changed.
     let mut again = again;
     again.start();
-    let later = Disk::read(7, &again.unsaved().unwrap()).unwrap();
+    let later = DurableState::read(7, &again.unsaved().unwrap()).unwrap();
     assert_eq!(
         (again.incarnation, later.incarnation, again.unsaved()),
         (1, 1, None)
@@ -59,14 +62,14 @@
         body,
     ]
     .concat();
-    let before = Disk::read(7, &before).unwrap();
+    let before = DurableState::read(7, &before).unwrap();
     assert_eq!(
         (before.incarnation, before.store.get_decided_idx().unwrap()),
         (0, 1)
     );
     for cut in 0..saved.len() {
         assert_eq!(
-            Disk::read(7, &saved[..cut]).unwrap_err(),
+            DurableState::read(7, &saved[..cut]).unwrap_err(),
             StateError::Corrupt,
             "{cut}"
         );
@@ -75,7 +78,7 @@
         let mut altered = saved.clone();
         altered[at] ^= 0x40;
         assert_eq!(
-            Disk::read(7, &altered).unwrap_err(),
+            DurableState::read(7, &altered).unwrap_err(),
             StateError::Corrupt,
             "{at}"
         );
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -9,8 +9,8 @@
 use hallmux_replica::{LogStore, MessageOrder};
 use omnipaxos::OmniPaxos;
 
-use crate::disk::{Disk, StateError};
 use crate::leases::{Change, Leases};
+use crate::state::{DurableState, StateError};
 use crate::{
     AddressedEnvelope, Envelope, FrontId, LeaseMessage, LeaseTerms, Micros, Reply, Request, Task,
 };
@@ -61,7 +61,7 @@
     voters: Vec<FrontId>,
     terms: LeaseTerms,
     log: OmniPaxos<Change, LogStore<Change>>,
-    disk: Disk,
+    state: DurableState,
     /// Messages that come out of order count as lost.
     order: MessageOrder,
     leases: Leases,
@@ -93,19 +93,19 @@
         } = config;
         voters.sort_unstable();
         voters.dedup();
-        let mut disk = match saved {
-            Some(saved) => Disk::read(fleet, saved)?,
-            None => Disk::new(fleet),
+        let mut state = match saved {
+            Some(saved) => DurableState::read(fleet, saved)?,
+            None => DurableState::new(fleet),
         };
-        disk.start();
-        let log = log::open_log(own, &voters, disk.store.clone())?;
+        state.start();
+        let log = log::open_log(own, &voters, state.store.clone())?;
         let mut voter = Voter {
             fleet,
             own,
             voters,
             terms,
             log,
-            disk,
+            state,
             order: MessageOrder::default(),
             leases: Leases::default(),
             applied: 0,
@@ -248,7 +248,7 @@
         self.reply_to_waiting(now);
         self.send_log_messages();
         Output {
-            save: self.disk.unsaved(),
+            save: self.state.unsaved(),
             messages: std::mem::take(&mut self.messages),
         }
     }
--- a/crates/lease/src/voter/log.rs
+++ b/crates/lease/src/voter/log.rs
@@ -6,8 +6,8 @@
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
 use super::Voter;
-use crate::disk::StateError;
 use crate::leases::Change;
+use crate::state::StateError;
 use crate::{FrontId, LeaseMessage, Micros};
 
 /// Ticks without a message of the leader until an election.
@@ -53,7 +53,7 @@
                 continue;
             };
             let message = LeaseMessage::Log {
-                incarnation: self.disk.incarnation,
+                incarnation: self.state.incarnation,
                 number: self.order.number(&message),
                 message: Box::new(message),
             };
