--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -195,7 +195,7 @@
             };
             self.requests.push(AddressedEnvelope { to, envelope });
         }
-        if let Some(progress) = self.holder.inherited() {
+        if let Some(progress) = self.holder.take_inherited_progress() {
             let recovered: Vec<RecoveredEngine> =
                 postcard::from_bytes(&progress).unwrap_or_default();
             let token = self.holder.token(at.steady).unwrap_or_default();
--- a/crates/fleet/src/ownership/acts.rs
+++ b/crates/fleet/src/ownership/acts.rs
@@ -6,7 +6,7 @@
 use hallmux_gossip::message::{OwnerAct, OwnershipReport, RecoveredEngine, ReportedLease};
 use hallmux_gossip::node::Node;
 use hallmux_gossip::PeerId;
-use hallmux_lease::fence::{self, Refused};
+use hallmux_lease::fence::{self, FenceError};
 use hallmux_lease::{Token, TokenOwner};
 
 use super::refusal::ActRefusal;
@@ -19,7 +19,7 @@
         let lease = self
             .voter
             .as_ref()
-            .and_then(|voter| voter.leases().of(TASK));
+            .and_then(|voter| voter.leases().get(TASK));
         let act = self.owned_lease(at.steady).map(|owned| OwnerAct {
             token: owned.token,
             recovered: self.recovered(at, dispatcher),
@@ -77,8 +77,8 @@
                     self.announce(at, act.token, &act.recovered, age, dispatcher);
                 }
             }
-            Err(Refused::Stale) => self.refuse(ActRefusal::Stale),
-            Err(Refused::Unknown) => self.refuse(ActRefusal::Unknown),
+            Err(FenceError::Stale) => self.refuse(ActRefusal::Stale),
+            Err(FenceError::Unknown) => self.refuse(ActRefusal::Unknown),
         }
     }
 
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -8,7 +8,7 @@
 
 /// Why an act was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum FenceError {
     /// A later owner was seen.
     Stale,
     /// No majority of voters has reported this token with this owner: it is made up, or the reports have yet
@@ -37,11 +37,11 @@
     }
 
     /// Whether an act of this owner under this token passes.
-    pub fn admit(&self, task: Task, act: TokenOwner) -> Result<(), Refused> {
+    pub fn admit(&self, task: Task, act: TokenOwner) -> Result<(), FenceError> {
         match self.highest(task) {
-            Some(highest) if act.token < highest.token => Err(Refused::Stale),
+            Some(highest) if act.token < highest.token => Err(FenceError::Stale),
             Some(highest) if highest == act => Ok(()),
-            _ => Err(Refused::Unknown),
+            _ => Err(FenceError::Unknown),
         }
     }
 }
--- a/crates/lease/src/fence_tests.rs
+++ b/crates/lease/src/fence_tests.rs
@@ -9,18 +9,27 @@
 #[test]
 fn only_the_latest_owner_passes() {
     let mut fence = Fence::default();
-    assert_eq!(fence.admit(Task::Zones, lease(5, 1)), Err(Refused::Unknown));
+    assert_eq!(
+        fence.admit(Task::Zones, lease(5, 1)),
+        Err(FenceError::Unknown)
+    );
     fence.observe(Task::Zones, lease(5, 1));
     assert_eq!(fence.admit(Task::Zones, lease(5, 1)), Ok(()));
     // A token from the future, and another's token, are known of nobody yet.
     assert_eq!(
         fence.admit(Task::Zones, lease(900, 1)),
-        Err(Refused::Unknown)
+        Err(FenceError::Unknown)
+    );
+    assert_eq!(
+        fence.admit(Task::Zones, lease(5, 2)),
+        Err(FenceError::Unknown)
     );
-    assert_eq!(fence.admit(Task::Zones, lease(5, 2)), Err(Refused::Unknown));
     fence.observe(Task::Zones, lease(7, 2));
     fence.observe(Task::Zones, lease(5, 1)); // late
-    assert_eq!(fence.admit(Task::Zones, lease(5, 1)), Err(Refused::Stale));
+    assert_eq!(
+        fence.admit(Task::Zones, lease(5, 1)),
+        Err(FenceError::Stale)
+    );
     assert_eq!(fence.admit(Task::Zones, lease(7, 2)), Ok(()));
 }
 
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -72,12 +72,12 @@
     }
 
     /// Until when it may act, in the past where the lease has run out; None where it never held one.
-    pub fn until(&self) -> Option<Micros> {
+    pub fn valid_until(&self) -> Option<Micros> {
         self.held.map(|held| held.until)
     }
 
     /// Takes the progress of the owner before; there is one after each grant.
-    pub fn inherited(&mut self) -> Option<Vec<u8>> {
+    pub fn take_inherited_progress(&mut self) -> Option<Vec<u8>> {
         self.progress.take()
     }
 
--- a/crates/lease/src/holder_tests.rs
+++ b/crates/lease/src/holder_tests.rs
@@ -27,7 +27,10 @@
     assert_eq!(h.next_request(100_000, Intent::Acquire, &[]), None);
     h.receive(&yours(ask.number, 4));
     assert_eq!((h.token(2_699_999), h.token(2_700_000)), (Some(4), None));
-    assert_eq!((h.inherited(), h.inherited()), (Some(vec![7]), None));
+    assert_eq!(
+        (h.take_inherited_progress(), h.take_inherited_progress()),
+        (Some(vec![7]), None)
+    );
     // Kept under the same token.
     let keep = h
         .next_request(2_000_000, Intent::Acquire, &[9])
@@ -35,7 +38,10 @@
         .request;
     assert_eq!((keep.token, keep.progress.as_slice()), (Some(4), &[9][..]));
     h.receive(&yours(keep.number, 4));
-    assert_eq!((h.token(4_699_999), h.inherited()), (Some(4), None));
+    assert_eq!(
+        (h.token(4_699_999), h.take_inherited_progress()),
+        (Some(4), None)
+    );
 }
 
 #[test]
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -58,12 +58,12 @@
 
 impl Leases {
     /// The lease of a task, if it was ever granted.
-    pub fn of(&self, task: Task) -> Option<&Lease> {
+    pub fn get(&self, task: Task) -> Option<&Lease> {
         self.held.get(&task)
     }
 
     /// All leases, by task.
-    pub fn all(&self) -> impl Iterator<Item = (Task, &Lease)> {
+    pub fn iter(&self) -> impl Iterator<Item = (Task, &Lease)> {
         self.held.iter().map(|(task, lease)| (*task, lease))
     }
 
--- a/crates/lease/src/leases_tests.rs
+++ b/crates/lease/src/leases_tests.rs
@@ -24,7 +24,7 @@
         progress: vec![1]
     }));
     assert_eq!(
-        leases.of(Task::Zones).map(|l| (l.token, l.owner)),
+        leases.get(Task::Zones).map(|l| (l.token, l.owner)),
         Some((2, 6))
     );
 }
@@ -58,7 +58,7 @@
     }
     assert_eq!(
         whole
-            .of(Task::Zones)
+            .get(Task::Zones)
             .map(|l| (l.token, l.owner, l.progress.clone())),
         Some((3, 5, vec![8]))
     );
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -197,7 +197,7 @@
 
     /// The change of the leases that grants a request; None where it is denied.
     fn change_for(&self, now: Micros, requester: FrontId, request: &Request) -> Option<Change> {
-        let lease = self.leases.of(request.task);
+        let lease = self.leases.get(request.task);
         let Some(token) = request.token else {
             return self.is_free(now, request.task).then_some(Change::Grant {
                 task: request.task,
@@ -259,7 +259,7 @@
             let number = waiting.request.number;
             let granted = self
                 .leases
-                .of(waiting.request.task)
+                .get(waiting.request.task)
                 .filter(|lease| lease.owner == waiting.requester && lease.number == number);
             if let Some(lease) = granted {
                 let reply = Reply::Granted {
--- a/crates/lease/src/voter/log.rs
+++ b/crates/lease/src/voter/log.rs
@@ -87,7 +87,7 @@
             }
             LogEntry::Snapshotted(snapshotted) => {
                 self.leases = snapshotted.snapshot.leases();
-                for (task, _) in self.leases.all() {
+                for (task, _) in self.leases.iter() {
                     self.confirmed.insert(task, now);
                 }
             }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -165,7 +165,7 @@
 fn arrives(s: &mut State, message: InFlight, checks_tokens: bool) {
     match message {
         InFlight::Asks(n, token, number) => {
-            let lease = s.leases.of(Task::Zones).cloned().unwrap_or_default();
+            let lease = s.leases.get(Task::Zones).cloned().unwrap_or_default();
             let ask = Request {
                 task: Task::Zones,
                 number,
@@ -194,7 +194,7 @@
             // Refused: for the asker no worse than an answer that is lost, which it must bear as well.
             if change.is_some_and(|change| s.leases.apply(&change)) {
                 s.confirmed = s.now * TICK;
-                let token = s.leases.of(Task::Zones).map_or(0, |lease| lease.token);
+                let token = s.leases.get(Task::Zones).map_or(0, |lease| lease.token);
                 s.way.insert(InFlight::Grants(n, token, number));
                 s.way.insert(InFlight::Names(token, id(n)));
             }
@@ -205,7 +205,7 @@
                 token,
                 progress: Vec::new(),
             });
-            s.holders[n].inherited();
+            s.holders[n].take_inherited_progress();
         }
         InFlight::Names(token, owner) => s.fence.observe(Task::Zones, TokenOwner { token, owner }),
         InFlight::Acts(n, token) => {
--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -207,7 +207,7 @@
         .collect();
     let tokens: Vec<_> = voters
         .iter()
-        .map(|v| v.leases().of(Task::Zones).map(|l| l.token))
+        .map(|v| v.leases().get(Task::Zones).map(|l| l.token))
         .collect();
     assert!(
         tokens.iter().all(|t| *t == tokens[0] && t.is_some()),
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -233,7 +233,7 @@
             .map(|v| v.tick(now));
         self.does(n, out.unwrap_or_default());
         let front = &mut self.fronts[n];
-        if let Some(progress) = front.holder.inherited() {
+        if let Some(progress) = front.holder.take_inherited_progress() {
             let token = front.holder.token(now).unwrap_or_default();
             front.progress = progress.first().copied().unwrap_or(0);
             self.inherited.push((token, progress));
