--- a/crates/fleet/src/ownership/messages.rs
+++ b/crates/fleet/src/ownership/messages.rs
@@ -14,7 +14,7 @@
     /// Takes in a message on the lease channel.
     pub fn receive(&mut self, at: ClockReading, message: &ChannelMessage) {
         let from = message.from;
-        let Some(envelope) = hallmux_lease::read(&message.bytes) else {
+        let Some(envelope) = hallmux_lease::decode(&message.bytes) else {
             return self.refuse(ActRefusal::Form);
         };
         if envelope.fleet != self.fleet {
@@ -95,6 +95,6 @@
     to: SocketAddr,
     envelope: &Envelope,
 ) -> Option<Datagram> {
-    let bytes = hallmux_lease::bytes(envelope);
+    let bytes = hallmux_lease::encode(envelope);
     node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &bytes)
 }
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -191,12 +191,12 @@
 }
 
 /// Encodes a value. The types of this crate always can be encoded.
-pub fn bytes<T: Serialize>(value: &T) -> Vec<u8> {
+pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
 /// Decodes a value that fills the bytes exactly; None for any other bytes.
-pub fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
+pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Some(value),
         _ => None,
--- a/crates/gossip/src/message_tests.rs
+++ b/crates/gossip/src/message_tests.rs
@@ -24,19 +24,19 @@
         reports: vec![signed],
         payload: vec![5; 3],
     };
-    let whole = bytes(&message);
-    assert_eq!(read::<Message>(&whole), Some(message));
+    let whole = encode(&message);
+    assert_eq!(decode::<Message>(&whole), Some(message));
     for cut in 0..whole.len() {
-        assert_eq!(read::<Message>(&whole[..cut]), None);
+        assert_eq!(decode::<Message>(&whole[..cut]), None);
     }
-    assert_eq!(read::<Message>(&[whole.clone(), vec![0]].concat()), None);
+    assert_eq!(decode::<Message>(&[whole.clone(), vec![0]].concat()), None);
     for at in 0..whole.len() {
         for flip in [1, 0x80, 0xff] {
             let mut spoilt = whole.clone();
             spoilt[at] ^= flip;
-            let _ = read::<Message>(&spoilt);
+            let _ = decode::<Message>(&spoilt);
         }
     }
     // A count of updates that the bytes do not bear out.
-    assert_eq!(read::<Message>(&[0, 0xff, 0xff, 0xff, 0xff, 0x0f]), None);
+    assert_eq!(decode::<Message>(&[0, 0xff, 0xff, 0xff, 0xff, 0x0f]), None);
 }
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -79,7 +79,7 @@
         if reports.is_empty() {
             return None;
         }
-        let payload = message::bytes(&reports);
+        let payload = message::encode(&reports);
         self.channel_datagram(now, wall_ms, to, Channel::Load, &payload)
     }
 
@@ -93,7 +93,7 @@
         if self.load_reports.is_none() {
             return;
         }
-        let Some(reports) = message::read::<Vec<Signed>>(payload) else {
+        let Some(reports) = message::decode::<Vec<Signed>>(payload) else {
             return self.count_refused(Refused::Form);
         };
         for signed in reports {
@@ -114,7 +114,7 @@
         let Some(reports) = &mut self.load_reports else {
             return Ok(());
         };
-        let report: LoadReport = message::read(&signed.report).ok_or(Refused::Form)?;
+        let report: LoadReport = message::decode(&signed.report).ok_or(Refused::Form)?;
         let reporter = report.reporter;
         // Guards against the cost of what is known already, which is most of what comes.
         let is_own = reporter == self.own.id;
--- a/crates/gossip/src/node/receiving.rs
+++ b/crates/gossip/src/node/receiving.rs
@@ -58,7 +58,7 @@
     ) -> Result<Received, Refused> {
         let opened = self.peers.open(now, wall_ms, from.ip(), bytes)?;
         let sender = opened.sender;
-        let message: Message = message::read(opened.content).ok_or(Refused::Form)?;
+        let message: Message = message::decode(opened.content).ok_or(Refused::Form)?;
         if sender == self.own.id {
             return Err(Refused::Replay); // this front's own, come back
         }
@@ -106,7 +106,7 @@
 
     fn merge_reports(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, reports: Vec<Signed>) {
         for signed in reports {
-            let Some(report) = message::read::<Report>(&signed.report) else {
+            let Some(report) = message::decode::<Report>(&signed.report) else {
                 continue;
             };
             // Guards against the cost of what is known already, which is most of what comes.
--- a/crates/gossip/src/node/sending.rs
+++ b/crates/gossip/src/node/sending.rs
@@ -145,12 +145,12 @@
             reports: Vec::new(),
             payload: Vec::new(),
         };
-        let used = SEAL_BYTES + message::bytes(&message).len() + REPORT_COUNT_BYTES;
+        let used = SEAL_BYTES + message::encode(&message).len() + REPORT_COUNT_BYTES;
         let peers = (self.peers.len() + 2) as f64;
         let most_sent = (RETRANSMIT_FACTOR * peers.log2()).ceil() as u32;
         let budget = purpose.report_budget(used);
         message.reports = self.evidence.pass_on(now, most_sent, budget);
-        message::bytes(&message)
+        message::encode(&message)
     }
 
     /// Takes the bytes of a datagram from its rate limit. False if they exceed it.
@@ -193,7 +193,7 @@
             reports: Vec::new(),
             payload,
         };
-        let content = message::bytes(&message);
+        let content = message::encode(&message);
         let len = content.len() + SEAL_BYTES;
         if len > MAX_DATAGRAM || !self.mailbox.may_send(now, channel, len) {
             self.held_back += 1;
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -83,12 +83,12 @@
 
     /// A report with the signature over its bytes.
     pub fn sign(&self, report: &Report) -> Signed {
-        self.sign_as(REPORT_CONTEXT, message::bytes(report))
+        self.sign_as(REPORT_CONTEXT, message::encode(report))
     }
 
     /// A load report with the signature over its bytes.
     pub fn sign_load_report(&self, report: &LoadReport) -> Signed {
-        self.sign_as(LOAD_REPORT_CONTEXT, message::bytes(report))
+        self.sign_as(LOAD_REPORT_CONTEXT, message::encode(report))
     }
 
     fn sign_as(&self, context: &[u8], report: Vec<u8>) -> Signed {
@@ -244,7 +244,7 @@
         from: IpAddr,
         signed: &Signed,
     ) -> Result<Report, Refused> {
-        let report: Report = message::read(&signed.report).ok_or(Refused::Form)?;
+        let report: Report = message::decode(&signed.report).ok_or(Refused::Form)?;
         self.verify(now, from, report.reporter, REPORT_CONTEXT, signed)?;
         Ok(report)
     }
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -131,7 +131,7 @@
         reports: vec![signed],
         payload: Vec::new(),
     };
-    let content = message::bytes(&message);
+    let content = message::encode(&message);
     liar.seal(wall, &content)
 }
 
@@ -249,7 +249,7 @@
             payload: Vec::new(),
         };
         let wall = fleet.wall(0) + u64::from(n) / 4;
-        let bytes = loud.seal(wall, &message::bytes(&message));
+        let bytes = loud.seal(wall, &message::encode(&message));
         fleet.deliver(7, n as usize % 7, Micros::from(n) * 2_500, bytes);
     }
     fleet.report_sightings(2, sullen(2));
@@ -288,7 +288,7 @@
             reports: Vec::new(),
             payload: Vec::new(),
         };
-        let content = message::bytes(&message);
+        let content = message::encode(&message);
         for to in [0, 1, 3, 5] {
             let bytes = liar.seal(wall, &content);
             fleet.deliver(4, to, 1000, bytes);
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -32,7 +32,7 @@
 fn datagram_with(own: &mut Identity, reports: &[Signed]) -> Vec<u8> {
     let payload = [
         &[Channel::Load as u8][..],
-        &message::bytes(&reports.to_vec()),
+        &message::encode(&reports.to_vec()),
     ]
     .concat();
     let message = Message {
@@ -41,7 +41,7 @@
         reports: Vec::new(),
         payload,
     };
-    own.seal(WALL, &message::bytes(&message))
+    own.seal(WALL, &message::encode(&message))
 }
 
 fn requested(node: &Node, now: Micros) -> Vec<u32> {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -165,12 +165,12 @@
 }
 
 /// Encodes an envelope.
-pub fn bytes(envelope: &Envelope) -> Vec<u8> {
+pub fn encode(envelope: &Envelope) -> Vec<u8> {
     postcard::to_stdvec(envelope).unwrap_or_default()
 }
 
 /// Decodes an envelope that fills the bytes exactly; None for any other bytes.
-pub fn read(bytes: &[u8]) -> Option<Envelope> {
+pub fn decode(bytes: &[u8]) -> Option<Envelope> {
     match postcard::take_from_bytes(bytes) {
         Ok((envelope, [])) => Some(envelope),
         _ => None,
--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -270,16 +270,16 @@
             progress: vec![1, 2],
         }),
     };
-    let whole = hallmux_lease::bytes(&envelope);
-    assert!(hallmux_lease::read(&whole).is_some());
+    let whole = hallmux_lease::encode(&envelope);
+    assert!(hallmux_lease::decode(&whole).is_some());
     for cut in 0..whole.len() {
-        assert!(hallmux_lease::read(&whole[..cut]).is_none());
+        assert!(hallmux_lease::decode(&whole[..cut]).is_none());
     }
     for at in 0..whole.len() {
         for flip in [1, 0x80, 0xff] {
             let mut spoilt = whole.clone();
             spoilt[at] ^= flip;
-            let _ = hallmux_lease::read(&spoilt);
+            let _ = hallmux_lease::decode(&spoilt);
         }
     }
 }
