--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -13,7 +13,7 @@
 use hallmux_gossip::members::FleetSize;
 use hallmux_gossip::message::Sighting;
 use hallmux_gossip::node::{Datagram, Node, NodeConfig};
-use hallmux_gossip::seal::{Keys, Refused};
+use hallmux_gossip::seal::{Keys, VerificationError};
 use hallmux_gossip::{PeerId, RandomSource};
 
 use crate::ledger::LedgerNode;
@@ -135,8 +135,8 @@
     }
 
     /// Datagrams and reports that were refused, by reason.
-    pub fn refused(&self) -> &BTreeMap<Refused, u64> {
-        &self.node.refused
+    pub fn refused(&self) -> &BTreeMap<VerificationError, u64> {
+        &self.node.rejected
     }
 
     /// When `tick` is next due, on the dispatcher's clock.
--- a/crates/front/src/fleet/peers/log_lines.rs
+++ b/crates/front/src/fleet/peers/log_lines.rs
@@ -6,7 +6,7 @@
 use hallmux_fleet::{Exchange, OwnedLease};
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
-use hallmux_gossip::seal::Refused;
+use hallmux_gossip::seal::VerificationError;
 use hallmux_gossip::PeerId;
 use hallmux_ledger::Differences;
 
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(super) struct LogState {
     last_log: Micros,
-    refused: BTreeMap<Refused, u64>,
+    refused: BTreeMap<VerificationError, u64>,
     refused_acts: BTreeMap<&'static str, u64>,
     ownership: Option<OwnedLease>,
     /// Replicas of the ledger that were found to differ.
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -10,7 +10,7 @@
 use crate::load_reports::LoadReports;
 use crate::members::{FleetSize, Members};
 use crate::message::{OwnershipReport, Report, Sighting};
-use crate::seal::{Identity, Keys, Peers, Refused, TokenBucket};
+use crate::seal::{Identity, Keys, Peers, TokenBucket, VerificationError};
 use crate::{Micros, PeerId};
 
 use sending::{ANSWER_RATE, GOSSIP_RATE};
@@ -65,7 +65,7 @@
     /// When a report that still holds is repeated.
     renew_at: Micros,
     /// Datagrams and reports that were refused, by reason.
-    pub refused: BTreeMap<Refused, u64>,
+    pub rejected: BTreeMap<VerificationError, u64>,
     /// Bytes that were sent.
     pub sent: u64,
     /// Datagrams that were not sent: too long, or beyond a rate limit.
@@ -91,7 +91,7 @@
             load_version: 0,
             version: 0,
             renew_at: 0,
-            refused: BTreeMap::new(),
+            rejected: BTreeMap::new(),
             sent: 0,
             held_back: 0,
             own,
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -5,7 +5,7 @@
 use crate::channels::{Channel, MAX_PAYLOAD};
 use crate::load_reports::{LoadReport, OfferedLoad};
 use crate::message::{self, Signed};
-use crate::seal::Refused;
+use crate::seal::VerificationError;
 use crate::Micros;
 
 use super::{Datagram, Node};
@@ -94,11 +94,11 @@
             return;
         }
         let Some(reports) = message::decode::<Vec<Signed>>(payload) else {
-            return self.count_refused(Refused::Form);
+            return self.count_rejected(VerificationError::Form);
         };
         for signed in reports {
             if let Err(why) = self.receive_load_report(now, wall_ms, from, signed) {
-                self.count_refused(why);
+                self.count_rejected(why);
             }
         }
     }
@@ -110,11 +110,11 @@
         wall_ms: u64,
         from: IpAddr,
         signed: Signed,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), VerificationError> {
         let Some(reports) = &mut self.load_reports else {
             return Ok(());
         };
-        let report: LoadReport = message::decode(&signed.report).ok_or(Refused::Form)?;
+        let report: LoadReport = message::decode(&signed.report).ok_or(VerificationError::Form)?;
         let reporter = report.reporter;
         // Guards against the cost of what is known already, which is most of what comes.
         let is_own = reporter == self.own.id;
--- a/crates/gossip/src/node/receiving.rs
+++ b/crates/gossip/src/node/receiving.rs
@@ -5,7 +5,7 @@
 use crate::channels::Channel;
 use crate::members::Outgoing;
 use crate::message::{self, Message, Report, Signed};
-use crate::seal::Refused;
+use crate::seal::VerificationError;
 use crate::{Micros, PeerId};
 
 use super::sending::Purpose;
@@ -32,7 +32,7 @@
         let received = match self.open(now, wall_ms, from, bytes) {
             Ok(received) => received,
             Err(why) => {
-                self.count_refused(why);
+                self.count_rejected(why);
                 return Vec::new();
             }
         };
@@ -55,12 +55,12 @@
         wall_ms: u64,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<Received, Refused> {
+    ) -> Result<Received, VerificationError> {
         let opened = self.peers.open(now, wall_ms, from.ip(), bytes)?;
         let sender = opened.sender;
-        let message: Message = message::decode(opened.content).ok_or(Refused::Form)?;
+        let message: Message = message::decode(opened.content).ok_or(VerificationError::Form)?;
         if sender == self.own.id {
-            return Err(Refused::Replay); // this front's own, come back
+            return Err(VerificationError::Replay); // this front's own, come back
         }
         // Answers go where the sender says that it listens, which need not be where it sends from.
         let own_update = message
@@ -100,7 +100,7 @@
         if payload.first() == Some(&(Channel::Load as u8)) {
             self.receive_load_reports(now, wall_ms, from.ip(), &payload[1..]);
         } else if !self.mailbox.deliver(sender, address, payload) {
-            self.count_refused(Refused::Form);
+            self.count_rejected(VerificationError::Form);
         }
     }
 
@@ -125,12 +125,12 @@
                         self.evidence.merge(now, report, signed, age);
                     }
                 }
-                Err(why) => self.count_refused(why),
+                Err(why) => self.count_rejected(why),
             }
         }
     }
 
-    pub(super) fn count_refused(&mut self, why: Refused) {
-        *self.refused.entry(why).or_default() += 1;
+    pub(super) fn count_rejected(&mut self, why: VerificationError) {
+        *self.rejected.entry(why).or_default() += 1;
     }
 }
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -108,7 +108,7 @@
 
 /// Why a datagram or report was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Refused {
+pub enum VerificationError {
     /// Too long, too short, or no message.
     Form,
     /// Its sender's or reporter's key is not known.
@@ -202,9 +202,9 @@
         wall_ms: u64,
         from: IpAddr,
         datagram: &'a [u8],
-    ) -> Result<Opened<'a>, Refused> {
+    ) -> Result<Opened<'a>, VerificationError> {
         if datagram.len() > MAX_DATAGRAM || datagram.len() < SEAL_BYTES {
-            return Err(Refused::Form);
+            return Err(VerificationError::Form);
         }
         let u64_at = |at: usize| {
             let mut bytes = [0; 8];
@@ -214,7 +214,11 @@
         let (sender, started_ms) = (u64_at(0), u64_at(8));
         let number = (u64_at(16) >> 32) as u32;
         let sent_ms = u64_at(20);
-        let key = *self.keys.0.get(&sender).ok_or(Refused::Stranger)?;
+        let key = *self
+            .keys
+            .0
+            .get(&sender)
+            .ok_or(VerificationError::Stranger)?;
         // The cheap checks first, so that a flood of what can't be costs no signatures.
         let delay = (wall_ms as i64).wrapping_sub(sent_ms as i64);
         self.peers
@@ -223,9 +227,9 @@
             .check(now, started_ms, number, delay)?;
         self.may_verify(now, from)?;
         let (signed, signature) = datagram.split_at(datagram.len() - SIGNATURE_BYTES);
-        let signature = Signature::from_slice(signature).map_err(|_| Refused::Form)?;
+        let signature = Signature::from_slice(signature).map_err(|_| VerificationError::Form)?;
         key.verify_strict(signed, &signature)
-            .map_err(|_| Refused::Forged)?;
+            .map_err(|_| VerificationError::Forged)?;
         self.count_valid(now, from)?;
         self.peers
             .entry(sender)
@@ -243,8 +247,8 @@
         now: Micros,
         from: IpAddr,
         signed: &Signed,
-    ) -> Result<Report, Refused> {
-        let report: Report = message::decode(&signed.report).ok_or(Refused::Form)?;
+    ) -> Result<Report, VerificationError> {
+        let report: Report = message::decode(&signed.report).ok_or(VerificationError::Form)?;
         self.verify(now, from, report.reporter, REPORT_CONTEXT, signed)?;
         Ok(report)
     }
@@ -256,7 +260,7 @@
         from: IpAddr,
         reporter: PeerId,
         signed: &Signed,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), VerificationError> {
         self.verify(now, from, reporter, LOAD_REPORT_CONTEXT, signed)
     }
 
@@ -267,16 +271,21 @@
         reporter: PeerId,
         context: &[u8],
         signed: &Signed,
-    ) -> Result<(), Refused> {
-        let key = *self.keys.0.get(&reporter).ok_or(Refused::Stranger)?;
+    ) -> Result<(), VerificationError> {
+        let key = *self
+            .keys
+            .0
+            .get(&reporter)
+            .ok_or(VerificationError::Stranger)?;
         self.may_verify(now, from)?;
-        let signature = Signature::from_slice(&signed.signature).map_err(|_| Refused::Form)?;
+        let signature =
+            Signature::from_slice(&signed.signature).map_err(|_| VerificationError::Form)?;
         key.verify_strict(&[context, &signed.report].concat(), &signature)
-            .map_err(|_| Refused::Forged)
+            .map_err(|_| VerificationError::Forged)
     }
 
     /// Takes the tokens of a check that may fail.
-    fn may_verify(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
+    fn may_verify(&mut self, now: Micros, from: IpAddr) -> Result<(), VerificationError> {
         let known = self.sources.contains_key(&from) || self.sources.len() < MAX_SOURCES;
         let source = match known {
             true => self
@@ -286,18 +295,18 @@
             false => &mut self.others,
         };
         let may = source.take(now, 1.0) && self.all.take(now, 1.0);
-        may.then_some(()).ok_or(Refused::Flood)
+        may.then_some(()).ok_or(VerificationError::Flood)
     }
 
     /// A signature held: it counts among the valid ones, and no longer against its source.
-    fn count_valid(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
+    fn count_valid(&mut self, now: Micros, from: IpAddr) -> Result<(), VerificationError> {
         let source = self.sources.get_mut(&from).unwrap_or(&mut self.others);
         source.refund(1.0);
         self.all.refund(1.0);
         self.valid
             .take(now, 1.0)
             .then_some(())
-            .ok_or(Refused::Flood)
+            .ok_or(VerificationError::Flood)
     }
 
     /// Microseconds since a reporter made a report, by the least delay seen of it. None where it can't be
--- a/crates/gossip/src/seal/peer.rs
+++ b/crates/gossip/src/seal/peer.rs
@@ -1,6 +1,6 @@
 //! What is known of a front from its own datagrams: whether another of them can be new (replay protection).
 
-use super::Refused;
+use super::VerificationError;
 use crate::Micros;
 
 /// Numbers by which a sender's datagrams may be out of order.
@@ -47,27 +47,27 @@
         started_ms: u64,
         number: u32,
         delay: i64,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), VerificationError> {
         let forgotten = now - self.heard > TIME_WINDOW;
         if started_ms < self.started_ms && !forgotten {
-            return Err(Refused::Replay);
+            return Err(VerificationError::Replay);
         }
         if started_ms == self.started_ms && self.started_ms > 0 {
             if number <= self.highest {
                 let back = self.highest - number;
                 if back >= WINDOW || self.received[(back / 64) as usize] & (1 << (back % 64)) != 0 {
-                    return Err(Refused::Replay);
+                    return Err(VerificationError::Replay);
                 }
             }
             let least = self.least();
             if least != i64::MAX && delay.saturating_sub(least) > TIME_WINDOW / 1000 {
-                return Err(Refused::Old);
+                return Err(VerificationError::Old);
             }
         }
         // Of a new run, or of a peer never heard, only the two clocks tell; they may differ by as much.
         let known = started_ms == self.started_ms && self.started_ms > 0;
         if !known && delay.saturating_abs() > TIME_WINDOW / 1000 {
-            return Err(Refused::Old);
+            return Err(VerificationError::Old);
         }
         Ok(())
     }
--- a/crates/gossip/src/seal_tests.rs
+++ b/crates/gossip/src/seal_tests.rs
@@ -29,14 +29,17 @@
     let now = 60_000_000;
     let opened = peers.open(now, WALL, FROM, &sealed).unwrap();
     assert_eq!((opened.sender, opened.content), (own.id, &b"news"[..]));
-    assert_eq!(peers.open(now, WALL, FROM, &sealed), Err(Refused::Replay));
+    assert_eq!(
+        peers.open(now, WALL, FROM, &sealed),
+        Err(VerificationError::Replay)
+    );
     assert_eq!(
         peers.open(now, WALL, FROM, &sealed[..SEAL_BYTES - 1]),
-        Err(Refused::Form)
+        Err(VerificationError::Form)
     );
     assert_eq!(
         Peers::new(Keys::new(&[])).open(now, WALL, FROM, &sealed),
-        Err(Refused::Stranger)
+        Err(VerificationError::Stranger)
     );
 }
 
@@ -51,9 +54,13 @@
     };
     for n in [0, 5, 3, 200, 130, 64, 399, 398, 144] {
         assert_eq!(open(n), Ok(()), "{n}");
-        assert_eq!(open(n), Err(Refused::Replay), "{n}");
+        assert_eq!(open(n), Err(VerificationError::Replay), "{n}");
     }
-    assert_eq!(open(143), Err(Refused::Replay), "beyond the window");
+    assert_eq!(
+        open(143),
+        Err(VerificationError::Replay),
+        "beyond the window"
+    );
 }
 
 #[test]
@@ -63,11 +70,20 @@
     let second = own.seal(WALL, b"y");
     assert!(peers.open(0, WALL, FROM, &first).is_ok());
     let (later, wall) = (60_000_000, WALL + 60_000);
-    assert_eq!(peers.open(later, wall, FROM, &first), Err(Refused::Replay));
-    assert_eq!(peers.open(later, wall, FROM, &second), Err(Refused::Old));
+    assert_eq!(
+        peers.open(later, wall, FROM, &first),
+        Err(VerificationError::Replay)
+    );
+    assert_eq!(
+        peers.open(later, wall, FROM, &second),
+        Err(VerificationError::Old)
+    );
     // Nor to one that has never heard of it.
     let mut fresh = Peers::new(Keys::new(&[own.public_key()]));
-    assert_eq!(fresh.open(later, wall, FROM, &first), Err(Refused::Old));
+    assert_eq!(
+        fresh.open(later, wall, FROM, &first),
+        Err(VerificationError::Old)
+    );
 }
 
 #[test]
@@ -95,7 +111,7 @@
     let mut older = Identity::new(&[7; 32], WALL - 500_000);
     assert_eq!(
         peers.open(1_000_000, WALL, FROM, &older.seal(WALL, b"x")),
-        Err(Refused::Replay)
+        Err(VerificationError::Replay)
     );
     let mut newer = Identity::new(&[7; 32], WALL);
     assert!(peers
@@ -103,7 +119,7 @@
         .is_ok());
     assert_eq!(
         peers.open(3_000_000, WALL, FROM, &own.seal(WALL, b"x")),
-        Err(Refused::Replay)
+        Err(VerificationError::Replay)
     );
     let silent = 2_000_000 + TIME_WINDOW + 1;
     let wall = WALL + 13_000;
@@ -115,7 +131,7 @@
 #[test]
 fn a_flood_of_forgeries_costs_a_bounded_number_of_signatures() {
     let (mut own, mut peers) = pair();
-    let mut refused: HashMap<Refused, usize> = HashMap::new();
+    let mut refused: HashMap<VerificationError, usize> = HashMap::new();
     for n in 0..20_000u32 {
         let mut forged = own.seal(WALL, b"x");
         forged[HEADER_BYTES] ^= 1;
@@ -124,7 +140,7 @@
         *refused.entry(why).or_default() += 1;
     }
     assert!(
-        refused[&Refused::Forged] <= 2 * FAILED_CHECKS_PER_SOURCE as usize,
+        refused[&VerificationError::Forged] <= 2 * FAILED_CHECKS_PER_SOURCE as usize,
         "{refused:?}"
     );
     // Those of others still count meanwhile.
@@ -150,8 +166,8 @@
     assert!((most..most + most / 10).contains(&opened), "{opened}");
     let mut forged = own.seal(WALL, b"x");
     forged[HEADER_BYTES] ^= 1;
-    let looked =
-        (0..1_000).filter(|_| peers.open(60_000, WALL, FROM, &forged) == Err(Refused::Forged));
+    let looked = (0..1_000)
+        .filter(|_| peers.open(60_000, WALL, FROM, &forged) == Err(VerificationError::Forged));
     assert!(looked.count() <= FAILED_CHECKS_PER_SOURCE as usize);
 }
 
@@ -173,7 +189,7 @@
     let mut both = Peers::new(Keys::new(&[own.public_key(), other.public_key()]));
     assert_eq!(
         both.verify_report(0, FROM, &other.sign(&report)),
-        Err(Refused::Forged)
+        Err(VerificationError::Forged)
     );
     let mut spoilt = signed.clone();
     spoilt.report[9] ^= 1;
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use hallmux_gossip::members::FleetSize;
 use hallmux_gossip::message::{self, Health, MemberUpdate, Probe, Sighting};
-use hallmux_gossip::seal::{Identity, Refused};
+use hallmux_gossip::seal::{Identity, VerificationError};
 use hallmux_gossip::{Micros, PeerId};
 
 #[path = "fleet/sim.rs"]
@@ -156,7 +156,8 @@
         .map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now))
         .collect();
     assert_eq!(before, after);
-    assert!((0..6).all(|n| fleet.nodes[n].as_ref().unwrap().refused[&Refused::Stranger] == 1));
+    assert!((0..6)
+        .all(|n| fleet.nodes[n].as_ref().unwrap().rejected[&VerificationError::Stranger] == 1));
     // A good key: in another's name it is refused, in its own it counts as one voice.
     let wall = fleet.wall(0);
     let (other, own) = (fleet.peer_id(2), fleet.peer_id(4));
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -92,7 +92,7 @@
         }
     }
     assert_eq!(requested(&node, 500), [7]);
-    assert!(node.refused.values().sum::<u64>() > 0);
+    assert!(node.rejected.values().sum::<u64>() > 0);
     // One that speaks for itself without end counts once, by its last report.
     for version in 1..400 {
         let own = liar.sign_load_report(&report(liar.id, version, u32::MAX - version));
