--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -11,7 +11,7 @@
 use hallmux_gossip::channels::{Channel, ChannelMessage};
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
-use hallmux_gossip::message::Sighting;
+use hallmux_gossip::message::EngineStatus;
 use hallmux_gossip::node::{Datagram, Node, NodeConfig};
 use hallmux_gossip::seal::{Keys, VerificationError};
 use hallmux_gossip::{PeerId, RandomSource};
@@ -42,7 +42,7 @@
     node: Node,
     next_report: Micros,
     /// What each peer reported last of each engine, so that a change reaches the dispatcher once.
-    known_reports: BTreeMap<ReportedEngine, Sighting>,
+    known_reports: BTreeMap<ReportedEngine, EngineStatus>,
     /// The dispatcher's numbers for reporters, in the order in which they were first heard.
     reporters: BTreeMap<PeerId, usize>,
     /// The size of the fleet as the dispatcher knows it.
--- a/crates/fleet/src/exchange/reports.rs
+++ b/crates/fleet/src/exchange/reports.rs
@@ -5,7 +5,7 @@
 
 use hallmux_dispatcher::{Dispatcher, EngineObservation, Micros};
 use hallmux_gossip::evidence::PeerReport;
-use hallmux_gossip::message::Sighting;
+use hallmux_gossip::message::EngineStatus;
 use hallmux_gossip::PeerId;
 
 use super::Exchange;
@@ -24,7 +24,7 @@
     /// reports.
     pub(super) fn report(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let observations = dispatcher.observations(at.now);
-        let mut sightings: Vec<Sighting> = observations.iter().map(sighting).collect();
+        let mut sightings: Vec<EngineStatus> = observations.iter().map(sighting).collect();
         sightings.sort_by_key(|s| (Reverse(s.silent_ms), Reverse(s.failed), s.engine));
         let ownership = self
             .ownership
@@ -48,16 +48,16 @@
         for report in &reports {
             let known = self.known_reports.get(&reported_engine(report));
             // Guards against reporters without end, as keys come and go.
-            if known == Some(&report.sighting) || self.reporters.len() >= MAX_REPORTERS {
+            if known == Some(&report.status) || self.reporters.len() >= MAX_REPORTERS {
                 continue;
             }
             let next = self.reporters.len();
             let reporter = *self.reporters.entry(report.reporter).or_insert(next);
             pass_report(now, dispatcher, reporter, report);
         }
-        let known: BTreeMap<ReportedEngine, Sighting> = reports
+        let known: BTreeMap<ReportedEngine, EngineStatus> = reports
             .iter()
-            .map(|report| (reported_engine(report), report.sighting))
+            .map(|report| (reported_engine(report), report.status))
             .collect();
         let before = std::mem::replace(&mut self.known_reports, known);
         reports
@@ -68,12 +68,12 @@
 }
 
 fn reported_engine(report: &PeerReport) -> ReportedEngine {
-    (report.reporter, report.sighting.engine)
+    (report.reporter, report.status.engine)
 }
 
 /// Passes a report to the dispatcher, from the reporter of this number.
 fn pass_report(now: Micros, dispatcher: &mut Dispatcher, reporter: usize, report: &PeerReport) {
-    let sighting = report.sighting;
+    let sighting = report.status;
     let observation = EngineObservation {
         id: "",
         failed: f64::from(sighting.failed),
@@ -87,8 +87,8 @@
 }
 
 /// What this front has observed of an engine, as other fronts learn it.
-fn sighting(seen: &EngineObservation) -> Sighting {
-    Sighting {
+fn sighting(seen: &EngineObservation) -> EngineStatus {
+    EngineStatus {
         engine: engine_hash(seen.id),
         failed: seen.failed.min(255.0) as u8,
         answered: seen.answered.min(255.0) as u8,
--- a/crates/front/src/fleet/peers/log_lines.rs
+++ b/crates/front/src/fleet/peers/log_lines.rs
@@ -94,7 +94,7 @@
 /// What another front has seen of an engine.
 pub(super) fn log_peer_report(report: &PeerReport, names: &BTreeMap<PeerId, String>) {
     let name = names.get(&report.reporter).map_or("?", String::as_str);
-    let sighting = &report.sighting;
+    let sighting = &report.status;
     let drains = if sighting.drains { ", drains" } else { "" };
     log::info!(
         "front {name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{drains}; {} ms ago",
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -3,14 +3,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::message::{OwnershipReport, Report, Sighting, Signed};
+use crate::message::{EngineStatus, OwnershipReport, Report, Signed};
 use crate::{Micros, PeerId};
 
 /// Microseconds after which a report counts for nothing; reporters renew what they still observe.
 pub const EXPIRY: Micros = 8_000_000;
 /// Most sightings in a report, and most recovered engines in an act; a longer one is refused. More
 /// faulty engines at once are as good as a fault of all engines.
-pub const MAX_SIGHTINGS: usize = 12;
+pub const MAX_ENGINE_STATUSES: usize = 12;
 /// Fronts whose reports are held; the oldest report is dropped first.
 const MAX_REPORTERS: usize = 256;
 
@@ -20,7 +20,7 @@
     version: u32,
     /// When it was made, on this front's clock.
     created: Micros,
-    sightings: Vec<Sighting>,
+    statuses: Vec<EngineStatus>,
     ownership: OwnershipReport,
     signed: Signed,
     /// How often this front has passed it on.
@@ -35,11 +35,11 @@
 }
 
 impl Subject {
-    fn of(sighting: &Sighting) -> Subject {
-        let has_fault = sighting.silent_ms > 0 || sighting.failed > 0;
+    fn of(status: &EngineStatus) -> Subject {
+        let has_fault = status.silent_ms > 0 || status.failed > 0;
         Subject {
-            engine: sighting.engine,
-            is_well: sighting.answered > 0 && !has_fault,
+            engine: status.engine,
+            is_well: status.answered > 0 && !has_fault,
         }
     }
 }
@@ -50,14 +50,14 @@
 
 impl PassedOn {
     fn add(&mut self, report: &StoredReport, times: u32) {
-        for sighting in &report.sightings {
-            *self.0.entry(Subject::of(sighting)).or_default() += times;
+        for status in &report.statuses {
+            *self.0.entry(Subject::of(status)).or_default() += times;
         }
     }
 
     /// How often the subject of a report was passed on of which least was. Reports without content come last.
     fn least(&self, report: &StoredReport) -> u32 {
-        let subjects = report.sightings.iter().map(Subject::of);
+        let subjects = report.statuses.iter().map(Subject::of);
         let least = subjects
             .map(|subject| self.0.get(&subject).copied().unwrap_or(0))
             .min();
@@ -81,7 +81,7 @@
     /// The front that observed it.
     pub reporter: PeerId,
     /// What it observed.
-    pub sighting: Sighting,
+    pub status: EngineStatus,
     /// Microseconds since it was reported.
     pub age: Micros,
 }
@@ -116,7 +116,7 @@
     pub fn merge(&mut self, now: Micros, report: Report, signed: Signed, age: Micros) -> bool {
         let act = report.ownership.act.as_ref();
         let recovered = act.map_or(0, |act| act.recovered.len());
-        let fits = report.sightings.len() <= MAX_SIGHTINGS && recovered <= MAX_SIGHTINGS;
+        let fits = report.statuses.len() <= MAX_ENGINE_STATUSES && recovered <= MAX_ENGINE_STATUSES;
         if !fits
             || age >= EXPIRY
             || !self.is_later(report.reporter, report.started_ms, report.version)
@@ -130,7 +130,7 @@
             started_ms: report.started_ms,
             version: report.version,
             created: now - age,
-            sightings: report.sightings,
+            statuses: report.statuses,
             ownership: report.ownership,
             signed,
             sent: 0,
@@ -163,9 +163,9 @@
             .filter(|(reporter, report)| **reporter != own && report.is_current(now));
         current
             .flat_map(|(reporter, report)| {
-                report.sightings.iter().map(move |sighting| PeerReport {
+                report.statuses.iter().map(move |status| PeerReport {
                     reporter: *reporter,
-                    sighting: *sighting,
+                    status: *status,
                     age: now - report.created,
                 })
             })
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -3,17 +3,17 @@
 use super::*;
 
 fn report(reporter: PeerId, started_ms: u64, version: u32, failed: u8) -> Report {
-    let sightings = vec![Sighting {
+    let statuses = vec![EngineStatus {
         engine: 1,
         failed,
-        ..Sighting::default()
+        ..EngineStatus::default()
     }];
     Report {
         reporter,
         started_ms,
         version,
         created_ms: 0,
-        sightings,
+        statuses,
         ownership: OwnershipReport::default(),
     }
 }
@@ -34,7 +34,7 @@
     evidence
         .peer_reports(1, 99)
         .into_iter()
-        .map(|n| (n.reporter, n.sighting.failed))
+        .map(|n| (n.reporter, n.status.failed))
         .collect()
 }
 
@@ -109,7 +109,7 @@
         );
     }
     let mut other = report(200, 1, 1, 1);
-    other.sightings[0].engine = 2;
+    other.statuses[0].engine = 2;
     // The earliest and the last in number: by age and place it would come after all others.
     evidence.merge(0, other, signed(200), 0);
     let mut firsts = Vec::new();
@@ -132,6 +132,6 @@
     assert_eq!(evidence.len(), MAX_REPORTERS);
     assert_eq!(evidence.pass_on(10_000, 4, 400).len(), 3);
     let mut long = report(1, 1, 1, 1);
-    long.sightings = vec![Sighting::default(); MAX_SIGHTINGS + 1];
+    long.statuses = vec![EngineStatus::default(); MAX_ENGINE_STATUSES + 1];
     assert!(!Evidence::default().merge(0, long, signed(), 0));
 }
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -40,7 +40,7 @@
 
 /// What a front has observed of one engine lately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct EngineStatus {
     /// A hash of the engine's id.
     pub engine: u64,
     /// Executions that failed or were lost in the last seconds; at most 255.
@@ -67,7 +67,7 @@
     /// When it was made, in Unix milliseconds on its reporter's clock.
     pub created_ms: u64,
     /// Engines with a fault, or with something announced of them.
-    pub sightings: Vec<Sighting>,
+    pub statuses: Vec<EngineStatus>,
     /// The reporter's view of who owns the fleet's work.
     pub ownership: OwnershipReport,
 }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 
 use crate::channels::{ChannelMessage, Mailbox};
-use crate::evidence::{Evidence, PeerOwnership, PeerReport, MAX_SIGHTINGS};
+use crate::evidence::{Evidence, PeerOwnership, PeerReport, MAX_ENGINE_STATUSES};
 use crate::load_reports::LoadReports;
 use crate::members::{FleetSize, Members};
-use crate::message::{OwnershipReport, Report, Sighting};
+use crate::message::{EngineStatus, OwnershipReport, Report};
 use crate::seal::{Identity, Keys, Peers, TokenBucket, VerificationError};
 use crate::{Micros, PeerId};
 
@@ -53,7 +53,7 @@
     answer_tokens: TokenBucket,
     next_round: Micros,
     /// What this front reported last.
-    sightings: Vec<Sighting>,
+    statuses: Vec<EngineStatus>,
     ownership: OwnershipReport,
     mailbox: Mailbox,
     /// Load reports, once they are enabled.
@@ -83,7 +83,7 @@
             gossip_tokens: TokenBucket::new(GOSSIP_RATE),
             answer_tokens: TokenBucket::new(ANSWER_RATE),
             next_round: 0,
-            sightings: Vec::new(),
+            statuses: Vec::new(),
             ownership: OwnershipReport::default(),
             mailbox: Mailbox::new(),
             load_reports: None,
@@ -136,9 +136,14 @@
     }
 
     /// Reports what this front observes of engines now: only those with a fault, or with something
-    /// announced of them. Beyond [`MAX_SIGHTINGS`] the rest is left out.
-    pub fn report_sightings(&mut self, now: Micros, wall_ms: u64, sightings: Vec<Sighting>) {
-        self.report(now, wall_ms, sightings, OwnershipReport::default());
+    /// announced of them. Beyond [`MAX_ENGINE_STATUSES`] the rest is left out.
+    pub fn report_engine_statuses(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        statuses: Vec<EngineStatus>,
+    ) {
+        self.report(now, wall_ms, statuses, OwnershipReport::default());
     }
 
     /// The same, with what this front reports of work on behalf of the fleet.
@@ -146,12 +151,12 @@
         &mut self,
         now: Micros,
         wall_ms: u64,
-        mut sightings: Vec<Sighting>,
+        mut statuses: Vec<EngineStatus>,
         ownership: OwnershipReport,
     ) {
-        sightings.truncate(MAX_SIGHTINGS);
-        let changed = sightings != self.sightings || !ownership.is_equivalent(&self.ownership);
-        let is_empty = sightings.is_empty() && ownership.is_empty();
+        statuses.truncate(MAX_ENGINE_STATUSES);
+        let changed = statuses != self.statuses || !ownership.is_equivalent(&self.ownership);
+        let is_empty = statuses.is_empty() && ownership.is_empty();
         if !changed && (is_empty || now < self.renew_at) {
             return;
         }
@@ -163,10 +168,10 @@
             started_ms: self.own.started_ms,
             version: self.version,
             created_ms: wall_ms,
-            sightings: sightings.clone(),
+            statuses: statuses.clone(),
             ownership,
         };
-        self.sightings = sightings;
+        self.statuses = statuses;
         let signed = self.own.sign(&report);
         self.evidence.merge(now, report, signed, 0);
     }
--- a/crates/gossip/src/seal_tests.rs
+++ b/crates/gossip/src/seal_tests.rs
@@ -179,7 +179,7 @@
         started_ms: own.started_ms,
         version: 1,
         created_ms: WALL,
-        sightings: Vec::new(),
+        statuses: Vec::new(),
         ownership: Default::default(),
     };
     let signed = own.sign(&report);
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use hallmux_gossip::members::FleetSize;
-use hallmux_gossip::message::{self, Health, MemberUpdate, Probe, Sighting};
+use hallmux_gossip::message::{self, EngineStatus, Health, MemberUpdate, Probe};
 use hallmux_gossip::seal::{Identity, VerificationError};
 use hallmux_gossip::{Micros, PeerId};
 
@@ -12,12 +12,12 @@
 
 use sim::{at, draw, secret, Fleet, SECOND, WALL};
 
-fn sullen(engine: u64) -> Vec<Sighting> {
-    vec![Sighting {
+fn sullen(engine: u64) -> Vec<EngineStatus> {
+    vec![EngineStatus {
         engine,
         failed: 9,
         silent_ms: 3000,
-        ..Sighting::default()
+        ..EngineStatus::default()
     }]
 }
 
@@ -34,11 +34,11 @@
             "{n}"
         );
     }
-    fleet.report_sightings(7, sullen(77));
+    fleet.report_engine_statuses(7, sullen(77));
     fleet.run(13 * SECOND);
     assert_eq!(fleet.heard_of(77).len(), 19);
     // It fades once its reporter no longer says so.
-    fleet.report_sightings(7, Vec::new());
+    fleet.report_engine_statuses(7, Vec::new());
     fleet.run(22 * SECOND);
     assert_eq!(fleet.heard_of(77).len(), 0);
 }
@@ -71,7 +71,7 @@
     fleet.start(5, 12, 3_600_000);
     fleet.run(60 * SECOND);
     assert_eq!(fleet.health(5, Health::Alive), 11);
-    fleet.report_sightings(5, sullen(5));
+    fleet.report_engine_statuses(5, sullen(5));
     fleet.run(63 * SECOND);
     assert_eq!(fleet.heard_of(5).len(), 11);
 }
@@ -85,7 +85,7 @@
     }
     fleet.run(45 * SECOND);
     assert_eq!(fleet.health(9, Health::Alive), 4);
-    fleet.report_sightings(9, sullen(9));
+    fleet.report_engine_statuses(9, sullen(9));
     fleet.run(48 * SECOND);
     assert_eq!(fleet.heard_of(9).len(), 4);
     fleet.cut.clear();
@@ -93,7 +93,7 @@
     for n in 0..10 {
         assert_eq!(fleet.health(n, Health::Alive), 9, "{n}");
     }
-    fleet.report_sightings(9, sullen(10));
+    fleet.report_engine_statuses(9, sullen(10));
     fleet.run(78 * SECOND);
     assert_eq!(fleet.heard_of(10).len(), 9);
 }
@@ -121,7 +121,7 @@
         started_ms,
         version: 9,
         created_ms: wall,
-        sightings: sullen(engine),
+        statuses: sullen(engine),
         ownership: Default::default(),
     };
     let signed = liar.sign(&report);
@@ -178,11 +178,11 @@
 fn what_is_replayed_a_minute_later_counts_for_nothing() {
     let mut fleet = Fleet::new(5, 6);
     fleet.run(5 * SECOND);
-    fleet.report_sightings(1, sullen(3));
+    fleet.report_engine_statuses(1, sullen(3));
     fleet.captures = true;
     fleet.run(6 * SECOND);
     fleet.captures = false;
-    fleet.report_sightings(1, Vec::new());
+    fleet.report_engine_statuses(1, Vec::new());
     fleet.run(70 * SECOND);
     assert!(fleet.heard_of(3).is_empty());
     let all = std::mem::take(&mut fleet.captured);
@@ -206,7 +206,7 @@
     }
     fleet.run(8 * SECOND);
     for n in 0..6 {
-        fleet.report_sightings(n, sullen(n as u64));
+        fleet.report_engine_statuses(n, sullen(n as u64));
         let created = fleet.now;
         fleet.run(created + 2 * SECOND);
         let heard = fleet.heard_of(n as u64);
@@ -215,7 +215,7 @@
             let news = fleet.nodes[to].as_ref().unwrap().peer_reports(fleet.now);
             let age = news
                 .iter()
-                .find(|x| x.sighting.engine == n as u64)
+                .find(|x| x.status.engine == n as u64)
                 .unwrap()
                 .age;
             assert!(
@@ -223,7 +223,7 @@
                 "{to} of {n}: {age}"
             );
         }
-        fleet.report_sightings(n, Vec::new());
+        fleet.report_engine_statuses(n, Vec::new());
     }
 }
 
@@ -253,7 +253,7 @@
         let bytes = loud.seal(wall, &message::encode(&message));
         fleet.deliver(7, n as usize % 7, Micros::from(n) * 2_500, bytes);
     }
-    fleet.report_sightings(2, sullen(2));
+    fleet.report_engine_statuses(2, sullen(2));
     fleet.run(21 * SECOND);
     assert_eq!(fleet.heard_of(2).len(), 6);
     fleet.run(28 * SECOND);
@@ -305,8 +305,8 @@
         let mut fleet = Fleet::new(count, 10);
         fleet.run(8 * SECOND);
         let before: u64 = fleet.sent().iter().sum();
-        fleet.report_sightings(1, sullen(4));
-        fleet.report_sightings(2, sullen(4));
+        fleet.report_engine_statuses(1, sullen(4));
+        fleet.report_engine_statuses(2, sullen(4));
         fleet.run(20 * SECOND);
         (fleet.sent().iter().sum::<u64>() - before) as f64 / 12.0 / count as f64
     };
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use hallmux_gossip::message::{Health, Sighting};
+use hallmux_gossip::message::{EngineStatus, Health};
 use hallmux_gossip::node::{Datagram, Node, NodeConfig};
 use hallmux_gossip::seal::{Identity, Keys};
 use hallmux_gossip::{Micros, PeerId};
@@ -178,12 +178,12 @@
         Identity::new(&secret(n), 0).id
     }
 
-    pub fn report_sightings(&mut self, n: usize, sightings: Vec<Sighting>) {
+    pub fn report_engine_statuses(&mut self, n: usize, statuses: Vec<EngineStatus>) {
         let (now, wall) = (self.now, self.wall(n));
         self.nodes[n]
             .as_mut()
             .unwrap()
-            .report_sightings(now, wall, sightings);
+            .report_engine_statuses(now, wall, statuses);
     }
 
     /// Who has heard of this engine, and from whom.
@@ -191,7 +191,7 @@
         let reporters = |node: &Node| -> BTreeSet<PeerId> {
             let news = node.peer_reports(self.now);
             news.into_iter()
-                .filter(|n| n.sighting.engine == engine)
+                .filter(|n| n.status.engine == engine)
                 .map(|n| n.reporter)
                 .collect()
         };
--- a/crates/lab/src/measure/gossip.rs
+++ b/crates/lab/src/measure/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use hallmux_gossip::message::Sighting;
+use hallmux_gossip::message::EngineStatus;
 use hallmux_gossip::Micros;
 
 #[path = "../../../gossip/tests/fleet/sim.rs"]
@@ -31,13 +31,13 @@
             let reporter = size / (round + 2);
             let engine = 1000 + round as u64;
             let at = fleet.now;
-            fleet.report_sightings(
+            fleet.report_engine_statuses(
                 reporter,
-                vec![Sighting {
+                vec![EngineStatus {
                     engine,
                     failed: 9,
                     silent_ms: 3000,
-                    ..Sighting::default()
+                    ..EngineStatus::default()
                 }],
             );
             let mut heard = 0;
@@ -51,7 +51,7 @@
             if heard == size - 1 {
                 all.push((fleet.now - at) / 1000);
             }
-            fleet.report_sightings(reporter, Vec::new());
+            fleet.report_engine_statuses(reporter, Vec::new());
             fleet.run(at + 8 * SECOND);
         }
         let seconds = (fleet.now - since) as f64 / 1e6;
