--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -164,7 +164,7 @@
             datagrams,
             ..Output::default()
         };
-        for message in self.node.received() {
+        for message in self.node.take_messages() {
             self.receive_message(at, message);
         }
         if let Some(ownership) = &mut self.ownership {
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -67,9 +67,9 @@
     /// Datagrams and reports that were refused, by reason.
     pub rejected: BTreeMap<VerificationError, u64>,
     /// Bytes that were sent.
-    pub sent: u64,
+    pub bytes_sent: u64,
     /// Datagrams that were not sent: too long, or beyond a rate limit.
-    pub held_back: u64,
+    pub datagrams_withheld: u64,
 }
 
 impl Node {
@@ -92,8 +92,8 @@
             version: 0,
             renew_at: 0,
             rejected: BTreeMap::new(),
-            sent: 0,
-            held_back: 0,
+            bytes_sent: 0,
+            datagrams_withheld: 0,
             own,
         }
     }
@@ -187,7 +187,7 @@
     }
 
     /// Takes the channel messages received since the last call.
-    pub fn received(&mut self) -> Vec<ChannelMessage> {
+    pub fn take_messages(&mut self) -> Vec<ChannelMessage> {
         self.mailbox.take()
     }
 
--- a/crates/gossip/src/node/sending.rs
+++ b/crates/gossip/src/node/sending.rs
@@ -129,7 +129,7 @@
         let content = self.content(now, outgoing, purpose);
         let len = content.len() + SEAL_BYTES;
         if len > MAX_DATAGRAM || !self.take_tokens(now, len, outgoing.probe, purpose) {
-            self.held_back += 1;
+            self.datagrams_withheld += 1;
             return None;
         }
         Some(self.seal(wall_ms, outgoing.to, &content))
@@ -168,7 +168,7 @@
     }
 
     fn seal(&mut self, wall_ms: u64, to: SocketAddr, content: &[u8]) -> Datagram {
-        self.sent += (content.len() + SEAL_BYTES) as u64;
+        self.bytes_sent += (content.len() + SEAL_BYTES) as u64;
         Datagram {
             to,
             bytes: self.own.seal(wall_ms, content),
@@ -196,7 +196,7 @@
         let content = message::encode(&message);
         let len = content.len() + SEAL_BYTES;
         if len > MAX_DATAGRAM || !self.mailbox.may_send(now, channel, len) {
-            self.held_back += 1;
+            self.datagrams_withheld += 1;
             return None;
         }
         Some(self.seal(wall_ms, to, &content))
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -214,6 +214,10 @@
     }
 
     pub fn sent(&self) -> Vec<u64> {
-        self.nodes.iter().flatten().map(|node| node.sent).collect()
+        self.nodes
+            .iter()
+            .flatten()
+            .map(|node| node.bytes_sent)
+            .collect()
     }
 }
