--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -27,7 +27,7 @@
     /// Summaries of the data that sites hold.
     Summaries,
     /// Fronts waiting for a ledger key notify its holder.
-    Gate,
+    KeyQueue,
     /// Load reports; consumed by gossip itself.
     Load,
 }
@@ -38,7 +38,7 @@
     Channel::Ledger,
     Channel::Rules,
     Channel::Summaries,
-    Channel::Gate,
+    Channel::KeyQueue,
     Channel::Load,
 ];
 
@@ -50,7 +50,7 @@
             Channel::Ledger => 600_000.0,
             Channel::Rules => 64_000.0,
             Channel::Summaries => 48_000.0,
-            Channel::Gate => 16_000.0,
+            Channel::KeyQueue => 16_000.0,
             Channel::Load => 8_000.0,
         }
     }
--- a/crates/gossip/src/node/receiving.rs
+++ b/crates/gossip/src/node/receiving.rs
@@ -71,7 +71,7 @@
         let is_new = self.members.health(sender).is_none();
         for update in message.updates {
             // Only fronts with a known key count: they could refute the update.
-            if self.peers.knows(update.member) {
+            if self.peers.has_key(update.member) {
                 self.members.apply(now, sender, update);
             }
         }
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -152,7 +152,7 @@
 
 /// A datagram whose signature holds.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Opened<'a> {
+pub struct OpenedDatagram<'a> {
     /// The front that signed it.
     pub sender: PeerId,
     /// The encoded message.
@@ -180,7 +180,7 @@
     }
 
     /// Whether this front's key counts.
-    pub fn knows(&self, id: PeerId) -> bool {
+    pub fn has_key(&self, id: PeerId) -> bool {
         self.keys.0.contains_key(&id)
     }
 
@@ -202,7 +202,7 @@
         wall_ms: u64,
         from: IpAddr,
         datagram: &'a [u8],
-    ) -> Result<Opened<'a>, VerificationError> {
+    ) -> Result<OpenedDatagram<'a>, VerificationError> {
         if datagram.len() > MAX_DATAGRAM || datagram.len() < SEAL_BYTES {
             return Err(VerificationError::Form);
         }
@@ -235,7 +235,7 @@
             .entry(sender)
             .or_insert(Peer::UNKNOWN)
             .record(now, started_ms, number, delay);
-        Ok(Opened {
+        Ok(OpenedDatagram {
             sender,
             content: &signed[HEADER_BYTES..],
         })
