--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -119,7 +119,7 @@
         if ids.contains(&own) {
             let config = VoterConfig {
                 fleet,
-                own,
+                local_id: own,
                 voters: ids.clone(),
                 terms,
             };
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -28,7 +28,7 @@
     /// The fleet's fingerprint.
     pub fleet: u64,
     /// This front.
-    pub own: FrontId,
+    pub local_id: FrontId,
     /// All voters, in any order.
     pub voters: Vec<FrontId>,
     /// How long a lease lasts.
@@ -56,7 +56,7 @@
 /// One voter, and its part of the log.
 pub struct Voter {
     fleet: u64,
-    own: FrontId,
+    local_id: FrontId,
     /// All voters in order: the place of each, counted from 1, is its number in the log.
     voters: Vec<FrontId>,
     terms: LeaseTerms,
@@ -87,7 +87,7 @@
     ) -> Result<Voter, StateError> {
         let VoterConfig {
             fleet,
-            own,
+            local_id,
             mut voters,
             terms,
         } = config;
@@ -98,10 +98,10 @@
             None => DurableState::new(fleet),
         };
         state.start();
-        let log = log::open_log(own, &voters, state.store.clone())?;
+        let log = log::open_log(local_id, &voters, state.store.clone())?;
         let mut voter = Voter {
             fleet,
-            own,
+            local_id,
             voters,
             terms,
             log,
@@ -131,7 +131,7 @@
     }
 
     /// How many entries of the log are decided, as far as this voter knows.
-    pub fn decided(&self) -> usize {
+    pub fn decided_entries(&self) -> usize {
         self.applied
     }
 
@@ -176,7 +176,7 @@
     fn requested(&mut self, now: Micros, requester: FrontId, request: Request) {
         let number = request.number;
         let Some(leader) = self.leader() else { return };
-        if leader != self.own {
+        if leader != self.local_id {
             return self.reply(requester, Reply::NotLeader { number, leader });
         }
         let is_ready = self.leading_since.is_some() && self.waiting.len() < MAX_WAITING;
--- a/crates/lease/src/voter/log.rs
+++ b/crates/lease/src/voter/log.rs
@@ -23,7 +23,7 @@
     /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
     pub(super) fn is_from(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
         self.voter(message.get_sender()) == Some(from)
-            && self.voter(message.get_receiver()) == Some(self.own)
+            && self.voter(message.get_receiver()) == Some(self.local_id)
     }
 
     /// The voter of a number in the log.
@@ -40,7 +40,7 @@
     /// Whether this voter leads and may propose.
     pub(super) fn leads(&self) -> bool {
         let leader = self.log.get_current_leader();
-        leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.own)
+        leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.local_id)
     }
 
     /// Takes the log library's messages, and numbers those that must come in order.
@@ -49,7 +49,7 @@
         self.log.take_outgoing_messages(&mut messages);
         for message in messages {
             let receiver = self.voter(message.get_receiver());
-            let Some(to) = receiver.filter(|to| *to != self.own) else {
+            let Some(to) = receiver.filter(|to| *to != self.local_id) else {
                 continue;
             };
             let message = LeaseMessage::Log {
@@ -98,11 +98,11 @@
 
 /// Opens this voter's part of the log. An error says that it is no voter, or that there are too few.
 pub(super) fn open_log(
-    own: FrontId,
+    local_id: FrontId,
     voters: &[FrontId],
     store: LogStore<Change>,
 ) -> Result<OmniPaxos<Change, LogStore<Change>>, StateError> {
-    let place = voters.iter().position(|voter| *voter == own);
+    let place = voters.iter().position(|voter| *voter == local_id);
     let number = place.ok_or(StateError::Voters)? as LogNumber + 1;
     let cluster_config = ClusterConfig {
         configuration_id: 1,
--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -34,13 +34,13 @@
     for (n, one) in voters.iter().enumerate() {
         for other in voters[..n]
             .iter()
-            .filter(|other| other.decided() == one.decided())
+            .filter(|other| other.decided_entries() == one.decided_entries())
         {
             assert_eq!(
                 one.leases(),
                 other.leases(),
                 "after {} entries",
-                one.decided()
+                one.decided_entries()
             );
         }
     }
@@ -219,9 +219,9 @@
 fn a_letter_of_another_fleet_or_in_another_voters_name_does_nothing() {
     let voters = [100, 101, 102];
     let fleet = fingerprint("tests", &voters);
-    let config = |own| VoterConfig {
+    let config = |local_id| VoterConfig {
         fleet,
-        own,
+        local_id,
         voters: voters.to_vec(),
         terms: TERMS,
     };
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -120,7 +120,7 @@
         front.voter = voters.contains(&id(n)).then(|| {
             let config = VoterConfig {
                 fleet,
-                own: id(n),
+                local_id: id(n),
                 voters,
                 terms: TERMS,
             };
