--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -19,21 +19,21 @@
 /// The highest token seen of each task, with its owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
-    seen: BTreeMap<Task, TokenOwner>,
+    highest_seen: BTreeMap<Task, TokenOwner>,
 }
 
 impl Fence {
     /// A majority of the voters reports this lease.
     pub fn observe(&mut self, task: Task, lease: TokenOwner) {
-        let seen = self.seen.entry(task).or_insert(lease);
-        if lease.token > seen.token {
-            *seen = lease;
+        let highest_seen = self.highest_seen.entry(task).or_insert(lease);
+        if lease.token > highest_seen.token {
+            *highest_seen = lease;
         }
     }
 
     /// The highest token seen of a task, with its owner.
     pub fn highest(&self, task: Task) -> Option<TokenOwner> {
-        self.seen.get(&task).copied()
+        self.highest_seen.get(&task).copied()
     }
 
     /// Whether an act of this owner under this token passes.
@@ -50,8 +50,8 @@
 /// Voters may be behind each other: only equal reports count together.
 pub fn majority(reported: &BTreeMap<FrontId, TokenOwner>, voters: usize) -> Option<TokenOwner> {
     let count = |lease: &TokenOwner| reported.values().filter(|other| *other == lease).count();
-    let enough = reported.values().filter(|lease| count(lease) > voters / 2);
-    enough.max().copied()
+    let with_majority = reported.values().filter(|lease| count(lease) > voters / 2);
+    with_majority.max().copied()
 }
 
 #[cfg(test)]
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -20,17 +20,17 @@
 struct HeldLease {
     token: Token,
     /// The owner may act before this time.
-    until: Micros,
+    valid_until: Micros,
 }
 
 /// A request that awaits its reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Pending {
+struct PendingRequest {
     number: u64,
     /// When it was made.
-    at: Micros,
+    sent_at: Micros,
     /// The place of the voter that it went to.
-    voter: usize,
+    voter_index: usize,
 }
 
 /// One front's claim on one task.
@@ -40,45 +40,45 @@
     terms: LeaseTerms,
     voters: Vec<FrontId>,
     held: Option<HeldLease>,
-    pending: Option<Pending>,
+    pending: Option<PendingRequest>,
     next_number: u64,
     /// The place of the voter that the next request goes to.
-    voter: usize,
+    voter_index: usize,
     /// The progress that came with the lease, until it is taken.
-    progress: Option<Vec<u8>>,
+    inherited_progress: Option<Vec<u8>>,
 }
 
 impl Holder {
     /// `first` is the number of its first request; it has to be above all of an earlier run, whose replies
     /// are not for this one.
-    pub fn new(task: Task, terms: LeaseTerms, voters: Vec<FrontId>, first: u64) -> Holder {
+    pub fn new(task: Task, terms: LeaseTerms, voters: Vec<FrontId>, first_number: u64) -> Holder {
         Holder {
             task,
             terms,
             voters,
             held: None,
             pending: None,
-            next_number: first,
-            voter: 0,
-            progress: None,
+            next_number: first_number,
+            voter_index: 0,
+            inherited_progress: None,
         }
     }
 
     /// The token under which it may act now.
     pub fn token(&self, now: Micros) -> Option<Token> {
         self.held
-            .filter(|held| now < held.until)
+            .filter(|held| now < held.valid_until)
             .map(|held| held.token)
     }
 
     /// Until when it may act, in the past where the lease has run out; None where it never held one.
     pub fn valid_until(&self) -> Option<Micros> {
-        self.held.map(|held| held.until)
+        self.held.map(|held| held.valid_until)
     }
 
     /// Takes the progress of the owner before; there is one after each grant.
     pub fn take_inherited_progress(&mut self) -> Option<Vec<u8>> {
-        self.progress.take()
+        self.inherited_progress.take()
     }
 
     /// The request that is due, and the voter to send it to: for a renewal, or for the lease by `intent`. None
@@ -92,16 +92,16 @@
         if self.awaits_reply(now) || !self.is_due(now, intent) || self.voters.is_empty() {
             return None;
         }
-        let unanswered = self.pending.as_ref().map(|pending| pending.voter);
-        if unanswered == Some(self.voter) {
+        let unanswered = self.pending.as_ref().map(|pending| pending.voter_index);
+        if unanswered == Some(self.voter_index) {
             self.choose_next_voter();
         }
         let number = self.next_number;
         self.next_number += 1;
-        self.pending = Some(Pending {
+        self.pending = Some(PendingRequest {
             number,
-            at: now,
-            voter: self.voter,
+            sent_at: now,
+            voter_index: self.voter_index,
         });
         let token = self.token(now);
         let progress = if token.is_some() {
@@ -115,26 +115,26 @@
             token,
             progress,
         };
-        let to = self.voters[self.voter];
+        let to = self.voters[self.voter_index];
         Some(AddressedRequest { to, request })
     }
 
     fn awaits_reply(&self, now: Micros) -> bool {
         self.pending
             .as_ref()
-            .is_some_and(|pending| now - pending.at < REPLY_TIMEOUT)
+            .is_some_and(|pending| now - pending.sent_at < REPLY_TIMEOUT)
     }
 
     /// Whether a request is due. A lease is renewed from a third of its time on: two more attempts fit in.
     fn is_due(&self, now: Micros, intent: Intent) -> bool {
-        match self.held.filter(|held| now < held.until) {
-            Some(held) => held.until - now < self.terms.owner_valid_for() * 2 / 3,
+        match self.held.filter(|held| now < held.valid_until) {
+            Some(held) => held.valid_until - now < self.terms.owner_valid_for() * 2 / 3,
             None => intent == Intent::Acquire,
         }
     }
 
     fn choose_next_voter(&mut self) {
-        self.voter = (self.voter + 1) % self.voters.len();
+        self.voter_index = (self.voter_index + 1) % self.voters.len();
     }
 
     /// Takes in a voter's reply. One that is not to the latest request is ignored.
@@ -150,18 +150,19 @@
                 // Counted from the request: however long the reply took, the voters count from later.
                 let held = HeldLease {
                     token: *token,
-                    until: pending.at + self.terms.owner_valid_for(),
+                    valid_until: pending.sent_at + self.terms.owner_valid_for(),
                 };
                 if self.held.is_none_or(|before| before.token != *token) {
-                    self.progress = Some(progress.clone());
+                    self.inherited_progress = Some(progress.clone());
                 }
                 self.held = Some(held);
             }
             // Another front holds it, since no later than now.
             Reply::Denied { .. } => self.held = None,
             Reply::NotLeader { leader, .. } => {
-                let place = self.voters.iter().position(|voter| voter == leader);
-                self.voter = place.unwrap_or((self.voter + 1) % self.voters.len());
+                let leader_index = self.voters.iter().position(|voter| voter == leader);
+                self.voter_index =
+                    leader_index.unwrap_or((self.voter_index + 1) % self.voters.len());
             }
         }
     }
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -16,7 +16,7 @@
         /// The work that it is for.
         task: Task,
         /// The token that it is held under until then; 0: it was never granted.
-        after: Token,
+        previous_token: Token,
         /// The new owner.
         owner: FrontId,
         /// Of the owner's request.
@@ -53,7 +53,7 @@
 pub struct Leases {
     held: BTreeMap<Task, Lease>,
     /// The last token that was given out, over all tasks.
-    last: Token,
+    last_token: Token,
 }
 
 impl Leases {
@@ -72,20 +72,20 @@
         match change {
             Change::Grant {
                 task,
-                after,
+                previous_token,
                 owner,
                 number,
             } => {
-                let before = self.held.get(task);
-                if before.map_or(0, |lease| lease.token) != *after {
+                let previous = self.held.get(task);
+                if previous.map_or(0, |lease| lease.token) != *previous_token {
                     return false;
                 }
-                let progress = before
+                let progress = previous
                     .map(|lease| lease.progress.clone())
                     .unwrap_or_default();
-                self.last += 1;
+                self.last_token += 1;
                 let lease = Lease {
-                    token: self.last,
+                    token: self.last_token,
                     owner: *owner,
                     number: *number,
                     progress,
@@ -115,14 +115,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseSnapshot {
     base: Leases,
-    since: Vec<Change>,
+    changes: Vec<Change>,
 }
 
 impl LeaseSnapshot {
     /// The leases with all changes applied.
     pub fn leases(&self) -> Leases {
         let mut leases = self.base.clone();
-        for change in &self.since {
+        for change in &self.changes {
             leases.apply(change);
         }
         leases
@@ -133,14 +133,14 @@
     fn create(entries: &[Change]) -> LeaseSnapshot {
         LeaseSnapshot {
             base: Leases::default(),
-            since: entries.to_vec(),
+            changes: entries.to_vec(),
         }
     }
 
     fn merge(&mut self, later: LeaseSnapshot) {
         self.base = self.leases();
-        self.since.clear();
-        for change in &later.since {
+        self.changes.clear();
+        for change in &later.changes {
             self.base.apply(change);
         }
     }
--- a/crates/lease/src/leases_tests.rs
+++ b/crates/lease/src/leases_tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-fn grant(after: Token, owner: FrontId) -> Change {
+fn grant(previous_token: Token, owner: FrontId) -> Change {
     Change::Grant {
         task: Task::Zones,
-        after,
+        previous_token,
         owner,
         number: 1,
     }
--- a/crates/lease/src/state.rs
+++ b/crates/lease/src/state.rs
@@ -9,7 +9,7 @@
 /// Names the format; another format has another name.
 const MAGIC: [u8; 8] = *b"hmlease2";
 /// The format of builds that did not count incarnations.
-const MAGIC_BEFORE: [u8; 8] = *b"hmlease1";
+const MAGIC_V1: [u8; 8] = *b"hmlease1";
 /// CRC-32 of the body, big-endian, behind the name of the format.
 const CHECKSUM_BYTES: usize = 4;
 
@@ -36,7 +36,7 @@
         if *magic == MAGIC {
             return postcard::from_bytes(body).ok();
         }
-        if *magic == MAGIC_BEFORE {
+        if *magic == MAGIC_V1 {
             // No incarnation was counted then: a 0 behind it says so.
             return postcard::from_bytes(&[body, &[0]].concat()).ok();
         }
@@ -73,7 +73,7 @@
     /// Counts the voter's starts with this state.
     pub incarnation: u64,
     /// This incarnation is not saved yet.
-    started: bool,
+    has_unsaved_start: bool,
     /// The replicated log's storage; the log library holds another handle.
     pub store: LogStore<Change>,
 }
@@ -84,7 +84,7 @@
         DurableState {
             fleet,
             incarnation: 0,
-            started: false,
+            has_unsaved_start: false,
             store: LogStore::new(LogState::default()),
         }
     }
@@ -98,7 +98,7 @@
         Ok(DurableState {
             fleet,
             incarnation: state.incarnation,
-            started: false,
+            has_unsaved_start: false,
             store: LogStore::new(state.log),
         })
     }
@@ -106,14 +106,14 @@
     /// A voter starts with this state: its incarnation is saved before any message of it leaves.
     pub fn start(&mut self) {
         self.incarnation += 1;
-        self.started = true;
+        self.has_unsaved_start = true;
     }
 
     /// Takes the bytes that have to be durable before any message that follows from them leaves; None if
     /// nothing changed.
-    pub fn unsaved(&mut self) -> Option<Vec<u8>> {
+    pub fn take_unsaved(&mut self) -> Option<Vec<u8>> {
         let changed = self.store.take_changes().is_some();
-        if !std::mem::take(&mut self.started) && !changed {
+        if !std::mem::take(&mut self.has_unsaved_start) && !changed {
             return None;
         }
         let state = SavedState {
--- a/crates/lease/src/state_tests.rs
+++ b/crates/lease/src/state_tests.rs
@@ -22,23 +22,23 @@
 fn a_saved_state_is_read_again_and_a_corrupt_one_is_refused() {
     let mut state = DurableState::new(7);
     let mut store = state.store.clone();
-    assert_eq!(state.unsaved(), None);
+    assert_eq!(state.take_unsaved(), None);
     store
         .append_entry(Change::Grant {
             task: Task::Zones,
-            after: 0,
+            previous_token: 0,
             owner: 3,
             number: 1,
         })
         .unwrap();
     store.set_decided_idx(1).unwrap();
-    let saved = state.unsaved().unwrap();
-    assert_eq!(state.unsaved(), None);
-    let again = DurableState::read(7, &saved).unwrap();
+    let saved = state.take_unsaved().unwrap();
+    assert_eq!(state.take_unsaved(), None);
+    let restored = DurableState::read(7, &saved).unwrap();
     assert_eq!(
         (
-            again.store.get_decided_idx().unwrap(),
-            again.store.get_log_len().unwrap()
+            restored.store.get_decided_idx().unwrap(),
+            restored.store.get_log_len().unwrap()
         ),
         (1, 1)
     );
@@ -47,24 +47,26 @@
         StateError::OtherFleet
     );
     // Each incarnation has the next number, and is saved though nothing else has changed.
-    let mut again = again;
-    again.start();
-    let later = DurableState::read(7, &again.unsaved().unwrap()).unwrap();
+    let mut restored = restored;
+    restored.start();
+    let later = DurableState::read(7, &restored.take_unsaved().unwrap()).unwrap();
     assert_eq!(
-        (again.incarnation, later.incarnation, again.unsaved()),
+        (
+            restored.incarnation,
+            later.incarnation,
+            restored.take_unsaved()
+        ),
         (1, 1, None)
     );
     // What builds wrote that did not count them is read.
     let body = &saved[MAGIC.len() + CHECKSUM_BYTES..saved.len() - 1];
-    let before = [
-        &MAGIC_BEFORE[..],
-        &crc32fast::hash(body).to_be_bytes(),
-        body,
-    ]
-    .concat();
-    let before = DurableState::read(7, &before).unwrap();
+    let first_format = [&MAGIC_V1[..], &crc32fast::hash(body).to_be_bytes(), body].concat();
+    let first_format = DurableState::read(7, &first_format).unwrap();
     assert_eq!(
-        (before.incarnation, before.store.get_decided_idx().unwrap()),
+        (
+            first_format.incarnation,
+            first_format.store.get_decided_idx().unwrap()
+        ),
         (0, 1)
     );
     for cut in 0..saved.len() {
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -16,11 +16,11 @@
 };
 
 /// Microseconds between ticks of the log's clock.
-const TICK: Micros = 50_000;
+const TICK_INTERVAL: Micros = 50_000;
 /// Bytes of progress that go with a lease.
-const MAX_PROGRESS: usize = 256;
+const MAX_PROGRESS_BYTES: usize = 256;
 /// Requests that wait for the log at once.
-const MAX_WAITING: usize = 64;
+const MAX_WAITING_REQUESTS: usize = 64;
 
 /// What a voter is part of.
 #[derive(Clone, Debug)]
@@ -36,11 +36,11 @@
 }
 
 /// A request that waits until the log has decided on it.
-struct Waiting {
+struct WaitingRequest {
     requester: FrontId,
     request: Request,
     /// When it is given up.
-    ends: Micros,
+    expires_at: Micros,
 }
 
 /// What a call gives out: what to save, and what to send once that is durable.
@@ -63,18 +63,18 @@
     log: OmniPaxos<Change, LogStore<Change>>,
     state: DurableState,
     /// Messages that come out of order count as lost.
-    order: MessageOrder,
+    message_order: MessageOrder,
     leases: Leases,
     /// How many entries of the log are applied to the leases.
-    applied: usize,
+    applied_entries: usize,
     /// When each lease was last confirmed, on this clock.
-    confirmed: BTreeMap<Task, Micros>,
+    last_confirmed: BTreeMap<Task, Micros>,
     /// Since when this voter leads.
     leading_since: Option<Micros>,
-    started: Micros,
+    started_at: Micros,
     next_tick: Micros,
-    waiting: Vec<Waiting>,
-    messages: Vec<AddressedEnvelope>,
+    waiting: Vec<WaitingRequest>,
+    outgoing: Vec<AddressedEnvelope>,
 }
 
 impl Voter {
@@ -106,15 +106,15 @@
             terms,
             log,
             state,
-            order: MessageOrder::default(),
+            message_order: MessageOrder::default(),
             leases: Leases::default(),
-            applied: 0,
-            confirmed: BTreeMap::new(),
+            applied_entries: 0,
+            last_confirmed: BTreeMap::new(),
             leading_since: None,
-            started: now,
+            started_at: now,
             next_tick: now,
             waiting: Vec::new(),
-            messages: Vec::new(),
+            outgoing: Vec::new(),
         };
         voter.apply(now);
         Ok(voter)
@@ -132,7 +132,7 @@
 
     /// How many entries of the log are decided, as far as this voter knows.
     pub fn decided_entries(&self) -> usize {
-        self.applied
+        self.applied_entries
     }
 
     /// When `tick` is next due, on the caller's monotonic clock.
@@ -144,10 +144,10 @@
     pub fn tick(&mut self, now: Micros) -> Output {
         if self.next_tick <= now {
             // A voter that was paused does not catch up: the log's clock counts the ticks that it ran.
-            self.next_tick = now + TICK;
+            self.next_tick = now + TICK_INTERVAL;
             self.log.tick();
         }
-        self.settle(now)
+        self.collect_output(now)
     }
 
     /// A message has come from a front whose signature holds. It is ignored where it is for another fleet, or
@@ -161,36 +161,36 @@
                 incarnation,
                 number,
                 message,
-            } if self.is_from(&message, from) => {
-                if self.order.accepts(from, incarnation, number) {
+            } if self.matches_endpoints(&message, from) => {
+                if self.message_order.accepts(from, incarnation, number) {
                     self.log.handle_incoming(*message);
                 }
             }
-            LeaseMessage::Request(request) => self.requested(now, from, request),
+            LeaseMessage::Request(request) => self.handle_request(now, from, request),
             LeaseMessage::Log { .. } | LeaseMessage::Unnumbered(_) | LeaseMessage::Reply(_) => {}
         }
-        self.settle(now)
+        self.collect_output(now)
     }
 
     /// A front requests a lease or its renewal. Without a reply it requests again, and this voter may be ready.
-    fn requested(&mut self, now: Micros, requester: FrontId, request: Request) {
+    fn handle_request(&mut self, now: Micros, requester: FrontId, request: Request) {
         let number = request.number;
         let Some(leader) = self.leader() else { return };
         if leader != self.local_id {
             return self.reply(requester, Reply::NotLeader { number, leader });
         }
-        let is_ready = self.leading_since.is_some() && self.waiting.len() < MAX_WAITING;
-        if !is_ready || request.progress.len() > MAX_PROGRESS {
+        let is_ready = self.leading_since.is_some() && self.waiting.len() < MAX_WAITING_REQUESTS;
+        if !is_ready || request.progress.len() > MAX_PROGRESS_BYTES {
             return;
         }
         let Some(change) = self.change_for(now, requester, &request) else {
             return self.reply(requester, Reply::Denied { number });
         };
         if self.log.append(change).is_ok() {
-            self.waiting.push(Waiting {
+            self.waiting.push(WaitingRequest {
                 requester,
                 request,
-                ends: now + self.terms.length,
+                expires_at: now + self.terms.length,
             });
         }
     }
@@ -201,7 +201,7 @@
         let Some(token) = request.token else {
             return self.is_free(now, request.task).then_some(Change::Grant {
                 task: request.task,
-                after: lease.map_or(0, |lease| lease.token),
+                previous_token: lease.map_or(0, |lease| lease.token),
                 owner: requester,
                 number: request.number,
             });
@@ -219,11 +219,14 @@
     /// Whether the lease's last owner has surely stopped, whichever voter confirmed it and whenever: a leader
     /// counts from when it began to lead, and from when it learned of each confirmation.
     fn is_free(&self, now: Micros, task: Task) -> bool {
-        let has_passed = |since: Micros| now >= since + self.terms.blocked_for();
-        let since_leading = self.leading_since.is_some_and(has_passed);
+        let block_has_passed = |since: Micros| now >= since + self.terms.blocked_for();
+        let since_leading = self.leading_since.is_some_and(block_has_passed);
         since_leading
-            && self.confirmed.get(&task).is_none_or(|at| has_passed(*at))
-            && has_passed(self.started)
+            && self
+                .last_confirmed
+                .get(&task)
+                .is_none_or(|at| block_has_passed(*at))
+            && block_has_passed(self.started_at)
     }
 
     fn reply(&mut self, to: FrontId, reply: Reply) {
@@ -233,14 +236,14 @@
     fn send(&mut self, to: FrontId, message: LeaseMessage) {
         let fleet = self.fleet;
         let envelope = Envelope { fleet, message };
-        self.messages.push(AddressedEnvelope { to, envelope });
+        self.outgoing.push(AddressedEnvelope { to, envelope });
     }
 
     /// Applies what the log has decided, replies to requests that waited for it, and gathers what is to go
     /// out.
-    fn settle(&mut self, now: Micros) -> Output {
+    fn collect_output(&mut self, now: Micros) -> Output {
         self.apply(now);
-        self.leading_since = if self.leads() {
+        self.leading_since = if self.is_ready_leader() {
             self.leading_since.or(Some(now))
         } else {
             None
@@ -248,8 +251,8 @@
         self.reply_to_waiting(now);
         self.send_log_messages();
         Output {
-            save: self.state.unsaved(),
-            messages: std::mem::take(&mut self.messages),
+            save: self.state.take_unsaved(),
+            messages: std::mem::take(&mut self.outgoing),
         }
     }
 
@@ -268,7 +271,7 @@
                     progress: lease.progress.clone(),
                 };
                 self.reply(waiting.requester, reply);
-            } else if now < waiting.ends {
+            } else if now < waiting.expires_at {
                 self.waiting.push(waiting);
             }
         }
--- a/crates/lease/src/voter/log.rs
+++ b/crates/lease/src/voter/log.rs
@@ -15,30 +15,30 @@
 /// Ticks until a message counts as lost.
 const RESEND_TICKS: u64 = 4;
 /// Decided entries until the log is compacted into a snapshot.
-const SNAPSHOT_AFTER: usize = 16;
+const SNAPSHOT_INTERVAL_ENTRIES: usize = 16;
 /// A voter's place among the voters, counted from 1: its number in the log.
-type LogNumber = u64;
+type VoterNumber = u64;
 
 impl Voter {
     /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
-    pub(super) fn is_from(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
-        self.voter(message.get_sender()) == Some(from)
-            && self.voter(message.get_receiver()) == Some(self.local_id)
+    pub(super) fn matches_endpoints(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
+        self.voter_id(message.get_sender()) == Some(from)
+            && self.voter_id(message.get_receiver()) == Some(self.local_id)
     }
 
     /// The voter of a number in the log.
-    pub(super) fn voter(&self, number: LogNumber) -> Option<FrontId> {
-        let place = number.checked_sub(1)?;
-        self.voters.get(place as usize).copied()
+    pub(super) fn voter_id(&self, number: VoterNumber) -> Option<FrontId> {
+        let index = number.checked_sub(1)?;
+        self.voters.get(index as usize).copied()
     }
 
     pub(super) fn leader(&self) -> Option<FrontId> {
         let (number, _) = self.log.get_current_leader()?;
-        self.voter(number)
+        self.voter_id(number)
     }
 
     /// Whether this voter leads and may propose.
-    pub(super) fn leads(&self) -> bool {
+    pub(super) fn is_ready_leader(&self) -> bool {
         let leader = self.log.get_current_leader();
         leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.local_id)
     }
@@ -48,13 +48,13 @@
         let mut messages = Vec::new();
         self.log.take_outgoing_messages(&mut messages);
         for message in messages {
-            let receiver = self.voter(message.get_receiver());
+            let receiver = self.voter_id(message.get_receiver());
             let Some(to) = receiver.filter(|to| *to != self.local_id) else {
                 continue;
             };
             let message = LeaseMessage::Log {
                 incarnation: self.state.incarnation,
-                number: self.order.number(&message),
+                number: self.message_order.number(&message),
                 message: Box::new(message),
             };
             self.send(to, message);
@@ -64,15 +64,15 @@
     /// Applies what the log has decided since the last call.
     pub(super) fn apply(&mut self, now: Micros) {
         let decided = self.log.get_decided_idx();
-        if decided <= self.applied {
+        if decided <= self.applied_entries {
             return;
         }
-        let entries = self.log.read_decided_suffix(self.applied);
+        let entries = self.log.read_decided_suffix(self.applied_entries);
         for entry in entries.unwrap_or_default() {
             self.apply_entry(now, entry);
         }
-        self.applied = decided;
-        if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_AFTER {
+        self.applied_entries = decided;
+        if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_INTERVAL_ENTRIES {
             // If it can't be compacted now, it is the next time.
             let _ = self.log.snapshot(Some(decided), true);
         }
@@ -83,12 +83,12 @@
             LogEntry::Decided(change) => {
                 self.leases.apply(&change);
                 let (Change::Grant { task, .. } | Change::Renew { task, .. }) = change;
-                self.confirmed.insert(task, now);
+                self.last_confirmed.insert(task, now);
             }
             LogEntry::Snapshotted(snapshotted) => {
                 self.leases = snapshotted.snapshot.leases();
                 for (task, _) in self.leases.iter() {
-                    self.confirmed.insert(task, now);
+                    self.last_confirmed.insert(task, now);
                 }
             }
             LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::StopSign(..) => {}
@@ -102,11 +102,11 @@
     voters: &[FrontId],
     store: LogStore<Change>,
 ) -> Result<OmniPaxos<Change, LogStore<Change>>, StateError> {
-    let place = voters.iter().position(|voter| *voter == local_id);
-    let number = place.ok_or(StateError::Voters)? as LogNumber + 1;
+    let index = voters.iter().position(|voter| *voter == local_id);
+    let number = index.ok_or(StateError::Voters)? as VoterNumber + 1;
     let cluster_config = ClusterConfig {
         configuration_id: 1,
-        nodes: (1..=voters.len() as LogNumber).collect(),
+        nodes: (1..=voters.len() as VoterNumber).collect(),
         ..ClusterConfig::default()
     };
     let server_config = ServerConfig {
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -185,7 +185,7 @@
                 // As `Voter::is_free`: nobody else until whoever had it last has surely stopped.
                 None if s.now * TICK >= s.confirmed + TERMS.blocked_for() => Some(Change::Grant {
                     task: Task::Zones,
-                    after: lease.token,
+                    previous_token: lease.token,
                     owner: id(n),
                     number,
                 }),
