--- a/crates/lease/src/fence_tests.rs
+++ b/crates/lease/src/fence_tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn only_the_latest_owner_passes() {
+fn only_the_latest_owner_is_admitted() {
     let mut fence = Fence::default();
     assert_eq!(
         fence.admit(Task::Zones, lease(5, 1)),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn one_voter_alone_makes_up_no_token() {
+fn a_token_needs_the_report_of_a_majority_of_voters() {
     let reported = BTreeMap::from([(1, lease(4, 9)), (2, lease(4, 9)), (3, lease(1_000_000, 3))]);
     assert_eq!(majority(&reported, 3), Some(lease(4, 9)));
     assert_eq!(
--- a/crates/lease/src/leases_tests.rs
+++ b/crates/lease/src/leases_tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn of_two_grants_after_the_same_owner_the_first_counts() {
+fn the_first_of_two_grants_after_the_same_token_takes_effect() {
     let mut leases = Leases::default();
     assert!(leases.apply(&grant(0, 5)));
     assert!(!leases.apply(&grant(0, 6)));
@@ -24,42 +24,44 @@
         progress: vec![1]
     }));
     assert_eq!(
-        leases.get(Task::Zones).map(|l| (l.token, l.owner)),
+        leases
+            .get(Task::Zones)
+            .map(|lease| (lease.token, lease.owner)),
         Some((2, 6))
     );
 }
 
 #[test]
-fn snapshots_made_piece_by_piece_tell_what_the_whole_log_tells() {
-    let keep = |token, so_far| Change::Renew {
+fn merged_snapshots_yield_the_same_leases_as_the_log() {
+    let renew = |token, progress| Change::Renew {
         task: Task::Zones,
         token,
         number: 2,
-        progress: vec![so_far],
+        progress: vec![progress],
     };
     let log = [
         grant(0, 5),
-        keep(1, 3),
+        renew(1, 3),
         grant(0, 9),
         grant(1, 6),
-        keep(2, 8),
-        keep(1, 9),
+        renew(2, 8),
+        renew(1, 9),
         grant(2, 5),
     ];
-    let mut whole = Leases::default();
-    log.iter().for_each(|change| _ = whole.apply(change));
+    let mut expected = Leases::default();
+    log.iter().for_each(|change| _ = expected.apply(change));
     for first in 0..=log.len() {
         for second in first..=log.len() {
             let mut snapshot = LeaseSnapshot::create(&log[..first]);
             snapshot.merge(LeaseSnapshot::create(&log[first..second]));
             snapshot.merge(LeaseSnapshot::create(&log[second..]));
-            assert_eq!(snapshot.leases(), whole, "{first} {second}");
+            assert_eq!(snapshot.leases(), expected, "{first} {second}");
         }
     }
     assert_eq!(
-        whole
+        expected
             .get(Task::Zones)
-            .map(|l| (l.token, l.owner, l.progress.clone())),
+            .map(|lease| (lease.token, lease.owner, lease.progress.clone())),
         Some((3, 5, vec![8]))
     );
 }
--- a/crates/lease/src/state_tests.rs
+++ b/crates/lease/src/state_tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_saved_state_is_read_again_and_a_corrupt_one_is_refused() {
+fn a_saved_state_is_restored_and_a_corrupt_one_is_rejected() {
     let mut state = DurableState::new(7);
     let mut store = state.store.clone();
     assert_eq!(state.take_unsaved(), None);
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -18,18 +18,18 @@
     length: 2 * TICK,
     drift_ppm: 250_000,
 };
-const MOST_TICKS: Micros = 6;
-const MOST_QUESTIONS: u64 = 2; // of each owner in each life
-const DEPTH: usize = 14; // steps
+const MAX_TICKS: Micros = 6;
+const MAX_REQUESTS: u64 = 2; // of each owner in each life
+const MAX_DEPTH: usize = 14; // steps
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum InFlight {
-    Asks(usize, Token, u64),
-    Grants(usize, Token, u64),
+    Request(usize, Token, u64),
+    Grant(usize, Token, u64),
     /// An act of an owner under its token.
-    Acts(usize, Token),
+    Act(usize, Token),
     /// A majority of the voters names the owner to the receiver.
-    Names(Token, FrontId),
+    MajorityReport(Token, FrontId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -37,27 +37,27 @@
     now: Micros,
     clocks: [Micros; 2],
     /// Whether each has lost a tick: one in the six that are played is within the drift agreed.
-    lost_tick: [bool; 2],
+    has_lost_tick: [bool; 2],
     holders: [Holder; 2],
     restarted: bool,
     leases: Leases,
     confirmed: Micros,
     /// All that was ever sent.
-    way: BTreeSet<InFlight>,
+    messages: BTreeSet<InFlight>,
     fence: Fence,
     /// The highest token under which an act was accepted, and whether one under a lower followed.
     highest: Token,
-    broken: bool,
+    has_violation: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Step {
+enum Action {
     /// Time goes on by a tick; the clock of one front may not.
     Tick(Option<usize>),
-    Ask(usize),
+    Request(usize),
     Act(usize),
     Restart,
-    Arrives(InFlight),
+    Deliver(InFlight),
 }
 
 struct Fleet {
@@ -68,111 +68,122 @@
     n as FrontId + 1
 }
 
-fn holder(n: usize, life: u64) -> Holder {
-    Holder::new(Task::Zones, TERMS, vec![9], (life * 2 + n as u64) * 100)
+fn holder(n: usize, incarnation: u64) -> Holder {
+    Holder::new(
+        Task::Zones,
+        TERMS,
+        vec![9],
+        (incarnation * 2 + n as u64) * 100,
+    )
 }
 
 impl Model for Fleet {
     type State = State;
-    type Action = Step;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
             now: 0,
             clocks: [0; 2],
-            lost_tick: [false; 2],
+            has_lost_tick: [false; 2],
             holders: [holder(0, 0), holder(1, 0)],
             restarted: false,
             leases: Leases::default(),
             confirmed: -10 * TICK,
-            way: BTreeSet::new(),
+            messages: BTreeSet::new(),
             fence: Fence::default(),
             highest: 0,
-            broken: false,
+            has_violation: false,
         }]
     }
 
-    fn actions(&self, s: &State, steps: &mut Vec<Step>) {
-        if s.now < MOST_TICKS {
-            steps.push(Step::Tick(None));
-            steps.extend(
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        if state.now < MAX_TICKS {
+            actions.push(Action::Tick(None));
+            actions.extend(
                 (0..2)
-                    .filter(|n| !s.lost_tick[*n])
-                    .map(|n| Step::Tick(Some(n))),
+                    .filter(|n| !state.has_lost_tick[*n])
+                    .map(|n| Action::Tick(Some(n))),
             );
         }
         for n in 0..2 {
-            steps.extend([Step::Ask(n), Step::Act(n)]);
+            actions.extend([Action::Request(n), Action::Act(n)]);
         }
-        if !s.restarted {
-            steps.push(Step::Restart);
+        if !state.restarted {
+            actions.push(Action::Restart);
         }
-        steps.extend(s.way.iter().cloned().map(Step::Arrives));
+        actions.extend(state.messages.iter().cloned().map(Action::Deliver));
     }
 
-    fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let mut s = last.clone();
-        match step {
-            Step::Tick(slow) => {
-                s.now += 1;
+    fn next_state(&self, previous: &State, action: Action) -> Option<State> {
+        let mut state = previous.clone();
+        match action {
+            Action::Tick(delayed_clock) => {
+                state.now += 1;
                 for n in 0..2 {
-                    match slow == Some(n) {
-                        true => s.lost_tick[n] = true,
-                        false => s.clocks[n] += 1,
+                    match delayed_clock == Some(n) {
+                        true => state.has_lost_tick[n] = true,
+                        false => state.clocks[n] += 1,
                     }
                 }
             }
-            Step::Ask(n) => {
-                let ask = s.holders[n]
-                    .next_request(s.clocks[n] * TICK, Intent::Acquire, &[])?
+            Action::Request(n) => {
+                let request = state.holders[n]
+                    .next_request(state.clocks[n] * TICK, Intent::Acquire, &[])?
                     .request;
-                if ask.number % 100 >= MOST_QUESTIONS {
+                if request.number % 100 >= MAX_REQUESTS {
                     return None;
                 }
-                s.way
-                    .insert(InFlight::Asks(n, ask.token.unwrap_or(0), ask.number));
+                state.messages.insert(InFlight::Request(
+                    n,
+                    request.token.unwrap_or(0),
+                    request.number,
+                ));
             }
-            Step::Act(n) => {
-                let token = s.holders[n].token(s.clocks[n] * TICK)?;
-                s.way.insert(InFlight::Acts(n, token));
+            Action::Act(n) => {
+                let token = state.holders[n].token(state.clocks[n] * TICK)?;
+                state.messages.insert(InFlight::Act(n, token));
             }
-            Step::Restart => {
-                s.restarted = true;
-                s.holders[0] = holder(0, 1);
+            Action::Restart => {
+                state.restarted = true;
+                state.holders[0] = holder(0, 1);
             }
-            Step::Arrives(message) => arrives(&mut s, message, self.checks_tokens),
+            Action::Deliver(message) => deliver(&mut state, message, self.checks_tokens),
         }
-        (s != *last).then_some(s)
+        (state != *previous).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
                 "no act is accepted under a lower token after a higher one",
-                |_, s: &State| !s.broken,
+                |_, state: &State| !state.has_violation,
             ),
-            Property::always("at most one front may act at any time", |_, s: &State| {
-                (0..2)
-                    .filter(|n| s.holders[*n].token(s.clocks[*n] * TICK).is_some())
-                    .count()
-                    <= 1
-            }),
-            Property::sometimes("a second owner acts", |_, s: &State| s.highest >= 2),
+            Property::always(
+                "at most one front may act at any time",
+                |_, state: &State| {
+                    (0..2)
+                        .filter(|n| state.holders[*n].token(state.clocks[*n] * TICK).is_some())
+                        .count()
+                        <= 1
+                },
+            ),
+            Property::sometimes("a second owner acts", |_, state: &State| state.highest >= 2),
         ]
     }
 }
 
-fn arrives(s: &mut State, message: InFlight, checks_tokens: bool) {
+fn deliver(state: &mut State, message: InFlight, checks_tokens: bool) {
     match message {
-        InFlight::Asks(n, token, number) => {
-            let lease = s.leases.get(Task::Zones).cloned().unwrap_or_default();
-            let ask = Request {
+        InFlight::Request(n, token, number) => {
+            let lease = state.leases.get(Task::Zones).cloned().unwrap_or_default();
+            let request = Request {
                 task: Task::Zones,
                 number,
                 token: (token > 0).then_some(token),
                 progress: Vec::new(),
             };
-            let change = match ask.token {
+            let change = match request.token {
                 Some(token) if lease.token == token && lease.owner == id(n) => {
                     Some(Change::Renew {
                         task: Task::Zones,
@@ -183,34 +194,41 @@
                 }
                 Some(_) => None,
                 // As `Voter::is_free`: nobody else until whoever had it last has surely stopped.
-                None if s.now * TICK >= s.confirmed + TERMS.blocked_for() => Some(Change::Grant {
-                    task: Task::Zones,
-                    previous_token: lease.token,
-                    owner: id(n),
-                    number,
-                }),
+                None if state.now * TICK >= state.confirmed + TERMS.blocked_for() => {
+                    Some(Change::Grant {
+                        task: Task::Zones,
+                        previous_token: lease.token,
+                        owner: id(n),
+                        number,
+                    })
+                }
                 None => None,
             };
             // Refused: for the asker no worse than an answer that is lost, which it must bear as well.
-            if change.is_some_and(|change| s.leases.apply(&change)) {
-                s.confirmed = s.now * TICK;
-                let token = s.leases.get(Task::Zones).map_or(0, |lease| lease.token);
-                s.way.insert(InFlight::Grants(n, token, number));
-                s.way.insert(InFlight::Names(token, id(n)));
+            if change.is_some_and(|change| state.leases.apply(&change)) {
+                state.confirmed = state.now * TICK;
+                let token = state.leases.get(Task::Zones).map_or(0, |lease| lease.token);
+                state.messages.insert(InFlight::Grant(n, token, number));
+                state
+                    .messages
+                    .insert(InFlight::MajorityReport(token, id(n)));
             }
         }
-        InFlight::Grants(n, token, number) => {
-            s.holders[n].receive(&Reply::Granted {
+        InFlight::Grant(n, token, number) => {
+            state.holders[n].receive(&Reply::Granted {
                 number,
                 token,
                 progress: Vec::new(),
             });
-            s.holders[n].take_inherited_progress();
+            state.holders[n].take_inherited_progress();
         }
-        InFlight::Names(token, owner) => s.fence.observe(Task::Zones, TokenOwner { token, owner }),
-        InFlight::Acts(n, token) => {
+        InFlight::MajorityReport(token, owner) => state
+            .fence
+            .observe(Task::Zones, TokenOwner { token, owner }),
+        InFlight::Act(n, token) => {
             if !checks_tokens
-                || s.fence
+                || state
+                    .fence
                     .admit(
                         Task::Zones,
                         TokenOwner {
@@ -220,21 +238,21 @@
                     )
                     .is_ok()
             {
-                s.broken |= token < s.highest;
-                s.highest = s.highest.max(token);
+                state.has_violation |= token < state.highest;
+                state.highest = state.highest.max(token);
             }
         }
     }
 }
 
 #[test]
-fn no_late_owner_does_harm_to_the_depth_stated() {
+fn no_act_of_a_former_owner_is_accepted_up_to_max_depth() {
     let checked = Fleet {
         checks_tokens: true,
     }
     .checker()
     .threads(1)
-    .target_max_depth(DEPTH)
+    .target_max_depth(MAX_DEPTH)
     .spawn_bfs()
     .join();
     checked.assert_properties();
@@ -246,13 +264,13 @@
 }
 
 #[test]
-fn a_build_that_drops_the_check_of_tokens_fails() {
+fn without_the_token_check_a_violation_is_found() {
     let model = Fleet {
         checks_tokens: false,
     }
     .checker()
     .finish_when(HasDiscoveries::AnyFailures);
     // A step more than the sound one is checked to: the late act itself.
-    let checked = model.target_max_depth(DEPTH + 1).spawn_bfs().join();
+    let checked = model.target_max_depth(MAX_DEPTH + 1).spawn_bfs().join();
     checked.assert_any_discovery("no act is accepted under a lower token after a higher one");
 }
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -18,18 +18,18 @@
     length: 2 * SECOND,
     drift_ppm: 50_000,
 };
-const STEP: Micros = 5_000; // microseconds of true time between looks
+const STEP_MICROS: Micros = 5_000; // microseconds of true time between looks
 
 pub struct Front {
     pub voter: Option<Voter>,
     pub holder: Holder,
     /// What it has saved, and whether it runs.
     saved: Option<Vec<u8>>,
-    pub up: bool,
-    pub stopped: bool,
+    pub running: bool,
+    pub paused: bool,
     /// Its clock: so much at true time 0, and so fast.
-    offset: Micros,
-    rate: f64,
+    clock_offset: Micros,
+    clock_rate: f64,
     progress: u8,
 }
 
@@ -37,24 +37,24 @@
     pub fronts: Vec<Front>,
     voters: Vec<FrontId>,
     pub now: Micros,
-    pub chance: Pcg64Mcg,
+    pub rng: Pcg64Mcg,
     /// When each envelope arrives: to whom, from whom.
     in_flight: BTreeMap<(Micros, u64), (usize, usize, Envelope)>,
     sequence: u64,
-    pub lost: f64,
-    pub doubled: f64,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
     /// The longest that an envelope may be under way: what is longer than the time between messages reorders
     /// them.
-    pub way: Micros,
+    pub max_delay: Micros,
     /// Fronts of different sides hear nothing of each other.
-    pub side: Vec<u8>,
+    pub partition: Vec<u8>,
     /// Acts as they happened: true time, who, under which token.
     pub acts: Vec<(Micros, usize, Token)>,
     /// The most fronts that could act at once, and for how many steps nobody could.
-    pub most_at_once: usize,
-    pub without: usize,
-    pub messages: BTreeMap<&'static str, u64>,
-    pub inherited: Vec<(Token, Vec<u8>)>,
+    pub max_simultaneous_owners: usize,
+    pub steps_without_owner: usize,
+    pub message_counts: BTreeMap<&'static str, u64>,
+    pub inherited_progress: Vec<(Token, Vec<u8>)>,
     next_number: u64,
 }
 
@@ -69,33 +69,33 @@
             fronts: Vec::new(),
             voters: (0..voters).map(id).collect(),
             now: 0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             in_flight: BTreeMap::new(),
             sequence: 0,
-            lost: 0.0,
-            doubled: 0.0,
-            way: 20_000,
-            side: vec![0; fronts],
+            loss_rate: 0.0,
+            duplication_rate: 0.0,
+            max_delay: 20_000,
+            partition: vec![0; fronts],
             acts: Vec::new(),
-            most_at_once: 0,
-            without: 0,
-            messages: BTreeMap::new(),
-            inherited: Vec::new(),
+            max_simultaneous_owners: 0,
+            steps_without_owner: 0,
+            message_counts: BTreeMap::new(),
+            inherited_progress: Vec::new(),
             next_number: 0,
         };
         for n in 0..fronts {
-            let rate =
-                1.0 + f64::from(TERMS.drift_ppm) / 1e6 * fleet.chance.random_range(-1.0..=1.0);
-            let offset = fleet.chance.random_range(0..1_000 * SECOND);
+            let clock_rate =
+                1.0 + f64::from(TERMS.drift_ppm) / 1e6 * fleet.rng.random_range(-1.0..=1.0);
+            let clock_offset = fleet.rng.random_range(0..1_000 * SECOND);
             let holder = Holder::new(Task::Zones, TERMS, fleet.voters.clone(), 0);
             let front = Front {
                 voter: None,
                 holder,
                 saved: None,
-                up: false,
-                stopped: false,
-                offset,
-                rate,
+                running: false,
+                paused: false,
+                clock_offset,
+                clock_rate,
                 progress: 0,
             };
             fleet.fronts.push(front);
@@ -106,7 +106,7 @@
 
     pub fn clock(&self, n: usize) -> Micros {
         let front = &self.fronts[n];
-        front.offset + (self.now as f64 * front.rate) as Micros
+        front.clock_offset + (self.now as f64 * front.clock_rate) as Micros
     }
 
     /// Starts a front, anew where it ran before, with what it had saved.
@@ -116,7 +116,7 @@
         self.next_number += 1_000_000;
         let front = &mut self.fronts[n];
         front.holder = Holder::new(Task::Zones, TERMS, voters.clone(), self.next_number);
-        (front.up, front.stopped) = (true, false);
+        (front.running, front.paused) = (true, false);
         front.voter = voters.contains(&id(n)).then(|| {
             let config = VoterConfig {
                 fleet,
@@ -129,7 +129,7 @@
     }
 
     pub fn kill(&mut self, n: usize) {
-        (self.fronts[n].up, self.fronts[n].voter) = (false, None);
+        (self.fronts[n].running, self.fronts[n].voter) = (false, None);
     }
 
     fn send(&mut self, from: usize, to: FrontId, envelope: Envelope) {
@@ -139,26 +139,26 @@
             LeaseMessage::Request(_) => "request",
             LeaseMessage::Reply(_) => "reply",
         };
-        *self.messages.entry(kind).or_default() += 1;
-        let copies = 1 + usize::from(self.chance.random_bool(self.doubled));
+        *self.message_counts.entry(kind).or_default() += 1;
+        let copies = 1 + usize::from(self.rng.random_bool(self.duplication_rate));
         for _ in 0..copies {
-            let way = self.chance.random_range(500..self.way);
-            if self.side[from] == self.side[to] && !self.chance.random_bool(self.lost) {
+            let delay = self.rng.random_range(500..self.max_delay);
+            if self.partition[from] == self.partition[to] && !self.rng.random_bool(self.loss_rate) {
                 self.sequence += 1;
                 self.in_flight.insert(
-                    (self.now + way, self.sequence),
+                    (self.now + delay, self.sequence),
                     (to, from, envelope.clone()),
                 );
             }
         }
     }
 
-    fn does(&mut self, n: usize, out: Output) {
+    fn process_output(&mut self, n: usize, output: Output) {
         // Saved before anything leaves: the tests' disk is instant.
-        if let Some(save) = out.save {
+        if let Some(save) = output.save {
             self.fronts[n].saved = Some(save);
         }
-        for AddressedEnvelope { to, envelope } in out.messages {
+        for AddressedEnvelope { to, envelope } in output.messages {
             // What a voter answers itself stays on its machine.
             match (envelope.message, to == id(n)) {
                 (LeaseMessage::Reply(reply), true) => self.fronts[n].holder.receive(&reply),
@@ -174,69 +174,72 @@
         }
     }
 
-    fn arrives(&mut self, to: usize, from: usize, envelope: Envelope) {
+    fn deliver(&mut self, to: usize, from: usize, envelope: Envelope) {
         let now = self.clock(to);
         let front = &mut self.fronts[to];
         if let LeaseMessage::Reply(reply) = &envelope.message {
             front.holder.receive(reply);
         }
-        let out = front
+        let output = front
             .voter
             .as_mut()
             .map(|voter| voter.receive(now, id(from), envelope));
-        self.does(to, out.unwrap_or_default());
+        self.process_output(to, output.unwrap_or_default());
     }
 
     /// Plays until a true time; those named want the lease.
-    pub fn run(&mut self, until: Micros, wants: &[usize]) {
+    pub fn run(&mut self, until: Micros, requesters: &[usize]) {
         while self.now < until {
-            self.now += STEP;
+            self.now += STEP_MICROS;
             while let Some(((at, number), (to, from, envelope))) = self.in_flight.pop_first() {
                 if at > self.now {
                     self.in_flight.insert((at, number), (to, from, envelope));
                     break;
                 }
                 let front = &self.fronts[to];
-                if front.up && front.stopped {
+                if front.running && front.paused {
                     // It waits in the socket until the front goes on.
                     self.sequence += 1;
-                    self.in_flight
-                        .insert((self.now + STEP, self.sequence), (to, from, envelope));
+                    self.in_flight.insert(
+                        (self.now + STEP_MICROS, self.sequence),
+                        (to, from, envelope),
+                    );
                     if self.in_flight.keys().all(|(at, _)| *at > self.now) {
                         break;
                     }
-                } else if front.up {
-                    self.arrives(to, from, envelope);
+                } else if front.running {
+                    self.deliver(to, from, envelope);
                 }
             }
             for n in 0..self.fronts.len() {
-                if self.fronts[n].up && !self.fronts[n].stopped {
-                    self.turn(n, wants.contains(&n));
+                if self.fronts[n].running && !self.fronts[n].paused {
+                    self.step_front(n, requesters.contains(&n));
                 }
             }
-            let able: Vec<usize> = (0..self.fronts.len())
+            let valid_holders: Vec<usize> = (0..self.fronts.len())
                 .filter(|n| {
-                    self.fronts[*n].up && self.fronts[*n].holder.token(self.clock(*n)).is_some()
+                    self.fronts[*n].running
+                        && self.fronts[*n].holder.token(self.clock(*n)).is_some()
                 })
                 .collect();
-            self.most_at_once = self.most_at_once.max(able.len());
-            self.without += usize::from(able.is_empty());
+            self.max_simultaneous_owners = self.max_simultaneous_owners.max(valid_holders.len());
+            self.steps_without_owner += usize::from(valid_holders.is_empty());
         }
     }
 
-    fn turn(&mut self, n: usize, wants: bool) {
+    fn step_front(&mut self, n: usize, wants_lease: bool) {
         let now = self.clock(n);
-        let out = self.fronts[n]
+        let output = self.fronts[n]
             .voter
             .as_mut()
-            .filter(|v| v.due() <= now)
-            .map(|v| v.tick(now));
-        self.does(n, out.unwrap_or_default());
+            .filter(|voter| voter.due() <= now)
+            .map(|voter| voter.tick(now));
+        self.process_output(n, output.unwrap_or_default());
         let front = &mut self.fronts[n];
         if let Some(progress) = front.holder.take_inherited_progress() {
             let token = front.holder.token(now).unwrap_or_default();
             front.progress = progress.first().copied().unwrap_or(0);
-            self.inherited.push((token, progress));
+            self.inherited_progress.push((token, progress));
         }
         let front = &mut self.fronts[n];
         if let Some(token) = front.holder.token(now) {
@@ -246,7 +249,7 @@
                 .saturating_add(u8::from(self.now % (SECOND / 4) == 0));
         }
         let progress = [front.progress];
-        let intent = if wants {
+        let intent = if wants_lease {
             Intent::Acquire
         } else {
             Intent::RenewOnly
@@ -261,11 +264,11 @@
             message: LeaseMessage::Request(request),
         };
         if voter == id(n) {
-            let out = self.fronts[n]
+            let output = self.fronts[n]
                 .voter
                 .as_mut()
                 .map(|voter| voter.receive(now, id(n), envelope));
-            self.does(n, out.unwrap_or_default());
+            self.process_output(n, output.unwrap_or_default());
         } else {
             self.send(n, voter, envelope);
         }
@@ -282,7 +285,7 @@
     pub fn leaders(&self) -> usize {
         self.fronts
             .iter()
-            .filter(|f| f.up && f.voter.as_ref().is_some_and(Voter::is_leader))
+            .filter(|front| front.running && front.voter.as_ref().is_some_and(Voter::is_leader))
             .count()
     }
 }
