--- a/crates/lease/src/fence_tests.rs
+++ b/crates/lease/src/fence_tests.rs
@@ -15,7 +15,7 @@
     );
     fence.observe(Task::Zones, lease(5, 1));
     assert_eq!(fence.admit(Task::Zones, lease(5, 1)), Ok(()));
-    // A token from the future, and another's token, are known of nobody yet.
+    // A token that was never granted, and a token under another owner's name.
     assert_eq!(
         fence.admit(Task::Zones, lease(900, 1)),
         Err(FenceError::Unknown)
@@ -25,7 +25,7 @@
         Err(FenceError::Unknown)
     );
     fence.observe(Task::Zones, lease(7, 2));
-    fence.observe(Task::Zones, lease(5, 1)); // late
+    fence.observe(Task::Zones, lease(5, 1)); // delayed
     assert_eq!(
         fence.admit(Task::Zones, lease(5, 1)),
         Err(FenceError::Stale)
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -1,17 +1,17 @@
-//! The owner's side: requests the lease of voters, renews it, and knows by its own monotonic clock alone
-//! until when it may act.
+//! The owner's side of a lease: requests the lease from voters, renews it, and determines by the local
+//! monotonic clock alone how long the owner may act.
 
 use crate::{AddressedRequest, FrontId, LeaseTerms, Micros, Reply, Request, Task, Token};
 
-/// Microseconds until the request goes to the next voter instead; some round trips.
+/// Microseconds without a reply until the request is sent to the next voter; several round trips.
 const REPLY_TIMEOUT: Micros = 250_000;
 
-/// What a front does about a lease that it does not hold.
+/// Whether a front requests a lease that it does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Intent {
-    /// It requests the lease.
+    /// Requests the lease, and renews it once held.
     Acquire,
-    /// It only renews a lease that it holds.
+    /// Only renews a lease that the front already holds.
     RenewOnly,
 }
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     token: Token,
-    /// The owner may act before this time.
+    /// The owner may act only before this time.
     valid_until: Micros,
 }
 
@@ -27,9 +27,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingRequest {
     number: u64,
-    /// When it was made.
     sent_at: Micros,
-    /// The place of the voter that it went to.
+    /// The index in `voters` of the voter that it was sent to.
     voter_index: usize,
 }
 
@@ -42,15 +41,15 @@
     held: Option<HeldLease>,
     pending: Option<PendingRequest>,
     next_number: u64,
-    /// The place of the voter that the next request goes to.
+    /// The index in `voters` of the voter that the next request is sent to.
     voter_index: usize,
-    /// The progress that came with the lease, until it is taken.
+    /// The previous owner's progress, received with a grant, until the caller takes it.
     inherited_progress: Option<Vec<u8>>,
 }
 
 impl Holder {
-    /// `first` is the number of its first request; it has to be above all of an earlier run, whose replies
-    /// are not for this one.
+    /// Creates a holder without a lease. `first_number` numbers its first request. It must be higher than the
+    /// numbers of all earlier incarnations, so that replies to their requests are ignored.
     pub fn new(task: Task, terms: LeaseTerms, voters: Vec<FrontId>, first_number: u64) -> Holder {
         Holder {
             task,
@@ -64,25 +63,27 @@
         }
     }
 
-    /// The token under which it may act now.
+    /// The token under which the front may act now; None without a valid lease.
     pub fn token(&self, now: Micros) -> Option<Token> {
         self.held
             .filter(|held| now < held.valid_until)
             .map(|held| held.token)
     }
 
-    /// Until when it may act, in the past where the lease has run out; None where it never held one.
+    /// The end of the lease, in the past if it has expired; None if the front never held it or was denied the
+    /// last renewal.
     pub fn valid_until(&self) -> Option<Micros> {
         self.held.map(|held| held.valid_until)
     }
 
-    /// Takes the progress of the owner before; there is one after each grant.
+    /// Takes the progress of the previous owner: Some once after each grant.
     pub fn take_inherited_progress(&mut self) -> Option<Vec<u8>> {
         self.inherited_progress.take()
     }
 
-    /// The request that is due, and the voter to send it to: for a renewal, or for the lease by `intent`. None
-    /// while a reply is awaited or nothing is due. `progress` goes with a renewal.
+    /// The request that is due and the voter to send it to: a renewal, or a request for the lease if `intent`
+    /// is to acquire it. None while a reply is awaited, if nothing is due, or without voters. `progress` is
+    /// sent with a renewal.
     pub fn next_request(
         &mut self,
         now: Micros,
@@ -125,7 +126,8 @@
             .is_some_and(|pending| now - pending.sent_at < REPLY_TIMEOUT)
     }
 
-    /// Whether a request is due. A lease is renewed from a third of its time on: two more attempts fit in.
+    /// Whether a request is due. A lease is renewed once a third of its duration has passed, which leaves time
+    /// for two more attempts.
     fn is_due(&self, now: Micros, intent: Intent) -> bool {
         match self.held.filter(|held| now < held.valid_until) {
             Some(held) => held.valid_until - now < self.terms.owner_valid_for() * 2 / 3,
@@ -137,7 +139,7 @@
         self.voter_index = (self.voter_index + 1) % self.voters.len();
     }
 
-    /// Takes in a voter's reply. One that is not to the latest request is ignored.
+    /// Handles a voter's reply. A reply to any but the latest request is ignored.
     pub fn receive(&mut self, reply: &Reply) {
         let number = reply.number();
         let Some(pending) = self.pending.take_if(|pending| pending.number == number) else {
@@ -147,7 +149,7 @@
             Reply::Granted {
                 token, progress, ..
             } => {
-                // Counted from the request: however long the reply took, the voters count from later.
+                // Counted from the request: the voters count from a later time, however long the reply took.
                 let held = HeldLease {
                     token: *token,
                     valid_until: pending.sent_at + self.terms.owner_valid_for(),
@@ -157,7 +159,7 @@
                 }
                 self.held = Some(held);
             }
-            // Another front holds it, since no later than now.
+            // Another front holds the lease, or may hold it already.
             Reply::Denied { .. } => self.held = None,
             Reply::NotLeader { leader, .. } => {
                 let leader_index = self.voters.iter().position(|voter| voter == leader);
--- a/crates/lease/src/holder_tests.rs
+++ b/crates/lease/src/holder_tests.rs
@@ -37,7 +37,7 @@
         ),
         (Some(vec![7]), None)
     );
-    // Kept under the same token.
+    // A renewal keeps the token.
     let renewal = holder
         .next_request(2_000_000, Intent::Acquire, &[9])
         .unwrap()
@@ -66,7 +66,7 @@
     } = holder
         .next_request(REPLY_TIMEOUT, Intent::Acquire, &[])
         .unwrap();
-    assert_eq!(to, 20); // the first voter was silent
+    assert_eq!(to, 20); // the first voter did not reply
     holder.receive(&granted(first.number, 4));
     assert_eq!(holder.token(300_000), None);
     holder.receive(&Reply::NotLeader {
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -1,4 +1,4 @@
-//! The leases as the voters' log records them: every voter that applies the same changes has the same leases.
+//! The leases as a replicated state machine: voters that apply the same log entries hold the same leases.
 
 use std::collections::BTreeMap;
 
@@ -7,62 +7,63 @@
 
 use crate::{FrontId, Task, Token};
 
-/// An entry of the log. A change that no longer fits has no effect: of two leaders' grants the first counts.
-/// Variants and fields are positional in the saved state: append only.
+/// An entry of the log. A change whose token is not the current one has no effect, so of two grants by
+/// different leaders only the first takes effect. Variants and fields are encoded by position in the saved
+/// state: append only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// The lease passes to a new owner.
+    /// Grants the lease to a new owner.
     Grant {
-        /// The work that it is for.
+        /// The task of the lease.
         task: Task,
-        /// The token that it is held under until then; 0: it was never granted.
+        /// The token of the previous lease on the task; 0 if it was never granted.
         previous_token: Token,
         /// The new owner.
         owner: FrontId,
-        /// Of the owner's request.
+        /// The number of the owner's request.
         number: u64,
     },
-    /// The owner renews the lease.
+    /// Renews the owner's lease.
     Renew {
-        /// The work that it is for.
+        /// The task of the lease.
         task: Task,
-        /// The token that it is held under.
+        /// The token of the lease.
         token: Token,
-        /// Of the owner's request.
+        /// The number of the owner's request.
         number: u64,
-        /// How far the work has gone.
+        /// The progress of the work, for the next owner.
         progress: Vec<u8>,
     },
 }
 
-/// A lease in force.
+/// The latest lease on a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its fencing token.
+    /// The fencing token.
     pub token: Token,
-    /// The front that holds it.
+    /// The front that the lease was granted to.
     pub owner: FrontId,
-    /// The number of the owner's request that was granted last.
+    /// The number of the owner's last granted request.
     pub number: u64,
-    /// How far the work has gone.
+    /// The progress of the work, as the owner stored it last.
     pub progress: Vec<u8>,
 }
 
-/// The leases of all tasks.
+/// The latest leases of all tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Leases {
     held: BTreeMap<Task, Lease>,
-    /// The last token that was given out, over all tasks.
+    /// The highest token granted so far, over all tasks.
     last_token: Token,
 }
 
 impl Leases {
-    /// The lease of a task, if it was ever granted.
+    /// The latest lease on a task; None if it was never granted.
     pub fn get(&self, task: Task) -> Option<&Lease> {
         self.held.get(&task)
     }
 
-    /// All leases, by task.
+    /// All leases, ordered by task.
     pub fn iter(&self) -> impl Iterator<Item = (Task, &Lease)> {
         self.held.iter().map(|(task, lease)| (*task, lease))
     }
@@ -110,8 +111,8 @@
     }
 }
 
-/// A snapshot of the log: the leases up to some entry, and later changes that have yet to be applied to them.
-/// The log library makes one of some entries alone, and then merges it into the snapshot before.
+/// A snapshot of the log: the leases up to some entry, and later changes that are not yet applied to them.
+/// The log library creates a snapshot from a range of entries and merges it into the previous snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseSnapshot {
     base: Leases,
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,10 +1,11 @@
 //! Leases: one owner at a time for work on behalf of the fleet. Voters agree on a replicated log of leases
-//! ([`voter`]); an owner acts only while its own monotonic clock says that its lease lasts ([`holder`]);
-//! receivers of its acts admit nothing under a token lower than the highest they have seen ([`fence`]). Free
-//! of sockets, clocks and files: the caller passes in messages, the time and the saved state, and sends and
-//! saves what comes out.
+//! ([`voter`]). An owner acts only while its lease is valid on its own monotonic clock ([`holder`]).
+//! Receivers of its acts reject fencing tokens lower than the highest seen ([`fence`]). The crate uses no
+//! sockets, clocks or files: the caller passes in messages, the time and the saved state, and sends and
+//! saves the output.
 //!
-//! Times are whole microseconds on the caller's monotonic clock; clocks need not agree, only run about alike.
+//! Times are integer microseconds on the caller's monotonic clock. Clocks of different fronts need not agree;
+//! only their rates must be within the drift configured in [`LeaseTerms`].
 
 #![warn(missing_docs)]
 
@@ -19,44 +20,45 @@
 
 /// A time or duration in microseconds.
 pub type Micros = i64;
-/// A front: the first eight bytes of its public key.
+/// The id of a front: the first eight bytes of its public key.
 pub type FrontId = u64;
-/// A fencing token: grows with every grant, so that of two owners the later has the higher.
+/// A fencing token. It grows with every grant, so the later of two owners has the higher token.
 pub type Token = u64;
 
-/// A fencing token with the front that it was granted to; ordered by the token.
+/// A fencing token and the front that it was granted to, ordered by token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TokenOwner {
-    /// The token.
+    /// The fencing token.
     pub token: Token,
-    /// The front that holds it.
+    /// The front that the token was granted to.
     pub owner: FrontId,
 }
 
 /// Work that exactly one front does for the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Task {
-    /// Probing engines that the fleet sends nothing to, and announcing that a zone answers again.
+    /// Probing the engines of zones that receive no statements, and announcing zones that answer again.
     Zones,
 }
 
-/// How long a lease lasts, and how far clocks may run apart meanwhile.
+/// The duration of a lease and the clock drift it tolerates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
-    /// Microseconds from a request until the lease it was granted ends.
+    /// Microseconds from a request to the end of the lease that it was granted.
     pub length: Micros,
-    /// The most that a clock gains or loses against true time, in parts per million.
+    /// The maximum rate error of a clock against true time, in parts per million.
     pub drift_ppm: u32,
 }
 
 impl LeaseTerms {
-    /// Microseconds for which an owner may act after its request: less than the length on any clock.
+    /// Microseconds for which an owner may act after its request: the length less the drift, so that the
+    /// owner stops within the length even on a slow clock.
     pub fn owner_valid_for(&self) -> Micros {
         self.length - self.drift()
     }
 
-    /// Microseconds for which the lease is granted to nobody else after its last confirmation: more than the
-    /// length on any clock.
+    /// Microseconds after its last confirmation during which the lease is granted to no other front: the
+    /// length plus the drift, so that the block covers the length even on a fast clock.
     pub fn blocked_for(&self) -> Micros {
         self.length + self.drift()
     }
@@ -66,48 +68,47 @@
     }
 }
 
-/// Asks a voter for a lease, or for its renewal.
+/// A request to a voter for a lease or for its renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
     /// The work that the lease is for.
     pub task: Task,
-    /// Tells the reply to this request from others; grows with each request of a front, over its restarts
-    /// too.
+    /// Matches a reply to its request. Increases with each request of a front, across restarts too.
     pub number: u64,
-    /// The token that the front holds and wants to renew; without one it wants the lease.
+    /// The token of the lease to renew; None requests a new lease.
     pub token: Option<Token>,
-    /// How far the work has gone: stored with the lease for the next owner.
+    /// The progress of the work, stored with the lease for the next owner.
     pub progress: Vec<u8>,
 }
 
 /// A voter's reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// The lease is granted or renewed, counted from when it was requested.
+    /// The lease is granted or renewed; its length counts from the time of the request.
     Granted {
-        /// Of the request.
+        /// The number of the request.
         number: u64,
         /// The lease's fencing token.
         token: Token,
-        /// What the owner stored last; of a new lease, the owner before.
+        /// The progress stored last: by this owner, or by the previous owner of a newly granted lease.
         progress: Vec<u8>,
     },
-    /// Another front holds it, or may hold it.
+    /// Another front holds the lease, or may still hold it.
     Denied {
-        /// Of the request.
+        /// The number of the request.
         number: u64,
     },
-    /// Another voter leads: the request is to be sent there.
+    /// Another voter is the leader; the request must be sent to that voter.
     NotLeader {
-        /// Of the request.
+        /// The number of the request.
         number: u64,
-        /// The voter that leads.
+        /// The leader.
         leader: FrontId,
     },
 }
 
 impl Reply {
-    /// The number of the request that it answers.
+    /// The number of the request that this reply answers.
     pub fn number(&self) -> u64 {
         match self {
             Reply::Granted { number, .. }
@@ -117,59 +118,59 @@
     }
 }
 
-/// Everything that fronts send to each other about leases. Variants are positional on the wire: append only.
+/// A lease message between fronts. Variants are encoded by position: append only.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// From a front to a voter.
+    /// A front's request to a voter.
     Request(Request),
-    /// From a voter to the front that requested.
+    /// A voter's reply to the requesting front.
     Reply(Reply),
-    /// A log message of builds that did not number them: it is ignored.
+    /// A log message from a build that did not number log messages; ignored.
     Unnumbered(Box<omnipaxos::messages::Message<leases::Change>>),
-    /// Between voters: a message of the replicated log.
+    /// A message of the replicated log between voters.
     Log {
-        /// The sender's incarnation: grows with each of its starts.
+        /// The sender's incarnation, which increases with each start.
         incarnation: u64,
-        /// Counts the messages that must come in order; 0: it need not.
+        /// The sequence number of a message that must arrive in order; 0 if the order does not matter.
         number: u64,
-        /// The log library's message.
+        /// The message of the log library.
         message: Box<omnipaxos::messages::Message<leases::Change>>,
     },
 }
 
-/// A message with the fleet that it is meant for.
+/// A lease message and the fleet that it belongs to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The fleet's [`fingerprint`]: a message of another fleet is refused.
+    /// The fleet's [`fingerprint`]; voters ignore messages of other fleets.
     pub fleet: u64,
-    /// The message.
+    /// The lease message.
     pub message: LeaseMessage,
 }
 
-/// An envelope with the front that it is to be sent to.
+/// An envelope and its destination.
 #[derive(Clone, Debug)]
 pub struct AddressedEnvelope {
-    /// The receiver.
+    /// The front that the envelope is sent to.
     pub to: FrontId,
-    /// What it is to receive.
+    /// The envelope to be sent.
     pub envelope: Envelope,
 }
 
-/// A request with the voter that it is to be sent to.
+/// A request and the voter that it is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedRequest {
-    /// The voter.
+    /// The voter that the request is sent to.
     pub to: FrontId,
-    /// What is requested of it.
+    /// The lease or renewal that is requested.
     pub request: Request,
 }
 
-/// Encodes an envelope.
+/// Encodes an envelope with postcard.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
     postcard::to_stdvec(envelope).unwrap_or_default()
 }
 
-/// Decodes an envelope that fills the bytes exactly; None for any other bytes.
+/// Decodes an envelope. None unless the bytes are exactly one envelope.
 pub fn decode(bytes: &[u8]) -> Option<Envelope> {
     match postcard::take_from_bytes(bytes) {
         Ok((envelope, [])) => Some(envelope),
@@ -177,8 +178,8 @@
     }
 }
 
-/// The fleet's fingerprint: a 64-bit FNV-1a hash of its name and voters, in any order; the same in every
-/// build.
+/// The fleet's fingerprint: a 64-bit FNV-1a hash of its name and its voters, whose order does not matter.
+/// All builds must compute the same value.
 pub fn fingerprint(name: &str, voters: &[FrontId]) -> u64 {
     let mut voters = voters.to_vec();
     voters.sort_unstable();
--- a/crates/lease/src/state.rs
+++ b/crates/lease/src/state.rs
@@ -1,31 +1,32 @@
-//! A voter's durable state: its promised ballot, the entries accepted and how far they are decided. Held in
-//! memory and saved whole: it is a few kilobytes, as the log is compacted into a snapshot every few entries.
+//! A voter's durable state: its promised ballot, the accepted entries and the decided index. The state is held
+//! in memory and saved as one blob of a few kilobytes, because the log is compacted into a snapshot every few
+//! entries.
 
 use hallmux_replica::{LogState, LogStore};
 use serde::{Deserialize, Serialize};
 
 use crate::leases::Change;
 
-/// Names the format; another format has another name.
+/// Identifies the current format.
 const MAGIC: [u8; 8] = *b"hmlease2";
-/// The format of builds that did not count incarnations.
+/// Identifies the first format, which had no incarnation.
 const MAGIC_V1: [u8; 8] = *b"hmlease1";
-/// CRC-32 of the body, big-endian, behind the name of the format.
+/// The big-endian CRC-32 of the body, which follows the magic bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// The state, as it is saved.
+/// The body of a saved state. Fields are encoded by position.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct SavedState {
-    /// The fingerprint of the fleet that it was saved in.
+    /// The fingerprint of the fleet that the voter belongs to.
     fleet: u64,
     /// The replicated log.
     log: LogState<Change>,
-    /// How often a voter has started with it.
+    /// The number of times that the voter has started with this state.
     incarnation: u64,
 }
 
 impl SavedState {
-    /// None where the bytes are cut short, altered or of an unknown format.
+    /// Decodes a saved state; None if the bytes are truncated, altered or of an unknown format.
     fn read(saved: &[u8]) -> Option<SavedState> {
         let (head, body) = saved.split_at_checked(MAGIC.len() + CHECKSUM_BYTES)?;
         let (magic, checksum) = head.split_at(MAGIC.len());
@@ -37,7 +38,7 @@
             return postcard::from_bytes(body).ok();
         }
         if *magic == MAGIC_V1 {
-            // No incarnation was counted then: a 0 behind it says so.
+            // The first format lacks the incarnation; the appended byte decodes as 0.
             return postcard::from_bytes(&[body, &[0]].concat()).ok();
         }
         None
@@ -50,36 +51,36 @@
     }
 }
 
-/// Why a saved state can't be used.
+/// Why a voter can't start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
-    /// It is cut short, altered or of an unknown format.
-    #[error("what was saved is cut short, altered or of another form; bring the directory back from before, or name another front as voter")]
+    /// The saved state is truncated, altered or of an unknown format.
+    #[error("the voter's saved state is truncated, altered or of an unknown format; restore the directory as it was last saved, or configure another front as voter")]
     Corrupt,
-    /// It was saved in another fleet.
-    #[error("what was saved is of another fleet or of other voters; give the front the directory of its own fleet")]
+    /// The saved state belongs to another fleet or another set of voters.
+    #[error("the voter's saved state belongs to another fleet or another set of voters; configure the directory that belongs to this fleet")]
     OtherFleet,
-    /// This front is no voter of the fleet, or the list of voters can't be used.
+    /// This front is not a voter of the fleet, or the list of voters is not usable.
     #[error(
-        "this front is not among the voters, or there are too few of them; name it, and three or five in all"
+        "this front is not one of the voters, or there are too few voters; list this front among three or five voters"
     )]
     Voters,
 }
 
-/// A voter's state, with what is not saved of it yet.
+/// A voter's durable state, with a record of whether it has unsaved changes.
 #[derive(Clone, Debug)]
 pub struct DurableState {
     fleet: u64,
-    /// Counts the voter's starts with this state.
+    /// The number of times that the voter has started with this state.
     pub incarnation: u64,
-    /// This incarnation is not saved yet.
+    /// Whether the incarnation changed since the last save.
     has_unsaved_start: bool,
-    /// The replicated log's storage; the log library holds another handle.
+    /// The storage of the replicated log; the log library holds another handle to it.
     pub store: LogStore<Change>,
 }
 
 impl DurableState {
-    /// An empty state, for a voter that never ran in this fleet.
+    /// An empty state, for a voter that starts for the first time in this fleet.
     pub fn new(fleet: u64) -> DurableState {
         DurableState {
             fleet,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Decodes the state that an earlier run of the voter saved.
+    /// Decodes the state that an earlier incarnation of the voter saved for this fleet.
     pub fn read(fleet: u64, saved: &[u8]) -> Result<DurableState, StateError> {
         let state = SavedState::read(saved).ok_or(StateError::Corrupt)?;
         if state.fleet != fleet {
@@ -103,14 +104,14 @@
         })
     }
 
-    /// A voter starts with this state: its incarnation is saved before any message of it leaves.
+    /// Begins a new incarnation, which must be saved before any of its messages is sent.
     pub fn start(&mut self) {
         self.incarnation += 1;
         self.has_unsaved_start = true;
     }
 
-    /// Takes the bytes that have to be durable before any message that follows from them leaves; None if
-    /// nothing changed.
+    /// The encoded state if it changed since the last call, else None. The bytes must be durable before any
+    /// message that depends on them is sent.
     pub fn take_unsaved(&mut self) -> Option<Vec<u8>> {
         let changed = self.store.take_changes().is_some();
         if !std::mem::take(&mut self.has_unsaved_start) && !changed {
--- a/crates/lease/src/state_tests.rs
+++ b/crates/lease/src/state_tests.rs
@@ -46,7 +46,7 @@
         DurableState::read(8, &saved).unwrap_err(),
         StateError::OtherFleet
     );
-    // Each incarnation has the next number, and is saved though nothing else has changed.
+    // Each start increments the incarnation and is saved even if nothing else changed.
     let mut restored = restored;
     restored.start();
     let later = DurableState::read(7, &restored.take_unsaved().unwrap()).unwrap();
@@ -58,7 +58,7 @@
         ),
         (1, 1, None)
     );
-    // What builds wrote that did not count them is read.
+    // A state in the first format, without an incarnation, can be read.
     let body = &saved[MAGIC.len() + CHECKSUM_BYTES..saved.len() - 1];
     let first_format = [&MAGIC_V1[..], &crc32fast::hash(body).to_be_bytes(), body].concat();
     let first_format = DurableState::read(7, &first_format).unwrap();
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,6 +1,6 @@
-//! A voter: an acceptor of the replicated log of leases (OmniPaxos), which grants leases while it leads. The
-//! log alone decides who owns what; time only keeps a leader from proposing a new owner before the one before
-//! has surely stopped.
+//! A voter: an acceptor of the replicated log of leases (OmniPaxos), which grants leases while it is the
+//! leader. The log alone decides who owns a lease. Time is used only to keep a leader from proposing a new
+//! owner before the previous owner's lease has certainly expired.
 
 mod log;
 
@@ -15,61 +15,61 @@
     AddressedEnvelope, Envelope, FrontId, LeaseMessage, LeaseTerms, Micros, Reply, Request, Task,
 };
 
-/// Microseconds between ticks of the log's clock.
+/// Microseconds between ticks of the log library's clock.
 const TICK_INTERVAL: Micros = 50_000;
-/// Bytes of progress that go with a lease.
+/// Maximum size in bytes of the progress stored with a lease; requests with more are ignored.
 const MAX_PROGRESS_BYTES: usize = 256;
-/// Requests that wait for the log at once.
+/// Maximum number of requests that wait for the log at once; further ones are ignored.
 const MAX_WAITING_REQUESTS: usize = 64;
 
-/// What a voter is part of.
+/// The configuration of a voter.
 #[derive(Clone, Debug)]
 pub struct VoterConfig {
     /// The fleet's fingerprint.
     pub fleet: u64,
-    /// This front.
+    /// The front that the voter runs on.
     pub local_id: FrontId,
     /// All voters, in any order.
     pub voters: Vec<FrontId>,
-    /// How long a lease lasts.
+    /// The duration of a lease.
     pub terms: LeaseTerms,
 }
 
-/// A request that waits until the log has decided on it.
+/// A request whose change was proposed to the log and is not yet decided.
 struct WaitingRequest {
     requester: FrontId,
     request: Request,
-    /// When it is given up.
+    /// When the voter stops waiting for the decision and sends no reply.
     expires_at: Micros,
 }
 
-/// What a call gives out: what to save, and what to send once that is durable.
+/// The output of a call: the state to save, and the messages to send once it is durable.
 #[derive(Default)]
 pub struct Output {
-    /// Replaces what was saved before. Must be durable before any of the messages leaves, those of later
-    /// calls too.
+    /// Replaces the state saved before; None if nothing changed. It must be durable before any of the
+    /// messages of this call or a later one is sent.
     pub save: Option<Vec<u8>>,
-    /// To be sent, each to its front.
+    /// The messages to send.
     pub messages: Vec<AddressedEnvelope>,
 }
 
-/// One voter, and its part of the log.
+/// One voter with its replica of the log.
 pub struct Voter {
     fleet: u64,
     local_id: FrontId,
-    /// All voters in order: the place of each, counted from 1, is its number in the log.
+    /// All voters, sorted: the position of a voter, counted from 1, is its number in the log.
     voters: Vec<FrontId>,
     terms: LeaseTerms,
     log: OmniPaxos<Change, LogStore<Change>>,
     state: DurableState,
-    /// Messages that come out of order count as lost.
+    /// Numbers sent log messages, and drops received ones that are out of order: they count as lost.
     message_order: MessageOrder,
     leases: Leases,
-    /// How many entries of the log are applied to the leases.
+    /// The number of log entries applied to the leases.
     applied_entries: usize,
-    /// When each lease was last confirmed, on this clock.
+    /// When this voter last learned of a grant or renewal of each lease, on the local clock.
     last_confirmed: BTreeMap<Task, Micros>,
-    /// Since when this voter leads.
+    /// When this voter became the leader; None while it is not.
     leading_since: Option<Micros>,
     started_at: Micros,
     next_tick: Micros,
@@ -78,8 +78,8 @@
 }
 
 impl Voter {
-    /// `saved` is what an earlier run gave out to be saved last; None only where there was none. An error
-    /// says why it can't be used, or that this front is no voter.
+    /// Starts a voter from the state that its previous incarnation saved last. `saved` may be None only if the
+    /// voter has never run. Fails if the state is not usable or this front is not a voter.
     pub fn new(
         now: Micros,
         config: VoterConfig,
@@ -120,17 +120,17 @@
         Ok(voter)
     }
 
-    /// The leases, as far as the log is decided here.
+    /// The leases according to the log entries that are decided on this voter.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// Whether it leads now.
+    /// Whether this voter is the leader and ready to propose, as of the last call.
     pub fn is_leader(&self) -> bool {
         self.leading_since.is_some()
     }
 
-    /// How many entries of the log are decided, as far as this voter knows.
+    /// The number of log entries that are decided and applied on this voter.
     pub fn decided_entries(&self) -> usize {
         self.applied_entries
     }
@@ -140,18 +140,18 @@
         self.next_tick
     }
 
-    /// Runs the log's clock where it is due, and gives what is to be saved and sent.
+    /// Advances the log library's clock if a tick is due, and returns the state to save and messages to send.
     pub fn tick(&mut self, now: Micros) -> Output {
         if self.next_tick <= now {
-            // A voter that was paused does not catch up: the log's clock counts the ticks that it ran.
+            // Ticks missed during a pause are not made up: the log's clock counts only ticks that ran.
             self.next_tick = now + TICK_INTERVAL;
             self.log.tick();
         }
         self.collect_output(now)
     }
 
-    /// A message has come from a front whose signature holds. It is ignored where it is for another fleet, or
-    /// no voter's.
+    /// Handles a message from a front whose signature was verified. Messages of another fleet and log messages
+    /// that do not come from the voter they name are ignored.
     pub fn receive(&mut self, now: Micros, from: FrontId, envelope: Envelope) -> Output {
         if envelope.fleet != self.fleet {
             return Output::default();
@@ -172,7 +172,8 @@
         self.collect_output(now)
     }
 
-    /// A front requests a lease or its renewal. Without a reply it requests again, and this voter may be ready.
+    /// Handles a front's request for a lease or its renewal. If the voter is not ready it sends no reply; the
+    /// front then repeats the request.
     fn handle_request(&mut self, now: Micros, requester: FrontId, request: Request) {
         let number = request.number;
         let Some(leader) = self.leader() else { return };
@@ -195,7 +196,7 @@
         }
     }
 
-    /// The change of the leases that grants a request; None where it is denied.
+    /// The change of the leases that grants a request; None if the request is denied.
     fn change_for(&self, now: Micros, requester: FrontId, request: &Request) -> Option<Change> {
         let lease = self.leases.get(request.task);
         let Some(token) = request.token else {
@@ -216,8 +217,9 @@
             })
     }
 
-    /// Whether the lease's last owner has surely stopped, whichever voter confirmed it and whenever: a leader
-    /// counts from when it began to lead, and from when it learned of each confirmation.
+    /// Whether the last owner's lease has certainly expired, whichever voter confirmed it and when. The block
+    /// counts from when this voter became the leader, from when it learned of the last confirmation, and from
+    /// its own start.
     fn is_free(&self, now: Micros, task: Task) -> bool {
         let block_has_passed = |since: Micros| now >= since + self.terms.blocked_for();
         let since_leading = self.leading_since.is_some_and(block_has_passed);
@@ -239,8 +241,8 @@
         self.outgoing.push(AddressedEnvelope { to, envelope });
     }
 
-    /// Applies what the log has decided, replies to requests that waited for it, and gathers what is to go
-    /// out.
+    /// Applies the entries that the log has decided, replies to the requests that waited for them, and collects
+    /// the state to save and the messages to send.
     fn collect_output(&mut self, now: Micros) -> Output {
         self.apply(now);
         self.leading_since = if self.is_ready_leader() {
@@ -256,7 +258,8 @@
         }
     }
 
-    /// Replies to requests that the log has granted. Those that it has not decided in time get no reply.
+    /// Replies to waiting requests whose change the log has decided. Requests that are not decided in time get
+    /// no reply.
     fn reply_to_waiting(&mut self, now: Micros) {
         for waiting in std::mem::take(&mut self.waiting) {
             let number = waiting.request.number;
--- a/crates/lease/src/voter/log.rs
+++ b/crates/lease/src/voter/log.rs
@@ -1,4 +1,4 @@
-//! A voter's part of the replicated log: its messages, its leader, and what it has decided.
+//! A voter's replica of the log: sending its messages, its leader, and applying decided entries.
 
 use hallmux_replica::LogStore;
 use omnipaxos::messages::Message as LogMessage;
@@ -10,23 +10,24 @@
 use crate::state::StateError;
 use crate::{FrontId, LeaseMessage, Micros};
 
-/// Ticks without a message of the leader until an election.
+/// Ticks without a message from the leader until an election starts.
 const ELECTION_TICKS: u64 = 6;
-/// Ticks until a message counts as lost.
+/// Ticks until a message counts as lost and is sent again.
 const RESEND_TICKS: u64 = 4;
-/// Decided entries until the log is compacted into a snapshot.
+/// Number of decided entries after which the log is compacted into a snapshot.
 const SNAPSHOT_INTERVAL_ENTRIES: usize = 16;
-/// A voter's place among the voters, counted from 1: its number in the log.
+/// A voter's number in the log: its position among the sorted voters, counted from 1.
 type VoterNumber = u64;
 
 impl Voter {
-    /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
+    /// Whether a log message names its actual sender and this voter as receiver. The library uses the numbers
+    /// as indexes without checking them.
     pub(super) fn matches_endpoints(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
         self.voter_id(message.get_sender()) == Some(from)
             && self.voter_id(message.get_receiver()) == Some(self.local_id)
     }
 
-    /// The voter of a number in the log.
+    /// The id of the voter with this number in the log; None if there is no such voter.
     pub(super) fn voter_id(&self, number: VoterNumber) -> Option<FrontId> {
         let index = number.checked_sub(1)?;
         self.voters.get(index as usize).copied()
@@ -37,13 +38,13 @@
         self.voter_id(number)
     }
 
-    /// Whether this voter leads and may propose.
+    /// Whether this voter is the leader and may propose entries.
     pub(super) fn is_ready_leader(&self) -> bool {
         let leader = self.log.get_current_leader();
         leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.local_id)
     }
 
-    /// Takes the log library's messages, and numbers those that must come in order.
+    /// Queues the log library's outgoing messages, and numbers those that must arrive in order.
     pub(super) fn send_log_messages(&mut self) {
         let mut messages = Vec::new();
         self.log.take_outgoing_messages(&mut messages);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Applies what the log has decided since the last call.
+    /// Applies the entries decided since the last call, and compacts the log when enough are decided.
     pub(super) fn apply(&mut self, now: Micros) {
         let decided = self.log.get_decided_idx();
         if decided <= self.applied_entries {
@@ -73,7 +74,7 @@
         }
         self.applied_entries = decided;
         if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_INTERVAL_ENTRIES {
-            // If it can't be compacted now, it is the next time.
+            // A failed compaction is retried when further entries are decided.
             let _ = self.log.snapshot(Some(decided), true);
         }
     }
@@ -96,7 +97,8 @@
     }
 }
 
-/// Opens this voter's part of the log. An error says that it is no voter, or that there are too few.
+/// Opens this voter's replica of the log. Fails if the front is not a voter or the library rejects the
+/// cluster, such as one with too few voters.
 pub(super) fn open_log(
     local_id: FrontId,
     voters: &[FrontId],
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,9 +1,9 @@
-//! A model of owners, the authority that grants leases, and a receiver of their acts, on the code that runs:
-//! holders, leases, the fence. Every message that was ever sent may arrive at any later time, any number of
-//! times, or never: so letters are lost, doubled and reordered. Fronts pause at any point (they do nothing
-//! while time goes on, and what they sent arrives late), one restarts, and their clocks lose a tick now and
-//! then within the drift agreed. Checked exhaustively to a stated depth. The authority here is one that never
-//! fails: that several voters with a log come to the same is what `voters.rs` plays.
+//! A model, checked exhaustively up to `MAX_DEPTH`, of two owners, an authority that grants leases, and a
+//! receiver of their acts. It uses the production code of holders, leases and the fence. Every message sent may
+//! arrive at any later time, any number of times, or never, which covers loss, duplication and reordering.
+//! Fronts pause at any point (they do nothing while time passes, and their messages arrive late), one restarts,
+//! and each clock may lose a tick within the configured drift. The authority in this model never fails;
+//! `voters.rs` simulates several voters with a replicated log.
 
 use std::collections::BTreeSet;
 
@@ -13,22 +13,22 @@
 use hallmux_lease::{FrontId, LeaseTerms, Micros, Reply, Request, Task, Token, TokenOwner};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const TICK: Micros = 1_000_000; // microseconds of a step of time
+const TICK: Micros = 1_000_000; // microseconds by which a clock advances in one action
 const TERMS: LeaseTerms = LeaseTerms {
     length: 2 * TICK,
     drift_ppm: 250_000,
 };
 const MAX_TICKS: Micros = 6;
-const MAX_REQUESTS: u64 = 2; // of each owner in each life
-const MAX_DEPTH: usize = 14; // steps
+const MAX_REQUESTS: u64 = 2; // per owner and incarnation
+const MAX_DEPTH: usize = 14; // actions
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum InFlight {
     Request(usize, Token, u64),
     Grant(usize, Token, u64),
-    /// An act of an owner under its token.
+    /// An owner's act under its token.
     Act(usize, Token),
-    /// A majority of the voters names the owner to the receiver.
+    /// The receiver learns that a majority of the voters reports this owner.
     MajorityReport(Token, FrontId),
 }
 
@@ -36,23 +36,24 @@
 struct State {
     now: Micros,
     clocks: [Micros; 2],
-    /// Whether each has lost a tick: one in the six that are played is within the drift agreed.
+    /// Whether each clock has lost a tick; one of the six modelled ticks is within the configured drift.
     has_lost_tick: [bool; 2],
     holders: [Holder; 2],
     restarted: bool,
     leases: Leases,
     confirmed: Micros,
-    /// All that was ever sent.
+    /// All messages ever sent.
     messages: BTreeSet<InFlight>,
     fence: Fence,
-    /// The highest token under which an act was accepted, and whether one under a lower followed.
+    /// The highest token under which an act was accepted.
     highest: Token,
+    /// Whether an act was accepted under a token lower than `highest`.
     has_violation: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    /// Time goes on by a tick; the clock of one front may not.
+    /// Time advances by a tick; the clock of the given front does not.
     Tick(Option<usize>),
     Request(usize),
     Act(usize),
@@ -193,7 +194,7 @@
                     })
                 }
                 Some(_) => None,
-                // As `Voter::is_free`: nobody else until whoever had it last has surely stopped.
+                // As in `Voter::is_free`: no new grant until the last owner's lease has certainly expired.
                 None if state.now * TICK >= state.confirmed + TERMS.blocked_for() => {
                     Some(Change::Grant {
                         task: Task::Zones,
@@ -204,7 +205,7 @@
                 }
                 None => None,
             };
-            // Refused: for the asker no worse than an answer that is lost, which it must bear as well.
+            // A denied request gets no reply: the requester must tolerate a lost reply in any case.
             if change.is_some_and(|change| state.leases.apply(&change)) {
                 state.confirmed = state.now * TICK;
                 let token = state.leases.get(Task::Zones).map_or(0, |lease| lease.token);
@@ -270,7 +271,7 @@
     }
     .checker()
     .finish_when(HasDiscoveries::AnyFailures);
-    // A step more than the sound one is checked to: the late act itself.
+    // One action deeper than the correct model is checked, for the late act itself.
     let checked = model.target_max_depth(MAX_DEPTH + 1).spawn_bfs().join();
     checked.assert_any_discovery("no act is accepted under a lower token after a higher one");
 }
--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -1,5 +1,5 @@
-//! Leases among voters that are cut apart, stopped, killed and started anew, over a network that loses,
-//! doubles and reorders messages, with clocks that run apart.
+//! Leases among voters that are partitioned, paused, killed and restarted, over a network that loses,
+//! duplicates and reorders messages, with drifting clocks.
 
 use hallmux_lease::voter::{Voter, VoterConfig};
 use hallmux_lease::{fingerprint, AddressedEnvelope, Envelope, LeaseMessage, Request, Task};
@@ -10,7 +10,8 @@
 
 use sim::{Fleet, SECOND, TERMS};
 
-/// Every act was under a token no lower than any before it, and never two fronts could act at once.
+/// Asserts that the tokens of acts never decreased, that no two fronts could act at once, and that voters with
+/// equally many decided entries hold equal leases.
 fn assert_safe(fleet: &Fleet) {
     assert!(
         fleet.max_simultaneous_owners <= 1,
@@ -25,7 +26,7 @@
         );
         highest = *token;
     }
-    // Voters that have decided as much know the same.
+    // Voters with equally many decided entries hold equal leases.
     let voters: Vec<&Voter> = fleet
         .fronts
         .iter()
@@ -71,7 +72,7 @@
     assert_safe(&fleet);
     let owners = fleet.owners();
     assert_eq!(owners.len(), 2, "{owners:?}");
-    // What the first had done a moment before its end, not nothing.
+    // The successor starts from the progress of the killed owner's last renewals.
     let (token, progress) = fleet.inherited_progress.last().unwrap();
     assert!(
         *token == owners[1].1 && progress[0] > 4,
@@ -103,7 +104,7 @@
         let mut fleet = Fleet::new(7, voters, 4);
         fleet.run(8 * SECOND, &[0, 6]);
         let (_, owner, _) = *fleet.acts.last().unwrap();
-        // The owner's side holds the fewer voters; the other asks too.
+        // The owner's partition holds a minority of the voters; a voter of the majority requests the lease too.
         for n in 0..7 {
             fleet.partition[n] = u8::from(n >= minority && n < voters);
         }
@@ -112,10 +113,10 @@
         let before = fleet.acts.len();
         fleet.run(20 * SECOND, &[0, 6, other]);
         assert_safe(&fleet);
-        // At the end the side with the majority has it, if its owner is there.
+        // The last owner is in the partition with the majority.
         let last = fleet.acts[before..].last().unwrap();
         assert_eq!(fleet.partition[last.1], 1, "{voters}: {:?}", fleet.owners());
-        // Cut so that nobody has a majority, nobody owns it.
+        // No partition has a majority: the lease has no owner.
         for n in 0..voters {
             fleet.partition[n] = n as u8;
         }
@@ -123,7 +124,7 @@
         let before = fleet.acts.len();
         fleet.run(30 * SECOND, &[0, 6, other]);
         assert_eq!(fleet.acts.len(), before, "{voters}: {:?}", fleet.owners());
-        // It heals.
+        // The partition heals.
         fleet.partition.fill(0);
         fleet.run(45 * SECOND, &[0, 6, other]);
         assert_safe(&fleet);
@@ -172,13 +173,13 @@
 #[test]
 fn reordered_messages_count_as_lost() {
     let mut runs_with_owner = 0;
-    // Without their numbers the log's library panicked on one of a later round at seed 206.
+    // Without sequence numbers the log library panicked at seed 206, on a message of a later round.
     for seed in 150..210 {
         let mut fleet = Fleet::new(6, if seed % 2 == 0 { 3 } else { 5 }, 5_000 + seed);
         (fleet.max_delay, fleet.duplication_rate) =
             ([60_000, 120_000, 180_000][seed as usize % 3], 0.3);
         for step in 1..=8 {
-            // Leaders change now and then, as their messages stay away.
+            // Isolating a voter makes the leader change now and then.
             let isolated = fleet.rng.random_range(0..3);
             fleet.partition[isolated] = 1;
             fleet.run((3 * step - 2) * SECOND, &[0, 1, 2, 3, 4, 5]);
@@ -199,7 +200,7 @@
     let mut fleet = Fleet::new(4, 3, 6);
     fleet.run(120 * SECOND, &[3]);
     assert_safe(&fleet);
-    // A voter that was away for long is brought up to date, and the lease goes on under its token.
+    // A voter that was down for long catches up, and the lease continues under the same token.
     fleet.kill(1);
     fleet.run(240 * SECOND, &[3]);
     fleet.start(1);
@@ -242,7 +243,7 @@
         }),
     };
     assert!(voter.receive(1, 7, request(fleet + 1)).messages.is_empty());
-    // Log messages of a real exchange, each said to come from everybody but its sender.
+    // Log messages of a real exchange, each received from every front but its actual sender.
     let mut other = Voter::new(0, config(101), None).unwrap();
     let mut messages = Vec::new();
     for now in 1..40 {
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -1,6 +1,5 @@
-//! Fronts that want one lease and their voters over a simulated network: everything is drawn from a seed,
-//! true time is a number, and each front's clock runs a little fast or slow. Shared by the tests of this
-//! crate.
+//! A simulation of fronts that request one lease, and their voters, over a simulated network. All random
+//! decisions derive from a seed, true time is a number, and each front's clock runs a little fast or slow.
 
 use std::collections::BTreeMap;
 
@@ -18,17 +17,18 @@
     length: 2 * SECOND,
     drift_ppm: 50_000,
 };
-const STEP_MICROS: Micros = 5_000; // microseconds of true time between looks
+const STEP_MICROS: Micros = 5_000; // microseconds of true time per simulation step
 
 pub struct Front {
     pub voter: Option<Voter>,
     pub holder: Holder,
-    /// What it has saved, and whether it runs.
+    /// The voter's saved state, which survives a kill.
     saved: Option<Vec<u8>>,
     pub running: bool,
     pub paused: bool,
-    /// Its clock: so much at true time 0, and so fast.
+    /// The clock's reading at true time 0.
     clock_offset: Micros,
+    /// Microseconds that the clock advances per microsecond of true time.
     clock_rate: f64,
     progress: u8,
 }
@@ -38,20 +38,20 @@
     voters: Vec<FrontId>,
     pub now: Micros,
     pub rng: Pcg64Mcg,
-    /// When each envelope arrives: to whom, from whom.
+    /// Receiver, sender and content of each envelope, by arrival time and sequence number.
     in_flight: BTreeMap<(Micros, u64), (usize, usize, Envelope)>,
     sequence: u64,
     pub loss_rate: f64,
     pub duplication_rate: f64,
-    /// The longest that an envelope may be under way: what is longer than the time between messages reorders
-    /// them.
+    /// The maximum delay of an envelope. A delay longer than the time between messages reorders them.
     pub max_delay: Micros,
-    /// Fronts of different sides hear nothing of each other.
+    /// The partition of each front; fronts of different partitions can't reach each other.
     pub partition: Vec<u8>,
-    /// Acts as they happened: true time, who, under which token.
+    /// Acts in order: true time, front and token.
     pub acts: Vec<(Micros, usize, Token)>,
-    /// The most fronts that could act at once, and for how many steps nobody could.
+    /// The highest number of fronts that could act at once.
     pub max_simultaneous_owners: usize,
+    /// The number of steps in which no front could act.
     pub steps_without_owner: usize,
     pub message_counts: BTreeMap<&'static str, u64>,
     pub inherited_progress: Vec<(Token, Vec<u8>)>,
@@ -63,7 +63,7 @@
 }
 
 impl Fleet {
-    /// So many fronts, of which the first ones vote.
+    /// Starts `fronts` fronts, of which the first `voters` are voters.
     pub fn new(fronts: usize, voters: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             fronts: Vec::new(),
@@ -109,7 +109,7 @@
         front.clock_offset + (self.now as f64 * front.clock_rate) as Micros
     }
 
-    /// Starts a front, anew where it ran before, with what it had saved.
+    /// Starts or restarts a front from its saved state.
     pub fn start(&mut self, n: usize) {
         let (now, voters) = (self.clock(n), self.voters.clone());
         let fleet = fingerprint("tests", &voters);
@@ -124,7 +124,7 @@
                 voters,
                 terms: TERMS,
             };
-            Voter::new(now, config, front.saved.as_deref()).expect("what was saved is whole")
+            Voter::new(now, config, front.saved.as_deref()).expect("the saved state is intact")
         });
     }
 
@@ -154,12 +154,12 @@
     }
 
     fn process_output(&mut self, n: usize, output: Output) {
-        // Saved before anything leaves: the tests' disk is instant.
+        // The state is saved before any message is sent; saving takes no time in the simulation.
         if let Some(save) = output.save {
             self.fronts[n].saved = Some(save);
         }
         for AddressedEnvelope { to, envelope } in output.messages {
-            // What a voter answers itself stays on its machine.
+            // A voter's reply to its own front does not use the network.
             match (envelope.message, to == id(n)) {
                 (LeaseMessage::Reply(reply), true) => self.fronts[n].holder.receive(&reply),
                 (message, _) => self.send(
@@ -187,7 +187,7 @@
         self.process_output(to, output.unwrap_or_default());
     }
 
-    /// Plays until a true time; those named want the lease.
+    /// Runs the simulation until the true time `until`; the fronts in `requesters` request the lease.
     pub fn run(&mut self, until: Micros, requesters: &[usize]) {
         while self.now < until {
             self.now += STEP_MICROS;
@@ -198,7 +198,7 @@
                 }
                 let front = &self.fronts[to];
                 if front.running && front.paused {
-                    // It waits in the socket until the front goes on.
+                    // The envelope waits in the socket until the front is resumed.
                     self.sequence += 1;
                     self.in_flight.insert(
                         (self.now + STEP_MICROS, self.sequence),
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Who owned the lease, in the order of their acts.
+    /// The fronts that acted and their tokens, in the order of their acts, without consecutive duplicates.
     pub fn owners(&self) -> Vec<(usize, Token)> {
         let mut owners: Vec<(usize, Token)> =
             self.acts.iter().map(|(_, n, token)| (*n, *token)).collect();
@@ -290,8 +290,8 @@
     }
 }
 
-/// An reply as some voter might make it up.
-#[allow(dead_code)] // one of the tests uses it
+/// A grant that a faulty voter might forge.
+#[allow(dead_code)] // unused at present
 pub fn forged(number: u64) -> Reply {
     Reply::Granted {
         number,
