--- a/crates/fleet/src/ownership/messages.rs
+++ b/crates/fleet/src/ownership/messages.rs
@@ -20,7 +20,7 @@
         if envelope.fleet != self.fleet {
             return self.refuse(ActRefusal::Fleet);
         }
-        self.addresses.insert(from, message.at);
+        self.addresses.insert(from, message.address);
         match (envelope.message, &mut self.voter) {
             (LeaseMessage::Reply(reply), _) if self.voters.contains_key(&from) => {
                 self.holder.receive(&reply)
--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -62,7 +62,7 @@
     /// The front that signed the datagram.
     pub from: PeerId,
     /// The address at which the sender says that it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The channel that it came on.
     pub channel: Channel,
     /// The payload without its channel byte.
@@ -92,7 +92,7 @@
 
     /// Stores the payload of a received datagram. False if it names a channel unknown here; an empty one is
     /// no error.
-    pub fn deliver(&mut self, from: PeerId, at: SocketAddr, mut payload: Vec<u8>) -> bool {
+    pub fn deliver(&mut self, from: PeerId, address: SocketAddr, mut payload: Vec<u8>) -> bool {
         if payload.is_empty() {
             return true;
         }
@@ -102,7 +102,7 @@
         if self.inbox.len() < MAX_WAITING {
             self.inbox.push(ChannelMessage {
                 from,
-                at,
+                address,
                 channel: *channel,
                 bytes: payload,
             });
