--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -17,18 +17,18 @@
 pub struct Fleet {
     pub nodes: Vec<Option<Node>>,
     /// Milliseconds by which each one's clock differs.
-    pub apart: Vec<i64>,
+    pub clock_offsets_ms: Vec<i64>,
     pub now: Micros,
     pub seed: u64,
-    pub loss: f64,
+    pub loss_rate: f64,
     /// Pairs that can't reach each other.
-    pub cut: HashSet<(usize, usize)>,
+    pub cut_links: HashSet<(usize, usize)>,
     pub in_flight: BinaryHeap<Reverse<(Micros, u64, usize, usize)>>,
     pub bytes: Vec<Vec<u8>>,
     pub sequence: u64,
     /// All that was sent, where `captures` is set.
     pub captured: Vec<(usize, Datagram)>,
-    pub captures: bool,
+    pub is_capturing: bool,
     keys: Rc<Keys>,
     /// How many a front is told of at start, drawn by chance; 0 for the first two.
     seeds: usize,
@@ -40,13 +40,15 @@
     secret
 }
 
-pub fn at(n: usize) -> SocketAddr {
+pub fn address(n: usize) -> SocketAddr {
     ([127, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7000).into()
 }
 
-pub fn place(at: SocketAddr) -> usize {
-    let SocketAddr::V4(at) = at else { panic!() };
-    let [_, _, high, low] = at.ip().octets();
+pub fn front_index(address: SocketAddr) -> usize {
+    let SocketAddr::V4(address) = address else {
+        panic!()
+    };
+    let [_, _, high, low] = address.ip().octets();
     high as usize * 200 + low as usize - 1
 }
 
@@ -58,7 +60,7 @@
     )
 }
 
-pub fn draw(seed: &mut u64) -> u64 {
+pub fn next_random(seed: &mut u64) -> u64 {
     *seed = seed
         .wrapping_mul(6364136223846793005)
         .wrapping_add(1442695040888963407);
@@ -73,16 +75,16 @@
     pub fn with_seeds(count: usize, seed: u64, seeds: usize) -> Fleet {
         let mut fleet = Fleet {
             nodes: Vec::new(),
-            apart: vec![0; count],
+            clock_offsets_ms: vec![0; count],
             now: 0,
             seed,
-            loss: 0.0,
-            cut: HashSet::new(),
+            loss_rate: 0.0,
+            cut_links: HashSet::new(),
             in_flight: BinaryHeap::new(),
             bytes: Vec::new(),
             sequence: 0,
             captured: Vec::new(),
-            captures: false,
+            is_capturing: false,
             keys: keys(count),
             seeds,
         };
@@ -93,54 +95,57 @@
         fleet
     }
 
-    pub fn wall(&self, n: usize) -> u64 {
-        (WALL as i64 + self.now / 1000 + self.apart[n]) as u64
+    pub fn wall_ms(&self, n: usize) -> u64 {
+        (WALL as i64 + self.now / 1000 + self.clock_offsets_ms[n]) as u64
     }
 
     /// Starts a front whose clock reads so many milliseconds less at its start than it should.
-    pub fn start(&mut self, n: usize, count: usize, behind: u64) {
-        let drawn: Vec<SocketAddr> = (0..self.seeds)
-            .map(|_| at((draw(&mut self.seed) % count as u64) as usize))
+    pub fn start(&mut self, n: usize, count: usize, behind_ms: u64) {
+        let random_seeds: Vec<SocketAddr> = (0..self.seeds)
+            .map(|_| address((next_random(&mut self.seed) % count as u64) as usize))
             .collect();
-        let seeds = if drawn.is_empty() {
-            vec![at(0), at(1)]
+        let seeds = if random_seeds.is_empty() {
+            vec![address(0), address(1)]
         } else {
-            drawn
+            random_seeds
         };
         let start = NodeConfig {
             secret: secret(n),
             keys: self.keys.clone(),
-            address: at(n),
+            address: address(n),
             seeds,
         };
-        self.nodes[n] = Some(Node::new(start, self.wall(n) - behind));
+        self.nodes[n] = Some(Node::new(start, self.wall_ms(n) - behind_ms));
     }
 
     pub fn send(&mut self, from: usize, datagrams: Vec<Datagram>) {
         for datagram in datagrams {
-            let to = place(datagram.to);
-            let lost = (draw(&mut self.seed) % 1000) as f64 / 1000.0 < self.loss;
-            if self.captures {
+            let to = front_index(datagram.to);
+            let is_lost = (next_random(&mut self.seed) % 1000) as f64 / 1000.0 < self.loss_rate;
+            if self.is_capturing {
                 self.captured.push((from, datagram.clone()));
             }
-            if lost || self.cut.contains(&(from.min(to), from.max(to))) || to >= self.nodes.len() {
+            if is_lost
+                || self.cut_links.contains(&(from.min(to), from.max(to)))
+                || to >= self.nodes.len()
+            {
                 continue;
             }
-            let way = 500 + (draw(&mut self.seed) % 4500) as Micros;
-            self.deliver(from, to, way, datagram.bytes);
+            let delay = 500 + (next_random(&mut self.seed) % 4500) as Micros;
+            self.deliver(from, to, delay, datagram.bytes);
         }
     }
 
-    pub fn deliver(&mut self, from: usize, to: usize, way: Micros, bytes: Vec<u8>) {
+    pub fn deliver(&mut self, from: usize, to: usize, delay: Micros, bytes: Vec<u8>) {
         self.sequence += 1;
         self.bytes.push(bytes);
         self.in_flight
-            .push(Reverse((self.now + way, self.sequence - 1, from, to)));
+            .push(Reverse((self.now + delay, self.sequence - 1, from, to)));
     }
 
     pub fn run(&mut self, until: Micros) {
         while self.now < until {
-            let due = self
+            let next_due = self
                 .nodes
                 .iter()
                 .flatten()
@@ -148,28 +153,28 @@
                 .min()
                 .unwrap_or(until);
             let in_flight = self.in_flight.peek().map_or(until, |Reverse((at, ..))| *at);
-            self.now = due.min(in_flight).max(self.now).min(until);
+            self.now = next_due.min(in_flight).max(self.now).min(until);
             while let Some(Reverse((when, number, from, to))) = self.in_flight.peek().copied() {
                 if when > self.now {
                     break;
                 }
                 self.in_flight.pop();
                 let bytes = std::mem::take(&mut self.bytes[number as usize]);
-                let (now, wall) = (self.now, self.wall(to));
+                let (now, wall_ms) = (self.now, self.wall_ms(to));
                 if let Some(node) = &mut self.nodes[to] {
-                    let back = node.receive(now, wall, at(from), &bytes);
-                    self.send(to, back);
+                    let replies = node.receive(now, wall_ms, address(from), &bytes);
+                    self.send(to, replies);
                 }
             }
             for n in 0..self.nodes.len() {
-                let (now, wall) = (self.now, self.wall(n));
+                let (now, wall_ms) = (self.now, self.wall_ms(n));
                 let Some(node) = self.nodes[n].as_mut().filter(|node| node.due() <= now) else {
                     continue;
                 };
                 let mut seed = self.seed;
-                let out = node.tick(now, wall, &mut || draw(&mut seed));
+                let datagrams = node.tick(now, wall_ms, &mut || next_random(&mut seed));
                 self.seed = seed;
-                self.send(n, out);
+                self.send(n, datagrams);
             }
         }
     }
@@ -179,18 +184,19 @@
     }
 
     pub fn report_engine_statuses(&mut self, n: usize, statuses: Vec<EngineStatus>) {
-        let (now, wall) = (self.now, self.wall(n));
+        let (now, wall_ms) = (self.now, self.wall_ms(n));
         self.nodes[n]
             .as_mut()
             .unwrap()
-            .report_engine_statuses(now, wall, statuses);
+            .report_engine_statuses(now, wall_ms, statuses);
     }
 
     /// Who has heard of this engine, and from whom.
-    pub fn heard_of(&self, engine: u64) -> Vec<(usize, BTreeSet<PeerId>)> {
+    pub fn fronts_with_report_on(&self, engine: u64) -> Vec<(usize, BTreeSet<PeerId>)> {
         let reporters = |node: &Node| -> BTreeSet<PeerId> {
-            let news = node.peer_reports(self.now);
-            news.into_iter()
+            let reports = node.peer_reports(self.now);
+            reports
+                .into_iter()
                 .filter(|n| n.status.engine == engine)
                 .map(|n| n.reporter)
                 .collect()
@@ -204,7 +210,7 @@
     }
 
     /// How many of those that run take this one to be so.
-    pub fn health(&self, of: usize, health: Health) -> usize {
+    pub fn count_with_health(&self, of: usize, health: Health) -> usize {
         let id = self.peer_id(of);
         self.nodes
             .iter()
@@ -213,7 +219,7 @@
             .count()
     }
 
-    pub fn sent(&self) -> Vec<u64> {
+    pub fn bytes_sent(&self) -> Vec<u64> {
         self.nodes
             .iter()
             .flatten()
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -10,7 +10,7 @@
 use hallmux_gossip::node::{Node, NodeConfig};
 use hallmux_gossip::seal::Identity;
 use hallmux_gossip::Micros;
-use sim::{at, keys, secret, SECOND, WALL};
+use sim::{address, keys, secret, SECOND, WALL};
 
 fn report(reporter: u64, version: u32, requested: u32) -> LoadReport {
     let offered = vec![OfferedLoad {
@@ -55,7 +55,7 @@
     let start = NodeConfig {
         secret: secret(0),
         keys: keys(4),
-        address: at(0),
+        address: address(0),
         seeds: Vec::new(),
     };
     let mut node = Node::new(start, WALL);
@@ -68,7 +68,7 @@
         &mut liar,
         &[honest.sign_load_report(&report(honest.id, 1, 7))],
     );
-    node.receive(0, WALL, at(1), &passed_on);
+    node.receive(0, WALL, address(1), &passed_on);
     assert_eq!(
         requested(&node, 1),
         [7],
@@ -88,7 +88,7 @@
         };
         for reports in [[forged, strange], [short, liar.sign_load_report(&many)]] {
             let datagram = datagram_with(&mut liar, &reports);
-            node.receive(Micros::from(version), WALL, at(1), &datagram);
+            node.receive(Micros::from(version), WALL, address(1), &datagram);
         }
     }
     assert_eq!(requested(&node, 500), [7]);
@@ -100,7 +100,7 @@
         node.receive(
             SECOND + Micros::from(version) * 10_000,
             WALL + 1_000,
-            at(1),
+            address(1),
             &datagram,
         );
     }
--- a/crates/lab/src/measure/gossip.rs
+++ b/crates/lab/src/measure/gossip.rs
@@ -22,9 +22,9 @@
     for (&size, loss) in sizes.iter().flat_map(|size| [(size, 0.0), (size, 0.05)]) {
         let began = Instant::now();
         let mut fleet = Fleet::with_seeds(size, 42, 3);
-        fleet.loss = loss;
+        fleet.loss_rate = loss;
         fleet.run(SETTLES);
-        let before = fleet.sent();
+        let before = fleet.bytes_sent();
         let since = fleet.now;
         let (mut nine, mut all) = (Vec::new(), Vec::new());
         for round in 0..ROUNDS {
@@ -43,7 +43,7 @@
             let mut heard = 0;
             while heard < size - 1 && fleet.now < at + 8 * SECOND {
                 fleet.run(fleet.now + LOOK);
-                heard = fleet.heard_of(engine).len();
+                heard = fleet.fronts_with_report_on(engine).len();
                 if heard * 10 >= (size - 1) * 9 && nine.len() == round {
                     nine.push((fleet.now - at) / 1000);
                 }
@@ -55,7 +55,7 @@
             fleet.run(at + 8 * SECOND);
         }
         let seconds = (fleet.now - since) as f64 / 1e6;
-        let sent = fleet.sent();
+        let sent = fleet.bytes_sent();
         let most = sent
             .iter()
             .zip(&before)
