--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -9,11 +9,11 @@
 use crate::{Micros, PeerId};
 
 /// Longest payload in bytes: a datagram less the seal, the channel byte and the sender's own update.
-pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - SEAL_BYTES - OVERHEAD;
+pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - SEAL_BYTES - OVERHEAD_BYTES;
 /// Bytes: an update with an IPv6 address takes some 45, counts and channel the rest.
-const OVERHEAD: usize = 64;
+const OVERHEAD_BYTES: usize = 64;
 /// Messages held until `take`; more are dropped.
-const MAX_WAITING: usize = 256;
+const MAX_INBOX_MESSAGES: usize = 256;
 
 /// The subsystem that a payload is for. The discriminant is its byte on the wire: append only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,7 +44,7 @@
 
 impl Channel {
     /// Bytes a second that a front may send on it.
-    fn rate(self) -> f64 {
+    fn bytes_per_second(self) -> f64 {
         match self {
             Channel::Lease => 24_000.0,
             Channel::Ledger => 600_000.0,
@@ -78,13 +78,13 @@
 impl Mailbox {
     pub fn new() -> Mailbox {
         Mailbox {
-            tokens: CHANNELS.map(|channel| TokenBucket::new(channel.rate())),
+            tokens: CHANNELS.map(|channel| TokenBucket::new(channel.bytes_per_second())),
             inbox: Vec::new(),
         }
     }
 
     /// Takes `bytes` from the channel's budget. False, and nothing taken, if they exceed it.
-    pub fn may_send(&mut self, now: Micros, channel: Channel, bytes: usize) -> bool {
+    pub fn take_tokens(&mut self, now: Micros, channel: Channel, bytes: usize) -> bool {
         self.tokens
             .get_mut(channel as usize)
             .is_some_and(|tokens| tokens.take(now, bytes as f64))
@@ -99,7 +99,7 @@
         let Some(channel) = CHANNELS.get(usize::from(payload.remove(0))) else {
             return false;
         };
-        if self.inbox.len() < MAX_WAITING {
+        if self.inbox.len() < MAX_INBOX_MESSAGES {
             self.inbox.push(ChannelMessage {
                 from,
                 address,
--- a/crates/gossip/src/channels_tests.rs
+++ b/crates/gossip/src/channels_tests.rs
@@ -4,25 +4,26 @@
 
 #[test]
 fn channels_have_their_own_bytes_a_second_and_letters_for_nobody_are_refused() {
-    let at = ([127, 0, 0, 1], 9).into();
+    let address = ([127, 0, 0, 1], 9).into();
     let mut mailbox = Mailbox::new();
-    for (place, channel) in CHANNELS.into_iter().enumerate() {
-        let rate = channel.rate();
-        assert_eq!(channel as usize, place);
+    for (index, channel) in CHANNELS.into_iter().enumerate() {
+        let bytes_per_second = channel.bytes_per_second();
+        assert_eq!(channel as usize, index);
         assert!(
-            mailbox.may_send(0, channel, rate as usize) && !mailbox.may_send(0, channel, 1),
+            mailbox.take_tokens(0, channel, bytes_per_second as usize)
+                && !mailbox.take_tokens(0, channel, 1),
             "{channel:?}"
         );
-        assert!(mailbox.deliver(7, at, vec![place as u8, 5]));
+        assert!(mailbox.deliver(7, address, vec![index as u8, 5]));
     }
     assert!(
-        !mailbox.deliver(7, at, vec![CHANNELS.len() as u8, 5])
-            && mailbox.deliver(7, at, Vec::new())
+        !mailbox.deliver(7, address, vec![CHANNELS.len() as u8, 5])
+            && mailbox.deliver(7, address, Vec::new())
     );
-    let came: Vec<_> = mailbox
+    let received: Vec<_> = mailbox
         .take()
         .into_iter()
-        .map(|l| (l.channel, l.bytes))
+        .map(|message| (message.channel, message.bytes))
         .collect();
-    assert_eq!(came, CHANNELS.map(|channel| (channel, vec![5])));
+    assert_eq!(received, CHANNELS.map(|channel| (channel, vec![5])));
 }
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -24,14 +24,14 @@
     ownership: OwnershipReport,
     signed: Signed,
     /// How often this front has passed it on.
-    sent: u32,
+    times_sent: u32,
 }
 
 /// What a sighting is about: the engine, and whether it is well.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Subject {
     engine: u64,
-    is_well: bool,
+    is_healthy: bool,
 }
 
 impl Subject {
@@ -39,16 +39,16 @@
         let has_fault = status.silent_ms > 0 || status.failed > 0;
         Subject {
             engine: status.engine,
-            is_well: status.answered > 0 && !has_fault,
+            is_healthy: status.answered > 0 && !has_fault,
         }
     }
 }
 
 /// How often reports on each subject were passed on.
 #[derive(Default)]
-struct PassedOn(BTreeMap<Subject, u32>);
+struct SendCounts(BTreeMap<Subject, u32>);
 
-impl PassedOn {
+impl SendCounts {
     fn add(&mut self, report: &StoredReport, times: u32) {
         for status in &report.statuses {
             *self.0.entry(Subject::of(status)).or_default() += times;
@@ -56,15 +56,15 @@
     }
 
     /// How often the subject of a report was passed on of which least was. Reports without content come last.
-    fn least(&self, report: &StoredReport) -> u32 {
+    fn min_sends(&self, report: &StoredReport) -> u32 {
         let subjects = report.statuses.iter().map(Subject::of);
-        let least = subjects
+        let min_sends = subjects
             .map(|subject| self.0.get(&subject).copied().unwrap_or(0))
             .min();
-        least.unwrap_or(if report.ownership.is_empty() {
+        min_sends.unwrap_or(if report.ownership.is_empty() {
             u32::MAX
         } else {
-            report.sent
+            report.times_sent
         })
     }
 }
@@ -100,16 +100,16 @@
 /// The latest report of each front.
 #[derive(Default)]
 pub struct Evidence {
-    held: BTreeMap<PeerId, StoredReport>,
+    reports: BTreeMap<PeerId, StoredReport>,
 }
 
 impl Evidence {
     /// Whether a report is later than the one held of its reporter. Cheap: to be asked before its signature
     /// is checked.
     pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
-        self.held
+        self.reports
             .get(&reporter)
-            .is_none_or(|held| (started_ms, version) > (held.started_ms, held.version))
+            .is_none_or(|report| (started_ms, version) > (report.started_ms, report.version))
     }
 
     /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
@@ -123,7 +123,7 @@
         {
             return false;
         }
-        if self.held.len() >= MAX_REPORTERS && !self.held.contains_key(&report.reporter) {
+        if self.reports.len() >= MAX_REPORTERS && !self.reports.contains_key(&report.reporter) {
             self.drop_oldest();
         }
         let stored = StoredReport {
@@ -133,34 +133,35 @@
             statuses: report.statuses,
             ownership: report.ownership,
             signed,
-            sent: 0,
+            times_sent: 0,
         };
-        self.held.insert(report.reporter, stored);
+        self.reports.insert(report.reporter, stored);
         true
     }
 
     fn drop_oldest(&mut self) {
         let oldest = self
-            .held
+            .reports
             .iter()
             .min_by_key(|(_, report)| report.created)
             .map(|(reporter, _)| *reporter);
         if let Some(reporter) = oldest {
-            self.held.remove(&reporter);
+            self.reports.remove(&reporter);
         }
     }
 
     /// Drops reports some time after they expired: until then nothing older can come in their place.
     pub fn expire(&mut self, now: Micros) {
-        self.held.retain(|_, held| now - held.created < 2 * EXPIRY);
+        self.reports
+            .retain(|_, report| now - report.created < 2 * EXPIRY);
     }
 
     /// All sightings that have not expired, but for those that `own` has reported.
-    pub fn peer_reports(&self, now: Micros, own: PeerId) -> Vec<PeerReport> {
+    pub fn peer_reports(&self, now: Micros, local_id: PeerId) -> Vec<PeerReport> {
         let current = self
-            .held
+            .reports
             .iter()
-            .filter(|(reporter, report)| **reporter != own && report.is_current(now));
+            .filter(|(reporter, report)| **reporter != local_id && report.is_current(now));
         current
             .flat_map(|(reporter, report)| {
                 report.statuses.iter().map(move |status| PeerReport {
@@ -174,12 +175,16 @@
 
     /// What each front reports of the fleet's work, this front's own report included.
     pub fn ownership_reports(&self, now: Micros) -> impl Iterator<Item = PeerOwnership<'_>> {
-        let counts = move |held: &StoredReport| held.is_current(now) && !held.ownership.is_empty();
-        let all = self.held.iter().filter(move |(_, held)| counts(held));
-        all.map(move |(reporter, held)| PeerOwnership {
+        let is_eligible =
+            move |report: &StoredReport| report.is_current(now) && !report.ownership.is_empty();
+        let all = self
+            .reports
+            .iter()
+            .filter(move |(_, report)| is_eligible(report));
+        all.map(move |(reporter, report)| PeerOwnership {
             reporter: *reporter,
-            ownership: &held.ownership,
-            age: now - held.created,
+            ownership: &report.ownership,
+            age: now - report.created,
         })
     }
 
@@ -187,43 +192,51 @@
     /// engine of which least was passed on, good and bad news apart, so that many reports on one engine do
     /// not crowd out the few on another; then those passed on least, and of them the latest. Reports without
     /// content come last: what they take back expires by itself.
-    pub fn pass_on(&mut self, now: Micros, most_sent: u32, mut budget: usize) -> Vec<Signed> {
-        let mut passed_on = PassedOn::default();
-        for report in self.held.values().filter(|report| report.is_current(now)) {
-            passed_on.add(report, report.sent);
+    pub fn pick_to_send(&mut self, now: Micros, max_sends: u32, mut budget: usize) -> Vec<Signed> {
+        let mut send_counts = SendCounts::default();
+        for report in self
+            .reports
+            .values()
+            .filter(|report| report.is_current(now))
+        {
+            send_counts.add(report, report.times_sent);
         }
         let mut candidates: Vec<&mut StoredReport> = self
-            .held
+            .reports
             .values_mut()
-            .filter(|report| report.is_current(now) && report.sent < most_sent)
+            .filter(|report| report.is_current(now) && report.times_sent < max_sends)
             .collect();
-        let mut picked = Vec::new();
+        let mut selected = Vec::new();
         loop {
             let next = (0..candidates.len())
                 .filter(|n| candidates[*n].signed.encoded_len() <= budget)
                 .min_by_key(|n| {
                     let report = &candidates[*n];
-                    (passed_on.least(report), report.sent, now - report.created)
+                    (
+                        send_counts.min_sends(report),
+                        report.times_sent,
+                        now - report.created,
+                    )
                 });
             let Some(next) = next else {
-                return picked;
+                return selected;
             };
             let report = candidates.swap_remove(next);
             budget -= report.signed.encoded_len();
-            report.sent += 1;
-            passed_on.add(report, 1);
-            picked.push(report.signed.clone());
+            report.times_sent += 1;
+            send_counts.add(report, 1);
+            selected.push(report.signed.clone());
         }
     }
 
     /// Reports held, expired ones too.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.reports.len()
     }
 
     /// Whether no report is held.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.reports.is_empty()
     }
 }
 
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -26,7 +26,7 @@
 }
 
 /// What is known after reports came in this order.
-fn known(order: &[Report]) -> Vec<(PeerId, u8)> {
+fn merged(order: &[Report]) -> Vec<(PeerId, u8)> {
     let mut evidence = Evidence::default();
     order
         .iter()
@@ -63,15 +63,15 @@
     assert_eq!(orders.len(), 24);
     for order in orders {
         let mut reports: Vec<Report> = order.iter().map(|n| all[*n].clone()).collect();
-        assert_eq!(known(&reports), expected);
+        assert_eq!(merged(&reports), expected);
         reports.extend(reports.clone());
-        assert_eq!(known(&reports), expected);
+        assert_eq!(merged(&reports), expected);
         // Without what was made before the latest of each.
         let latest: Vec<Report> = reports
             .into_iter()
             .filter(|r| r.started_ms > 5 || r.reporter == 2)
             .collect();
-        assert_eq!(known(&latest), expected);
+        assert_eq!(merged(&latest), expected);
     }
 }
 
@@ -112,14 +112,23 @@
     other.statuses[0].engine = 2;
     // The earliest and the last in number: by age and place it would come after all others.
     evidence.merge(0, other, signed(200), 0);
-    let mut firsts = Vec::new();
+    let mut reporters = Vec::new();
     for _ in 0..3 {
-        firsts.extend(evidence.pass_on(1_000, 9, 216).iter().map(|s| s.report[0]));
+        reporters.extend(
+            evidence
+                .pick_to_send(1_000, 9, 216)
+                .iter()
+                .map(|signed| signed.report[0]),
+        );
     }
-    assert!(firsts[..2].contains(&200), "{firsts:?}");
+    assert!(reporters[..2].contains(&200), "{reporters:?}");
     assert!(
-        firsts.iter().filter(|reporter| **reporter == 200).count() >= 2,
-        "{firsts:?}"
+        reporters
+            .iter()
+            .filter(|reporter| **reporter == 200)
+            .count()
+            >= 2,
+        "{reporters:?}"
     );
 }
 
@@ -130,7 +139,7 @@
         evidence.merge(reporter as Micros, report(reporter, 1, 1, 1), signed(), 0);
     }
     assert_eq!(evidence.len(), MAX_REPORTERS);
-    assert_eq!(evidence.pass_on(10_000, 4, 400).len(), 3);
+    assert_eq!(evidence.pick_to_send(10_000, 4, 400).len(), 3);
     let mut long = report(1, 1, 1, 1);
     long.statuses = vec![EngineStatus::default(); MAX_ENGINE_STATUSES + 1];
     assert!(!Evidence::default().merge(0, long, signed(), 0));
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -27,8 +27,8 @@
     fn next(&mut self) -> u64;
 
     /// A number below `most`; 0 where `most` is 0.
-    fn below(&mut self, most: usize) -> usize {
-        (self.next() % most.max(1) as u64) as usize
+    fn below(&mut self, bound: usize) -> usize {
+        (self.next() % bound.max(1) as u64) as usize
     }
 }
 
--- a/crates/gossip/src/load_reports.rs
+++ b/crates/gossip/src/load_reports.rs
@@ -16,7 +16,7 @@
 /// Most loads in a report; a longer one is refused.
 pub const MAX_LOADS: usize = 24;
 /// Times that a front passes a report on.
-const MAX_SENT: u32 = 4;
+const MAX_SENDS: u32 = 4;
 
 /// The load offered to a front lately by one workload or customer. Counts are sixteenths of statements and
 /// decay by half in some seconds.
@@ -58,7 +58,7 @@
     offered: Vec<OfferedLoad>,
     signed: Signed,
     /// How often this front has passed it on.
-    sent: u32,
+    times_sent: u32,
 }
 
 impl StoredReport {
@@ -70,18 +70,18 @@
 /// The reports that count.
 #[derive(Default)]
 pub struct LoadReports {
-    held: BTreeMap<PeerId, StoredReport>,
+    reports: BTreeMap<PeerId, StoredReport>,
 }
 
 impl LoadReports {
     /// Whether a report would count and is later than the one held. Cheap: to be asked before the signature
     /// is checked.
     pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
-        match self.held.get(&reporter) {
-            Some(held) => (started_ms, version) > (held.started_ms, held.version),
-            None if self.held.len() < MAX_REPORTERS => true,
+        match self.reports.get(&reporter) {
+            Some(report) => (started_ms, version) > (report.started_ms, report.version),
+            None if self.reports.len() < MAX_REPORTERS => true,
             None => {
-                let highest = self.held.last_key_value();
+                let highest = self.reports.last_key_value();
                 highest.is_some_and(|(highest, _)| reporter < *highest)
             }
         }
@@ -89,8 +89,8 @@
 
     /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
     pub fn merge(&mut self, now: Micros, report: LoadReport, signed: Signed, age: Micros) -> bool {
-        let counts = report.offered.len() <= MAX_LOADS && age < EXPIRY;
-        if !counts || !self.is_later(report.reporter, report.started_ms, report.version) {
+        let is_eligible = report.offered.len() <= MAX_LOADS && age < EXPIRY;
+        if !is_eligible || !self.is_later(report.reporter, report.started_ms, report.version) {
             return false;
         }
         let stored = StoredReport {
@@ -99,60 +99,62 @@
             created: now - age,
             offered: report.offered,
             signed,
-            sent: 0,
+            times_sent: 0,
         };
-        self.held.insert(report.reporter, stored);
-        if self.held.len() > MAX_REPORTERS {
-            self.held.pop_last();
+        self.reports.insert(report.reporter, stored);
+        if self.reports.len() > MAX_REPORTERS {
+            self.reports.pop_last();
         }
         true
     }
 
     /// Drops expired reports, so that those of other fronts can take their place.
     pub fn expire(&mut self, now: Micros) {
-        self.held.retain(|_, held| held.is_current(now));
+        self.reports.retain(|_, report| report.is_current(now));
     }
 
     /// The loads of each reporter that have not expired.
     pub fn current(&self, now: Micros) -> impl Iterator<Item = &[OfferedLoad]> {
-        self.held
+        self.reports
             .values()
-            .filter(move |held| held.is_current(now))
-            .map(|held| &held.offered[..])
+            .filter(move |report| report.is_current(now))
+            .map(|report| &report.offered[..])
     }
 
     /// The fronts whose reports have not expired.
     pub fn reporters(&self, now: Micros) -> impl Iterator<Item = PeerId> + '_ {
-        self.held
+        self.reports
             .iter()
-            .filter(move |(_, held)| held.is_current(now))
+            .filter(move |(_, report)| report.is_current(now))
             .map(|(reporter, _)| *reporter)
     }
 
     /// Reports to be passed on within so many bytes: those passed on least, of them the latest.
-    pub fn pass_on(&mut self, now: Micros, mut budget: usize) -> Vec<Signed> {
-        let counts = |held: &&mut StoredReport| held.is_current(now) && held.sent < MAX_SENT;
-        let mut all: Vec<&mut StoredReport> = self.held.values_mut().filter(counts).collect();
-        all.sort_by_key(|held| (held.sent, now - held.created));
-        let mut picked = Vec::new();
-        for held in all {
-            if held.signed.encoded_len() <= budget {
-                budget -= held.signed.encoded_len();
-                held.sent += 1;
-                picked.push(held.signed.clone());
+    pub fn pick_to_send(&mut self, now: Micros, mut budget: usize) -> Vec<Signed> {
+        let is_eligible =
+            |report: &&mut StoredReport| report.is_current(now) && report.times_sent < MAX_SENDS;
+        let mut candidates: Vec<&mut StoredReport> =
+            self.reports.values_mut().filter(is_eligible).collect();
+        candidates.sort_by_key(|report| (report.times_sent, now - report.created));
+        let mut selected = Vec::new();
+        for report in candidates {
+            if report.signed.encoded_len() <= budget {
+                budget -= report.signed.encoded_len();
+                report.times_sent += 1;
+                selected.push(report.signed.clone());
             }
         }
-        picked
+        selected
     }
 
     /// Reports held, expired ones too.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.reports.len()
     }
 
     /// Whether no report is held.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.reports.is_empty()
     }
 }
 
--- a/crates/gossip/src/load_reports_tests.rs
+++ b/crates/gossip/src/load_reports_tests.rs
@@ -73,7 +73,7 @@
     long.offered = vec![OfferedLoad::default(); MAX_LOADS + 1];
     assert!(!reports.merge(0, long, signed(), 0));
     (0..8).for_each(|n| _ = reports.merge(0, report(n, 1, 1), signed(), 0));
-    assert_eq!(reports.pass_on(1, 230).len(), 2);
-    let rest: usize = (0..99).map(|_| reports.pass_on(1, 1_000).len()).sum();
-    assert_eq!(rest + 2, 8 * MAX_SENT as usize);
+    assert_eq!(reports.pick_to_send(1, 230).len(), 2);
+    let remaining: usize = (0..99).map(|_| reports.pick_to_send(1, 1_000).len()).sum();
+    assert_eq!(remaining + 2, 8 * MAX_SENDS as usize);
 }
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -13,7 +13,7 @@
 use crate::message::{Health, MemberUpdate, Probe};
 use crate::{Micros, PeerId};
 
-use probing::{Probing, Relay};
+use probing::{IndirectProbe, Probing};
 use update_queue::UpdateQueue;
 
 /// Microseconds until a suspicion that enough others share expires: four probe periods, for a refutation to
@@ -22,9 +22,9 @@
 /// Times that, while no other front suspects the member.
 const MAX_SUSPICION_FACTOR: f64 = 6.0;
 /// Other fronts whose suspicion brings the timeout down to the minimum.
-const CONFIRMATIONS: usize = 3;
+const MAX_CONFIRMATIONS: usize = 3;
 /// Highest local health score: timeouts are stretched by one more than it.
-const MAX_LOCAL_HEALTH: u32 = 8;
+const MAX_LOCAL_HEALTH_SCORE: u32 = 8;
 /// Microseconds that the dead are held, so that stale updates don't revive them.
 const RECLAIM_AFTER: Micros = 30_000_000;
 /// Members of the view.
@@ -38,7 +38,7 @@
     /// When it got that health.
     since: Micros,
     /// Other fronts that suspect it too.
-    confirmed: BTreeSet<PeerId>,
+    confirmers: BTreeSet<PeerId>,
 }
 
 impl Member {
@@ -96,23 +96,23 @@
 
 /// One front's view of the fleet, and its failure detector.
 pub struct Members {
-    own: PeerId,
+    local_id: PeerId,
     address: SocketAddr,
     incarnation: u64,
-    left: bool,
+    has_left: bool,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<PeerId, Member>,
     /// Members in the order in which they are probed next; the last comes first.
     probe_order: Vec<PeerId>,
     /// Lifeguard's local health score: 0 is healthy; timeouts grow with it.
-    local_health: u32,
+    local_health_score: u32,
     /// The probe under way.
     probing: Option<Probing>,
     /// When the probe under way is concluded and the next one begins.
     period_ends: Micros,
     next_number: u32,
     /// Indirect probes under way for others, by the number of the ping.
-    relays: BTreeMap<u32, Relay>,
+    indirect_probes: BTreeMap<u32, IndirectProbe>,
     updates: UpdateQueue,
     /// The member repeated last where no update was left to pass on.
     last_repeated: PeerId,
@@ -122,24 +122,24 @@
     /// `incarnation` has to grow with each start of this front: Unix milliseconds do, where the clock is
     /// right.
     pub fn new(
-        own: PeerId,
+        local_id: PeerId,
         address: SocketAddr,
         incarnation: u64,
         seeds: Vec<SocketAddr>,
     ) -> Members {
         Members {
-            own,
+            local_id,
             address,
             incarnation,
-            left: false,
+            has_left: false,
             seeds,
             members: BTreeMap::new(),
             probe_order: Vec::new(),
-            local_health: 0,
+            local_health_score: 0,
             probing: None,
             period_ends: 0,
             next_number: 0,
-            relays: BTreeMap::new(),
+            indirect_probes: BTreeMap::new(),
             updates: UpdateQueue::default(),
             last_repeated: 0,
         }
@@ -147,13 +147,13 @@
 
     /// The update on this front itself; it goes with every datagram.
     pub fn own_update(&self) -> MemberUpdate {
-        let health = if self.left {
+        let health = if self.has_left {
             Health::Left
         } else {
             Health::Alive
         };
         MemberUpdate {
-            member: self.own,
+            member: self.local_id,
             address: self.address,
             incarnation: self.incarnation,
             health,
@@ -206,20 +206,20 @@
 
     /// From now on this front announces that it leaves, and probes nobody.
     pub fn leave(&mut self) {
-        self.left = true;
+        self.has_left = true;
     }
 
     fn suspicion_expired(&self, now: Micros, member: &Member) -> bool {
         member.health == Health::Suspect
-            && now - member.since >= self.suspicion_timeout(member.confirmed.len())
+            && now - member.since >= self.suspicion_timeout(member.confirmers.len())
     }
 
     /// How long a member is suspected before it counts as dead: the shorter, the more others suspect it.
-    fn suspicion_timeout(&self, confirmed: usize) -> Micros {
+    fn suspicion_timeout(&self, confirmations: usize) -> Micros {
         let size = ((self.members.len() + 1) as f64).log10().max(1.0);
-        let least = MIN_SUSPICION as f64 * size;
-        let share = ((confirmed + 1) as f64).ln() / ((CONFIRMATIONS + 1) as f64).ln();
-        (least * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * share.min(1.0))) as Micros
+        let minimum = MIN_SUSPICION as f64 * size;
+        let share = ((confirmations + 1) as f64).ln() / ((MAX_CONFIRMATIONS + 1) as f64).ln();
+        (minimum * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * share.min(1.0))) as Micros
     }
 
     /// Declares expired suspects dead, and forgets those that have been dead or gone for long.
@@ -231,39 +231,40 @@
             .map(|(id, member)| member.update(*id, Health::Dead))
             .collect();
         for update in expired {
-            self.apply(now, self.own, update);
+            self.apply(now, self.local_id, update);
         }
         self.members.retain(|_, member| {
-            let gone = matches!(member.health, Health::Dead | Health::Left);
-            !gone || now - member.since < RECLAIM_AFTER
+            let is_gone = matches!(member.health, Health::Dead | Health::Left);
+            !is_gone || now - member.since < RECLAIM_AFTER
         });
     }
 
     /// Updates for a datagram, at most `most` beside those on the receiver: those passed on least come first,
     /// and before all those on the receiver, so that it can refute them.
-    pub fn pass_on(&mut self, to: SocketAddr, most: usize) -> Vec<MemberUpdate> {
-        let mut picked: Vec<MemberUpdate> = self
+    pub fn pick_to_send(&mut self, to: SocketAddr, max_updates: usize) -> Vec<MemberUpdate> {
+        let mut selected: Vec<MemberUpdate> = self
             .members
             .iter()
             .filter(|(_, member)| member.address == to && member.health != Health::Alive)
             .map(|(id, member)| member.update(*id, member.health))
             .collect();
-        self.updates.pick(self.members.len(), most, &mut picked);
+        self.updates
+            .pick(self.members.len(), max_updates, &mut selected);
         // The remaining places repeat members one after another (anti-entropy): it makes good what updates
         // missed.
-        for _ in picked.len()..most.min(self.members.len()) {
-            let after = self
+        for _ in selected.len()..max_updates.min(self.members.len()) {
+            let next = self
                 .members
                 .range(self.last_repeated.wrapping_add(1)..)
                 .next();
-            let Some((id, member)) = after.or_else(|| self.members.iter().next()) else {
+            let Some((id, member)) = next.or_else(|| self.members.iter().next()) else {
                 break;
             };
             self.last_repeated = *id;
-            if !picked.iter().any(|update| update.member == *id) {
-                picked.push(member.update(*id, member.health));
+            if !selected.iter().any(|update| update.member == *id) {
+                selected.push(member.update(*id, member.health));
             }
         }
-        picked
+        selected
     }
 }
--- a/crates/gossip/src/members/probing.rs
+++ b/crates/gossip/src/members/probing.rs
@@ -6,16 +6,16 @@
 use crate::message::{Health, Probe};
 use crate::{Micros, PeerId, RandomSource};
 
-use super::{MemberAddress, Members, Outgoing, MAX_LOCAL_HEALTH};
+use super::{MemberAddress, Members, Outgoing, MAX_LOCAL_HEALTH_SCORE};
 
 /// Microseconds between probes, while the local health score is 0.
 const PROBE_PERIOD: Micros = 500_000;
 /// Microseconds until others are asked to probe: some round trips.
 const ACK_TIMEOUT: Micros = 150_000;
 /// Other fronts that are asked to probe.
-const INDIRECT_PROBES: usize = 3;
+const INDIRECT_PROBERS: usize = 3;
 /// Indirect probes under way for others at once.
-const MAX_RELAYS: usize = 64;
+const MAX_INDIRECT_PROBES: usize = 64;
 /// Probe periods between probes of a seed, so that parts of a split fleet meet again.
 const SEED_PROBE_INTERVAL: u32 = 8;
 
@@ -24,7 +24,7 @@
     member: PeerId,
     address: SocketAddr,
     number: u32,
-    acked: bool,
+    is_acked: bool,
     /// When others are asked to probe it too; None once they were.
     indirect_at: Option<Micros>,
     /// Fronts asked to probe it that have not answered with a nack yet.
@@ -32,14 +32,14 @@
 }
 
 /// An indirect probe under way on behalf of another front.
-pub(super) struct Relay {
+pub(super) struct IndirectProbe {
     requester: SocketAddr,
     /// The number of the requester's ping request.
     number: u32,
     /// When the requester learns that no ack has come; None once it has.
     nack_at: Option<Micros>,
     /// When an ack is of no use any more.
-    ends: Micros,
+    expires_at: Micros,
 }
 
 impl Members {
@@ -49,43 +49,49 @@
             .probing
             .as_ref()
             .and_then(|probing| probing.indirect_at);
-        let relays = self
-            .relays
+        let indirect_probes = self
+            .indirect_probes
             .values()
-            .map(|relay| relay.nack_at.unwrap_or(relay.ends))
+            .map(|indirect_probe| indirect_probe.nack_at.unwrap_or(indirect_probe.expires_at))
             .min();
         self.period_ends
             .min(indirect.unwrap_or(Micros::MAX))
-            .min(relays.unwrap_or(Micros::MAX))
+            .min(indirect_probes.unwrap_or(Micros::MAX))
     }
 
     /// Does what is due: probes, indirect probes, suspicions that expire. What is to be sent is added to
     /// `out`.
-    pub fn tick(&mut self, now: Micros, random: &mut impl RandomSource, out: &mut Vec<Outgoing>) {
-        let stretch = Micros::from(self.local_health + 1);
-        self.probe_indirectly(now, random, out);
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        random: &mut impl RandomSource,
+        outgoing: &mut Vec<Outgoing>,
+    ) {
+        let timeout_factor = Micros::from(self.local_health_score + 1);
+        self.probe_indirectly(now, random, outgoing);
         if self.period_ends <= now {
-            self.period_ends = now + PROBE_PERIOD * stretch;
+            self.period_ends = now + PROBE_PERIOD * timeout_factor;
             self.conclude_probe(now);
             self.expire(now);
-            self.probe(now, random, out);
+            self.probe(now, random, outgoing);
         }
-        self.tick_relays(now, out);
+        self.tick_indirect_probes(now, outgoing);
     }
 
     /// Sends the nacks that are due, and forgets relays that are over.
-    fn tick_relays(&mut self, now: Micros, out: &mut Vec<Outgoing>) {
-        for relay in self.relays.values_mut() {
-            if relay.nack_at.take_if(|at| *at <= now).is_some() {
-                out.push(Outgoing {
-                    to: relay.requester,
+    fn tick_indirect_probes(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
+        for indirect_probe in self.indirect_probes.values_mut() {
+            if indirect_probe.nack_at.take_if(|at| *at <= now).is_some() {
+                outgoing.push(Outgoing {
+                    to: indirect_probe.requester,
                     probe: Probe::Nack {
-                        number: relay.number,
+                        number: indirect_probe.number,
                     },
                 });
             }
         }
-        self.relays.retain(|_, relay| relay.ends > now);
+        self.indirect_probes
+            .retain(|_, indirect_probe| indirect_probe.expires_at > now);
     }
 
     /// Asks others to probe a member that has not answered in time.
@@ -93,13 +99,13 @@
         &mut self,
         now: Micros,
         random: &mut impl RandomSource,
-        out: &mut Vec<Outgoing>,
+        outgoing: &mut Vec<Outgoing>,
     ) {
         let Some(probing) = &mut self.probing else {
             return;
         };
         let due = probing.indirect_at.take_if(|at| *at <= now);
-        if due.is_none() || probing.acked {
+        if due.is_none() || probing.is_acked {
             return;
         }
         let (member, address, number) = (probing.member, probing.address, probing.number);
@@ -109,9 +115,9 @@
             .filter(|(id, other)| **id != member && other.health == Health::Alive)
             .map(|(_, other)| other.address)
             .collect();
-        for _ in 0..INDIRECT_PROBES.min(others.len()) {
+        for _ in 0..INDIRECT_PROBERS.min(others.len()) {
             let to = others.swap_remove(random.below(others.len()));
-            out.push(Outgoing {
+            outgoing.push(Outgoing {
                 to,
                 probe: Probe::PingRequest {
                     number,
@@ -128,52 +134,53 @@
         let Some(probing) = self.probing.take() else {
             return;
         };
-        if probing.acked {
-            self.local_health = self.local_health.saturating_sub(1);
+        if probing.is_acked {
+            self.local_health_score = self.local_health_score.saturating_sub(1);
             return;
         }
         // Fronts that did not even answer with a nack: the fault may be here.
-        let missing = probing.missing_nacks.max(1) as u32;
-        self.local_health = (self.local_health + missing).min(MAX_LOCAL_HEALTH);
+        let missing_nacks = probing.missing_nacks.max(1) as u32;
+        self.local_health_score =
+            (self.local_health_score + missing_nacks).min(MAX_LOCAL_HEALTH_SCORE);
         let Some(member) = self.members.get(&probing.member) else {
             return;
         };
         if member.health == Health::Alive {
             let update = member.update(probing.member, Health::Suspect);
-            self.apply(now, self.own, update);
+            self.apply(now, self.local_id, update);
         }
     }
 
     /// Probes the next member of the round, and seeds where it is due.
-    fn probe(&mut self, now: Micros, random: &mut impl RandomSource, out: &mut Vec<Outgoing>) {
-        if self.left {
+    fn probe(&mut self, now: Micros, random: &mut impl RandomSource, outgoing: &mut Vec<Outgoing>) {
+        if self.has_left {
             return;
         }
         self.next_number = self.next_number.wrapping_add(1);
         let number = self.next_number;
-        if let Some(MemberAddress { id, address }) = self.next_probed(random) {
-            let timeout = ACK_TIMEOUT * Micros::from(self.local_health + 1);
+        if let Some(MemberAddress { id, address }) = self.next_probe_target(random) {
+            let timeout = ACK_TIMEOUT * Micros::from(self.local_health_score + 1);
             self.probing = Some(Probing {
                 member: id,
                 address,
                 number,
-                acked: false,
+                is_acked: false,
                 indirect_at: Some(now + timeout),
                 missing_nacks: 0,
             });
-            out.push(Outgoing {
+            outgoing.push(Outgoing {
                 to: address,
                 probe: Probe::Ping { number },
             });
         }
-        self.probe_seeds(number, random, out);
+        self.probe_seeds(number, random, outgoing);
     }
 
     /// The member to be probed next: round robin, in an order that is drawn anew for each round.
-    fn next_probed(&mut self, random: &mut impl RandomSource) -> Option<MemberAddress> {
+    fn next_probe_target(&mut self, random: &mut impl RandomSource) -> Option<MemberAddress> {
         while self.up().next().is_some() {
             let Some(id) = self.probe_order.pop() else {
-                self.draw_probe_order(random);
+                self.shuffle_probe_order(random);
                 continue;
             };
             if let Some(member) = self.members.get(&id).filter(|member| member.is_up()) {
@@ -184,7 +191,7 @@
         None
     }
 
-    fn draw_probe_order(&mut self, random: &mut impl RandomSource) {
+    fn shuffle_probe_order(&mut self, random: &mut impl RandomSource) {
         self.probe_order = self.up().map(|member| member.id).collect();
         for n in (1..self.probe_order.len()).rev() {
             self.probe_order.swap(n, random.below(n + 1));
@@ -197,13 +204,13 @@
         &mut self,
         number: u32,
         random: &mut impl RandomSource,
-        out: &mut Vec<Outgoing>,
+        outgoing: &mut Vec<Outgoing>,
     ) {
         let probe = Probe::Ping { number };
         if self.members.is_empty() {
             let all: BTreeSet<SocketAddr> = self.seeds.iter().copied().collect();
             let others = all.into_iter().filter(|to| *to != self.address);
-            out.extend(others.map(|to| Outgoing { to, probe }));
+            outgoing.extend(others.map(|to| Outgoing { to, probe }));
             return;
         }
         let is_due = self.probing.is_none() || number.is_multiple_of(SEED_PROBE_INTERVAL);
@@ -212,7 +219,7 @@
         }
         let to = self.seeds[random.below(self.seeds.len())];
         if to != self.address {
-            out.push(Outgoing { to, probe });
+            outgoing.push(Outgoing { to, probe });
         }
     }
 
@@ -223,11 +230,11 @@
         from: PeerId,
         address: SocketAddr,
         probe: Probe,
-        out: &mut Vec<Outgoing>,
+        outgoing: &mut Vec<Outgoing>,
     ) {
         match probe {
             Probe::None => {}
-            Probe::Ping { number } => out.push(Outgoing {
+            Probe::Ping { number } => outgoing.push(Outgoing {
                 to: address,
                 probe: Probe::Ack { number },
             }),
@@ -240,15 +247,15 @@
                     id: member,
                     address: target,
                 };
-                out.extend(self.relay(now, address, number, target));
+                outgoing.extend(self.start_indirect_probe(now, address, number, target));
             }
-            Probe::Ack { number } => out.extend(self.acked(number)),
-            Probe::Nack { number } => self.nacked(from, number),
+            Probe::Ack { number } => outgoing.extend(self.handle_ack(number)),
+            Probe::Nack { number } => self.handle_nack(from, number),
         }
     }
 
     /// Probes a member on behalf of another front, whose ping request has this number.
-    fn relay(
+    fn start_indirect_probe(
         &mut self,
         now: Micros,
         requester: SocketAddr,
@@ -257,17 +264,18 @@
     ) -> Option<Outgoing> {
         // Guards against being used to flood others: only members are probed, and few at a time.
         let member = self.members.get(&target.id)?;
-        if member.address != target.address || self.relays.len() >= MAX_RELAYS {
+        if member.address != target.address || self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             return None;
         }
         self.next_number = self.next_number.wrapping_add(1);
-        let relay = Relay {
+        let indirect_probe = IndirectProbe {
             requester,
             number,
             nack_at: Some(now + ACK_TIMEOUT),
-            ends: now + 2 * PROBE_PERIOD,
+            expires_at: now + 2 * PROBE_PERIOD,
         };
-        self.relays.insert(self.next_number, relay);
+        self.indirect_probes
+            .insert(self.next_number, indirect_probe);
         Some(Outgoing {
             to: target.address,
             probe: Probe::Ping {
@@ -277,23 +285,23 @@
     }
 
     /// A ping of this number was answered: passed on where it was sent for another front.
-    fn acked(&mut self, number: u32) -> Option<Outgoing> {
-        if let Some(relay) = self.relays.remove(&number) {
+    fn handle_ack(&mut self, number: u32) -> Option<Outgoing> {
+        if let Some(indirect_probe) = self.indirect_probes.remove(&number) {
             return Some(Outgoing {
-                to: relay.requester,
+                to: indirect_probe.requester,
                 probe: Probe::Ack {
-                    number: relay.number,
+                    number: indirect_probe.number,
                 },
             });
         }
         if let Some(probing) = &mut self.probing {
-            probing.acked |= probing.number == number;
+            probing.is_acked |= probing.number == number;
         }
         None
     }
 
     /// A front that was asked to probe a member is there itself.
-    fn nacked(&mut self, from: PeerId, number: u32) {
+    fn handle_nack(&mut self, from: PeerId, number: u32) {
         if let Some(probing) = &mut self.probing {
             if probing.number == number && probing.member != from {
                 probing.missing_nacks = probing.missing_nacks.saturating_sub(1);
--- a/crates/gossip/src/members/update_queue.rs
+++ b/crates/gossip/src/members/update_queue.rs
@@ -16,39 +16,51 @@
 
 struct Queued {
     update: MemberUpdate,
-    sent: u32,
+    times_sent: u32,
 }
 
 impl UpdateQueue {
     /// Queues an update in place of what was queued of its member.
-    pub(super) fn spread(&mut self, update: MemberUpdate) {
-        self.forget(update.member);
+    pub(super) fn enqueue(&mut self, update: MemberUpdate) {
+        self.remove(update.member);
         if self.queue.len() >= MAX_UPDATES {
-            if let Some(most) = (0..self.queue.len()).max_by_key(|n| self.queue[*n].sent) {
-                self.queue.swap_remove(most);
+            if let Some(most_sent) = (0..self.queue.len()).max_by_key(|n| self.queue[*n].times_sent)
+            {
+                self.queue.swap_remove(most_sent);
             }
         }
-        self.queue.push(Queued { update, sent: 0 });
+        self.queue.push(Queued {
+            update,
+            times_sent: 0,
+        });
     }
 
     /// Drops what is queued of a member.
-    pub(super) fn forget(&mut self, member: PeerId) {
+    pub(super) fn remove(&mut self, member: PeerId) {
         self.queue.retain(|queued| queued.update.member != member);
     }
 
     /// Adds updates until `picked` holds `most`, those passed on least first; `members` is the size of the
     /// view.
-    pub(super) fn pick(&mut self, members: usize, most: usize, picked: &mut Vec<MemberUpdate>) {
+    pub(super) fn pick(
+        &mut self,
+        members: usize,
+        max_updates: usize,
+        selected: &mut Vec<MemberUpdate>,
+    ) {
         let limit = (RETRANSMIT_FACTOR * ((members + 2) as f64).log2()).ceil() as u32;
-        self.queue.retain(|queued| queued.sent < limit);
-        self.queue.sort_by_key(|queued| queued.sent);
+        self.queue.retain(|queued| queued.times_sent < limit);
+        self.queue.sort_by_key(|queued| queued.times_sent);
         for queued in &mut self.queue {
-            if picked.len() >= most {
+            if selected.len() >= max_updates {
                 break;
             }
-            if !picked.iter().any(|r| r.member == queued.update.member) {
-                queued.sent += 1;
-                picked.push(queued.update);
+            if !selected
+                .iter()
+                .any(|selected_update| selected_update.member == queued.update.member)
+            {
+                queued.times_sent += 1;
+                selected.push(queued.update);
             }
         }
     }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -13,7 +13,7 @@
 use crate::seal::{Identity, Keys, Peers, TokenBucket, VerificationError};
 use crate::{Micros, PeerId};
 
-use sending::{ANSWER_RATE, GOSSIP_RATE};
+use sending::{ANSWER_BYTES_PER_SECOND, GOSSIP_BYTES_PER_SECOND};
 
 mod load;
 mod receiving;
@@ -45,7 +45,7 @@
 
 /// One front's part in the gossip.
 pub struct Node {
-    own: Identity,
+    identity: Identity,
     peers: Peers,
     members: Members,
     evidence: Evidence,
@@ -61,7 +61,7 @@
     load_reported_at: Micros,
     load_version: u32,
     /// The number of the report made last.
-    version: u32,
+    report_version: u32,
     /// When a report that still holds is repeated.
     renew_at: Micros,
     /// Datagrams and reports that were refused, by reason.
@@ -74,14 +74,14 @@
 
 impl Node {
     /// `wall_ms` is Unix time in milliseconds: it names this run of the front.
-    pub fn new(start: NodeConfig, wall_ms: u64) -> Node {
-        let own = Identity::new(&start.secret, wall_ms);
+    pub fn new(config: NodeConfig, wall_ms: u64) -> Node {
+        let identity = Identity::new(&config.secret, wall_ms);
         Node {
-            members: Members::new(own.id, start.address, wall_ms, start.seeds),
-            peers: Peers::new(start.keys),
+            members: Members::new(identity.id, config.address, wall_ms, config.seeds),
+            peers: Peers::new(config.keys),
             evidence: Evidence::default(),
-            gossip_tokens: TokenBucket::new(GOSSIP_RATE),
-            answer_tokens: TokenBucket::new(ANSWER_RATE),
+            gossip_tokens: TokenBucket::new(GOSSIP_BYTES_PER_SECOND),
+            answer_tokens: TokenBucket::new(ANSWER_BYTES_PER_SECOND),
             next_round: 0,
             statuses: Vec::new(),
             ownership: OwnershipReport::default(),
@@ -89,23 +89,23 @@
             load_reports: None,
             load_reported_at: Micros::MIN / 2,
             load_version: 0,
-            version: 0,
+            report_version: 0,
             renew_at: 0,
             rejected: BTreeMap::new(),
             bytes_sent: 0,
             datagrams_withheld: 0,
-            own,
+            identity,
         }
     }
 
     /// The id that other fronts know this one by.
     pub fn peer_id(&self) -> PeerId {
-        self.own.id
+        self.identity.id
     }
 
     /// The public half of this front's key pair.
     pub fn public_key(&self) -> [u8; 32] {
-        self.own.public_key()
+        self.identity.public_key()
     }
 
     /// This front's view of the fleet.
@@ -162,23 +162,23 @@
         }
         self.ownership = ownership.clone();
         self.renew_at = now + REPORT_RENEWAL;
-        self.version += 1;
+        self.report_version += 1;
         let report = Report {
-            reporter: self.own.id,
-            started_ms: self.own.started_ms,
-            version: self.version,
+            reporter: self.identity.id,
+            started_ms: self.identity.started_ms,
+            version: self.report_version,
             created_ms: wall_ms,
             statuses: statuses.clone(),
             ownership,
         };
         self.statuses = statuses;
-        let signed = self.own.sign(&report);
+        let signed = self.identity.sign(&report);
         self.evidence.merge(now, report, signed, 0);
     }
 
     /// What other fronts report of engines.
     pub fn peer_reports(&self, now: Micros) -> Vec<PeerReport> {
-        self.evidence.peer_reports(now, self.own.id)
+        self.evidence.peer_reports(now, self.identity.id)
     }
 
     /// What each front reports of the fleet's work, this front's own report included.
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -11,9 +11,9 @@
 use super::{Datagram, Node};
 
 /// Microseconds between a front's load reports: they reach 300 fronts in some two seconds.
-const REPORT_INTERVAL: Micros = 1_500_000;
+const LOAD_REPORT_INTERVAL: Micros = 1_500_000;
 /// Bytes at the most of the number of load reports in a payload.
-const COUNT_BYTES: usize = 8;
+const REPORT_COUNT_BYTES: usize = 8;
 
 impl Node {
     /// From now on this front sends load reports and takes in those of others.
@@ -32,24 +32,24 @@
         let Some(reports) = &mut self.load_reports else {
             return;
         };
-        if now - self.load_reported_at < REPORT_INTERVAL {
+        if now - self.load_reported_at < LOAD_REPORT_INTERVAL {
             return;
         }
         reports.expire(now);
         let version = self.load_version + 1;
-        if !reports.is_later(self.own.id, self.own.started_ms, version) {
+        if !reports.is_later(self.identity.id, self.identity.started_ms, version) {
             return;
         }
         self.load_reported_at = now;
         self.load_version = version;
         let report = LoadReport {
-            reporter: self.own.id,
-            started_ms: self.own.started_ms,
+            reporter: self.identity.id,
+            started_ms: self.identity.started_ms,
             version,
             created_ms: wall_ms,
             offered: offered(),
         };
-        let signed = self.own.sign_load_report(&report);
+        let signed = self.identity.sign_load_report(&report);
         reports.merge(now, report, signed, 0);
     }
 
@@ -65,17 +65,17 @@
         self.load_reports
             .iter()
             .flat_map(|reports| reports.reporters(now))
-            .any(|reporter| reporter != self.own.id)
+            .any(|reporter| reporter != self.identity.id)
     }
 
-    pub(super) fn pass_load_reports(
+    pub(super) fn load_report_datagram(
         &mut self,
         now: Micros,
         wall_ms: u64,
         to: SocketAddr,
     ) -> Option<Datagram> {
-        let budget = MAX_PAYLOAD - COUNT_BYTES;
-        let reports = self.load_reports.as_mut()?.pass_on(now, budget);
+        let budget = MAX_PAYLOAD - REPORT_COUNT_BYTES;
+        let reports = self.load_reports.as_mut()?.pick_to_send(now, budget);
         if reports.is_empty() {
             return None;
         }
@@ -97,8 +97,8 @@
             return self.count_rejected(VerificationError::Form);
         };
         for signed in reports {
-            if let Err(why) = self.receive_load_report(now, wall_ms, from, signed) {
-                self.count_rejected(why);
+            if let Err(error) = self.receive_load_report(now, wall_ms, from, signed) {
+                self.count_rejected(error);
             }
         }
     }
@@ -117,7 +117,7 @@
         let report: LoadReport = message::decode(&signed.report).ok_or(VerificationError::Form)?;
         let reporter = report.reporter;
         // Guards against the cost of what is known already, which is most of what comes.
-        let is_own = reporter == self.own.id;
+        let is_own = reporter == self.identity.id;
         if is_own || !reports.is_later(reporter, report.started_ms, report.version) {
             return Ok(());
         }
--- a/crates/gossip/src/node/receiving.rs
+++ b/crates/gossip/src/node/receiving.rs
@@ -12,7 +12,7 @@
 use super::{Datagram, Node};
 
 /// What has to be sent because of a datagram.
-struct Received {
+struct Responses {
     /// Probes on behalf of others, and answers to probes.
     outgoing: Vec<Outgoing>,
     /// Where a front listens that was not known before.
@@ -29,19 +29,19 @@
         from: SocketAddr,
         bytes: &[u8],
     ) -> Vec<Datagram> {
-        let received = match self.open(now, wall_ms, from, bytes) {
-            Ok(received) => received,
-            Err(why) => {
-                self.count_rejected(why);
+        let responses = match self.open(now, wall_ms, from, bytes) {
+            Ok(responses) => responses,
+            Err(error) => {
+                self.count_rejected(error);
                 return Vec::new();
             }
         };
         let mut datagrams = Vec::new();
-        for outgoing in received.outgoing {
+        for outgoing in responses.outgoing {
             datagrams.extend(self.send(now, wall_ms, outgoing, Purpose::Answer));
         }
         // A newcomer learns of others at once: else it would meet them one by one.
-        if let Some(to) = received.newcomer {
+        if let Some(to) = responses.newcomer {
             let outgoing = Outgoing::without_probe(to);
             datagrams.extend(self.send(now, wall_ms, outgoing, Purpose::Welcome));
         }
@@ -55,11 +55,11 @@
         wall_ms: u64,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<Received, VerificationError> {
+    ) -> Result<Responses, VerificationError> {
         let opened = self.peers.open(now, wall_ms, from.ip(), bytes)?;
         let sender = opened.sender;
         let message: Message = message::decode(opened.content).ok_or(VerificationError::Form)?;
-        if sender == self.own.id {
+        if sender == self.identity.id {
             return Err(VerificationError::Replay); // this front's own, come back
         }
         // Answers go where the sender says that it listens, which need not be where it sends from.
@@ -80,10 +80,10 @@
             .receive(now, sender, address, message.probe, &mut outgoing);
         self.receive_payload(now, wall_ms, from, sender, address, message.payload);
         self.merge_reports(now, wall_ms, from, message.reports);
-        let welcomes = is_new && self.members.len() > 1;
-        Ok(Received {
+        let needs_welcome = is_new && self.members.len() > 1;
+        Ok(Responses {
             outgoing,
-            newcomer: welcomes.then_some(address),
+            newcomer: needs_welcome.then_some(address),
         })
     }
 
@@ -110,7 +110,7 @@
                 continue;
             };
             // Guards against the cost of what is known already, which is most of what comes.
-            let is_own = report.reporter == self.own.id;
+            let is_own = report.reporter == self.identity.id;
             if is_own
                 || !self
                     .evidence
@@ -125,12 +125,12 @@
                         self.evidence.merge(now, report, signed, age);
                     }
                 }
-                Err(why) => self.count_rejected(why),
+                Err(error) => self.count_rejected(error),
             }
         }
     }
 
-    pub(super) fn count_rejected(&mut self, why: VerificationError) {
-        *self.rejected.entry(why).or_default() += 1;
+    pub(super) fn count_rejected(&mut self, error: VerificationError) {
+        *self.rejected.entry(error).or_default() += 1;
     }
 }
--- a/crates/gossip/src/node/sending.rs
+++ b/crates/gossip/src/node/sending.rs
@@ -12,9 +12,9 @@
 use super::{Datagram, Node};
 
 /// Bytes a second sent of its own accord, with a second's worth saved up.
-pub(super) const GOSSIP_RATE: f64 = 3_000.0;
+pub(super) const GOSSIP_BYTES_PER_SECOND: f64 = 3_000.0;
 /// Bytes a second of answers, so that a flood of probes starves no reports.
-pub(super) const ANSWER_RATE: f64 = 1_000.0;
+pub(super) const ANSWER_BYTES_PER_SECOND: f64 = 1_000.0;
 /// Microseconds between rounds.
 const ROUND_PERIOD: Micros = 250_000;
 /// Members that a round sends to.
@@ -22,13 +22,13 @@
 /// Members to which a front announces that it leaves.
 const LEAVE_FANOUT: usize = 2 * FANOUT;
 /// Bytes that reports leave for probes: a peer that is not probed seems dead.
-const PROBE_RESERVE: f64 = 800.0;
+const PROBE_RESERVE_BYTES: f64 = 800.0;
 /// Membership updates that a newcomer gets at once.
 const WELCOME_UPDATES: usize = 24;
 /// Membership updates in a datagram beside its sender's own.
 const MAX_UPDATES: usize = 2;
 /// Bytes of a datagram that carries reports unasked.
-const REPORT_DATAGRAM: usize = 420;
+const REPORT_DATAGRAM_BYTES: usize = 420;
 /// Bytes that the count of reports takes in a message.
 const REPORT_COUNT_BYTES: usize = 2;
 /// Times the logarithm of the peers that a report is passed on by each front.
@@ -57,9 +57,11 @@
     }
 
     /// Bytes that reports may take where the rest of the datagram takes `used`.
-    fn report_budget(self, used: usize) -> usize {
+    fn report_budget(self, used_bytes: usize) -> usize {
         match self {
-            Purpose::Gossip => REPORT_DATAGRAM.min(MAX_DATAGRAM).saturating_sub(used),
+            Purpose::Gossip => REPORT_DATAGRAM_BYTES
+                .min(MAX_DATAGRAM)
+                .saturating_sub(used_bytes),
             Purpose::Answer | Purpose::Welcome => 0,
         }
     }
@@ -84,9 +86,9 @@
         if self.next_round <= now {
             self.next_round = now + ROUND_PERIOD;
             self.evidence.expire(now);
-            for to in self.draw_targets(FANOUT, random) {
+            for to in self.pick_targets(FANOUT, random) {
                 outgoing.push(Outgoing::without_probe(to));
-                datagrams.extend(self.pass_load_reports(now, wall_ms, to));
+                datagrams.extend(self.load_report_datagram(now, wall_ms, to));
             }
         }
         for outgoing in outgoing {
@@ -96,7 +98,7 @@
     }
 
     /// Draws at most `count` members that are up.
-    fn draw_targets(&self, count: usize, random: &mut impl RandomSource) -> Vec<SocketAddr> {
+    fn pick_targets(&self, count: usize, random: &mut impl RandomSource) -> Vec<SocketAddr> {
         let mut up: Vec<SocketAddr> = self.members.up().map(|member| member.address).collect();
         (0..count.min(up.len()))
             .map(|_| up.swap_remove(random.below(up.len())))
@@ -111,7 +113,7 @@
         random: &mut impl RandomSource,
     ) -> Vec<Datagram> {
         self.members.leave();
-        let targets = self.draw_targets(LEAVE_FANOUT, random);
+        let targets = self.pick_targets(LEAVE_FANOUT, random);
         targets
             .into_iter()
             .filter_map(|to| self.send(now, wall_ms, Outgoing::without_probe(to), Purpose::Gossip))
@@ -138,18 +140,21 @@
     /// The encoded message for a datagram.
     fn content(&mut self, now: Micros, outgoing: Outgoing, purpose: Purpose) -> Vec<u8> {
         let mut updates = vec![self.members.own_update()];
-        updates.extend(self.members.pass_on(outgoing.to, purpose.max_updates()));
+        updates.extend(
+            self.members
+                .pick_to_send(outgoing.to, purpose.max_updates()),
+        );
         let mut message = Message {
             probe: outgoing.probe,
             updates,
             reports: Vec::new(),
             payload: Vec::new(),
         };
-        let used = SEAL_BYTES + message::encode(&message).len() + REPORT_COUNT_BYTES;
+        let used_bytes = SEAL_BYTES + message::encode(&message).len() + REPORT_COUNT_BYTES;
         let peers = (self.peers.len() + 2) as f64;
-        let most_sent = (RETRANSMIT_FACTOR * peers.log2()).ceil() as u32;
-        let budget = purpose.report_budget(used);
-        message.reports = self.evidence.pass_on(now, most_sent, budget);
+        let max_sends = (RETRANSMIT_FACTOR * peers.log2()).ceil() as u32;
+        let budget = purpose.report_budget(used_bytes);
+        message.reports = self.evidence.pick_to_send(now, max_sends, budget);
         message::encode(&message)
     }
 
@@ -160,18 +165,18 @@
             Purpose::Gossip | Purpose::Welcome => &mut self.gossip_tokens,
         };
         let reserve = if probe == Probe::None {
-            PROBE_RESERVE
+            PROBE_RESERVE_BYTES
         } else {
             0.0
         };
-        tokens.take_leaving(now, len as f64, reserve)
+        tokens.take_with_reserve(now, len as f64, reserve)
     }
 
     fn seal(&mut self, wall_ms: u64, to: SocketAddr, content: &[u8]) -> Datagram {
         self.bytes_sent += (content.len() + SEAL_BYTES) as u64;
         Datagram {
             to,
-            bytes: self.own.seal(wall_ms, content),
+            bytes: self.identity.seal(wall_ms, content),
         }
     }
 
@@ -195,7 +200,7 @@
         };
         let content = message::encode(&message);
         let len = content.len() + SEAL_BYTES;
-        if len > MAX_DATAGRAM || !self.mailbox.may_send(now, channel, len) {
+        if len > MAX_DATAGRAM || !self.mailbox.take_tokens(now, channel, len) {
             self.datagrams_withheld += 1;
             return None;
         }
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -39,7 +39,7 @@
     /// Unix milliseconds when this run of the front began.
     pub started_ms: u64,
     /// Datagrams sent in this run; the number of the latest.
-    sent: u32,
+    last_number: u32,
 }
 
 /// The id that goes with a public key: its first eight bytes, big endian.
@@ -58,7 +58,7 @@
             key,
             id,
             started_ms,
-            sent: 0,
+            last_number: 0,
         }
     }
 
@@ -69,11 +69,11 @@
 
     /// The datagram of a message: header, content, signature. `wall_ms` is Unix time in milliseconds.
     pub fn seal(&mut self, wall_ms: u64, content: &[u8]) -> Vec<u8> {
-        self.sent += 1;
+        self.last_number += 1;
         let mut out = Vec::with_capacity(SEAL_BYTES + content.len());
         out.extend_from_slice(&self.id.to_be_bytes());
         out.extend_from_slice(&self.started_ms.to_be_bytes());
-        out.extend_from_slice(&self.sent.to_be_bytes());
+        out.extend_from_slice(&self.last_number.to_be_bytes());
         out.extend_from_slice(&wall_ms.to_be_bytes());
         out.extend_from_slice(content);
         let signature = self.key.sign(&out);
@@ -83,15 +83,15 @@
 
     /// A report with the signature over its bytes.
     pub fn sign(&self, report: &Report) -> Signed {
-        self.sign_as(REPORT_CONTEXT, message::encode(report))
+        self.sign_with_context(REPORT_CONTEXT, message::encode(report))
     }
 
     /// A load report with the signature over its bytes.
     pub fn sign_load_report(&self, report: &LoadReport) -> Signed {
-        self.sign_as(LOAD_REPORT_CONTEXT, message::encode(report))
+        self.sign_with_context(LOAD_REPORT_CONTEXT, message::encode(report))
     }
 
-    fn sign_as(&self, context: &[u8], report: Vec<u8>) -> Signed {
+    fn sign_with_context(&self, context: &[u8], report: Vec<u8>) -> Signed {
         // Guards against a report that passes for a datagram: the signed context says which it is.
         let signature = self
             .key
@@ -141,13 +141,13 @@
     keys: Rc<Keys>,
     peers: HashMap<PeerId, Peer>,
     /// Failed checks of all sources.
-    all: TokenBucket,
+    failed_checks: TokenBucket,
     /// Failed checks by source address.
-    sources: HashMap<IpAddr, TokenBucket>,
+    failed_checks_by_source: HashMap<IpAddr, TokenBucket>,
     /// Failed checks of all sources beyond [`MAX_SOURCES`].
-    others: TokenBucket,
+    failed_checks_of_other_sources: TokenBucket,
     /// Checks that succeeded.
-    valid: TokenBucket,
+    valid_checks: TokenBucket,
 }
 
 /// A datagram whose signature holds.
@@ -165,10 +165,10 @@
         Peers {
             keys,
             peers: HashMap::new(),
-            all: TokenBucket::new(FAILED_CHECKS_PER_SECOND),
-            sources: HashMap::new(),
-            others: TokenBucket::new(FAILED_CHECKS_PER_SOURCE),
-            valid: TokenBucket::new(VALID_CHECKS_PER_SECOND),
+            failed_checks: TokenBucket::new(FAILED_CHECKS_PER_SECOND),
+            failed_checks_by_source: HashMap::new(),
+            failed_checks_of_other_sources: TokenBucket::new(FAILED_CHECKS_PER_SOURCE),
+            valid_checks: TokenBucket::new(VALID_CHECKS_PER_SECOND),
         }
     }
 
@@ -220,21 +220,21 @@
             .get(&sender)
             .ok_or(VerificationError::Stranger)?;
         // The cheap checks first, so that a flood of what can't be costs no signatures.
-        let delay = (wall_ms as i64).wrapping_sub(sent_ms as i64);
+        let delay_ms = (wall_ms as i64).wrapping_sub(sent_ms as i64);
         self.peers
             .get(&sender)
             .unwrap_or(&Peer::UNKNOWN)
-            .check(now, started_ms, number, delay)?;
-        self.may_verify(now, from)?;
+            .check(now, started_ms, number, delay_ms)?;
+        self.take_check_tokens(now, from)?;
         let (signed, signature) = datagram.split_at(datagram.len() - SIGNATURE_BYTES);
         let signature = Signature::from_slice(signature).map_err(|_| VerificationError::Form)?;
         key.verify_strict(signed, &signature)
             .map_err(|_| VerificationError::Forged)?;
-        self.count_valid(now, from)?;
+        self.count_valid_check(now, from)?;
         self.peers
             .entry(sender)
             .or_insert(Peer::UNKNOWN)
-            .record(now, started_ms, number, delay);
+            .record(now, started_ms, number, delay_ms);
         Ok(OpenedDatagram {
             sender,
             content: &signed[HEADER_BYTES..],
@@ -277,7 +277,7 @@
             .0
             .get(&reporter)
             .ok_or(VerificationError::Stranger)?;
-        self.may_verify(now, from)?;
+        self.take_check_tokens(now, from)?;
         let signature =
             Signature::from_slice(&signed.signature).map_err(|_| VerificationError::Form)?;
         key.verify_strict(&[context, &signed.report].concat(), &signature)
@@ -285,25 +285,29 @@
     }
 
     /// Takes the tokens of a check that may fail.
-    fn may_verify(&mut self, now: Micros, from: IpAddr) -> Result<(), VerificationError> {
-        let known = self.sources.contains_key(&from) || self.sources.len() < MAX_SOURCES;
+    fn take_check_tokens(&mut self, now: Micros, from: IpAddr) -> Result<(), VerificationError> {
+        let known = self.failed_checks_by_source.contains_key(&from)
+            || self.failed_checks_by_source.len() < MAX_SOURCES;
         let source = match known {
             true => self
-                .sources
+                .failed_checks_by_source
                 .entry(from)
                 .or_insert_with(|| TokenBucket::new(FAILED_CHECKS_PER_SOURCE)),
-            false => &mut self.others,
+            false => &mut self.failed_checks_of_other_sources,
         };
-        let may = source.take(now, 1.0) && self.all.take(now, 1.0);
-        may.then_some(()).ok_or(VerificationError::Flood)
+        let has_tokens = source.take(now, 1.0) && self.failed_checks.take(now, 1.0);
+        has_tokens.then_some(()).ok_or(VerificationError::Flood)
     }
 
     /// A signature held: it counts among the valid ones, and no longer against its source.
-    fn count_valid(&mut self, now: Micros, from: IpAddr) -> Result<(), VerificationError> {
-        let source = self.sources.get_mut(&from).unwrap_or(&mut self.others);
+    fn count_valid_check(&mut self, now: Micros, from: IpAddr) -> Result<(), VerificationError> {
+        let source = self
+            .failed_checks_by_source
+            .get_mut(&from)
+            .unwrap_or(&mut self.failed_checks_of_other_sources);
         source.refund(1.0);
-        self.all.refund(1.0);
-        self.valid
+        self.failed_checks.refund(1.0);
+        self.valid_checks
             .take(now, 1.0)
             .then_some(())
             .ok_or(VerificationError::Flood)
@@ -312,13 +316,20 @@
     /// Microseconds since a reporter made a report, by the least delay seen of it. None where it can't be
     /// computed.
     pub fn age(&self, reporter: PeerId, wall_ms: u64, created_ms: u64) -> Option<Micros> {
-        let least = self.peers.get(&reporter).map_or(i64::MAX, Peer::least);
+        let min_delay_ms = self
+            .peers
+            .get(&reporter)
+            .map_or(i64::MAX, Peer::min_delay_ms);
         // Of a front that was never heard itself nothing is known: the clocks are taken to agree.
-        let least = if least == i64::MAX { 0 } else { least };
-        let delay = (wall_ms as i64)
+        let min_delay_ms = if min_delay_ms == i64::MAX {
+            0
+        } else {
+            min_delay_ms
+        };
+        let delay_ms = (wall_ms as i64)
             .checked_sub(created_ms as i64)?
-            .checked_sub(least)?;
-        delay.max(0).checked_mul(1000)
+            .checked_sub(min_delay_ms)?;
+        delay_ms.max(0).checked_mul(1000)
     }
 }
 
