--- a/crates/gossip/src/channels_tests.rs
+++ b/crates/gossip/src/channels_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn channels_have_their_own_bytes_a_second_and_letters_for_nobody_are_refused() {
+fn channels_have_separate_rate_limits_and_unknown_channels_are_rejected() {
     let address = ([127, 0, 0, 1], 9).into();
     let mut mailbox = Mailbox::new();
     for (index, channel) in CHANNELS.into_iter().enumerate() {
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn any_order_repeats_and_losses_before_the_latest_come_to_the_same() {
+fn merging_is_independent_of_order_repetition_and_loss_of_earlier_reports() {
     let all = [
         report(1, 5, 1, 1),
         report(1, 5, 2, 2),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_is_not_renewed_fades_and_does_not_come_back() {
+fn reports_not_renewed_expire_and_stay_expired() {
     let mut evidence = Evidence::default();
     assert!(evidence.merge(0, report(1, 1, 2, 1), signed(), 3_000_000));
     assert_eq!(evidence.peer_reports(EXPIRY - 3_000_001, 9).len(), 1);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn one_voice_on_an_engine_is_passed_on_before_the_many_on_another() {
+fn a_single_report_on_an_engine_is_sent_before_many_on_another() {
     let mut evidence = Evidence::default();
     let signed = |reporter: u64| Signed {
         report: vec![reporter as u8; 40],
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn makers_and_bytes_are_bounded() {
+fn reporters_and_bytes_are_bounded() {
     let mut evidence = Evidence::default();
     for reporter in 0..10_000 {
         evidence.merge(reporter as Micros, report(reporter, 1, 1, 1), signed(), 0);
--- a/crates/gossip/src/load_reports_tests.rs
+++ b/crates/gossip/src/load_reports_tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_lowest_reporters_count_in_any_order_and_the_latest_of_each() {
+fn the_latest_reports_of_the_lowest_ids_are_kept_in_any_order() {
     let mut all: Vec<LoadReport> = (0..40)
         .flat_map(|n| [report(n, 1, 1), report(n, 2, 100 + n as u32)])
         .collect();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_report_that_is_not_renewed_expires_and_makes_place_for_others() {
+fn an_expired_report_makes_room_for_another_reporter() {
     let mut reports = LoadReports::default();
     (0..MAX_REPORTERS as u64).for_each(|n| _ = reports.merge(0, report(n, 1, 1), signed(), 0));
     assert!(
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn bytes_and_workloads_are_bounded() {
+fn bytes_loads_and_sends_are_bounded() {
     let mut reports = LoadReports::default();
     let mut long = report(1, 1, 1);
     long.offered = vec![OfferedLoad::default(); MAX_LOADS + 1];
--- a/crates/gossip/src/message_tests.rs
+++ b/crates/gossip/src/message_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn any_bytes_are_read_or_refused() {
+fn decoding_any_bytes_succeeds_or_returns_none() {
     let update = MemberUpdate {
         member: 7,
         address: ([127, 0, 0, 1], 9).into(),
@@ -24,17 +24,20 @@
         reports: vec![signed],
         payload: vec![5; 3],
     };
-    let whole = encode(&message);
-    assert_eq!(decode::<Message>(&whole), Some(message));
-    for cut in 0..whole.len() {
-        assert_eq!(decode::<Message>(&whole[..cut]), None);
+    let encoded = encode(&message);
+    assert_eq!(decode::<Message>(&encoded), Some(message));
+    for end in 0..encoded.len() {
+        assert_eq!(decode::<Message>(&encoded[..end]), None);
     }
-    assert_eq!(decode::<Message>(&[whole.clone(), vec![0]].concat()), None);
-    for at in 0..whole.len() {
+    assert_eq!(
+        decode::<Message>(&[encoded.clone(), vec![0]].concat()),
+        None
+    );
+    for at in 0..encoded.len() {
         for flip in [1, 0x80, 0xff] {
-            let mut spoilt = whole.clone();
-            spoilt[at] ^= flip;
-            let _ = decode::<Message>(&spoilt);
+            let mut corrupted = encoded.clone();
+            corrupted[at] ^= flip;
+            let _ = decode::<Message>(&corrupted);
         }
     }
     // A count of updates that the bytes do not bear out.
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -12,7 +12,7 @@
 
 use sim::{address, next_random, secret, Fleet, SECOND, WALL};
 
-fn sullen(engine: u64) -> Vec<EngineStatus> {
+fn faulty_status(engine: u64) -> Vec<EngineStatus> {
     vec![EngineStatus {
         engine,
         failed: 9,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn twenty_find_each_other_and_news_reaches_all_of_them_with_losses() {
+fn twenty_fronts_discover_each_other_and_receive_reports_despite_loss() {
     let mut fleet = Fleet::new(20, 1);
     fleet.loss_rate = 0.1;
     fleet.run(10 * SECOND);
@@ -34,7 +34,7 @@
             "{n}"
         );
     }
-    fleet.report_engine_statuses(7, sullen(77));
+    fleet.report_engine_statuses(7, faulty_status(77));
     fleet.run(13 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(77).len(), 19);
     // It fades once its reporter no longer says so.
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn twelve_that_start_at_once_know_each_other_within_three_seconds() {
+fn twelve_fronts_started_together_know_each_other_within_three_seconds() {
     let mut fleet = Fleet::with_seeds(12, 11, 3);
     fleet.run(3 * SECOND);
     for n in 0..12 {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn one_that_dies_is_found_and_no_other_is_and_it_comes_back_with_an_older_life() {
+fn a_dead_front_is_detected_alone_and_rejoins_with_a_lower_incarnation() {
     let mut fleet = Fleet::new(12, 2);
     fleet.loss_rate = 0.05;
     fleet.run(8 * SECOND);
@@ -71,13 +71,13 @@
     fleet.start(5, 12, 3_600_000);
     fleet.run(60 * SECOND);
     assert_eq!(fleet.count_with_health(5, Health::Alive), 11);
-    fleet.report_engine_statuses(5, sullen(5));
+    fleet.report_engine_statuses(5, faulty_status(5));
     fleet.run(63 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(5).len(), 11);
 }
 
 #[test]
-fn a_partition_in_two_heals() {
+fn a_fleet_split_in_two_rejoins() {
     let mut fleet = Fleet::new(10, 3);
     fleet.run(8 * SECOND);
     for a in 0..5 {
@@ -85,7 +85,7 @@
     }
     fleet.run(45 * SECOND);
     assert_eq!(fleet.count_with_health(9, Health::Alive), 4);
-    fleet.report_engine_statuses(9, sullen(9));
+    fleet.report_engine_statuses(9, faulty_status(9));
     fleet.run(48 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(9).len(), 4);
     fleet.cut_links.clear();
@@ -93,35 +93,40 @@
     for n in 0..10 {
         assert_eq!(fleet.count_with_health(n, Health::Alive), 9, "{n}");
     }
-    fleet.report_engine_statuses(9, sullen(10));
+    fleet.report_engine_statuses(9, faulty_status(10));
     fleet.run(78 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(10).len(), 9);
 }
 
 #[test]
-fn one_that_leaves_is_known_to_have_left() {
+fn a_front_that_leaves_is_marked_as_left() {
     let mut fleet = Fleet::new(10, 4);
     fleet.run(8 * SECOND);
-    let (now, wall, mut seed) = (fleet.now, fleet.wall_ms(3), 9);
-    let out = fleet.nodes[3]
+    let (now, wall_ms, mut seed) = (fleet.now, fleet.wall_ms(3), 9);
+    let datagrams = fleet.nodes[3]
         .as_mut()
         .unwrap()
-        .leave(now, wall, &mut || next_random(&mut seed));
-    fleet.send(3, out);
+        .leave(now, wall_ms, &mut || next_random(&mut seed));
+    fleet.send(3, datagrams);
     fleet.nodes[3] = None;
     fleet.run(11 * SECOND);
     assert_eq!(fleet.count_with_health(3, Health::Left), 9);
 }
 
 /// What a datagram of this key holds that says a lie of an engine in the name of a reporter.
-fn lie(liar: &mut Identity, reporter: PeerId, wall: u64, engine: u64) -> Vec<u8> {
-    let started_ms = wall - 1;
+fn datagram_with_report(
+    liar: &mut Identity,
+    reporter: PeerId,
+    wall_ms: u64,
+    engine: u64,
+) -> Vec<u8> {
+    let started_ms = wall_ms - 1;
     let report = message::Report {
         reporter,
         started_ms,
         version: 9,
-        created_ms: wall,
-        statuses: sullen(engine),
+        created_ms: wall_ms,
+        statuses: faulty_status(engine),
         ownership: Default::default(),
     };
     let signed = liar.sign(&report);
@@ -132,11 +137,11 @@
         payload: Vec::new(),
     };
     let content = message::encode(&message);
-    liar.seal(wall, &content)
+    liar.seal(wall_ms, &content)
 }
 
 #[test]
-fn a_stranger_changes_nothing_and_a_liar_speaks_for_itself_alone() {
+fn unknown_keys_are_ignored_and_a_known_key_can_report_only_for_itself() {
     let mut fleet = Fleet::new(6, 5);
     fleet.run(8 * SECOND);
     let before: Vec<_> = (0..6)
@@ -146,9 +151,9 @@
         Identity::new(&secret(999), WALL),
         Identity::new(&secret(4), WALL + 8_001),
     );
-    let wall = fleet.wall_ms(0);
+    let wall_ms = fleet.wall_ms(0);
     for to in 0..6 {
-        let forged = lie(&mut stranger, fleet.peer_id(2), wall, 8);
+        let forged = datagram_with_report(&mut stranger, fleet.peer_id(2), wall_ms, 8);
         fleet.deliver(5, to, 1, forged);
     }
     fleet.run(9 * SECOND);
@@ -159,26 +164,26 @@
     assert!((0..6)
         .all(|n| fleet.nodes[n].as_ref().unwrap().rejected[&VerificationError::Stranger] == 1));
     // A good key: in another's name it is refused, in its own it counts as one voice.
-    let wall = fleet.wall_ms(0);
-    let (other, own) = (fleet.peer_id(2), fleet.peer_id(4));
-    let forged = lie(&mut liar, other, wall, 8);
+    let wall_ms = fleet.wall_ms(0);
+    let (other_id, liar_id) = (fleet.peer_id(2), fleet.peer_id(4));
+    let forged = datagram_with_report(&mut liar, other_id, wall_ms, 8);
     fleet.deliver(4, 0, 1, forged);
-    let told = lie(&mut liar, own, wall, 9);
-    fleet.deliver(4, 0, 2, told);
+    let own_report = datagram_with_report(&mut liar, liar_id, wall_ms, 9);
+    fleet.deliver(4, 0, 2, own_report);
     fleet.run(12 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(8).len(), 0);
     assert!(fleet
         .fronts_with_report_on(9)
         .iter()
-        .all(|(_, reporters)| *reporters == BTreeSet::from([own])));
+        .all(|(_, reporters)| *reporters == BTreeSet::from([liar_id])));
     assert!(!fleet.fronts_with_report_on(9).is_empty());
 }
 
 #[test]
-fn what_is_replayed_a_minute_later_counts_for_nothing() {
+fn datagrams_replayed_a_minute_later_are_ignored() {
     let mut fleet = Fleet::new(5, 6);
     fleet.run(5 * SECOND);
-    fleet.report_engine_statuses(1, sullen(3));
+    fleet.report_engine_statuses(1, faulty_status(3));
     fleet.is_capturing = true;
     fleet.run(6 * SECOND);
     fleet.is_capturing = false;
@@ -198,7 +203,7 @@
 }
 
 #[test]
-fn clocks_that_differ_by_five_seconds_leave_news_its_age() {
+fn clock_offsets_of_five_seconds_do_not_distort_report_ages() {
     let mut fleet = Fleet::new(6, 7);
     fleet.clock_offsets_ms = vec![0, 5_000, -5_000, 2_000, 0, -2_500];
     for n in 0..6 {
@@ -206,16 +211,16 @@
     }
     fleet.run(8 * SECOND);
     for n in 0..6 {
-        fleet.report_engine_statuses(n, sullen(n as u64));
+        fleet.report_engine_statuses(n, faulty_status(n as u64));
         let created = fleet.now;
         fleet.run(created + 2 * SECOND);
-        let heard = fleet.fronts_with_report_on(n as u64);
-        assert_eq!(heard.len(), 5, "of {n}");
-        for (to, _) in heard {
-            let news = fleet.nodes[to].as_ref().unwrap().peer_reports(fleet.now);
-            let age = news
+        let fronts = fleet.fronts_with_report_on(n as u64);
+        assert_eq!(fronts.len(), 5, "of {n}");
+        for (to, _) in fronts {
+            let reports = fleet.nodes[to].as_ref().unwrap().peer_reports(fleet.now);
+            let age = reports
                 .iter()
-                .find(|x| x.status.engine == n as u64)
+                .find(|report| report.status.engine == n as u64)
                 .unwrap()
                 .age;
             assert!(
@@ -228,18 +233,18 @@
 }
 
 #[test]
-fn a_flood_from_one_peer_costs_the_others_neither_news_nor_traffic() {
+fn a_flood_from_one_peer_neither_delays_reports_nor_raises_traffic() {
     let mut fleet = Fleet::new(8, 8);
     fleet.run(8 * SECOND);
-    let calm = fleet.bytes_sent();
+    let before_calm = fleet.bytes_sent();
     fleet.run(18 * SECOND);
-    let each: Vec<u64> = fleet
+    let calm_bytes: Vec<u64> = fleet
         .bytes_sent()
         .iter()
-        .zip(&calm)
+        .zip(&before_calm)
         .map(|(after, before)| after - before)
         .collect();
-    let mut loud = Identity::new(&secret(7), WALL + 20_000);
+    let mut flooder = Identity::new(&secret(7), WALL + 20_000);
     fleet.nodes[7] = None;
     let before = fleet.bytes_sent();
     for n in 0..4_000 {
@@ -249,32 +254,32 @@
             reports: Vec::new(),
             payload: Vec::new(),
         };
-        let wall = fleet.wall_ms(0) + u64::from(n) / 4;
-        let bytes = loud.seal(wall, &message::encode(&message));
+        let wall_ms = fleet.wall_ms(0) + u64::from(n) / 4;
+        let bytes = flooder.seal(wall_ms, &message::encode(&message));
         fleet.deliver(7, n as usize % 7, Micros::from(n) * 2_500, bytes);
     }
-    fleet.report_engine_statuses(2, sullen(2));
+    fleet.report_engine_statuses(2, faulty_status(2));
     fleet.run(21 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(2).len(), 6);
     fleet.run(28 * SECOND);
-    let flooded: Vec<u64> = fleet
+    let flooded_bytes: Vec<u64> = fleet
         .bytes_sent()
         .iter()
         .zip(&before)
         .map(|(after, before)| after - before)
         .collect();
     assert!(
-        flooded.iter().all(|sent| *sent < 10 * 3_800 + 3_800),
-        "{flooded:?} after {each:?}"
+        flooded_bytes.iter().all(|sent| *sent < 10 * 3_800 + 3_800),
+        "{flooded_bytes:?} after {calm_bytes:?}"
     );
 }
 
 #[test]
-fn a_liar_can_not_talk_a_member_dead_for_long() {
+fn false_death_updates_are_refuted() {
     let mut fleet = Fleet::new(6, 9);
     fleet.run(8 * SECOND);
     let mut liar = Identity::new(&secret(4), WALL + 8_001);
-    let wall = fleet.wall_ms(0);
+    let wall_ms = fleet.wall_ms(0);
     let victim = fleet.peer_id(2);
     for incarnation in [WALL + 1, WALL + 1_000_000, u64::MAX] {
         let update = MemberUpdate {
@@ -291,7 +296,7 @@
         };
         let content = message::encode(&message);
         for to in [0, 1, 3, 5] {
-            let bytes = liar.seal(wall, &content);
+            let bytes = liar.seal(wall_ms, &content);
             fleet.deliver(4, to, 1000, bytes);
         }
     }
@@ -300,21 +305,28 @@
 }
 
 #[test]
-fn traffic_is_flat_whatever_the_size() {
-    let rate = |count: usize| {
+fn traffic_per_front_does_not_grow_with_the_fleet() {
+    let bytes_per_second = |count: usize| {
         let mut fleet = Fleet::new(count, 10);
         fleet.run(8 * SECOND);
         let before: u64 = fleet.bytes_sent().iter().sum();
-        fleet.report_engine_statuses(1, sullen(4));
-        fleet.report_engine_statuses(2, sullen(4));
+        fleet.report_engine_statuses(1, faulty_status(4));
+        fleet.report_engine_statuses(2, faulty_status(4));
         fleet.run(20 * SECOND);
         (fleet.bytes_sent().iter().sum::<u64>() - before) as f64 / 12.0 / count as f64
     };
-    let rates: Vec<f64> = [5, 10, 20, 40].map(rate).to_vec();
-    assert!(rates.iter().all(|rate| *rate < 4096.0), "{rates:?}");
+    let rates: Vec<f64> = [5, 10, 20, 40].map(bytes_per_second).to_vec();
+    assert!(
+        rates
+            .iter()
+            .all(|bytes_per_second| *bytes_per_second < 4096.0),
+        "{rates:?}"
+    );
     // Within a tenth of each other.
-    let (least, most) = rates.iter().fold((f64::MAX, 0.0f64), |(least, most), r| {
-        (least.min(*r), most.max(*r))
-    });
-    assert!(most < 1.1 * least, "{rates:?}");
+    let (lowest, highest) = rates
+        .iter()
+        .fold((f64::MAX, 0.0f64), |(lowest, highest), r| {
+            (lowest.min(*r), highest.max(*r))
+        });
+    assert!(highest < 1.1 * lowest, "{rates:?}");
 }
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -109,13 +109,13 @@
         } else {
             random_seeds
         };
-        let start = NodeConfig {
+        let config = NodeConfig {
             secret: secret(n),
             keys: self.keys.clone(),
             address: address(n),
             seeds,
         };
-        self.nodes[n] = Some(Node::new(start, self.wall_ms(n) - behind_ms));
+        self.nodes[n] = Some(Node::new(config, self.wall_ms(n) - behind_ms));
     }
 
     pub fn send(&mut self, from: usize, datagrams: Vec<Datagram>) {
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn a_flood_of_forged_load_reports_changes_nothing() {
-    let start = NodeConfig {
+fn a_flood_of_forged_load_reports_is_ignored() {
+    let config = NodeConfig {
         secret: secret(0),
         keys: keys(4),
         address: address(0),
         seeds: Vec::new(),
     };
-    let mut node = Node::new(start, WALL);
+    let mut node = Node::new(config, WALL);
     node.enable_load_reports();
     let (mut liar, honest) = (
         Identity::new(&secret(1), WALL),
@@ -75,18 +75,21 @@
         "whoever passes it on, the report is its reporter's"
     );
     assert!(node.has_peer_load(1));
-    // Under another's name, of fronts that nobody knows, cut short, with more workloads than count.
+    // Under another's name, of fronts that nobody knows, cut truncated, with more workloads than count.
     let stranger = Identity::new(&secret(9), WALL);
     for version in 2..400 {
         let forged = liar.sign_load_report(&report(honest.id, version, u32::MAX));
-        let strange = stranger.sign_load_report(&report(stranger.id, version, u32::MAX));
-        let mut short = honest.sign_load_report(&report(honest.id, version, 9));
-        short.report.pop();
-        let many = LoadReport {
+        let unknown_reporter = stranger.sign_load_report(&report(stranger.id, version, u32::MAX));
+        let mut truncated = honest.sign_load_report(&report(honest.id, version, 9));
+        truncated.report.pop();
+        let too_many = LoadReport {
             offered: vec![OfferedLoad::default(); 25],
             ..report(liar.id, version, 0)
         };
-        for reports in [[forged, strange], [short, liar.sign_load_report(&many)]] {
+        for reports in [
+            [forged, unknown_reporter],
+            [truncated, liar.sign_load_report(&too_many)],
+        ] {
             let datagram = datagram_with(&mut liar, &reports);
             node.receive(Micros::from(version), WALL, address(1), &datagram);
         }
