--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -1,6 +1,6 @@
-//! The receiver's check of fencing tokens: acts under a token lower than the highest seen are rejected. A
-//! token counts as seen once a majority of the voters has reported it with its owner, so that no front can
-//! forge one.
+//! The receiver's check of fencing tokens: acts under a token lower than the highest seen are
+//! rejected. A token counts as seen once a majority of the voters has reported it with its owner,
+//! so that no front can forge one.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 pub enum FenceError {
     /// A higher token was seen: the lease has a later owner.
     Stale,
-    /// No majority of voters has reported this token with this owner: it is forged, or the reports have not
-    /// arrived yet.
+    /// No majority of voters has reported this token with this owner: it is forged, or the reports
+    /// have not arrived yet.
     Unknown,
 }
 
@@ -36,7 +36,8 @@
         self.highest_seen.get(&task).copied()
     }
 
-    /// Checks an act of an owner under its token; only the highest token with its owner is admitted.
+    /// Checks an act of an owner under its token; only the highest token with its owner is
+    /// admitted.
     pub fn admit(&self, task: Task, act: TokenOwner) -> Result<(), FenceError> {
         match self.highest(task) {
             Some(highest) if act.token < highest.token => Err(FenceError::Stale),
@@ -46,8 +47,8 @@
     }
 }
 
-/// The lease that more than half of `voters` voters report, from the latest report of each; None without a
-/// majority. Some voters lag behind others, so only equal reports are counted together.
+/// The lease that more than half of `voters` voters report, from the latest report of each; None
+/// without a majority. Some voters lag behind others, so only equal reports are counted together.
 pub fn majority(reported: &BTreeMap<FrontId, TokenOwner>, voters: usize) -> Option<TokenOwner> {
     let count = |lease: &TokenOwner| reported.values().filter(|other| *other == lease).count();
     let with_majority = reported.values().filter(|lease| count(lease) > voters / 2);
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -1,5 +1,5 @@
-//! The owner's side of a lease: requests the lease from voters, renews it, and determines by the local
-//! monotonic clock alone how long the owner may act.
+//! The owner's side of a lease: requests the lease from voters, renews it, and determines by the
+//! local monotonic clock alone how long the owner may act.
 
 use crate::{AddressedRequest, FrontId, LeaseTerms, Micros, Reply, Request, Task, Token};
 
@@ -48,8 +48,9 @@
 }
 
 impl Holder {
-    /// Creates a holder without a lease. `first_number` numbers its first request. It must be higher than the
-    /// numbers of all earlier incarnations, so that replies to their requests are ignored.
+    /// Creates a holder without a lease. `first_number` numbers its first request. It must be
+    /// higher than the numbers of all earlier incarnations, so that replies to their requests are
+    /// ignored.
     pub fn new(task: Task, terms: LeaseTerms, voters: Vec<FrontId>, first_number: u64) -> Holder {
         Holder {
             task,
@@ -70,8 +71,8 @@
             .map(|held| held.token)
     }
 
-    /// The end of the lease, in the past if it has expired; None if the front never held it or was denied the
-    /// last renewal.
+    /// The end of the lease, in the past if it has expired; None if the front never held it or was
+    /// denied the last renewal.
     pub fn valid_until(&self) -> Option<Micros> {
         self.held.map(|held| held.valid_until)
     }
@@ -81,9 +82,9 @@
         self.inherited_progress.take()
     }
 
-    /// The request that is due and the voter to send it to: a renewal, or a request for the lease if `intent`
-    /// is to acquire it. None while a reply is awaited, if nothing is due, or without voters. `progress` is
-    /// sent with a renewal.
+    /// The request that is due and the voter to send it to: a renewal, or a request for the lease
+    /// if `intent` is to acquire it. None while a reply is awaited, if nothing is due, or without
+    /// voters. `progress` is sent with a renewal.
     pub fn next_request(
         &mut self,
         now: Micros,
@@ -126,8 +127,8 @@
             .is_some_and(|pending| now - pending.sent_at < REPLY_TIMEOUT)
     }
 
-    /// Whether a request is due. A lease is renewed once a third of its duration has passed, which leaves time
-    /// for two more attempts.
+    /// Whether a request is due. A lease is renewed once a third of its duration has passed, which
+    /// leaves time for two more attempts.
     fn is_due(&self, now: Micros, intent: Intent) -> bool {
         match self.held.filter(|held| now < held.valid_until) {
             Some(held) => held.valid_until - now < self.terms.owner_valid_for() * 2 / 3,
@@ -149,7 +150,8 @@
             Reply::Granted {
                 token, progress, ..
             } => {
-                // Counted from the request: the voters count from a later time, however long the reply took.
+                // Counted from the request: the voters count from a later time, however long the
+                // reply took.
                 let held = HeldLease {
                     token: *token,
                     valid_until: pending.sent_at + self.terms.owner_valid_for(),
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -1,4 +1,5 @@
-//! The leases as a replicated state machine: voters that apply the same log entries hold the same leases.
+//! The leases as a replicated state machine: voters that apply the same log entries hold the same
+//! leases.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +8,9 @@
 
 use crate::{FrontId, Task, Token};
 
-/// An entry of the log. A change whose token is not the current one has no effect, so of two grants by
-/// different leaders only the first takes effect. Variants and fields are encoded by position in the saved
-/// state: append only.
+/// An entry of the log. A change whose token is not the current one has no effect, so of two grants
+/// by different leaders only the first takes effect. Variants and fields are encoded by position in
+/// the saved state: append only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
     /// Grants the lease to a new owner.
@@ -111,8 +112,9 @@
     }
 }
 
-/// A snapshot of the log: the leases up to some entry, and later changes that are not yet applied to them.
-/// The log library creates a snapshot from a range of entries and merges it into the previous snapshot.
+/// A snapshot of the log: the leases up to some entry, and later changes that are not yet applied
+/// to them. The log library creates a snapshot from a range of entries and merges it into the
+/// previous snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseSnapshot {
     base: Leases,
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,11 +1,11 @@
-//! Leases: one owner at a time for work on behalf of the fleet. Voters agree on a replicated log of leases
-//! ([`voter`]). An owner acts only while its lease is valid on its own monotonic clock ([`holder`]).
-//! Receivers of its acts reject fencing tokens lower than the highest seen ([`fence`]). The crate uses no
-//! sockets, clocks or files: the caller passes in messages, the time and the saved state, and sends and
-//! saves the output.
+//! Leases: one owner at a time for work on behalf of the fleet. Voters agree on a replicated log of
+//! leases ([`voter`]). An owner acts only while its lease is valid on its own monotonic clock
+//! ([`holder`]). Receivers of its acts reject fencing tokens lower than the highest seen
+//! ([`fence`]). The crate uses no sockets, clocks or files: the caller passes in messages, the time
+//! and the saved state, and sends and saves the output.
 //!
-//! Times are integer microseconds on the caller's monotonic clock. Clocks of different fronts need not agree;
-//! only their rates must be within the drift configured in [`LeaseTerms`].
+//! Times are integer microseconds on the caller's monotonic clock. Clocks of different fronts need
+//! not agree; only their rates must be within the drift configured in [`LeaseTerms`].
 
 #![warn(missing_docs)]
 
@@ -37,7 +37,8 @@
 /// Work that exactly one front does for the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Task {
-    /// Probing the engines of zones that receive no statements, and announcing zones that answer again.
+    /// Probing the engines of zones that receive no statements, and announcing zones that answer
+    /// again.
     Zones,
 }
 
@@ -51,14 +52,14 @@
 }
 
 impl LeaseTerms {
-    /// Microseconds for which an owner may act after its request: the length less the drift, so that the
-    /// owner stops within the length even on a slow clock.
+    /// Microseconds for which an owner may act after its request: the length less the drift, so
+    /// that the owner stops within the length even on a slow clock.
     pub fn owner_valid_for(&self) -> Micros {
         self.length - self.drift()
     }
 
-    /// Microseconds after its last confirmation during which the lease is granted to no other front: the
-    /// length plus the drift, so that the block covers the length even on a fast clock.
+    /// Microseconds after its last confirmation during which the lease is granted to no other
+    /// front: the length plus the drift, so that the block covers the length even on a fast clock.
     pub fn blocked_for(&self) -> Micros {
         self.length + self.drift()
     }
@@ -90,7 +91,8 @@
         number: u64,
         /// The lease's fencing token.
         token: Token,
-        /// The progress stored last: by this owner, or by the previous owner of a newly granted lease.
+        /// The progress stored last: by this owner, or by the previous owner of a newly granted
+        /// lease.
         progress: Vec<u8>,
     },
     /// Another front holds the lease, or may still hold it.
@@ -131,7 +133,8 @@
     Log {
         /// The sender's incarnation, which increases with each start.
         incarnation: u64,
-        /// The sequence number of a message that must arrive in order; 0 if the order does not matter.
+        /// The sequence number of a message that must arrive in order; 0 if the order does not
+        /// matter.
         number: u64,
         /// The message of the log library.
         message: Box<omnipaxos::messages::Message<leases::Change>>,
@@ -178,8 +181,8 @@
     }
 }
 
-/// The fleet's fingerprint: a 64-bit FNV-1a hash of its name and its voters, whose order does not matter.
-/// All builds must compute the same value.
+/// The fleet's fingerprint: a 64-bit FNV-1a hash of its name and its voters, whose order does not
+/// matter. All builds must compute the same value.
 pub fn fingerprint(name: &str, voters: &[FrontId]) -> u64 {
     let mut voters = voters.to_vec();
     voters.sort_unstable();
--- a/crates/lease/src/state.rs
+++ b/crates/lease/src/state.rs
@@ -1,6 +1,6 @@
-//! A voter's durable state: its promised ballot, the accepted entries and the decided index. The state is held
-//! in memory and saved as one blob of a few kilobytes, because the log is compacted into a snapshot every few
-//! entries.
+//! A voter's durable state: its promised ballot, the accepted entries and the decided index. The
+//! state is held in memory and saved as one blob of a few kilobytes, because the log is compacted
+//! into a snapshot every few entries.
 
 use hallmux_replica::{LogState, LogStore};
 use serde::{Deserialize, Serialize};
@@ -110,8 +110,8 @@
         self.has_unsaved_start = true;
     }
 
-    /// The encoded state if it changed since the last call, else None. The bytes must be durable before any
-    /// message that depends on them is sent.
+    /// The encoded state if it changed since the last call, else None. The bytes must be durable
+    /// before any message that depends on them is sent.
     pub fn take_unsaved(&mut self) -> Option<Vec<u8>> {
         let changed = self.store.take_changes().is_some();
         if !std::mem::take(&mut self.has_unsaved_start) && !changed {
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,6 +1,6 @@
-//! A voter: an acceptor of the replicated log of leases (OmniPaxos), which grants leases while it is the
-//! leader. The log alone decides who owns a lease. Time is used only to keep a leader from proposing a new
-//! owner before the previous owner's lease has certainly expired.
+//! A voter: an acceptor of the replicated log of leases (OmniPaxos), which grants leases while it
+//! is the leader. The log alone decides who owns a lease. Time is used only to keep a leader from
+//! proposing a new owner before the previous owner's lease has certainly expired.
 
 mod log;
 
@@ -46,8 +46,8 @@
 /// The output of a call: the state to save, and the messages to send once it is durable.
 #[derive(Default)]
 pub struct Output {
-    /// Replaces the state saved before; None if nothing changed. It must be durable before any of the
-    /// messages of this call or a later one is sent.
+    /// Replaces the state saved before; None if nothing changed. It must be durable before any of
+    /// the messages of this call or a later one is sent.
     pub save: Option<Vec<u8>>,
     /// The messages to send.
     pub messages: Vec<AddressedEnvelope>,
@@ -62,7 +62,8 @@
     terms: LeaseTerms,
     log: OmniPaxos<Change, LogStore<Change>>,
     state: DurableState,
-    /// Numbers sent log messages, and drops received ones that are out of order: they count as lost.
+    /// Numbers sent log messages, and drops received ones that are out of order: they count as
+    /// lost.
     message_order: MessageOrder,
     leases: Leases,
     /// The number of log entries applied to the leases.
@@ -78,8 +79,9 @@
 }
 
 impl Voter {
-    /// Starts a voter from the state that its previous incarnation saved last. `saved` may be None only if the
-    /// voter has never run. Fails if the state is not usable or this front is not a voter.
+    /// Starts a voter from the state that its previous incarnation saved last. `saved` may be None
+    /// only if the voter has never run. Fails if the state is not usable or this front is not a
+    /// voter.
     pub fn new(
         now: Micros,
         config: VoterConfig,
@@ -140,18 +142,20 @@
         self.next_tick
     }
 
-    /// Advances the log library's clock if a tick is due, and returns the state to save and messages to send.
+    /// Advances the log library's clock if a tick is due, and returns the state to save and
+    /// messages to send.
     pub fn tick(&mut self, now: Micros) -> Output {
         if self.next_tick <= now {
-            // Ticks missed during a pause are not made up: the log's clock counts only ticks that ran.
+            // Ticks missed during a pause are not made up: the log's clock counts only ticks that
+            // ran.
             self.next_tick = now + TICK_INTERVAL;
             self.log.tick();
         }
         self.collect_output(now)
     }
 
-    /// Handles a message from a front whose signature was verified. Messages of another fleet and log messages
-    /// that do not come from the voter they name are ignored.
+    /// Handles a message from a front whose signature was verified. Messages of another fleet and
+    /// log messages that do not come from the voter they name are ignored.
     pub fn receive(&mut self, now: Micros, from: FrontId, envelope: Envelope) -> Output {
         if envelope.fleet != self.fleet {
             return Output::default();
@@ -172,8 +176,8 @@
         self.collect_output(now)
     }
 
-    /// Handles a front's request for a lease or its renewal. If the voter is not ready it sends no reply; the
-    /// front then repeats the request.
+    /// Handles a front's request for a lease or its renewal. If the voter is not ready it sends no
+    /// reply; the front then repeats the request.
     fn handle_request(&mut self, now: Micros, requester: FrontId, request: Request) {
         let number = request.number;
         let Some(leader) = self.leader() else { return };
@@ -217,9 +221,9 @@
             })
     }
 
-    /// Whether the last owner's lease has certainly expired, whichever voter confirmed it and when. The block
-    /// counts from when this voter became the leader, from when it learned of the last confirmation, and from
-    /// its own start.
+    /// Whether the last owner's lease has certainly expired, whichever voter confirmed it and when.
+    /// The block counts from when this voter became the leader, from when it learned of the last
+    /// confirmation, and from its own start.
     fn is_free(&self, now: Micros, task: Task) -> bool {
         let block_has_passed = |since: Micros| now >= since + self.terms.blocked_for();
         let since_leading = self.leading_since.is_some_and(block_has_passed);
@@ -241,8 +245,8 @@
         self.outgoing.push(AddressedEnvelope { to, envelope });
     }
 
-    /// Applies the entries that the log has decided, replies to the requests that waited for them, and collects
-    /// the state to save and the messages to send.
+    /// Applies the entries that the log has decided, replies to the requests that waited for them,
+    /// and collects the state to save and the messages to send.
     fn collect_output(&mut self, now: Micros) -> Output {
         self.apply(now);
         self.leading_since = if self.is_ready_leader() {
@@ -258,8 +262,8 @@
         }
     }
 
-    /// Replies to waiting requests whose change the log has decided. Requests that are not decided in time get
-    /// no reply.
+    /// Replies to waiting requests whose change the log has decided. Requests that are not decided
+    /// in time get no reply.
     fn reply_to_waiting(&mut self, now: Micros) {
         for waiting in std::mem::take(&mut self.waiting) {
             let number = waiting.request.number;
--- a/crates/lease/src/voter/log.rs
+++ b/crates/lease/src/voter/log.rs
@@ -20,8 +20,8 @@
 type VoterNumber = u64;
 
 impl Voter {
-    /// Whether a log message names its actual sender and this voter as receiver. The library uses the numbers
-    /// as indexes without checking them.
+    /// Whether a log message names its actual sender and this voter as receiver. The library uses
+    /// the numbers as indexes without checking them.
     pub(super) fn matches_endpoints(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
         self.voter_id(message.get_sender()) == Some(from)
             && self.voter_id(message.get_receiver()) == Some(self.local_id)
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Applies the entries decided since the last call, and compacts the log when enough are decided.
+    /// Applies the entries decided since the last call, and compacts the log when enough are
+    /// decided.
     pub(super) fn apply(&mut self, now: Micros) {
         let decided = self.log.get_decided_idx();
         if decided <= self.applied_entries {
@@ -97,8 +98,8 @@
     }
 }
 
-/// Opens this voter's replica of the log. Fails if the front is not a voter or the library rejects the
-/// cluster, such as one with too few voters.
+/// Opens this voter's replica of the log. Fails if the front is not a voter or the library rejects
+/// the cluster, such as one with too few voters.
 pub(super) fn open_log(
     local_id: FrontId,
     voters: &[FrontId],
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,9 +1,10 @@
-//! A model, checked exhaustively up to `MAX_DEPTH`, of two owners, an authority that grants leases, and a
-//! receiver of their acts. It uses the production code of holders, leases and the fence. Every message sent may
-//! arrive at any later time, any number of times, or never, which covers loss, duplication and reordering.
-//! Fronts pause at any point (they do nothing while time passes, and their messages arrive late), one restarts,
-//! and each clock may lose a tick within the configured drift. The authority in this model never fails;
-//! `voters.rs` simulates several voters with a replicated log.
+//! A model, checked exhaustively up to `MAX_DEPTH`, of two owners, an authority that grants leases,
+//! and a receiver of their acts. It uses the production code of holders, leases and the fence.
+//! Every message sent may arrive at any later time, any number of times, or never, which covers
+//! loss, duplication and reordering. Fronts pause at any point (they do nothing while time passes,
+//! and their messages arrive late), one restarts, and each clock may lose a tick within the
+//! configured drift. The authority in this model never fails; `voters.rs` simulates several voters
+//! with a replicated log.
 
 use std::collections::BTreeSet;
 
@@ -36,7 +37,8 @@
 struct State {
     now: Micros,
     clocks: [Micros; 2],
-    /// Whether each clock has lost a tick; one of the six modelled ticks is within the configured drift.
+    /// Whether each clock has lost a tick; one of the six modelled ticks is within the configured
+    /// drift.
     has_lost_tick: [bool; 2],
     holders: [Holder; 2],
     restarted: bool,
@@ -194,7 +196,8 @@
                     })
                 }
                 Some(_) => None,
-                // As in `Voter::is_free`: no new grant until the last owner's lease has certainly expired.
+                // As in `Voter::is_free`: no new grant until the last owner's lease has certainly
+                // expired.
                 None if state.now * TICK >= state.confirmed + TERMS.blocked_for() => {
                     Some(Change::Grant {
                         task: Task::Zones,
--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -1,5 +1,5 @@
-//! Leases among voters that are partitioned, paused, killed and restarted, over a network that loses,
-//! duplicates and reorders messages, with drifting clocks.
+//! Leases among voters that are partitioned, paused, killed and restarted, over a network that
+//! loses, duplicates and reorders messages, with drifting clocks.
 
 use hallmux_lease::voter::{Voter, VoterConfig};
 use hallmux_lease::{fingerprint, AddressedEnvelope, Envelope, LeaseMessage, Request, Task};
@@ -10,8 +10,8 @@
 
 use sim::{Fleet, SECOND, TERMS};
 
-/// Asserts that the tokens of acts never decreased, that no two fronts could act at once, and that voters with
-/// equally many decided entries hold equal leases.
+/// Asserts that the tokens of acts never decreased, that no two fronts could act at once, and that
+/// voters with equally many decided entries hold equal leases.
 fn assert_safe(fleet: &Fleet) {
     assert!(
         fleet.max_simultaneous_owners <= 1,
@@ -104,7 +104,8 @@
         let mut fleet = Fleet::new(7, voters, 4);
         fleet.run(8 * SECOND, &[0, 6]);
         let (_, owner, _) = *fleet.acts.last().unwrap();
-        // The owner's partition holds a minority of the voters; a voter of the majority requests the lease too.
+        // The owner's partition holds a minority of the voters; a voter of the majority requests
+        // the lease too.
         for n in 0..7 {
             fleet.partition[n] = u8::from(n >= minority && n < voters);
         }
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -1,5 +1,6 @@
-//! A simulation of fronts that request one lease, and their voters, over a simulated network. All random
-//! decisions derive from a seed, true time is a number, and each front's clock runs a little fast or slow.
+//! A simulation of fronts that request one lease, and their voters, over a simulated network. All
+//! random decisions derive from a seed, true time is a number, and each front's clock runs a little
+//! fast or slow.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +44,8 @@
     sequence: u64,
     pub loss_rate: f64,
     pub duplication_rate: f64,
-    /// The maximum delay of an envelope. A delay longer than the time between messages reorders them.
+    /// The maximum delay of an envelope. A delay longer than the time between messages reorders
+    /// them.
     pub max_delay: Micros,
     /// The partition of each front; fronts of different partitions can't reach each other.
     pub partition: Vec<u8>,
@@ -187,7 +189,8 @@
         self.process_output(to, output.unwrap_or_default());
     }
 
-    /// Runs the simulation until the true time `until`; the fronts in `requesters` request the lease.
+    /// Runs the simulation until the true time `until`; the fronts in `requesters` request the
+    /// lease.
     pub fn run(&mut self, until: Micros, requesters: &[usize]) {
         while self.now < until {
             self.now += STEP_MICROS;
@@ -274,7 +277,8 @@
         }
     }
 
-    /// The fronts that acted and their tokens, in the order of their acts, without consecutive duplicates.
+    /// The fronts that acted and their tokens, in the order of their acts, without consecutive
+    /// duplicates.
     pub fn owners(&self) -> Vec<(usize, Token)> {
         let mut owners: Vec<(usize, Token)> =
             self.acts.iter().map(|(_, n, token)| (*n, *token)).collect();
