--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -1,6 +1,7 @@
-//! Channels: other subsystems of a front (leases, ledger, rules, summaries, order queues) send their own
-//! messages to their counterparts on other fronts inside gossip datagrams. The first byte of a payload names
-//! the channel; each channel has a byte rate of its own, so that none can starve another.
+//! Channels: other subsystems of a front (leases, ledger, rules, summaries, order queues) send
+//! their own messages to their counterparts on other fronts inside gossip datagrams. The first byte
+//! of a payload identifies the channel. Each channel has a separate byte rate limit, so that none
+//! can starve another.
 
 use std::net::SocketAddr;
 
@@ -8,27 +9,29 @@
 use crate::seal::{TokenBucket, SEAL_BYTES};
 use crate::{Micros, PeerId};
 
-/// Longest payload in bytes: a datagram less the seal, the channel byte and the sender's own update.
+/// Maximum payload size in bytes: a datagram less the seal, the channel byte and the sender's own
+/// update.
 pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - SEAL_BYTES - OVERHEAD_BYTES;
-/// Bytes: an update with an IPv6 address takes some 45, counts and channel the rest.
+/// Bytes reserved in a datagram besides seal and payload: an update with an IPv6 address takes
+/// about 45, counts and the channel byte the remainder.
 const OVERHEAD_BYTES: usize = 64;
-/// Messages held until `take`; more are dropped.
+/// Maximum number of received messages held until `take`; further ones are dropped.
 const MAX_INBOX_MESSAGES: usize = 256;
 
 /// The subsystem that a payload is for. The discriminant is its byte on the wire: append only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Channel {
-    /// Leases on the fleet's work: requests, replies and the voters' log.
+    /// Leases on the fleet's work: requests, replies and messages of the voters' log.
     Lease,
     /// Ledger entries and their replicas.
     Ledger,
-    /// Access rules: the version in force and the hits counted against it.
+    /// Access rules: the version in force and the hits counted under it.
     Rules,
     /// Summaries of the data that sites hold.
     Summaries,
-    /// Fronts waiting for a ledger key notify its holder.
+    /// Key queues: fronts that wait for a ledger key notify its holder.
     KeyQueue,
-    /// Load reports; consumed by gossip itself.
+    /// Load reports; handled inside this crate.
     Load,
 }
 
@@ -43,7 +46,7 @@
 ];
 
 impl Channel {
-    /// Bytes a second that a front may send on it.
+    /// The rate limit of a front's messages on the channel, in bytes per second.
     fn bytes_per_second(self) -> f64 {
         match self {
             Channel::Lease => 24_000.0,
@@ -61,15 +64,15 @@
 pub struct ChannelMessage {
     /// The front that signed the datagram.
     pub from: PeerId,
-    /// The address at which the sender says that it listens.
+    /// The address at which the sender listens, as it announces itself.
     pub address: SocketAddr,
-    /// The channel that it came on.
+    /// The channel of the message.
     pub channel: Channel,
     /// The payload without its channel byte.
     pub bytes: Vec<u8>,
 }
 
-/// Byte budgets for sending, and received messages until they are read.
+/// The channels' rate limits, and the received messages until the caller takes them.
 pub(crate) struct Mailbox {
     tokens: [TokenBucket; CHANNELS.len()],
     inbox: Vec<ChannelMessage>,
@@ -83,15 +86,15 @@
         }
     }
 
-    /// Takes `bytes` from the channel's budget. False, and nothing taken, if they exceed it.
+    /// Charges `bytes` to the channel's rate limit. False, without a charge, if they exceed it.
     pub fn take_tokens(&mut self, now: Micros, channel: Channel, bytes: usize) -> bool {
         self.tokens
             .get_mut(channel as usize)
             .is_some_and(|tokens| tokens.take(now, bytes as f64))
     }
 
-    /// Stores the payload of a received datagram. False if it names a channel unknown here; an empty one is
-    /// no error.
+    /// Stores the payload of a received datagram. False if its channel is unknown; an empty payload
+    /// is ignored without an error.
     pub fn deliver(&mut self, from: PeerId, address: SocketAddr, mut payload: Vec<u8>) -> bool {
         if payload.is_empty() {
             return true;
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,33 +1,34 @@
-//! Evidence on engines: the latest report of each front. Merging keeps the later report, so that order,
-//! repeats and losses do no harm; a report that is not renewed expires.
+//! Evidence on engines: the latest report of each front. Merging keeps the later report, so
+//! reordering, repetition and loss are harmless; a report that is not renewed expires.
 
 use std::collections::BTreeMap;
 
 use crate::message::{EngineStatus, OwnershipReport, Report, Signed};
 use crate::{Micros, PeerId};
 
-/// Microseconds after which a report counts for nothing; reporters renew what they still observe.
+/// Age in microseconds at which a report expires; reporters renew reports that still apply.
 pub const EXPIRY: Micros = 8_000_000;
-/// Most sightings in a report, and most recovered engines in an act; a longer one is refused. More
-/// faulty engines at once are as good as a fault of all engines.
+/// Maximum number of engine statuses in a report, and of recovered engines in an act; longer
+/// reports are rejected. More faulty engines than this at once amount to a fault of all engines.
 pub const MAX_ENGINE_STATUSES: usize = 12;
-/// Fronts whose reports are held; the oldest report is dropped first.
+/// Maximum number of fronts whose reports are held; beyond it the oldest report is dropped.
 const MAX_REPORTERS: usize = 256;
 
 /// The latest report of one front.
 struct StoredReport {
     started_ms: u64,
     version: u32,
-    /// When it was made, on this front's clock.
+    /// When the report was made, on the local clock.
     created: Micros,
     statuses: Vec<EngineStatus>,
     ownership: OwnershipReport,
     signed: Signed,
-    /// How often this front has passed it on.
+    /// How often this front has sent the report.
     times_sent: u32,
 }
 
-/// What a sighting is about: the engine, and whether it is well.
+/// The subject of an engine status: the engine, and whether the status is good. Good and bad
+/// statuses on one engine are counted separately.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Subject {
     engine: u64,
@@ -44,7 +45,7 @@
     }
 }
 
-/// How often reports on each subject were passed on.
+/// How often this front has sent reports on each subject.
 #[derive(Default)]
 struct SendCounts(BTreeMap<Subject, u32>);
 
@@ -55,7 +56,9 @@
         }
     }
 
-    /// How often the subject of a report was passed on of which least was. Reports without content come last.
+    /// The send count of the report's least sent subject. For a report without statuses: the
+    /// report's own send count, or the maximum if it has no ownership either, so that empty reports
+    /// are sent last.
     fn min_sends(&self, report: &StoredReport) -> u32 {
         let subjects = report.statuses.iter().map(Subject::of);
         let min_sends = subjects
@@ -75,25 +78,25 @@
     }
 }
 
-/// What one peer reports of one engine.
+/// A peer's status of one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerReport {
-    /// The front that observed it.
+    /// The front that observed the engine.
     pub reporter: PeerId,
-    /// What it observed.
+    /// The status as observed by the reporter.
     pub status: EngineStatus,
-    /// Microseconds since it was reported.
+    /// Microseconds since the report was made.
     pub age: Micros,
 }
 
-/// What one front reports of the fleet's work.
+/// A front's ownership report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerOwnership<'a> {
-    /// The front that reports it.
+    /// The front that made the report.
     pub reporter: PeerId,
-    /// What it reports.
+    /// The reported lease and act.
     pub ownership: &'a OwnershipReport,
-    /// Microseconds since it was reported.
+    /// Microseconds since the report was made.
     pub age: Micros,
 }
 
@@ -104,15 +107,16 @@
 }
 
 impl Evidence {
-    /// Whether a report is later than the one held of its reporter. Cheap: to be asked before its signature
-    /// is checked.
+    /// Whether a report is later than the one held of its reporter. This check is cheap and
+    /// precedes the check of the signature.
     pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
         self.reports
             .get(&reporter)
             .is_none_or(|report| (started_ms, version) > (report.started_ms, report.version))
     }
 
-    /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
+    /// Stores a report that is `age` microseconds old. False if the report is not later, too long
+    /// or expired.
     pub fn merge(&mut self, now: Micros, report: Report, signed: Signed, age: Micros) -> bool {
         let act = report.ownership.act.as_ref();
         let recovered = act.map_or(0, |act| act.recovered.len());
@@ -150,13 +154,14 @@
         }
     }
 
-    /// Drops reports some time after they expired: until then nothing older can come in their place.
+    /// Drops reports at twice the expiry age. Until then an expired report prevents an older one of
+    /// the same reporter from being accepted.
     pub fn expire(&mut self, now: Micros) {
         self.reports
             .retain(|_, report| now - report.created < 2 * EXPIRY);
     }
 
-    /// All sightings that have not expired, but for those that `own` has reported.
+    /// All unexpired engine statuses except those reported by `local_id`.
     pub fn peer_reports(&self, now: Micros, local_id: PeerId) -> Vec<PeerReport> {
         let current = self
             .reports
@@ -173,7 +178,8 @@
             .collect()
     }
 
-    /// What each front reports of the fleet's work, this front's own report included.
+    /// The unexpired ownership reports of all fronts, including the local one; empty ones are left
+    /// out.
     pub fn ownership_reports(&self, now: Micros) -> impl Iterator<Item = PeerOwnership<'_>> {
         let is_eligible =
             move |report: &StoredReport| report.is_current(now) && !report.ownership.is_empty();
@@ -188,10 +194,11 @@
         })
     }
 
-    /// Reports to be passed on within `budget` bytes, each at most `most_sent` times. First come those on an
-    /// engine of which least was passed on, good and bad news apart, so that many reports on one engine do
-    /// not crowd out the few on another; then those passed on least, and of them the latest. Reports without
-    /// content come last: what they take back expires by itself.
+    /// Picks reports to send within `budget` bytes, each at most `max_sends` times. Reports on the
+    /// engine with the fewest sends are first, with good and bad statuses counted separately, so
+    /// that many reports on one engine do not crowd out the few on another. Next are the reports
+    /// sent least often, and among them the latest. Reports without content are last: the statuses
+    /// that they withdraw expire anyway.
     pub fn pick_to_send(&mut self, now: Micros, max_sends: u32, mut budget: usize) -> Vec<Signed> {
         let mut send_counts = SendCounts::default();
         for report in self
@@ -229,7 +236,7 @@
         }
     }
 
-    /// Reports held, expired ones too.
+    /// The number of reports held, including expired ones.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// What is known after reports came in this order.
+/// The reporter and failure count of each status held after merging reports in this order.
 fn merged(order: &[Report]) -> Vec<(PeerId, u8)> {
     let mut evidence = Evidence::default();
     order
@@ -47,7 +47,7 @@
         report(2, 1, 9, 4),
     ];
     let expected = [(1, 3), (2, 4)];
-    // Every order of the four, with each of them repeated at the end.
+    // Every order of the four reports, also with all of them repeated.
     let mut orders = vec![vec![]];
     for _ in 0..4 {
         orders = orders
@@ -66,7 +66,7 @@
         assert_eq!(merged(&reports), expected);
         reports.extend(reports.clone());
         assert_eq!(merged(&reports), expected);
-        // Without what was made before the latest of each.
+        // Without the reports that precede the latest one of each reporter.
         let latest: Vec<Report> = reports
             .into_iter()
             .filter(|r| r.started_ms > 5 || r.reporter == 2)
@@ -87,7 +87,7 @@
     );
     assert!(
         !evidence.merge(EXPIRY, report(2, 1, 1, 1), signed(), EXPIRY),
-        "older than it lasts"
+        "older than the expiry"
     );
     evidence.expire(3 * EXPIRY);
     assert!(evidence.is_empty());
@@ -110,7 +110,8 @@
     }
     let mut other = report(200, 1, 1, 1);
     other.statuses[0].engine = 2;
-    // The earliest and the last in number: by age and place it would come after all others.
+    // This report is the oldest and has the highest reporter id: by age and id it would be sent
+    // last.
     evidence.merge(0, other, signed(200), 0);
     let mut reporters = Vec::new();
     for _ in 0..3 {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,9 +1,10 @@
-//! Gossip between fronts: membership, signed reports on engines and load, and channels for other subsystems,
-//! within a bounded traffic that does not grow with the fleet. Free of sockets, clocks and randomness of its
-//! own: the caller passes in datagrams, the time and random numbers, and sends what comes out.
+//! Gossip between fronts: membership, signed reports on engines and load, and channels for other
+//! subsystems. The traffic per front is bounded and does not grow with the fleet. The crate uses no
+//! sockets, clocks or random number generator: the caller passes in datagrams, the time and random
+//! numbers, and sends the returned datagrams.
 //!
-//! Times are whole microseconds on the caller's monotonic clock, unless a name ends in `_ms` (milliseconds)
-//! or `_s` (seconds); `wall_ms` is Unix time in milliseconds.
+//! Times are integer microseconds on the caller's monotonic clock, unless a name ends in `_ms`
+//! (milliseconds) or `_s` (seconds); `wall_ms` is Unix time in milliseconds.
 
 #![warn(missing_docs)]
 
@@ -18,15 +19,15 @@
 /// A time or duration in microseconds.
 pub type Micros = i64;
 
-/// A front: the first eight bytes of its public key, see [`seal::peer_id`].
+/// The id of a front: the first eight bytes of its public key, see [`seal::peer_id`].
 pub type PeerId = u64;
 
-/// A source of random numbers; a closure that returns them is one.
+/// A source of random numbers, implemented by closures that return a `u64`.
 pub trait RandomSource {
-    /// The next number, uniform over all values.
+    /// The next random number, uniform over all values.
     fn next(&mut self) -> u64;
 
-    /// A number below `most`; 0 where `most` is 0.
+    /// A random number below `bound`; 0 if `bound` is 0.
     fn below(&mut self, bound: usize) -> usize {
         (self.next() % bound.max(1) as u64) as usize
     }
--- a/crates/gossip/src/load_reports.rs
+++ b/crates/gossip/src/load_reports.rs
@@ -1,6 +1,7 @@
-//! Load reports: the latest of each of a few fronts, the same ones on every front. Those with the lowest ids
-//! count, so that traffic does not grow with the fleet and all fronts go by the same figures. Merging keeps
-//! the later report: order, repeats and losses do no harm, and a report that is not renewed expires.
+//! Load reports: the latest report of each of a few fronts. The fronts with the lowest ids are the
+//! reporters, so that traffic does not grow with the fleet and all fronts use the same figures.
+//! Merging keeps the later report, so reordering, repetition and loss are harmless; a report that
+//! is not renewed expires.
 
 use std::collections::BTreeMap;
 
@@ -9,43 +10,43 @@
 use crate::message::Signed;
 use crate::{Micros, PeerId};
 
-/// Microseconds after which a report counts for nothing.
+/// Age in microseconds at which a report expires.
 pub const EXPIRY: Micros = 5_000_000;
-/// Fronts whose reports count.
+/// Maximum number of fronts whose reports are held.
 pub const MAX_REPORTERS: usize = 12;
-/// Most loads in a report; a longer one is refused.
+/// Maximum number of loads in a report; longer reports are rejected.
 pub const MAX_LOADS: usize = 24;
-/// Times that a front passes a report on.
+/// Maximum number of times that a front sends a report.
 const MAX_SENDS: u32 = 4;
 
-/// The load offered to a front lately by one workload or customer. Counts are sixteenths of statements and
-/// decay by half in some seconds.
+/// The recent load offered to a front by one workload or customer. Counts are in sixteenths of a
+/// statement and halve every few seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OfferedLoad {
     /// A hash of the workload's or customer's name.
     pub workload: u32,
-    /// Statements requested.
+    /// Statements requested by clients.
     pub requested: u32,
-    /// Admitted statements that have their final answer.
+    /// Admitted statements that have received their final answer.
     pub completed: u32,
-    /// Those of them that met their latency objective.
+    /// Completed statements that met their SLO time.
     pub on_time: u32,
-    /// Mean work of a statement: microseconds on one thread.
+    /// Mean service time of a statement in microseconds on one thread.
     pub service_us: u32,
 }
 
-/// The loads offered to one front, as it reports them itself; passed on under its signature.
+/// The loads offered to one front, reported and signed by that front and forwarded unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The front that made it.
+    /// The front that made the report.
     pub reporter: PeerId,
-    /// When that front started, in Unix milliseconds on its clock.
+    /// When the reporter started, in Unix milliseconds on its clock.
     pub started_ms: u64,
-    /// Counts the load reports since that start.
+    /// The number of load reports made since that start.
     pub version: u32,
-    /// When it was made, in Unix milliseconds on its reporter's clock.
+    /// When the report was made, in Unix milliseconds on the reporter's clock.
     pub created_ms: u64,
-    /// By workload and by customer; at most [`MAX_LOADS`].
+    /// Loads by workload and by customer; at most [`MAX_LOADS`].
     pub offered: Vec<OfferedLoad>,
 }
 
@@ -53,11 +54,11 @@
 struct StoredReport {
     started_ms: u64,
     version: u32,
-    /// When it was made, on this front's clock.
+    /// When the report was made, on the local clock.
     created: Micros,
     offered: Vec<OfferedLoad>,
     signed: Signed,
-    /// How often this front has passed it on.
+    /// How often this front has sent the report.
     times_sent: u32,
 }
 
@@ -67,15 +68,15 @@
     }
 }
 
-/// The reports that count.
+/// The latest load reports of the reporters with the lowest ids.
 #[derive(Default)]
 pub struct LoadReports {
     reports: BTreeMap<PeerId, StoredReport>,
 }
 
 impl LoadReports {
-    /// Whether a report would count and is later than the one held. Cheap: to be asked before the signature
-    /// is checked.
+    /// Whether a report is later than the one held and its reporter's id is low enough to be held.
+    /// This check is cheap and precedes the check of the signature.
     pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
         match self.reports.get(&reporter) {
             Some(report) => (started_ms, version) > (report.started_ms, report.version),
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
+    /// Stores a report that is `age` microseconds old. False if the report is not later, too long
+    /// or expired.
     pub fn merge(&mut self, now: Micros, report: LoadReport, signed: Signed, age: Micros) -> bool {
         let is_eligible = report.offered.len() <= MAX_LOADS && age < EXPIRY;
         if !is_eligible || !self.is_later(report.reporter, report.started_ms, report.version) {
@@ -108,12 +110,12 @@
         true
     }
 
-    /// Drops expired reports, so that those of other fronts can take their place.
+    /// Drops expired reports to make room for those of other fronts.
     pub fn expire(&mut self, now: Micros) {
         self.reports.retain(|_, report| report.is_current(now));
     }
 
-    /// The loads of each reporter that have not expired.
+    /// The unexpired loads, one slice for each reporter.
     pub fn current(&self, now: Micros) -> impl Iterator<Item = &[OfferedLoad]> {
         self.reports
             .values()
@@ -129,7 +131,8 @@
             .map(|(reporter, _)| *reporter)
     }
 
-    /// Reports to be passed on within so many bytes: those passed on least, of them the latest.
+    /// Picks reports to send within `budget` bytes: those sent least often first, among them the
+    /// latest, each at most `MAX_SENDS` times.
     pub fn pick_to_send(&mut self, now: Micros, mut budget: usize) -> Vec<Signed> {
         let is_eligible =
             |report: &&mut StoredReport| report.is_current(now) && report.times_sent < MAX_SENDS;
@@ -147,7 +150,7 @@
         selected
     }
 
-    /// Reports held, expired ones too.
+    /// The number of reports held, including expired ones.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
--- a/crates/gossip/src/load_reports_tests.rs
+++ b/crates/gossip/src/load_reports_tests.rs
@@ -62,7 +62,7 @@
     assert_eq!(requested(&reports, EXPIRY), [7]);
     assert!(
         !reports.merge(EXPIRY, report(98, 1, 7), signed(), EXPIRY),
-        "older than it lasts"
+        "older than the expiry"
     );
 }
 
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -1,7 +1,7 @@
-//! Membership after SWIM (Das, Gupta, Motivala) with Lifeguard's refinements (Dadgar, Phillips, Currey):
-//! members are probed one after another, directly and then indirectly; a suspicion expires the sooner the
-//! more peers share it; and a front that suspects itself of being slow stretches its own timeouts first. The
-//! view is bounded: of a larger fleet it holds a sample.
+//! Membership by SWIM (Das, Gupta, Motivala) with Lifeguard's refinements (Dadgar, Phillips,
+//! Currey). Members are probed in turn, directly and then indirectly. A suspicion expires sooner
+//! the more peers confirm it, and a front that may itself be slow extends its own timeouts. The
+//! view is bounded: it holds a sample of a larger fleet.
 
 mod apply;
 mod probing;
@@ -16,33 +16,34 @@
 use probing::{IndirectProbe, Probing};
 use update_queue::UpdateQueue;
 
-/// Microseconds until a suspicion that enough others share expires: four probe periods, for a refutation to
-/// come through.
+/// Microseconds until a suspicion with `MAX_CONFIRMATIONS` expires: four probe periods, so that a
+/// refutation can arrive.
 const MIN_SUSPICION: Micros = 2_000_000;
-/// Times that, while no other front suspects the member.
+/// The suspicion timeout without confirmations, as a multiple of the minimum.
 const MAX_SUSPICION_FACTOR: f64 = 6.0;
-/// Other fronts whose suspicion brings the timeout down to the minimum.
+/// Number of confirming fronts that reduces the suspicion timeout to the minimum.
 const MAX_CONFIRMATIONS: usize = 3;
-/// Highest local health score: timeouts are stretched by one more than it.
+/// Highest local health score; timeouts are multiplied by the score plus one.
 const MAX_LOCAL_HEALTH_SCORE: u32 = 8;
-/// Microseconds that the dead are held, so that stale updates don't revive them.
+/// Microseconds for which dead and departed members are kept, so that stale updates don't revive
+/// them.
 const RECLAIM_AFTER: Micros = 30_000_000;
-/// Members of the view.
+/// Maximum number of members in the view.
 const MAX_MEMBERS: usize = 128;
 
-/// A member as this front knows it.
+/// The local front's view of a member.
 struct Member {
     address: SocketAddr,
     incarnation: u64,
     health: Health,
-    /// When it got that health.
+    /// When the member's current health was set.
     since: Micros,
-    /// Other fronts that suspect it too.
+    /// Other fronts that suspect the member too.
     confirmers: BTreeSet<PeerId>,
 }
 
 impl Member {
-    /// Alive, or not yet proved dead.
+    /// Whether the member is alive or only suspected.
     fn is_up(&self) -> bool {
         matches!(self.health, Health::Alive | Health::Suspect)
     }
@@ -57,12 +58,12 @@
     }
 }
 
-/// A probe to be sent, or an answer to one.
+/// A probe or an answer to one, and its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Its receiver.
+    /// The address of the receiver.
     pub to: SocketAddr,
-    /// What it asks or answers.
+    /// The probe or answer.
     pub probe: Probe,
 }
 
@@ -76,25 +77,25 @@
     }
 }
 
-/// A member, and where it listens.
+/// The id and address of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberAddress {
-    /// The front.
+    /// The member's id.
     pub id: PeerId,
-    /// Where it listens.
+    /// The address at which the member listens.
     pub address: SocketAddr,
 }
 
-/// How many fronts a fleet has.
+/// The number of fronts in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Fronts that have not left, whether they are up or dead.
+    /// Fronts that have not left, whether up or dead.
     pub known: usize,
-    /// Those of them that are alive or only suspected.
+    /// Fronts that are alive or only suspected.
     pub up: usize,
 }
 
-/// One front's view of the fleet, and its failure detector.
+/// The local front's view of the fleet, and its failure detector.
 pub struct Members {
     local_id: PeerId,
     address: SocketAddr,
@@ -102,25 +103,25 @@
     has_left: bool,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<PeerId, Member>,
-    /// Members in the order in which they are probed next; the last comes first.
+    /// The members still to be probed in this round; the last is probed next.
     probe_order: Vec<PeerId>,
     /// Lifeguard's local health score: 0 is healthy; timeouts grow with it.
     local_health_score: u32,
-    /// The probe under way.
+    /// The current probe.
     probing: Option<Probing>,
-    /// When the probe under way is concluded and the next one begins.
+    /// When the current probe is concluded and the next one starts.
     period_ends: Micros,
     next_number: u32,
-    /// Indirect probes under way for others, by the number of the ping.
+    /// Indirect probes in progress on behalf of other fronts, by the number of the ping.
     indirect_probes: BTreeMap<u32, IndirectProbe>,
     updates: UpdateQueue,
-    /// The member repeated last where no update was left to pass on.
+    /// The last member whose state was repeated for anti-entropy.
     last_repeated: PeerId,
 }
 
 impl Members {
-    /// `incarnation` has to grow with each start of this front: Unix milliseconds do, where the clock is
-    /// right.
+    /// Creates an empty view. `incarnation` must increase with each start of this front, as Unix
+    /// milliseconds do if the clock is right.
     pub fn new(
         local_id: PeerId,
         address: SocketAddr,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The update on this front itself; it goes with every datagram.
+    /// The update on this front itself, which every datagram carries.
     pub fn own_update(&self) -> MemberUpdate {
         let health = if self.has_left {
             Health::Left
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Members that are alive or only suspected.
+    /// The members that are alive or only suspected.
     pub fn up(&self) -> impl Iterator<Item = MemberAddress> + '_ {
         self.members
             .iter()
@@ -171,12 +172,12 @@
             })
     }
 
-    /// The health of a member; None if it is not in the view.
+    /// The health of a member; None if the member is not in the view.
     pub fn health(&self, id: PeerId) -> Option<Health> {
         self.members.get(&id).map(|member| member.health)
     }
 
-    /// The size of the view, without this front.
+    /// The size of the view, not counting this front.
     pub fn size(&self) -> FleetSize {
         let known = self
             .members
@@ -189,22 +190,22 @@
         }
     }
 
-    /// Whether the view is as large as it grows: there may be more members than it holds.
+    /// Whether the view has its maximum size; the fleet may then have more members than the view.
     pub fn is_full(&self) -> bool {
         self.members.len() >= MAX_MEMBERS
     }
 
-    /// Members in the view, of any health.
+    /// The number of members in the view, of any health.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether this front knows of no other.
+    /// Whether the view holds no member.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// From now on this front announces that it leaves, and probes nobody.
+    /// Makes this front announce that it leaves, and stop probing.
     pub fn leave(&mut self) {
         self.has_left = true;
     }
@@ -214,7 +215,8 @@
             && now - member.since >= self.suspicion_timeout(member.confirmers.len())
     }
 
-    /// How long a member is suspected before it counts as dead: the shorter, the more others suspect it.
+    /// Microseconds of suspicion until a member counts as dead; fewer the more fronts confirm the
+    /// suspicion.
     fn suspicion_timeout(&self, confirmations: usize) -> Micros {
         let size = ((self.members.len() + 1) as f64).log10().max(1.0);
         let minimum = MIN_SUSPICION as f64 * size;
@@ -222,7 +224,8 @@
         (minimum * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * share.min(1.0))) as Micros
     }
 
-    /// Declares expired suspects dead, and forgets those that have been dead or gone for long.
+    /// Declares members dead whose suspicion expired, and removes those that have long been dead or
+    /// have left.
     fn expire(&mut self, now: Micros) {
         let expired: Vec<MemberUpdate> = self
             .members
@@ -239,8 +242,9 @@
         });
     }
 
-    /// Updates for a datagram, at most `most` beside those on the receiver: those passed on least come first,
-    /// and before all those on the receiver, so that it can refute them.
+    /// Picks updates for a datagram to `to`: first any update on the receiver that is not alive, so
+    /// that the receiver can refute it, then further updates up to `max_updates` in total, those
+    /// sent least often first.
     pub fn pick_to_send(&mut self, to: SocketAddr, max_updates: usize) -> Vec<MemberUpdate> {
         let mut selected: Vec<MemberUpdate> = self
             .members
@@ -250,8 +254,8 @@
             .collect();
         self.updates
             .pick(self.members.len(), max_updates, &mut selected);
-        // The remaining places repeat members one after another (anti-entropy): it makes good what updates
-        // missed.
+        // Any remaining space repeats the state of members in turn (anti-entropy), to repair lost
+        // updates.
         for _ in selected.len()..max_updates.min(self.members.len()) {
             let next = self
                 .members
--- a/crates/gossip/src/members/apply.rs
+++ b/crates/gossip/src/members/apply.rs
@@ -1,5 +1,5 @@
-//! How membership updates change the view: later ones supersede earlier ones, suspicions confirm one another,
-//! and wrong updates on this front itself are refuted.
+//! Applies membership updates to the view: later updates supersede earlier ones, suspicions confirm
+//! one another, and wrong updates on the local front are refuted.
 
 use std::collections::BTreeSet;
 
@@ -8,16 +8,17 @@
 
 use super::{Member, Members, MAX_CONFIRMATIONS, MAX_LOCAL_HEALTH_SCORE, MAX_MEMBERS};
 
-/// Of new members, one in so many displaces one of a full view, so that views stay mixed.
+/// One in this many new members displaces a member of a full view, so that views remain random
+/// samples.
 const DISPLACEMENT_RATIO: usize = 8;
-/// Milliseconds, some thirty years: a larger step of an incarnation is a forgery.
+/// Milliseconds, about thirty years: an incarnation that increases by more is forged.
 const MAX_INCARNATION_STEP_MS: u64 = 1 << 40;
-/// 2^64 over the golden ratio: Fibonacci hashing of ids.
+/// 2^64 divided by the golden ratio, for Fibonacci hashing of ids.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Members {
-    /// Applies an update that `by` has sent: a peer, or this front itself. Updates that supersede nothing are
-    /// ignored, but for suspicions, which confirm one another.
+    /// Applies an update sent by `reporter`, a peer or the local front. Updates that do not
+    /// supersede the known state are ignored, except for suspicions, which confirm one another.
     pub fn apply(&mut self, now: Micros, reporter: PeerId, update: MemberUpdate) {
         if update.member == self.local_id {
             return self.refute(update);
@@ -29,7 +30,7 @@
         if step >= MAX_INCARNATION_STEP_MS {
             return;
         }
-        // A restart after a death known here is announced by the restarted front itself.
+        // A member that restarts after being declared dead announces a higher incarnation itself.
         let same_incarnation = update.incarnation == member.incarnation;
         let supersedes = update.incarnation > member.incarnation
             || same_incarnation && update.health > member.health;
@@ -49,7 +50,8 @@
         self.updates.enqueue(update);
     }
 
-    /// Takes a front that was not in the view into it, if it is alive and there is a place for it.
+    /// Adds a front to the view if it is alive and the view has room or another member is
+    /// displaced.
     fn add_member(&mut self, now: Micros, update: MemberUpdate) {
         if update.health != Health::Alive {
             return;
@@ -71,7 +73,7 @@
         self.updates.enqueue(update);
     }
 
-    /// Another front suspects a member that is suspected here too.
+    /// Counts another front's suspicion of a member that is already suspected here.
     fn confirm_suspicion(&mut self, reporter: PeerId, update: MemberUpdate) {
         let Some(member) = self.members.get_mut(&update.member) else {
             return;
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Answers an update on this front itself: whatever differs from its own is refuted under a higher
+    /// Refutes an update on the local front that differs from its own state, under a higher
     /// incarnation.
     fn refute(&mut self, update: MemberUpdate) {
         let step = update.incarnation.saturating_sub(self.incarnation);
@@ -107,7 +109,9 @@
         }
     }
 
-    /// Whether a newcomer takes the place of one of a full view; derived from the ids, so that views differ.
+    /// Removes a member of a full view in favour of the new one, for one in `DISPLACEMENT_RATIO`
+    /// new members. False if no member was removed. Decided by a hash of the ids, so that the views
+    /// of fronts differ.
     fn displace_member(&mut self, id: PeerId) -> bool {
         let hash = (id ^ self.local_id).wrapping_mul(HASH_MULTIPLIER) >> 32;
         if !(hash as usize).is_multiple_of(DISPLACEMENT_RATIO) {
--- a/crates/gossip/src/members/probing.rs
+++ b/crates/gossip/src/members/probing.rs
@@ -1,4 +1,5 @@
-//! The failure detector: probes, indirect probes on behalf of others, and what their outcome means.
+//! The failure detector: probes, indirect probes on behalf of other fronts, and the conclusions
+//! from both.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,37 +9,37 @@
 
 use super::{MemberAddress, Members, Outgoing, MAX_LOCAL_HEALTH_SCORE};
 
-/// Microseconds between probes, while the local health score is 0.
+/// Microseconds between probes when the local health score is 0.
 const PROBE_PERIOD: Micros = 500_000;
-/// Microseconds until others are asked to probe: some round trips.
+/// Microseconds without an ack until other fronts are asked to probe; several round trips.
 const ACK_TIMEOUT: Micros = 150_000;
-/// Other fronts that are asked to probe.
+/// Number of fronts that are asked to probe a member that did not answer.
 const INDIRECT_PROBERS: usize = 3;
-/// Indirect probes under way for others at once.
+/// Maximum number of concurrent indirect probes on behalf of other fronts.
 const MAX_INDIRECT_PROBES: usize = 64;
-/// Probe periods between probes of a seed, so that parts of a split fleet meet again.
+/// Probe periods between probes of a seed, which let the parts of a split fleet rejoin.
 const SEED_PROBE_INTERVAL: u32 = 8;
 
-/// The probe under way.
+/// The current probe.
 pub(super) struct Probing {
     member: PeerId,
     address: SocketAddr,
     number: u32,
     is_acked: bool,
-    /// When others are asked to probe it too; None once they were.
+    /// When other fronts are asked to probe the member too; None once they were asked.
     indirect_at: Option<Micros>,
-    /// Fronts asked to probe it that have not answered with a nack yet.
+    /// Number of fronts asked to probe the member that have not answered with a nack.
     missing_nacks: usize,
 }
 
-/// An indirect probe under way on behalf of another front.
+/// An indirect probe in progress on behalf of another front.
 pub(super) struct IndirectProbe {
     requester: SocketAddr,
     /// The number of the requester's ping request.
     number: u32,
-    /// When the requester learns that no ack has come; None once it has.
+    /// When a nack is sent to the requester; None once it was sent.
     nack_at: Option<Micros>,
-    /// When an ack is of no use any more.
+    /// When the probe is dropped, as an ack is too late for the requester.
     expires_at: Micros,
 }
 
@@ -59,8 +60,8 @@
             .min(indirect_probes.unwrap_or(Micros::MAX))
     }
 
-    /// Does what is due: probes, indirect probes, suspicions that expire. What is to be sent is added to
-    /// `out`.
+    /// Runs what is due: probes, indirect probes and the expiry of suspicions. Messages to be sent
+    /// are added to `outgoing`.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -78,7 +79,7 @@
         self.tick_indirect_probes(now, outgoing);
     }
 
-    /// Sends the nacks that are due, and forgets relays that are over.
+    /// Sends the nacks that are due, and drops expired indirect probes.
     fn tick_indirect_probes(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
         for indirect_probe in self.indirect_probes.values_mut() {
             if indirect_probe.nack_at.take_if(|at| *at <= now).is_some() {
@@ -94,7 +95,7 @@
             .retain(|_, indirect_probe| indirect_probe.expires_at > now);
     }
 
-    /// Asks others to probe a member that has not answered in time.
+    /// Asks other fronts to probe the member if it has not answered in time.
     fn probe_indirectly(
         &mut self,
         now: Micros,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The period of a probe is over: an unanswered one makes its member a suspect.
+    /// Concludes the current probe: a member that did not answer is suspected.
     fn conclude_probe(&mut self, now: Micros) {
         let Some(probing) = self.probing.take() else {
             return;
@@ -138,7 +139,8 @@
             self.local_health_score = self.local_health_score.saturating_sub(1);
             return;
         }
-        // Fronts that did not even answer with a nack: the fault may be here.
+        // Missing nacks suggest that the fault is on the local side, so they raise the local health
+        // score.
         let missing_nacks = probing.missing_nacks.max(1) as u32;
         self.local_health_score =
             (self.local_health_score + missing_nacks).min(MAX_LOCAL_HEALTH_SCORE);
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Probes the next member of the round, and seeds where it is due.
+    /// Probes the next member of the round, and seeds if due.
     fn probe(&mut self, now: Micros, random: &mut impl RandomSource, outgoing: &mut Vec<Outgoing>) {
         if self.has_left {
             return;
@@ -176,7 +178,7 @@
         self.probe_seeds(number, random, outgoing);
     }
 
-    /// The member to be probed next: round robin, in an order that is drawn anew for each round.
+    /// The member to probe next: round robin, in a random order that changes with each round.
     fn next_probe_target(&mut self, random: &mut impl RandomSource) -> Option<MemberAddress> {
         while self.up().next().is_some() {
             let Some(id) = self.probe_order.pop() else {
@@ -198,8 +200,8 @@
         }
     }
 
-    /// Alone, probes all seeds; else one now and then, so that two parts of a fleet that lost each other meet
-    /// again.
+    /// Probes all seeds if the view is empty; else one seed every `SEED_PROBE_INTERVAL` periods or
+    /// when no member is probed, so that the parts of a split fleet rejoin.
     fn probe_seeds(
         &mut self,
         number: u32,
@@ -223,7 +225,8 @@
         }
     }
 
-    /// Takes in a probe, or an answer to one, of the peer `from`, which listens at `address`.
+    /// Handles a probe or an answer from the peer `from`, which listens at `address`. Answers are
+    /// added to `outgoing`.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -254,7 +257,8 @@
         }
     }
 
-    /// Probes a member on behalf of another front, whose ping request has this number.
+    /// Probes a member on behalf of another front, whose ping request has this number. None if the
+    /// target is not a member at that address or too many indirect probes are in progress.
     fn start_indirect_probe(
         &mut self,
         now: Micros,
@@ -262,7 +266,8 @@
         number: u32,
         target: MemberAddress,
     ) -> Option<Outgoing> {
-        // Guards against being used to flood others: only members are probed, and few at a time.
+        // Limited to known members and a few at a time, so that requests can't be used to flood
+        // other hosts.
         let member = self.members.get(&target.id)?;
         if member.address != target.address || self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             return None;
@@ -284,7 +289,8 @@
         })
     }
 
-    /// A ping of this number was answered: passed on where it was sent for another front.
+    /// Handles the ack to a ping of this number; forwards it if the ping was sent on behalf of
+    /// another front.
     fn handle_ack(&mut self, number: u32) -> Option<Outgoing> {
         if let Some(indirect_probe) = self.indirect_probes.remove(&number) {
             return Some(Outgoing {
@@ -300,7 +306,7 @@
         None
     }
 
-    /// A front that was asked to probe a member is there itself.
+    /// Handles a nack: the front that was asked to probe a member is alive.
     fn handle_nack(&mut self, from: PeerId, number: u32) {
         if let Some(probing) = &mut self.probing {
             if probing.number == number && probing.member != from {
--- a/crates/gossip/src/members/update_queue.rs
+++ b/crates/gossip/src/members/update_queue.rs
@@ -1,14 +1,14 @@
-//! Updates that are to be passed on, each a bounded number of times.
+//! The queue of membership updates to send, each a bounded number of times.
 
 use crate::message::MemberUpdate;
 use crate::PeerId;
 
-/// An update is passed on so many times the logarithm of the view's size.
+/// An update is sent up to this factor times the binary logarithm of the view's size.
 const RETRANSMIT_FACTOR: f64 = 4.0;
-/// Updates held to be passed on; beyond them the one passed on most is dropped.
+/// Maximum number of queued updates; beyond it the one sent most often is dropped.
 const MAX_UPDATES: usize = 256;
 
-/// The latest update of each member, and how often it was passed on.
+/// The latest update on each member, and how often it was sent.
 #[derive(Default)]
 pub(super) struct UpdateQueue {
     queue: Vec<Queued>,
@@ -20,7 +20,7 @@
 }
 
 impl UpdateQueue {
-    /// Queues an update in place of what was queued of its member.
+    /// Queues an update, replacing any queued update on the same member.
     pub(super) fn enqueue(&mut self, update: MemberUpdate) {
         self.remove(update.member);
         if self.queue.len() >= MAX_UPDATES {
@@ -35,13 +35,13 @@
         });
     }
 
-    /// Drops what is queued of a member.
+    /// Drops the queued update on a member, if any.
     pub(super) fn remove(&mut self, member: PeerId) {
         self.queue.retain(|queued| queued.update.member != member);
     }
 
-    /// Adds updates until `picked` holds `most`, those passed on least first; `members` is the size of the
-    /// view.
+    /// Adds updates until `selected` holds `max_updates`, those sent least often first. `members`
+    /// is the size of the view.
     pub(super) fn pick(
         &mut self,
         members: usize,
--- a/crates/gossip/src/message_tests.rs
+++ b/crates/gossip/src/message_tests.rs
@@ -40,6 +40,6 @@
             let _ = decode::<Message>(&corrupted);
         }
     }
-    // A count of updates that the bytes do not bear out.
+    // A count of updates that exceeds the available bytes.
     assert_eq!(decode::<Message>(&[0, 0xff, 0xff, 0xff, 0xff, 0x0f]), None);
 }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,5 +1,5 @@
-//! One front among its peers: what it reports and what it knows of the fleet. Datagrams go out in `sending` and
-//! come in in `receiving`; load reports are in `load`.
+//! The local front's node in the gossip network: its own reports and its view of the fleet.
+//! `sending` builds datagrams, `receiving` handles them, and `load` exchanges load reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,31 +19,31 @@
 mod receiving;
 mod sending;
 
-/// Microseconds after which a front repeats a report that still holds.
+/// Microseconds after which a front renews a report that has not changed.
 const REPORT_RENEWAL: Micros = 1_000_000;
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Its receiver.
+    /// The address of the receiver.
     pub to: SocketAddr,
     /// The sealed message.
     pub bytes: Vec<u8>,
 }
 
-/// What a front needs to take part.
+/// The configuration of a node.
 pub struct NodeConfig {
-    /// The secret half of its key pair.
+    /// The private key of the front.
     pub secret: [u8; 32],
-    /// Public keys of all fronts that count.
+    /// The public keys of all fronts of the fleet; datagrams and reports of others are rejected.
     pub keys: Rc<Keys>,
-    /// Where other fronts reach this one.
+    /// The address at which other fronts reach this one.
     pub address: SocketAddr,
-    /// Addresses of fronts to contact first, and now and then later.
+    /// Addresses of fronts to contact at start, and now and then later.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// One front's part in the gossip.
+/// The local front as a member of the gossip network.
 pub struct Node {
     identity: Identity,
     peers: Peers,
@@ -52,28 +52,29 @@
     gossip_tokens: TokenBucket,
     answer_tokens: TokenBucket,
     next_round: Micros,
-    /// What this front reported last.
+    /// The engine statuses reported last.
     statuses: Vec<EngineStatus>,
     ownership: OwnershipReport,
     mailbox: Mailbox,
-    /// Load reports, once they are enabled.
+    /// The load reports; None until they are enabled.
     load_reports: Option<LoadReports>,
     load_reported_at: Micros,
     load_version: u32,
-    /// The number of the report made last.
+    /// The version of the report made last.
     report_version: u32,
-    /// When a report that still holds is repeated.
+    /// When an unchanged report is renewed.
     renew_at: Micros,
-    /// Datagrams and reports that were refused, by reason.
+    /// The number of rejected datagrams and reports, by reason.
     pub rejected: BTreeMap<VerificationError, u64>,
-    /// Bytes that were sent.
+    /// Bytes sent.
     pub bytes_sent: u64,
-    /// Datagrams that were not sent: too long, or beyond a rate limit.
+    /// Datagrams that were not sent because they were too long or beyond a rate limit.
     pub datagrams_withheld: u64,
 }
 
 impl Node {
-    /// `wall_ms` is Unix time in milliseconds: it names this run of the front.
+    /// Creates the node. `wall_ms` is Unix time in milliseconds and identifies this incarnation of
+    /// the front.
     pub fn new(config: NodeConfig, wall_ms: u64) -> Node {
         let identity = Identity::new(&config.secret, wall_ms);
         Node {
@@ -98,12 +99,12 @@
         }
     }
 
-    /// The id that other fronts know this one by.
+    /// The id of this front.
     pub fn peer_id(&self) -> PeerId {
         self.identity.id
     }
 
-    /// The public half of this front's key pair.
+    /// The public key of this front.
     pub fn public_key(&self) -> [u8; 32] {
         self.identity.public_key()
     }
@@ -113,8 +114,9 @@
         &self.members
     }
 
-    /// The size of the fleet, this front included. Where there are more fronts than the view holds, the
-    /// number of keys stands for those known, and the part of the view that is up for the part of the fleet.
+    /// The size of the fleet, including this front. If the view is full the fleet may be larger
+    /// than the view: then the number of keys is taken as the size, and the number of fronts that
+    /// are up is extrapolated from the view.
     pub fn fleet_size(&self) -> FleetSize {
         let FleetSize { known, up } = self.members.size();
         if !self.members.is_full() {
@@ -130,13 +132,13 @@
         }
     }
 
-    /// Other public keys count from now on.
+    /// Replaces the public keys that are accepted.
     pub fn set_keys(&mut self, keys: Rc<Keys>) {
         self.peers.set_keys(keys);
     }
 
-    /// Reports what this front observes of engines now: only those with a fault, or with something
-    /// announced of them. Beyond [`MAX_ENGINE_STATUSES`] the rest is left out.
+    /// Reports the engines that are faulty or have announced a start, drain or end, as this front
+    /// observes them. Statuses beyond [`MAX_ENGINE_STATUSES`] are dropped.
     pub fn report_engine_statuses(
         &mut self,
         now: Micros,
@@ -146,7 +148,8 @@
         self.report(now, wall_ms, statuses, OwnershipReport::default());
     }
 
-    /// The same, with what this front reports of work on behalf of the fleet.
+    /// Like [`Node::report_engine_statuses`], with the front's ownership report. No new report is
+    /// made if neither changed and no renewal is due.
     pub fn report(
         &mut self,
         now: Micros,
@@ -176,12 +179,12 @@
         self.evidence.merge(now, report, signed, 0);
     }
 
-    /// What other fronts report of engines.
+    /// The unexpired engine statuses that other fronts report.
     pub fn peer_reports(&self, now: Micros) -> Vec<PeerReport> {
         self.evidence.peer_reports(now, self.identity.id)
     }
 
-    /// What each front reports of the fleet's work, this front's own report included.
+    /// The unexpired ownership reports of all fronts, including this one.
     pub fn ownership_reports(&self, now: Micros) -> impl Iterator<Item = PeerOwnership<'_>> {
         self.evidence.ownership_reports(now)
     }
@@ -191,7 +194,7 @@
         self.mailbox.take()
     }
 
-    /// Where a front that is up listens, as far as it is known.
+    /// The address of a front; None if it is not up or not in the view.
     pub fn address(&self, front: PeerId) -> Option<SocketAddr> {
         let member = self.members.up().find(|member| member.id == front)?;
         Some(member.address)
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -1,4 +1,4 @@
-//! A front's part in the exchange of load reports.
+//! Makes, sends and receives load reports.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,19 +10,19 @@
 
 use super::{Datagram, Node};
 
-/// Microseconds between a front's load reports: they reach 300 fronts in some two seconds.
+/// Microseconds between a front's load reports, which reach 300 fronts in about two seconds.
 const LOAD_REPORT_INTERVAL: Micros = 1_500_000;
-/// Bytes at the most of the number of load reports in a payload.
+/// Upper bound in bytes for the encoded number of load reports in a payload.
 const REPORT_COUNT_BYTES: usize = 8;
 
 impl Node {
-    /// From now on this front sends load reports and takes in those of others.
+    /// Enables sending and receiving load reports.
     pub fn enable_load_reports(&mut self) {
         self.load_reports.get_or_insert_default();
     }
 
-    /// Reports the load offered to this front, where a report is due and would count. `offered` is called
-    /// only then.
+    /// Reports the load offered to this front. `offered` is called only if a report is due and this
+    /// front is among the reporters that count.
     pub fn report_load(
         &mut self,
         now: Micros,
@@ -53,14 +53,15 @@
         reports.merge(now, report, signed, 0);
     }
 
-    /// The loads offered to the fronts whose reports count, one slice a front; this front's own too.
+    /// The loads offered to the fronts whose reports count, including this one; one slice for each
+    /// front.
     pub fn offered_loads(&self, now: Micros) -> impl Iterator<Item = &[OfferedLoad]> {
         self.load_reports
             .iter()
             .flat_map(move |reports| reports.current(now))
     }
 
-    /// Whether a load report of any other front is held.
+    /// Whether an unexpired load report of another front is held.
     pub fn has_peer_load(&self, now: Micros) -> bool {
         self.load_reports
             .iter()
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Merges a load report that came from `from`, if it is later than the one held.
+    /// Verifies and merges a load report received from `from`, if it is later than the one held.
     fn receive_load_report(
         &mut self,
         now: Micros,
@@ -116,7 +117,7 @@
         };
         let report: LoadReport = message::decode(&signed.report).ok_or(VerificationError::Form)?;
         let reporter = report.reporter;
-        // Guards against the cost of what is known already, which is most of what comes.
+        // Most received reports are known already: skip the cost of verifying their signatures.
         let is_own = reporter == self.identity.id;
         if is_own || !reports.is_later(reporter, report.started_ms, report.version) {
             return Ok(());
--- a/crates/gossip/src/node/receiving.rs
+++ b/crates/gossip/src/node/receiving.rs
@@ -1,4 +1,4 @@
-//! What a front does with a datagram that comes in.
+//! Handles received datagrams.
 
 use std::net::SocketAddr;
 
@@ -11,17 +11,17 @@
 use super::sending::Purpose;
 use super::{Datagram, Node};
 
-/// What has to be sent because of a datagram.
+/// The messages to send in response to a datagram.
 struct Responses {
-    /// Probes on behalf of others, and answers to probes.
+    /// Probes on behalf of other fronts, and answers to probes.
     outgoing: Vec<Outgoing>,
-    /// Where a front listens that was not known before.
+    /// The address of the sender if it was not in the view before.
     newcomer: Option<SocketAddr>,
 }
 
 impl Node {
-    /// Takes in a datagram from the address `from` and returns what is to be sent in answer. What is refused
-    /// is counted.
+    /// Handles a datagram received from the address `from` and returns the datagrams to send in
+    /// response. Rejected datagrams and reports are counted.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -40,7 +40,8 @@
         for outgoing in responses.outgoing {
             datagrams.extend(self.send(now, wall_ms, outgoing, Purpose::Answer));
         }
-        // A newcomer learns of others at once: else it would meet them one by one.
+        // A new front receives many membership updates at once; otherwise it would discover the
+        // members one by one.
         if let Some(to) = responses.newcomer {
             let outgoing = Outgoing::without_probe(to);
             datagrams.extend(self.send(now, wall_ms, outgoing, Purpose::Welcome));
@@ -48,7 +49,7 @@
         datagrams
     }
 
-    /// Opens a datagram and takes in what it holds.
+    /// Opens a datagram and handles its content.
     fn open(
         &mut self,
         now: Micros,
@@ -60,9 +61,10 @@
         let sender = opened.sender;
         let message: Message = message::decode(opened.content).ok_or(VerificationError::Form)?;
         if sender == self.identity.id {
-            return Err(VerificationError::Replay); // this front's own, come back
+            return Err(VerificationError::Replay); // a datagram of this front, sent back to it
         }
-        // Answers go where the sender says that it listens, which need not be where it sends from.
+        // Answers are sent to the address that the sender announces, which may differ from its
+        // source address.
         let own_update = message
             .updates
             .iter()
@@ -70,7 +72,7 @@
         let address = own_update.map_or(from, |update| update.address);
         let is_new = self.members.health(sender).is_none();
         for update in message.updates {
-            // Only fronts with a known key count: they could refute the update.
+            // Only updates on fronts with a known key are applied: those fronts can refute them.
             if self.peers.has_key(update.member) {
                 self.members.apply(now, sender, update);
             }
@@ -87,7 +89,8 @@
         })
     }
 
-    /// Takes in a subsystem's message: load reports here, others when they are asked for.
+    /// Handles a subsystem's message: load reports at once, others are stored until the caller
+    /// takes them.
     fn receive_payload(
         &mut self,
         now: Micros,
@@ -109,7 +112,7 @@
             let Some(report) = message::decode::<Report>(&signed.report) else {
                 continue;
             };
-            // Guards against the cost of what is known already, which is most of what comes.
+            // Most received reports are known already: skip the cost of verifying their signatures.
             let is_own = report.reporter == self.identity.id;
             if is_own
                 || !self
--- a/crates/gossip/src/node/sending.rs
+++ b/crates/gossip/src/node/sending.rs
@@ -1,5 +1,5 @@
-//! What a front sends: rounds of gossip, probes and their answers, and messages of other subsystems, within byte
-//! rates.
+//! Builds datagrams: gossip rounds, probes and their answers, and messages of other subsystems,
+//! within byte rate limits.
 
 use std::net::SocketAddr;
 
@@ -11,52 +11,54 @@
 
 use super::{Datagram, Node};
 
-/// Bytes a second sent of its own accord, with a second's worth saved up.
+/// Rate limit in bytes per second of unsolicited datagrams, with a burst of one second's worth.
 pub(super) const GOSSIP_BYTES_PER_SECOND: f64 = 3_000.0;
-/// Bytes a second of answers, so that a flood of probes starves no reports.
+/// Rate limit in bytes per second of answers. A separate limit, so that a flood of probes can't
+/// starve reports.
 pub(super) const ANSWER_BYTES_PER_SECOND: f64 = 1_000.0;
-/// Microseconds between rounds.
+/// Microseconds between gossip rounds.
 const ROUND_PERIOD: Micros = 250_000;
-/// Members that a round sends to.
+/// Number of members that receive a datagram in each round.
 const FANOUT: usize = 2;
-/// Members to which a front announces that it leaves.
+/// Number of members to which a front announces that it leaves.
 const LEAVE_FANOUT: usize = 2 * FANOUT;
-/// Bytes that reports leave for probes: a peer that is not probed seems dead.
+/// Bytes of the rate limit reserved for probes: without probes a peer would seem dead.
 const PROBE_RESERVE_BYTES: f64 = 800.0;
-/// Membership updates that a newcomer gets at once.
+/// Membership updates in the first datagram to a new front.
 const WELCOME_UPDATES: usize = 24;
-/// Membership updates in a datagram beside its sender's own.
+/// Maximum number of membership updates in a gossip datagram besides the sender's own.
 const MAX_UPDATES: usize = 2;
-/// Bytes of a datagram that carries reports unasked.
+/// Size in bytes to which a gossip datagram is filled with reports.
 const REPORT_DATAGRAM_BYTES: usize = 420;
-/// Bytes that the count of reports takes in a message.
+/// Bytes of the encoded number of reports in a message.
 const REPORT_COUNT_BYTES: usize = 2;
-/// Times the logarithm of the peers that a report is passed on by each front.
+/// Each front sends a report up to this factor times the binary logarithm of the number of peers.
 const RETRANSMIT_FACTOR: f64 = 2.0;
 
-/// Why a datagram is sent: it bounds what the datagram may carry, and which tokens it takes.
+/// The purpose of a datagram, which decides what it may carry and which rate limit applies.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// A round of gossip or a probe.
+    /// A gossip round or a probe.
     Gossip,
-    /// The answer to a probe.
+    /// An answer to a probe, or a probe on behalf of another front.
     Answer,
-    /// To a front that was not known before.
+    /// The first datagram to a front that was not in the view before.
     Welcome,
 }
 
 impl Purpose {
-    /// The most membership updates beside the sender's own.
+    /// The maximum number of membership updates besides the sender's own.
     fn max_updates(self) -> usize {
         match self {
-            // Guards against a flood of probes: answers use up no updates that others are to learn.
+            // Answers carry no updates, so that a flood of probes can't use up the retransmissions
+            // of updates.
             Purpose::Answer => 0,
             Purpose::Gossip => MAX_UPDATES,
             Purpose::Welcome => WELCOME_UPDATES,
         }
     }
 
-    /// Bytes that reports may take where the rest of the datagram takes `used`.
+    /// The bytes left for reports in a datagram whose other content takes `used_bytes`.
     fn report_budget(self, used_bytes: usize) -> usize {
         match self {
             Purpose::Gossip => REPORT_DATAGRAM_BYTES
@@ -73,7 +75,8 @@
         self.members.due().min(self.next_round)
     }
 
-    /// Does what is due and returns what is to be sent.
+    /// Runs the failure detector and the gossip round if they are due, and returns the datagrams to
+    /// send.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -97,7 +100,7 @@
         datagrams
     }
 
-    /// Draws at most `count` members that are up.
+    /// Picks up to `count` random members that are up.
     fn pick_targets(&self, count: usize, random: &mut impl RandomSource) -> Vec<SocketAddr> {
         let mut up: Vec<SocketAddr> = self.members.up().map(|member| member.address).collect();
         (0..count.min(up.len()))
@@ -105,7 +108,8 @@
             .collect()
     }
 
-    /// Announces to some members that this front leaves; they pass it on.
+    /// Announces to some members that this front leaves, for them to spread. Returns the datagrams
+    /// to send.
     pub fn leave(
         &mut self,
         now: Micros,
@@ -120,7 +124,8 @@
             .collect()
     }
 
-    /// Seals a message with membership updates, and reports where it is gossip. None beyond a rate limit.
+    /// Seals a message with membership updates, and with reports if it is gossip. None if it is too
+    /// long or beyond the rate limit.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -137,7 +142,7 @@
         Some(self.seal(wall_ms, outgoing.to, &content))
     }
 
-    /// The encoded message for a datagram.
+    /// The encoded content of a datagram.
     fn content(&mut self, now: Micros, outgoing: Outgoing, purpose: Purpose) -> Vec<u8> {
         let mut updates = vec![self.members.own_update()];
         updates.extend(
@@ -158,7 +163,7 @@
         message::encode(&message)
     }
 
-    /// Takes the bytes of a datagram from its rate limit. False if they exceed it.
+    /// Charges a datagram of `len` bytes to its rate limit. False if it exceeds the limit.
     fn take_tokens(&mut self, now: Micros, len: usize, probe: Probe, purpose: Purpose) -> bool {
         let tokens = match purpose {
             Purpose::Answer => &mut self.answer_tokens,
@@ -180,8 +185,8 @@
         }
     }
 
-    /// Seals a subsystem's message to another front. None if it is too long for a datagram or beyond its
-    /// channel's rate.
+    /// Seals a subsystem's message to another front. None if it is too long for a datagram or
+    /// beyond the channel's rate limit.
     pub fn channel_datagram(
         &mut self,
         now: Micros,
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -1,5 +1,7 @@
-//! Authentication: datagrams are signed by their senders and reports by their reporters. What comes counts
-//! only if its key is known, it is not a replay, and a token is left to check its signature.
+//! Authentication: datagrams are signed by their senders and reports by their reporters. A datagram
+//! is accepted only if its sender's key is known, it is not a replay, the rate limit on signature
+//! checks allows the check, and the signature is valid. Reports are accepted under the same
+//! conditions, except for the replay check.
 
 mod peer;
 mod token_bucket;
@@ -17,32 +19,33 @@
 use peer::Peer;
 pub use token_bucket::TokenBucket;
 
-/// Sender, its start, number, milliseconds of the sender's clock.
+/// The header: the sender's id, its start, the datagram's number and the sender's clock in
+/// milliseconds.
 const HEADER_BYTES: usize = 8 + 8 + 4 + 8;
 const SIGNATURE_BYTES: usize = 64;
 /// Bytes that sealing adds to a message.
 pub const SEAL_BYTES: usize = HEADER_BYTES + SIGNATURE_BYTES;
-/// Failed checks of signatures a second, of all sources.
+/// Rate limit per second on failed signature checks, over all sources.
 const FAILED_CHECKS_PER_SECOND: f64 = 1_000.0;
-/// Failed checks a second for datagrams from one address.
+/// Rate limit per second on failed signature checks for one source address.
 const FAILED_CHECKS_PER_SOURCE: f64 = 100.0;
-/// Checks a second that succeed.
+/// Rate limit per second on successful signature checks of datagrams.
 const VALID_CHECKS_PER_SECOND: f64 = 4_000.0;
-/// Addresses that are counted apart; others share one bucket.
+/// Maximum number of source addresses with a rate limit of their own; further ones share a bucket.
 const MAX_SOURCES: usize = 1_024;
 
-/// A front's key pair, with which it signs what it sends.
+/// A front's key pair, with which it signs datagrams and reports.
 pub struct Identity {
     key: SigningKey,
-    /// The id that goes with the public key.
+    /// The id derived from the public key.
     pub id: PeerId,
-    /// Unix milliseconds when this run of the front began.
+    /// Unix milliseconds at the start of this incarnation of the front.
     pub started_ms: u64,
-    /// Datagrams sent in this run; the number of the latest.
+    /// The number of the last datagram sent in this incarnation.
     last_number: u32,
 }
 
-/// The id that goes with a public key: its first eight bytes, big endian.
+/// The front id of a public key: its first eight bytes, big endian.
 pub fn peer_id(key: &[u8; 32]) -> PeerId {
     let mut first = [0; 8];
     first.copy_from_slice(&key[..8]);
@@ -50,7 +53,8 @@
 }
 
 impl Identity {
-    /// From the secret half of a key pair; `started_ms` has to grow with each start.
+    /// Creates an identity from a private key. `started_ms` must increase with each start of the
+    /// front.
     pub fn new(secret: &[u8; 32], started_ms: u64) -> Identity {
         let key = SigningKey::from_bytes(secret);
         let id = peer_id(key.verifying_key().as_bytes());
@@ -62,12 +66,13 @@
         }
     }
 
-    /// The public half of the key pair.
+    /// The public key.
     pub fn public_key(&self) -> [u8; 32] {
         self.key.verifying_key().to_bytes()
     }
 
-    /// The datagram of a message: header, content, signature. `wall_ms` is Unix time in milliseconds.
+    /// Seals a message into a datagram of header, content and signature. `wall_ms` is Unix time in
+    /// milliseconds.
     pub fn seal(&mut self, wall_ms: u64, content: &[u8]) -> Vec<u8> {
         self.last_number += 1;
         let mut out = Vec::with_capacity(SEAL_BYTES + content.len());
@@ -81,18 +86,19 @@
         out
     }
 
-    /// A report with the signature over its bytes.
+    /// Encodes and signs a report.
     pub fn sign(&self, report: &Report) -> Signed {
         self.sign_with_context(REPORT_CONTEXT, message::encode(report))
     }
 
-    /// A load report with the signature over its bytes.
+    /// Encodes and signs a load report.
     pub fn sign_load_report(&self, report: &LoadReport) -> Signed {
         self.sign_with_context(LOAD_REPORT_CONTEXT, message::encode(report))
     }
 
     fn sign_with_context(&self, context: &[u8], report: Vec<u8>) -> Signed {
-        // Guards against a report that passes for a datagram: the signed context says which it is.
+        // The context prevents a signed report from being accepted as a datagram or as another kind
+        // of report.
         let signature = self
             .key
             .sign(&[context, &report].concat())
@@ -102,33 +108,33 @@
     }
 }
 
-// Signed in front of a report's bytes (domain separation). Part of the format between versions.
+// Prefixes to the signed bytes of a report (domain separation). Part of the wire format.
 const REPORT_CONTEXT: &[u8] = b"hallmux report\0";
 const LOAD_REPORT_CONTEXT: &[u8] = b"hallmux share\0";
 
-/// Why a datagram or report was refused.
+/// Why a datagram or report was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum VerificationError {
-    /// Too long, too short, or no message.
+    /// The datagram is too long or too short, or its content can't be decoded.
     Form,
-    /// Its sender's or reporter's key is not known.
+    /// The sender's or reporter's key is not known.
     Stranger,
-    /// Its signature does not hold.
+    /// The signature is not valid.
     Forged,
-    /// Received before, or of an earlier run of its sender.
+    /// The datagram was received before, or belongs to an earlier incarnation of its sender.
     Replay,
-    /// Too long under way.
+    /// The datagram was in transit for too long.
     Old,
-    /// No token was left to check its signature.
+    /// The rate limit on signature checks is exhausted.
     Flood,
 }
 
-/// The public keys of all fronts whose datagrams and reports count.
+/// The public keys of all fronts whose datagrams and reports are accepted.
 #[derive(Default)]
 pub struct Keys(HashMap<PeerId, VerifyingKey>);
 
 impl Keys {
-    /// Bytes that are no Ed25519 key are left out.
+    /// Decodes the keys; bytes that are not a valid Ed25519 key are left out.
     pub fn new(keys: &[[u8; 32]]) -> Rc<Keys> {
         let known =
             |bytes: &[u8; 32]| Some((peer_id(bytes), VerifyingKey::from_bytes(bytes).ok()?));
@@ -136,21 +142,22 @@
     }
 }
 
-/// The peers whose datagrams and reports count, with what guards against replays and floods.
+/// The peers whose datagrams and reports are accepted, with the protection against replays and
+/// floods.
 pub struct Peers {
     keys: Rc<Keys>,
     peers: HashMap<PeerId, Peer>,
-    /// Failed checks of all sources.
+    /// Failed checks over all sources.
     failed_checks: TokenBucket,
     /// Failed checks by source address.
     failed_checks_by_source: HashMap<IpAddr, TokenBucket>,
-    /// Failed checks of all sources beyond [`MAX_SOURCES`].
+    /// Failed checks of the sources beyond [`MAX_SOURCES`].
     failed_checks_of_other_sources: TokenBucket,
-    /// Checks that succeeded.
+    /// Successful checks of datagrams.
     valid_checks: TokenBucket,
 }
 
-/// A datagram whose signature holds.
+/// A datagram with a valid signature.
 #[derive(Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
     /// The front that signed it.
@@ -160,7 +167,7 @@
 }
 
 impl Peers {
-    /// Peers of which nothing was heard yet.
+    /// Creates the peers with these keys, none of which has sent a datagram yet.
     pub fn new(keys: Rc<Keys>) -> Peers {
         Peers {
             keys,
@@ -172,30 +179,30 @@
         }
     }
 
-    /// These keys count from now on; the replay protection of those that stay goes on.
+    /// Replaces the accepted keys; the replay protection of unchanged keys is kept.
     pub fn set_keys(&mut self, keys: Rc<Keys>) {
         self.peers
             .retain(|id, _| keys.0.get(id) == self.keys.0.get(id));
         self.keys = keys;
     }
 
-    /// Whether this front's key counts.
+    /// Whether the key of the front `id` is accepted.
     pub fn has_key(&self, id: PeerId) -> bool {
         self.keys.0.contains_key(&id)
     }
 
-    /// The number of keys that count.
+    /// The number of accepted keys.
     pub fn len(&self) -> usize {
         self.keys.0.len()
     }
 
-    /// Whether no key counts.
+    /// Whether no key is accepted.
     pub fn is_empty(&self) -> bool {
         self.keys.0.is_empty()
     }
 
-    /// Opens a datagram that came from the address `from`; `wall_ms` is Unix time in milliseconds. An error
-    /// says why it was refused; it changes nothing but the rate limits.
+    /// Verifies a datagram received from the address `from`; `wall_ms` is Unix time in
+    /// milliseconds. A rejected datagram changes nothing but the rate limits.
     pub fn open<'a>(
         &mut self,
         now: Micros,
@@ -219,7 +226,8 @@
             .0
             .get(&sender)
             .ok_or(VerificationError::Stranger)?;
-        // The cheap checks first, so that a flood of what can't be costs no signatures.
+        // The cheap checks precede the signature check, so that a flood of replays costs no
+        // signature checks.
         let delay_ms = (wall_ms as i64).wrapping_sub(sent_ms as i64);
         self.peers
             .get(&sender)
@@ -241,7 +249,7 @@
         })
     }
 
-    /// Decodes a report that came with a datagram from `from`, if its reporter's signature holds.
+    /// Decodes a report received in a datagram from `from` and verifies its reporter's signature.
     pub fn verify_report(
         &mut self,
         now: Micros,
@@ -253,7 +261,7 @@
         Ok(report)
     }
 
-    /// Whether a load report carries the signature of its reporter.
+    /// Verifies the reporter's signature of a load report received in a datagram from `from`.
     pub fn verify_load_report(
         &mut self,
         now: Micros,
@@ -284,7 +292,8 @@
             .map_err(|_| VerificationError::Forged)
     }
 
-    /// Takes the tokens of a check that may fail.
+    /// Charges a signature check to the rate limits on failed checks; a successful check is
+    /// refunded later.
     fn take_check_tokens(&mut self, now: Micros, from: IpAddr) -> Result<(), VerificationError> {
         let known = self.failed_checks_by_source.contains_key(&from)
             || self.failed_checks_by_source.len() < MAX_SOURCES;
@@ -299,7 +308,8 @@
         has_tokens.then_some(()).ok_or(VerificationError::Flood)
     }
 
-    /// A signature held: it counts among the valid ones, and no longer against its source.
+    /// Refunds a successful signature check to the limits on failed checks, and charges it to the
+    /// limit on successful ones.
     fn count_valid_check(&mut self, now: Micros, from: IpAddr) -> Result<(), VerificationError> {
         let source = self
             .failed_checks_by_source
@@ -313,14 +323,15 @@
             .ok_or(VerificationError::Flood)
     }
 
-    /// Microseconds since a reporter made a report, by the least delay seen of it. None where it can't be
-    /// computed.
+    /// Microseconds since a reporter made a report, corrected by the minimum apparent delay of the
+    /// reporter's datagrams. None if the timestamps overflow.
     pub fn age(&self, reporter: PeerId, wall_ms: u64, created_ms: u64) -> Option<Micros> {
         let min_delay_ms = self
             .peers
             .get(&reporter)
             .map_or(i64::MAX, Peer::min_delay_ms);
-        // Of a front that was never heard itself nothing is known: the clocks are taken to agree.
+        // Without a datagram from the reporter the clock offset is unknown: the clocks are assumed
+        // to agree.
         let min_delay_ms = if min_delay_ms == i64::MAX {
             0
         } else {
--- a/crates/gossip/src/seal/peer.rs
+++ b/crates/gossip/src/seal/peer.rs
@@ -1,26 +1,28 @@
-//! What is known of a front from its own datagrams: whether another of them can be new (replay protection).
+//! Replay protection: whether a front's datagram can be new, given its earlier datagrams.
 
 use super::VerificationError;
 use crate::Micros;
 
-/// Numbers by which a sender's datagrams may be out of order.
+/// Maximum distance by which a sender's datagrams may arrive out of order.
 const SEQUENCE_WINDOW: u32 = 256;
-/// Microseconds that a datagram may be under way, beyond the least delay seen.
+/// Microseconds that a datagram may be in transit beyond the minimum delay seen.
 pub(super) const TIME_WINDOW: Micros = 10_000_000;
 
-/// What is known of a front from its own datagrams.
+/// The replay protection state of a front, derived from its datagrams.
 pub(super) struct Peer {
-    /// When its latest run began, in Unix milliseconds on its clock; 0 if it was never heard.
+    /// When the front's latest incarnation started, in Unix milliseconds on its clock; 0 if no
+    /// datagram of the front was received.
     pub(super) started_ms: u64,
-    /// The highest number of a datagram of that run, and a bitmap of those before it that were received.
+    /// The highest number of a datagram of that incarnation.
     pub(super) highest_number: u32,
+    /// A bitmap of the received numbers up to the highest one; bit 0 is the highest.
     pub(super) received_bitmap: [u64; (SEQUENCE_WINDOW / 64) as usize],
-    /// When its latest datagram came.
+    /// When the front's latest datagram was received.
     pub(super) last_received: Micros,
-    /// Least difference in milliseconds between our clock and its datagrams', in this time window and the
-    /// last.
+    /// The minimum difference in milliseconds between the local clock and the datagrams'
+    /// timestamps, in the current time window and in the previous one.
     pub(super) min_delay_ms: [i64; 2],
-    /// When this time window began.
+    /// When the current time window started.
     pub(super) window_started: Micros,
 }
 
@@ -34,13 +36,13 @@
         window_started: 0,
     };
 
-    /// The least apparent delay in milliseconds: the clocks' difference and the network's delay.
+    /// The minimum apparent delay in milliseconds: the clock offset plus the network delay.
     pub(super) fn min_delay_ms(&self) -> i64 {
         self.min_delay_ms[0].min(self.min_delay_ms[1])
     }
 
-    /// Whether a datagram can be new, before its signature is checked; `delay` is its apparent delay in
-    /// milliseconds.
+    /// Checks, before the signature, whether a datagram can be new. `delay_ms` is its apparent
+    /// delay.
     pub(super) fn check(
         &self,
         now: Micros,
@@ -68,7 +70,8 @@
                 return Err(VerificationError::Old);
             }
         }
-        // Of a new run, or of a peer never heard, only the two clocks tell; they may differ by as much.
+        // For a new incarnation or an unknown peer only the clocks can be compared, so their offset
+        // counts too.
         let is_known_run = started_ms == self.started_ms && self.started_ms > 0;
         if !is_known_run && delay_ms.saturating_abs() > TIME_WINDOW / 1000 {
             return Err(VerificationError::Old);
@@ -76,7 +79,7 @@
         Ok(())
     }
 
-    /// Takes note of a datagram whose signature holds.
+    /// Records a datagram with a valid signature.
     pub(super) fn record(&mut self, now: Micros, started_ms: u64, number: u32, delay_ms: i64) {
         if started_ms != self.started_ms {
             (self.started_ms, self.highest_number, self.received_bitmap) =
@@ -98,7 +101,7 @@
         self.last_received = now;
     }
 
-    /// Moves the bitmap of received numbers on by `by`.
+    /// Shifts the bitmap of received numbers by `by` numbers.
     fn shift_window(&mut self, by: u32) {
         let (word_shift, bit_shift) = ((by / 64) as usize, by % 64);
         let previous = self.received_bitmap;
--- a/crates/gossip/src/seal/token_bucket.rs
+++ b/crates/gossip/src/seal/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// A token bucket that holds a second's worth at the most.
+/// A token bucket that holds at most one second's worth of tokens.
 #[derive(Clone, Copy)]
 pub struct TokenBucket {
     tokens: f64,
@@ -11,7 +11,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that gains `rate` tokens a second.
+    /// Creates a full bucket that gains `rate` tokens per second.
     pub fn new(rate: f64) -> TokenBucket {
         TokenBucket {
             tokens: rate,
@@ -20,12 +20,13 @@
         }
     }
 
-    /// Takes `count` tokens. False, and nothing taken, if there are fewer.
+    /// Takes `count` tokens. False, without taking any, if there are fewer.
     pub fn take(&mut self, now: Micros, count: f64) -> bool {
         self.take_with_reserve(now, count, 0.0)
     }
 
-    /// The same, unless fewer than `reserve` tokens would be left.
+    /// Takes `count` tokens if at least `reserve` tokens are left afterwards. False, without taking
+    /// any, if not.
     pub fn take_with_reserve(&mut self, now: Micros, count: f64, reserve: f64) -> bool {
         let gained = (now - self.updated_at).max(0) as f64 / 1e6 * self.rate;
         (self.tokens, self.updated_at) = ((self.tokens + gained).min(self.rate), now);
@@ -34,7 +35,7 @@
         has_enough
     }
 
-    /// Puts tokens back that were taken.
+    /// Returns tokens that were taken.
     pub fn refund(&mut self, count: f64) {
         self.tokens = (self.tokens + count).min(self.rate);
     }
--- a/crates/gossip/src/seal_tests.rs
+++ b/crates/gossip/src/seal_tests.rs
@@ -78,7 +78,7 @@
         peers.open(later, wall_ms, SOURCE, &second),
         Err(VerificationError::Old)
     );
-    // Nor to one that has never heard of it.
+    // A receiver without any earlier datagram of the sender rejects it too.
     let mut fresh = Peers::new(Keys::new(&[identity.public_key()]));
     assert_eq!(
         fresh.open(later, wall_ms, SOURCE, &first),
@@ -149,7 +149,7 @@
         rejected[&VerificationError::Forged] <= 2 * FAILED_CHECKS_PER_SOURCE as usize,
         "{rejected:?}"
     );
-    // Those of others still count meanwhile.
+    // Valid datagrams from other source addresses are still accepted.
     let other = IpAddr::V4(std::net::Ipv4Addr::new(127, 0, 0, 2));
     assert!(peers
         .open(1_000_000, WALL_MS, other, &identity.seal(WALL_MS, b"x"))
@@ -194,7 +194,7 @@
     let signed = identity.sign(&report);
     assert_eq!(peers.verify_report(0, SOURCE, &signed), Ok(report.clone()));
     let other = Identity::new(&[8; 32], 1);
-    // A liar whose key is good can't speak for another.
+    // A front with a known key can't sign a report in another front's name.
     let mut peers_with_both_keys =
         Peers::new(Keys::new(&[identity.public_key(), other.public_key()]));
     assert_eq!(
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! What fleets come to, over a simulated network.
+//! Discovery, failure detection, spread of reports and authentication in fleets over a simulated
+//! network.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +27,8 @@
     let mut fleet = Fleet::new(20, 1);
     fleet.loss_rate = 0.1;
     fleet.run(10 * SECOND);
-    // With one datagram in ten lost some are under suspicion at any time; nobody is given up for it.
+    // With one datagram in ten lost some fronts are suspected at any time, but none is declared
+    // dead.
     for n in 0..20 {
         assert_eq!(
             fleet.count_with_health(n, Health::Alive) + fleet.count_with_health(n, Health::Suspect),
@@ -37,7 +39,7 @@
     fleet.report_engine_statuses(7, faulty_status(77));
     fleet.run(13 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(77).len(), 19);
-    // It fades once its reporter no longer says so.
+    // The status expires once its reporter no longer reports it.
     fleet.report_engine_statuses(7, Vec::new());
     fleet.run(22 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(77).len(), 0);
@@ -67,7 +69,8 @@
     for n in (0..12).filter(|n| *n != 5) {
         assert_eq!(fleet.count_with_health(n, Health::Dead), 0, "{n}");
     }
-    // Its clock was set back by an hour meanwhile, and is right again: its new run has an earlier start.
+    // The clock was an hour behind at the restart: the new incarnation is lower than the one that
+    // died.
     fleet.start(5, 12, 3_600_000);
     fleet.run(60 * SECOND);
     assert_eq!(fleet.count_with_health(5, Health::Alive), 11);
@@ -113,7 +116,8 @@
     assert_eq!(fleet.count_with_health(3, Health::Left), 9);
 }
 
-/// What a datagram of this key holds that says a lie of an engine in the name of a reporter.
+/// A datagram sealed and a report signed with the key of `liar`, on an engine, in the name of
+/// `reporter`.
 fn datagram_with_report(
     liar: &mut Identity,
     reporter: PeerId,
@@ -163,7 +167,8 @@
     assert_eq!(before, after);
     assert!((0..6)
         .all(|n| fleet.nodes[n].as_ref().unwrap().rejected[&VerificationError::Stranger] == 1));
-    // A good key: in another's name it is refused, in its own it counts as one voice.
+    // A known key: a report in another front's name is rejected, one in its own name counts as one
+    // reporter.
     let wall_ms = fleet.wall_ms(0);
     let (other_id, liar_id) = (fleet.peer_id(2), fleet.peer_id(4));
     let forged = datagram_with_report(&mut liar, other_id, wall_ms, 8);
@@ -233,7 +238,7 @@
 }
 
 #[test]
-fn a_flood_from_one_peer_neither_delays_reports_nor_raises_traffic() {
+fn a_flood_from_one_peer_neither_stops_reports_nor_exceeds_the_traffic_limit() {
     let mut fleet = Fleet::new(8, 8);
     fleet.run(8 * SECOND);
     let before_calm = fleet.bytes_sent();
@@ -322,7 +327,7 @@
             .all(|bytes_per_second| *bytes_per_second < 4096.0),
         "{rates:?}"
     );
-    // Within a tenth of each other.
+    // The rates differ by less than a tenth.
     let (lowest, highest) = rates
         .iter()
         .fold((f64::MAX, 0.0f64), |(lowest, highest), r| {
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -1,5 +1,5 @@
-//! A fleet of fronts over a simulated network: everything is drawn from a seed, and time is a number. Shared
-//! by the tests of this crate and the measurement of the lab.
+//! A fleet of fronts over a simulated network. All random decisions derive from a seed, and time is
+//! a number. Shared by the tests of this crate and the lab's `measure gossip`.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashSet};
@@ -16,21 +16,21 @@
 
 pub struct Fleet {
     pub nodes: Vec<Option<Node>>,
-    /// Milliseconds by which each one's clock differs.
+    /// The offset of each front's clock from true time, in milliseconds.
     pub clock_offsets_ms: Vec<i64>,
     pub now: Micros,
     pub seed: u64,
     pub loss_rate: f64,
-    /// Pairs that can't reach each other.
+    /// Pairs of fronts that can't reach each other, the lower index first.
     pub cut_links: HashSet<(usize, usize)>,
     pub in_flight: BinaryHeap<Reverse<(Micros, u64, usize, usize)>>,
     pub bytes: Vec<Vec<u8>>,
     pub sequence: u64,
-    /// All that was sent, where `captures` is set.
+    /// All datagrams sent while `is_capturing` is set, with their senders.
     pub captured: Vec<(usize, Datagram)>,
     pub is_capturing: bool,
     keys: Rc<Keys>,
-    /// How many a front is told of at start, drawn by chance; 0 for the first two.
+    /// Number of randomly picked seeds of each front; 0 makes the first two fronts the seeds.
     seeds: usize,
 }
 
@@ -99,7 +99,7 @@
         (WALL as i64 + self.now / 1000 + self.clock_offsets_ms[n]) as u64
     }
 
-    /// Starts a front whose clock reads so many milliseconds less at its start than it should.
+    /// Starts a front whose clock is `behind_ms` milliseconds behind at its start.
     pub fn start(&mut self, n: usize, count: usize, behind_ms: u64) {
         let random_seeds: Vec<SocketAddr> = (0..self.seeds)
             .map(|_| address((next_random(&mut self.seed) % count as u64) as usize))
@@ -191,7 +191,7 @@
             .report_engine_statuses(now, wall_ms, statuses);
     }
 
-    /// Who has heard of this engine, and from whom.
+    /// The fronts that hold reports of others on this engine, and the reporters.
     pub fn fronts_with_report_on(&self, engine: u64) -> Vec<(usize, BTreeSet<PeerId>)> {
         let reporters = |node: &Node| -> BTreeSet<PeerId> {
             let reports = node.peer_reports(self.now);
@@ -209,7 +209,7 @@
         all.filter(|(_, reporters)| !reporters.is_empty()).collect()
     }
 
-    /// How many of those that run take this one to be so.
+    /// The number of running fronts that see the front `of` with this health.
     pub fn count_with_health(&self, of: usize, health: Health) -> usize {
         let id = self.peer_id(of);
         self.nodes
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Forged load reports count for nothing however many come, and each front counts once.
+//! Forged load reports are ignored however many are received, and each front counts once.
 
 #[allow(dead_code)]
 #[path = "fleet/sim.rs"]
@@ -28,7 +28,7 @@
     }
 }
 
-/// A datagram of `own` that holds these reports.
+/// A datagram sealed by `own` that carries these reports.
 fn datagram_with(own: &mut Identity, reports: &[Signed]) -> Vec<u8> {
     let payload = [
         &[Channel::Load as u8][..],
@@ -72,10 +72,10 @@
     assert_eq!(
         requested(&node, 1),
         [7],
-        "whoever passes it on, the report is its reporter's"
+        "the report counts for its reporter, whichever front forwards it"
     );
     assert!(node.has_peer_load(1));
-    // Under another's name, of fronts that nobody knows, cut truncated, with more workloads than count.
+    // Reports in another front's name, of an unknown front, truncated, and with too many loads.
     let stranger = Identity::new(&secret(9), WALL);
     for version in 2..400 {
         let forged = liar.sign_load_report(&report(honest.id, version, u32::MAX));
@@ -96,7 +96,7 @@
     }
     assert_eq!(requested(&node, 500), [7]);
     assert!(node.rejected.values().sum::<u64>() > 0);
-    // One that speaks for itself without end counts once, by its last report.
+    // A front that keeps reporting for itself counts once, by its last accepted report.
     for version in 1..400 {
         let own = liar.sign_load_report(&report(liar.id, version, u32::MAX - version));
         let datagram = datagram_with(&mut liar, &[own]);
@@ -113,6 +113,6 @@
         "{:?}",
         requested(&node, now)
     );
-    // What is not renewed is gone in seconds.
+    // Reports that are not renewed expire within seconds.
     assert!(!node.has_peer_load(12 * SECOND) && requested(&node, 12 * SECOND).is_empty());
 }
