--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -1,4 +1,4 @@
-//! Channels: other subsystems of a front (leases, ledger, rules, summaries, order queues) send
+//! Channels: other subsystems of a front (leases, ledger, rules, summaries, key queues) send
 //! their own messages to their counterparts on other fronts inside gossip datagrams. The first byte
 //! of a payload identifies the channel. Each channel has a separate byte rate limit, so that none
 //! can starve another.
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -116,10 +116,10 @@
     assert_eq!(fleet.count_with_health(3, Health::Left), 9);
 }
 
-/// A datagram sealed and a report signed with the key of `liar`, on an engine, in the name of
+/// A datagram sealed and a report signed with the key of `malicious`, on an engine, in the name of
 /// `reporter`.
 fn datagram_with_report(
-    liar: &mut Identity,
+    malicious: &mut Identity,
     reporter: PeerId,
     wall_ms: u64,
     engine: u64,
@@ -133,7 +133,7 @@
         statuses: faulty_status(engine),
         ownership: Default::default(),
     };
-    let signed = liar.sign(&report);
+    let signed = malicious.sign(&report);
     let message = message::Message {
         probe: Probe::None,
         updates: Vec::new(),
@@ -141,7 +141,7 @@
         payload: Vec::new(),
     };
     let content = message::encode(&message);
-    liar.seal(wall_ms, &content)
+    malicious.seal(wall_ms, &content)
 }
 
 #[test]
@@ -151,13 +151,13 @@
     let before: Vec<_> = (0..6)
         .map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now))
         .collect();
-    let (mut stranger, mut liar) = (
+    let (mut unknown, mut malicious) = (
         Identity::new(&secret(999), WALL),
         Identity::new(&secret(4), WALL + 8_001),
     );
     let wall_ms = fleet.wall_ms(0);
     for to in 0..6 {
-        let forged = datagram_with_report(&mut stranger, fleet.peer_id(2), wall_ms, 8);
+        let forged = datagram_with_report(&mut unknown, fleet.peer_id(2), wall_ms, 8);
         fleet.deliver(5, to, 1, forged);
     }
     fleet.run(9 * SECOND);
@@ -170,17 +170,17 @@
     // A known key: a report in another front's name is rejected, one in its own name counts as one
     // reporter.
     let wall_ms = fleet.wall_ms(0);
-    let (other_id, liar_id) = (fleet.peer_id(2), fleet.peer_id(4));
-    let forged = datagram_with_report(&mut liar, other_id, wall_ms, 8);
+    let (other_id, malicious_id) = (fleet.peer_id(2), fleet.peer_id(4));
+    let forged = datagram_with_report(&mut malicious, other_id, wall_ms, 8);
     fleet.deliver(4, 0, 1, forged);
-    let own_report = datagram_with_report(&mut liar, liar_id, wall_ms, 9);
+    let own_report = datagram_with_report(&mut malicious, malicious_id, wall_ms, 9);
     fleet.deliver(4, 0, 2, own_report);
     fleet.run(12 * SECOND);
     assert_eq!(fleet.fronts_with_report_on(8).len(), 0);
     assert!(fleet
         .fronts_with_report_on(9)
         .iter()
-        .all(|(_, reporters)| *reporters == BTreeSet::from([liar_id])));
+        .all(|(_, reporters)| *reporters == BTreeSet::from([malicious_id])));
     assert!(!fleet.fronts_with_report_on(9).is_empty());
 }
 
@@ -283,7 +283,7 @@
 fn false_death_updates_are_refuted() {
     let mut fleet = Fleet::new(6, 9);
     fleet.run(8 * SECOND);
-    let mut liar = Identity::new(&secret(4), WALL + 8_001);
+    let mut malicious = Identity::new(&secret(4), WALL + 8_001);
     let wall_ms = fleet.wall_ms(0);
     let victim = fleet.peer_id(2);
     for incarnation in [WALL + 1, WALL + 1_000_000, u64::MAX] {
@@ -301,7 +301,7 @@
         };
         let content = message::encode(&message);
         for to in [0, 1, 3, 5] {
-            let bytes = liar.seal(wall_ms, &content);
+            let bytes = malicious.seal(wall_ms, &content);
             fleet.deliver(4, to, 1000, bytes);
         }
     }
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// A datagram sealed by `own` that carries these reports.
-fn datagram_with(own: &mut Identity, reports: &[Signed]) -> Vec<u8> {
+/// A datagram sealed by `sender` that carries these reports.
+fn datagram_with(sender: &mut Identity, reports: &[Signed]) -> Vec<u8> {
     let payload = [
         &[Channel::Load as u8][..],
         &message::encode(&reports.to_vec()),
@@ -41,7 +41,7 @@
         reports: Vec::new(),
         payload,
     };
-    own.seal(WALL, &message::encode(&message))
+    sender.seal(WALL, &message::encode(&message))
 }
 
 fn requested(node: &Node, now: Micros) -> Vec<u32> {
@@ -60,12 +60,12 @@
     };
     let mut node = Node::new(config, WALL);
     node.enable_load_reports();
-    let (mut liar, honest) = (
+    let (mut malicious, honest) = (
         Identity::new(&secret(1), WALL),
         Identity::new(&secret(2), WALL),
     );
     let passed_on = datagram_with(
-        &mut liar,
+        &mut malicious,
         &[honest.sign_load_report(&report(honest.id, 1, 7))],
     );
     node.receive(0, WALL, address(1), &passed_on);
@@ -76,21 +76,21 @@
     );
     assert!(node.has_peer_load(1));
     // Reports in another front's name, of an unknown front, truncated, and with too many loads.
-    let stranger = Identity::new(&secret(9), WALL);
+    let unknown = Identity::new(&secret(9), WALL);
     for version in 2..400 {
-        let forged = liar.sign_load_report(&report(honest.id, version, u32::MAX));
-        let unknown_reporter = stranger.sign_load_report(&report(stranger.id, version, u32::MAX));
+        let forged = malicious.sign_load_report(&report(honest.id, version, u32::MAX));
+        let unknown_reporter = unknown.sign_load_report(&report(unknown.id, version, u32::MAX));
         let mut truncated = honest.sign_load_report(&report(honest.id, version, 9));
         truncated.report.pop();
         let too_many = LoadReport {
             offered: vec![OfferedLoad::default(); 25],
-            ..report(liar.id, version, 0)
+            ..report(malicious.id, version, 0)
         };
         for reports in [
             [forged, unknown_reporter],
-            [truncated, liar.sign_load_report(&too_many)],
+            [truncated, malicious.sign_load_report(&too_many)],
         ] {
-            let datagram = datagram_with(&mut liar, &reports);
+            let datagram = datagram_with(&mut malicious, &reports);
             node.receive(Micros::from(version), WALL, address(1), &datagram);
         }
     }
@@ -98,8 +98,9 @@
     assert!(node.rejected.values().sum::<u64>() > 0);
     // A front that keeps reporting for itself counts once, by its last accepted report.
     for version in 1..400 {
-        let own = liar.sign_load_report(&report(liar.id, version, u32::MAX - version));
-        let datagram = datagram_with(&mut liar, &[own]);
+        let own_report =
+            malicious.sign_load_report(&report(malicious.id, version, u32::MAX - version));
+        let datagram = datagram_with(&mut malicious, &[own_report]);
         node.receive(
             SECOND + Micros::from(version) * 10_000,
             WALL + 1_000,
