--- a/crates/fleet/src/ownership/messages.rs
+++ b/crates/fleet/src/ownership/messages.rs
@@ -14,13 +14,13 @@
     /// Processes a message received on the lease channel; counts the ones that are refused.
     pub fn receive(&mut self, at: ClockReading, message: &ChannelMessage) {
         let from = message.from;
-        let Some(envelope) = hallmux_lease::read(&message.bytes) else {
+        let Some(envelope) = hallmux_lease::decode(&message.bytes) else {
             return self.refuse(OwnershipRefusal::Malformed);
         };
         if envelope.fleet != self.fleet {
             return self.refuse(OwnershipRefusal::OtherFleet);
         }
-        self.addresses.insert(from, message.at);
+        self.addresses.insert(from, message.address);
         match (envelope.message, &mut self.voter) {
             (LeaseMessage::Reply(reply), _) if self.voters.contains_key(&from) => {
                 self.holder.receive(&reply)
@@ -96,6 +96,6 @@
     to: SocketAddr,
     envelope: &Envelope,
 ) -> Option<Datagram> {
-    let bytes = hallmux_lease::bytes(envelope);
+    let bytes = hallmux_lease::encode(envelope);
     node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &bytes)
 }
--- a/crates/gossip/src/load_reports_tests.rs
+++ b/crates/gossip/src/load_reports_tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_lowest_reporters_count_in_any_order_and_the_latest_of_each() {
+fn the_latest_reports_of_the_lowest_ids_are_kept_in_any_order() {
     let mut all: Vec<LoadReport> = (0..40)
         .flat_map(|n| [report(n, 1, 1), report(n, 2, 100 + n as u32)])
         .collect();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_report_that_is_not_renewed_expires_and_makes_place_for_others() {
+fn an_expired_report_makes_room_for_another_reporter() {
     let mut reports = LoadReports::default();
     (0..MAX_REPORTERS as u64).for_each(|n| _ = reports.merge(0, report(n, 1, 1), signed(), 0));
     assert!(
@@ -62,18 +62,18 @@
     assert_eq!(requested(&reports, EXPIRY), [7]);
     assert!(
         !reports.merge(EXPIRY, report(98, 1, 7), signed(), EXPIRY),
-        "older than it lasts"
+        "older than the expiry"
     );
 }
 
 #[test]
-fn bytes_and_workloads_are_bounded() {
+fn bytes_loads_and_sends_are_bounded() {
     let mut reports = LoadReports::default();
     let mut long = report(1, 1, 1);
     long.offered = vec![OfferedLoad::default(); MAX_LOADS + 1];
     assert!(!reports.merge(0, long, signed(), 0));
     (0..8).for_each(|n| _ = reports.merge(0, report(n, 1, 1), signed(), 0));
-    assert_eq!(reports.pass_on(1, 230).len(), 2);
-    let rest: usize = (0..99).map(|_| reports.pass_on(1, 1_000).len()).sum();
-    assert_eq!(rest + 2, 8 * MAX_SENT as usize);
+    assert_eq!(reports.pick_to_send(1, 230).len(), 2);
+    let remaining: usize = (0..99).map(|_| reports.pick_to_send(1, 1_000).len()).sum();
+    assert_eq!(remaining + 2, 8 * MAX_SENDS as usize);
 }
