--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -22,7 +22,7 @@
 use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
 use crate::listed_engine::ListedEngine;
-use crate::reuse::Reuse;
+use crate::reuse::ReusePolicy;
 use connection::{ConnectionId, EngineConnection};
 use execution::{Execution, Stage};
 use pending_cancel::AwaitingCancel;
@@ -87,7 +87,7 @@
     max_connections: usize,
     /// When connections may be made; any time where nothing else is set.
     pub dials: DialPacer,
-    reuse: Reuse,
+    reuse: ReusePolicy,
     /// Cancelled, but their engines may not have read so yet, in the order in which they were.
     awaiting_cancel: Vec<AwaitingCancel>,
     /// What has happened since the events were last taken.
@@ -103,7 +103,7 @@
     ) -> Self {
         Engines {
             handle,
-            reuse: Reuse::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
+            reuse: ReusePolicy::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
             allowance,
             report_names: names.report.clone(),
             engines: BTreeMap::new(),
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -202,7 +202,7 @@
             );
         }
         if ending == Ending::Answered {
-            self.reuse.answered();
+            self.reuse.record_answer();
         } else {
             let former_ids = if self.allowance.cancel {
                 &mut connection.cancelled
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -23,7 +23,7 @@
             && !connection.open.is_empty();
         if was_lost && connection.last_reply < connection.resumed_at {
             self.reuse
-                .lost(connection.idle_before, now - connection.resumed_at);
+                .record_loss(connection.idle_before, now - connection.resumed_at);
         }
         if let Some(engine) = self.engines.get_mut(&connection.place) {
             engine.connections.retain(|other| *other != id);
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -74,7 +74,7 @@
 
 impl EventLoopState {
     /// How long nothing is due: the event loop may sleep for that long.
-    pub fn idle(&mut self) -> Duration {
+    pub fn prepare_sleep(&mut self) -> Duration {
         self.clock.refresh();
         let due = self.next_due();
         self.clock.sleep(due)
@@ -109,14 +109,14 @@
     }
 
     /// A connection has changed: takes what is there.
-    pub fn ready(&mut self, socket: SocketId) {
+    pub fn handle_ready_socket(&mut self, socket: SocketId) {
         self.clock.refresh();
         self.clock.wake();
         let number = socket.number;
         let more = match socket.kind {
             // Statements of one order key run in the order in which they were taken: each is taken as it is found.
             SocketKind::Listener => {
-                self.listener.readable();
+                self.listener.mark_readable();
                 self.accept();
                 false
             }
@@ -149,9 +149,9 @@
         }
     }
 
-    /// One iteration of the event loop, after `ready` was called for each socket that it reported: reads what is left,
+    /// One iteration of the event loop, after `handle_ready_socket` was called for each socket that it reported: reads what is left,
     /// decides on all that was read, and sends what follows.
-    pub fn iterate(&mut self) {
+    pub fn run_iteration(&mut self) {
         self.read_rest();
         self.decide();
         self.answer_clients();
@@ -166,7 +166,7 @@
         self.clock.refresh();
         self.clock.wake();
         for socket in std::mem::take(&mut self.unfinished) {
-            self.ready(socket);
+            self.handle_ready_socket(socket);
         }
         self.accept();
         let admission = self.admission_state();
@@ -295,8 +295,8 @@
             match Link::new(stream, &self.handle, SocketKind::Client.id(id)) {
                 Ok(link) => {
                     self.clients
-                        .accept(now, id, link, self.listener.waited(now));
-                    self.ready(SocketKind::Client.id(id));
+                        .accept(now, id, link, self.listener.unread_for(now));
+                    self.handle_ready_socket(SocketKind::Client.id(id));
                 }
                 Err(e) => log::warn!("a client's connection can't be served: {e}"),
             }
--- a/crates/front/src/event_loop/graceful_shutdown.rs
+++ b/crates/front/src/event_loop/graceful_shutdown.rs
@@ -13,7 +13,7 @@
 use super::EventLoopState;
 use crate::fleet::LoggedGuard;
 use crate::postgres::gateway::Gateway;
-use crate::shutdown::LedgerDuty;
+use crate::shutdown::LedgerDependency;
 
 impl EventLoopState {
     /// SIGTERM has come. A second one does not move the end.
@@ -30,12 +30,15 @@
 
     /// Closes the listeners and what is idle, once the grace period is over.
     pub(super) fn close_if_due(&mut self) {
-        if !self.shutdown.closes(self.clock.now, self.ledger_duty()) {
+        if !self
+            .shutdown
+            .closes(self.clock.now, self.ledger_dependency())
+        {
             return;
         }
         // Whoever has connected by now is served: closing the listener resets what waits there. The event loop may
         // not have reported it yet.
-        self.listener.readable();
+        self.listener.mark_readable();
         self.accept();
         if self.listener.may_have_more() && self.shutdown.may_wait(self.clock.now) {
             return;
@@ -60,9 +63,11 @@
     }
 
     /// What of the ledger delays the end of this front; nothing before SIGTERM.
-    fn ledger_duty(&self) -> LedgerDuty {
+    fn ledger_dependency(&self) -> LedgerDependency {
         let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
-        peers.map_or(LedgerDuty::None, |peers| peers.ledger_duty(self.clock.now))
+        peers.map_or(LedgerDependency::None, |peers| {
+            peers.ledger_dependency(self.clock.now)
+        })
     }
 
     /// Whether all is answered after SIGTERM: the process may end.
--- a/crates/front/src/event_loop_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -22,22 +22,22 @@
 #[path = "postgres/session_units_tests.rs"]
 mod session_units;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 const START: Micros = 1_800_000_000_000_000; // Unix microseconds
-const LATER: Micros = START + 700_000; // the end was asked for at the start, and the listener is due to close
-const AIM_MS: u32 = 2000; // milliseconds that statements are meant to take, where a test says nothing else
-const BEFORE: usize = 3; // iterations after that in which it is still open
+const CLOSE_TIME: Micros = START + 700_000; // the end was asked for at the start, and the listener is due to close
+const SLO_TIME_MS: u32 = 2000; // milliseconds that statements are meant to take, where a test says nothing else
+const ITERATIONS_BEFORE_CLOSE: usize = 3; // iterations after that in which it is still open
 
 /// A front that no loop drives, with a clock that the test moves.
-pub(super) struct Driven {
+pub(super) struct FrontHarness {
     pub(super) front: EventLoopState,
     events: EventLoop<'static, LoopEvents>,
-    pub(super) listens: SocketAddr,
-    sessions: SocketAddr,
+    pub(super) listen_address: SocketAddr,
+    session_address: SocketAddr,
     files: [PathBuf; 2],
 }
 
-impl Drop for Driven {
+impl Drop for FrontHarness {
     fn drop(&mut self) {
         self.files
             .iter()
@@ -45,21 +45,35 @@
     }
 }
 
-impl Driven {
+impl FrontHarness {
     /// With an engine that speaks PostgreSQL.
-    fn new(name: &str, engine: SocketAddr, cancelling: bool) -> Driven {
-        Driven::with_limits(name, engine, cancelling, "")
+    fn new(name: &str, engine: SocketAddr, cancelling: bool) -> FrontHarness {
+        FrontHarness::with_limits(name, engine, cancelling, "")
     }
 
     /// The same with limits of sessions, as the operator's file has them.
-    fn with_limits(name: &str, engine: SocketAddr, cancelling: bool, limits: &str) -> Driven {
-        let agreed = (json!({"cancelling": cancelling}), lookup(AIM_MS));
-        Driven::start(name, &[engine], &sessions(limits), agreed).unwrap()
+    fn with_limits(name: &str, engine: SocketAddr, cancelling: bool, limits: &str) -> FrontHarness {
+        let agreed = (
+            json!({"cancelling": cancelling}),
+            lookup_workload(SLO_TIME_MS),
+        );
+        FrontHarness::start(name, &[engine], &operator_file(limits), agreed).unwrap()
     }
 
     /// With several engines, what is agreed of bounds, and the time that statements are meant to take.
-    fn with_engines(name: &str, engines: &[SocketAddr], bounds: Value, aim_ms: u32) -> Driven {
-        Driven::start(name, engines, &sessions(""), (bounds, lookup(aim_ms))).unwrap()
+    fn with_engines(
+        name: &str,
+        engines: &[SocketAddr],
+        bounds: Value,
+        slo_time_ms: u32,
+    ) -> FrontHarness {
+        FrontHarness::start(
+            name,
+            engines,
+            &operator_file(""),
+            (bounds, lookup_workload(slo_time_ms)),
+        )
+        .unwrap()
     }
 
     /// With an operator's file, and bounds and workloads of the test's own.
@@ -68,7 +82,7 @@
         engines: &[SocketAddr],
         operator: &str,
         (bounds, workloads): (Value, Value),
-    ) -> Result<Driven, StartError> {
+    ) -> Result<FrontHarness, StartError> {
         let file = |kind: &str| {
             std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()))
         };
@@ -98,64 +112,64 @@
             hallmux_native_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
         let events = EventLoop::try_new().unwrap();
         let listener = TcpListener::bind(config.listen).unwrap();
-        let listens = listener.local_addr().unwrap();
+        let listen_address = listener.local_addr().unwrap();
         let front = EventLoopState::new(&config, &known, listener, events.handle())?;
-        let sessions = front
+        let session_address = front
             .gateway
             .as_ref()
             .and_then(Gateway::address)
-            .unwrap_or(listens);
-        Ok(Driven {
+            .unwrap_or(listen_address);
+        Ok(FrontHarness {
             front,
             events,
-            listens,
-            sessions,
+            listen_address,
+            session_address,
             files,
         })
     }
 
     /// Up to the iteration in which it closes its listeners.
-    fn is_about_to_close(&mut self) {
+    fn advance_to_listener_close(&mut self) {
         self.front.shut_down();
-        write_clock(&self.files[0], LATER);
-        (0..BEFORE).for_each(|_| self.front.iterate());
+        write_clock(&self.files[0], CLOSE_TIME);
+        (0..ITERATIONS_BEFORE_CLOSE).for_each(|_| self.front.run_iteration());
         assert!(self.front.listener.is_open());
     }
 
     /// Finds what has come, but does not go on with the iteration: on sockets of which kinds something has.
-    fn finds(&mut self) -> Vec<SocketKind> {
-        let mut changes = self.has_something_to_tell();
+    fn read_ready_sockets(&mut self) -> Vec<SocketKind> {
+        let mut changes = self.wait_for_events();
         let found = changes.ready.iter().map(|socket| socket.kind).collect();
         changes
             .ready
             .drain(..)
-            .for_each(|socket| self.front.ready(socket));
+            .for_each(|socket| self.front.handle_ready_socket(socket));
         found
     }
 
     /// One iteration, as `run` has it.
-    pub(super) fn goes_on(&mut self) {
+    pub(super) fn run_iteration(&mut self) {
         let mut changes = LoopEvents::default();
         self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
         changes
             .ready
             .drain(..)
-            .for_each(|socket| self.front.ready(socket));
-        self.front.iterate();
+            .for_each(|socket| self.front.handle_ready_socket(socket));
+        self.front.run_iteration();
     }
 
     /// Waits until the loop has a change to tell, which the front has not heard of.
-    fn has_something_to_tell(&mut self) -> LoopEvents {
+    fn wait_for_events(&mut self) -> LoopEvents {
         let (begun, mut changes) = (Instant::now(), LoopEvents::default());
         while changes.ready.is_empty() {
-            assert!(begun.elapsed() < PATIENCE, "nothing has come");
+            assert!(begun.elapsed() < WAIT_LIMIT, "nothing has come");
             self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
         }
         changes
     }
 
     /// Goes on until there is what is waited for.
-    pub(super) fn until<T>(
+    pub(super) fn run_until<T>(
         &mut self,
         what: &str,
         mut there: impl FnMut(&EventLoopState) -> Option<T>,
@@ -165,16 +179,16 @@
             if let Some(found) = there(&self.front) {
                 return found;
             }
-            assert!(begun.elapsed() < PATIENCE, "{what}");
-            self.goes_on();
+            assert!(begun.elapsed() < WAIT_LIMIT, "{what}");
+            self.run_iteration();
         }
     }
 
     /// Goes on until a peer has something to read: the first bytes of that, none at its end.
-    fn hears(&mut self, peer: &mut TcpStream) -> Vec<u8> {
+    fn receive(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         peer.set_nonblocking(true).unwrap();
         let mut heard = vec![0; 4096];
-        self.until("an answer", |_| match peer.read(&mut heard) {
+        self.run_until("an answer", |_| match peer.read(&mut heard) {
             Ok(len) => Some(heard[..len].to_vec()),
             Err(e) => {
                 assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}");
@@ -184,10 +198,10 @@
     }
 
     /// The same until certain bytes have come, which not all before them have to be.
-    pub(super) fn hears_text(&mut self, peer: &mut TcpStream, text: &str) -> String {
+    pub(super) fn receive_until(&mut self, peer: &mut TcpStream, text: &str) -> String {
         let mut all = String::new();
         while !all.contains(text) {
-            let heard = self.hears(peer);
+            let heard = self.receive(peer);
             assert!(
                 !heard.is_empty(),
                 "{text} did not come, but the end behind {all:?}"
@@ -198,24 +212,24 @@
     }
 
     /// A session that has come in.
-    fn enters(&mut self) -> TcpStream {
-        let mut session = TcpStream::connect(self.sessions).unwrap();
-        starts_up(&mut session, "portal");
-        self.hears_text(&mut session, "Z\0\0\0\x05I");
+    fn open_session(&mut self) -> TcpStream {
+        let mut session = TcpStream::connect(self.session_address).unwrap();
+        send_startup(&mut session, "portal");
+        self.receive_until(&mut session, "Z\0\0\0\x05I");
         session
     }
 
     /// The front's next connection to the engine, which waits for its login.
-    fn dials(&mut self, engine: &TcpListener) -> TcpStream {
+    fn accept_dial(&mut self, engine: &TcpListener) -> TcpStream {
         engine.set_nonblocking(true).unwrap();
-        let mut stream = self.until("a dial", |_| engine.accept().ok()).0;
-        self.hears_text(&mut stream, "user");
+        let mut stream = self.run_until("a dial", |_| engine.accept().ok()).0;
+        self.receive_until(&mut stream, "user");
         stream
     }
 }
 
 /// An operator's file that lets sessions in, with limits of theirs.
-fn sessions(limits: &str) -> String {
+fn operator_file(limits: &str) -> String {
     format!(
         "{{ postgres: {{ listen: '127.0.0.1:0', engines: [{{ kinds: ['std'] }}], \
          users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }}, limits: {{ {limits} }} }} }}"
@@ -223,23 +237,23 @@
 }
 
 /// A workload whose statements are meant to take so long.
-fn lookup(aim_ms: u32) -> Value {
-    json!([{"name": "lookup", "aimMs": aim_ms, "deadlineMs": 8000, "repeat": "repeatable"}])
+fn lookup_workload(slo_time_ms: u32) -> Value {
+    json!([{"name": "lookup", "aimMs": slo_time_ms, "deadlineMs": 8000, "repeat": "repeatable"}])
 }
 
-fn starts_up(session: &mut TcpStream, user: &str) {
+fn send_startup(session: &mut TcpStream, user: &str) {
     let mut out = Vec::new();
     wire::write_start_up(&mut out, &[("user", user), ("database", "x")]);
     session.write_all(&out).unwrap();
 }
 
-fn asks(session: &mut TcpStream, text: &str) {
+fn send_query(session: &mut TcpStream, text: &str) {
     let mut out = Vec::new();
     wire::write_query(&mut out, text.as_bytes());
     session.write_all(&out).unwrap();
 }
 
-fn lets_in(engine: &mut TcpStream) {
+fn accept_login(engine: &mut TcpStream) {
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
     wire::write_key(
@@ -253,7 +267,7 @@
     engine.write_all(&out).unwrap();
 }
 
-fn answers(engine: &mut TcpStream, tag: &str, status: u8) {
+fn send_completion(engine: &mut TcpStream, tag: &str, status: u8) {
     let mut out = Vec::new();
     wire::write_complete(&mut out, tag);
     wire::write_ready(&mut out, status);
@@ -273,14 +287,14 @@
 #[test]
 fn who_connects_right_before_the_listener_closes_is_answered() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("last-client", at, true);
-    driven.is_about_to_close();
+    let mut harness = FrontHarness::new("last-client", at, true);
+    harness.advance_to_listener_close();
     // The loop has not told of it: it is in the listener's queue alone.
-    let mut client = TcpStream::connect(driven.listens).unwrap();
+    let mut client = TcpStream::connect(harness.listen_address).unwrap();
     client.write_all(&frame(7, "select 7")).unwrap();
-    driven.front.iterate();
-    assert!(!driven.front.listener.is_open());
-    let heard = driven.hears(&mut client);
+    harness.front.run_iteration();
+    assert!(!harness.front.listener.is_open());
+    let heard = harness.receive(&mut client);
     // A reply to number 7, whose second field is there: rejected.
     let reply = [
         &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
@@ -293,28 +307,28 @@
         "{heard:?}"
     );
     // And the end, in order.
-    assert!(driven.hears(&mut client).is_empty());
+    assert!(harness.receive(&mut client).is_empty());
 }
 
 #[test]
 fn a_request_that_crosses_the_close_of_its_resting_connection_is_answered() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("resting-client", at, true);
-    let mut client = TcpStream::connect(driven.listens).unwrap();
+    let mut harness = FrontHarness::new("resting-client", at, true);
+    let mut client = TcpStream::connect(harness.listen_address).unwrap();
     // One that can't be used is answered at once; then the connection rests.
     client.write_all(&frame(6, "")).unwrap();
-    assert!(!driven.hears(&mut client).is_empty());
-    driven.is_about_to_close();
+    assert!(!harness.receive(&mut client).is_empty());
+    harness.advance_to_listener_close();
     // It is there before the front closes what rests, but the loop tells of it only afterwards.
     client.write_all(&frame(7, "select 7")).unwrap();
-    let mut changes = driven.has_something_to_tell();
-    driven.front.iterate();
-    assert!(!driven.front.listener.is_open());
+    let mut changes = harness.wait_for_events();
+    harness.front.run_iteration();
+    assert!(!harness.front.listener.is_open());
     changes
         .ready
         .drain(..)
-        .for_each(|socket| driven.front.ready(socket));
-    let heard = driven.hears(&mut client);
+        .for_each(|socket| harness.front.handle_ready_socket(socket));
+    let heard = harness.receive(&mut client);
     let reply = [
         &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
         b"serve",
@@ -325,53 +339,53 @@
         heard.len() > 4 && heard[4..].starts_with(&reply),
         "{heard:?}"
     );
-    assert!(driven.hears(&mut client).is_empty());
+    assert!(harness.receive(&mut client).is_empty());
 }
 
 #[test]
 fn a_session_that_connects_right_before_the_listener_closes_is_told_of_the_end() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("last-session", at, true);
-    driven.is_about_to_close();
-    let mut session = TcpStream::connect(driven.sessions).unwrap();
-    driven.front.iterate();
-    let heard = driven.hears(&mut session);
+    let mut harness = FrontHarness::new("last-session", at, true);
+    harness.advance_to_listener_close();
+    let mut session = TcpStream::connect(harness.session_address).unwrap();
+    harness.front.run_iteration();
+    let heard = harness.receive(&mut session);
     assert!(
         heard.starts_with(b"E") && heard.windows(5).any(|code| code == b"57P01"),
         "{heard:?}"
     );
-    assert!(driven.hears(&mut session).is_empty());
+    assert!(harness.receive(&mut session).is_empty());
 }
 
 #[test]
 fn a_unit_that_comes_right_before_its_idle_session_is_closed_is_answered() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("last-unit", at, true);
-    let mut session = driven.enters();
-    driven.is_about_to_close();
-    asks(&mut session, "SET hallmux.workload = 'lookup'");
-    driven.front.iterate();
-    let heard = driven.hears_text(&mut session, "57P01");
+    let mut harness = FrontHarness::new("last-unit", at, true);
+    let mut session = harness.open_session();
+    harness.advance_to_listener_close();
+    send_query(&mut session, "SET hallmux.workload = 'lookup'");
+    harness.front.run_iteration();
+    let heard = harness.receive_until(&mut session, "57P01");
     assert!(heard.starts_with("C\0\0\0\x08SET\0Z"), "{heard:?}");
-    assert!(driven.hears(&mut session).is_empty());
+    assert!(harness.receive(&mut session).is_empty());
 }
 
 #[test]
 fn a_unit_that_waits_for_its_connection_is_not_sent_once_its_session_has_left() {
     let (engine, at) = listener();
     // Engines are not told to give anything up.
-    let mut driven = Driven::new("left-session", at, false);
-    let mut first = driven.enters();
-    asks(&mut first, "select 1");
-    let mut link = driven.dials(&engine);
+    let mut harness = FrontHarness::new("left-session", at, false);
+    let mut first = harness.open_session();
+    send_query(&mut first, "select 1");
+    let mut link = harness.accept_dial(&engine);
     drop(first);
-    driven.until("its end is known", |front| {
+    harness.run_until("its end is known", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
     });
-    lets_in(&mut link);
-    let mut second = driven.enters();
-    asks(&mut second, "select 2");
-    let heard = driven.hears_text(&mut link, "select");
+    accept_login(&mut link);
+    let mut second = harness.open_session();
+    send_query(&mut second, "select 2");
+    let heard = harness.receive_until(&mut link, "select");
     assert!(
         heard.contains("select 2") && !heard.contains("select 1"),
         "{heard:?}"
@@ -381,61 +395,63 @@
 #[test]
 fn a_unit_decided_on_by_an_old_look_is_not_sent_once_its_session_has_left() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("stale-session", at, true);
-    let mut session = driven.enters();
-    asks(&mut session, "select 1");
-    let mut link = driven.dials(&engine);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 1");
-    answers(&mut link, "SELECT 0", b'I');
-    driven.hears_text(&mut session, "SELECT 0");
-    asks(&mut session, "select 2");
+    let mut harness = FrontHarness::new("stale-session", at, true);
+    let mut session = harness.open_session();
+    send_query(&mut session, "select 1");
+    let mut link = harness.accept_dial(&engine);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 1");
+    send_completion(&mut link, "SELECT 0", b'I');
+    harness.receive_until(&mut session, "SELECT 0");
+    send_query(&mut session, "select 2");
     // It is found, then the front is held up, and decides.
-    driven.finds();
-    write_clock(&driven.files[0], START + 30_000);
-    driven.front.iterate();
-    assert!(driven.front.flush_deferred);
+    harness.read_ready_sockets();
+    write_clock(&harness.files[0], START + 30_000);
+    harness.front.run_iteration();
+    assert!(harness.front.flush_deferred);
     drop(session);
     // The connection that it was written to goes with it.
-    let heard = driven.hears(&mut link);
+    let heard = harness.receive(&mut link);
     assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
 }
 
 #[test]
 fn a_unit_that_comes_right_before_its_resting_session_makes_room_is_answered() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("room", at, true);
-    let mut session = driven.enters();
-    driven.front.max_clients = 1;
-    write_clock(&driven.files[0], START + 2_000_000);
-    asks(&mut session, "SET hallmux.workload = 'lookup'");
-    let _newcomer = TcpStream::connect(driven.sessions).unwrap();
+    let mut harness = FrontHarness::new("room", at, true);
+    let mut session = harness.open_session();
+    harness.front.max_clients = 1;
+    write_clock(&harness.files[0], START + 2_000_000);
+    send_query(&mut session, "SET hallmux.workload = 'lookup'");
+    let _newcomer = TcpStream::connect(harness.session_address).unwrap();
     // The loop tells of the newcomer alone.
-    driven.front.ready(SocketKind::SessionListener.id(0));
-    driven.front.iterate();
-    assert_eq!(driven.front.gateway.as_ref().map(Gateway::len), Some(1));
-    driven.hears_text(&mut session, "SET\0");
+    harness
+        .front
+        .handle_ready_socket(SocketKind::SessionListener.id(0));
+    harness.front.run_iteration();
+    assert_eq!(harness.front.gateway.as_ref().map(Gateway::len), Some(1));
+    harness.receive_until(&mut session, "SET\0");
 }
 
 #[test]
 fn a_session_that_has_said_half_a_message_does_not_hold_up_the_end() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("half-unit", at, true);
-    let mut session = driven.enters();
+    let mut harness = FrontHarness::new("half-unit", at, true);
+    let mut session = harness.open_session();
     session.write_all(b"Q\0\0\0\x20select").unwrap();
-    driven.until("it is read", |front| {
+    harness.run_until("it is read", |front| {
         (front.gateway.as_ref()?.held_bytes() > 0).then_some(())
     });
-    driven.is_about_to_close();
-    driven.front.iterate();
-    write_clock(&driven.files[0], LATER + 2_500_000);
-    driven.hears_text(&mut session, "57P01");
+    harness.advance_to_listener_close();
+    harness.front.run_iteration();
+    write_clock(&harness.files[0], CLOSE_TIME + 2_500_000);
+    harness.receive_until(&mut session, "57P01");
     // Its client does not close: that holds the end up as long as the connection may linger, and no longer.
-    assert!(driven.hears(&mut session).is_empty());
+    assert!(harness.receive(&mut session).is_empty());
     write_clock(
-        &driven.files[0],
-        LATER + 2_500_000 + session_close::LINGERS_AT_END,
+        &harness.files[0],
+        CLOSE_TIME + 2_500_000 + session_close::LINGERS_AT_END,
     );
-    driven.goes_on();
-    assert!(driven.front.is_done());
+    harness.run_iteration();
+    assert!(harness.front.is_done());
 }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -24,7 +24,7 @@
 use super::copies::{random_disk_id, Copies, Write, WriteOutcome};
 use super::members::{members, LedgerMembers};
 use super::votes::Votes;
-use crate::shutdown::LedgerDuty;
+use crate::shutdown::LedgerDependency;
 use log_lines::LogState;
 
 /// Datagrams taken before others are served.
@@ -285,13 +285,13 @@
     }
 
     /// What of the ledger depends on this front.
-    pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
+    pub fn ledger_dependency(&self, now: Micros) -> LedgerDependency {
         if self.exchange.is_needed(self.moment(now)) {
-            LedgerDuty::NeededForQuorum
+            LedgerDependency::NeededForQuorum
         } else if self.exchange.hands_over() {
-            LedgerDuty::OwnsShards
+            LedgerDependency::OwnsShards
         } else {
-            LedgerDuty::None
+            LedgerDependency::None
         }
     }
 
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -10,13 +10,13 @@
 use hallmux_access::Decision;
 use serde_json::json;
 
-use super::tests::{listener, Driven};
+use super::tests::{listener, FrontHarness};
 use super::*;
 use crate::clients::tests::frame;
 use crate::start_error::StartError;
 
 const MOST_STARTS: usize = 10; // of fronts whose ports were taken by somebody else
-const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
+const WAIT_LIMIT: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
 const LOAD: &str = "insert into sales_17.orders (id) values (500)";
 const SELECT: &str = "select id, a, b from sales_17.orders";
 const FIRST: &str = "0000000000000001"; // the id of the statement whose client leaves
@@ -34,8 +34,8 @@
 /// Two fronts that keep a ledger together, which stands still as long as the other is not driven; and an
 /// engine that speaks lines.
 struct Fleet {
-    driven: Driven,
-    other: Driven,
+    harness: FrontHarness,
+    other: FrontHarness,
     engine: TcpListener,
     folder: PathBuf,
     /// Statements that the dispatcher kept when the client had left.
@@ -91,21 +91,21 @@
                 at[front], key.display(), at[1 - front], public(0), public(1), at[0], at[1]
             );
             let agreed = (json!({"cancelling": false}), workloads.clone());
-            Driven::start(
+            FrontHarness::start(
                 &format!("held-{name}-{front}"),
                 &[engine_at],
                 &operator,
                 agreed,
             )
         };
-        let (driven, other) = again_if_ports_are_taken(|| {
+        let (harness, other) = again_if_ports_are_taken(|| {
             // Ports that are free: they are let go of just before the fronts take them.
             let sockets = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
             let at = sockets.map(|socket| socket.local_addr().unwrap());
             Ok((start(0, at)?, start(1, at)?))
         });
         Fleet {
-            driven,
+            harness,
             other,
             engine,
             folder,
@@ -114,21 +114,21 @@
     }
 
     fn asks(&mut self, number: u32, statement: &str) -> TcpStream {
-        let mut client = TcpStream::connect(self.driven.listens).unwrap();
+        let mut client = TcpStream::connect(self.harness.listen_address).unwrap();
         client.write_all(&frame(number, statement)).unwrap();
         client
     }
 
     /// Drives both fronts, so that their ledger answers, until there is what is waited for.
-    fn until<T>(&mut self, what: &str, mut there: impl FnMut(&mut Fleet) -> Option<T>) -> T {
+    fn run_until<T>(&mut self, what: &str, mut there: impl FnMut(&mut Fleet) -> Option<T>) -> T {
         let begun = Instant::now();
         loop {
             if let Some(found) = there(self) {
                 return found;
             }
-            assert!(begun.elapsed() < PATIENCE, "{what}");
-            self.driven.goes_on();
-            self.other.goes_on();
+            assert!(begun.elapsed() < WAIT_LIMIT, "{what}");
+            self.harness.run_iteration();
+            self.other.run_iteration();
         }
     }
 
@@ -140,8 +140,8 @@
         held: impl Fn(&EventLoopState) -> bool,
     ) -> String {
         let client = self.asks(1, statement);
-        self.driven
-            .until("it is held", |front| held(front).then_some(()));
+        self.harness
+            .run_until("it is held", |front| held(front).then_some(()));
         assert!(
             self.engine.accept().is_err(),
             "something is on its way to the engine"
@@ -153,10 +153,10 @@
 
     fn leaves(&mut self, client: TcpStream) {
         drop(client);
-        self.driven.until("its end is known", |front| {
+        self.harness.run_until("its end is known", |front| {
             (front.clients.len() == 0).then_some(())
         });
-        self.kept = self.driven.front.dispatcher.statements_held();
+        self.kept = self.harness.front.dispatcher.statements_held();
     }
 
     /// Another client asks: what the engine hears, over all connections, until its statement or the first has
@@ -164,7 +164,7 @@
     fn hears_the_second(&mut self, statement: &str) -> String {
         let _client = self.asks(2, statement);
         let (mut streams, mut heard, mut chunk) = (Vec::new(), String::new(), [0; 4096]);
-        self.until("a statement at the engine", |fleet| {
+        self.run_until("a statement at the engine", |fleet| {
             streams.extend(fleet.engine.accept().ok().map(|(stream, _)| stream));
             for stream in &mut streams {
                 stream.set_nonblocking(true).unwrap();
@@ -188,8 +188,8 @@
 
     /// Goes on until a statement waits for its hit of the file's rule, where there are rules.
     fn knows_its_rules(&mut self) {
-        self.until("rules in force", |fleet| {
-            let front = &mut fleet.driven.front;
+        self.run_until("rules in force", |fleet| {
+            let front = &mut fleet.harness.front;
             let Some(rules) = front.rules.clone() else {
                 return Some(());
             };
@@ -253,10 +253,10 @@
     let mut fleet = Fleet::new("cancelled", "repeatable", MARKED);
     let mut client = fleet.asks(1, LOAD);
     fleet
-        .driven
-        .until("it is held", |front| waits_for_a_mark(front).then_some(()));
+        .harness
+        .run_until("it is held", |front| waits_for_a_mark(front).then_some(()));
     client.write_all(&forget(1)).unwrap();
-    fleet.driven.until("it is let go", |front| {
+    fleet.harness.run_until("it is let go", |front| {
         (front.dispatcher.statements_held() == 0).then_some(())
     });
     let heard = fleet.hears_the_second(LOAD);
@@ -291,8 +291,8 @@
     let mut fleet = Fleet::new("dialled", "repeatable", SCATTERED);
     let client = fleet.asks(1, SELECT);
     fleet
-        .driven
-        .until("it is ordered", |front| is_ordered(front).then_some(()));
+        .harness
+        .run_until("it is ordered", |front| is_ordered(front).then_some(()));
     fleet.leaves(client);
     let heard = fleet.hears_the_second(SELECT);
     fleet.has_let_go(&heard);
--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -66,7 +66,7 @@
     }
 
     /// Connections wait to be accepted, or may: `accept` asks the system.
-    pub fn readable(&mut self) {
+    pub fn mark_readable(&mut self) {
         self.accept_at = self.is_open().then_some(0);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Microseconds for which a connection that is accepted now may have waited, with what its client has sent.
-    pub fn waited(&self, now: Micros) -> Micros {
+    pub fn unread_for(&self, now: Micros) -> Micros {
         self.waiting_since.map_or(0, |since| now - since)
     }
 
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -104,9 +104,9 @@
 ) -> Result<(), StartError> {
     let mut events = LoopEvents::default();
     while !front.is_done() {
-        let idle = front.idle();
+        let sleep_time = front.prepare_sleep();
         event_loop
-            .dispatch(idle, &mut events)
+            .dispatch(sleep_time, &mut events)
             .map_err(|e| polling_error(e.into()))?;
         for signal in events.signals.drain(..) {
             match signal {
@@ -115,9 +115,9 @@
             }
         }
         for socket in events.ready.drain(..) {
-            front.ready(socket);
+            front.handle_ready_socket(socket);
         }
-        front.iterate();
+        front.run_iteration();
     }
     Ok(())
 }
--- a/crates/front/src/postgres/cancel_endings_tests.rs
+++ b/crates/front/src/postgres/cancel_endings_tests.rs
@@ -5,7 +5,7 @@
 const STEP: Micros = 100_000; // microseconds: more at once would pass for a front that stood still
 const LONG_DIAL_TIMEOUT_MS: u32 = 5_000; // milliseconds: a request to cancel has longer than a client waits
 
-impl Driven {
+impl FrontHarness {
     /// Asks for a unit, and goes on until it is given up: its engine is silent, and does not take the request
     /// to cancel either. Says which engine that is, with its other connections, and when it was.
     fn gives_up(
@@ -13,10 +13,10 @@
         engines: &[&TcpListener],
         session: &mut TcpStream,
     ) -> (usize, Vec<TcpStream>, Micros) {
-        asks(session, "select 1");
+        send_query(session, "select 1");
         let (silent, mut link) = self.dials_one(engines);
-        lets_in(&mut link);
-        self.hears_text(&mut link, "select 1");
+        accept_login(&mut link);
+        self.receive_until(&mut link, "select 1");
         let request = cancel_request(wire::CancelKey {
             process: 1,
             secret: 1,
@@ -27,7 +27,7 @@
             assert!(time < START + STATEMENT_TIME, "it is not given up");
             self.set_time(time);
             while let Ok((mut peer, _)) = engines[silent].accept() {
-                heard = self.hears(&mut peer);
+                heard = self.receive(&mut peer);
                 peers.push(peer);
             }
         }
@@ -47,8 +47,8 @@
             .capacity(START, 0)
             > 1
         {
-            assert!(begun.elapsed() < PATIENCE);
-            self.goes_on();
+            assert!(begun.elapsed() < WAIT_LIMIT);
+            self.run_iteration();
         }
     }
 }
@@ -62,46 +62,46 @@
 #[test]
 fn a_unit_that_waits_for_its_connection_is_cancelled_at_once() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("cancelled-waiting", at, true);
-    let mut session = TcpStream::connect(driven.sessions).unwrap();
+    let mut harness = FrontHarness::new("cancelled-waiting", at, true);
+    let mut session = TcpStream::connect(harness.session_address).unwrap();
     let mut out = Vec::new();
     wire::write_start_up(&mut out, &[("user", "portal"), ("database", "x")]);
     session.write_all(&out).unwrap();
-    let welcome = driven.hears_messages(&mut session);
+    let welcome = harness.hears_messages(&mut session);
     let key = welcome.iter().find(|message| message[0] == b'K').unwrap();
     let number = |at: usize| u32::from_be_bytes(key[at..at + 4].try_into().unwrap());
-    asks(&mut session, "select 1");
-    let mut link = driven.dials(&engine);
-    let mut canceller = TcpStream::connect(driven.sessions).unwrap();
+    send_query(&mut session, "select 1");
+    let mut link = harness.accept_dial(&engine);
+    let mut canceller = TcpStream::connect(harness.session_address).unwrap();
     let key = wire::CancelKey {
         process: number(5),
         secret: number(9),
     };
     canceller.write_all(&cancel_request(key)).unwrap();
-    driven.hears_error(&mut session, "57014");
-    lets_in(&mut link);
+    harness.hears_error(&mut session, "57014");
+    accept_login(&mut link);
     // It is not sent once the connection is there: the next one is.
-    asks(&mut session, "select 2");
-    let heard = driven.hears_text(&mut link, "select 2");
+    send_query(&mut session, "select 2");
+    let heard = harness.receive_until(&mut link, "select 2");
     assert!(!heard.contains("select 1"), "{heard:?}");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
 }
 
 #[test]
 fn a_unit_whose_time_is_up_is_answered_by_then_and_its_engine_is_asked_to_cancel() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
     let engines = [&one, &other];
-    let mut driven = Driven::with_two("time-up", [at_one, at_other], DIAL_TIMEOUT_MS);
-    let mut session = driven.enters();
-    asks(&mut session, "select 1");
-    let (silent, mut link) = driven.dials_one(&engines);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 1");
-    driven.set_time(START + STATEMENT_TIME);
+    let mut harness = FrontHarness::with_two("time-up", [at_one, at_other], DIAL_TIMEOUT_MS);
+    let mut session = harness.open_session();
+    send_query(&mut session, "select 1");
+    let (silent, mut link) = harness.dials_one(&engines);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 1");
+    harness.set_time(START + STATEMENT_TIME);
     // No time passes any more.
-    driven.hears_error(&mut session, "57014");
-    assert!(driven.hears_to_the_end(&mut link).is_empty());
+    harness.hears_error(&mut session, "57014");
+    assert!(harness.hears_to_the_end(&mut link).is_empty());
     // It is pinged by a login as well: it had been silent.
     let request = cancel_request(wire::CancelKey {
         process: 1,
@@ -109,78 +109,80 @@
     });
     let mut heard = Vec::new();
     while heard != request {
-        let mut peer = driven
-            .until("a request to cancel", |_| engines[silent].accept().ok())
+        let mut peer = harness
+            .run_until("a request to cancel", |_| engines[silent].accept().ok())
             .0;
-        heard = driven.hears(&mut peer);
+        heard = harness.receive(&mut peer);
     }
-    asks(&mut session, "select 2");
-    let (number, mut link) = driven.dials_one(&engines);
+    send_query(&mut session, "select 2");
+    let (number, mut link) = harness.dials_one(&engines);
     assert_ne!(number, silent);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 2");
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 2");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    driven.goes_on_usably(&mut session, &mut link);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    harness.goes_on_usably(&mut session, &mut link);
 }
 
 #[test]
 fn a_unit_whose_time_is_up_while_it_is_given_up_is_answered_by_then() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
-    let mut driven = Driven::with_two("time-up-given-up", [at_one, at_other], LONG_DIAL_TIMEOUT_MS);
-    let mut session = driven.enters();
-    let (_, _peers, time) = driven.gives_up(&[&one, &other], &mut session);
+    let mut harness =
+        FrontHarness::with_two("time-up-given-up", [at_one, at_other], LONG_DIAL_TIMEOUT_MS);
+    let mut session = harness.open_session();
+    let (_, _peers, time) = harness.gives_up(&[&one, &other], &mut session);
     assert!(time < START + STATEMENT_TIME);
-    driven.set_time(START + STATEMENT_TIME);
-    driven.hears_error(&mut session, "57014");
+    harness.set_time(START + STATEMENT_TIME);
+    harness.hears_error(&mut session, "57014");
 }
 
 #[test]
 fn a_unit_whose_request_to_cancel_is_not_taken_in_time_runs_elsewhere() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
     let engines = [&one, &other];
-    let mut driven = Driven::with_two("cancel-not-taken", [at_one, at_other], DIAL_TIMEOUT_MS);
-    let mut session = driven.enters();
-    let (silent, peers, time) = driven.gives_up(&engines, &mut session);
+    let mut harness =
+        FrontHarness::with_two("cancel-not-taken", [at_one, at_other], DIAL_TIMEOUT_MS);
+    let mut session = harness.open_session();
+    let (silent, peers, time) = harness.gives_up(&engines, &mut session);
     // It may still run there: nobody else has it until the request has had its time.
     let cancel_by = time + 2 * Micros::from(DIAL_TIMEOUT_MS) * 1000;
-    driven.set_time(cancel_by - 1);
+    harness.set_time(cancel_by - 1);
     assert!(engines[1 - silent].accept().is_err());
-    driven.set_time(cancel_by);
-    let mut link = driven.dials(engines[1 - silent]);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 1");
+    harness.set_time(cancel_by);
+    let mut link = harness.accept_dial(engines[1 - silent]);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 1");
     drop(peers);
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    driven.goes_on_usably(&mut session, &mut link);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    harness.goes_on_usably(&mut session, &mut link);
 }
 
 #[test]
 fn a_commit_that_never_left_is_not_in_doubt_once_its_time_is_up() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("time-up-waiting", at, true);
-    let mut session = driven.enters();
+    let mut harness = FrontHarness::new("time-up-waiting", at, true);
+    let mut session = harness.open_session();
     // It is up before a login would be late.
-    let mut link = driven.has_out(&engine, &mut session, "SET statement_timeout = 1000");
+    let mut link = harness.has_out(&engine, &mut session, "SET statement_timeout = 1000");
     answers(&mut link, "SET");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
     drop(link);
-    driven.has_no_connection();
-    asks(&mut session, COMMIT);
-    let _link = driven.dials(&engine);
-    driven.set_time(START + LOGIN_TIME / 2);
-    driven.hears_error(&mut session, "57014");
+    harness.has_no_connection();
+    send_query(&mut session, COMMIT);
+    let _link = harness.accept_dial(&engine);
+    harness.set_time(START + LOGIN_TIME / 2);
+    harness.hears_error(&mut session, "57014");
 }
 
 /// A session with a setting, whose unit waits for that to be brought over to the connection that it has.
-fn waits_for_settings(driven: &mut Driven, engine: &TcpListener) -> (TcpStream, TcpStream) {
-    let mut session = driven.enters();
-    let mut link = driven.has_out(engine, &mut session, "SET statement_timeout = 1000");
+fn waits_for_settings(harness: &mut FrontHarness, engine: &TcpListener) -> (TcpStream, TcpStream) {
+    let mut session = harness.open_session();
+    let mut link = harness.has_out(engine, &mut session, "SET statement_timeout = 1000");
     answers(&mut link, "SET");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    asks(&mut session, COMMIT);
-    let heard = driven.hears_text(&mut link, "statement_timeout");
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    send_query(&mut session, COMMIT);
+    let heard = harness.receive_until(&mut link, "statement_timeout");
     assert!(!heard.contains("insert"), "{heard:?}");
     (session, link)
 }
@@ -188,11 +190,11 @@
 #[test]
 fn a_commit_whose_settings_are_still_brought_over_is_not_in_doubt_once_its_time_is_up() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("time-up-with-settings", at, true);
-    let (mut session, mut link) = waits_for_settings(&mut driven, &engine);
-    driven.set_time(START + 1_000_000);
-    driven.hears_error(&mut session, "57014");
-    let heard = driven.hears_to_the_end(&mut link);
+    let mut harness = FrontHarness::new("time-up-with-settings", at, true);
+    let (mut session, mut link) = waits_for_settings(&mut harness, &engine);
+    harness.set_time(START + 1_000_000);
+    harness.hears_error(&mut session, "57014");
+    let heard = harness.hears_to_the_end(&mut link);
     assert!(
         !String::from_utf8_lossy(&heard).contains("insert"),
         "{heard:?}"
@@ -203,14 +205,14 @@
 fn a_unit_whose_settings_are_still_brought_over_is_not_sent_once_its_session_has_left() {
     let (engine, at) = listener();
     // Engines are not told to give anything up.
-    let mut driven = Driven::new("left-with-settings", at, false);
-    let (session, mut link) = waits_for_settings(&mut driven, &engine);
+    let mut harness = FrontHarness::new("left-with-settings", at, false);
+    let (session, mut link) = waits_for_settings(&mut harness, &engine);
     drop(session);
-    driven.until("its end is known", |front| {
+    harness.run_until("its end is known", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
     });
     answers(&mut link, "SET");
     // Its connection goes with it.
-    let heard = driven.hears(&mut link);
+    let heard = harness.receive(&mut link);
     assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
 }
--- a/crates/front/src/postgres/engine_endings_tests.rs
+++ b/crates/front/src/postgres/engine_endings_tests.rs
@@ -7,28 +7,28 @@
 mod cancel_endings;
 
 const LOGIN_TIME: Micros = 2_000_000; // microseconds that an engine has for a login
-const STATEMENT_TIME: Micros = 8_000_000; // microseconds that a client of `Driven` waits
+const STATEMENT_TIME: Micros = 8_000_000; // microseconds that a client of `FrontHarness` waits
 const DIAL_TIMEOUT_MS: u32 = 250; // milliseconds; a request to cancel has twice as long
 const LATE_ITERATIONS: usize = 3; // the late one, the one behind it, and one that is on time
 const MORE_THAN_HELD: usize = 200 << 10; // bytes of an answer, of which a part goes on before the rest
 const COMMIT: &str = "begin; insert into t values (1); commit"; // a unit that may not run twice
 
-impl Driven {
+impl FrontHarness {
     /// With two engines, and further attempts until a client's time is up.
-    fn with_two(name: &str, engines: [SocketAddr; 2], dial_timeout_ms: u32) -> Driven {
-        let aim_ms = (STATEMENT_TIME / 1000) as u32;
+    fn with_two(name: &str, engines: [SocketAddr; 2], dial_timeout_ms: u32) -> FrontHarness {
+        let slo_time_ms = (STATEMENT_TIME / 1000) as u32;
         let bounds = json!({"cancelling": true, "mostTries": 3, "dialTimeoutMs": dial_timeout_ms});
-        Driven::with_engines(name, &engines, bounds, aim_ms)
+        FrontHarness::with_engines(name, &engines, bounds, slo_time_ms)
     }
 
     /// Time passes at once. What is found from then on has not waited: the iterations that take it for late
     /// are over.
     fn set_time(&mut self, time: Micros) {
-        self.front.idle();
+        self.front.prepare_sleep();
         write_clock(&self.files[0], time);
         for _ in 0..LATE_ITERATIONS {
-            self.goes_on();
-            self.front.idle();
+            self.run_iteration();
+            self.front.prepare_sleep();
         }
     }
 
@@ -38,13 +38,13 @@
             .iter()
             .for_each(|engine| engine.set_nonblocking(true).unwrap());
         let accept = |engine: &&TcpListener| engine.accept().ok();
-        let (number, mut stream) = self.until("a dial", |_| {
+        let (number, mut stream) = self.run_until("a dial", |_| {
             engines
                 .iter()
                 .enumerate()
                 .find_map(|(n, engine)| Some((n, accept(engine)?.0)))
         });
-        self.hears_text(&mut stream, "user");
+        self.receive_until(&mut stream, "user");
         (number, stream)
     }
 
@@ -52,7 +52,7 @@
     fn hears_to_the_end(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         let mut all = Vec::new();
         loop {
-            let heard = self.hears(peer);
+            let heard = self.receive(peer);
             if heard.is_empty() {
                 return all;
             }
@@ -62,17 +62,17 @@
 
     /// A connection on which the session's unit is out.
     fn has_out(&mut self, engine: &TcpListener, session: &mut TcpStream, text: &str) -> TcpStream {
-        asks(session, text);
-        let mut link = self.dials(engine);
-        lets_in(&mut link);
-        self.hears_text(&mut link, text);
+        send_query(session, text);
+        let mut link = self.accept_dial(engine);
+        accept_login(&mut link);
+        self.receive_until(&mut link, text);
         link
     }
 
     /// The session asks, the engine answers, and nothing else comes: what came before was final.
     fn goes_on_usably(&mut self, session: &mut TcpStream, link: &mut TcpStream) {
-        asks(session, "select 'further'");
-        self.hears_text(link, "further");
+        send_query(session, "select 'further'");
+        self.receive_until(link, "further");
         answers(link, "FURTHER");
         assert_eq!(
             self.hears_unit(session),
@@ -97,7 +97,7 @@
             if messages.last().is_some_and(|message| message[0] == b'Z') {
                 return messages;
             }
-            let more = self.hears(session);
+            let more = self.receive(session);
             assert!(
                 !more.is_empty(),
                 "the end behind {:?}",
@@ -178,37 +178,37 @@
 #[test]
 fn a_login_that_is_not_over_in_time_is_tried_elsewhere() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
-    let mut driven = Driven::with_two("late-login", [at_one, at_other], DIAL_TIMEOUT_MS);
-    let mut session = driven.enters();
-    asks(&mut session, "select 1");
-    let (slow, mut link) = driven.dials_one(&[&one, &other]);
-    driven.set_time(START + LOGIN_TIME);
-    let heard = driven.hears_to_the_end(&mut link);
+    let mut harness = FrontHarness::with_two("late-login", [at_one, at_other], DIAL_TIMEOUT_MS);
+    let mut session = harness.open_session();
+    send_query(&mut session, "select 1");
+    let (slow, mut link) = harness.dials_one(&[&one, &other]);
+    harness.set_time(START + LOGIN_TIME);
+    let heard = harness.hears_to_the_end(&mut link);
     assert!(heard.is_empty(), "{heard:?}");
-    let (number, mut link) = driven.dials_one(&[&one, &other]);
+    let (number, mut link) = harness.dials_one(&[&one, &other]);
     assert_ne!(number, slow);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 1");
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 1");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    driven.goes_on_usably(&mut session, &mut link);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    harness.goes_on_usably(&mut session, &mut link);
 }
 
 #[test]
 fn a_unit_whose_only_engine_lets_nobody_in_in_time_has_one_answer() {
     for (name, text) in [("no-login", "select 1"), ("no-login-commit", COMMIT)] {
         let (engine, at) = listener();
-        let mut driven = Driven::new(name, at, true);
-        let mut session = driven.enters();
-        asks(&mut session, text);
-        let mut link = driven.dials(&engine);
-        driven.set_time(START + LOGIN_TIME);
-        assert!(driven.hears_to_the_end(&mut link).is_empty());
-        driven.set_time(START + STATEMENT_TIME);
+        let mut harness = FrontHarness::new(name, at, true);
+        let mut session = harness.open_session();
+        send_query(&mut session, text);
+        let mut link = harness.accept_dial(&engine);
+        harness.set_time(START + LOGIN_TIME);
+        assert!(harness.hears_to_the_end(&mut link).is_empty());
+        harness.set_time(START + STATEMENT_TIME);
         // It surely never ran.
-        driven.hears_error(&mut session, "53000");
-        asks(&mut session, "SET hallmux.workload = 'lookup'");
-        assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+        harness.hears_error(&mut session, "53000");
+        send_query(&mut session, "SET hallmux.workload = 'lookup'");
+        assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
     }
 }
 
@@ -217,91 +217,91 @@
     // Too many connections; it starts up.
     for code in ["53300", "57P03"] {
         let ((one, at_one), (other, at_other)) = (listener(), listener());
-        let mut driven = Driven::with_two(
+        let mut harness = FrontHarness::with_two(
             &format!("refused-{code}"),
             [at_one, at_other],
             DIAL_TIMEOUT_MS,
         );
-        let mut session = driven.enters();
-        asks(&mut session, "select 1");
-        let (refusing, mut link) = driven.dials_one(&[&one, &other]);
+        let mut session = harness.open_session();
+        send_query(&mut session, "select 1");
+        let (refusing, mut link) = harness.dials_one(&[&one, &other]);
         fails(&mut link, "FATAL", code, false);
-        let heard = driven.hears_to_the_end(&mut link);
+        let heard = harness.hears_to_the_end(&mut link);
         assert!(heard.is_empty(), "{heard:?}");
-        let (number, mut link) = driven.dials_one(&[&one, &other]);
+        let (number, mut link) = harness.dials_one(&[&one, &other]);
         assert_ne!(number, refusing, "{code}");
-        lets_in(&mut link);
-        driven.hears_text(&mut link, "select 1");
+        accept_login(&mut link);
+        harness.receive_until(&mut link, "select 1");
         answers(&mut link, "SELECT 0");
-        assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-        driven.goes_on_usably(&mut session, &mut link);
+        assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+        harness.goes_on_usably(&mut session, &mut link);
     }
 }
 
 #[test]
 fn a_login_refused_for_its_account_is_told_once_with_the_engines_own_error() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("refused-account", at, true);
-    let mut session = driven.enters();
-    asks(&mut session, "select 1");
-    let mut link = driven.dials(&engine);
+    let mut harness = FrontHarness::new("refused-account", at, true);
+    let mut session = harness.open_session();
+    send_query(&mut session, "select 1");
+    let mut link = harness.accept_dial(&engine);
     fails(&mut link, "FATAL", "28P01", false);
-    driven.hears_error(&mut session, "28P01");
-    assert!(driven.hears_to_the_end(&mut link).is_empty());
-    let mut link = driven.has_out(&engine, &mut session, "select 2");
+    harness.hears_error(&mut session, "28P01");
+    assert!(harness.hears_to_the_end(&mut link).is_empty());
+    let mut link = harness.has_out(&engine, &mut session, "select 2");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    driven.goes_on_usably(&mut session, &mut link);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    harness.goes_on_usably(&mut session, &mut link);
 }
 
 #[test]
 fn settings_refused_are_told_once_with_the_engines_own_error() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("refused-settings", at, true);
-    let mut session = driven.enters();
-    let mut link = driven.has_out(&engine, &mut session, "SET search_path = 'own'");
+    let mut harness = FrontHarness::new("refused-settings", at, true);
+    let mut session = harness.open_session();
+    let mut link = harness.has_out(&engine, &mut session, "SET search_path = 'own'");
     answers(&mut link, "SET");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
     // What a session sets is brought over again before its next unit.
-    asks(&mut session, "select 1");
-    driven.hears_text(&mut link, "search_path");
+    send_query(&mut session, "select 1");
+    harness.receive_until(&mut link, "search_path");
     fails(&mut link, "ERROR", "42704", true);
-    driven.hears_error(&mut session, "42704");
+    harness.hears_error(&mut session, "42704");
     // The connection ends: what is set there is not known.
-    let heard = driven.hears_to_the_end(&mut link);
+    let heard = harness.hears_to_the_end(&mut link);
     assert!(
         !String::from_utf8_lossy(&heard).contains("select 1"),
         "{heard:?}"
     );
-    asks(&mut session, "select 2");
-    let mut link = driven.dials(&engine);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "search_path");
+    send_query(&mut session, "select 2");
+    let mut link = harness.accept_dial(&engine);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "search_path");
     answers(&mut link, "SET");
-    driven.hears_text(&mut link, "select 2");
+    harness.receive_until(&mut link, "select 2");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    driven.goes_on_usably(&mut session, &mut link);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    harness.goes_on_usably(&mut session, &mut link);
 }
 
 #[test]
 fn a_connection_lost_in_the_middle_of_a_message_ends_the_clients() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("lost-in-a-row", at, true);
-    let mut session = driven.enters();
-    let mut link = driven.has_out(&engine, &mut session, "select 1");
+    let mut harness = FrontHarness::new("lost-in-a-row", at, true);
+    let mut session = harness.open_session();
+    let mut link = harness.has_out(&engine, &mut session, "select 1");
     let result = rows(2 * MORE_THAN_HELD);
     link.write_all(&result[..MORE_THAN_HELD]).unwrap();
-    let mut heard = driven.hears(&mut session);
+    let mut heard = harness.receive(&mut session);
     drop(link);
-    heard.extend(driven.hears_to_the_end(&mut session));
+    heard.extend(harness.hears_to_the_end(&mut session));
     // What came of it, and nothing that would pass for a part of it.
     assert!(
         !heard.is_empty() && result.starts_with(&heard),
         "{} bytes",
         heard.len()
     );
-    driven.until("its session is over", |front| {
+    harness.run_until("its session is over", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
     });
 }
@@ -309,96 +309,96 @@
 #[test]
 fn a_connection_lost_between_the_messages_of_a_result_is_told_once() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("lost-between", at, true);
-    let mut session = driven.enters();
-    let mut link = driven.has_out(&engine, &mut session, "select 1");
+    let mut harness = FrontHarness::new("lost-between", at, true);
+    let mut session = harness.open_session();
+    let mut link = harness.has_out(&engine, &mut session, "select 1");
     link.write_all(&rows(MORE_THAN_HELD)).unwrap();
-    let mut heard = driven.hears(&mut session);
+    let mut heard = harness.receive(&mut session);
     while whole_messages(&heard).len() < 2 {
-        heard.extend(driven.hears(&mut session));
+        heard.extend(harness.receive(&mut session));
     }
     drop(link);
-    driven.hears_error(&mut session, "08006");
-    let mut link = driven.has_out(&engine, &mut session, "select 2");
+    harness.hears_error(&mut session, "08006");
+    let mut link = harness.has_out(&engine, &mut session, "select 2");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    driven.goes_on_usably(&mut session, &mut link);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    harness.goes_on_usably(&mut session, &mut link);
 }
 
 #[test]
 fn a_connection_lost_before_any_of_a_result_has_gone_on_is_not_noticed_by_the_client() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
-    let mut driven = Driven::with_two("lost-unseen", [at_one, at_other], DIAL_TIMEOUT_MS);
-    let mut session = driven.enters();
-    asks(&mut session, "select 1");
-    let (_, mut link) = driven.dials_one(&[&one, &other]);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 1");
+    let mut harness = FrontHarness::with_two("lost-unseen", [at_one, at_other], DIAL_TIMEOUT_MS);
+    let mut session = harness.open_session();
+    send_query(&mut session, "select 1");
+    let (_, mut link) = harness.dials_one(&[&one, &other]);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 1");
     // It is held: an answer that is small goes on as a whole.
     link.write_all(&rows(10)).unwrap();
     drop(link);
-    let (_, mut link) = driven.dials_one(&[&one, &other]);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 1");
+    let (_, mut link) = harness.dials_one(&[&one, &other]);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 1");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    driven.goes_on_usably(&mut session, &mut link);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    harness.goes_on_usably(&mut session, &mut link);
 }
 
 #[test]
 fn a_connection_lost_with_a_commit_leaves_it_in_doubt() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("lost-commit", at, true);
-    let mut session = driven.enters();
-    let link = driven.has_out(&engine, &mut session, COMMIT);
+    let mut harness = FrontHarness::new("lost-commit", at, true);
+    let mut session = harness.open_session();
+    let link = harness.has_out(&engine, &mut session, COMMIT);
     drop(link);
-    driven.hears_error(&mut session, "08007");
-    let mut link = driven.has_out(&engine, &mut session, "select 2");
+    harness.hears_error(&mut session, "08007");
+    let mut link = harness.has_out(&engine, &mut session, "select 2");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
 }
 
 #[test]
 fn a_connection_lost_in_the_middle_of_a_result_ends_its_transaction() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("lost-in-transaction", at, true);
-    let mut session = driven.enters();
-    let mut link = driven.has_out(&engine, &mut session, "begin");
+    let mut harness = FrontHarness::new("lost-in-transaction", at, true);
+    let mut session = harness.open_session();
+    let mut link = harness.has_out(&engine, &mut session, "begin");
     let mut out = Vec::new();
     wire::write_complete(&mut out, "BEGIN");
     wire::write_ready(&mut out, b'T');
     link.write_all(&out).unwrap();
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    asks(&mut session, "select 1");
-    driven.hears_text(&mut link, "select 1");
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    send_query(&mut session, "select 1");
+    harness.receive_until(&mut link, "select 1");
     link.write_all(&rows(MORE_THAN_HELD)).unwrap();
-    let mut heard = driven.hears(&mut session);
+    let mut heard = harness.receive(&mut session);
     while whole_messages(&heard).len() < 2 {
-        heard.extend(driven.hears(&mut session));
+        heard.extend(harness.receive(&mut session));
     }
     drop(link);
-    driven.hears_error(&mut session, "40001");
-    asks(&mut session, "select 2");
-    driven.hears_error(&mut session, "25P02");
-    asks(&mut session, "rollback");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    let mut link = driven.has_out(&engine, &mut session, "select 3");
+    harness.hears_error(&mut session, "40001");
+    send_query(&mut session, "select 2");
+    harness.hears_error(&mut session, "25P02");
+    send_query(&mut session, "rollback");
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    let mut link = harness.has_out(&engine, &mut session, "select 3");
     answers(&mut link, "SELECT 0");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
 }
 
 #[test]
 fn a_commit_whose_settings_are_still_brought_over_is_not_in_doubt_once_its_connection_is_lost() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("lost-with-settings", at, true);
-    let mut session = driven.enters();
-    let mut link = driven.has_out(&engine, &mut session, "SET search_path = 'own'");
+    let mut harness = FrontHarness::new("lost-with-settings", at, true);
+    let mut session = harness.open_session();
+    let mut link = harness.has_out(&engine, &mut session, "SET search_path = 'own'");
     answers(&mut link, "SET");
-    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
-    asks(&mut session, COMMIT);
-    let heard = driven.hears_text(&mut link, "search_path");
+    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    send_query(&mut session, COMMIT);
+    let heard = harness.receive_until(&mut link, "search_path");
     assert!(!heard.contains("insert"), "{heard:?}");
     drop(link);
     // It surely never ran.
-    driven.hears_error(&mut session, "53000");
+    harness.hears_error(&mut session, "53000");
 }
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -176,7 +176,7 @@
 
     fn ready(&mut self, now: Micros, socket: SocketId) -> bool {
         match socket.kind {
-            SocketKind::SessionListener => self.listener.readable(),
+            SocketKind::SessionListener => self.listener.mark_readable(),
             SocketKind::Session => return self.sessions.read(now, socket.number),
             SocketKind::Server => return self.servers.read(now, socket.number),
             SocketKind::Cancel => self.servers.read_cancel(socket.number),
@@ -371,7 +371,7 @@
     ) {
         self.shut.get_or_insert(now);
         // Whoever has connected by now is told of the end: closing the listener resets what waits there.
-        self.listener.readable();
+        self.listener.mark_readable();
         self.accept(now, sessions_left);
         self.listener.close();
         self.sessions.close_idle(now);
--- a/crates/front/src/postgres/session_close_tests.rs
+++ b/crates/front/src/postgres/session_close_tests.rs
@@ -7,12 +7,12 @@
 const LINGERS: Micros = 1_000_000; // microseconds, as the module has it
 pub(super) const LINGERS_AT_END: Micros = 500_000; // microseconds; half of what it is else
 
-impl Driven {
+impl FrontHarness {
     /// Goes on until the connection ends: all that was heard till then.
     pub(super) fn hears_end(&mut self, peer: &mut TcpStream) -> String {
         let mut all = String::new();
         loop {
-            let heard = self.hears(peer);
+            let heard = self.receive(peer);
             if heard.is_empty() {
                 break;
             }
@@ -27,7 +27,7 @@
     pub(super) fn is_sent(&mut self, peer: &mut TcpStream, bytes: &[u8]) {
         peer.set_nonblocking(true).unwrap();
         let mut rest = bytes;
-        self.until("what is sent", |_| {
+        self.run_until("what is sent", |_| {
             match peer.write(rest) {
                 Ok(len) => rest = &rest[len..],
                 Err(e) => assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}"),
@@ -50,16 +50,16 @@
 #[test]
 fn bytes_that_cross_the_end_of_a_front_do_not_reset_a_session() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("crossed-end", at, true);
-    let (mut session, mut stays) = (driven.enters(), driven.enters());
-    driven.is_about_to_close();
+    let mut harness = FrontHarness::new("crossed-end", at, true);
+    let (mut session, mut stays) = (harness.open_session(), harness.open_session());
+    harness.advance_to_listener_close();
     // It reads them a last time, and their last message leaves with the next iteration.
-    driven.front.iterate();
-    asks(&mut session, "select 1");
-    asks(&mut stays, "select 1");
-    driven.front.iterate();
+    harness.front.run_iteration();
+    send_query(&mut session, "select 1");
+    send_query(&mut stays, "select 1");
+    harness.front.run_iteration();
     for session in [&mut session, &mut stays] {
-        let heard = driven.hears_end(session);
+        let heard = harness.hears_end(session);
         assert!(
             heard.starts_with('E') && heard.contains("57P01"),
             "{heard:?}"
@@ -67,46 +67,47 @@
     }
     // The front's end waits for the clients' own, but not for ever.
     drop(session);
-    driven.until("one to be closed", |front| {
+    harness.run_until("one to be closed", |front| {
         (!front.gateway.as_ref()?.is_done()).then_some(())
     });
-    write_clock(&driven.files[0], LATER + LINGERS_AT_END - 1);
-    driven.goes_on();
-    assert!(!driven.front.is_done());
-    write_clock(&driven.files[0], LATER + LINGERS_AT_END);
-    driven.goes_on();
-    assert!(driven.front.is_done());
+    write_clock(&harness.files[0], CLOSE_TIME + LINGERS_AT_END - 1);
+    harness.run_iteration();
+    assert!(!harness.front.is_done());
+    write_clock(&harness.files[0], CLOSE_TIME + LINGERS_AT_END);
+    harness.run_iteration();
+    assert!(harness.front.is_done());
 }
 
 #[test]
 fn a_front_whose_sessions_close_ends_before_their_bound() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("closed-end", at, true);
-    let mut session = driven.enters();
-    driven.is_about_to_close();
-    driven.front.iterate();
-    assert!(driven.hears_end(&mut session).contains("57P01"));
-    assert!(!driven.front.is_done());
+    let mut harness = FrontHarness::new("closed-end", at, true);
+    let mut session = harness.open_session();
+    harness.advance_to_listener_close();
+    harness.front.run_iteration();
+    assert!(harness.hears_end(&mut session).contains("57P01"));
+    assert!(!harness.front.is_done());
     drop(session);
-    driven.until("the end", |front| front.is_done().then_some(()));
+    harness.run_until("the end", |front| front.is_done().then_some(()));
 }
 
 #[test]
 fn bytes_that_cross_the_end_of_an_idle_transaction_do_not_reset_its_session() {
     let (engine, at) = listener();
-    let mut driven = Driven::with_limits("crossed-idle", at, true, "transaction_idle_ms: 1000");
-    let mut session = driven.enters();
-    asks(&mut session, "BEGIN");
-    let mut link = driven.dials(&engine);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "BEGIN");
-    answers(&mut link, "BEGIN", b'T');
-    driven.hears_text(&mut session, "Z\0\0\0\x05T");
-    write_clock(&driven.files[0], START + 1_500_000);
-    asks(&mut session, "select 1");
+    let mut harness =
+        FrontHarness::with_limits("crossed-idle", at, true, "transaction_idle_ms: 1000");
+    let mut session = harness.open_session();
+    send_query(&mut session, "BEGIN");
+    let mut link = harness.accept_dial(&engine);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "BEGIN");
+    send_completion(&mut link, "BEGIN", b'T');
+    harness.receive_until(&mut session, "Z\0\0\0\x05T");
+    write_clock(&harness.files[0], START + 1_500_000);
+    send_query(&mut session, "select 1");
     // The loop has not told of that.
-    driven.front.iterate();
-    let heard = driven.hears_end(&mut session);
+    harness.front.run_iteration();
+    let heard = harness.hears_end(&mut session);
     assert!(
         heard.starts_with('E') && heard.contains("25P03"),
         "{heard:?}"
@@ -116,47 +117,47 @@
 #[test]
 fn a_start_up_that_crosses_the_end_of_its_time_does_not_reset_its_connection() {
     let (_engine, at) = listener();
-    let mut driven = Driven::with_limits("crossed-login", at, true, "start_up_ms: 400");
-    let mut session = TcpStream::connect(driven.sessions).unwrap();
-    driven.until("it is connected", |front| {
+    let mut harness = FrontHarness::with_limits("crossed-login", at, true, "start_up_ms: 400");
+    let mut session = TcpStream::connect(harness.session_address).unwrap();
+    harness.run_until("it is connected", |front| {
         (front.gateway.as_ref()?.len() == 1).then_some(())
     });
-    driven.goes_on();
-    write_clock(&driven.files[0], START + 500_000);
-    starts_up(&mut session, "portal");
-    driven.front.iterate();
-    assert_eq!(driven.hears_end(&mut session), "");
+    harness.run_iteration();
+    write_clock(&harness.files[0], START + 500_000);
+    send_startup(&mut session, "portal");
+    harness.front.run_iteration();
+    assert_eq!(harness.hears_end(&mut session), "");
     // Its client does not close: the loop wakes as the bound is over, and drops it.
     let bound = START + 500_000 + LINGERS;
     let (done, open) = ((true, Micros::MAX), (false, bound));
-    let gateway = |driven: &Driven| {
-        driven
+    let gateway = |harness: &FrontHarness| {
+        harness
             .front
             .gateway
             .as_ref()
             .map(|g| (g.is_done(), g.due()))
             .unwrap()
     };
-    assert_eq!(gateway(&driven), open);
-    write_clock(&driven.files[0], bound - 1);
-    driven.goes_on();
-    assert_eq!(gateway(&driven), open);
-    write_clock(&driven.files[0], bound);
-    driven.goes_on();
-    assert_eq!(gateway(&driven), done);
+    assert_eq!(gateway(&harness), open);
+    write_clock(&harness.files[0], bound - 1);
+    harness.run_iteration();
+    assert_eq!(gateway(&harness), open);
+    write_clock(&harness.files[0], bound);
+    harness.run_iteration();
+    assert_eq!(gateway(&harness), done);
 }
 
 #[test]
 fn bytes_that_cross_a_session_that_makes_room_do_not_reset_it() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("crossed-room", at, true);
-    let mut session = driven.enters();
-    driven.has_room(1, 1);
-    write_clock(&driven.files[0], START + 2_000_000);
-    let _newcomer = driven.enters();
-    assert_eq!(driven.sessions(), 1);
-    asks(&mut session, "select 1");
-    let heard = driven.hears_end(&mut session);
+    let mut harness = FrontHarness::new("crossed-room", at, true);
+    let mut session = harness.open_session();
+    harness.has_room(1, 1);
+    write_clock(&harness.files[0], START + 2_000_000);
+    let _newcomer = harness.open_session();
+    assert_eq!(harness.sessions(), 1);
+    send_query(&mut session, "select 1");
+    let heard = harness.hears_end(&mut session);
     assert!(
         heard.starts_with('E') && heard.contains("57P01"),
         "{heard:?}"
@@ -166,58 +167,58 @@
 #[test]
 fn a_session_that_is_being_closed_makes_room_where_descriptors_are_short() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("lingering-room", at, true);
-    driven.has_room(2, 0);
+    let mut harness = FrontHarness::new("lingering-room", at, true);
+    harness.has_room(2, 0);
     // One that rests would go, were there none that is being closed.
-    let mut rests = driven.enters();
-    write_clock(&driven.files[0], START + 2_000_000);
-    let mut session = driven.enters();
+    let mut rests = harness.open_session();
+    write_clock(&harness.files[0], START + 2_000_000);
+    let mut session = harness.open_session();
     session.write_all(wire::TERMINATE).unwrap();
-    assert_eq!(driven.hears_end(&mut session), "");
-    assert_eq!(driven.sessions(), 2);
-    let _newcomer = driven.enters();
-    assert_eq!(driven.sessions(), 2);
-    asks(&mut rests, "SET hallmux.workload = 'lookup'");
-    driven.hears_text(&mut rests, "SET\0");
+    assert_eq!(harness.hears_end(&mut session), "");
+    assert_eq!(harness.sessions(), 2);
+    let _newcomer = harness.open_session();
+    assert_eq!(harness.sessions(), 2);
+    send_query(&mut rests, "SET hallmux.workload = 'lookup'");
+    harness.receive_until(&mut rests, "SET\0");
     // Likewise for a client of the other protocol.
     let mut session = rests;
     session.write_all(wire::TERMINATE).unwrap();
-    assert_eq!(driven.hears_end(&mut session), "");
-    let _client = TcpStream::connect(driven.listens).unwrap();
-    driven.until("it is taken", |front| {
+    assert_eq!(harness.hears_end(&mut session), "");
+    let _client = TcpStream::connect(harness.listen_address).unwrap();
+    harness.run_until("it is taken", |front| {
         (front.clients.len() == 1).then_some(())
     });
-    assert_eq!(driven.sessions(), 1);
+    assert_eq!(harness.sessions(), 1);
 }
 
 #[test]
 fn a_session_that_makes_room_where_none_may_linger_is_gone_at_once() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("no-room", at, true);
-    let mut session = driven.enters();
-    driven.has_room(1, 0);
-    write_clock(&driven.files[0], START + 2_000_000);
-    let _newcomer = driven.enters();
-    assert!(driven
+    let mut harness = FrontHarness::new("no-room", at, true);
+    let mut session = harness.open_session();
+    harness.has_room(1, 0);
+    write_clock(&harness.files[0], START + 2_000_000);
+    let _newcomer = harness.open_session();
+    assert!(harness
         .front
         .gateway
         .as_mut()
         .is_some_and(|gateway| !gateway.drop_lingering()));
-    assert_eq!(driven.sessions(), 1);
-    let heard = driven.hears_end(&mut session);
+    assert_eq!(harness.sessions(), 1);
+    let heard = harness.hears_end(&mut session);
     assert!(heard.contains("57P01"), "{heard:?}");
 }
 
 #[test]
 fn bytes_behind_what_can_not_be_read_do_not_reset_the_session() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("crossed-garbage", at, true);
+    let mut harness = FrontHarness::new("crossed-garbage", at, true);
     // A message whose length can't be, and one that is too long.
     for (head, code) in [(b"Q\0\0\0\x03", "08P01"), (b"Q\x7f\0\0\0", "54000")] {
-        let mut session = driven.enters();
+        let mut session = harness.open_session();
         let much = [head.to_vec(), vec![b'x'; MUCH]].concat();
-        driven.is_sent(&mut session, &much);
-        let heard = driven.hears_end(&mut session);
+        harness.is_sent(&mut session, &much);
+        let heard = harness.hears_end(&mut session);
         assert!(heard.starts_with('E') && heard.contains(code), "{heard:?}");
         assert_eq!(heard.matches("FATAL").count(), 2, "{heard:?}");
     }
@@ -226,13 +227,13 @@
 #[test]
 fn one_that_goes_on_sending_for_ever_is_not_listened_to() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("endless-garbage", at, true);
-    let mut session = driven.enters();
+    let mut harness = FrontHarness::new("endless-garbage", at, true);
+    let mut session = harness.open_session();
     session.write_all(b"Q\0\0\0\x03").unwrap();
     session.set_nonblocking(true).unwrap();
     // The time stands still: the bytes alone are too many.
     let much = vec![b'x'; MUCH];
-    let ended = driven.until("its end", |_| match session.write(&much) {
+    let ended = harness.run_until("its end", |_| match session.write(&much) {
         Ok(_) => None,
         Err(e) if e.kind() == ErrorKind::WouldBlock => None,
         Err(e) => Some(e.kind()),
@@ -241,16 +242,16 @@
         matches!(ended, ErrorKind::ConnectionReset | ErrorKind::BrokenPipe),
         "{ended}"
     );
-    assert!(driven.front.gateway.as_ref().unwrap().is_done());
+    assert!(harness.front.gateway.as_ref().unwrap().is_done());
 }
 
 #[test]
 fn bytes_behind_a_wrong_password_do_not_reset_the_connection() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("crossed-password", at, true);
-    let mut session = TcpStream::connect(driven.sessions).unwrap();
-    starts_up(&mut session, "stranger");
-    driven.hears_text(&mut session, "SCRAM-SHA-256");
+    let mut harness = FrontHarness::new("crossed-password", at, true);
+    let mut session = TcpStream::connect(harness.session_address).unwrap();
+    send_startup(&mut session, "stranger");
+    harness.receive_until(&mut session, "SCRAM-SHA-256");
     let first = b"n,,n=,r=abc";
     let mut out = Vec::new();
     wire::write(&mut out, b'p', |out| {
@@ -259,7 +260,7 @@
         out.extend(first);
     });
     session.write_all(&out).unwrap();
-    let challenge = driven.hears_text(&mut session, ",i=");
+    let challenge = harness.receive_until(&mut session, ",i=");
     let nonce = challenge
         .split("r=")
         .nth(1)
@@ -271,10 +272,10 @@
     out.clear();
     wire::write(&mut out, b'p', |out| out.extend(proof.as_bytes()));
     session.write_all(&out).unwrap();
-    while !driven.finds().contains(&SocketKind::Session) {}
-    asks(&mut session, "select 1");
-    driven.front.iterate();
-    let heard = driven.hears_end(&mut session);
+    while !harness.read_ready_sockets().contains(&SocketKind::Session) {}
+    send_query(&mut session, "select 1");
+    harness.front.run_iteration();
+    let heard = harness.hears_end(&mut session);
     assert!(
         heard.starts_with('E') && heard.contains("28P01"),
         "{heard:?}"
@@ -284,24 +285,24 @@
 #[test]
 fn bytes_behind_a_unit_whose_answer_stops_short_do_not_reset_the_session() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("crossed-cut", at, true);
-    let mut session = driven.enters();
-    asks(&mut session, "select 1");
-    let mut link = driven.dials(&engine);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 1");
+    let mut harness = FrontHarness::new("crossed-cut", at, true);
+    let mut session = harness.open_session();
+    send_query(&mut session, "select 1");
+    let mut link = harness.accept_dial(&engine);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 1");
     // A row that is announced as longer than what comes of it.
     let mut row = b"D".to_vec();
     row.extend((MUCH as u32).to_be_bytes());
     row.extend(vec![b'x'; MUCH / 2]);
-    driven.is_sent(&mut link, &row);
+    harness.is_sent(&mut link, &row);
     let mut heard = 0;
     while heard < row.len() {
-        heard += driven.hears(&mut session).len();
+        heard += harness.receive(&mut session).len();
     }
     drop(link);
-    while !driven.finds().contains(&SocketKind::Server) {}
-    asks(&mut session, "select 2");
-    driven.front.iterate();
-    assert_eq!(driven.hears_end(&mut session), "");
+    while !harness.read_ready_sockets().contains(&SocketKind::Server) {}
+    send_query(&mut session, "select 2");
+    harness.front.run_iteration();
+    assert_eq!(harness.hears_end(&mut session), "");
 }
--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -29,11 +29,11 @@
     panic!("no key in {greeting:?}");
 }
 
-impl Driven {
+impl FrontHarness {
     /// A session that has come in, and its key.
     fn enters_with_key(&mut self) -> (TcpStream, CancelKey) {
-        let mut session = TcpStream::connect(self.sessions).unwrap();
-        starts_up(&mut session, "portal");
+        let mut session = TcpStream::connect(self.session_address).unwrap();
+        send_startup(&mut session, "portal");
         let greeting = self.hears_unit_bytes(&mut session);
         (session, key_in(&greeting))
     }
@@ -42,7 +42,7 @@
     fn hears_unit_bytes(&mut self, session: &mut TcpStream) -> Vec<u8> {
         let mut all = Vec::new();
         while !all.ends_with(READY) {
-            let heard = self.hears(session);
+            let heard = self.receive(session);
             assert!(!heard.is_empty(), "the end behind {} bytes", all.len());
             all.extend(heard);
         }
@@ -51,30 +51,30 @@
 
     /// A request to cancel is taken: its connection has ended.
     fn cancels(&mut self, key: CancelKey) {
-        let mut request = TcpStream::connect(self.sessions).unwrap();
+        let mut request = TcpStream::connect(self.session_address).unwrap();
         let mut out = Vec::new();
         wire::write_cancel(&mut out, key);
         request.write_all(&out).unwrap();
-        assert!(self.hears(&mut request).is_empty());
+        assert!(self.receive(&mut request).is_empty());
     }
 
     /// A session that has come in, little of whose answers fits into its socket.
     fn enters_narrowly(&mut self) -> TcpStream {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         SockRef::from(&socket).set_recv_buffer_size(NARROW).unwrap();
-        socket.connect(&self.sessions.into()).unwrap();
+        socket.connect(&self.session_address.into()).unwrap();
         let mut session = TcpStream::from(socket);
-        starts_up(&mut session, "portal");
-        self.hears_text(&mut session, "Z\0\0\0\x05I");
+        send_startup(&mut session, "portal");
+        self.receive_until(&mut session, "Z\0\0\0\x05I");
         session
     }
 
     /// A session's unit that is out: over which connection.
     fn is_out(&mut self, session: &mut TcpStream, engine: &TcpListener, text: &str) -> TcpStream {
-        asks(session, text);
-        let mut link = self.dials(engine);
-        lets_in(&mut link);
-        self.hears_text(&mut link, text);
+        send_query(session, text);
+        let mut link = self.accept_dial(engine);
+        accept_login(&mut link);
+        self.receive_until(&mut link, text);
         link
     }
 }
@@ -83,30 +83,31 @@
 fn a_unit_that_waits_for_its_connection_is_cancelled_once_and_never_sent() {
     for cancelling in [true, false] {
         let (engine, at) = listener();
-        let mut driven = Driven::new(&format!("cancel-waiting-{cancelling}"), at, cancelling);
-        let (mut session, key) = driven.enters_with_key();
-        asks(&mut session, "select 1");
-        let mut link = driven.dials(&engine);
+        let mut harness =
+            FrontHarness::new(&format!("cancel-waiting-{cancelling}"), at, cancelling);
+        let (mut session, key) = harness.enters_with_key();
+        send_query(&mut session, "select 1");
+        let mut link = harness.accept_dial(&engine);
         // The engine has the start-up, and has not answered it. A second request finds nothing.
-        driven.cancels(key);
-        driven.cancels(key);
-        let heard = driven.hears_text(&mut session, "Z\0\0\0\x05I");
+        harness.cancels(key);
+        harness.cancels(key);
+        let heard = harness.receive_until(&mut session, "Z\0\0\0\x05I");
         assert!(
             heard.starts_with('E') && heard.matches("C57014").count() == 1,
             "{heard:?}"
         );
-        lets_in(&mut link);
-        asks(&mut session, "select 2");
-        let heard = driven.hears_text(&mut link, "select 2");
+        accept_login(&mut link);
+        send_query(&mut session, "select 2");
+        let heard = harness.receive_until(&mut link, "select 2");
         assert!(!heard.contains("select 1"), "{heard:?}");
-        answers(&mut link, "SELECT 2", b'I');
-        let heard = driven.hears_text(&mut session, "Z\0\0\0\x05I");
+        send_completion(&mut link, "SELECT 2", b'I');
+        let heard = harness.receive_until(&mut session, "Z\0\0\0\x05I");
         assert!(
             heard.starts_with('C') && heard.contains("SELECT 2"),
             "{heard:?}"
         );
         // Nothing was asked of the engine beside that.
-        driven.goes_on();
+        harness.run_iteration();
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
     }
 }
@@ -115,36 +116,36 @@
 fn garbage_behind_a_unit_that_is_out_waits_for_its_answer() {
     for at_once in [true, false] {
         let (engine, at) = listener();
-        let mut driven = Driven::new(&format!("garbage-behind-{at_once}"), at, true);
-        let mut session = driven.enters();
+        let mut harness = FrontHarness::new(&format!("garbage-behind-{at_once}"), at, true);
+        let mut session = harness.open_session();
         let garbage = b"Q\0\0\0\x03select 2";
         let mut link = if at_once {
             let mut out = Vec::new();
             wire::write_query(&mut out, b"select 1");
             out.extend(garbage);
             session.write_all(&out).unwrap();
-            let mut link = driven.dials(&engine);
-            lets_in(&mut link);
-            driven.hears_text(&mut link, "select 1");
+            let mut link = harness.accept_dial(&engine);
+            accept_login(&mut link);
+            harness.receive_until(&mut link, "select 1");
             link
         } else {
-            let link = driven.is_out(&mut session, &engine, "select 1");
+            let link = harness.is_out(&mut session, &engine, "select 1");
             session.write_all(garbage).unwrap();
             link
         };
         // It is read, and nothing comes of it yet.
-        driven.until("it is read", |front| {
+        harness.run_until("it is read", |front| {
             let gateway = front.gateway.as_ref()?;
             (gateway.held_bytes() > garbage.len()).then_some(())
         });
-        driven.goes_on();
+        harness.run_iteration();
         session.set_nonblocking(true).unwrap();
         assert_eq!(
             session.read(&mut [0]).unwrap_err().kind(),
             ErrorKind::WouldBlock
         );
-        answers(&mut link, "SELECT 1", b'I');
-        let heard = driven.hears_end(&mut session);
+        send_completion(&mut link, "SELECT 1", b'I');
+        let heard = harness.hears_end(&mut session);
         let error = heard
             .strip_prefix("C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I")
             .unwrap_or(&heard);
@@ -155,9 +156,9 @@
         );
         drop(session);
         // The engine is not asked to give up what it has answered, and its connection serves on.
-        let mut next = driven.enters();
-        asks(&mut next, "select 3");
-        let heard = driven.hears_text(&mut link, "select 3");
+        let mut next = harness.open_session();
+        send_query(&mut next, "select 3");
+        let heard = harness.receive_until(&mut link, "select 3");
         assert!(!heard.contains("select 2"), "{heard:?}");
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
     }
@@ -177,58 +178,59 @@
     let (engine, at) = listener();
     // More of an answer is read than may be left untaken.
     let limits = format!("buffer_bytes: {}", 2 * MOST_UNTAKEN);
-    let mut driven = Driven::with_limits(&format!("untaken-{cancelling}"), at, cancelling, &limits);
-    driven.front.max_bytes = MOST_UNTAKEN;
-    let (mut most, mut little) = (driven.enters_narrowly(), driven.enters_narrowly());
-    let mut link_of_little = driven.is_out(&mut little, &engine, "select 'little'");
-    let mut link_of_most = driven.is_out(&mut most, &engine, "select 'most'");
+    let mut harness =
+        FrontHarness::with_limits(&format!("untaken-{cancelling}"), at, cancelling, &limits);
+    harness.front.max_bytes = MOST_UNTAKEN;
+    let (mut most, mut little) = (harness.enters_narrowly(), harness.enters_narrowly());
+    let mut link_of_little = harness.is_out(&mut little, &engine, "select 'little'");
+    let mut link_of_most = harness.is_out(&mut most, &engine, "select 'most'");
     let mut row = Vec::new();
     wire::write(&mut row, b'D', |out| out.resize(ROW, b'x'));
     // Rows come until so much of them does not fit into the sockets that some will stay.
-    let unsent = |driven: &Driven| driven.front.gateway.as_ref().unwrap().unsent().bytes;
+    let unsent = |harness: &FrontHarness| harness.front.gateway.as_ref().unwrap().unsent().bytes;
     let mut rows = 0;
-    while unsent(&driven) < LITTLE {
+    while unsent(&harness) < LITTLE {
         assert!(rows < MOST_ROWS, "all fits into the sockets");
-        driven.is_sent(&mut link_of_little, &row);
+        harness.is_sent(&mut link_of_little, &row);
         rows += 1;
-        driven.goes_on();
+        harness.run_iteration();
     }
     assert!(
-        unsent(&driven) < MOST_UNTAKEN / 2,
+        unsent(&harness) < MOST_UNTAKEN / 2,
         "{} bytes",
-        unsent(&driven)
+        unsent(&harness)
     );
     let tag = format!("SELECT {rows}");
-    answers(&mut link_of_little, &tag, b'I');
-    driven.until("its answer", |front| {
+    send_completion(&mut link_of_little, &tag, b'I');
+    harness.run_until("its answer", |front| {
         (front.gateway.as_ref()?.held_bytes() == most_holds()).then_some(())
     });
     // The other's answer has no end: rows come until the front does not want them any more.
     link_of_most.set_nonblocking(true).unwrap();
     let mut at = 0;
-    driven.until("its end", |front| {
+    harness.run_until("its end", |front| {
         while let Ok(len) = link_of_most.write(&row[at..]) {
             at = (at + len) % row.len();
         }
         (front.gateway.as_ref()?.len() < 2).then_some(())
     });
-    assert_eq!(driven.front.gateway.as_ref().unwrap().held_bytes(), 0);
+    assert_eq!(harness.front.gateway.as_ref().unwrap().held_bytes(), 0);
     // The other one was there to be closed.
-    assert!(unsent(&driven) > 0);
+    assert!(unsent(&harness) > 0);
     if cancelling {
         // The engine is asked to end it, over a connection of its own.
-        let mut request = driven.until("a request", |_| engine.accept().ok()).0;
-        let request = driven.hears(&mut request);
+        let mut request = harness.run_until("a request", |_| engine.accept().ok()).0;
+        let request = harness.receive(&mut request);
         assert!(request.starts_with(&CANCEL_REQUEST), "{request:?}");
     } else {
         // What still comes of it is nobody's.
-        driven.is_sent(&mut link_of_most, &row[at..]);
-        answers(&mut link_of_most, "SELECT 0", b'I');
-        driven.goes_on();
+        harness.is_sent(&mut link_of_most, &row[at..]);
+        send_completion(&mut link_of_most, "SELECT 0", b'I');
+        harness.run_iteration();
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
     }
     // The one that has left little has its whole answer, and goes on.
-    let heard = driven.hears_unit_bytes(&mut little);
+    let heard = harness.hears_unit_bytes(&mut little);
     let mut whole = row.repeat(rows);
     wire::write_complete(&mut whole, &tag);
     whole.extend(READY);
@@ -238,8 +240,8 @@
         heard.len(),
         whole.len()
     );
-    asks(&mut little, "SET hallmux.workload = 'lookup'");
-    let heard = driven.hears_text(&mut little, "Z\0\0\0\x05I");
+    send_query(&mut little, "SET hallmux.workload = 'lookup'");
+    let heard = harness.receive_until(&mut little, "Z\0\0\0\x05I");
     assert!(heard.starts_with("C\0\0\0\x08SET\0"), "{heard:?}");
 }
 
--- a/crates/front/src/reuse.rs
+++ b/crates/front/src/reuse.rs
@@ -13,15 +13,15 @@
 const GROWTH_DIVISOR: Micros = 256;
 
 /// The idle time, in microseconds, up to which connections are trusted.
-pub struct Reuse {
+pub struct ReusePolicy {
     agreed: Micros,
     trusted: Micros,
 }
 
-impl Reuse {
+impl ReusePolicy {
     /// Engines have agreed to keep idle connections for so long.
     pub fn new(agreed: Micros) -> Self {
-        Reuse {
+        ReusePolicy {
             agreed,
             trusted: agreed,
         }
@@ -33,12 +33,12 @@
     }
 
     /// A connection that was used again has answered.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.trusted = (self.trusted + self.trusted / GROWTH_DIVISOR).min(self.agreed);
     }
 
     /// A connection that had been idle was lost so long after it was used again, with no reply before.
-    pub fn lost(&mut self, idle: Micros, after: Micros) {
+    pub fn record_loss(&mut self, idle: Micros, after: Micros) {
         if after < LOSS_WINDOW && idle > MIN_IDLE {
             self.trusted = (idle / 2).max(MIN_IDLE).min(self.trusted);
             log::debug!(
--- a/crates/front/src/reuse_tests.rs
+++ b/crates/front/src/reuse_tests.rs
@@ -4,16 +4,16 @@
 
 #[test]
 fn the_rest_that_is_trusted_follows_what_is_lost_and_comes_back_with_answers() {
-    let mut reuse = Reuse::new(15_000_000);
-    reuse.lost(3_000_000, LOSS_WINDOW); // it ran for a while: not dead before
-    reuse.lost(MIN_IDLE, 0); // it had hardly rested
+    let mut reuse = ReusePolicy::new(15_000_000);
+    reuse.record_loss(3_000_000, LOSS_WINDOW); // it ran for a while: not dead before
+    reuse.record_loss(MIN_IDLE, 0); // it had hardly rested
     assert_eq!(reuse.max_idle(), 15_000_000);
-    reuse.lost(3_000_000, 300);
+    reuse.record_loss(3_000_000, 300);
     assert_eq!(reuse.max_idle(), 1_500_000);
-    reuse.lost(2_500_000, 300); // taken up before that was known
+    reuse.record_loss(2_500_000, 300); // taken up before that was known
     assert_eq!(reuse.max_idle(), 1_250_000);
-    reuse.lost(12_000, 300);
+    reuse.record_loss(12_000, 300);
     assert_eq!(reuse.max_idle(), MIN_IDLE);
-    (0..3000).for_each(|_| reuse.answered());
+    (0..3000).for_each(|_| reuse.record_answer());
     assert_eq!(reuse.max_idle(), 15_000_000);
 }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -22,7 +22,7 @@
 
 /// What of the ledger depends on this front, and so delays its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LedgerDuty {
+pub enum LedgerDependency {
     None,
     /// It owns shards that others could own.
     OwnsShards,
@@ -55,11 +55,11 @@
     }
 
     /// Whether the listener is to be closed by now. To be called once in each iteration.
-    pub fn closes(&mut self, now: Micros, duty: LedgerDuty) -> bool {
+    pub fn closes(&mut self, now: Micros, duty: LedgerDependency) -> bool {
         let close_after = match duty {
-            LedgerDuty::None => CLOSE_AFTER,
-            LedgerDuty::OwnsShards => CLOSE_AFTER_HAND_OVER,
-            LedgerDuty::NeededForQuorum => CLOSE_AFTER_QUORUM,
+            LedgerDependency::None => CLOSE_AFTER,
+            LedgerDependency::OwnsShards => CLOSE_AFTER_HAND_OVER,
+            LedgerDependency::NeededForQuorum => CLOSE_AFTER_QUORUM,
         };
         if self.since.is_none_or(|since| now < since + close_after) {
             return false;
--- a/crates/front/src/shutdown_tests.rs
+++ b/crates/front/src/shutdown_tests.rs
@@ -7,9 +7,9 @@
     let mut shutdown = Shutdown::default();
     shutdown.request(0);
     for (duty, close_after) in [
-        (LedgerDuty::None, CLOSE_AFTER),
-        (LedgerDuty::OwnsShards, CLOSE_AFTER_HAND_OVER),
-        (LedgerDuty::NeededForQuorum, CLOSE_AFTER_QUORUM),
+        (LedgerDependency::None, CLOSE_AFTER),
+        (LedgerDependency::OwnsShards, CLOSE_AFTER_HAND_OVER),
+        (LedgerDependency::NeededForQuorum, CLOSE_AFTER_QUORUM),
     ] {
         assert!(!shutdown.closes(close_after - 1, duty));
         let mut late = (0..=FINAL_ITERATIONS).map(|_| shutdown.closes(close_after, duty));
