--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -18,15 +18,15 @@
 pub use connection::ServingStatus;
 
 /// Statements open on a connection, as the protocol has it.
-const MOST_OPEN: usize = 32;
+const MAX_OPEN_STATEMENTS: usize = 32;
 /// Bytes that a client may leave untaken before it is no longer read.
-const MOST_UNSENT: usize = 64 << 10;
+const MAX_UNSENT_BYTES: usize = 64 << 10;
 
 /// A client's connection, by its number among all that were accepted.
 pub type ClientId = u64;
 
 /// A statement that a client waits for.
-struct Open {
+struct OpenStatement {
     client: ClientId,
     number: i32,
     call: Rc<Call>,
@@ -36,15 +36,15 @@
 #[derive(Default)]
 pub struct Clients {
     clients: HashMap<ClientId, Client>,
-    open: HashMap<Ticket, Open>,
+    open: HashMap<Ticket, OpenStatement>,
     /// Ids of the statements that are open, on whatever connection.
-    ids: HashSet<String>,
+    statement_ids: HashSet<String>,
     held_bytes: usize,
     /// Milliseconds after which rejected statements may be sent again, where the contract has such a time.
     retry_after_ms: Option<i64>,
-    next: ClientId,
-    next_check: Micros,
-    changed: BTreeSet<ClientId>,
+    last_id: ClientId,
+    next_idle_check: Micros,
+    flush_pending: BTreeSet<ClientId>,
     /// They have not taken all that is to leave.
     with_unsent: BTreeSet<ClientId>,
     /// Not read for now: they do not take their answers.
@@ -85,8 +85,8 @@
 
     /// The number of the next connection.
     pub fn next_id(&mut self) -> ClientId {
-        self.next += 1;
-        self.next
+        self.last_id += 1;
+        self.last_id
     }
 
     /// A connection was accepted that may have waited for that. Guards against a deadline beyond its client's: what it
@@ -103,7 +103,7 @@
 
     /// Guards against one that sends what can't be used without end: after some such statements its connection is closed.
     fn close_if_faulty(&mut self, id: ClientId) {
-        let faulty = |client: &&mut Client| client.is_faulty() && !client.refused;
+        let faulty = |client: &&mut Client| client.is_faulty() && !client.is_closing;
         let Some(client) = self.clients.get_mut(&id).filter(faulty) else {
             return;
         };
@@ -111,7 +111,7 @@
             "client {id}: {} statements that can't be used; its connection is closed",
             client.unusable_statements
         );
-        client.refused = true;
+        client.is_closing = true;
     }
 
     /// Says that a statement can't be used.
@@ -139,10 +139,10 @@
     fn remove(&mut self, id: ClientId, events: &mut Vec<Event>) -> Option<Client> {
         let client = self.clients.remove(&id)?;
         for ticket in client.open.values() {
-            self.remove_open(*ticket);
+            self.remove_statement(*ticket);
             events.push(Event::Abandoned(*ticket));
         }
-        self.changed.remove(&id);
+        self.flush_pending.remove(&id);
         self.paused.remove(&id);
         self.with_unsent.remove(&id);
         self.found_unread.remove(&id);
@@ -156,7 +156,7 @@
     /// Whether a statement can be taken from a connection; if not, it has its answer or its end. Guards
     /// against answers that could be to either of two statements, and executions that engines could not tell
     /// apart: one that is open goes on, and another under its number or id is none.
-    pub fn admits(
+    pub fn check_admissible(
         &mut self,
         id: ClientId,
         number: i32,
@@ -170,9 +170,9 @@
             self.reject(id, number);
         } else if client.open.contains_key(&number) {
             self.answer_unusable(id, number, statement::NUMBER);
-        } else if self.ids.contains(&call.id) {
+        } else if self.statement_ids.contains(&call.id) {
             self.answer_unusable(id, number, statement::ID);
-        } else if client.open.len() >= MOST_OPEN {
+        } else if client.open.len() >= MAX_OPEN_STATEMENTS {
             // Guards against floods: of what came at once nothing has left for an engine yet, nor will it.
             log::info!(
                 "client {id}: more statements at once than agreed; its connection is closed"
@@ -198,14 +198,14 @@
     /// The client no longer waits for a statement.
     pub fn cancel(&mut self, id: ClientId, number: i32) -> Option<Ticket> {
         let ticket = self.clients.get_mut(&id)?.open.remove(&number)?;
-        self.remove_open(ticket);
+        self.remove_statement(ticket);
         Some(ticket)
     }
 
-    fn remove_open(&mut self, ticket: Ticket) -> Option<Open> {
+    fn remove_statement(&mut self, ticket: Ticket) -> Option<OpenStatement> {
         let open = self.open.remove(&ticket)?;
         self.held_bytes -= open.call.size();
-        self.ids.remove(&open.call.id);
+        self.statement_ids.remove(&open.call.id);
         Some(open)
     }
 
@@ -224,14 +224,14 @@
     }
 
     /// A statement is taken under a ticket.
-    pub fn open(&mut self, client: ClientId, number: i32, ticket: Ticket, call: Call) {
+    pub fn open_statement(&mut self, client: ClientId, number: i32, ticket: Ticket, call: Call) {
         if let Some(c) = self.clients.get_mut(&client) {
             c.open.insert(number, ticket);
             self.held_bytes += call.size();
-            self.ids.insert(call.id.clone());
+            self.statement_ids.insert(call.id.clone());
             self.open.insert(
                 ticket,
-                Open {
+                OpenStatement {
                     client,
                     number,
                     call: Rc::new(call),
@@ -249,13 +249,13 @@
     pub fn reply(&mut self, id: ClientId, number: i32, reply: &Reply) {
         if let Some(client) = self.clients.get_mut(&id) {
             statement::write(client.link.output(), number, reply);
-            self.changed.insert(id);
+            self.flush_pending.insert(id);
         }
     }
 
     /// Says that a statement that was taken can't be used after all.
-    pub fn answer_taken_unusable(&mut self, ticket: Ticket, field: &str) {
-        let Some(open) = self.remove_open(ticket) else {
+    pub fn answer_accepted_unusable(&mut self, ticket: Ticket, field: &str) {
+        let Some(open) = self.remove_statement(ticket) else {
             return;
         };
         if let Some(client) = self.clients.get_mut(&open.client) {
@@ -266,7 +266,7 @@
 
     /// Gives a statement its final answer.
     pub fn answer(&mut self, now: Micros, ticket: Ticket, reply: &Reply) {
-        let Some(open) = self.remove_open(ticket) else {
+        let Some(open) = self.remove_statement(ticket) else {
             return;
         };
         if let Some(client) = self.clients.get_mut(&open.client) {
@@ -278,7 +278,7 @@
 
     /// Sends what is to leave.
     pub fn flush(&mut self, now: Micros, events: &mut Vec<Event>) {
-        for id in std::mem::take(&mut self.changed) {
+        for id in std::mem::take(&mut self.flush_pending) {
             let Some(client) = self.clients.get_mut(&id) else {
                 continue;
             };
@@ -295,7 +295,7 @@
                 }
                 Ok(()) => {
                     self.with_unsent.remove(&id);
-                    if client.refused && client.open.is_empty() {
+                    if client.is_closing && client.open.is_empty() {
                         self.close(now, id, events);
                     }
                 }
@@ -308,7 +308,7 @@
         let with_unsent = |id: &ClientId| {
             self.clients
                 .get(id)
-                .is_some_and(|c| c.link.unsent() > MOST_UNSENT)
+                .is_some_and(|c| c.link.unsent() > MAX_UNSENT_BYTES)
         };
         let (paused, mut ready): (Vec<_>, Vec<_>) = std::mem::take(&mut self.paused)
             .into_iter()
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -7,7 +7,7 @@
 use crate::link::Link;
 
 /// Statements that can't be used, until their connection is closed.
-pub(super) const MOST_UNUSABLE: usize = 8;
+pub(super) const MAX_UNUSABLE_STATEMENTS: usize = 8;
 
 /// What health checks of clients are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,13 +24,13 @@
     /// When it was last of use: something came, or an answer left.
     pub(super) last_active: Micros,
     /// Since when a whole message is awaited: the first one, or the rest of one that has begun.
-    pub(super) incomplete_since: Option<Micros>,
+    pub(super) message_incomplete_since: Option<Micros>,
     /// It has sent a whole message.
     pub(super) has_sent_message: bool,
     pub(super) unusable_statements: usize,
     /// What it sends can't be used: nothing more is taken from it, and its connection is closed once what was taken
     /// is answered.
-    pub(super) refused: bool,
+    pub(super) is_closing: bool,
     /// Since when it is not read, with more to read than was taken.
     pub(super) unread_since: Option<Micros>,
 }
@@ -42,26 +42,26 @@
             link,
             open: HashMap::new(),
             last_active: now,
-            incomplete_since: Some(now),
+            message_incomplete_since: Some(now),
             has_sent_message: false,
             unusable_statements: 0,
-            refused: false,
+            is_closing: false,
             unread_since: (waited > 0).then_some(now - waited),
         }
     }
 
     /// Nothing is lost with it.
     pub(super) fn is_idle(&self) -> bool {
-        !self.is_owed() && self.link.input.is_empty()
+        !self.has_pending_answers() && self.link.input.is_empty()
     }
 
     /// It waits for an answer, or has not taken all of one.
-    pub(super) fn is_owed(&self) -> bool {
+    pub(super) fn has_pending_answers(&self) -> bool {
         !self.open.is_empty() || self.link.unsent() > 0
     }
 
     /// It has sent more that can't be used than is borne.
     pub(super) fn is_faulty(&self) -> bool {
-        self.unusable_statements >= MOST_UNUSABLE
+        self.unusable_statements >= MAX_UNUSABLE_STATEMENTS
     }
 }
--- a/crates/front/src/clients/idle.rs
+++ b/crates/front/src/clients/idle.rs
@@ -7,24 +7,24 @@
 use super::{ClientId, Clients, Event};
 
 /// Microseconds between checks of connections that have sent nothing for long.
-const CHECK_INTERVAL: Micros = 200_000;
+const IDLE_CHECK_INTERVAL: Micros = 200_000;
 /// Microseconds; clients close after 4 s, so what is idle longer is left behind.
 const IDLE_TIMEOUT: Micros = 6_000_000;
 /// Microseconds for a message to be whole, the first one from connecting on.
 const MESSAGE_TIMEOUT: Micros = 2_000_000;
 /// Microseconds between pieces of a message that is still being written.
-const PIECE_TIMEOUT: Micros = 500_000;
+const FRAGMENT_TIMEOUT: Micros = 500_000;
 
 impl Clients {
     /// Closes connections that are left behind, that have sent nothing yet, or half a message and no more. What was
     /// taken from them is answered first.
     pub fn expire(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.lingering.expire(now);
-        if now < self.next_check {
+        if now < self.next_idle_check {
             return;
         }
-        self.next_check = now + CHECK_INTERVAL;
-        for id in self.silent_too_long(now) {
+        self.next_idle_check = now + IDLE_CHECK_INTERVAL;
+        for id in self.idle_too_long(now) {
             if self.has_nothing_unread(id) {
                 self.close(now, id, events);
             }
@@ -36,41 +36,41 @@
     }
 
     /// Clients that nothing is owed to and that were silent too long, with half a message or between two.
-    fn silent_too_long(&self, now: Micros) -> Vec<ClientId> {
-        let is_over = |id: &ClientId, client: &Client| {
+    fn idle_too_long(&self, now: Micros) -> Vec<ClientId> {
+        let is_expired = |id: &ClientId, client: &Client| {
             let is_idle = client.last_active + IDLE_TIMEOUT <= now;
             let is_silent = is_idle || self.is_message_overdue(now, client);
-            is_silent && !self.paused.contains(id) && !client.is_owed()
+            is_silent && !self.paused.contains(id) && !client.has_pending_answers()
         };
-        self.ids_where(is_over)
+        self.ids_where(is_expired)
     }
 
     /// Whether a message that has begun is not whole in its time.
     fn is_message_overdue(&self, now: Micros, client: &Client) -> bool {
-        let begun = client.incomplete_since.unwrap_or(now);
-        let has_stopped =
-            begun + MESSAGE_TIMEOUT <= now && client.last_active + PIECE_TIMEOUT <= now;
-        has_stopped || begun + self.longest_timeout.max(IDLE_TIMEOUT) <= now
+        let started_at = client.message_incomplete_since.unwrap_or(now);
+        let is_stalled =
+            started_at + MESSAGE_TIMEOUT <= now && client.last_active + FRAGMENT_TIMEOUT <= now;
+        is_stalled || started_at + self.longest_timeout.max(IDLE_TIMEOUT) <= now
     }
 
     /// Clients that wait for nothing and have left answers untaken for longer than any waits.
     fn abandoned(&self, now: Micros) -> Vec<ClientId> {
         let is_abandoned = |_: &ClientId, client: &Client| {
-            let takes_none = client.open.is_empty() && client.link.unsent() > 0;
-            let patience = if client.refused {
+            let is_unread_by_client = client.open.is_empty() && client.link.unsent() > 0;
+            let timeout = if client.is_closing {
                 MESSAGE_TIMEOUT
             } else {
                 self.longest_timeout.max(IDLE_TIMEOUT)
             };
-            takes_none && client.last_active + patience <= now
+            is_unread_by_client && client.last_active + timeout <= now
         };
         self.ids_where(is_abandoned)
     }
 
     fn ids_where(&self, condition: impl Fn(&ClientId, &Client) -> bool) -> Vec<ClientId> {
         let clients = self.clients.iter();
-        let chosen = clients.filter(|(id, client)| condition(id, client));
-        chosen.map(|(id, _)| *id).collect()
+        let matching = clients.filter(|(id, client)| condition(id, client));
+        matching.map(|(id, _)| *id).collect()
     }
 
     /// Closes an idle connection to make way for a new one. One that is being closed goes first, then those that
@@ -79,15 +79,15 @@
         if self.lingering.drop_oldest() {
             return true;
         }
-        let mut silent = self.ids_where(|_, client| {
+        let mut idle = self.ids_where(|_, client| {
             client.open.is_empty() && (!client.has_sent_message || client.is_idle())
         });
-        silent.sort_unstable_by_key(|id| {
+        idle.sort_unstable_by_key(|id| {
             let client = &self.clients[id];
             (client.has_sent_message, client.last_active, *id)
         });
-        let mut silent = silent.into_iter();
-        let Some(id) = silent.find(|id| self.has_nothing_unread(*id)) else {
+        let mut idle = idle.into_iter();
+        let Some(id) = idle.find(|id| self.has_nothing_unread(*id)) else {
             return false;
         };
         self.disconnect(id, &mut Vec::new());
--- a/crates/front/src/clients/input.rs
+++ b/crates/front/src/clients/input.rs
@@ -5,7 +5,7 @@
 use hallmux_native_codec::Decoded;
 
 use super::connection::{Client, ServingStatus};
-use super::{ClientId, Clients, Event, MOST_UNSENT};
+use super::{ClientId, Clients, Event, MAX_UNSENT_BYTES};
 use crate::link::ReadOutcome;
 
 /// Bytes taken from a client in an iteration, and one chunk: all that it may have open.
@@ -35,16 +35,16 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
-        self.changed.insert(id);
+        self.flush_pending.insert(id);
         client.last_active = now;
-        if client.link.unsent() > MOST_UNSENT {
+        if client.link.unsent() > MAX_UNSENT_BYTES {
             self.paused.insert(id);
             client.unread_since.get_or_insert(now);
             return false;
         }
         let unread_for = client.unread_since.take().map_or(0, |since| now - since);
         let ReadOutcome { has_more, broken } = client.link.read_some(READ_SIZE);
-        if client.refused {
+        if client.is_closing {
             client.link.input.clear();
             if broken.is_some() {
                 self.disconnect(id, events);
@@ -56,7 +56,7 @@
             status,
             unread_for,
         };
-        client.take_messages(now, &context, events);
+        client.handle_messages(now, &context, events);
         self.close_if_faulty(id);
         if broken.is_some() {
             self.disconnect(id, events);
@@ -69,32 +69,32 @@
 
 impl Client {
     /// Takes all whole messages. After one that can't be read nothing more is taken.
-    fn take_messages(&mut self, now: Micros, context: &ReadContext, events: &mut Vec<Event>) {
-        let mut taken = 0;
+    fn handle_messages(&mut self, now: Micros, context: &ReadContext, events: &mut Vec<Event>) {
+        let mut consumed = 0;
         let unreadable = loop {
-            match statement::read(&self.link.input[taken..]) {
+            match statement::read(&self.link.input[consumed..]) {
                 Ok(None) => break None,
-                Err(what) => break Some(what),
+                Err(error) => break Some(error),
                 Ok(Some(Decoded { len, message })) => {
-                    taken += len;
-                    self.take_message(message, context, events);
+                    consumed += len;
+                    self.handle_message(message, context, events);
                 }
             }
         };
-        self.link.consume(taken);
-        self.has_sent_message |= taken > 0;
+        self.link.consume(consumed);
+        self.has_sent_message |= consumed > 0;
         // Guards against messages that never end: what has begun, or is the first, is awaited for a while.
         let is_incomplete = !self.has_sent_message || !self.link.input.is_empty();
-        let awaited_before = self.incomplete_since.filter(|_| taken == 0);
-        self.incomplete_since = is_incomplete.then(|| awaited_before.unwrap_or(now));
-        if let Some(what) = &unreadable {
+        let incomplete_before = self.message_incomplete_since.filter(|_| consumed == 0);
+        self.message_incomplete_since = is_incomplete.then(|| incomplete_before.unwrap_or(now));
+        if let Some(error) = &unreadable {
             let client = context.client;
-            log::info!("client {client}: {what}; its connection is closed");
-            self.refused = true;
+            log::info!("client {client}: {error}; its connection is closed");
+            self.is_closing = true;
         }
     }
 
-    fn take_message(&mut self, message: Message, context: &ReadContext, events: &mut Vec<Event>) {
+    fn handle_message(&mut self, message: Message, context: &ReadContext, events: &mut Vec<Event>) {
         let number = message.sequence_number;
         let client = context.client;
         match message.request {
--- a/crates/front/src/clients_tests.rs
+++ b/crates/front/src/clients_tests.rs
@@ -11,10 +11,10 @@
 use crate::events::{LoopEvents, SocketKind};
 
 const SECOND: Micros = 1_000_000;
-const PATIENCE: Duration = Duration::from_secs(20);
-const BUFFER: usize = 400 << 10; // bytes asked for on the receiving side; half of that must be granted
-const SHORT: usize = 60 << 10; // bytes of a statement that one read takes, with the beginning of the next
-const LONG: usize = 120 << 10; // bytes of a statement whose end the third read brings
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
+const RECEIVE_BUFFER: usize = 400 << 10; // bytes asked for on the receiving side; half of that must be granted
+const SHORT_STATEMENT: usize = 60 << 10; // bytes of a statement that one read takes, with the beginning of the next
+const LONG_STATEMENT: usize = 120 << 10; // bytes of a statement whose end the third read brings
 
 /// A statement as clients send it, in its frame.
 pub(crate) fn frame(number: u32, statement: &str) -> Vec<u8> {
@@ -46,21 +46,25 @@
 }
 
 #[test]
-fn a_statement_that_several_reads_take_has_waited_since_the_first() {
+fn statement_spanning_several_reads_counts_unread_time_from_first_read() {
     let events: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     SockRef::from(&listener)
-        .set_recv_buffer_size(BUFFER)
+        .set_recv_buffer_size(RECEIVE_BUFFER)
         .unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
-    let frames = [frame(1, &"x".repeat(SHORT)), frame(2, &"x".repeat(LONG))].concat();
+    let frames = [
+        frame(1, &"x".repeat(SHORT_STATEMENT)),
+        frame(2, &"x".repeat(LONG_STATEMENT)),
+    ]
+    .concat();
     peer.write_all(&frames).unwrap();
     // All of it lies there before the first read.
-    let (begun, mut there) = (Instant::now(), vec![0; frames.len()]);
-    while stream.peek(&mut there).unwrap() < frames.len() {
+    let (started, mut peeked) = (Instant::now(), vec![0; frames.len()]);
+    while stream.peek(&mut peeked).unwrap() < frames.len() {
         assert!(
-            begun.elapsed() < PATIENCE,
+            started.elapsed() < WAIT_LIMIT,
             "a receive buffer that holds {} bytes",
             frames.len()
         );
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -9,13 +9,13 @@
 use crate::test_clock::TestClock;
 
 /// Microseconds late that are worth a line in the log.
-const LOGGED_DELAY: Micros = 250_000;
+const MIN_LOGGED_DELAY: Micros = 250_000;
 /// Microseconds that a read of the sockets stays good; a fifth of what is allowed.
-const FRESH_FOR: Micros = 20_000;
+const MAX_READ_AGE: Micros = 20_000;
 /// Microseconds between looks for steps of the wall clock, for the log.
-const COMPARE_INTERVAL: Micros = 100_000;
+const COMPARISON_INTERVAL: Micros = 100_000;
 /// Microseconds late that count as on time; less than an answer's slack.
-const ON_TIME: Micros = 50_000;
+const LATENESS_TOLERANCE: Micros = 50_000;
 
 /// The time of the current iteration, and how late the iteration is.
 #[derive(Default)]
@@ -24,21 +24,21 @@
     offset: Micros,
     machine: MachineClock,
     /// When it is next compared with the wall clock.
-    compare_at: Micros,
+    next_comparison: Micros,
     /// Where the time comes from in place of the machine's clock, in tests.
     test_clock: Option<TestClock>,
     /// The time at the last `refresh`: Unix microseconds that run on evenly from the start, never back.
     pub now: Micros,
     /// All that had come by then has been decided on.
-    decided: Option<Micros>,
+    decided_up_to: Option<Micros>,
     /// When this front went to sleep, and until when it meant to.
     slept_at: Micros,
     sleep_until: Micros,
     /// Since when what is found in this iteration may have waited, once it is known.
-    waiting_since: Option<Micros>,
+    unread_since: Option<Micros>,
     /// When this iteration began, and whether that was late.
     woke_at: Micros,
-    late: bool,
+    is_late: bool,
 }
 
 impl Clock {
@@ -72,42 +72,42 @@
     }
 
     fn compare_wall_clock(&mut self) {
-        self.compare_at = self.now + COMPARE_INTERVAL;
+        self.next_comparison = self.now + COMPARISON_INTERVAL;
         if self.test_clock.is_some() {
             return;
         }
-        if let Some(step) = self.machine.step() {
+        if let Some(step) = self.machine.detect_step() {
             log::warn!("the wall clock was stepped by {:+} ms", step / 1000);
         }
     }
 
     /// An iteration is over and nothing is due until the time given: how long the front may sleep.
-    pub fn sleep(&mut self, until: Micros) -> Duration {
-        if self.now >= self.compare_at {
+    pub fn prepare_sleep(&mut self, until: Micros) -> Duration {
+        if self.now >= self.next_comparison {
             self.compare_wall_clock();
         }
-        if self.waiting_since.is_some() && self.now - self.woke_at > LOGGED_DELAY {
+        if self.unread_since.is_some() && self.now - self.woke_at > MIN_LOGGED_DELAY {
             log::warn!("a turn took {} ms", (self.now - self.woke_at) / 1000);
         }
         // After a late iteration it reads its sockets again at once: what it finds then had waited as well.
-        let until = if self.late {
+        let until = if self.is_late {
             self.now
         } else {
             until.max(self.now)
         };
         self.slept_at = self.now;
         self.sleep_until = until;
-        self.waiting_since = None;
+        self.unread_since = None;
         match &mut self.test_clock {
-            Some(test_clock) => test_clock.sleep(until.saturating_sub(self.offset)),
+            Some(test_clock) => test_clock.prepare_sleep(until.saturating_sub(self.offset)),
             None => Duration::from_micros((until - self.now) as u64),
         }
     }
 
     /// All that was found in this iteration is decided on. Guards against a front that is stopped at work: what
     /// came after it had read its sockets is not found yet, and had come by no later time than that.
-    pub fn decide(&mut self) {
-        self.decided = Some(if self.late {
+    pub fn mark_decided(&mut self) {
+        self.decided_up_to = Some(if self.is_late {
             self.slept_at
         } else {
             self.woke_at
@@ -115,30 +115,31 @@
     }
 
     /// An iteration begins; the first call in it counts.
-    pub fn wake(&mut self) {
-        if self.waiting_since.is_some() {
+    pub fn start_iteration(&mut self) {
+        if self.unread_since.is_some() {
             return;
         }
-        let decided = self.decided.unwrap_or(self.now);
+        let decided = self.decided_up_to.unwrap_or(self.now);
         // Guards against answers too late for their client: a front that was stopped, in its sleep or at
         // work, cannot know when the statements came that it finds. Those that came last seem older than
         // they are, and may be shed though they could have been in time.
-        self.late = self.slept_at - decided > ON_TIME || self.now - self.sleep_until > ON_TIME;
+        self.is_late = self.slept_at - decided > LATENESS_TOLERANCE
+            || self.now - self.sleep_until > LATENESS_TOLERANCE;
         self.woke_at = self.now;
-        self.waiting_since = Some(if self.late { decided } else { self.now });
-        if self.waited() > LOGGED_DELAY {
-            log::warn!("stood still for {} ms", self.waited() / 1000);
+        self.unread_since = Some(if self.is_late { decided } else { self.now });
+        if self.unread_time() > MIN_LOGGED_DELAY {
+            log::warn!("stood still for {} ms", self.unread_time() / 1000);
         }
     }
 
     /// Whether this iteration's read of the sockets is too old to send anything by.
     pub fn is_stale(&self) -> bool {
-        self.late || self.now - self.woke_at > FRESH_FOR
+        self.is_late || self.now - self.woke_at > MAX_READ_AGE
     }
 
     /// Microseconds that what is found now may have waited unread.
-    pub fn waited(&self) -> Micros {
-        self.waiting_since.map_or(0, |since| self.now - since)
+    pub fn unread_time(&self) -> Micros {
+        self.unread_since.map_or(0, |since| self.now - since)
     }
 }
 
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -11,7 +11,7 @@
 use crate::link::{Link, ReadOutcome};
 
 /// Milliseconds that the coordinator holds a poll open.
-const POLL_MS: i64 = 1000;
+const POLL_TIMEOUT_MS: i64 = 1000;
 /// Microseconds beyond that until the connection counts as dead.
 const SILENCE_TIMEOUT: Micros = 750_000;
 /// Microseconds until the next attempt after one that failed.
@@ -23,15 +23,15 @@
     address: Option<SocketAddr>,
     link: Option<Link>,
     /// The number of the connection, the last one dialled.
-    number: u64,
+    connection_number: u64,
     polled_at: Option<Micros>,
     /// Until when an answer is awaited, or when to try again.
     due: Micros,
     /// The last event that is known; polls ask for those after it.
     pub last_index: u64,
-    failing: bool,
+    is_failing: bool,
     /// When the coordinator last answered; 0 before it did.
-    last_answer: Micros,
+    last_answer_at: Micros,
 }
 
 /// What was read of a connection.
@@ -39,7 +39,7 @@
     /// The answer to the poll; none while some of it has yet to come.
     answer: Result<Option<Response>, ParseError>,
     /// The connection was closed or broke.
-    is_over: bool,
+    is_closed: bool,
 }
 
 impl Coordinator {
@@ -53,12 +53,12 @@
             handle,
             address,
             link: None,
-            number: 0,
+            connection_number: 0,
             polled_at: None,
             due: 0,
             last_index,
-            failing: false,
-            last_answer: 0,
+            is_failing: false,
+            last_answer_at: 0,
         }
     }
 
@@ -69,7 +69,7 @@
         }
         self.address = address;
         self.link = None;
-        self.failing = false;
+        self.is_failing = false;
         self.due = now;
     }
 
@@ -88,34 +88,34 @@
             return;
         };
         if self.link.is_some() {
-            return self.failed(now, "silent");
+            return self.handle_failure(now, "silent");
         }
-        self.number += 1;
+        self.connection_number += 1;
         match Link::dial(
             address,
             &self.handle,
-            SocketKind::Coordinator.id(self.number),
+            SocketKind::Coordinator.id(self.connection_number),
         ) {
             Ok(link) => {
                 self.link = Some(link);
                 self.polled_at = None;
                 self.due = now + SILENCE_TIMEOUT;
             }
-            Err(e) => self.failed(now, &e.to_string()),
+            Err(e) => self.handle_failure(now, &e.to_string()),
         }
     }
 
-    fn failed(&mut self, now: Micros, why: &str) {
+    fn handle_failure(&mut self, now: Micros, reason: &str) {
         // One that breaks off or stops is polled again at once, from then on at intervals.
-        let again = if std::mem::replace(&mut self.failing, true) {
+        let retry_at = if std::mem::replace(&mut self.is_failing, true) {
             now + RETRY_INTERVAL
         } else {
             now
         };
-        if again == now {
-            log::warn!("coordinator: {why}; the engine list stands still until it answers");
+        if retry_at == now {
+            log::warn!("coordinator: {reason}; the engine list stands still until it answers");
         }
-        self.close_until(again);
+        self.close_until(retry_at);
     }
 
     /// Closes the connection; the next one is dialled at the time given.
@@ -126,16 +126,17 @@
 
     fn poll(&mut self, now: Micros) {
         if let (Some(link), Some(address)) = (&mut self.link, self.address) {
-            let request = codec::poll_request(&address.to_string(), self.last_index, POLL_MS);
+            let request =
+                codec::poll_request(&address.to_string(), self.last_index, POLL_TIMEOUT_MS);
             link.output().extend_from_slice(request.as_bytes());
             self.polled_at = Some(now);
-            self.due = now + POLL_MS * 1000 + SILENCE_TIMEOUT;
+            self.due = now + POLL_TIMEOUT_MS * 1000 + SILENCE_TIMEOUT;
         }
     }
 
     /// The connection has changed; the events that it brought, if any.
     pub fn read(&mut self, now: Micros, number: u64) -> Option<Events> {
-        if self.link.is_none() || number != self.number {
+        if self.link.is_none() || number != self.connection_number {
             return None;
         }
         if self.polled_at.is_none() && !self.poll_if_up(now) {
@@ -143,14 +144,14 @@
         }
         let received = self.receive()?;
         match received.answer {
-            Ok(Some(answer)) => self.take_answer(now, answer, received.is_over),
-            Ok(None) if received.is_over => {
-                self.failed(now, "connection over");
+            Ok(Some(answer)) => self.handle_answer(now, answer, received.is_closed),
+            Ok(None) if received.is_closed => {
+                self.handle_failure(now, "connection over");
                 None
             }
             Ok(None) => None,
-            Err(what) => {
-                self.failed(now, &what.to_string());
+            Err(error) => {
+                self.handle_failure(now, &error.to_string());
                 None
             }
         }
@@ -165,7 +166,7 @@
             }
             Ok(false) => false,
             Err(error) => {
-                self.failed(now, &error.to_string());
+                self.handle_failure(now, &error.to_string());
                 false
             }
         }
@@ -180,38 +181,38 @@
                 break broken;
             }
         };
-        let is_over = broken.is_some();
-        let answer = match codec::read(&link.input, is_over) {
+        let is_closed = broken.is_some();
+        let answer = match codec::read(&link.input, is_closed) {
             Ok(Some(Decoded { len, message })) => {
                 link.consume(len);
                 Ok(Some(message))
             }
             Ok(None) => Ok(None),
-            Err(what) => Err(what),
+            Err(error) => Err(error),
         };
-        Some(Received { answer, is_over })
+        Some(Received { answer, is_closed })
     }
 
     /// Takes an answer to a poll; its events, if it has some that can be read.
-    fn take_answer(&mut self, now: Micros, answer: Response, is_over: bool) -> Option<Events> {
+    fn handle_answer(&mut self, now: Micros, answer: Response, is_closed: bool) -> Option<Events> {
         let events = match answer.status {
-            200 => codec::events(&answer.body).map_err(|what| what.to_string()),
+            200 => codec::events(&answer.body).map_err(|error| error.to_string()),
             status => Err(format!("status {status}")),
         };
         let events = match events {
             Ok(events) => events,
-            Err(why) => {
-                self.failed(now, &why);
+            Err(reason) => {
+                self.handle_failure(now, &reason);
                 return None;
             }
         };
-        self.note_answer(now);
+        self.record_answer(now);
         self.last_index = self.last_index.max(events.index);
         // Guards against one that answers at once with nothing: it is not polled without end.
         let answered_at_once = self.polled_at.is_some_and(|at| now < at + RETRY_INTERVAL);
         if events.updates.is_empty() && answered_at_once {
             self.close_until(now + RETRY_INTERVAL);
-        } else if answer.keep_alive && !is_over {
+        } else if answer.keep_alive && !is_closed {
             self.poll(now);
         } else {
             self.close_until(now);
@@ -219,9 +220,9 @@
         Some(events)
     }
 
-    fn note_answer(&mut self, now: Micros) {
-        let before = std::mem::replace(&mut self.last_answer, now);
-        if std::mem::replace(&mut self.failing, false) {
+    fn record_answer(&mut self, now: Micros) {
+        let before = std::mem::replace(&mut self.last_answer_at, now);
+        if std::mem::replace(&mut self.is_failing, false) {
             // What it sent meanwhile counts as known some seconds after, whether it came here or not.
             let silent_ms = if before > 0 { (now - before) / 1000 } else { 0 };
             log::info!("coordinator: answers again, {silent_ms} ms after its last answer");
@@ -231,7 +232,7 @@
     /// Sends what is to leave.
     pub fn flush(&mut self, now: Micros) {
         if let Some(Err(_)) = self.link.as_mut().map(Link::flush) {
-            self.failed(now, "connection over");
+            self.handle_failure(now, "connection over");
         }
     }
 }
--- a/crates/front/src/coordinator_tests.rs
+++ b/crates/front/src/coordinator_tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 #[test]
-fn one_that_fails_is_asked_again_at_once_and_then_every_now_and_then() {
+fn failed_poll_is_retried_at_once_then_at_intervals() {
     let events: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
     let mut coordinator = Coordinator::new(events.handle(), Some(([127, 0, 0, 1], 9).into()), 7);
     let mut due_after = |now| {
-        coordinator.failed(now, "connection over");
+        coordinator.handle_failure(now, "connection over");
         coordinator.due()
     };
     assert_eq!(
--- a/crates/front/src/engine_starts_tests.rs
+++ b/crates/front/src/engine_starts_tests.rs
@@ -1,39 +1,39 @@
 //! Unit tests of the `engine_starts` module.
 
-use super::{EngineStarts, ListMoment};
+use super::{ClockReading, EngineStarts};
 
 const SECOND: i64 = 1_000_000;
 const HOUR: i64 = 3_600 * SECOND;
 const NOW: i64 = 1_800_000_000 * SECOND;
 
-fn moment(wall_lead: i64) -> ListMoment {
-    ListMoment {
+fn clocks(wall_lead: i64) -> ClockReading {
+    ClockReading {
         now: NOW,
         wall_lead,
     }
 }
 
 /// The age of an engine whose start is told as that of so long ago by the front's clock.
-fn age(told: i64, moment: ListMoment) -> i64 {
-    let told_ms = ((NOW - told) / 1000) as f64;
+fn age(reported_age: i64, clocks: ClockReading) -> i64 {
+    let reported_ms = ((NOW - reported_age) / 1000) as f64;
     NOW - EngineStarts::default()
-        .listed("a", told_ms, moment)
+        .start_time("a", reported_ms, clocks)
         .unwrap()
 }
 
 #[test]
-fn a_start_keeps_its_age_though_the_wall_clock_is_stepped_afterwards() {
+fn start_keeps_age_when_wall_clock_is_stepped_later() {
     for step in [HOUR, -HOUR, 20 * SECOND, -20 * SECOND] {
-        assert_eq!(age(3 * SECOND, moment(step)), 3 * SECOND, "{step}");
+        assert_eq!(age(3 * SECOND, clocks(step)), 3 * SECOND, "{step}");
     }
 }
 
 #[test]
-fn a_start_has_its_age_once_a_wall_clock_that_was_wrong_at_the_fronts_start_is_set_right() {
+fn start_age_is_correct_once_initially_wrong_wall_clock_is_corrected() {
     // The front's time stays as far off as the wall clock was; the step back to what is right tells how far.
     for wrong in [HOUR, -HOUR, 20 * SECOND, -20 * SECOND] {
         assert_eq!(
-            age(3 * SECOND + wrong, moment(-wrong)),
+            age(3 * SECOND + wrong, clocks(-wrong)),
             3 * SECOND,
             "{wrong}"
         );
@@ -41,28 +41,34 @@
 }
 
 #[test]
-fn no_start_is_to_come() {
-    assert_eq!(age(-HOUR, moment(0)), 0);
-    assert_eq!(age(-HOUR, moment(-2 * HOUR)), 0);
+fn start_is_never_in_the_future() {
+    assert_eq!(age(-HOUR, clocks(0)), 0);
+    assert_eq!(age(-HOUR, clocks(-2 * HOUR)), 0);
 }
 
 #[test]
-fn a_start_keeps_its_time_while_its_engine_is_listed_and_another_one_has_its_own() {
+fn start_time_is_kept_while_listed_and_replaced_for_new_start() {
     let mut starts = EngineStarts::default();
-    let told_ms = ((NOW - SECOND) / 1000) as f64;
-    let first = starts.listed("a", told_ms, moment(0));
-    assert_eq!(starts.listed("a", told_ms, moment(-SECOND / 2)), first);
-    assert_ne!(starts.listed("a", told_ms + 500.0, moment(0)), first);
-    assert_eq!(starts.listed("a", 0.0, moment(0)), None);
+    let reported_ms = ((NOW - SECOND) / 1000) as f64;
+    let first = starts.start_time("a", reported_ms, clocks(0));
+    assert_eq!(
+        starts.start_time("a", reported_ms, clocks(-SECOND / 2)),
+        first
+    );
+    assert_ne!(
+        starts.start_time("a", reported_ms + 500.0, clocks(0)),
+        first
+    );
+    assert_eq!(starts.start_time("a", 0.0, clocks(0)), None);
 }
 
 #[test]
-fn starts_of_engines_that_are_gone_are_forgotten() {
+fn starts_of_unlisted_engines_are_forgotten() {
     let mut starts = EngineStarts::default();
     ["a", "b", "c"]
         .iter()
-        .for_each(|id| _ = starts.listed(id, 1.0, moment(0)));
-    starts.whole_list(|id| id != "a");
-    starts.gone("b");
+        .for_each(|id| _ = starts.start_time(id, 1.0, clocks(0)));
+    starts.retain_listed(|id| id != "a");
+    starts.remove("b");
     assert_eq!(starts.starts.keys().collect::<Vec<_>>(), ["c"]);
 }
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -47,7 +47,7 @@
     /// Connections of clients and sessions at most.
     max_clients: usize,
     /// Statements were rejected for want of memory when the last one came; that has been logged.
-    memory_full: bool,
+    is_memory_full: bool,
     clients: Clients,
     engines: Engines,
     coordinator: Coordinator,
@@ -67,7 +67,7 @@
     shutdown: Shutdown,
     clock: Clock,
     /// Connections with more to read than one iteration takes.
-    unfinished: Vec<SocketId>,
+    unfinished_reads: Vec<SocketId>,
     /// What was decided has not left for engines yet: the connections are read first.
     flush_deferred: bool,
 }
@@ -77,13 +77,13 @@
     pub fn prepare_sleep(&mut self) -> Duration {
         self.clock.refresh();
         let due = self.next_due();
-        self.clock.sleep(due)
+        self.clock.prepare_sleep(due)
     }
 
     /// When something is due though no socket changes, in Unix microseconds.
     fn next_due(&self) -> Micros {
         let now = self.clock.now;
-        if !self.unfinished.is_empty() || self.flush_deferred {
+        if !self.unfinished_reads.is_empty() || self.flush_deferred {
             return 0;
         }
         let always = [
@@ -111,9 +111,9 @@
     /// A connection has changed: takes what is there.
     pub fn handle_ready_socket(&mut self, socket: SocketId) {
         self.clock.refresh();
-        self.clock.wake();
+        self.clock.start_iteration();
         let number = socket.number;
-        let more = match socket.kind {
+        let has_more = match socket.kind {
             // Statements of one order key run in the order in which they were taken: each is taken as it is found.
             SocketKind::Listener => {
                 self.listener.mark_readable();
@@ -123,9 +123,9 @@
             SocketKind::Client => self.read_client(number),
             SocketKind::Engine => self.engines.read(self.clock.now, number),
             SocketKind::Coordinator => {
-                let before = self.coordinator.last_index;
-                if let Some(stream) = self.coordinator.read(self.clock.now, number) {
-                    self.apply_list(&stream, before);
+                let last_index = self.coordinator.last_index;
+                if let Some(events) = self.coordinator.read(self.clock.now, number) {
+                    self.apply_list(&events, last_index);
                 }
                 false
             }
@@ -144,28 +144,28 @@
                 })
             }
         };
-        if more {
-            self.unfinished.push(socket);
+        if has_more {
+            self.unfinished_reads.push(socket);
         }
     }
 
     /// One iteration of the event loop, after `handle_ready_socket` was called for each socket that it reported: reads what is left,
     /// decides on all that was read, and sends what follows.
     pub fn run_iteration(&mut self) {
-        self.read_rest();
+        self.read_remaining();
         self.decide();
         self.answer_clients();
         self.close_if_due();
         for client in self.clients.readable_again() {
-            self.unfinished.push(SocketKind::Client.id(client));
+            self.unfinished_reads.push(SocketKind::Client.id(client));
         }
     }
 
     /// Accepts and reads what the last iteration left, and does what is due without the dispatcher's decisions.
-    fn read_rest(&mut self) {
+    fn read_remaining(&mut self) {
         self.clock.refresh();
-        self.clock.wake();
-        for socket in std::mem::take(&mut self.unfinished) {
+        self.clock.start_iteration();
+        for socket in std::mem::take(&mut self.unfinished_reads) {
             self.handle_ready_socket(socket);
         }
         self.accept();
@@ -190,26 +190,26 @@
     /// Lets the dispatcher decide on all that was read, and carries its orders out until none is left.
     fn decide(&mut self) {
         self.clock.refresh();
-        self.clock.decide();
-        self.apply_rulings();
+        self.clock.mark_decided();
+        self.apply_rule_decisions();
         self.flush_after_read();
         for _ in 0..MAX_DECISION_ROUNDS {
             self.handle_engine_events();
-            self.apply_promises();
-            self.apply_marks();
+            self.apply_ledger_decisions();
+            self.apply_load_markers();
             self.report_dial_capacity();
-            let orders = self.dispatcher.tick(self.clock.now);
-            if orders.is_empty() {
+            let commands = self.dispatcher.tick(self.clock.now);
+            if commands.is_empty() {
                 break;
             }
-            for order in orders {
-                self.carry_out(order);
+            for command in commands {
+                self.execute_command(command);
             }
-            self.apply_rulings();
+            self.apply_rule_decisions();
             // Cancels leave before the executions that use the freed capacity.
-            self.flush_engines();
+            self.flush_engines_if_fresh();
         }
-        self.flush_engines();
+        self.flush_engines_if_fresh();
         self.handle_engine_events();
     }
 
@@ -242,11 +242,11 @@
     /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
     /// read its connections: a client may have left meanwhile, or a drain been listed. Then it reads first, and
     /// sends in the next iteration.
-    fn flush_engines(&mut self) {
+    fn flush_engines_if_fresh(&mut self) {
         self.clock.refresh();
         self.flush_deferred = self.clock.is_stale();
         if !self.flush_deferred {
-            self.send_out();
+            self.flush_engine_connections();
         }
     }
 
@@ -254,11 +254,11 @@
     fn flush_after_read(&mut self) {
         if std::mem::take(&mut self.flush_deferred) {
             self.clock.refresh();
-            self.send_out();
+            self.flush_engine_connections();
         }
     }
 
-    fn send_out(&mut self) {
+    fn flush_engine_connections(&mut self) {
         self.engines.flush(self.clock.now);
         self.gateway
             .iter_mut()
@@ -276,10 +276,11 @@
     fn accept(&mut self) {
         let now = self.clock.now;
         loop {
-            let (clients, gateway, most) = (&mut self.clients, &mut self.gateway, self.max_clients);
+            let (clients, gateway, max_clients) =
+                (&mut self.clients, &mut self.gateway, self.max_clients);
             let reserve = || {
                 let sessions = gateway.as_ref().map_or(0, Gateway::len);
-                let free = clients.len() + sessions < most
+                let free = clients.len() + sessions < max_clients
                     || gateway.as_mut().is_some_and(Gateway::drop_lingering)
                     || clients.evict_idle()
                     || gateway
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -10,7 +10,7 @@
 use crate::execution::ExecutionId;
 
 /// A statement of a client that the access rules have judged.
-pub(super) struct JudgedRequest {
+pub(super) struct CheckedRequest {
     pub(super) client: ClientId,
     /// The number that the client gave it.
     pub(super) number: i32,
@@ -19,10 +19,10 @@
     pub(super) time_left: Micros,
     /// The locations whose engines it may be sent to; none given: all.
     pub(super) allowed: Option<Vec<String>>,
-    pub(super) judged: Decision,
+    pub(super) decision: Decision,
 }
 
-impl JudgedRequest {
+impl CheckedRequest {
     /// Leaves the one location given, or none where that is not allowed.
     pub(super) fn restrict_to(&mut self, location: String) {
         let allowed = self.allowed.as_ref();
@@ -36,10 +36,10 @@
 }
 
 /// Why a statement is not taken.
-enum NotTaken {
+enum AdmissionError {
     InvalidField(&'static str),
     /// Its text would pass for a load that a front has numbered.
-    NumberedText,
+    ReservedPrefix,
     /// For want of capacity, or as the process ends.
     Rejected,
 }
@@ -105,9 +105,14 @@
             false => self.dispatcher.client_left(now, ticket),
         }
         // The statement is over first: else it could be tried anew.
-        for sent in withdrawn {
-            self.dispatcher
-                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+        for execution_id in withdrawn {
+            self.dispatcher.report(
+                now,
+                execution_id.ticket,
+                execution_id.number,
+                Ending::Withdrawn,
+                None,
+            );
         }
     }
 
@@ -116,13 +121,13 @@
     /// and forget with their whole; where cancelling is not allowed no order to stop them would come before
     /// their time is up.
     fn withdraw_all_held(&mut self, tickets: &[Ticket]) -> Vec<ExecutionId> {
-        let of = |ticket: &Ticket| {
+        let executions_of = |ticket: &Ticket| {
             let ticket = *ticket;
-            let out = self.dispatcher.executions_out(ticket).into_iter();
-            out.map(move |number| ExecutionId::new(ticket, number))
+            let in_flight = self.dispatcher.executions_out(ticket).into_iter();
+            in_flight.map(move |number| ExecutionId::new(ticket, number))
         };
-        let mut held: Vec<ExecutionId> = tickets.iter().flat_map(of).collect();
-        held.retain(|sent| self.withdraw_held(self.clock.now, *sent));
+        let mut held: Vec<ExecutionId> = tickets.iter().flat_map(executions_of).collect();
+        held.retain(|execution_id| self.withdraw_held(self.clock.now, *execution_id));
         held
     }
 
@@ -137,76 +142,78 @@
         unread_for: Micros,
         ended: &mut Vec<clients::Event>,
     ) {
-        if !self.clients.admits(client, number, &call, ended) {
+        if !self.clients.check_admissible(client, number, &call, ended) {
             return;
         }
-        if let Some(reason) = self.not_taken_because(&call) {
-            return self.answer_not_taken(client, number, &reason);
+        if let Some(reason) = self.admission_error(&call) {
+            return self.answer_admission_error(client, number, &reason);
         }
         let time_left = self.time_left(&call, unread_for);
-        let judged = self.judge(&call);
-        if judged == Decision::RulesUnknown {
+        let decision = self.check_access_rules(&call);
+        if decision == Decision::RulesUnknown {
             return self.clients.reject(client, number);
         }
         let rules = self.rules.as_ref();
-        let allowed = rules.and_then(|rules| rules.borrow().allowed(&judged));
-        let request = JudgedRequest {
+        let allowed = rules.and_then(|rules| rules.borrow().allowed(&decision));
+        let request = CheckedRequest {
             client,
             number,
             call,
             time_left,
             allowed,
-            judged,
+            decision,
         };
         // What is denied is never asked of anybody.
-        let whole = if request.judged.is_denied() {
+        let unscattered = if request.decision.is_denied() {
             Some(request)
         } else {
             self.scatter(request)
         };
-        if let Some(request) = whole {
-            self.pick(request);
+        if let Some(request) = unscattered {
+            self.submit(request);
         }
     }
 
     /// Why a statement is not taken, whatever the rules say of it.
-    fn not_taken_because(&mut self, call: &Call) -> Option<NotTaken> {
+    fn admission_error(&mut self, call: &Call) -> Option<AdmissionError> {
         if let Some(field) = call.invalid_field {
-            return Some(NotTaken::InvalidField(field));
+            return Some(AdmissionError::InvalidField(field));
         }
-        if self.shutdown.rejects() {
-            return Some(NotTaken::Rejected);
+        if self.shutdown.rejects_statements() {
+            return Some(AdmissionError::Rejected);
         }
         let scatter = self.scatter.as_ref();
         if scatter.is_some_and(|scatter| scatter.passes_for_numbered(call)) {
-            return Some(NotTaken::NumberedText);
+            return Some(AdmissionError::ReservedPrefix);
         }
-        self.is_full().then_some(NotTaken::Rejected)
+        self.is_full().then_some(AdmissionError::Rejected)
     }
 
-    fn answer_not_taken(&mut self, client: ClientId, number: i32, reason: &NotTaken) {
+    fn answer_admission_error(&mut self, client: ClientId, number: i32, reason: &AdmissionError) {
         match reason {
-            NotTaken::InvalidField(field) => self.clients.answer_unusable(client, number, field),
-            NotTaken::NumberedText => {
-                let why = "its text begins as fronts number loads: leave that comment out";
-                let reply = Reply::Refused(&[("reason", why)]);
+            AdmissionError::InvalidField(field) => {
+                self.clients.answer_unusable(client, number, field)
+            }
+            AdmissionError::ReservedPrefix => {
+                let reason = "its text begins as fronts number loads: leave that comment out";
+                let reply = Reply::Refused(&[("reason", reason)]);
                 self.clients.reply(client, number, &reply);
             }
-            NotTaken::Rejected => self.clients.reject(client, number),
+            AdmissionError::Rejected => self.clients.reject(client, number),
         }
     }
 
     /// Microseconds in which a final answer is still of use to the client.
     fn time_left(&self, call: &Call, unread_for: Micros) -> Micros {
         // Guards against a final answer that is held up on its way: it has the slack twice, before the
-        // client's time is up and after. A result that comes in that last moment is lost to the client.
+        // client's time is up and after. A result that comes in that last clocks is lost to the client.
         let time_left = (call.time_left_ms * 1000.0) as Micros - self.answer_slack;
         // Guards against a deadline beyond the client's: its time has run on while the statement lay unread.
-        time_left - self.clock.waited().max(unread_for)
+        time_left - self.clock.unread_time().max(unread_for)
     }
 
     /// What the access rules say of a statement, where they are on.
-    fn judge(&self, call: &Call) -> Decision {
+    fn check_access_rules(&self, call: &Call) -> Decision {
         let Some(rules) = &self.rules else {
             return Decision::Unrestricted;
         };
@@ -218,7 +225,7 @@
     /// Whether no more statements can be taken: too many are held, or they take too much memory.
     fn is_full(&mut self) -> bool {
         let full = self.clients.held_bytes() > self.max_bytes;
-        if full != std::mem::replace(&mut self.memory_full, full) {
+        if full != std::mem::replace(&mut self.is_memory_full, full) {
             log::warn!(
                 "statements held take {} bytes; {}",
                 self.clients.held_bytes(),
@@ -233,19 +240,19 @@
     }
 
     /// Hands a statement to the dispatcher, or answers why it can't be.
-    fn pick(&mut self, request: JudgedRequest) {
-        let JudgedRequest {
+    fn submit(&mut self, request: CheckedRequest) {
+        let CheckedRequest {
             client,
             number,
             call,
             time_left,
             allowed,
-            judged,
+            decision,
         } = request;
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
-        let ask = StatementRequest {
+        let statement_request = StatementRequest {
             workload: &call.workload,
             customer: &call.customer,
             order_key: call.order_key.as_deref(),
@@ -258,14 +265,14 @@
             sticky_engine: None,
             allowed_locations: allowed.as_deref(),
         };
-        let picked = self.dispatcher.submit(self.clock.now, &ask);
+        let submitted = self.dispatcher.submit(self.clock.now, &statement_request);
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(&mut self.dispatcher, &judged, picked.ok());
+                .statement_picked(&mut self.dispatcher, &decision, submitted.ok());
         }
-        match picked {
-            Ok(ticket) => self.clients.open(client, number, ticket, call),
+        match submitted {
+            Ok(ticket) => self.clients.open_statement(client, number, ticket, call),
             Err(invalid) => self.answer_invalid(client, number, invalid),
         }
     }
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -75,27 +75,27 @@
         let full =
             held > self.max_bytes || self.dispatcher.statements_held() >= self.max_statements;
         AdmissionState {
-            waited: self.clock.waited(),
+            waited: self.clock.unread_time(),
             full,
         }
     }
 
     /// A statement is a session's.
-    pub(super) fn is_of_session(&self, ticket: Ticket) -> bool {
+    pub(super) fn is_session_statement(&self, ticket: Ticket) -> bool {
         self.gateway
             .as_ref()
             .is_some_and(|gateway| gateway.owns(ticket))
     }
 
     /// An execution is one of a session's.
-    pub(super) fn is_execution_of_session(&self, sent: ExecutionId) -> bool {
+    pub(super) fn is_session_execution(&self, execution_id: ExecutionId) -> bool {
         self.gateway
             .as_ref()
-            .is_some_and(|gateway| gateway.has(sent))
+            .is_some_and(|gateway| gateway.has(execution_id))
     }
 
     /// Carries out rulings of the access rules: executions that were held go on, or statements end.
-    pub(super) fn apply_rulings(&mut self) {
+    pub(super) fn apply_rule_decisions(&mut self) {
         let Some(rules) = self.rules.clone() else {
             return;
         };
@@ -109,7 +109,7 @@
             .tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
-                Ruling::Send(ordered) => self.await_promises(ordered),
+                Ruling::Send(ordered) => self.await_ledger_entries(ordered),
                 Ruling::Deny(ticket) => {
                     let refusal = Refusal::Rejected { retry_after: None };
                     self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
@@ -132,7 +132,7 @@
     }
 
     /// Carries out rulings of the ledger: executions that were held for promises go on, or statements end.
-    pub(super) fn apply_promises(&mut self) {
+    pub(super) fn apply_ledger_decisions(&mut self) {
         let Some((guard, peers)) = self.guard.as_mut().zip(self.peers.as_mut()) else {
             return;
         };
@@ -150,7 +150,7 @@
                     ..
                 }) => {
                     self.dispatcher.execution_sent(now, ticket, execution);
-                    self.await_mark(Ordered {
+                    self.await_load_marker(Ordered {
                         judged: self.statement_for_rules(ticket),
                         ticket,
                         execution,
@@ -160,7 +160,7 @@
                 }
                 gate::Ruling::Reject(ticket) => {
                     let retry_after = self.dispatcher.reject(now, ticket);
-                    self.carry_out(Command::Reject {
+                    self.execute_command(Command::Reject {
                         ticket,
                         retry_after,
                         cause: RejectCause::LedgerEntry,
@@ -168,7 +168,7 @@
                 }
                 gate::Ruling::Abort(ticket) => {
                     self.dispatcher.reject(now, ticket);
-                    self.carry_out(Command::Abort {
+                    self.execute_command(Command::Abort {
                         ticket,
                         cause: RejectCause::LedgerEntry,
                     });
@@ -185,7 +185,7 @@
             Refusal::Aborted => "aborted",
         };
         log::debug!("statement {ticket}: {outcome}: {cause}");
-        if self.is_of_session(ticket) {
+        if self.is_session_statement(ticket) {
             if let Some(gateway) = &mut self.gateway {
                 gateway.refuse(now, ticket, refusal);
             }
@@ -201,15 +201,15 @@
     }
 
     /// An execution that rules have let go on waits for its promises, or leaves.
-    fn await_promises(&mut self, ordered: Ordered) {
+    fn await_ledger_entries(&mut self, ordered: Ordered) {
         let (now, guard) = (self.clock.now, self.guard.as_mut());
         if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, &ordered)) {
-            self.await_mark(ordered);
+            self.await_load_marker(ordered);
         }
     }
 
     /// An execution that has its promises waits for the mark on its load, or leaves.
-    fn await_mark(&mut self, ordered: Ordered) {
+    fn await_load_marker(&mut self, ordered: Ordered) {
         let now = self.clock.now;
         let load = self.load(ordered.ticket);
         let loads = self
@@ -228,22 +228,22 @@
     /// What a statement may write, where loads are marked.
     fn load(&mut self, ticket: Ticket) -> Option<Load> {
         self.scatter.as_ref()?.loads.as_ref()?;
-        if self.is_of_session(ticket) {
+        if self.is_session_statement(ticket) {
             return self.gateway.as_mut()?.load(ticket);
         }
         self.call(ticket).map(Load::Call)
     }
 
     /// Whether rules still let it leave: nothing may come between this look and its way.
-    pub(super) fn may_leave(&mut self, ordered: Ordered) -> bool {
+    pub(super) fn recheck_access_rules(&mut self, ordered: Ordered) -> bool {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        let may = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
-        self.rules.as_ref().is_none_or(may)
+        let allows = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
+        self.rules.as_ref().is_none_or(allows)
     }
 
     /// An execution leaves for its engine.
     fn send(&mut self, ordered: Ordered) {
-        if !self.may_leave(ordered) {
+        if !self.recheck_access_rules(ordered) {
             return;
         }
         let Ordered {
@@ -253,13 +253,13 @@
             terms,
             ..
         } = ordered;
-        let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
+        let (now, execution_id) = (self.clock.now, ExecutionId::new(ticket, execution));
         self.send_capacity.sent(place);
-        if self.is_of_session(ticket) {
+        if self.is_session_statement(ticket) {
             return self
                 .gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.send(now, sent, place, None));
+                .for_each(|gateway| gateway.send(now, execution_id, place, None));
         }
         match self.call(ticket) {
             Some(call) => {
@@ -267,7 +267,7 @@
                     "statement {ticket}: execution {execution} of id {} is sent",
                     call.id
                 );
-                self.engines.send(now, sent, place, call, terms)
+                self.engines.send(now, execution_id, place, call, terms)
             }
             None => {
                 _ = self
@@ -278,39 +278,44 @@
     }
 
     /// Cancels an execution, wherever it is.
-    fn stop(&mut self, sent: ExecutionId, ending: Ending) {
+    fn cancel_execution(&mut self, execution_id: ExecutionId, ending: Ending) {
         let now = self.clock.now;
-        if self.withdraw_held(now, sent) {
+        if self.withdraw_held(now, execution_id) {
             // Its session is to know why, though nothing of it has left.
             self.gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.stop(now, sent, ending));
-            self.dispatcher
-                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
-        } else if self.is_execution_of_session(sent) {
+                .for_each(|gateway| gateway.stop(now, execution_id, ending));
+            self.dispatcher.report(
+                now,
+                execution_id.ticket,
+                execution_id.number,
+                Ending::Withdrawn,
+                None,
+            );
+        } else if self.is_session_execution(execution_id) {
             self.gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.stop(now, sent, ending));
+                .for_each(|gateway| gateway.stop(now, execution_id, ending));
         } else {
-            self.engines.cancel(now, sent, ending);
+            self.engines.cancel(now, execution_id, ending);
         }
     }
 
     /// Lets go of an execution that waits for rules, promises or a mark: nothing of it has left. False if it does not.
-    pub(super) fn withdraw_held(&mut self, now: Micros, sent: ExecutionId) -> bool {
-        let of = self.statement_for_rules(sent.ticket);
+    pub(super) fn withdraw_held(&mut self, now: Micros, execution_id: ExecutionId) -> bool {
+        let judged = self.statement_for_rules(execution_id.ticket);
         let loads = self
             .scatter
             .as_mut()
             .and_then(|scatter| scatter.loads.as_mut());
         self.rules
             .as_ref()
-            .is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
+            .is_some_and(|rules| rules.borrow_mut().cancel(judged, execution_id))
             || self
                 .guard
                 .as_mut()
-                .is_some_and(|guard| guard.cancel(now, sent))
-            || loads.is_some_and(|loads| loads.cancel(sent))
+                .is_some_and(|guard| guard.cancel(now, execution_id))
+            || loads.is_some_and(|loads| loads.cancel(execution_id))
     }
 
     /// The statement that rules know: of a part the whole.
@@ -331,7 +336,7 @@
     }
 
     /// Carries out what the dispatcher has decided.
-    pub(super) fn carry_out(&mut self, command: Command) {
+    pub(super) fn execute_command(&mut self, command: Command) {
         let now = self.clock.now;
         match command {
             Command::Send {
@@ -350,7 +355,7 @@
                 ticket,
                 execution,
                 ending,
-            } => self.stop(ExecutionId::new(ticket, execution), ending),
+            } => self.cancel_execution(ExecutionId::new(ticket, execution), ending),
             Command::SetPriority {
                 ticket,
                 execution,
@@ -383,7 +388,7 @@
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         let passes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
         if self.rules.as_ref().is_none_or(passes) {
-            self.await_promises(ordered);
+            self.await_ledger_entries(ordered);
         }
     }
 
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -8,25 +8,25 @@
 
 use super::EventLoopState;
 use crate::engine_protocols::EngineProtocols;
-use crate::engine_starts::ListMoment;
+use crate::engine_starts::ClockReading;
 use crate::listed_engine::ListedEngine;
 
 impl EventLoopState {
     /// Takes in the coordinator's events that come after the one given.
-    pub(super) fn apply_list(&mut self, stream: &Events, after: u64) {
-        let moment = ListMoment {
+    pub(super) fn apply_list(&mut self, events: &Events, last_index: u64) {
+        let clocks = ClockReading {
             now: self.clock.now,
             wall_lead: self.clock.wall_lead(),
         };
-        for update in stream.updates.iter().filter(|u| u.index > after) {
+        for update in events.updates.iter().filter(|u| u.index > last_index) {
             if let Some(list) = &update.list {
-                self.apply_update(list, moment);
+                self.apply_update(list, clocks);
             }
         }
     }
 
-    fn apply_update(&mut self, list: &EngineList, moment: ListMoment) {
-        let starts = self.starts(list, moment);
+    fn apply_update(&mut self, list: &EngineList, clocks: ClockReading) {
+        let starts = self.start_times(list, clocks);
         let listings: Vec<Listing> = list
             .engines
             .iter()
@@ -46,7 +46,7 @@
             }
         }
         for ((engine, place), start) in list.engines.iter().zip(places).zip(starts) {
-            log_listed(engine, start.map(|at| moment.now - at));
+            log_listed(engine, start.map(|at| clocks.now - at));
             self.update_connections(engine, place);
         }
     }
@@ -62,7 +62,7 @@
         let protocols = self.protocols(&engine.kind);
         let address = engine.address.parse::<SocketAddr>();
         let available = engine.state == EngineState::Up;
-        let listed = |address: SocketAddr| ListedEngine {
+        let listed_engine = |address: SocketAddr| ListedEngine {
             id: &engine.id,
             address,
             started_ms: engine.started_ms,
@@ -72,7 +72,7 @@
             match &address {
                 Ok(address) => {
                     let address = protocols.postgres_address(*address);
-                    gateway.servers().list(place, listed(address));
+                    gateway.servers().list(place, listed_engine(address));
                 }
                 Err(_) => gateway.servers().retire(place),
             }
@@ -81,7 +81,7 @@
             return;
         }
         match address {
-            Ok(address) => self.engines.list(place, listed(address)),
+            Ok(address) => self.engines.list(place, listed_engine(address)),
             Err(_) if !available => self.engines.retire(place),
             Err(error) => log::error!(
                 "engine {}: address '{}': {error}",
@@ -92,16 +92,21 @@
     }
 
     /// When the engines of a list started, on the front's clock.
-    fn starts(&mut self, list: &EngineList, moment: ListMoment) -> Vec<Option<Micros>> {
+    fn start_times(&mut self, list: &EngineList, clocks: ClockReading) -> Vec<Option<Micros>> {
         if list.is_full {
-            let named: HashSet<&str> = list.engines.iter().map(|e| e.id.as_str()).collect();
-            self.engine_starts.whole_list(|id| named.contains(id));
+            let listed_ids: HashSet<&str> = list
+                .engines
+                .iter()
+                .map(|engine| engine.id.as_str())
+                .collect();
+            self.engine_starts
+                .retain_listed(|id| listed_ids.contains(id));
         }
         let starts = &mut self.engine_starts;
         let start = |engine: &Engine| {
-            let start = starts.listed(&engine.id, engine.started_ms, moment);
+            let start = starts.start_time(&engine.id, engine.started_ms, clocks);
             if engine.state == EngineState::Removed {
-                starts.gone(&engine.id);
+                starts.remove(&engine.id);
             }
             start
         };
--- a/crates/front/src/event_loop/graceful_shutdown.rs
+++ b/crates/front/src/event_loop/graceful_shutdown.rs
@@ -32,7 +32,7 @@
     pub(super) fn close_if_due(&mut self) {
         if !self
             .shutdown
-            .closes(self.clock.now, self.ledger_dependency())
+            .should_close_listener(self.clock.now, self.ledger_dependency())
         {
             return;
         }
@@ -40,7 +40,7 @@
         // not have reported it yet.
         self.listener.mark_readable();
         self.accept();
-        if self.listener.may_have_more() && self.shutdown.may_wait(self.clock.now) {
+        if self.listener.may_have_more() && self.shutdown.may_keep_listening(self.clock.now) {
             return;
         }
         if self.listener.close() {
--- a/crates/front/src/event_loop/reload.rs
+++ b/crates/front/src/event_loop/reload.rs
@@ -18,18 +18,18 @@
 
 impl EventLoopState {
     /// Applies a configuration that was read again, or logs why it can't be used.
-    pub fn reload(&mut self, read: Result<NodeConfig, Error>) {
+    pub fn reload(&mut self, result: Result<NodeConfig, Error>) {
         self.clock.refresh();
-        match read {
+        match result {
             Ok(config) => self.apply_configuration(&config),
-            Err(why) => log::error!("the configuration is left as it was: {why}"),
+            Err(error) => log::error!("the configuration is left as it was: {error}"),
         }
     }
 
     fn apply_configuration(&mut self, config: &NodeConfig) {
         self.apply_limits(&config.limits);
         self.reload_optional_parts(&config.operator);
-        self.apply_known_list(&config.known_events);
+        self.apply_known_events(&config.known_events);
         self.coordinator
             .set_address(self.clock.now, config.coordinator);
         let address = config
@@ -54,15 +54,15 @@
 
     /// Takes in what a new configuration knows of the coordinator's events: a drain among them counts,
     /// whether the coordinator that the configuration names answers or not.
-    fn apply_known_list(&mut self, known: &str) {
-        match hallmux_native_codec::coordinator::events(known.as_bytes()) {
-            Ok(known) => {
-                let before = self.coordinator.last_index;
-                self.coordinator.last_index = before.max(known.index);
-                self.apply_list(&known, before);
+    fn apply_known_events(&mut self, known_events: &str) {
+        match hallmux_native_codec::coordinator::events(known_events.as_bytes()) {
+            Ok(events) => {
+                let last_index = self.coordinator.last_index;
+                self.coordinator.last_index = last_index.max(events.index);
+                self.apply_list(&events, last_index);
             }
-            Err(what) => {
-                log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was")
+            Err(error) => {
+                log::error!("NODE_CONFIG: known: {error}; the engine list is left as it was")
             }
         }
     }
--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -7,7 +7,7 @@
 use hallmux_scatter::marker::Effect;
 use hallmux_scatter::sql::Query;
 
-use super::admission::JudgedRequest;
+use super::admission::CheckedRequest;
 use super::EventLoopState;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Ordered;
@@ -24,14 +24,14 @@
 impl EventLoopState {
     /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back where they
     /// can't, or where it is not scattered.
-    pub(super) fn scatter(&mut self, mut request: JudgedRequest) -> Option<JudgedRequest> {
+    pub(super) fn scatter(&mut self, mut request: CheckedRequest) -> Option<CheckedRequest> {
         let scatter = self.scatter.as_mut();
         let Some(scatter) = scatter.filter(|s| s.is_scattered(&request.call.workload)) else {
             return Some(request);
         };
         match scatter.read(&request.call) {
             Ok(Some(query)) => {
-                self.begin_scattered(request, query);
+                self.start_scattered(request, query);
                 None
             }
             Ok(None) => {
@@ -40,25 +40,25 @@
                 }
                 Some(request)
             }
-            Err(why) => {
-                self.refuse_scattered(&request, &why);
+            Err(reason) => {
+                self.refuse_scattered(&request, &reason);
                 None
             }
         }
     }
 
-    fn begin_scattered(&mut self, request: JudgedRequest, query: Query) {
+    fn start_scattered(&mut self, request: CheckedRequest, query: Query) {
         let now = self.clock.now;
         let ticket = self.dispatcher.new_ticket();
         self.clients
-            .open(request.client, request.number, ticket, request.call);
+            .open_statement(request.client, request.number, ticket, request.call);
         let Some(call) = self.clients.call(ticket) else {
             return;
         };
         if let Some(rules) = &self.rules {
             rules.borrow_mut().statement_picked(
                 &mut self.dispatcher,
-                &request.judged,
+                &request.decision,
                 Some(ticket),
             );
         }
@@ -73,18 +73,18 @@
         }
     }
 
-    fn refuse_scattered(&mut self, request: &JudgedRequest, why: &str) {
+    fn refuse_scattered(&mut self, request: &CheckedRequest, reason: &str) {
         log::debug!(
-            "client {}: statement {} of several sites: {why}",
+            "client {}: statement {} of several sites: {reason}",
             request.client,
             request.call.id
         );
-        let reply = Reply::Refused(&[("reason", why)]);
+        let reply = Reply::Refused(&[("reason", reason)]);
         self.clients.reply(request.client, request.number, &reply);
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(&mut self.dispatcher, &request.judged, None);
+                .statement_picked(&mut self.dispatcher, &request.decision, None);
         }
     }
 
@@ -118,13 +118,13 @@
         if let Some(loads) = &mut scatter.loads {
             loads.report_held(now, &mut self.dispatcher);
         }
-        self.apply_marks();
+        self.apply_load_markers();
         self.answer_scattered();
     }
 
     /// Asks the ledger for marks and takes its answers: loads leave, scatters begin. Goes on until the ledger has no
     /// more answers.
-    pub(super) fn apply_marks(&mut self) {
+    pub(super) fn apply_load_markers(&mut self) {
         loop {
             let now = self.clock.now;
             let Some((scatter, peers)) = self.scatter.as_mut().zip(self.peers.as_mut()) else {
@@ -168,13 +168,13 @@
                     place,
                     terms,
                 };
-                if self.may_leave(ordered) {
-                    self.send_marked(ordered, outgoing);
+                if self.recheck_access_rules(ordered) {
+                    self.send_with_load_marker(ordered, outgoing);
                 }
             }
             LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
                 let retry_after = self.dispatcher.reject(now, ticket);
-                self.carry_out(Command::Reject {
+                self.execute_command(Command::Reject {
                     ticket,
                     retry_after,
                     cause: RejectCause::LoadMark,
@@ -200,7 +200,7 @@
     }
 
     /// Sends an execution whose load is marked.
-    fn send_marked(&mut self, ordered: Ordered, outgoing: Outgoing) {
+    fn send_with_load_marker(&mut self, ordered: Ordered, outgoing: Outgoing) {
         let Ordered { place, terms, .. } = ordered;
         let now = self.clock.now;
         match (outgoing, &mut self.gateway) {
@@ -222,15 +222,15 @@
                 .for_each(|rules| rules.borrow_mut().statement_over(ticket));
             match reply {
                 FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
-                FinalReply::Invalid(unfit) => {
-                    let field = match unfit {
+                FinalReply::Invalid(invalid) => {
+                    let field = match invalid {
                         InvalidRequest::UnknownCustomer => statement::CUSTOMER,
                         InvalidRequest::MissingDedupKey => statement::DEDUP_KEY,
                         InvalidRequest::UnknownWorkload | InvalidRequest::NoAllowedLocation => {
                             statement::WORKLOAD
                         }
                     };
-                    self.clients.answer_taken_unusable(ticket, field);
+                    self.clients.answer_accepted_unusable(ticket, field);
                 }
             }
         }
@@ -267,10 +267,10 @@
             }
             Answer::NotEstimated => self.refuse(ticket, NOT_ESTIMATED),
             Answer::Mismatch { site } => {
-                let why = format!(
+                let reason = format!(
                     "site '{site}' answers aggregates in another form: name a scatter.whole_site"
                 );
-                self.refuse(ticket, &why);
+                self.refuse(ticket, &reason);
             }
             Answer::TooLong => self.refuse(ticket, TOO_LONG),
         }
@@ -294,8 +294,8 @@
         self.answer(ticket, &reply);
     }
 
-    fn refuse(&mut self, ticket: Ticket, why: &str) {
-        self.answer(ticket, &Reply::Refused(&[("reason", why)]));
+    fn refuse(&mut self, ticket: Ticket, reason: &str) {
+        self.answer(ticket, &Reply::Refused(&[("reason", reason)]));
     }
 
     fn answer(&mut self, ticket: Ticket, reply: &Reply) {
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -24,11 +24,11 @@
 use crate::start_error::StartError;
 
 impl EventLoopState {
-    /// Opens the sockets and files that the configuration names, and registers them with the event loop. `known` is
+    /// Opens the sockets and files that the configuration names, and registers them with the event loop. `known_events` is
     /// the engine list that the configuration brings along. What keeps the process from starting is the error.
     pub fn new(
         config: &NodeConfig,
-        known: &EngineListEvents,
+        known_events: &EngineListEvents,
         listener: TcpListener,
         handle: LoopHandle<'static, LoopEvents>,
     ) -> Result<EventLoopState, StartError> {
@@ -40,20 +40,20 @@
         let scatter = start_scatter(config, clock.now, peers.as_ref())?;
         let listener = Listener::new(listener, &handle, SocketKind::Listener.id(0));
         let mut front = EventLoopState {
-            listener: listener.map_err(|why| StartError::part(&why))?,
+            listener: listener.map_err(|error| StartError::component(&error))?,
             dispatcher: Dispatcher::new(settings, config.seed),
             answer_slack: settings.network.answer_slack,
             max_statements: settings.network.most_held,
             max_bytes: 0,
             max_clients: 0,
-            memory_full: false,
+            is_memory_full: false,
             clients: Clients::new(
                 settings.agreement.longest_retry_after,
                 longest_timeout(settings),
             ),
             engines: Engines::new(handle.clone(), settings.network.clone(), &settings.names),
             engine_starts: EngineStarts::default(),
-            coordinator: Coordinator::new(handle.clone(), config.coordinator, known.index),
+            coordinator: Coordinator::new(handle.clone(), config.coordinator, known_events.index),
             gateway,
             peers,
             rules,
@@ -62,14 +62,14 @@
             send_capacity: SendCapacity::default(),
             shutdown: Shutdown::default(),
             clock,
-            unfinished: Vec::new(),
+            unfinished_reads: Vec::new(),
             flush_deferred: false,
             handle,
         };
         front.share_dial_pacer(config);
         front.start_guard(config);
         front.apply_limits(&config.limits);
-        front.apply_list(known, 0);
+        front.apply_list(known_events, 0);
         Ok(front)
     }
 
@@ -94,7 +94,7 @@
 
 fn start_clock(config: &NodeConfig) -> Result<Clock, StartError> {
     let clock = Clock::new(config.operator.clock_offset, config.clock_file.as_deref());
-    let mut clock = clock.map_err(|why| StartError::part(&why))?;
+    let mut clock = clock.map_err(|error| StartError::component(&error))?;
     clock.refresh();
     Ok(clock)
 }
@@ -118,7 +118,7 @@
         return Ok(None);
     };
     let gateway = Gateway::new(postgres, &config.settings, handle.clone(), rules);
-    let mut gateway = gateway.map_err(|why| StartError::part(&why))?;
+    let mut gateway = gateway.map_err(|error| StartError::component(&error))?;
     let scatter = config.operator.scatter.as_ref();
     if let Some(scatter) = scatter.filter(|scatter| scatter.marked) {
         gateway.writes = scatter.writes.clone();
@@ -136,7 +136,9 @@
     };
     let spread_offset = peers.map_or(0, Peers::spread_offset);
     let scatter = ScatteredStatements::new(scatter, now, spread_offset, &config.settings);
-    Ok(Some(scatter.map_err(|why| StartError::part(&why))?))
+    Ok(Some(
+        scatter.map_err(|error| StartError::component(&error))?,
+    ))
 }
 
 /// The longest time that a client waits for an answer.
--- a/crates/front/src/event_loop_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -53,11 +53,11 @@
 
     /// The same with limits of sessions, as the operator's file has them.
     fn with_limits(name: &str, engine: SocketAddr, cancelling: bool, limits: &str) -> FrontHarness {
-        let agreed = (
+        let settings = (
             json!({"cancelling": cancelling}),
             lookup_workload(SLO_TIME_MS),
         );
-        FrontHarness::start(name, &[engine], &operator_file(limits), agreed).unwrap()
+        FrontHarness::start(name, &[engine], &operator_file(limits), settings).unwrap()
     }
 
     /// With several engines, what is agreed of bounds, and the time that statements are meant to take.
@@ -160,9 +160,9 @@
 
     /// Waits until the loop has a change to tell, which the front has not heard of.
     fn wait_for_events(&mut self) -> LoopEvents {
-        let (begun, mut changes) = (Instant::now(), LoopEvents::default());
+        let (started, mut changes) = (Instant::now(), LoopEvents::default());
         while changes.ready.is_empty() {
-            assert!(begun.elapsed() < WAIT_LIMIT, "nothing has come");
+            assert!(started.elapsed() < WAIT_LIMIT, "nothing has come");
             self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
         }
         changes
@@ -172,14 +172,14 @@
     pub(super) fn run_until<T>(
         &mut self,
         what: &str,
-        mut there: impl FnMut(&EventLoopState) -> Option<T>,
+        mut condition: impl FnMut(&EventLoopState) -> Option<T>,
     ) -> T {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            if let Some(found) = there(&self.front) {
+            if let Some(found) = condition(&self.front) {
                 return found;
             }
-            assert!(begun.elapsed() < WAIT_LIMIT, "{what}");
+            assert!(started.elapsed() < WAIT_LIMIT, "{what}");
             self.run_iteration();
         }
     }
@@ -187,9 +187,9 @@
     /// Goes on until a peer has something to read: the first bytes of that, none at its end.
     fn receive(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         peer.set_nonblocking(true).unwrap();
-        let mut heard = vec![0; 4096];
-        self.run_until("an answer", |_| match peer.read(&mut heard) {
-            Ok(len) => Some(heard[..len].to_vec()),
+        let mut received = vec![0; 4096];
+        self.run_until("an answer", |_| match peer.read(&mut received) {
+            Ok(len) => Some(received[..len].to_vec()),
             Err(e) => {
                 assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}");
                 None
@@ -201,12 +201,12 @@
     pub(super) fn receive_until(&mut self, peer: &mut TcpStream, text: &str) -> String {
         let mut all = String::new();
         while !all.contains(text) {
-            let heard = self.receive(peer);
+            let received = self.receive(peer);
             assert!(
-                !heard.is_empty(),
+                !received.is_empty(),
                 "{text} did not come, but the end behind {all:?}"
             );
-            all += &String::from_utf8_lossy(&heard);
+            all += &String::from_utf8_lossy(&received);
         }
         all
     }
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn who_connects_right_before_the_listener_closes_is_answered() {
+fn client_connecting_just_before_listener_close_is_answered() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("last-client", at, true);
     harness.advance_to_listener_close();
@@ -294,7 +294,7 @@
     client.write_all(&frame(7, "select 7")).unwrap();
     harness.front.run_iteration();
     assert!(!harness.front.listener.is_open());
-    let heard = harness.receive(&mut client);
+    let received = harness.receive(&mut client);
     // A reply to number 7, whose second field is there: rejected.
     let reply = [
         &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
@@ -303,15 +303,15 @@
     ]
     .concat();
     assert!(
-        heard.len() > 4 && heard[4..].starts_with(&reply),
-        "{heard:?}"
+        received.len() > 4 && received[4..].starts_with(&reply),
+        "{received:?}"
     );
     // And the end, in order.
     assert!(harness.receive(&mut client).is_empty());
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_its_resting_connection_is_answered() {
+fn request_racing_close_of_idle_connection_is_answered() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("resting-client", at, true);
     let mut client = TcpStream::connect(harness.listen_address).unwrap();
@@ -328,7 +328,7 @@
         .ready
         .drain(..)
         .for_each(|socket| harness.front.handle_ready_socket(socket));
-    let heard = harness.receive(&mut client);
+    let received = harness.receive(&mut client);
     let reply = [
         &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
         b"serve",
@@ -336,42 +336,42 @@
     ]
     .concat();
     assert!(
-        heard.len() > 4 && heard[4..].starts_with(&reply),
-        "{heard:?}"
+        received.len() > 4 && received[4..].starts_with(&reply),
+        "{received:?}"
     );
     assert!(harness.receive(&mut client).is_empty());
 }
 
 #[test]
-fn a_session_that_connects_right_before_the_listener_closes_is_told_of_the_end() {
+fn session_connecting_just_before_listener_close_receives_shutdown_error() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("last-session", at, true);
     harness.advance_to_listener_close();
     let mut session = TcpStream::connect(harness.session_address).unwrap();
     harness.front.run_iteration();
-    let heard = harness.receive(&mut session);
+    let received = harness.receive(&mut session);
     assert!(
-        heard.starts_with(b"E") && heard.windows(5).any(|code| code == b"57P01"),
-        "{heard:?}"
+        received.starts_with(b"E") && received.windows(5).any(|code| code == b"57P01"),
+        "{received:?}"
     );
     assert!(harness.receive(&mut session).is_empty());
 }
 
 #[test]
-fn a_unit_that_comes_right_before_its_idle_session_is_closed_is_answered() {
+fn unit_arriving_just_before_idle_session_close_is_answered() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("last-unit", at, true);
     let mut session = harness.open_session();
     harness.advance_to_listener_close();
     send_query(&mut session, "SET hallmux.workload = 'lookup'");
     harness.front.run_iteration();
-    let heard = harness.receive_until(&mut session, "57P01");
-    assert!(heard.starts_with("C\0\0\0\x08SET\0Z"), "{heard:?}");
+    let received = harness.receive_until(&mut session, "57P01");
+    assert!(received.starts_with("C\0\0\0\x08SET\0Z"), "{received:?}");
     assert!(harness.receive(&mut session).is_empty());
 }
 
 #[test]
-fn a_unit_that_waits_for_its_connection_is_not_sent_once_its_session_has_left() {
+fn unit_waiting_for_engine_connection_is_not_sent_after_session_disconnects() {
     let (engine, at) = listener();
     // Engines are not told to give anything up.
     let mut harness = FrontHarness::new("left-session", at, false);
@@ -385,15 +385,15 @@
     accept_login(&mut link);
     let mut second = harness.open_session();
     send_query(&mut second, "select 2");
-    let heard = harness.receive_until(&mut link, "select");
+    let received = harness.receive_until(&mut link, "select");
     assert!(
-        heard.contains("select 2") && !heard.contains("select 1"),
-        "{heard:?}"
+        received.contains("select 2") && !received.contains("select 1"),
+        "{received:?}"
     );
 }
 
 #[test]
-fn a_unit_decided_on_by_an_old_look_is_not_sent_once_its_session_has_left() {
+fn unit_dispatched_on_stale_read_is_not_sent_after_session_disconnects() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("stale-session", at, true);
     let mut session = harness.open_session();
@@ -411,12 +411,16 @@
     assert!(harness.front.flush_deferred);
     drop(session);
     // The connection that it was written to goes with it.
-    let heard = harness.receive(&mut link);
-    assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
+    let received = harness.receive(&mut link);
+    assert!(
+        received.is_empty(),
+        "{}",
+        String::from_utf8_lossy(&received)
+    );
 }
 
 #[test]
-fn a_unit_that_comes_right_before_its_resting_session_makes_room_is_answered() {
+fn unit_arriving_just_before_idle_session_eviction_is_answered() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("room", at, true);
     let mut session = harness.open_session();
@@ -434,7 +438,7 @@
 }
 
 #[test]
-fn a_session_that_has_said_half_a_message_does_not_hold_up_the_end() {
+fn session_with_partial_message_does_not_delay_shutdown() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("half-unit", at, true);
     let mut session = harness.open_session();
--- a/crates/front/src/lingering.rs
+++ b/crates/front/src/lingering.rs
@@ -15,20 +15,20 @@
 const LINGER_TIMEOUT: Micros = 1_000_000;
 /// Bytes that are read and dropped: some statements of the largest size, and what the network holds. Guards
 /// against clients that never stop sending.
-const MOST_DROPPED: usize = 16 << 20;
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
-struct Closing {
+struct LingeringConnection {
     link: Link,
-    until: Micros,
-    dropped: usize,
+    close_at: Micros,
+    discarded_bytes: usize,
 }
 
 /// Connections whose write side is shut, by their numbers among those of their kind.
 #[derive(Default)]
 pub struct Lingering {
-    connections: BTreeMap<u64, Closing>,
+    connections: BTreeMap<u64, LingeringConnection>,
     /// They had more to read as they were closed than one iteration takes.
-    unread: Vec<u64>,
+    with_unread: Vec<u64>,
 }
 
 impl Lingering {
@@ -37,14 +37,14 @@
         if link.shut_writes().is_ok() {
             self.connections.insert(
                 id,
-                Closing {
+                LingeringConnection {
                     link,
-                    until: now + LINGER_TIMEOUT,
-                    dropped: 0,
+                    close_at: now + LINGER_TIMEOUT,
+                    discarded_bytes: 0,
                 },
             );
             if self.read(id) == Some(true) {
-                self.unread.push(id);
+                self.with_unread.push(id);
             }
         }
     }
@@ -52,15 +52,15 @@
     /// Drops what has come, and the connection once its client has closed too. None if it is not one of
     /// these; true if there is more for another iteration.
     pub fn read(&mut self, id: u64) -> Option<bool> {
-        let closing = self.connections.get_mut(&id)?;
-        closing.link.input.clear();
+        let connection = self.connections.get_mut(&id)?;
+        connection.link.input.clear();
         let ReadOutcome {
             has_more: more,
             broken,
-        } = closing.link.read();
-        closing.dropped += closing.link.input.len();
-        closing.link.input = Vec::new();
-        if broken.is_some() || closing.dropped > MOST_DROPPED {
+        } = connection.link.read();
+        connection.discarded_bytes += connection.link.input.len();
+        connection.link.input = Vec::new();
+        if broken.is_some() || connection.discarded_bytes > MAX_DISCARDED_BYTES {
             self.connections.remove(&id);
             return Some(false);
         }
@@ -69,19 +69,20 @@
 
     /// Connections that are to be read again, as the event loop does not report the rest of what they had.
     pub fn take_unread(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.unread)
+        std::mem::take(&mut self.with_unread)
     }
 
     /// Drops the connections whose bound is over.
     pub fn expire(&mut self, now: Micros) {
-        self.connections.retain(|_, closing| closing.until > now);
+        self.connections
+            .retain(|_, connection| connection.close_at > now);
     }
 
     /// When `expire` is next due.
     pub fn due(&self) -> Micros {
         self.connections
             .values()
-            .map(|closing| closing.until)
+            .map(|connection| connection.close_at)
             .min()
             .unwrap_or(Micros::MAX)
     }
@@ -91,7 +92,7 @@
         let oldest = self
             .connections
             .iter()
-            .min_by_key(|(id, closing)| (closing.until, **id));
+            .min_by_key(|(id, connection)| (connection.close_at, **id));
         let oldest = oldest.map(|(id, _)| *id);
         oldest.is_some_and(|id| self.connections.remove(&id).is_some())
     }
--- a/crates/front/src/lingering_tests.rs
+++ b/crates/front/src/lingering_tests.rs
@@ -10,15 +10,15 @@
 use super::*;
 use crate::events::{LoopEvents, SocketKind};
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const BUFFER: usize = 1200 << 10; // bytes asked for on the receiving side; half of that must be granted
-const MUCH: usize = 600 << 10; // bytes; three iterations take them
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
+const RECEIVE_BUFFER: usize = 1200 << 10; // bytes asked for on the receiving side; half of that must be granted
+const SENT_BYTES: usize = 600 << 10; // bytes; three iterations take them
 
 /// A client, and the front's side of its connection, over which nothing was read yet.
 fn connection(events: &EventLoop<'static, LoopEvents>) -> (TcpStream, TcpStream, Link) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     SockRef::from(&listener)
-        .set_recv_buffer_size(BUFFER)
+        .set_recv_buffer_size(RECEIVE_BUFFER)
         .unwrap();
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
@@ -32,17 +32,17 @@
 }
 
 #[test]
-fn what_one_iteration_leaves_is_read_though_nothing_more_comes() {
+fn data_left_by_one_iteration_is_read_without_new_events() {
     let events = EventLoop::try_new().unwrap();
     let (mut peer, stream, link) = connection(&events);
     stream.set_nonblocking(false).unwrap();
-    peer.write_all(&vec![b'x'; MUCH]).unwrap();
+    peer.write_all(&vec![b'x'; SENT_BYTES]).unwrap();
     // All of it lies there before the close, and no event tells of it later.
-    let (begun, mut there) = (Instant::now(), vec![0; MUCH]);
-    while stream.peek(&mut there).unwrap() < MUCH {
+    let (started, mut peeked) = (Instant::now(), vec![0; SENT_BYTES]);
+    while stream.peek(&mut peeked).unwrap() < SENT_BYTES {
         assert!(
-            begun.elapsed() < PATIENCE,
-            "a receive buffer that holds {MUCH} bytes"
+            started.elapsed() < WAIT_LIMIT,
+            "a receive buffer that holds {SENT_BYTES} bytes"
         );
     }
     stream.set_nonblocking(true).unwrap();
@@ -52,21 +52,21 @@
     assert!(lingering.take_unread().is_empty());
     while lingering.read(1) == Some(true) {}
     assert_eq!(
-        stream.peek(&mut there).unwrap_err().kind(),
+        stream.peek(&mut peeked).unwrap_err().kind(),
         ErrorKind::WouldBlock
     );
     assert_eq!(peer.read(&mut [0]).unwrap(), 0);
     drop(peer);
-    let begun = Instant::now();
+    let started = Instant::now();
     while lingering.len() > 0 {
-        assert!(begun.elapsed() < PATIENCE, "its client has closed");
+        assert!(started.elapsed() < WAIT_LIMIT, "its client has closed");
         lingering.read(1);
     }
     assert_eq!(lingering.read(1), None);
 }
 
 #[test]
-fn the_one_that_has_lingered_longest_is_dropped_and_each_at_its_bound() {
+fn oldest_lingering_connection_is_dropped_and_each_expires_at_its_timeout() {
     let events = EventLoop::try_new().unwrap();
     let connections = [
         connection(&events),
--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -12,11 +12,11 @@
 use crate::transient;
 
 /// Microseconds until the next attempt after one without capacity or descriptors; doubled with each that fails.
-const FIRST_BACKOFF: Micros = 1_000;
+const INITIAL_BACKOFF: Micros = 1_000;
 /// Microseconds between attempts at most: statements wait unread meanwhile.
-const LONGEST_BACKOFF: Micros = 50_000;
+const MAX_BACKOFF: Micros = 50_000;
 /// Errors in one iteration that concern single connections.
-const MOST_ERRORS: usize = 64;
+const MAX_CONNECTION_ERRORS: usize = 64;
 
 /// A listening socket and how it is accepted from.
 pub struct Listener {
@@ -24,17 +24,17 @@
     /// None once it is closed.
     socket: Option<(Rc<TcpListener>, RegistrationToken)>,
     /// When to try `accept` next; none while the kernel's queue is known to be empty.
-    accept_at: Option<Micros>,
+    next_accept: Option<Micros>,
     /// The one connection that was accepted and has not been served yet, for want of capacity.
-    accepted: Option<TcpStream>,
+    pending: Option<TcpStream>,
     /// The last try found no capacity; that has been logged.
     at_capacity: bool,
     /// Microseconds from the last try that failed to the next; 0 where it did not fail.
     backoff: Micros,
     /// Since when connections may wait in the kernel's queue; none while it is known to be empty.
-    waiting_since: Option<Micros>,
+    unread_since: Option<Micros>,
     /// The last try failed in the system: connections may wait that could not be asked for.
-    failed: bool,
+    last_accept_failed: bool,
 }
 
 impl Listener {
@@ -56,23 +56,23 @@
         Ok(Listener {
             handle: handle.clone(),
             socket,
-            accept_at: Some(0),
-            accepted: None,
+            next_accept: Some(0),
+            pending: None,
             at_capacity: false,
             backoff: 0,
-            waiting_since: None,
-            failed: false,
+            unread_since: None,
+            last_accept_failed: false,
         })
     }
 
     /// Connections wait to be accepted, or may: `accept` asks the system.
     pub fn mark_readable(&mut self) {
-        self.accept_at = self.is_open().then_some(0);
+        self.next_accept = self.is_open().then_some(0);
     }
 
     /// When `accept` is next due.
     pub fn due(&self) -> Micros {
-        self.accept_at.unwrap_or(Micros::MAX)
+        self.next_accept.unwrap_or(Micros::MAX)
     }
 
     /// Whether it listens still.
@@ -90,7 +90,7 @@
 
     /// Stops listening. True if it was open till now.
     pub fn close(&mut self) -> bool {
-        self.accept_at = None;
+        self.next_accept = None;
         let socket = self.socket.take();
         if let Some((_, token)) = &socket {
             self.handle.remove(*token);
@@ -100,12 +100,12 @@
 
     /// Microseconds for which a connection that is accepted now may have waited, with what its client has sent.
     pub fn unread_for(&self, now: Micros) -> Micros {
-        self.waiting_since.map_or(0, |since| now - since)
+        self.unread_since.map_or(0, |since| now - since)
     }
 
     /// Whether connections may wait that the system did not give when it was asked last.
     pub fn may_have_more(&self) -> bool {
-        self.failed && self.is_open()
+        self.last_accept_failed && self.is_open()
     }
 
     /// The next connection. An error that concerns one connection alone, as Linux reports them here, is passed over; of
@@ -115,33 +115,35 @@
         now: Micros,
         mut reserve: impl FnMut() -> Result<(), String>,
     ) -> Option<TcpStream> {
-        if self.accept_at.is_none_or(|at| at > now) {
+        if self.next_accept.is_none_or(|at| at > now) {
             return None;
         }
         let listener = self.socket.as_ref()?.0.clone();
-        self.failed = false;
+        self.last_accept_failed = false;
         let mut errors = 0;
         loop {
-            let next = || listener.accept().map(|(stream, _)| stream);
-            match self.accepted.take().map_or_else(next, Ok) {
+            let accept_next = || listener.accept().map(|(stream, _)| stream);
+            match self.pending.take().map_or_else(accept_next, Ok) {
                 Ok(stream) => match reserve() {
                     Ok(()) => {
                         self.backoff = 0;
                         return Some(stream);
                     }
-                    Err(why) => {
-                        self.accepted = Some(stream);
-                        self.back_off(now, &why);
+                    Err(reason) => {
+                        self.pending = Some(stream);
+                        self.back_off(now, &reason);
                         return None;
                     }
                 },
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.queue_is_empty();
+                    self.handle_empty_queue();
                     return None;
                 }
-                Err(e) if !transient::is_shortage(&e) && errors < MOST_ERRORS => errors += 1,
+                Err(e) if !transient::is_shortage(&e) && errors < MAX_CONNECTION_ERRORS => {
+                    errors += 1
+                }
                 Err(e) => {
-                    self.failed = true;
+                    self.last_accept_failed = true;
                     self.back_off(now, &e.to_string());
                     return None;
                 }
@@ -150,20 +152,20 @@
     }
 
     /// The kernel has no more connections: it is asked again once it reports one.
-    fn queue_is_empty(&mut self) {
-        self.accept_at = None;
+    fn handle_empty_queue(&mut self) {
+        self.next_accept = None;
         self.at_capacity = false;
         self.backoff = 0;
-        self.waiting_since = None;
+        self.unread_since = None;
     }
 
     /// Leaves connections in the queue, rather than taking what can't be served.
-    fn back_off(&mut self, now: Micros, why: &str) {
+    fn back_off(&mut self, now: Micros, reason: &str) {
         if !std::mem::replace(&mut self.at_capacity, true) {
-            log::warn!("no connection can be taken for now: {why}");
+            log::warn!("no connection can be taken for now: {reason}");
         }
-        self.waiting_since.get_or_insert(now);
-        self.backoff = (2 * self.backoff).clamp(FIRST_BACKOFF, LONGEST_BACKOFF);
-        self.accept_at = Some(now + self.backoff);
+        self.unread_since.get_or_insert(now);
+        self.backoff = (2 * self.backoff).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
+        self.next_accept = Some(now + self.backoff);
     }
 }
--- a/crates/front/src/logger.rs
+++ b/crates/front/src/logger.rs
@@ -30,14 +30,14 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         // A log that nobody takes is no reason to stop.
         let _ = writeln!(
             std::io::stderr().lock(),
             "{}",
-            line(since, &self.name, record)
+            line(since_epoch, &self.name, record)
         );
     }
 
--- a/crates/front/src/logger_tests.rs
+++ b/crates/front/src/logger_tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn a_record_that_quotes_a_line_break_stays_one_line() {
+fn record_quoting_a_line_break_stays_one_line() {
     let text = "workload 'look\n0.000 n1 error: all is lost\u{1b}[2J'";
     let record = |name: &str| {
         line(
--- a/crates/front/src/machine_clock.rs
+++ b/crates/front/src/machine_clock.rs
@@ -5,7 +5,7 @@
 use hallmux_dispatcher::Micros;
 
 /// Microseconds; a clock that is slewed drifts by less between two readings.
-const LEAST_STEP: Micros = 100_000;
+const MIN_STEP: Micros = 100_000;
 
 /// The wall clock's time at the start, run on by the monotonic clock. Guards against a wall clock that is set while
 /// the front runs: deadlines, windows, budgets and waits are spans of real time.
@@ -46,18 +46,18 @@
     }
 
     /// Compares the two clocks: by how many microseconds the wall clock was stepped since the last call, if it was.
-    pub fn step(&mut self) -> Option<Micros> {
+    pub fn detect_step(&mut self) -> Option<Micros> {
         let now = self.now();
         let wall = wall_clock();
         // Guards against a front that is stopped between the two readings: the next call compares.
-        (self.now() - now < LEAST_STEP)
-            .then(|| self.step_to(wall - now))
+        (self.now() - now < MIN_STEP)
+            .then(|| self.update_wall_lead(wall - now))
             .flatten()
     }
 
-    fn step_to(&mut self, wall_lead: Micros) -> Option<Micros> {
+    fn update_wall_lead(&mut self, wall_lead: Micros) -> Option<Micros> {
         let step = wall_lead - self.wall_lead;
-        if step.abs() < LEAST_STEP {
+        if step.abs() < MIN_STEP {
             return None;
         }
         self.wall_lead = wall_lead;
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -43,8 +43,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("hallmux-front: {}", OneLine(why));
+        Err(error) => {
+            eprintln!("hallmux-front: {}", OneLine(error));
             ExitCode::FAILURE
         }
     }
@@ -68,15 +68,16 @@
             path.display()
         );
     }
-    let known = hallmux_native_codec::coordinator::events(config.known_events.as_bytes());
-    let known = known.map_err(|what| StartError::known(&variables, &what.to_string()))?;
+    let known_events = hallmux_native_codec::coordinator::events(config.known_events.as_bytes());
+    let known_events =
+        known_events.map_err(|error| StartError::known_events(&variables, &error.to_string()))?;
     let mut event_loop = event_loop_with_signals()?;
-    let listen_error = |why| StartError::listen(&variables, config.listen, why);
+    let listen_error = |error| StartError::listen(&variables, config.listen, error);
     let listener = transient::retry(|| TcpListener::bind(config.listen)).map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
-    let mut front = EventLoopState::new(&config, &known, listener, event_loop.handle())?;
+    let mut front = EventLoopState::new(&config, &known_events, listener, event_loop.handle())?;
     log::info!("takes statements at {address}");
-    serve(&mut event_loop, &mut front, &variables)?;
+    run_event_loop(&mut event_loop, &mut front, &variables)?;
     log::info!("all is answered");
     Ok(())
 }
@@ -86,18 +87,18 @@
     let event_loop = transient::retry(|| Ok(EventLoop::try_new()?)).map_err(polling_error)?;
     let signals = transient::retry(|| Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])?))
         .map_err(polling_error)?;
-    let queue =
+    let push_signal =
         |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
     event_loop
         .handle()
-        .insert_source(signals, queue)
+        .insert_source(signals, push_signal)
         .map_err(|e| polling_error(e.error.into()))?;
     Ok(event_loop)
 }
 
 /// Runs the event loop until a graceful shutdown is complete. Each iteration handles signals, then sockets, then
 /// what follows from both.
-fn serve(
+fn run_event_loop(
     event_loop: &mut EventLoop<'static, LoopEvents>,
     front: &mut EventLoopState,
     variables: &HashMap<String, String>,
@@ -122,6 +123,6 @@
     Ok(())
 }
 
-fn polling_error(why: std::io::Error) -> StartError {
-    StartError::system("polling", &why)
+fn polling_error(error: std::io::Error) -> StartError {
+    StartError::system("polling", &error)
 }
--- a/crates/front/src/reuse.rs
+++ b/crates/front/src/reuse.rs
@@ -14,36 +14,37 @@
 
 /// The idle time, in microseconds, up to which connections are trusted.
 pub struct ReusePolicy {
-    agreed: Micros,
-    trusted: Micros,
+    configured_max_idle: Micros,
+    trusted_max_idle: Micros,
 }
 
 impl ReusePolicy {
     /// Engines have agreed to keep idle connections for so long.
-    pub fn new(agreed: Micros) -> Self {
+    pub fn new(configured_max_idle: Micros) -> Self {
         ReusePolicy {
-            agreed,
-            trusted: agreed,
+            configured_max_idle,
+            trusted_max_idle: configured_max_idle,
         }
     }
 
     /// The longest idle time after which a connection is used again.
     pub fn max_idle(&self) -> Micros {
-        self.trusted
+        self.trusted_max_idle
     }
 
     /// A connection that was used again has answered.
     pub fn record_answer(&mut self) {
-        self.trusted = (self.trusted + self.trusted / GROWTH_DIVISOR).min(self.agreed);
+        self.trusted_max_idle = (self.trusted_max_idle + self.trusted_max_idle / GROWTH_DIVISOR)
+            .min(self.configured_max_idle);
     }
 
     /// A connection that had been idle was lost so long after it was used again, with no reply before.
     pub fn record_loss(&mut self, idle: Micros, after: Micros) {
         if after < LOSS_WINDOW && idle > MIN_IDLE {
-            self.trusted = (idle / 2).max(MIN_IDLE).min(self.trusted);
+            self.trusted_max_idle = (idle / 2).max(MIN_IDLE).min(self.trusted_max_idle);
             log::debug!(
                 "resting connections are used again within {} ms",
-                self.trusted / 1000
+                self.trusted_max_idle / 1000
             );
         }
     }
--- a/crates/front/src/reuse_tests.rs
+++ b/crates/front/src/reuse_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_rest_that_is_trusted_follows_what_is_lost_and_comes_back_with_answers() {
+fn trusted_idle_time_shrinks_with_losses_and_recovers_with_answers() {
     let mut reuse = ReusePolicy::new(15_000_000);
     reuse.record_loss(3_000_000, LOSS_WINDOW); // it ran for a while: not dead before
     reuse.record_loss(MIN_IDLE, 0); // it had hardly rested
--- a/crates/front/src/shutdown_tests.rs
+++ b/crates/front/src/shutdown_tests.rs
@@ -3,22 +3,23 @@
 use super::*;
 
 #[test]
-fn the_listener_stays_open_while_shards_are_handed_over_but_not_for_ever() {
+fn listener_stays_open_during_shard_handover_up_to_a_limit() {
     let mut shutdown = Shutdown::default();
     shutdown.request(0);
-    for (duty, close_after) in [
-        (LedgerDependency::None, CLOSE_AFTER),
-        (LedgerDependency::OwnsShards, CLOSE_AFTER_HAND_OVER),
-        (LedgerDependency::NeededForQuorum, CLOSE_AFTER_QUORUM),
+    for (dependency, grace_period) in [
+        (LedgerDependency::None, GRACE_PERIOD),
+        (LedgerDependency::OwnsShards, HAND_OVER_GRACE_PERIOD),
+        (LedgerDependency::NeededForQuorum, QUORUM_GRACE_PERIOD),
     ] {
-        assert!(!shutdown.closes(close_after - 1, duty));
-        let mut late = (0..=FINAL_ITERATIONS).map(|_| shutdown.closes(close_after, duty));
+        assert!(!shutdown.should_close_listener(grace_period - 1, dependency));
+        let mut late = (0..=FINAL_ITERATIONS)
+            .map(|_| shutdown.should_close_listener(grace_period, dependency));
         assert!(
             late.by_ref()
                 .take(FINAL_ITERATIONS.into())
                 .all(|closes| !closes)
                 && late.next() == Some(true)
         );
-        shutdown.late_iterations = 0;
+        shutdown.final_iterations = 0;
     }
 }
--- a/crates/front/src/start_error.rs
+++ b/crates/front/src/start_error.rs
@@ -10,14 +10,16 @@
     #[error(transparent)]
     Configuration(#[from] hallmux_config::Error),
     /// The coordinator's events that the configuration brings along can't be read.
-    #[error("{key}: {why}; give the coordinator's events as it words them, or leave the key out")]
-    Known { key: String, why: String },
+    #[error(
+        "{key}: {reason}; give the coordinator's events as it words them, or leave the key out"
+    )]
+    KnownEvents { key: String, reason: String },
     /// The address for clients can't be listened on.
-    #[error("{key}: {at}: {why}; give the address of a free port of this machine")]
+    #[error("{key}: {at}: {reason}; give the address of a free port of this machine")]
     Listen {
         key: String,
         at: SocketAddr,
-        why: std::io::Error,
+        reason: std::io::Error,
     },
     /// The part `gossip` of the operator's file.
     #[error(transparent)]
@@ -27,13 +29,16 @@
     Rules(#[from] crate::fleet::RulesError),
     /// What else the operator's file switches on, or the clock of a test: the text names the key.
     #[error("{0}; mend that key or file, or leave it out")]
-    Part(String),
+    Component(String),
     /// The same, where the part itself says what can be done.
     #[error("{0}")]
-    PartWithRemedy(String),
+    ComponentWithRemedy(String),
     /// A call of the operating system.
-    #[error("{what}: {why}; see whether this user may open more files (ulimit -n)")]
-    System { what: &'static str, why: String },
+    #[error("{operation}: {reason}; see whether this user may open more files (ulimit -n)")]
+    System {
+        operation: &'static str,
+        reason: String,
+    },
 }
 
 /// A key of the file that NODE_CONFIG names, as an operator finds it.
@@ -44,15 +49,15 @@
 
 impl StartError {
     /// The coordinator's events in the file can't be used.
-    pub fn known(variables: &HashMap<String, String>, what: &str) -> StartError {
+    pub fn known_events(variables: &HashMap<String, String>, what: &str) -> StartError {
         // Its line counts from where the key's value begins, which is no line of the file.
-        let why = what
+        let reason = what
             .rsplit_once(" at line ")
-            .map_or(what, |(why, _)| why)
+            .map_or(what, |(reason, _)| reason)
             .to_string();
-        StartError::Known {
+        StartError::KnownEvents {
             key: key_in_file(variables, "known"),
-            why,
+            reason,
         }
     }
 
@@ -60,7 +65,7 @@
     pub fn listen(
         variables: &HashMap<String, String>,
         at: SocketAddr,
-        why: std::io::Error,
+        reason: std::io::Error,
     ) -> StartError {
         const VARIABLE: &str = "NODE_LISTEN";
         let set = variables
@@ -69,25 +74,25 @@
         StartError::Listen {
             key: set.unwrap_or_else(|| key_in_file(variables, "listen")),
             at,
-            why,
+            reason,
         }
     }
 
     /// The error of a part that may name the remedy itself, after a semicolon.
-    pub fn part(why: &std::io::Error) -> StartError {
-        let text = why.to_string();
+    pub fn component(reason: &std::io::Error) -> StartError {
+        let text = reason.to_string();
         if text.contains("; ") {
-            StartError::PartWithRemedy(text)
+            StartError::ComponentWithRemedy(text)
         } else {
-            StartError::Part(text)
+            StartError::Component(text)
         }
     }
 
     /// The operating system failed at `what`.
-    pub fn system(what: &'static str, why: &std::io::Error) -> StartError {
+    pub fn system(operation: &'static str, reason: &std::io::Error) -> StartError {
         StartError::System {
-            what,
-            why: why.to_string(),
+            operation,
+            reason: reason.to_string(),
         }
     }
 }
--- a/crates/front/src/start_error_tests.rs
+++ b/crates/front/src/start_error_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn every_fault_says_where_what_and_what_to_do() {
+fn every_start_error_names_place_fault_and_remedy() {
     let at = SocketAddr::from(([127, 0, 0, 1], 9090));
     let other = |text: &str| std::io::Error::other(text.to_string());
     let file = |name: &str| HashMap::from([(name.to_string(), "front.json".to_string())]);
@@ -15,7 +15,7 @@
     for (fault, place) in [
         (StartError::from(missing), "NODE_CONFIG: "),
         (
-            StartError::known(&in_file, "invalid type at line 1 column 9"),
+            StartError::known_events(&in_file, "invalid type at line 1 column 9"),
             "NODE_CONFIG: front.json: known: ",
         ),
         (
@@ -27,11 +27,11 @@
             "NODE_LISTEN: 127.0.0.1:9090: ",
         ),
         (
-            StartError::part(&other("gossip: secret_file: s: gone")),
+            StartError::component(&other("gossip: secret_file: s: gone")),
             "gossip: secret_file: s: ",
         ),
         (
-            StartError::part(&other("rules.file: r: gone; name another")),
+            StartError::component(&other("rules.file: r: gone; name another")),
             "rules.file: r: ",
         ),
         (
@@ -40,11 +40,14 @@
         ),
     ] {
         match &fault {
-            StartError::Configuration(_) | StartError::Known { .. } | StartError::Listen { .. } => {
-            }
+            StartError::Configuration(_)
+            | StartError::KnownEvents { .. }
+            | StartError::Listen { .. } => {}
             // Each has a test of its own.
             StartError::Peers(_) | StartError::Rules(_) => {}
-            StartError::Part(_) | StartError::PartWithRemedy(_) | StartError::System { .. } => {}
+            StartError::Component(_)
+            | StartError::ComponentWithRemedy(_)
+            | StartError::System { .. } => {}
         }
         let text = fault.to_string();
         let (wrong, remedy) = text.rsplit_once("; ").unwrap();
@@ -57,6 +60,6 @@
             "{text}"
         );
     }
-    let known = StartError::known(&in_file, "invalid type at line 1 column 9").to_string();
+    let known = StartError::known_events(&in_file, "invalid type at line 1 column 9").to_string();
     assert!(known.contains("known: invalid type; "), "{known}");
 }
--- a/crates/front/src/transient.rs
+++ b/crates/front/src/transient.rs
@@ -9,12 +9,12 @@
 /// ENFILE.
 const SYSTEM_DESCRIPTORS: i32 = 23;
 /// EMFILE.
-const OWN_DESCRIPTORS: i32 = 24;
+const PROCESS_DESCRIPTORS: i32 = 24;
 /// ENOBUFS.
 const NO_BUFFERS: i32 = 105;
 
 /// A start has ten; what lasts longer is for an operator to see.
-const PATIENCE: Duration = Duration::from_secs(5);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Whether the system had no descriptor, buffer or memory for the call.
@@ -22,7 +22,7 @@
     let shortages = [
         OUT_OF_MEMORY,
         SYSTEM_DESCRIPTORS,
-        OWN_DESCRIPTORS,
+        PROCESS_DESCRIPTORS,
         NO_BUFFERS,
     ];
     error
@@ -37,14 +37,14 @@
 
 /// Repeats a call of the front's start while its errors may pass, some seconds at most: it blocks.
 pub fn retry<T>(call: impl FnMut() -> Result<T>) -> Result<T> {
-    retry_for(PATIENCE, call)
+    retry_for(RETRY_TIMEOUT, call)
 }
 
-fn retry_for<T>(patience: Duration, mut call: impl FnMut() -> Result<T>) -> Result<T> {
-    let began = Instant::now();
+fn retry_for<T>(timeout: Duration, mut call: impl FnMut() -> Result<T>) -> Result<T> {
+    let started = Instant::now();
     loop {
         match call() {
-            Err(why) if is_transient(&why) && began.elapsed() < patience => {
+            Err(error) if is_transient(&error) && started.elapsed() < timeout => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
--- a/crates/front/src/transient_tests.rs
+++ b/crates/front/src/transient_tests.rs
@@ -8,7 +8,7 @@
 const ADDRESS_IN_USE: i32 = 98; // EADDRINUSE
 
 #[test]
-fn a_call_is_repeated_until_its_error_has_passed() {
+fn transient_error_is_retried_until_it_passes() {
     let mut errors = vec![NO_BUFFERS, SYSTEM_DESCRIPTORS];
     let done = retry(|| {
         errors
@@ -19,23 +19,23 @@
 }
 
 #[test]
-fn an_error_that_does_not_pass_is_given_back() {
+fn lasting_error_is_returned() {
     let (mut lasting, mut refused) = (0, 0);
     let fails = |number| -> std::io::Result<()> { Err(Error::from_raw_os_error(number)) };
-    let why = retry_for(Duration::ZERO, || {
+    let error = retry_for(Duration::ZERO, || {
         lasting += 1;
         fails(NO_BUFFERS)
     });
     assert_eq!(
-        (why.unwrap_err().raw_os_error(), lasting),
+        (error.unwrap_err().raw_os_error(), lasting),
         (Some(NO_BUFFERS), 1)
     );
-    let why = retry(|| {
+    let error = retry(|| {
         refused += 1;
         fails(ADDRESS_IN_USE)
     });
     assert_eq!(
-        (why.unwrap_err().raw_os_error(), refused),
+        (error.unwrap_err().raw_os_error(), refused),
         (Some(ADDRESS_IN_USE), 1)
     );
 }
