--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
+//! The event loop of a front: each iteration reads all available input, lets the dispatcher decide once, and sends
+//! the results.
 
 mod admission;
 mod dial_capacity;
@@ -29,58 +30,58 @@
 use crate::scatter::ScatteredStatements;
 use crate::shutdown::Shutdown;
 
-/// Rounds of decisions in an iteration at most. What one round cancels frees capacity for the next.
+/// Rounds of decisions per iteration. Executions that one round cancels free capacity for the next.
 const MAX_DECISION_ROUNDS: usize = 8;
 
-/// All that the event loop works on: the connections of each kind, the dispatcher, and the parts that the operator's file
-/// switches on.
+/// The state that the event loop works on: the connections of each kind, the dispatcher, and the components that the
+/// operator's file enables.
 pub struct EventLoopState {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     dispatcher: Dispatcher,
-    /// Microseconds that an answer may take on its way to a client.
+    /// Microseconds that an answer may take to reach a client.
     answer_slack: Micros,
-    /// Statements held at most.
+    /// Limit of the statements held.
     max_statements: usize,
-    /// Bytes of statements held at most, and of untaken answers.
+    /// Limit in bytes of the statements held, and separately of the unsent answers.
     max_bytes: usize,
-    /// Connections of clients and sessions at most.
+    /// Limit of the connections of clients and sessions together.
     max_clients: usize,
-    /// Statements were rejected for want of memory when the last one came; that has been logged.
+    /// Whether memory was full when the last statement arrived. Changes are logged once.
     is_memory_full: bool,
     clients: Clients,
     engines: Engines,
     coordinator: Coordinator,
     engine_starts: EngineStarts,
-    /// PostgreSQL sessions, where the operator's file switches them on.
+    /// PostgreSQL sessions, if the operator's file enables them.
     gateway: Option<Gateway>,
-    /// Messages with other fronts, likewise.
+    /// Messages to and from other fronts, if the operator's file enables gossip.
     peers: Option<Peers>,
-    /// Regional access rules of customers, likewise.
+    /// Regional access rules of customers, if the operator's file enables them.
     rules: Option<Shared>,
-    /// Executions that wait for the ledger, where fronts keep one.
+    /// Executions that wait for their ledger entries, if the fronts keep a ledger.
     guard: Option<LoggedGuard>,
-    /// Statements that are asked of several sites, likewise.
+    /// Statements that are scattered over several sites, if the operator's file enables that.
     scatter: Option<ScatteredStatements>,
-    /// What was reported to the dispatcher of how many executions can leave for each engine.
+    /// The numbers of executions that can be sent to each engine, as last reported to the dispatcher.
     send_capacity: SendCapacity,
     shutdown: Shutdown,
     clock: Clock,
-    /// Connections with more to read than one iteration takes.
+    /// Connections that had more to read than one iteration reads.
     unfinished_reads: Vec<SocketId>,
-    /// What was decided has not left for engines yet: the connections are read first.
+    /// Decided commands have not been sent to engines yet, because the connections have to be read first.
     flush_deferred: bool,
 }
 
 impl EventLoopState {
-    /// How long nothing is due: the event loop may sleep for that long.
+    /// Returns how long the event loop may sleep until something is due.
     pub fn prepare_sleep(&mut self) -> Duration {
         self.clock.refresh();
         let due = self.next_due();
         self.clock.prepare_sleep(due)
     }
 
-    /// When something is due though no socket changes, in Unix microseconds.
+    /// The time at which something is due without any socket event, in Unix microseconds; 0 if it is due now.
     fn next_due(&self) -> Micros {
         let now = self.clock.now;
         if !self.unfinished_reads.is_empty() || self.flush_deferred {
@@ -108,13 +109,13 @@
             .unwrap_or(now)
     }
 
-    /// A connection has changed: takes what is there.
+    /// Reads from a socket that the event loop reported as ready.
     pub fn handle_ready_socket(&mut self, socket: SocketId) {
         self.clock.refresh();
         self.clock.start_iteration();
         let number = socket.number;
         let has_more = match socket.kind {
-            // Statements of one order key run in the order in which they were taken: each is taken as it is found.
+            // Statements of one order key run in the order of their admission, so each is admitted as soon as it is read.
             SocketKind::Listener => {
                 self.listener.mark_readable();
                 self.accept();
@@ -149,8 +150,8 @@
         }
     }
 
-    /// One iteration of the event loop, after `handle_ready_socket` was called for each socket that it reported: reads what is left,
-    /// decides on all that was read, and sends what follows.
+    /// Runs one iteration of the event loop, after `handle_ready_socket` was called for each socket that it reported:
+    /// reads the remaining input, decides on all that was read, and sends the results.
     pub fn run_iteration(&mut self) {
         self.read_remaining();
         self.decide();
@@ -161,7 +162,8 @@
         }
     }
 
-    /// Accepts and reads what the last iteration left, and does what is due without the dispatcher's decisions.
+    /// Accepts and reads the input that the last iteration left, and runs the timers that need no decision of the
+    /// dispatcher.
     fn read_remaining(&mut self) {
         self.clock.refresh();
         self.clock.start_iteration();
@@ -187,7 +189,7 @@
         self.coordinator.expire(self.clock.now);
     }
 
-    /// Lets the dispatcher decide on all that was read, and carries its orders out until none is left.
+    /// Lets the dispatcher decide on all that was read, and executes its commands until it has no more.
     fn decide(&mut self) {
         self.clock.refresh();
         self.clock.mark_decided();
@@ -206,7 +208,7 @@
                 self.execute_command(command);
             }
             self.apply_rule_decisions();
-            // Cancels leave before the executions that use the freed capacity.
+            // Cancellations are sent before the executions that use the freed capacity.
             self.flush_engines_if_fresh();
         }
         self.flush_engines_if_fresh();
@@ -232,16 +234,16 @@
         if let Some(client) = unsent.slowest.filter(|_| unsent.bytes > self.max_bytes) {
             let bytes = unsent.bytes;
             log::warn!(
-                "client {client}: takes no answers, {bytes} bytes wait; its connection is closed"
+                "client {client}: does not read its answers, {bytes} bytes are unsent in total; its connection is closed"
             );
             self.clients.disconnect(client, &mut events);
         }
         self.handle_client_events(events);
     }
 
-    /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
-    /// read its connections: a client may have left meanwhile, or a drain been listed. Then it reads first, and
-    /// sends in the next iteration.
+    /// Sends the decided commands to engines, unless this iteration's read is stale. Guards against a front that was
+    /// stalled or busy for long since it last read its connections: a client may have disconnected meanwhile, or an
+    /// engine been listed as draining. The front then reads first, and sends in the next iteration.
     fn flush_engines_if_fresh(&mut self) {
         self.clock.refresh();
         self.flush_deferred = self.clock.is_stale();
@@ -250,7 +252,7 @@
         }
     }
 
-    /// The connections were read just now: what was held back for that leaves.
+    /// Sends the commands that `flush_engines_if_fresh` deferred, as the connections have been read by now.
     fn flush_after_read(&mut self) {
         if std::mem::take(&mut self.flush_deferred) {
             self.clock.refresh();
@@ -258,6 +260,7 @@
         }
     }
 
+    /// Sends all pending output to engines of both protocols.
     fn flush_engine_connections(&mut self) {
         self.engines.flush(self.clock.now);
         self.gateway
@@ -265,14 +268,14 @@
             .for_each(|gateway| gateway.flush_servers(self.clock.now));
     }
 
-    /// How many more clients and sessions may connect.
+    /// The number of further clients and sessions that may connect.
     fn connections_left(&self) -> usize {
         let sessions = self.gateway.as_ref().map_or(0, Gateway::len);
         self.max_clients
             .saturating_sub(self.clients.len() + sessions)
     }
 
-    /// Accepts clients that wait, as far as connections are left or idle ones can make way, and reads from each.
+    /// Accepts waiting clients while connections are left or idle ones can be evicted, and reads from each.
     fn accept(&mut self) {
         let now = self.clock.now;
         loop {
@@ -299,7 +302,9 @@
                         .accept(now, id, link, self.listener.unread_for(now));
                     self.handle_ready_socket(SocketKind::Client.id(id));
                 }
-                Err(e) => log::warn!("a client's connection can't be served: {e}"),
+                Err(e) => {
+                    log::warn!("client {id}: its connection can't be registered: {e}; it is closed")
+                }
             }
         }
     }
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: statements of clients are checked and handed to the dispatcher, and clients that leave are reported to it.
+//! Admission: checks the statements of clients and submits them to the dispatcher, and reports cancelled and
+//! disconnected clients to it.
 
 use hallmux_access::Decision;
 use hallmux_dispatcher::{Ending, InvalidRequest, Micros, Protocol, StatementRequest, Ticket};
@@ -9,21 +10,21 @@
 use crate::clients::{self, ClientId, ServingStatus};
 use crate::execution::ExecutionId;
 
-/// A statement of a client that the access rules have judged.
+/// A statement of a client with the decision of the access rules.
 pub(super) struct CheckedRequest {
     pub(super) client: ClientId,
-    /// The number that the client gave it.
+    /// The client's sequence number of the statement.
     pub(super) number: i32,
     pub(super) call: Call,
-    /// Microseconds until an answer is of no use any more.
+    /// Microseconds until an answer is of no more use to the client.
     pub(super) time_left: Micros,
-    /// The locations whose engines it may be sent to; none given: all.
+    /// The locations whose engines may run the statement; None: all.
     pub(super) allowed: Option<Vec<String>>,
     pub(super) decision: Decision,
 }
 
 impl CheckedRequest {
-    /// Leaves the one location given, or none where that is not allowed.
+    /// Restricts the statement to one location, or to no location if the rules do not allow that one.
     pub(super) fn restrict_to(&mut self, location: String) {
         let allowed = self.allowed.as_ref();
         let is_allowed = allowed.is_none_or(|allowed| allowed.contains(&location));
@@ -35,17 +36,18 @@
     }
 }
 
-/// Why a statement is not taken.
+/// Why a statement is not admitted.
 enum AdmissionError {
+    /// The named field is missing or malformed.
     InvalidField(&'static str),
-    /// Its text would pass for a load that a front has numbered.
+    /// Its text begins with the comment by which fronts number loads.
     ReservedPrefix,
-    /// For want of capacity, or as the process ends.
+    /// There is no capacity, or the process is shutting down.
     Rejected,
 }
 
 impl EventLoopState {
-    /// Reads from a client; true if there is more for another iteration.
+    /// Reads from a client. Returns true if there is more to read in another iteration.
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
         let status = if self.shutdown.is_requested() {
             ServingStatus::ShuttingDown
@@ -58,6 +60,7 @@
         has_more
     }
 
+    /// Admits the statements that clients sent, and withdraws those that they cancelled or abandoned.
     pub(super) fn handle_client_events(&mut self, events: Vec<clients::Event>) {
         for event in events {
             match event {
@@ -80,14 +83,14 @@
         }
     }
 
-    /// Nobody waits for a statement any more: its executions are cancelled.
+    /// Cancels all executions of a statement whose client no longer waits for it.
     pub(super) fn abandon(&mut self, ticket: Ticket) {
         let mut tickets = self
             .scatter
             .as_ref()
             .map_or(Vec::new(), |scatter| scatter.parts_of(ticket));
         tickets.push(ticket);
-        // What waits for a connection is not sent any more, also where cancelling is not allowed.
+        // Executions that wait for a connection are withdrawn even if the settings do not allow cancelling.
         tickets
             .iter()
             .for_each(|ticket| self.engines.abandon(*ticket));
@@ -104,7 +107,7 @@
                 .for_each(|rules| rules.borrow_mut().statement_over(ticket)),
             false => self.dispatcher.client_left(now, ticket),
         }
-        // The statement is over first: else it could be tried anew.
+        // The statement is ended before this report: otherwise its execution could be retried.
         for execution_id in withdrawn {
             self.dispatcher.report(
                 now,
@@ -116,10 +119,10 @@
         }
     }
 
-    /// Lets go of all that waits for rules, promises or marks for a statement and its parts. Guards against a
-    /// load that leaves once its mark stands though its client has left, and against parts that rules hold
-    /// and forget with their whole; where cancelling is not allowed no order to stop them would come before
-    /// their time is up.
+    /// Withdraws the executions of a statement and its parts that wait for rules, ledger entries or load markers.
+    /// Guards against a load that is sent once its marker is replicated although its client has disconnected, and
+    /// against parts that the rules hold and forget together with their parent statement. If cancelling is not allowed,
+    /// the dispatcher would not cancel them before their deadline.
     fn withdraw_all_held(&mut self, tickets: &[Ticket]) -> Vec<ExecutionId> {
         let executions_of = |ticket: &Ticket| {
             let ticket = *ticket;
@@ -131,9 +134,9 @@
         held
     }
 
-    /// Takes a statement that a client has sent, or answers why it is not taken. `unread_for`: microseconds for which
-    /// it may have lain unread, as its client took no answers. `ended`: statements that end as their connection is
-    /// closed.
+    /// Admits a statement that a client has sent, or answers why it is not admitted. `unread_for`: microseconds for
+    /// which it may have waited unread, because its client did not read answers. `ended` receives the statements that
+    /// end if the client's connection is closed.
     pub(super) fn admit(
         &mut self,
         client: ClientId,
@@ -163,7 +166,7 @@
             allowed,
             decision,
         };
-        // What is denied is never asked of anybody.
+        // A denied statement is not scattered: no site is asked.
         let unscattered = if request.decision.is_denied() {
             Some(request)
         } else {
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Why a statement is not taken, whatever the rules say of it.
+    /// Why a statement is not admitted, regardless of the access rules; None if it is.
     fn admission_error(&mut self, call: &Call) -> Option<AdmissionError> {
         if let Some(field) = call.invalid_field {
             return Some(AdmissionError::InvalidField(field));
@@ -203,16 +206,16 @@
         }
     }
 
-    /// Microseconds in which a final answer is still of use to the client.
+    /// Microseconds for which a final answer is still of use to the client.
     fn time_left(&self, call: &Call, unread_for: Micros) -> Micros {
-        // Guards against a final answer that is held up on its way: it has the slack twice, before the
-        // client's time is up and after. A result that comes in that last clocks is lost to the client.
+        // Guards against a final answer that is delayed on its way: the slack applies twice, before the client's
+        // deadline and after it. A result that arrives within the slack before the deadline is lost to the client.
         let time_left = (call.time_left_ms * 1000.0) as Micros - self.answer_slack;
-        // Guards against a deadline beyond the client's: its time has run on while the statement lay unread.
+        // Guards against a deadline beyond the client's: its time has run on while the statement was unread.
         time_left - self.clock.unread_time().max(unread_for)
     }
 
-    /// What the access rules say of a statement, where they are on.
+    /// The decision of the access rules on a statement; unrestricted if they are disabled.
     fn check_access_rules(&self, call: &Call) -> Decision {
         let Some(rules) = &self.rules else {
             return Decision::Unrestricted;
@@ -222,24 +225,24 @@
         rules.judge(now, &call.customer, &call.workload, &call.statement)
     }
 
-    /// Whether no more statements can be taken: too many are held, or they take too much memory.
+    /// Whether no more statements can be admitted: too many are held, or they take too much memory.
     fn is_full(&mut self) -> bool {
         let full = self.clients.held_bytes() > self.max_bytes;
         if full != std::mem::replace(&mut self.is_memory_full, full) {
             log::warn!(
-                "statements held take {} bytes; {}",
+                "open statements take {} bytes of memory; {}",
                 self.clients.held_bytes(),
                 if full {
-                    "more are rejected"
+                    "further ones are rejected"
                 } else {
-                    "taken again"
+                    "further ones are accepted again"
                 }
             );
         }
         full || self.dispatcher.statements_held() >= self.max_statements
     }
 
-    /// Hands a statement to the dispatcher, or answers why it can't be.
+    /// Submits a statement to the dispatcher, or answers the client why that fails.
     fn submit(&mut self, request: CheckedRequest) {
         let CheckedRequest {
             client,
--- a/crates/front/src/event_loop/dial_capacity.rs
+++ b/crates/front/src/event_loop/dial_capacity.rs
@@ -1,9 +1,10 @@
-//! Where the fleet has a budget of new connections: how many executions can leave for each engine.
+//! The number of executions that can be sent to each engine while the fleet has a budget of new connections.
 
 use super::EventLoopState;
 
 impl EventLoopState {
-    /// Reports to the dispatcher how many executions can leave for each engine.
+    /// Reports to the dispatcher how many executions can be sent to each engine. Does nothing if new connections are
+    /// not limited.
     pub(super) fn report_dial_capacity(&mut self) {
         if !self.engines.dials.borrow().is_paced() {
             return;
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -1,5 +1,4 @@
-//! Dispatch: the dispatcher's orders are carried out by clients, engines and sessions; what becomes of them is reported
-//! back to it.
+//! Dispatch: executes the dispatcher's commands on clients, engines and sessions, and reports the outcomes back to it.
 
 use std::rc::Rc;
 
@@ -19,7 +18,7 @@
 use crate::scatter::Load;
 
 impl EventLoopState {
-    /// Reports replies of engines, and how executions have ended, to the dispatcher; answers go on to clients.
+    /// Reports replies of engines and the ends of executions to the dispatcher, and forwards answers to clients.
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
@@ -49,7 +48,8 @@
         }
     }
 
-    /// An execution has ended at its engine; its result answers its statement, or the statement it is a part of.
+    /// Handles an execution that has ended at its engine. Its result answers its statement, or the parent statement that
+    /// it is a part of.
     fn execution_ended(
         &mut self,
         execution_id: ExecutionId,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// What the admission of units of sessions depends on just now.
+    /// The current state that the admission of sessions' units depends on.
     pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
         let full =
@@ -80,21 +80,21 @@
         }
     }
 
-    /// A statement is a session's.
+    /// Whether a statement belongs to a PostgreSQL session.
     pub(super) fn is_session_statement(&self, ticket: Ticket) -> bool {
         self.gateway
             .as_ref()
             .is_some_and(|gateway| gateway.owns(ticket))
     }
 
-    /// An execution is one of a session's.
+    /// Whether an execution belongs to a PostgreSQL session.
     pub(super) fn is_session_execution(&self, execution_id: ExecutionId) -> bool {
         self.gateway
             .as_ref()
             .is_some_and(|gateway| gateway.has(execution_id))
     }
 
-    /// Carries out rulings of the access rules: executions that were held go on, or statements end.
+    /// Applies the decisions of the access rules: releases executions that they held, or ends statements.
     pub(super) fn apply_rule_decisions(&mut self) {
         let Some(rules) = self.rules.clone() else {
             return;
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Carries out rulings of the ledger: executions that were held for promises go on, or statements end.
+    /// Applies the decisions of the ledger: releases executions that were held for their ledger entries, or ends
+    /// statements.
     pub(super) fn apply_ledger_decisions(&mut self) {
         let Some((guard, peers)) = self.guard.as_mut().zip(self.peers.as_mut()) else {
             return;
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Gives a statement its final answer without a result.
+    /// Sends the final answer of a statement that ends without a result.
     fn answer_without_result(&mut self, ticket: Ticket, refusal: Refusal, cause: RejectCause) {
         let now = self.clock.now;
         let outcome = match refusal {
@@ -200,7 +201,8 @@
         self.clients.answer(now, ticket, &reply);
     }
 
-    /// An execution that rules have let go on waits for its promises, or leaves.
+    /// Holds an execution that the rules have passed until its ledger entries are replicated; passes it on if it needs
+    /// none.
     fn await_ledger_entries(&mut self, ordered: Ordered) {
         let (now, guard) = (self.clock.now, self.guard.as_mut());
         if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, &ordered)) {
@@ -208,7 +210,7 @@
         }
     }
 
-    /// An execution that has its promises waits for the mark on its load, or leaves.
+    /// Holds an execution whose ledger entries are replicated until its load is marked; sends it if it needs no marker.
     fn await_load_marker(&mut self, ordered: Ordered) {
         let now = self.clock.now;
         let load = self.load(ordered.ticket);
@@ -225,7 +227,7 @@
         }
     }
 
-    /// What a statement may write, where loads are marked.
+    /// What a statement may write; None if loads are not marked.
     fn load(&mut self, ticket: Ticket) -> Option<Load> {
         self.scatter.as_ref()?.loads.as_ref()?;
         if self.is_session_statement(ticket) {
@@ -234,14 +236,15 @@
         self.call(ticket).map(Load::Call)
     }
 
-    /// Whether rules still let it leave: nothing may come between this look and its way.
+    /// Whether the access rules still allow an execution. To be called immediately before it is sent: nothing may happen
+    /// in between.
     pub(super) fn recheck_access_rules(&mut self, ordered: Ordered) -> bool {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         let allows = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
         self.rules.as_ref().is_none_or(allows)
     }
 
-    /// An execution leaves for its engine.
+    /// Sends an execution to its engine, if the access rules still allow it.
     fn send(&mut self, ordered: Ordered) {
         if !self.recheck_access_rules(ordered) {
             return;
@@ -277,11 +280,11 @@
         }
     }
 
-    /// Cancels an execution, wherever it is.
+    /// Cancels an execution, whether it is held, queued or sent.
     fn cancel_execution(&mut self, execution_id: ExecutionId, ending: Ending) {
         let now = self.clock.now;
         if self.withdraw_held(now, execution_id) {
-            // Its session is to know why, though nothing of it has left.
+            // The session is notified of the reason, although nothing was sent.
             self.gateway
                 .iter_mut()
                 .for_each(|gateway| gateway.stop(now, execution_id, ending));
@@ -301,7 +304,8 @@
         }
     }
 
-    /// Lets go of an execution that waits for rules, promises or a mark: nothing of it has left. False if it does not.
+    /// Withdraws an execution that waits for rules, ledger entries or a load marker, so that it was never sent. Returns
+    /// false if it does not wait for any.
     pub(super) fn withdraw_held(&mut self, now: Micros, execution_id: ExecutionId) -> bool {
         let judged = self.statement_for_rules(execution_id.ticket);
         let loads = self
@@ -318,7 +322,7 @@
             || loads.is_some_and(|loads| loads.cancel(execution_id))
     }
 
-    /// The statement that rules know: of a part the whole.
+    /// The statement that the access rules know: for a part its parent statement, otherwise the statement itself.
     pub(super) fn statement_for_rules(&self, ticket: Ticket) -> Ticket {
         self.scatter
             .as_ref()
@@ -335,7 +339,7 @@
         self.clients.call(ticket).or_else(part)
     }
 
-    /// Carries out what the dispatcher has decided.
+    /// Executes a command of the dispatcher.
     pub(super) fn execute_command(&mut self, command: Command) {
         let now = self.clock.now;
         match command {
@@ -383,7 +387,7 @@
         }
     }
 
-    /// An execution leaves once rules, promises and marks allow it.
+    /// Sends an execution once the rules, its ledger entries and its load marker allow it.
     fn send_when_allowed(&mut self, ordered: Ordered) {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         let passes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
@@ -392,7 +396,7 @@
         }
     }
 
-    /// Changes the priority of an execution, wherever it is.
+    /// Changes the priority of an execution, whether it is held, queued or sent.
     fn set_priority(&mut self, execution_id: ExecutionId, priority: u8) {
         if let Some(guard) = &mut self.guard {
             guard.set_priority(execution_id.ticket, priority);
@@ -400,8 +404,8 @@
         self.engines.set_priority(execution_id, priority);
     }
 
-    /// Sends a health check to an engine. One on behalf of the fleet stays here if that work has become another front's
-    /// between the decision and now.
+    /// Sends a health check to an engine. One on behalf of the fleet is dropped if another front has taken over these
+    /// probes since the decision.
     fn probe(&mut self, place: Place, for_fleet: bool) {
         let may_probe = self.peers.as_ref().is_none_or(Peers::may_probe);
         if may_probe || !for_fleet {
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -1,4 +1,4 @@
-//! The engine list: updates of the coordinator go to the dispatcher and to the connections.
+//! The engine list: applies updates of the coordinator to the dispatcher and to the connections.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::listed_engine::ListedEngine;
 
 impl EventLoopState {
-    /// Takes in the coordinator's events that come after the one given.
+    /// Applies the coordinator's events with an index above `last_index`.
     pub(super) fn apply_list(&mut self, events: &Events, last_index: u64) {
         let clocks = ClockReading {
             now: self.clock.now,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// What engines of a kind speak.
+    /// The protocols that engines of a kind speak.
     fn protocols(&self, kind: &str) -> EngineProtocols {
         let gateway = self.gateway.as_ref();
         gateway.map_or(EngineProtocols::Lines, |gateway| gateway.protocols(kind))
     }
 
-    /// The connections of each protocol go by the list: to where the engine is, or nowhere.
+    /// Applies a listed engine to the connections of each protocol: they use its address, or are retired if it has none.
     fn update_connections(&mut self, engine: &Engine, place: Place) {
         let protocols = self.protocols(&engine.kind);
         let address = engine.address.parse::<SocketAddr>();
@@ -84,14 +84,14 @@
             Ok(address) => self.engines.list(place, listed_engine(address)),
             Err(_) if !available => self.engines.retire(place),
             Err(error) => log::error!(
-                "engine {}: address '{}': {error}",
+                "engine {}: address '{}': {error}; its connections are left unchanged",
                 engine.id,
                 engine.address
             ),
         }
     }
 
-    /// When the engines of a list started, on the front's clock.
+    /// When the engines of a list started, on the front's clock; None for an engine that did not start recently.
     fn start_times(&mut self, list: &EngineList, clocks: ClockReading) -> Vec<Option<Micros>> {
         if list.is_full {
             let listed_ids: HashSet<&str> = list
--- a/crates/front/src/event_loop/graceful_shutdown.rs
+++ b/crates/front/src/event_loop/graceful_shutdown.rs
@@ -1,14 +1,13 @@
-//! What happens at SIGTERM: the graceful shutdown of the process.
+//! The graceful shutdown of the process after SIGTERM.
 //!
-//! 1. At once (`shut_down`): health checks of clients are answered as unhealthy; the ledger's shards that this front
-//!    owns are handed over and other fronts are told that it leaves; the sites' summaries are saved. It goes on
-//!    accepting connections and statements.
+//! 1. At once (`shut_down`): health checks of clients are answered as unhealthy; the ledger shards that this front owns
+//!    are handed over and other fronts are notified that it leaves; the sites' summaries are saved. The front still
+//!    accepts connections and statements.
 //! 2. After the grace period (`crate::shutdown`, longer while the ledger depends on this front), for a few more
-//!    iterations: what waits in the listener's queue is accepted and read.
-//! 3. Then (`close_if_due`) the listeners are closed, statements that still come are rejected, and connections on which
-//!    nothing is owed are closed, in each iteration.
-//! 4. Once no client or session is left and nothing is asked of the ledger (`is_done`) the loop ends, and with it the
-//!    process.
+//!    iterations: connections that wait in the listener's queue are accepted and read.
+//! 3. Then (`close_if_due`), in each iteration: the listeners are closed, new statements are rejected, and connections
+//!    without pending answers are closed.
+//! 4. Once no client or session is left and no ledger request is pending (`is_done`), the loop and the process end.
 
 use super::EventLoopState;
 use crate::fleet::LoggedGuard;
@@ -16,7 +15,7 @@
 use crate::shutdown::LedgerDependency;
 
 impl EventLoopState {
-    /// SIGTERM has come. A second one does not move the end.
+    /// Starts the graceful shutdown after SIGTERM. A second SIGTERM does not change its schedule.
     pub fn shut_down(&mut self) {
         self.clock.refresh();
         self.shutdown.request(self.clock.now);
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Closes the listeners and what is idle, once the grace period is over.
+    /// Closes the listeners and the idle connections once the grace period is over.
     pub(super) fn close_if_due(&mut self) {
         if !self
             .shutdown
@@ -36,8 +35,8 @@
         {
             return;
         }
-        // Whoever has connected by now is served: closing the listener resets what waits there. The event loop may
-        // not have reported it yet.
+        // Clients that have connected by now are served, as closing the listener resets the connections in its queue.
+        // The event loop may not have reported them yet.
         self.listener.mark_readable();
         self.accept();
         if self.listener.may_have_more() && self.shutdown.may_keep_listening(self.clock.now) {
@@ -45,7 +44,7 @@
         }
         if self.listener.close() {
             log::info!(
-                "no more connections are taken; {} clients are connected",
+                "no more connections are accepted; {} clients are still connected",
                 self.clients.len()
             );
         }
@@ -62,7 +61,7 @@
         }
     }
 
-    /// What of the ledger delays the end of this front; nothing before SIGTERM.
+    /// How the ledger's dependency on this front delays its shutdown; `None` before SIGTERM.
     fn ledger_dependency(&self) -> LedgerDependency {
         let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
         peers.map_or(LedgerDependency::None, |peers| {
@@ -70,12 +69,12 @@
         })
     }
 
-    /// Whether all is answered after SIGTERM: the process may end.
+    /// Whether the process may end after SIGTERM: the listener is closed and every statement is answered.
     pub fn is_done(&self) -> bool {
         !self.listener.is_open()
             && self.clients.len() == 0
             && self.gateway.as_ref().is_none_or(Gateway::is_done)
-            // What it holds of the ledger is freed first.
+            // Ledger entries that this front holds are released first.
             && self.guard.as_ref().is_none_or(LoggedGuard::is_idle)
     }
 }
--- a/crates/front/src/event_loop/limits.rs
+++ b/crates/front/src/event_loop/limits.rs
@@ -1,20 +1,20 @@
-//! The limits of memory and descriptors, shared out between clients, sessions and engines.
+//! The limits of memory and descriptors, divided between clients, sessions and engines.
 
 use hallmux_config::NodeLimits;
 
 use super::EventLoopState;
 
-/// Statements held may take a quarter of the memory, untaken answers another.
+/// Statements held may take a quarter of the memory, and unsent answers another quarter.
 const MEMORY_DIVISOR: u64 = 4;
-/// Clients hold half of the descriptors at most, the rest is for engines.
+/// Clients may use half of the descriptors; the other half is for engines.
 const CLIENTS_DIVISOR: usize = 2;
-/// One in 64 descriptors is for sessions that are being closed.
+/// One in 64 descriptors is reserved for sessions that are being closed.
 const LINGERING_DIVISOR: usize = 64;
-/// Descriptors for sessions that are being closed at most: each is held for a second, usually less.
+/// Limit of the descriptors for sessions that are being closed: each is held for a second, usually less.
 const MAX_LINGERING: usize = 8;
 
 impl EventLoopState {
-    /// Shares memory and descriptors out anew.
+    /// Divides memory and descriptors by new limits.
     pub(super) fn apply_limits(&mut self, limits: &NodeLimits) {
         self.max_bytes = (limits.memory_bytes / MEMORY_DIVISOR) as usize;
         self.max_clients = limits.sockets / CLIENTS_DIVISOR;
--- a/crates/front/src/event_loop/reload.rs
+++ b/crates/front/src/event_loop/reload.rs
@@ -1,28 +1,30 @@
-//! What happens at SIGHUP.
+//! The reload of the configuration at SIGHUP.
 //!
-//! `main` reads the settings and the operator's file again; what they hold now is applied here. An error in them
-//! changes nothing and is logged. Otherwise, in this order:
+//! `main` reads the settings and the operator's file again, and their new content is applied here. If they contain an
+//! error, nothing changes and the error is logged. Otherwise these are applied, in this order:
 //!
 //! 1. the limits of memory and descriptors (`limits`);
-//! 2. the keys of other fronts, and the members of the ledger, where gossip was on at the start;
-//! 3. the file of access rules, where rules were on: one that can't be used changes nothing;
-//! 4. the sites' summaries, where scatter was on;
-//! 5. the events that the configuration knows of the coordinator, as if it had sent them;
+//! 2. the keys of other fronts and the members of the ledger, if gossip was enabled at the start;
+//! 3. the file of access rules, if rules were enabled at the start: an invalid file changes nothing;
+//! 4. the sites' summaries, if scatter was enabled at the start;
+//! 5. the coordinator's events in the key `known`, as if the coordinator had sent them;
 //! 6. the coordinator's address.
 //!
-//! All other settings hold from the next start. A part that was off at the start stays off.
+//! All other settings take effect at the next start. A component that was disabled at the start stays disabled.
 
 use hallmux_config::{Error, NodeConfig, OperatorConfig};
 
 use super::EventLoopState;
 
 impl EventLoopState {
-    /// Applies a configuration that was read again, or logs why it can't be used.
+    /// Applies a configuration that was read again, or logs why it is invalid.
     pub fn reload(&mut self, result: Result<NodeConfig, Error>) {
         self.clock.refresh();
         match result {
             Ok(config) => self.apply_configuration(&config),
-            Err(error) => log::error!("the configuration is left as it was: {error}"),
+            Err(error) => {
+                log::error!("configuration not reloaded: {error}; the current one stays in force")
+            }
         }
     }
 
@@ -38,7 +40,7 @@
         log::info!("the configuration was read again; coordinator: {address}");
     }
 
-    /// Parts that were switched on at the start and still are take their settings again.
+    /// Applies the settings of components that were enabled at the start and still are.
     fn reload_optional_parts(&mut self, operator: &OperatorConfig) {
         let now = self.clock.now;
         if let (Some(peers), Some(gossip)) = (&mut self.peers, &operator.gossip) {
@@ -52,8 +54,8 @@
         }
     }
 
-    /// Takes in what a new configuration knows of the coordinator's events: a drain among them counts,
-    /// whether the coordinator that the configuration names answers or not.
+    /// Applies the coordinator's events that a new configuration brings along. A drain among them takes effect whether
+    /// or not the coordinator that the configuration names answers.
     fn apply_known_events(&mut self, known_events: &str) {
         match hallmux_native_codec::coordinator::events(known_events.as_bytes()) {
             Ok(events) => {
@@ -62,7 +64,7 @@
                 self.apply_list(&events, last_index);
             }
             Err(error) => {
-                log::error!("NODE_CONFIG: known: {error}; the engine list is left as it was")
+                log::error!("NODE_CONFIG: known: {error}; the engine list is unchanged")
             }
         }
     }
--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -1,4 +1,4 @@
-//! Statements over several sites (scatter and gather): admitted, their parts dispatched, their one answer given.
+//! Statements over several sites (scatter-gather): their admission, the dispatch of their parts, and their final answer.
 
 use hallmux_dispatcher::{Command, InvalidRequest, RejectCause, Ticket};
 use hallmux_gossip::channels::Channel;
@@ -22,8 +22,8 @@
 const TOO_LONG: &str = "more bytes than scatter.answer_bytes: ask for fewer rows, or raise it";
 
 impl EventLoopState {
-    /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back where they
-    /// can't, or where it is not scattered.
+    /// Starts a statement of a scattered workload if its answer can be composed from parts. Returns the statement if it
+    /// can't, or if its workload is not scattered.
     pub(super) fn scatter(&mut self, mut request: CheckedRequest) -> Option<CheckedRequest> {
         let scatter = self.scatter.as_mut();
         let Some(scatter) = scatter.filter(|s| s.is_scattered(&request.call.workload)) else {
@@ -75,7 +75,7 @@
 
     fn refuse_scattered(&mut self, request: &CheckedRequest, reason: &str) {
         log::debug!(
-            "client {}: statement {} of several sites: {reason}",
+            "client {}: scattered statement {} is refused: {reason}",
             request.client,
             request.call.id
         );
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Ends a part of a scattered statement; false if the ticket is no part.
+    /// Ends a part of a scattered statement. Returns false if the ticket is not that of a part.
     pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], PartFailure>) -> bool {
         let now = self.clock.now;
         let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else {
@@ -98,7 +98,8 @@
         true
     }
 
-    /// Does what is due of scatters: messages to other fronts, marks on loads, and the answers there are.
+    /// Runs the timers of scattered statements: exchanges messages with other fronts, applies load markers, and sends
+    /// the answers that are complete.
     pub(super) fn tick_scatter(&mut self) {
         let now = self.clock.now;
         let Some(scatter) = &mut self.scatter else {
@@ -122,8 +123,8 @@
         self.answer_scattered();
     }
 
-    /// Asks the ledger for marks and takes its answers: loads leave, scatters begin. Goes on until the ledger has no
-    /// more answers.
+    /// Requests load markers from the ledger and applies its answers: loads are sent, scattered statements start.
+    /// Repeats until the ledger has no more answers.
     pub(super) fn apply_load_markers(&mut self) {
         loop {
             let now = self.clock.now;
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Sends an execution whose load is marked.
+    /// Sends an execution whose load marker is replicated.
     fn send_with_load_marker(&mut self, ordered: Ordered, outgoing: Outgoing) {
         let Ordered { place, terms, .. } = ordered;
         let now = self.clock.now;
@@ -210,6 +211,7 @@
         }
     }
 
+    /// Sends the final answers of scattered statements that have ended.
     pub(super) fn answer_scattered(&mut self) {
         for (ticket, reply) in self
             .scatter
@@ -244,12 +246,12 @@
                 barred,
             } => self.answer_rows(ticket, bytes, missing, barred),
             Answer::Rejected { retry_after, site } => {
-                log::debug!("a statement of several sites is rejected for its part at {site}");
+                log::debug!("statement {ticket}: scattered statement is rejected for its part at site {site}");
                 let retry_after_ms = retry_after.map(|time| time / 1000);
                 self.answer(ticket, &Reply::Rejected { retry_after_ms });
             }
             Answer::Aborted { site } => {
-                log::debug!("a statement of several sites is aborted for its part at {site}");
+                log::debug!("statement {ticket}: scattered statement is aborted for its part at site {site}");
                 self.answer(ticket, &Reply::Aborted);
             }
             Answer::Barred(sites) => {
@@ -257,7 +259,7 @@
                 self.answer(ticket, &Reply::Refused(&[("barred", &sites)]));
             }
             Answer::Estimate { distinct, error } => {
-                // Engines' rows have three columns.
+                // Rows have three columns, as those of engines.
                 let (row, error) = (format!("{distinct}\t\t\n"), format!("{error:.4}"));
                 let reply = Reply::Partial {
                     body: row.as_bytes(),
@@ -276,7 +278,7 @@
         }
     }
 
-    /// Rows of all sites, or of those that are neither missing nor barred.
+    /// Answers with the rows of all sites, or with those of the sites that are neither missing nor barred.
     fn answer_rows(&mut self, ticket: Ticket, rows: &[u8], missing: &[String], barred: &[String]) {
         if missing.is_empty() && barred.is_empty() {
             return self.answer(ticket, &Reply::Completed(rows));
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -1,4 +1,4 @@
-//! The start: the parts of a front are made from its configuration and joined.
+//! The start of a front: creates its components from the configuration and connects them.
 
 use std::net::TcpListener;
 
@@ -24,8 +24,8 @@
 use crate::start_error::StartError;
 
 impl EventLoopState {
-    /// Opens the sockets and files that the configuration names, and registers them with the event loop. `known_events` is
-    /// the engine list that the configuration brings along. What keeps the process from starting is the error.
+    /// Opens the sockets and files that the configuration names, and registers them with the event loop. `known_events`
+    /// is the engine list in the configuration. An error says what keeps the process from starting.
     pub fn new(
         config: &NodeConfig,
         known_events: &EngineListEvents,
@@ -73,7 +73,7 @@
         Ok(front)
     }
 
-    /// Engines of both protocols keep to one budget of new connections.
+    /// Makes engines of both protocols share one budget of new connections.
     fn share_dial_pacer(&mut self, config: &NodeConfig) {
         self.engines.dials = dial_pacer::configured(config, self.clock.now);
         if let Some(gateway) = &mut self.gateway {
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Creates the guard that holds executions until their ledger entries are replicated, if the fronts keep a ledger.
     fn start_guard(&mut self, config: &NodeConfig) {
         let gossip = config.operator.gossip.as_ref();
         let Some(ledger) = gossip.and_then(|gossip| gossip.ledger.as_ref()) else {
@@ -141,7 +142,7 @@
     ))
 }
 
-/// The longest time that a client waits for an answer.
+/// The longest time that a client of any workload waits for an answer; 0 without workloads.
 fn longest_timeout(settings: &Settings) -> Micros {
     settings
         .agreement
