--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: statements in, one final answer out for each.
+//! Connections of clients: reads statements from them and sends one final answer for each.
 
 mod connection;
 mod idle;
@@ -17,15 +17,15 @@
 
 pub use connection::ServingStatus;
 
-/// Statements open on a connection, as the protocol has it.
+/// Limit of the statements open on a connection, as the protocol defines it.
 const MAX_OPEN_STATEMENTS: usize = 32;
-/// Bytes that a client may leave untaken before it is no longer read.
+/// Unsent bytes of answers beyond which a client is not read.
 const MAX_UNSENT_BYTES: usize = 64 << 10;
 
-/// A client's connection, by its number among all that were accepted.
+/// The number of a client's connection, in order of acceptance.
 pub type ClientId = u64;
 
-/// A statement that a client waits for.
+/// A statement whose client waits for its answer.
 struct OpenStatement {
     client: ClientId,
     number: i32,
@@ -37,29 +37,30 @@
 pub struct Clients {
     clients: HashMap<ClientId, Client>,
     open: HashMap<Ticket, OpenStatement>,
-    /// Ids of the statements that are open, on whatever connection.
+    /// Ids of the statements that are open on any connection.
     statement_ids: HashSet<String>,
     held_bytes: usize,
-    /// Milliseconds after which rejected statements may be sent again, where the contract has such a time.
+    /// Milliseconds after which rejected statements may be sent again, if the settings name such a time.
     retry_after_ms: Option<i64>,
     last_id: ClientId,
     next_idle_check: Micros,
+    /// Connections to flush in this iteration.
     flush_pending: BTreeSet<ClientId>,
-    /// They have not taken all that is to leave.
+    /// Connections with unsent answers.
     with_unsent: BTreeSet<ClientId>,
-    /// Not read for now: they do not take their answers.
+    /// Connections that are not read until their clients read their answers.
     paused: BTreeSet<ClientId>,
-    /// A last read before they were to be closed found that they have sent something.
+    /// Connections that were about to be closed as idle when a last read found new input.
     found_unread: BTreeSet<ClientId>,
     lingering: Lingering,
-    /// No client waits longer for an answer, and none takes longer over one.
+    /// The longest time, in microseconds, that any client waits for an answer or takes to read one.
     longest_timeout: Micros,
 }
 
-/// What clients have sent, and how statements were abandoned.
+/// A client's statement or cancellation, or a statement abandoned by the end of its connection.
 pub enum Event {
-    /// A statement has come. `unread_for`: microseconds for which it may have lain unread, as its client took no answers
-    /// or was not accepted.
+    /// A statement was received. `unread_for`: microseconds for which it may have been unread, because its client did
+    /// not read answers or was not accepted yet.
     Statement {
         client: ClientId,
         number: i32,
@@ -68,12 +69,13 @@
     },
     /// The client cancels a statement.
     Cancelled { client: ClientId, number: i32 },
-    /// The connection that a statement was open on is over.
+    /// The connection of an open statement has ended.
     Abandoned(Ticket),
 }
 
 impl Clients {
-    /// `retry_after` goes with rejections; `longest_timeout` is how long any client waits, in microseconds.
+    /// No connections yet. `retry_after` is sent with rejections; `longest_timeout` is the longest time that any client
+    /// waits for an answer. Both are in microseconds.
     pub fn new(retry_after: Option<Micros>, longest_timeout: Micros) -> Self {
         let retry_after_ms = retry_after.map(|time| time / 1000);
         Clients {
@@ -83,38 +85,39 @@
         }
     }
 
-    /// The number of the next connection.
+    /// Assigns the number of the next connection.
     pub fn next_id(&mut self) -> ClientId {
         self.last_id += 1;
         self.last_id
     }
 
-    /// A connection was accepted that may have waited for that. Guards against a deadline beyond its client's: what it
-    /// has sent lay unread meanwhile.
+    /// Adds an accepted connection that may have waited in the kernel's queue for `waited` microseconds. Guards against
+    /// a deadline beyond the client's: its input was unread meanwhile.
     pub fn accept(&mut self, now: Micros, id: ClientId, link: Link, waited: Micros) {
         let client = Client::accepted(now, link, waited);
         self.clients.insert(id, client);
     }
 
-    /// Connections, those that are being closed too.
+    /// The number of connections, including those that are being closed.
     pub fn len(&self) -> usize {
         self.clients.len() + self.lingering.len()
     }
 
-    /// Guards against one that sends what can't be used without end: after some such statements its connection is closed.
+    /// Closes a connection after `MAX_UNUSABLE_STATEMENTS`. Guards against a client that sends unusable statements
+    /// without end.
     fn close_if_faulty(&mut self, id: ClientId) {
         let faulty = |client: &&mut Client| client.is_faulty() && !client.is_closing;
         let Some(client) = self.clients.get_mut(&id).filter(faulty) else {
             return;
         };
         log::info!(
-            "client {id}: {} statements that can't be used; its connection is closed",
+            "client {id}: sent {} unusable statements; its connection is closed",
             client.unusable_statements
         );
         client.is_closing = true;
     }
 
-    /// Says that a statement can't be used.
+    /// Answers that a statement is unusable because of the named field.
     pub fn answer_unusable(&mut self, id: ClientId, number: i32, field: &str) {
         self.reply(id, number, &Reply::InvalidField(field));
         if let Some(client) = self.clients.get_mut(&id) {
@@ -123,19 +126,19 @@
         self.close_if_faulty(id);
     }
 
-    /// A client's connection is over: nobody waits for what is open on it.
+    /// Closes a client's connection at once and abandons the statements that are open on it.
     pub fn disconnect(&mut self, id: ClientId, events: &mut Vec<Event>) {
         self.remove(id, events);
     }
 
-    /// Closes a connection that all was answered on, so that no answer on its way is lost.
+    /// Closes a connection without open statements by a lingering close, so that no answer on its way is lost.
     fn close(&mut self, now: Micros, id: ClientId, events: &mut Vec<Event>) {
         if let Some(client) = self.remove(id, events) {
             self.lingering.close(now, id, client.link);
         }
     }
 
-    /// The one way in which a connection leaves: what was open on it is reported as abandoned.
+    /// Removes a connection, as every close does, and reports its open statements as abandoned.
     fn remove(&mut self, id: ClientId, events: &mut Vec<Event>) -> Option<Client> {
         let client = self.clients.remove(&id)?;
         for ticket in client.open.values() {
@@ -146,16 +149,17 @@
         self.paused.remove(&id);
         self.with_unsent.remove(&id);
         self.found_unread.remove(&id);
-        // What was asked just now, and is not open yet, is answered to nobody.
+        // Statements that were read in this iteration and are not open yet are dropped unanswered.
         events.retain(
             |t| !matches!(t, Event::Statement { client, .. } | Event::Cancelled { client, .. } if *client == id),
         );
         Some(client)
     }
 
-    /// Whether a statement can be taken from a connection; if not, it has its answer or its end. Guards
-    /// against answers that could be to either of two statements, and executions that engines could not tell
-    /// apart: one that is open goes on, and another under its number or id is none.
+    /// Whether a statement can be admitted from a connection; if not, the statement is answered or the connection is
+    /// closed. Guards against answers that could belong to either of two statements, and against executions that
+    /// engines could not tell apart: an open statement goes on, and another with its number or id is rejected as
+    /// unusable.
     pub fn check_admissible(
         &mut self,
         id: ClientId,
@@ -173,9 +177,9 @@
         } else if self.statement_ids.contains(&call.id) {
             self.answer_unusable(id, number, statement::ID);
         } else if client.open.len() >= MAX_OPEN_STATEMENTS {
-            // Guards against floods: of what came at once nothing has left for an engine yet, nor will it.
+            // Guards against floods: statements of one burst have not been sent to any engine yet, and will not be.
             log::info!(
-                "client {id}: more statements at once than agreed; its connection is closed"
+                "client {id}: more open statements than the protocol allows; its connection is closed"
             );
             self.disconnect(id, events);
         } else {
@@ -184,7 +188,7 @@
         false
     }
 
-    /// Rejects a statement that was not taken, for want of capacity.
+    /// Rejects a statement that was not admitted for lack of capacity.
     pub fn reject(&mut self, id: ClientId, number: i32) {
         self.reply(
             id,
@@ -195,7 +199,7 @@
         );
     }
 
-    /// The client no longer waits for a statement.
+    /// Closes a statement that its client no longer waits for. Returns its ticket, or None if it is not open.
     pub fn cancel(&mut self, id: ClientId, number: i32) -> Option<Ticket> {
         let ticket = self.clients.get_mut(&id)?.open.remove(&number)?;
         self.remove_statement(ticket);
@@ -209,12 +213,12 @@
         Some(open)
     }
 
-    /// Bytes of the statements that clients wait for.
+    /// Bytes of the open statements.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    /// The answers that clients have not taken yet.
+    /// The answers that clients have not read yet.
     pub fn unsent(&self) -> UnsentAnswers {
         let unsent = |id: &ClientId| self.clients.get(id).map_or(0, |c| c.link.unsent());
         UnsentAnswers {
@@ -223,7 +227,7 @@
         }
     }
 
-    /// A statement is taken under a ticket.
+    /// Records an admitted statement under its ticket.
     pub fn open_statement(&mut self, client: ClientId, number: i32, ticket: Ticket, call: Call) {
         if let Some(c) = self.clients.get_mut(&client) {
             c.open.insert(number, ticket);
@@ -240,12 +244,12 @@
         }
     }
 
-    /// What a client has asked for under a ticket.
+    /// The request of an open statement.
     pub fn call(&self, ticket: Ticket) -> Option<Rc<Call>> {
         self.open.get(&ticket).map(|open| open.call.clone())
     }
 
-    /// Writes a reply; of itself, to a statement that was not taken.
+    /// Writes a reply to a client. Called directly for statements that were not admitted.
     pub fn reply(&mut self, id: ClientId, number: i32, reply: &Reply) {
         if let Some(client) = self.clients.get_mut(&id) {
             statement::write(client.link.output(), number, reply);
@@ -253,7 +257,7 @@
         }
     }
 
-    /// Says that a statement that was taken can't be used after all.
+    /// Answers that an admitted statement is unusable after all, because of the named field.
     pub fn answer_accepted_unusable(&mut self, ticket: Ticket, field: &str) {
         let Some(open) = self.remove_statement(ticket) else {
             return;
@@ -264,7 +268,7 @@
         self.answer_unusable(open.client, open.number, field);
     }
 
-    /// Gives a statement its final answer.
+    /// Sends the final answer of a statement and closes the statement.
     pub fn answer(&mut self, now: Micros, ticket: Ticket, reply: &Reply) {
         let Some(open) = self.remove_statement(ticket) else {
             return;
@@ -276,7 +280,7 @@
         self.reply(open.client, open.number, reply);
     }
 
-    /// Sends what is to leave.
+    /// Sends pending output to clients; connections that fail are closed.
     pub fn flush(&mut self, now: Micros, events: &mut Vec<Event>) {
         for id in std::mem::take(&mut self.flush_pending) {
             let Some(client) = self.clients.get_mut(&id) else {
@@ -303,7 +307,7 @@
         }
     }
 
-    /// Connections that are to be read again: they have taken their answers, or a last look found something.
+    /// Connections to read again: their clients have read their answers, or a last read before a close found input.
     pub fn readable_again(&mut self) -> Vec<ClientId> {
         let with_unsent = |id: &ClientId| {
             self.clients
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: the statements that are open on it, and what it has sent and left untaken.
+//! One client's connection: its open statements, and its received and unsent data.
 
 use std::collections::HashMap;
 
@@ -6,37 +6,38 @@
 
 use crate::link::Link;
 
-/// Statements that can't be used, until their connection is closed.
+/// Unusable statements after which a connection is closed.
 pub(super) const MAX_UNUSABLE_STATEMENTS: usize = 8;
 
-/// What health checks of clients are answered.
+/// The answer to clients' health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingStatus {
     Serving,
-    /// The process ends: clients are to go elsewhere.
+    /// The process is shutting down: clients should use another front.
     ShuttingDown,
 }
 
+/// The state of one client's connection.
 pub(super) struct Client {
     pub(super) link: Link,
-    /// The statements that it waits for, by the numbers that it gave them.
+    /// The tickets of the open statements, by the client's sequence numbers.
     pub(super) open: HashMap<i32, Ticket>,
-    /// When it was last of use: something came, or an answer left.
+    /// When the connection was last active: input was received or an answer was sent.
     pub(super) last_active: Micros,
-    /// Since when a whole message is awaited: the first one, or the rest of one that has begun.
+    /// Since when a complete message is awaited: the first one, or the rest of one that has started.
     pub(super) message_incomplete_since: Option<Micros>,
-    /// It has sent a whole message.
+    /// Whether the client has sent a complete message.
     pub(super) has_sent_message: bool,
     pub(super) unusable_statements: usize,
-    /// What it sends can't be used: nothing more is taken from it, and its connection is closed once what was taken
-    /// is answered.
+    /// The client's input is unusable: no more of it is read, and the connection is closed once its open statements are
+    /// answered.
     pub(super) is_closing: bool,
-    /// Since when it is not read, with more to read than was taken.
+    /// Since when input may be waiting that was not read.
     pub(super) unread_since: Option<Micros>,
 }
 
 impl Client {
-    /// A connection that was accepted now and may have waited in the kernel's queue for so many microseconds.
+    /// A connection that is accepted now and may have waited in the kernel's queue for `waited` microseconds.
     pub(super) fn accepted(now: Micros, link: Link, waited: Micros) -> Client {
         Client {
             link,
@@ -50,17 +51,17 @@
         }
     }
 
-    /// Nothing is lost with it.
+    /// Whether the connection can be closed without losing an answer or received input.
     pub(super) fn is_idle(&self) -> bool {
         !self.has_pending_answers() && self.link.input.is_empty()
     }
 
-    /// It waits for an answer, or has not taken all of one.
+    /// Whether the client waits for an answer or has not read all of one.
     pub(super) fn has_pending_answers(&self) -> bool {
         !self.open.is_empty() || self.link.unsent() > 0
     }
 
-    /// It has sent more that can't be used than is borne.
+    /// Whether the client has sent too many unusable statements.
     pub(super) fn is_faulty(&self) -> bool {
         self.unusable_statements >= MAX_UNUSABLE_STATEMENTS
     }
--- a/crates/front/src/clients/idle.rs
+++ b/crates/front/src/clients/idle.rs
@@ -1,4 +1,4 @@
-//! Which client connections are closed because nothing is owed on them and nothing comes.
+//! Closing of idle client connections: those without pending answers that send nothing.
 
 use hallmux_dispatcher::Micros;
 
@@ -6,18 +6,18 @@
 use super::input::READ_SIZE;
 use super::{ClientId, Clients, Event};
 
-/// Microseconds between checks of connections that have sent nothing for long.
+/// Microseconds between checks for idle connections.
 const IDLE_CHECK_INTERVAL: Micros = 200_000;
-/// Microseconds; clients close after 4 s, so what is idle longer is left behind.
+/// Microseconds; clients close idle connections after 4 s, so one that is idle for longer is abandoned.
 const IDLE_TIMEOUT: Micros = 6_000_000;
-/// Microseconds for a message to be whole, the first one from connecting on.
+/// Microseconds for a message to be complete; for the first one since the connection was accepted.
 const MESSAGE_TIMEOUT: Micros = 2_000_000;
-/// Microseconds between pieces of a message that is still being written.
+/// Microseconds between fragments of a message that is still being sent.
 const FRAGMENT_TIMEOUT: Micros = 500_000;
 
 impl Clients {
-    /// Closes connections that are left behind, that have sent nothing yet, or half a message and no more. What was
-    /// taken from them is answered first.
+    /// Closes connections that are abandoned, that have sent nothing yet, or that have sent only part of a message. Their
+    /// open statements are answered first.
     pub fn expire(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.lingering.expire(now);
         if now < self.next_idle_check {
@@ -29,13 +29,13 @@
                 self.close(now, id, events);
             }
         }
-        // Guards against those that have gone without closing: nobody waits for an answer any more.
+        // Guards against clients that have gone without closing: nobody waits for their answers.
         for id in self.abandoned(now) {
             self.disconnect(id, events);
         }
     }
 
-    /// Clients that nothing is owed to and that were silent too long, with half a message or between two.
+    /// Clients without pending answers that have sent nothing for too long, within a message or between two.
     fn idle_too_long(&self, now: Micros) -> Vec<ClientId> {
         let is_expired = |id: &ClientId, client: &Client| {
             let is_idle = client.last_active + IDLE_TIMEOUT <= now;
@@ -45,7 +45,7 @@
         self.ids_where(is_expired)
     }
 
-    /// Whether a message that has begun is not whole in its time.
+    /// Whether a message that has started is not complete in time.
     fn is_message_overdue(&self, now: Micros, client: &Client) -> bool {
         let started_at = client.message_incomplete_since.unwrap_or(now);
         let is_stalled =
@@ -53,7 +53,7 @@
         is_stalled || started_at + self.longest_timeout.max(IDLE_TIMEOUT) <= now
     }
 
-    /// Clients that wait for nothing and have left answers untaken for longer than any waits.
+    /// Clients without open statements that have left answers unread for longer than any client waits.
     fn abandoned(&self, now: Micros) -> Vec<ClientId> {
         let is_abandoned = |_: &ClientId, client: &Client| {
             let is_unread_by_client = client.open.is_empty() && client.link.unsent() > 0;
@@ -73,8 +73,8 @@
         matching.map(|(id, _)| *id).collect()
     }
 
-    /// Closes an idle connection to make way for a new one. One that is being closed goes first, then those that
-    /// never spoke, then the one that has been silent longest. False if there is none.
+    /// Closes an idle connection to free a descriptor for a new one: first one that is being closed, then one that never
+    /// sent a message, then the one that has been idle longest. Returns false if no connection is idle.
     pub fn evict_idle(&mut self) -> bool {
         if self.lingering.drop_oldest() {
             return true;
@@ -94,7 +94,7 @@
         true
     }
 
-    /// Closes the connections that have nothing open and nothing on the way.
+    /// Closes all idle connections.
     pub fn close_idle(&mut self, now: Micros) {
         for id in self.ids_where(|_, client| client.is_idle()) {
             if self.has_nothing_unread(id) {
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Whether a connection that is to be closed as idle brings nothing just now. Guards against a request that came
-    /// since it was last read: it is served then, and its connection stays.
+    /// Whether a last read of a connection that is to be closed as idle finds no input. Guards against closing over a
+    /// request that arrived since the connection was last read: the request is served and the connection stays.
     fn has_nothing_unread(&mut self, id: ClientId) -> bool {
         let Some(client) = self.clients.get_mut(&id) else {
             return true;
--- a/crates/front/src/clients/input.rs
+++ b/crates/front/src/clients/input.rs
@@ -1,4 +1,4 @@
-//! What clients send: messages are read from their connections and become events.
+//! Input of clients: reads messages from their connections and turns them into events.
 
 use hallmux_dispatcher::Micros;
 use hallmux_native_codec::statement::{self, Message, Reply, Request};
@@ -8,20 +8,21 @@
 use super::{ClientId, Clients, Event, MAX_UNSENT_BYTES};
 use crate::link::ReadOutcome;
 
-/// Bytes taken from a client in an iteration, and one chunk: all that it may have open.
+/// Bytes read from a client in an iteration, beyond which at most one chunk is read: enough for all statements that it
+/// may have open.
 pub(super) const READ_SIZE: usize = 16 << 10;
 
-/// What the messages of one read have in common.
+/// The context that the messages of one read share.
 struct ReadContext {
     client: ClientId,
     status: ServingStatus,
-    /// Microseconds for which what is read may have lain unread.
+    /// Microseconds for which the input may have been unread.
     unread_for: Micros,
 }
 
 impl Clients {
-    /// A connection has changed: takes what the client has sent, and sends on where it takes more again.
-    /// True if there is more for another iteration.
+    /// Reads from a connection that the event loop reported, and marks it for flushing, as it may have become writable.
+    /// Returns true if there is more to read in another iteration.
     pub fn read(
         &mut self,
         now: Micros,
@@ -68,7 +69,7 @@
 }
 
 impl Client {
-    /// Takes all whole messages. After one that can't be read nothing more is taken.
+    /// Handles all complete messages. After an unreadable one no more are handled.
     fn handle_messages(&mut self, now: Micros, context: &ReadContext, events: &mut Vec<Event>) {
         let mut consumed = 0;
         let unreadable = loop {
@@ -83,7 +84,8 @@
         };
         self.link.consume(consumed);
         self.has_sent_message |= consumed > 0;
-        // Guards against messages that never end: what has begun, or is the first, is awaited for a while.
+        // Guards against messages that never end: the first message, and the rest of a started one, is awaited for a
+        // limited time.
         let is_incomplete = !self.has_sent_message || !self.link.input.is_empty();
         let incomplete_before = self.message_incomplete_since.filter(|_| consumed == 0);
         self.message_incomplete_since = is_incomplete.then(|| incomplete_before.unwrap_or(now));
--- a/crates/front/src/clients_tests.rs
+++ b/crates/front/src/clients_tests.rs
@@ -12,11 +12,11 @@
 
 const SECOND: Micros = 1_000_000;
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
-const RECEIVE_BUFFER: usize = 400 << 10; // bytes asked for on the receiving side; half of that must be granted
-const SHORT_STATEMENT: usize = 60 << 10; // bytes of a statement that one read takes, with the beginning of the next
-const LONG_STATEMENT: usize = 120 << 10; // bytes of a statement whose end the third read brings
+const RECEIVE_BUFFER: usize = 400 << 10; // bytes requested for the receive buffer; half of that must be granted
+const SHORT_STATEMENT: usize = 60 << 10; // bytes; one read covers this statement and the start of the next
+const LONG_STATEMENT: usize = 120 << 10; // bytes; the third read covers the end of this statement
 
-/// A statement as clients send it, in its frame.
+/// A statement in its frame, as clients send it.
 pub(crate) fn frame(number: u32, statement: &str) -> Vec<u8> {
     let text = |out: &mut Vec<u8>, text: &str| {
         out.extend((text.len() as u32).to_be_bytes());
@@ -60,7 +60,7 @@
     ]
     .concat();
     peer.write_all(&frames).unwrap();
-    // All of it lies there before the first read.
+    // All bytes have arrived before the first read.
     let (started, mut peeked) = (Instant::now(), vec![0; frames.len()]);
     while stream.peek(&mut peeked).unwrap() < frames.len() {
         assert!(
@@ -81,6 +81,6 @@
         now += SECOND;
     }
     let has_waited = |event: &Event| matches!(event, Event::Statement { unread_for, .. } if *unread_for == now - SECOND);
-    assert_eq!(now, 3 * SECOND, "reads that it takes");
+    assert_eq!(now, 3 * SECOND, "number of reads");
     assert!(reported.len() == 2 && has_waited(&reported[1]));
 }
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The connection to the coordinator: long polls for what has changed in the engine list, one after the other.
+//! The connection to the coordinator: successive long polls for changes of the engine list.
 
 use std::net::SocketAddr;
 
@@ -12,38 +12,38 @@
 
 /// Milliseconds that the coordinator holds a poll open.
 const POLL_TIMEOUT_MS: i64 = 1000;
-/// Microseconds beyond that until the connection counts as dead.
+/// Microseconds beyond the poll's timeout after which the connection counts as dead.
 const SILENCE_TIMEOUT: Micros = 750_000;
-/// Microseconds until the next attempt after one that failed.
+/// Microseconds between attempts while the coordinator fails.
 const RETRY_INTERVAL: Micros = 200_000;
 
-/// The client of the coordinator.
+/// The coordinator's client: polls for engine lists over one connection at a time.
 pub struct Coordinator {
     handle: LoopHandle<'static, LoopEvents>,
     address: Option<SocketAddr>,
     link: Option<Link>,
-    /// The number of the connection, the last one dialled.
+    /// The number of the last connection that was dialled.
     connection_number: u64,
     polled_at: Option<Micros>,
-    /// Until when an answer is awaited, or when to try again.
+    /// The timeout of the awaited answer, or the time of the next attempt.
     due: Micros,
-    /// The last event that is known; polls ask for those after it.
+    /// The index of the last known event; polls request later events.
     pub last_index: u64,
     is_failing: bool,
-    /// When the coordinator last answered; 0 before it did.
+    /// When the coordinator last answered; 0 if it never did.
     last_answer_at: Micros,
 }
 
-/// What was read of a connection.
+/// The result of one read of the connection.
 struct Received {
-    /// The answer to the poll; none while some of it has yet to come.
+    /// The answer to the poll; None while it is incomplete.
     answer: Result<Option<Response>, ParseError>,
     /// The connection was closed or broke.
     is_closed: bool,
 }
 
 impl Coordinator {
-    /// Polls the address given from the next `expire` on; none: nothing is polled.
+    /// Polls `address` from the next `expire` on; without an address nothing is polled.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
         address: Option<SocketAddr>,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Another address is polled from now on, from the last index; the old connection is closed.
+    /// Polls another address from now on, from the last index, and closes the old connection.
     pub fn set_address(&mut self, now: Micros, address: Option<SocketAddr>) {
         if self.address == address {
             return;
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Tries again, or drops a connection that has been silent.
+    /// Dials a new connection when that is due, or closes a connection whose answer is overdue.
     pub fn expire(&mut self, now: Micros) {
         let Some(address) = self.address.filter(|_| self.due <= now) else {
             return;
         };
         if self.link.is_some() {
-            return self.handle_failure(now, "silent");
+            return self.handle_failure(now, "no answer in time");
         }
         self.connection_number += 1;
         match Link::dial(
@@ -106,19 +106,19 @@
     }
 
     fn handle_failure(&mut self, now: Micros, reason: &str) {
-        // One that breaks off or stops is polled again at once, from then on at intervals.
+        // After the first failure the coordinator is polled again at once, after further ones at intervals.
         let retry_at = if std::mem::replace(&mut self.is_failing, true) {
             now + RETRY_INTERVAL
         } else {
             now
         };
         if retry_at == now {
-            log::warn!("coordinator: {reason}; the engine list stands still until it answers");
+            log::warn!("coordinator: {reason}; the engine list is not updated until it answers");
         }
         self.close_until(retry_at);
     }
 
-    /// Closes the connection; the next one is dialled at the time given.
+    /// Closes the connection; the next one is dialled at `dial_at`.
     fn close_until(&mut self, dial_at: Micros) {
         self.link = None;
         self.due = dial_at;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The connection has changed; the events that it brought, if any.
+    /// Reads from the connection. Returns the events of a complete answer.
     pub fn read(&mut self, now: Micros, number: u64) -> Option<Events> {
         if self.link.is_none() || number != self.connection_number {
             return None;
@@ -146,7 +146,7 @@
         match received.answer {
             Ok(Some(answer)) => self.handle_answer(now, answer, received.is_closed),
             Ok(None) if received.is_closed => {
-                self.handle_failure(now, "connection over");
+                self.handle_failure(now, "connection closed");
                 None
             }
             Ok(None) => None,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Polls over a connection that has come up. False if it has not, or failed.
+    /// Sends a poll if the connection is established. Returns false if it is not, or failed.
     fn poll_if_up(&mut self, now: Micros) -> bool {
         match self.link.as_ref().map_or(Ok(false), Link::is_up) {
             Ok(true) => {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Takes what is readable, an answer where it is whole.
+    /// Reads what is available, and decodes the answer if it is complete. None without a connection.
     fn receive(&mut self) -> Option<Received> {
         let link = self.link.as_mut()?;
         let broken = loop {
@@ -193,7 +193,7 @@
         Some(Received { answer, is_closed })
     }
 
-    /// Takes an answer to a poll; its events, if it has some that can be read.
+    /// Handles an answer to a poll and starts the next poll. Returns the answer's events if they are valid.
     fn handle_answer(&mut self, now: Micros, answer: Response, is_closed: bool) -> Option<Events> {
         let events = match answer.status {
             200 => codec::events(&answer.body).map_err(|error| error.to_string()),
@@ -208,7 +208,7 @@
         };
         self.record_answer(now);
         self.last_index = self.last_index.max(events.index);
-        // Guards against one that answers at once with nothing: it is not polled without end.
+        // Guards against a busy loop with a coordinator that answers at once without events.
         let answered_at_once = self.polled_at.is_some_and(|at| now < at + RETRY_INTERVAL);
         if events.updates.is_empty() && answered_at_once {
             self.close_until(now + RETRY_INTERVAL);
@@ -223,16 +223,16 @@
     fn record_answer(&mut self, now: Micros) {
         let before = std::mem::replace(&mut self.last_answer_at, now);
         if std::mem::replace(&mut self.is_failing, false) {
-            // What it sent meanwhile counts as known some seconds after, whether it came here or not.
+            // Events that the coordinator sent meanwhile are treated as known some seconds later, received or not.
             let silent_ms = if before > 0 { (now - before) / 1000 } else { 0 };
             log::info!("coordinator: answers again, {silent_ms} ms after its last answer");
         }
     }
 
-    /// Sends what is to leave.
+    /// Sends pending output.
     pub fn flush(&mut self, now: Micros) {
         if let Some(Err(_)) = self.link.as_mut().map(Link::flush) {
-            self.handle_failure(now, "connection over");
+            self.handle_failure(now, "connection closed");
         }
     }
 }
--- a/crates/front/src/coordinator_tests.rs
+++ b/crates/front/src/coordinator_tests.rs
@@ -7,7 +7,7 @@
     let events: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
     let mut coordinator = Coordinator::new(events.handle(), Some(([127, 0, 0, 1], 9).into()), 7);
     let mut due_after = |now| {
-        coordinator.handle_failure(now, "connection over");
+        coordinator.handle_failure(now, "connection closed");
         coordinator.due()
     };
     assert_eq!(
--- a/crates/front/src/engine_starts.rs
+++ b/crates/front/src/engine_starts.rs
@@ -1,33 +1,35 @@
-//! When engines started, on the front's own clock. Engines and coordinator tell it as Unix time, which this front's
-//! wall clock may be away from: by a step while the front runs, or since before its start.
+//! When engines started, on the front's own clock. Engines and the coordinator report it as Unix time, from which this
+//! front's wall clock may differ: because of a step while the front runs, or since before its start.
 
 use std::collections::HashMap;
 
 use hallmux_dispatcher::Micros;
 
-/// The clocks at the moment in which a list is read.
+/// The front's clocks at the time when an engine list is read.
 #[derive(Clone, Copy)]
 pub struct ClockReading {
     /// The front's time.
     pub now: Micros,
-    /// How far the wall clock is ahead of it, by steps since the front's start.
+    /// Microseconds that the wall clock is ahead of `now`, due to its steps since the front's start.
     pub wall_lead: Micros,
 }
 
+/// An engine's start as it was reported, and its time on the front's clock.
 struct KnownStart {
     reported_ms: f64,
     at: Micros,
 }
 
-/// The starts that were told.
+/// The reported starts of listed engines, by engine id.
 #[derive(Default)]
 pub struct EngineStarts {
     starts: HashMap<String, KnownStart>,
 }
 
 impl EngineStarts {
-    /// When an engine of a list started; None: not lately. `reported_ms` is in Unix milliseconds, 0 for not lately. A start
-    /// keeps its time for as long as its engine is listed with it: another time would be another start.
+    /// When a listed engine started; None if it did not start recently. `reported_ms` is in Unix milliseconds, 0 if the
+    /// engine did not start recently. The time of a start does not change while the engine is listed with that start:
+    /// another time would mean another start.
     pub fn start_time(
         &mut self,
         id: &str,
@@ -51,20 +53,20 @@
         Some(at)
     }
 
-    /// An engine is gone from the list.
+    /// Forgets an engine that was removed from the list.
     pub fn remove(&mut self, id: &str) {
         self.starts.remove(id);
     }
 
-    /// A whole list has come, and names these engines alone.
+    /// Forgets all engines that a full list does not name.
     pub fn retain_listed(&mut self, is_listed: impl Fn(&str) -> bool) {
         self.starts.retain(|id, _| is_listed(id));
     }
 }
 
-/// The front's time of a start. Guards against a wall clock that was stepped: an engine that passes for older than it is
-/// would be taken for warm. The wall clock was right at the front's start or is right now, so of both readings the later
-/// counts that is not to come yet.
+/// The time of a start on the front's clock. Guards against a wall clock that was stepped: an engine that seems older
+/// than it is would be treated as warm. The wall clock is assumed to have been right at the front's start or to be right
+/// now, so the later of both readings that is not in the future is used.
 fn front_time(unix_time: Micros, clocks: ClockReading) -> Micros {
     let readings = [unix_time, unix_time - clocks.wall_lead];
     readings
--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -1,16 +1,17 @@
-//! What the event loop reports: the sockets whose readiness has changed since the last iteration, and signals.
+//! The events that the event loop reports: sockets whose readiness has changed since the last iteration, and signals.
 
 use calloop::signals::Signal;
 
-/// What a socket is used for. Each kind is served by a module of its own.
+/// The purpose of a socket. Each kind is served by a separate module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketKind {
     /// The listener for clients that speak Thrift.
     Listener,
     /// A client that speaks Thrift.
     Client,
-    /// A query engine that speaks lines.
+    /// A query engine that speaks the line protocol.
     Engine,
+    /// The coordinator, which reports the engine list.
     Coordinator,
     /// The listener for PostgreSQL clients.
     SessionListener,
@@ -24,7 +25,7 @@
     Peers,
 }
 
-/// A socket: its kind, and its number among those of that kind.
+/// A socket: its kind, and its number among the sockets of that kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketId {
     pub kind: SocketKind,
@@ -32,16 +33,17 @@
 }
 
 impl SocketKind {
-    /// The socket of this kind that has the number given.
+    /// The id of the socket of this kind with a number.
     pub fn id(self, number: u64) -> SocketId {
         SocketId { kind: self, number }
     }
 }
 
-/// The data of the event loop: what has happened since the last iteration, in order of arrival.
+/// The data of the event loop: the events since the last iteration, in order of arrival.
 #[derive(Default)]
 pub struct LoopEvents {
     /// Sockets that have become readable or writable.
     pub ready: Vec<SocketId>,
+    /// Signals that were received: SIGTERM and SIGHUP.
     pub signals: Vec<Signal>,
 }
--- a/crates/front/src/lingering.rs
+++ b/crates/front/src/lingering.rs
@@ -1,9 +1,9 @@
-//! Lingering close of client connections, of both protocols: the write side is shut, and what still comes is
-//! read and dropped until the client closes its side or a bound is over.
+//! Lingering close of client connections of both protocols: the write side is shut down, and further input is read and
+//! discarded until the client closes its side or a limit is reached.
 //!
-//! Guards against a reset: closing a socket over unread bytes resets the connection, which may destroy an
-//! answer that is on its way. A request that is read here is never sent on: its client sees the end of the
-//! connection and sends it again.
+//! Guards against a reset: closing a socket with unread bytes resets the connection, which may destroy an answer that is
+//! on its way. A request that is read here is never executed: its client sees the end of the connection and sends the
+//! request again.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 
 use crate::link::{Link, ReadOutcome};
 
-/// Microseconds; some round trips of a slow network.
+/// Microseconds that a connection lingers: some round trips of a slow network.
 const LINGER_TIMEOUT: Micros = 1_000_000;
-/// Bytes that are read and dropped: some statements of the largest size, and what the network holds. Guards
-/// against clients that never stop sending.
+/// Limit of the bytes that are read and discarded: some statements of the largest size, and the data in the network.
+/// Guards against clients that never stop sending.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
 struct LingeringConnection {
@@ -23,16 +23,16 @@
     discarded_bytes: usize,
 }
 
-/// Connections whose write side is shut, by their numbers among those of their kind.
+/// Connections whose write side is shut down, by their numbers among those of their kind.
 #[derive(Default)]
 pub struct Lingering {
     connections: BTreeMap<u64, LingeringConnection>,
-    /// They had more to read as they were closed than one iteration takes.
+    /// Connections that had more to read when they were closed than one iteration reads.
     with_unread: Vec<u64>,
 }
 
 impl Lingering {
-    /// Shuts the write side of a connection that has sent all it owes.
+    /// Shuts down the write side of a connection on which all answers were sent.
     pub fn close(&mut self, now: Micros, id: u64, link: Link) {
         if link.shut_writes().is_ok() {
             self.connections.insert(
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Drops what has come, and the connection once its client has closed too. None if it is not one of
-    /// these; true if there is more for another iteration.
+    /// Reads and discards input, and drops the connection once its client has closed it too. Returns None if the
+    /// connection does not linger, and Some(true) if there is more to read in another iteration.
     pub fn read(&mut self, id: u64) -> Option<bool> {
         let connection = self.connections.get_mut(&id)?;
         connection.link.input.clear();
@@ -67,18 +67,18 @@
         Some(more)
     }
 
-    /// Connections that are to be read again, as the event loop does not report the rest of what they had.
+    /// Takes the connections that have to be read again, as the event loop does not report their remaining input.
     pub fn take_unread(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.with_unread)
     }
 
-    /// Drops the connections whose bound is over.
+    /// Drops the connections whose time is over.
     pub fn expire(&mut self, now: Micros) {
         self.connections
             .retain(|_, connection| connection.close_at > now);
     }
 
-    /// When `expire` is next due.
+    /// When `expire` is next due; `Micros::MAX` without connections.
     pub fn due(&self) -> Micros {
         self.connections
             .values()
@@ -87,7 +87,7 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// Drops the one that has lingered longest; false if there is none.
+    /// Drops the connection that has lingered longest. Returns false if there is none.
     pub fn drop_oldest(&mut self) -> bool {
         let oldest = self
             .connections
@@ -97,7 +97,7 @@
         oldest.is_some_and(|id| self.connections.remove(&id).is_some())
     }
 
-    /// Connections that are being closed.
+    /// The number of connections that linger.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -11,34 +11,34 @@
 use crate::events::{LoopEvents, SocketId};
 use crate::transient;
 
-/// Microseconds until the next attempt after one without capacity or descriptors; doubled with each that fails.
+/// Microseconds until the next attempt after one without capacity or descriptors; doubled with each further failure.
 const INITIAL_BACKOFF: Micros = 1_000;
-/// Microseconds between attempts at most: statements wait unread meanwhile.
+/// Limit of the microseconds between attempts, as statements wait unread meanwhile.
 const MAX_BACKOFF: Micros = 50_000;
-/// Errors in one iteration that concern single connections.
+/// Limit of the errors of single connections that are skipped in one call.
 const MAX_CONNECTION_ERRORS: usize = 64;
 
-/// A listening socket and how it is accepted from.
+/// A listening socket with the state of accepting from it.
 pub struct Listener {
     handle: LoopHandle<'static, LoopEvents>,
-    /// None once it is closed.
+    /// The socket; None once it is closed.
     socket: Option<(Rc<TcpListener>, RegistrationToken)>,
-    /// When to try `accept` next; none while the kernel's queue is known to be empty.
+    /// When `accept` is next due; None while the kernel's queue is known to be empty.
     next_accept: Option<Micros>,
-    /// The one connection that was accepted and has not been served yet, for want of capacity.
+    /// A connection that was accepted but not served yet, for lack of capacity.
     pending: Option<TcpStream>,
-    /// The last try found no capacity; that has been logged.
+    /// Whether the last attempt found no capacity, which is logged once.
     at_capacity: bool,
-    /// Microseconds from the last try that failed to the next; 0 where it did not fail.
+    /// Microseconds from the last failed attempt to the next; 0 if the last one succeeded.
     backoff: Micros,
-    /// Since when connections may wait in the kernel's queue; none while it is known to be empty.
+    /// Since when connections may wait in the kernel's queue; None while it is known to be empty.
     unread_since: Option<Micros>,
-    /// The last try failed in the system: connections may wait that could not be asked for.
+    /// Whether the last attempt failed with a system error, so that connections may still wait in the queue.
     last_accept_failed: bool,
 }
 
 impl Listener {
-    /// Registers a bound socket with the event loop, which reports it under the id given.
+    /// Registers a bound socket with the event loop, which reports it under `id`.
     pub fn new(
         listener: TcpListener,
         handle: &LoopHandle<'static, LoopEvents>,
@@ -65,22 +65,22 @@
         })
     }
 
-    /// Connections wait to be accepted, or may: `accept` asks the system.
+    /// Makes `accept` due, as connections may wait to be accepted. Does nothing once the listener is closed.
     pub fn mark_readable(&mut self) {
         self.next_accept = self.is_open().then_some(0);
     }
 
-    /// When `accept` is next due.
+    /// When `accept` is next due; `Micros::MAX` while no connection waits.
     pub fn due(&self) -> Micros {
         self.next_accept.unwrap_or(Micros::MAX)
     }
 
-    /// Whether it listens still.
+    /// Whether the socket is still listening.
     pub fn is_open(&self) -> bool {
         self.socket.is_some()
     }
 
-    /// Where it listens, for tests that let the system give the port.
+    /// The listening address, for tests in which the system assigns the port.
     #[cfg(test)]
     pub fn address(&self) -> Option<std::net::SocketAddr> {
         self.socket
@@ -88,7 +88,7 @@
             .and_then(|(listener, _)| listener.local_addr().ok())
     }
 
-    /// Stops listening. True if it was open till now.
+    /// Stops listening. Returns true if the listener was open.
     pub fn close(&mut self) -> bool {
         self.next_accept = None;
         let socket = self.socket.take();
@@ -98,18 +98,19 @@
         socket.is_some()
     }
 
-    /// Microseconds for which a connection that is accepted now may have waited, with what its client has sent.
+    /// Microseconds for which a connection that is accepted now, and its client's input, may have waited unread.
     pub fn unread_for(&self, now: Micros) -> Micros {
         self.unread_since.map_or(0, |since| now - since)
     }
 
-    /// Whether connections may wait that the system did not give when it was asked last.
+    /// Whether connections may still wait because the last attempt to accept failed with a system error.
     pub fn may_have_more(&self) -> bool {
         self.last_accept_failed && self.is_open()
     }
 
-    /// The next connection. An error that concerns one connection alone, as Linux reports them here, is passed over; of
-    /// a shortage the next try waits. `reserve` frees capacity for it, or says why there is none; then the connection waits.
+    /// Accepts the next connection. Errors of single connections, which Linux reports here, are skipped; after a shortage
+    /// of the system the next attempt is delayed. `reserve` frees capacity for the connection or returns why there is
+    /// none, in which case the connection waits.
     pub fn accept(
         &mut self,
         now: Micros,
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The kernel has no more connections: it is asked again once it reports one.
+    /// The kernel's queue is empty: the next attempt waits until the event loop reports a connection.
     fn handle_empty_queue(&mut self) {
         self.next_accept = None;
         self.at_capacity = false;
@@ -159,10 +160,10 @@
         self.unread_since = None;
     }
 
-    /// Leaves connections in the queue, rather than taking what can't be served.
+    /// Delays the next attempt, so that connections that can't be served stay in the kernel's queue.
     fn back_off(&mut self, now: Micros, reason: &str) {
         if !std::mem::replace(&mut self.at_capacity, true) {
-            log::warn!("no connection can be taken for now: {reason}");
+            log::warn!("no connection can be accepted: {reason}; trying again");
         }
         self.unread_since.get_or_insert(now);
         self.backoff = (2 * self.backoff).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
--- a/crates/front/src/logger.rs
+++ b/crates/front/src/logger.rs
@@ -1,4 +1,4 @@
-//! A logger of a few lines: each record is one line on standard error, with the time and the front's name.
+//! A minimal logger: writes each record as one line to standard error, with the time and the front's name.
 
 use std::io::Write;
 use std::time::{Duration, SystemTime};
@@ -10,7 +10,7 @@
     name: String,
 }
 
-/// Sends all records up to a level to standard error from now on.
+/// Installs the logger, which writes all records up to a level. Does nothing if a logger is installed already.
 pub fn start(name: &str, level: LevelFilter) {
     let logger = Box::new(Logger {
         name: name.to_string(),
@@ -22,7 +22,7 @@
 
 impl Log for Logger {
     fn enabled(&self, metadata: &Metadata) -> bool {
-        // The SQL library tells each word of a statement: those are its client's alone.
+        // The SQL library logs the tokens of statements, which are confidential.
         metadata.level() <= log::max_level() && !metadata.target().starts_with("sqlparser")
     }
 
@@ -33,7 +33,7 @@
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        // A log that nobody takes is no reason to stop.
+        // A failure to write the log must not stop the front.
         let _ = writeln!(
             std::io::stderr().lock(),
             "{}",
@@ -44,8 +44,8 @@
     fn flush(&self) {}
 }
 
-/// A record as one line. Records quote what clients, engines and files said: none of them may write a record of
-/// its own.
+/// Formats a record as one line. Records quote text of clients, engines and files, which must not be able to forge a
+/// record.
 fn line(since_epoch: Duration, name: &str, record: &Record) -> String {
     let (seconds, milliseconds) = (since_epoch.as_secs(), since_epoch.subsec_millis());
     let level = record.level().as_str().to_ascii_lowercase();
--- a/crates/front/src/machine_clock.rs
+++ b/crates/front/src/machine_clock.rs
@@ -1,18 +1,18 @@
-//! The front's time on a real machine: Unix time that no step of the wall clock moves.
+//! The front's time on a real machine: Unix time that steps of the wall clock do not change.
 
 use std::time::{Instant, SystemTime};
 
 use hallmux_dispatcher::Micros;
 
-/// Microseconds; a clock that is slewed drifts by less between two readings.
+/// Microseconds from which on a deviation counts as a step; a clock that is slewed drifts by less between two readings.
 const MIN_STEP: Micros = 100_000;
 
-/// The wall clock's time at the start, run on by the monotonic clock. Guards against a wall clock that is set while
-/// the front runs: deadlines, windows, budgets and waits are spans of real time.
+/// The wall clock's time at the start, advanced by the monotonic clock. Guards against a wall clock that is set while the
+/// front runs: deadlines, windows, budgets and waits are spans of real time.
 pub struct MachineClock {
     started: Instant,
     unix_at_start: Micros,
-    /// How far the wall clock was ahead of `now` when the two were last compared.
+    /// Microseconds that the wall clock was ahead of `now` when the two were last compared.
     wall_lead: Micros,
 }
 
@@ -35,21 +35,22 @@
 }
 
 impl MachineClock {
-    /// Microseconds of Unix time by the wall clock as it was at the start.
+    /// The Unix time in microseconds, by the wall clock as it was at the start.
     pub fn now(&self) -> Micros {
         self.unix_at_start + self.started.elapsed().as_micros() as Micros
     }
 
-    /// How many microseconds the wall clock is ahead of `now`, by its steps since the start.
+    /// Microseconds that the wall clock is ahead of `now`, due to its steps since the start.
     pub fn wall_lead(&self) -> Micros {
         self.wall_lead
     }
 
-    /// Compares the two clocks: by how many microseconds the wall clock was stepped since the last call, if it was.
+    /// Compares the two clocks. Returns the microseconds by which the wall clock was stepped since the last call; None if
+    /// it was not.
     pub fn detect_step(&mut self) -> Option<Micros> {
         let now = self.now();
         let wall = wall_clock();
-        // Guards against a front that is stopped between the two readings: the next call compares.
+        // Guards against a front that is stopped between the two readings: the comparison is left to the next call.
         (self.now() - now < MIN_STEP)
             .then(|| self.update_wall_lead(wall - now))
             .flatten()
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -1,4 +1,4 @@
-//! hallmux on real sockets: one thread that serves clients, query engines and the coordinator.
+//! The front's process: one thread that serves clients, query engines and the coordinator over sockets.
 
 mod clients;
 mod clock;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The environment. Guards against a variable, whichever it is, that is no UTF-8: to ask for text would panic.
+/// The environment variables. Guards against a panic on any variable that is not valid UTF-8, whether it is used or not.
 fn environment() -> HashMap<String, String> {
     let text = |bytes: OsString| bytes.to_string_lossy().into_owned();
     std::env::vars_os()
@@ -58,13 +58,14 @@
         .collect()
 }
 
+/// Starts the front and serves until a graceful shutdown is complete.
 fn run() -> Result<(), StartError> {
     let variables = environment();
     let config = NodeConfig::read(&variables)?;
     logger::start(&config.name, config.log_level);
     if let Some(path) = &config.clock_file {
         log::warn!(
-            "HALLMUX_CLOCK: the time is a drill's, from {}",
+            "HALLMUX_CLOCK: the time is read from the test clock {}",
             path.display()
         );
     }
@@ -96,8 +97,8 @@
     Ok(event_loop)
 }
 
-/// Runs the event loop until a graceful shutdown is complete. Each iteration handles signals, then sockets, then
-/// what follows from both.
+/// Runs the event loop until a graceful shutdown is complete. Each iteration handles signals, then sockets, then the
+/// decisions that follow from both.
 fn run_event_loop(
     event_loop: &mut EventLoop<'static, LoopEvents>,
     front: &mut EventLoopState,
--- a/crates/front/src/refusal.rs
+++ b/crates/front/src/refusal.rs
@@ -1,12 +1,12 @@
-//! How a statement ends that gets no result.
+//! The final answer of a statement that ends without a result.
 
 use hallmux_dispatcher::Micros;
 
 /// A final answer without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// A retry is harmless, after so many microseconds where a time is given.
+    /// The statement did not run, and may be retried; after `retry_after` microseconds if there is such a time.
     Rejected { retry_after: Option<Micros> },
-    /// Nothing is promised: it may have run.
+    /// The statement may have run.
     Aborted,
 }
--- a/crates/front/src/reuse.rs
+++ b/crates/front/src/reuse.rs
@@ -1,15 +1,15 @@
-//! How long a connection to an engine may have been idle and still be used again.
+//! How long a connection to an engine may have been idle and still be reused.
 //!
-//! Guards against peers and networks that forget idle connections sooner than agreed and do not say so:
-//! what is sent over such a one is lost, and may have run or not.
+//! Guards against engines and networks that silently drop idle connections earlier than agreed: a statement that is sent
+//! over such a connection is lost, and it is unknown whether it ran.
 
 use hallmux_dispatcher::Micros;
 
-/// Microseconds within which one that was dead already is lost: some round trips.
+/// Microseconds within which a connection that was already dead fails after its reuse: some round trips.
 const LOSS_WINDOW: Micros = 50_000;
-/// Microseconds of idle time after which a connection is always used again.
+/// Microseconds of idle time up to which a connection is always reused.
 const MIN_IDLE: Micros = 10_000;
-/// Part by which the trusted idle time grows with each answer: slower than it halves.
+/// Divisor of the trusted idle time that gives its growth per answer, which is slower than its halving.
 const GROWTH_DIVISOR: Micros = 256;
 
 /// The idle time, in microseconds, up to which connections are trusted.
@@ -19,7 +19,7 @@
 }
 
 impl ReusePolicy {
-    /// Engines have agreed to keep idle connections for so long.
+    /// Trusts connections up to `configured_max_idle`, for which engines agree to keep idle connections.
     pub fn new(configured_max_idle: Micros) -> Self {
         ReusePolicy {
             configured_max_idle,
@@ -27,23 +27,24 @@
         }
     }
 
-    /// The longest idle time after which a connection is used again.
+    /// The longest idle time, in microseconds, after which a connection is reused.
     pub fn max_idle(&self) -> Micros {
         self.trusted_max_idle
     }
 
-    /// A connection that was used again has answered.
+    /// Records that a reused connection has answered.
     pub fn record_answer(&mut self) {
         self.trusted_max_idle = (self.trusted_max_idle + self.trusted_max_idle / GROWTH_DIVISOR)
             .min(self.configured_max_idle);
     }
 
-    /// A connection that had been idle was lost so long after it was used again, with no reply before.
+    /// Records that a connection that had been idle for `idle` was lost `after` microseconds from its reuse, without a
+    /// reply.
     pub fn record_loss(&mut self, idle: Micros, after: Micros) {
         if after < LOSS_WINDOW && idle > MIN_IDLE {
             self.trusted_max_idle = (idle / 2).max(MIN_IDLE).min(self.trusted_max_idle);
             log::debug!(
-                "resting connections are used again within {} ms",
+                "idle engine connections are reused for up to {} ms from now on",
                 self.trusted_max_idle / 1000
             );
         }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -1,60 +1,63 @@
-//! The schedule of a graceful shutdown: after SIGTERM a front goes on accepting and answering for a grace period, then
-//! closes its listener. What is done at each step is in `event_loop/graceful_shutdown.rs`.
+//! The schedule of a graceful shutdown: after SIGTERM a front still accepts and answers statements for a grace period,
+//! then closes its listener. The actions of each step are in `event_loop/graceful_shutdown.rs`.
 
 use hallmux_dispatcher::Micros;
 
-/// Microseconds after SIGTERM until no more connections are accepted and statements that still come are rejected.
-/// Clients open new connections for 0.4 s and write on open ones for 0.2 s more; what comes later than 0.7 s has to
-/// be answered before the process may be killed, some seconds on, however long its client would wait.
+/// Microseconds after SIGTERM until no more connections are accepted and new statements are rejected. Clients open new
+/// connections for 0.4 s and write on open ones for 0.2 s more. Statements that arrive later than 0.7 s have to be
+/// answered before the process may be killed some seconds later, however long their clients would wait.
 const GRACE_PERIOD: Micros = 650_000;
-/// The same while ownership of ledger shards is handed over: the next owner may be slow or itself about to end.
+/// The grace period while ownership of ledger shards is handed over: the next owner may be slow or about to end itself.
 const HAND_OVER_GRACE_PERIOD: Micros = 3_000_000;
-/// The same while a ledger shard would have no majority without this front: other replicas may be about to come back.
+/// The grace period while a ledger shard would have no majority without this front: other replicas may be about to return.
 const QUORUM_GRACE_PERIOD: Micros = 10_000_000;
-/// Microseconds more for which the listener stays open where the system gives no connections when it is asked for them,
-/// as a shortage passes: closing it would reset those that wait, with what they have sent. Shorter than any deadline.
+/// Microseconds beyond the grace period for which the listener stays open while accepting fails with a system error, as
+/// a shortage passes: closing the listener would reset the waiting connections and lose their input. Shorter than any
+/// deadline.
 const ACCEPT_RETRY_LIMIT: Micros = 1_000_000;
-/// Iterations of the event loop that begin after that time before the listener is closed: one to be told of a
-/// client, one to accept it, one to read from it.
+/// Iterations of the event loop after the grace period before the listener is closed: one in which a client is reported,
+/// one to accept it, and one to read from it.
 const FINAL_ITERATIONS: u8 = 3;
-/// Microseconds between checks whether all is answered.
+/// Microseconds between checks whether all statements are answered.
 const CHECK_INTERVAL: Micros = 10_000;
 
-/// What of the ledger depends on this front, and so delays its end.
+/// How the ledger depends on this front, which delays its shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LedgerDependency {
+    /// The shutdown is not delayed.
     None,
-    /// It owns shards that others could own.
+    /// This front owns shards that others could own.
     OwnsShards,
-    /// Other replicas are away, and without it a shard has no majority.
+    /// Other replicas are unreachable, and without this front a shard has no majority.
     NeededForQuorum,
 }
 
-/// How far a graceful shutdown has come.
+/// The progress of a graceful shutdown.
 #[derive(Default)]
 pub struct Shutdown {
-    /// When SIGTERM came.
+    /// When SIGTERM was received; None before.
     requested_at: Option<Micros>,
-    /// Iterations that began after the listener was to be closed.
+    /// Iterations since the end of the grace period.
     final_iterations: u8,
     closed: bool,
 }
 
 impl Shutdown {
-    /// SIGTERM has come; a second one changes nothing.
+    /// Starts the grace period at SIGTERM; a second SIGTERM changes nothing.
     pub fn request(&mut self, now: Micros) {
         if self.requested_at.is_none() {
-            log::info!("the end was asked for; what comes in for now is still taken");
+            log::info!("SIGTERM received; statements are still accepted for a grace period");
             self.requested_at = Some(now);
         }
     }
 
-    /// SIGTERM has come.
+    /// Whether SIGTERM was received.
     pub fn is_requested(&self) -> bool {
         self.requested_at.is_some()
     }
 
-    /// Whether the listener is to be closed by now. To be called once in each iteration.
+    /// Whether the listener is to be closed now. To be called once in each iteration, as it counts the iterations after
+    /// the grace period.
     pub fn should_close_listener(&mut self, now: Micros, dependency: LedgerDependency) -> bool {
         let grace_period = match dependency {
             LedgerDependency::None => GRACE_PERIOD,
@@ -67,24 +70,24 @@
         {
             return false;
         }
-        // A front that stood still has yet to accept who came meanwhile, and to read what they wrote.
+        // A front that was stalled has yet to accept the clients that connected meanwhile, and to read their input.
         self.final_iterations = self.final_iterations.saturating_add(1);
         self.closed = self.final_iterations > FINAL_ITERATIONS;
         self.closed
     }
 
-    /// Whether the listener may stay open for connections that the system has not given yet.
+    /// Whether the listener may stay open because accepting the waiting connections failed with a system error.
     pub fn may_keep_listening(&self, now: Micros) -> bool {
         self.requested_at
             .is_some_and(|requested_at| now < requested_at + GRACE_PERIOD + ACCEPT_RETRY_LIMIT)
     }
 
-    /// Whether statements that come by now are rejected at once.
+    /// Whether new statements are rejected at once.
     pub fn rejects_statements(&self) -> bool {
         self.closed
     }
 
-    /// When the next check whether all is answered is due.
+    /// When the next check whether all statements are answered is due; `Micros::MAX` before SIGTERM.
     pub fn due(&self, now: Micros) -> Micros {
         self.requested_at.map_or(Micros::MAX, |requested_at| {
             (requested_at + GRACE_PERIOD).max(now + CHECK_INTERVAL)
--- a/crates/front/src/start_error.rs
+++ b/crates/front/src/start_error.rs
@@ -1,56 +1,54 @@
-//! Why a front does not start: each text says what is wrong, where, and what an operator can do.
+//! Errors that keep a front from starting: each message says what is wrong, where, and what an operator can do.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What keeps the process from starting.
+/// An error that keeps the process from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings or the operator's file.
+    /// The settings or the operator's file are invalid.
     #[error(transparent)]
     Configuration(#[from] hallmux_config::Error),
-    /// The coordinator's events that the configuration brings along can't be read.
-    #[error(
-        "{key}: {reason}; give the coordinator's events as it words them, or leave the key out"
-    )]
+    /// The coordinator's events in the configuration can't be read.
+    #[error("{key}: {reason}; give the events in the coordinator's own format, or remove the key")]
     KnownEvents { key: String, reason: String },
-    /// The address for clients can't be listened on.
+    /// The front can't listen on the address for clients.
     #[error("{key}: {at}: {reason}; give the address of a free port of this machine")]
     Listen {
         key: String,
         at: SocketAddr,
         reason: std::io::Error,
     },
-    /// The part `gossip` of the operator's file.
+    /// The section `gossip` of the operator's file can't be applied.
     #[error(transparent)]
     Peers(#[from] crate::fleet::PeersError),
-    /// The part `rules` of the operator's file.
+    /// The section `rules` of the operator's file can't be applied.
     #[error(transparent)]
     Rules(#[from] crate::fleet::RulesError),
-    /// What else the operator's file switches on, or the clock of a test: the text names the key.
-    #[error("{0}; mend that key or file, or leave it out")]
+    /// Another component that the operator's file enables, or the test clock, can't be started; the text names the key.
+    #[error("{0}; correct that key or file, or remove it")]
     Component(String),
-    /// The same, where the part itself says what can be done.
+    /// The same error of a component whose text names the remedy itself.
     #[error("{0}")]
     ComponentWithRemedy(String),
-    /// A call of the operating system.
-    #[error("{operation}: {reason}; see whether this user may open more files (ulimit -n)")]
+    /// A call of the operating system failed.
+    #[error("{operation}: {reason}; check this user's limit of open files (ulimit -n)")]
     System {
         operation: &'static str,
         reason: String,
     },
 }
 
-/// A key of the file that NODE_CONFIG names, as an operator finds it.
+/// Names a key of the configuration file so that an operator finds it.
 fn key_in_file(variables: &HashMap<String, String>, key: &str) -> String {
     let file = variables.get("NODE_CONFIG").map_or("?", String::as_str);
     format!("NODE_CONFIG: {file}: {key}")
 }
 
 impl StartError {
-    /// The coordinator's events in the file can't be used.
+    /// The error of invalid coordinator's events in the configuration file.
     pub fn known_events(variables: &HashMap<String, String>, what: &str) -> StartError {
-        // Its line counts from where the key's value begins, which is no line of the file.
+        // The parser's line number counts from the start of the key's value, so it is not a line of the file.
         let reason = what
             .rsplit_once(" at line ")
             .map_or(what, |(reason, _)| reason)
@@ -61,7 +59,7 @@
         }
     }
 
-    /// The address, which a variable or the file has given, can't be listened on.
+    /// The error of an address, from a variable or the file, that the front can't listen on.
     pub fn listen(
         variables: &HashMap<String, String>,
         at: SocketAddr,
@@ -78,7 +76,7 @@
         }
     }
 
-    /// The error of a part that may name the remedy itself, after a semicolon.
+    /// The error of a component, whose text may name the remedy after a semicolon.
     pub fn component(reason: &std::io::Error) -> StartError {
         let text = reason.to_string();
         if text.contains("; ") {
@@ -88,7 +86,7 @@
         }
     }
 
-    /// The operating system failed at `what`.
+    /// The error of a system call in `operation`.
     pub fn system(operation: &'static str, reason: &std::io::Error) -> StartError {
         StartError::System {
             operation,
--- a/crates/front/src/test_clock.rs
+++ b/crates/front/src/test_clock.rs
@@ -1,8 +1,9 @@
-//! Fault injection for time: a clock that is read from a file, which a test harness moves. A test's verdict then
-//! does not depend on the machine's load: however slow the front's peers are, no time passes meanwhile.
+//! Fault injection for time: a clock that is read from a file, which a test harness advances. The result of a test then
+//! does not depend on the machine's load: no time passes while the front's peers are slow.
 //!
-//! The file is four numbers of 8 bytes, little-endian: the harness's time (Unix microseconds) and how often it has
-//! asked whether the front is idle, the front's next due time, and the last of these questions that it answers.
+//! The file holds four little-endian numbers of 8 bytes: the harness's time (Unix microseconds), the number of its
+//! queries whether the front is idle, the front's next due time, and the number of the last query that the front has
+//! answered.
 
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -11,27 +12,27 @@
 
 use hallmux_dispatcher::Micros;
 
-/// Between reads of the file, in the machine's time.
+/// The interval between reads of the file, in the machine's time.
 const POLL_INTERVAL: Duration = Duration::from_micros(500);
-/// Bytes of a number.
+/// Size of a number in bytes.
 const NUMBER_SIZE: u64 = 8;
 
-// Offsets in bytes.
+// Offsets of the numbers in the file, in bytes.
 const TIME_OFFSET: u64 = 0;
 const QUERY_OFFSET: u64 = NUMBER_SIZE;
 const DUE_OFFSET: u64 = 2 * NUMBER_SIZE;
 const ANSWER_OFFSET: u64 = 3 * NUMBER_SIZE;
 
-/// A clock that a test moves through a file.
+/// A clock that a test advances through a file.
 pub struct TestClock {
     file: File,
     time: Micros,
-    /// The question that was there before the front looked at its connections.
+    /// The number of the last query that was read before the front read its connections.
     query: i64,
 }
 
 impl TestClock {
-    /// Opens the file that `HALLMUX_CLOCK` names; an error names the variable.
+    /// Opens the file that `HALLMUX_CLOCK` names. An error names the variable.
     pub fn open(path: &Path) -> std::io::Result<TestClock> {
         let with_variable =
             |e: std::io::Error| std::io::Error::new(e.kind(), format!("HALLMUX_CLOCK: {e}"));
@@ -55,16 +56,16 @@
         Ok(i64::from_le_bytes(bytes))
     }
 
-    /// The harness's time, Unix microseconds; where the file can't be read, the last one.
+    /// The harness's time in Unix microseconds; the last known time if the file can't be read.
     pub fn now(&mut self) -> Micros {
         self.time = self.read_number(TIME_OFFSET).unwrap_or(self.time);
         self.time
     }
 
-    /// The front goes to sleep until `due`, having done all that it could read since it last did: answers the
-    /// question that was asked before. Returns how long to sleep in the machine's time.
+    /// Answers the last query before the front sleeps until `due`, as it has handled all input since its last sleep.
+    /// Returns how long to sleep in the machine's time.
     pub fn prepare_sleep(&mut self, due: Micros) -> Duration {
-        // The time first: whoever sees the answer to a question sees what it was.
+        // The due time is written first, so that a harness that sees the answer also sees its due time.
         let written = self.file.write_all_at(&due.to_le_bytes(), DUE_OFFSET);
         let written = written.and_then(|()| {
             self.file
@@ -72,7 +73,7 @@
         });
         match written.and_then(|()| self.read_number(QUERY_OFFSET)) {
             Ok(query) => self.query = query,
-            Err(e) => log::error!("the drill's clock: {e}"),
+            Err(e) => log::error!("HALLMUX_CLOCK: {e}; the test clock's file is not updated"),
         }
         POLL_INTERVAL
     }
--- a/crates/front/src/transient.rs
+++ b/crates/front/src/transient.rs
@@ -1,19 +1,19 @@
-//! Errors of the system that pass: it has no descriptor, buffer or memory for now.
+//! Transient system errors: the system is temporarily out of descriptors, buffers or memory.
 
 use std::io::{Error, ErrorKind, Result};
 use std::time::{Duration, Instant};
 
-// Numbers of Linux that the standard library has no kinds for.
-/// ENOMEM.
+// Error numbers of Linux for which the standard library has no kinds.
+/// ENOMEM: out of memory.
 const OUT_OF_MEMORY: i32 = 12;
-/// ENFILE.
+/// ENFILE: the system's descriptors are exhausted.
 const SYSTEM_DESCRIPTORS: i32 = 23;
-/// EMFILE.
+/// EMFILE: the process's descriptors are exhausted.
 const PROCESS_DESCRIPTORS: i32 = 24;
-/// ENOBUFS.
+/// ENOBUFS: no buffer space.
 const NO_BUFFERS: i32 = 105;
 
-/// A start has ten; what lasts longer is for an operator to see.
+/// Limit of the retries of one call. A front has 10 s to start; an error that lasts longer is reported to the operator.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -30,12 +30,13 @@
         .is_some_and(|number| shortages.contains(&number))
 }
 
-/// Whether the same call may succeed a moment later.
+/// Whether the same call may succeed shortly afterwards.
 fn is_transient(error: &Error) -> bool {
     is_shortage(error) || error.kind() == ErrorKind::Interrupted
 }
 
-/// Repeats a call of the front's start while its errors may pass, some seconds at most: it blocks.
+/// Repeats a call during the front's start while it fails with transient errors, for up to `RETRY_TIMEOUT`. Blocks the
+/// thread.
 pub fn retry<T>(call: impl FnMut() -> Result<T>) -> Result<T> {
     retry_for(RETRY_TIMEOUT, call)
 }
--- a/crates/front/tests/scripted/machine.rs
+++ b/crates/front/tests/scripted/machine.rs
@@ -72,7 +72,7 @@
         .unwrap();
     scenario.line("b connects");
     // The front knows by now that it can't accept: what comes from here on waits.
-    scenario.line("logs no connection can be taken for now");
+    scenario.line("logs no connection can be accepted");
     ["c connects", "c asks 1 limit=3000 select 1"]
         .iter()
         .for_each(|line| scenario.line(line));
--- a/crates/front/tests/scripted/wall_clock.rs
+++ b/crates/front/tests/scripted/wall_clock.rs
@@ -7,7 +7,7 @@
 //! front counted all that it did as done at one moment. The cause: the front took its time from the wall clock, and
 //! only kept it from going back, so a step back stopped its time until the wall clock had caught up, and a step forward
 //! ended all that was under way. What settled it: log stamps that lost 3,600 s between two lines 4 s apart (no line
-//! said so), `stood still for 3600016 ms` from a front that had served all along, and faults on those fronts alone.
+//! said so), `event loop stalled for 3600016 ms` from a front that had served all along, and faults on those fronts alone.
 
 use std::time::{Duration, Instant};
 
