--- a/crates/front/src/clock_tests.rs
+++ b/crates/front/src/clock_tests.rs
@@ -3,6 +3,7 @@
 use super::{Clock, LATENESS_TOLERANCE, MAX_READ_AGE};
 use std::time::Duration;
 
+/// The unread time that a clock reports after a decision, a sleep and a wake-up at these times.
 fn unread_time(decided_at: i64, slept_at: i64, sleep_until: i64, woke_at: i64) -> i64 {
     let mut clock = Clock::default();
     clock.set(decided_at);
@@ -42,7 +43,7 @@
     clock.start_iteration();
     clock.mark_decided();
     clock.prepare_sleep(1_025_000);
-    // Stopped between its look at the connections and its work: the next look finds what came meanwhile.
+    // The front is stopped between reading its connections and its work: the next read finds the input since then.
     clock.set(2_600_000);
     clock.start_iteration();
     assert_eq!(clock.unread_time(), 1_600_000);
@@ -67,7 +68,7 @@
     clock.prepare_sleep(1_025_000);
     clock.set(1_010_000);
     clock.start_iteration();
-    clock.set(2_600_000); // stopped at work
+    clock.set(2_600_000); // stopped during the iteration
     clock.mark_decided();
     clock.prepare_sleep(2_625_000);
     clock.set(2_600_200);
@@ -88,12 +89,12 @@
     assert!(clock.is_stale());
     clock.mark_decided();
     clock.prepare_sleep(1_100_000);
-    // The next read is fresh.
+    // The read of the next iteration is fresh.
     clock.start_iteration();
     assert!(!clock.is_stale());
     clock.mark_decided();
     clock.prepare_sleep(1_100_000);
-    // A late one is not, however quick: what came meanwhile may not be found yet.
+    // The read of a late iteration is stale even if it is quick, as input that arrived meanwhile may not be read yet.
     clock.set(1_100_001 + LATENESS_TOLERANCE);
     clock.start_iteration();
     assert!(clock.is_stale());
--- a/crates/front/src/engine_starts_tests.rs
+++ b/crates/front/src/engine_starts_tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// The age of an engine whose start is told as that of so long ago by the front's clock.
+/// The resulting age of an engine whose reported start is `reported_age` ago on the front's clock.
 fn age(reported_age: i64, clocks: ClockReading) -> i64 {
     let reported_ms = ((NOW - reported_age) / 1000) as f64;
     NOW - EngineStarts::default()
@@ -30,7 +30,7 @@
 
 #[test]
 fn start_age_is_correct_once_initially_wrong_wall_clock_is_corrected() {
-    // The front's time stays as far off as the wall clock was; the step back to what is right tells how far.
+    // The front's time keeps the initial error of the wall clock; the size of the correcting step reveals that error.
     for wrong in [HOUR, -HOUR, 20 * SECOND, -20 * SECOND] {
         assert_eq!(
             age(3 * SECOND + wrong, clocks(-wrong)),
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -84,7 +84,7 @@
             Ok(address) => self.engines.list(place, listed_engine(address)),
             Err(_) if !available => self.engines.retire(place),
             Err(error) => log::error!(
-                "engine {}: address '{}': {error}; its connections are left unchanged",
+                "engine {}: address '{}': {error}; its line-protocol connections are left unchanged",
                 engine.id,
                 engine.address
             ),
--- a/crates/front/src/event_loop_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -24,11 +24,11 @@
 
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 const START: Micros = 1_800_000_000_000_000; // Unix microseconds
-const CLOSE_TIME: Micros = START + 700_000; // the end was asked for at the start, and the listener is due to close
-const SLO_TIME_MS: u32 = 2000; // milliseconds that statements are meant to take, where a test says nothing else
-const ITERATIONS_BEFORE_CLOSE: usize = 3; // iterations after that in which it is still open
+const CLOSE_TIME: Micros = START + 700_000; // after SIGTERM at START, the listener is due to close
+const SLO_TIME_MS: u32 = 2000; // default SLO time of statements in milliseconds
+const ITERATIONS_BEFORE_CLOSE: usize = 3; // iterations after CLOSE_TIME in which the listener is still open
 
-/// A front that no loop drives, with a clock that the test moves.
+/// A front whose iterations and clock are driven by the test instead of an event loop.
 pub(super) struct FrontHarness {
     pub(super) front: EventLoopState,
     events: EventLoop<'static, LoopEvents>,
@@ -46,12 +46,12 @@
 }
 
 impl FrontHarness {
-    /// With an engine that speaks PostgreSQL.
+    /// Starts a front with one engine that speaks PostgreSQL.
     fn new(name: &str, engine: SocketAddr, cancelling: bool) -> FrontHarness {
         FrontHarness::with_limits(name, engine, cancelling, "")
     }
 
-    /// The same with limits of sessions, as the operator's file has them.
+    /// Starts a front like `new`, with session limits in the notation of the operator's file.
     fn with_limits(name: &str, engine: SocketAddr, cancelling: bool, limits: &str) -> FrontHarness {
         let settings = (
             json!({"cancelling": cancelling}),
@@ -60,7 +60,7 @@
         FrontHarness::start(name, &[engine], &operator_file(limits), settings).unwrap()
     }
 
-    /// With several engines, what is agreed of bounds, and the time that statements are meant to take.
+    /// Starts a front with several engines, the settings' bounds, and the SLO time of statements.
     fn with_engines(
         name: &str,
         engines: &[SocketAddr],
@@ -76,7 +76,7 @@
         .unwrap()
     }
 
-    /// With an operator's file, and bounds and workloads of the test's own.
+    /// Starts a front with an operator's file, and the settings' bounds and workloads.
     pub(super) fn start(
         name: &str,
         engines: &[SocketAddr],
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Up to the iteration in which it closes its listeners.
+    /// Runs the graceful shutdown up to the iteration before the listeners are closed.
     fn advance_to_listener_close(&mut self) {
         self.front.shut_down();
         write_clock(&self.files[0], CLOSE_TIME);
@@ -136,7 +136,7 @@
         assert!(self.front.listener.is_open());
     }
 
-    /// Finds what has come, but does not go on with the iteration: on sockets of which kinds something has.
+    /// Waits for input and reads it without running the rest of the iteration. Returns the kinds of the ready sockets.
     fn read_ready_sockets(&mut self) -> Vec<SocketKind> {
         let mut changes = self.wait_for_events();
         let found = changes.ready.iter().map(|socket| socket.kind).collect();
@@ -147,7 +147,7 @@
         found
     }
 
-    /// One iteration, as `run` has it.
+    /// Runs one iteration, as `main` does.
     pub(super) fn run_iteration(&mut self) {
         let mut changes = LoopEvents::default();
         self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
@@ -158,17 +158,17 @@
         self.front.run_iteration();
     }
 
-    /// Waits until the loop has a change to tell, which the front has not heard of.
+    /// Waits for ready sockets without handling them.
     fn wait_for_events(&mut self) -> LoopEvents {
         let (started, mut changes) = (Instant::now(), LoopEvents::default());
         while changes.ready.is_empty() {
-            assert!(started.elapsed() < WAIT_LIMIT, "nothing has come");
+            assert!(started.elapsed() < WAIT_LIMIT, "no socket became ready");
             self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
         }
         changes
     }
 
-    /// Goes on until there is what is waited for.
+    /// Runs iterations until a condition holds, and returns its value.
     pub(super) fn run_until<T>(
         &mut self,
         what: &str,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Goes on until a peer has something to read: the first bytes of that, none at its end.
+    /// Runs iterations until a peer can read. Returns the bytes read, none at the end of the connection.
     fn receive(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         peer.set_nonblocking(true).unwrap();
         let mut received = vec![0; 4096];
@@ -197,21 +197,21 @@
         })
     }
 
-    /// The same until certain bytes have come, which not all before them have to be.
+    /// Runs iterations until a peer has received `text`. Returns all received text, lossily decoded.
     pub(super) fn receive_until(&mut self, peer: &mut TcpStream, text: &str) -> String {
         let mut all = String::new();
         while !all.contains(text) {
             let received = self.receive(peer);
             assert!(
                 !received.is_empty(),
-                "{text} did not come, but the end behind {all:?}"
+                "the connection ended without {text} after {all:?}"
             );
             all += &String::from_utf8_lossy(&received);
         }
         all
     }
 
-    /// A session that has come in.
+    /// Opens a session and completes its startup.
     fn open_session(&mut self) -> TcpStream {
         let mut session = TcpStream::connect(self.session_address).unwrap();
         send_startup(&mut session, "portal");
@@ -219,7 +219,7 @@
         session
     }
 
-    /// The front's next connection to the engine, which waits for its login.
+    /// Accepts the front's next connection to the engine and reads its startup message, without answering it.
     fn accept_dial(&mut self, engine: &TcpListener) -> TcpStream {
         engine.set_nonblocking(true).unwrap();
         let mut stream = self.run_until("a dial", |_| engine.accept().ok()).0;
@@ -228,7 +228,7 @@
     }
 }
 
-/// An operator's file that lets sessions in, with limits of theirs.
+/// An operator's file that enables sessions, with limits for them.
 fn operator_file(limits: &str) -> String {
     format!(
         "{{ postgres: {{ listen: '127.0.0.1:0', engines: [{{ kinds: ['std'] }}], \
@@ -236,7 +236,7 @@
     )
 }
 
-/// A workload whose statements are meant to take so long.
+/// A workload with an SLO time.
 fn lookup_workload(slo_time_ms: u32) -> Value {
     json!([{"name": "lookup", "aimMs": slo_time_ms, "deadlineMs": 8000, "repeat": "repeatable"}])
 }
@@ -289,13 +289,13 @@
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("last-client", at, true);
     harness.advance_to_listener_close();
-    // The loop has not told of it: it is in the listener's queue alone.
+    // The event loop has not reported the client: it is only in the listener's queue.
     let mut client = TcpStream::connect(harness.listen_address).unwrap();
     client.write_all(&frame(7, "select 7")).unwrap();
     harness.front.run_iteration();
     assert!(!harness.front.listener.is_open());
     let received = harness.receive(&mut client);
-    // A reply to number 7, whose second field is there: rejected.
+    // A reply to number 7 with its second field: rejected.
     let reply = [
         &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
         b"serve",
@@ -306,7 +306,7 @@
         received.len() > 4 && received[4..].starts_with(&reply),
         "{received:?}"
     );
-    // And the end, in order.
+    // An orderly end of the connection follows.
     assert!(harness.receive(&mut client).is_empty());
 }
 
@@ -315,11 +315,11 @@
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("resting-client", at, true);
     let mut client = TcpStream::connect(harness.listen_address).unwrap();
-    // One that can't be used is answered at once; then the connection rests.
+    // An unusable statement is answered at once; then the connection is idle.
     client.write_all(&frame(6, "")).unwrap();
     assert!(!harness.receive(&mut client).is_empty());
     harness.advance_to_listener_close();
-    // It is there before the front closes what rests, but the loop tells of it only afterwards.
+    // The request has arrived before the front closes idle connections, but the event loop reports it only afterwards.
     client.write_all(&frame(7, "select 7")).unwrap();
     let mut changes = harness.wait_for_events();
     harness.front.run_iteration();
@@ -373,13 +373,13 @@
 #[test]
 fn unit_waiting_for_engine_connection_is_not_sent_after_session_disconnects() {
     let (engine, at) = listener();
-    // Engines are not told to give anything up.
+    // The settings do not allow cancelling executions.
     let mut harness = FrontHarness::new("left-session", at, false);
     let mut first = harness.open_session();
     send_query(&mut first, "select 1");
     let mut link = harness.accept_dial(&engine);
     drop(first);
-    harness.run_until("its end is known", |front| {
+    harness.run_until("the session is closed", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
     });
     accept_login(&mut link);
@@ -404,13 +404,13 @@
     send_completion(&mut link, "SELECT 0", b'I');
     harness.receive_until(&mut session, "SELECT 0");
     send_query(&mut session, "select 2");
-    // It is found, then the front is held up, and decides.
+    // The statement is read, then the front is stalled, and then it decides.
     harness.read_ready_sockets();
     write_clock(&harness.files[0], START + 30_000);
     harness.front.run_iteration();
     assert!(harness.front.flush_deferred);
     drop(session);
-    // The connection that it was written to goes with it.
+    // The connection that the unit was written to is closed with the session.
     let received = harness.receive(&mut link);
     assert!(
         received.is_empty(),
@@ -428,7 +428,7 @@
     write_clock(&harness.files[0], START + 2_000_000);
     send_query(&mut session, "SET hallmux.workload = 'lookup'");
     let _newcomer = TcpStream::connect(harness.session_address).unwrap();
-    // The loop tells of the newcomer alone.
+    // The event loop reports only the new connection.
     harness
         .front
         .handle_ready_socket(SocketKind::SessionListener.id(0));
@@ -443,14 +443,14 @@
     let mut harness = FrontHarness::new("half-unit", at, true);
     let mut session = harness.open_session();
     session.write_all(b"Q\0\0\0\x20select").unwrap();
-    harness.run_until("it is read", |front| {
+    harness.run_until("the partial message is read", |front| {
         (front.gateway.as_ref()?.held_bytes() > 0).then_some(())
     });
     harness.advance_to_listener_close();
     harness.front.run_iteration();
     write_clock(&harness.files[0], CLOSE_TIME + 2_500_000);
     harness.receive_until(&mut session, "57P01");
-    // Its client does not close: that holds the end up as long as the connection may linger, and no longer.
+    // The client does not close its side, which delays the shutdown no longer than the connection may linger.
     assert!(harness.receive(&mut session).is_empty());
     write_clock(
         &harness.files[0],
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -1,5 +1,5 @@
-//! Unit tests of statements that are held for rules, promises or marks while their clients leave, where
-//! cancelling is not allowed: none of them is ever sent.
+//! Unit tests of statements that are held for rules, ledger entries or load markers while their clients disconnect, with
+//! settings that do not allow cancelling: none of them is ever sent.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -15,14 +15,14 @@
 use crate::clients::tests::frame;
 use crate::start_error::StartError;
 
-const MAX_START_ATTEMPTS: usize = 10; // of fronts whose ports were taken by somebody else
-const WAIT_LIMIT: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
+const MAX_START_ATTEMPTS: usize = 10; // retries if other processes take the fronts' ports
+const WAIT_LIMIT: Duration = Duration::from_secs(20); // for each wait, with a margin for a busy machine
 const LOAD: &str = "insert into sales_17.orders (id) values (500)";
 const SELECT: &str = "select id, a, b from sales_17.orders";
-const FIRST_ID: &str = "0000000000000001"; // the id of the statement whose client leaves
+const FIRST_ID: &str = "0000000000000001"; // the id of the statement whose client disconnects
 const SECOND_ID: &str = "0000000000000002";
 
-// One that decides on nothing but counts what it lets through, and what switches it on.
+// A rule that denies nothing but counts the statements it admits, and the section that enables it.
 const RULES: &str = "{ version: 1, default: 'allow', rules: [\
     { name: 'here', workload: 'lookup', regions: ['here'] } ] }";
 const RULES_CONFIG: &str = "rules: { file: 'RULES', region: 'here', lease_ms: 600 }";
@@ -31,14 +31,14 @@
 const SCATTER_CONFIG: &str =
     "scatter: { workloads: ['lookup'], sites: { here: 'SITE' }, loads: 'none' }";
 
-/// Two fronts that keep a ledger together, which stands still as long as the other is not driven; and an
-/// engine that speaks lines.
+/// Two fronts with a common ledger, which does not answer while `peer` is not driven, and an engine that speaks the line
+/// protocol.
 struct Fleet {
     harness: FrontHarness,
     peer: FrontHarness,
     engine: TcpListener,
     folder: PathBuf,
-    /// Statements that the dispatcher kept when the client had left.
+    /// Statements that the dispatcher still held after the client disconnected.
     statements_kept: usize,
 }
 
@@ -65,8 +65,8 @@
 }
 
 impl Fleet {
-    /// `sections` is the rest of the operator's file; `RULES` in it is the path of a file of rules, `SITE` a key.
-    /// `effect` is that of `lookup`, the workload of all statements.
+    /// `sections` are further sections of the operator's file, in which `RULES` stands for the path of a rules file and
+    /// `SITE` for a key. `effect` is the value of `repeat` of `lookup`, the workload of all statements.
     fn new(name: &str, effect: &str, sections: &str) -> Fleet {
         let folder =
             std::env::temp_dir().join(format!("hallmux-held-{name}-{}", std::process::id()));
@@ -99,7 +99,7 @@
             )
         };
         let (harness, peer) = retry_while_ports_are_in_use(|| {
-            // Ports that are free: they are let go of just before the fronts take them.
+            // Free ports, which are released just before the fronts bind them.
             let sockets = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
             let at = sockets.map(|socket| socket.local_addr().unwrap());
             Ok((start(0, at)?, start(1, at)?))
@@ -113,13 +113,14 @@
         }
     }
 
+    /// Connects a client that sends one statement.
     fn send_statement(&mut self, number: u32, statement: &str) -> TcpStream {
         let mut client = TcpStream::connect(self.harness.listen_address).unwrap();
         client.write_all(&frame(number, statement)).unwrap();
         client
     }
 
-    /// Drives both fronts, so that their ledger answers, until there is what is waited for.
+    /// Drives both fronts, so that their ledger answers, until a condition holds, and returns its value.
     fn run_until<T>(
         &mut self,
         what: &str,
@@ -136,8 +137,8 @@
         }
     }
 
-    /// A client asks while the ledger stands still, and leaves once its statement is held. Then the ledger
-    /// answers, and another client asks: what the engine hears until that one's statement has come.
+    /// Sends a statement while the ledger does not answer, and disconnects its client once it is held. Then the ledger
+    /// answers, and another client sends a statement. Returns the data that the engine receives up to that statement.
     fn received_after_client_left(
         &mut self,
         statement: &str,
@@ -145,26 +146,27 @@
     ) -> String {
         let client = self.send_statement(1, statement);
         self.harness
-            .run_until("it is held", |front| held(front).then_some(()));
+            .run_until("the statement is held", |front| held(front).then_some(()));
         assert!(
             self.engine.accept().is_err(),
-            "something is on its way to the engine"
+            "the front has connected to the engine"
         );
         self.disconnect(client);
         self.wait_for_rules();
         self.received_with_second_statement(statement)
     }
 
+    /// Disconnects a client and waits until the front has noticed.
     fn disconnect(&mut self, client: TcpStream) {
         drop(client);
-        self.harness.run_until("its end is known", |front| {
+        self.harness.run_until("the client is removed", |front| {
             (front.clients.len() == 0).then_some(())
         });
         self.statements_kept = self.harness.front.dispatcher.statements_held();
     }
 
-    /// Another client asks: what the engine hears, over all connections, until its statement or the first has
-    /// come.
+    /// Sends a statement of another client. Returns the data that the engine receives over all connections until that
+    /// statement or the first one arrives.
     fn received_with_second_statement(&mut self, statement: &str) -> String {
         let _client = self.send_statement(2, statement);
         let (mut streams, mut received, mut chunk) = (Vec::new(), String::new(), [0; 4096]);
@@ -180,17 +182,17 @@
         received
     }
 
-    /// Nothing was sent for the client that left; nor was anything kept, as its turn of an order key, while
-    /// the ledger stood still.
+    /// Asserts that the statement of the disconnected client was not sent, and that the dispatcher did not keep it, such
+    /// as in an order key's queue, while the ledger did not answer.
     fn assert_not_sent(&self, received: &str) {
         assert!(
             !received.contains(FIRST_ID),
             "sent though its client had left: {received}"
         );
-        assert_eq!(self.statements_kept, 0, "statements that nobody waits for");
+        assert_eq!(self.statements_kept, 0, "statements without a client");
     }
 
-    /// Goes on until a statement waits for its hit of the file's rule, where there are rules.
+    /// Drives the fronts until a statement would wait for its hit of the rule. Does nothing without rules.
     fn wait_for_rules(&mut self) {
         self.run_until("rules in force", |fleet| {
             let front = &mut fleet.harness.front;
@@ -209,7 +211,7 @@
     }
 }
 
-/// A client's message that it no longer waits for a statement.
+/// A client's message that cancels a statement.
 fn cancel_message(number: u32) -> Vec<u8> {
     let mut message = vec![0x80, 1, 0, 4, 0, 0, 0, 6];
     message.extend(b"forget");
@@ -220,7 +222,7 @@
     [(message.len() as u32).to_be_bytes().to_vec(), message].concat()
 }
 
-/// Something waits for a mark.
+/// Whether a load waits for its marker.
 fn waits_for_marker(front: &EventLoopState) -> bool {
     let loads = front
         .scatter
@@ -229,12 +231,12 @@
     loads.is_some_and(|loads| loads.due() < Micros::MAX)
 }
 
-/// An execution was ordered and has not ended.
+/// Whether the dispatcher has ordered an execution that has not ended.
 fn has_execution(front: &EventLoopState) -> bool {
     (0..16).any(|ticket| !front.dispatcher.executions_out(ticket).is_empty())
 }
 
-/// Makes what takes ports that were let go of for it; with others where one was taken meanwhile.
+/// Repeats a start with other ports if a port was taken by another process meanwhile.
 fn retry_while_ports_are_in_use<T>(mut make: impl FnMut() -> Result<T, StartError>) -> T {
     for _ in 1..MAX_START_ATTEMPTS {
         match make() {
@@ -256,13 +258,15 @@
 fn load_waiting_for_marker_is_not_sent_after_client_cancels() {
     let mut fleet = Fleet::new("cancelled", "repeatable", MARKED_LOADS_CONFIG);
     let mut client = fleet.send_statement(1, LOAD);
+    fleet.harness.run_until("the statement is held", |front| {
+        waits_for_marker(front).then_some(())
+    });
+    client.write_all(&cancel_message(1)).unwrap();
     fleet
         .harness
-        .run_until("it is held", |front| waits_for_marker(front).then_some(()));
-    client.write_all(&cancel_message(1)).unwrap();
-    fleet.harness.run_until("it is let go", |front| {
-        (front.dispatcher.statements_held() == 0).then_some(())
-    });
+        .run_until("the statement is dropped", |front| {
+            (front.dispatcher.statements_held() == 0).then_some(())
+        });
     let received = fleet.received_with_second_statement(LOAD);
     fleet.assert_not_sent(&received);
 }
@@ -300,7 +304,9 @@
     let client = fleet.send_statement(1, SELECT);
     fleet
         .harness
-        .run_until("it is ordered", |front| has_execution(front).then_some(()));
+        .run_until("the execution is ordered", |front| {
+            has_execution(front).then_some(())
+        });
     fleet.disconnect(client);
     let received = fleet.received_with_second_statement(SELECT);
     fleet.assert_not_sent(&received);
--- a/crates/front/src/lingering_tests.rs
+++ b/crates/front/src/lingering_tests.rs
@@ -11,10 +11,10 @@
 use crate::events::{LoopEvents, SocketKind};
 
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
-const RECEIVE_BUFFER: usize = 1200 << 10; // bytes asked for on the receiving side; half of that must be granted
-const SENT_BYTES: usize = 600 << 10; // bytes; three iterations take them
+const RECEIVE_BUFFER: usize = 1200 << 10; // bytes requested for the receive buffer; half of that must be granted
+const SENT_BYTES: usize = 600 << 10; // bytes; reading them takes three iterations
 
-/// A client, and the front's side of its connection, over which nothing was read yet.
+/// A client's connection: the client's side, and the front's side as a stream and a link, before any read.
 fn connection(events: &EventLoop<'static, LoopEvents>) -> (TcpStream, TcpStream, Link) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     SockRef::from(&listener)
@@ -37,7 +37,7 @@
     let (mut peer, stream, link) = connection(&events);
     stream.set_nonblocking(false).unwrap();
     peer.write_all(&vec![b'x'; SENT_BYTES]).unwrap();
-    // All of it lies there before the close, and no event tells of it later.
+    // All bytes have arrived before the close, and no event reports them later.
     let (started, mut peeked) = (Instant::now(), vec![0; SENT_BYTES]);
     while stream.peek(&mut peeked).unwrap() < SENT_BYTES {
         assert!(
@@ -59,7 +59,10 @@
     drop(peer);
     let started = Instant::now();
     while lingering.len() > 0 {
-        assert!(started.elapsed() < WAIT_LIMIT, "its client has closed");
+        assert!(
+            started.elapsed() < WAIT_LIMIT,
+            "a connection that its client has closed still lingers"
+        );
         lingering.read(1);
     }
     assert_eq!(lingering.read(1), None);
@@ -75,7 +78,7 @@
     ];
     let mut lingering = Lingering::default();
     let mut peers = Vec::new();
-    // The numbers do not tell which came first.
+    // The numbers of the connections are not in the order of their closes.
     for ((peer, _, link), (now, id)) in connections.into_iter().zip([(0, 3), (1, 1), (2, 2)]) {
         lingering.close(now, id, link);
         peers.push(peer);
--- a/crates/front/src/logger_tests.rs
+++ b/crates/front/src/logger_tests.rs
@@ -17,7 +17,7 @@
                 .build(),
         )
     };
-    let said = r"warn: workload 'look\n0.000 n1 error: all is lost\u{1b}[2J'";
-    assert_eq!(record("n1"), format!("12.034 n1 {said}"));
-    assert_eq!(record("n\r1"), format!(r"12.034 n\r1 {said}"));
+    let escaped = r"warn: workload 'look\n0.000 n1 error: all is lost\u{1b}[2J'";
+    assert_eq!(record("n1"), format!("12.034 n1 {escaped}"));
+    assert_eq!(record("n\r1"), format!(r"12.034 n\r1 {escaped}"));
 }
--- a/crates/front/src/shutdown_tests.rs
+++ b/crates/front/src/shutdown_tests.rs
@@ -17,7 +17,7 @@
         assert!(
             late.by_ref()
                 .take(FINAL_ITERATIONS.into())
-                .all(|closes| !closes)
+                .all(|is_due| !is_due)
                 && late.next() == Some(true)
         );
         shutdown.final_iterations = 0;
--- a/crates/front/src/start_error_tests.rs
+++ b/crates/front/src/start_error_tests.rs
@@ -43,7 +43,7 @@
             StartError::Configuration(_)
             | StartError::KnownEvents { .. }
             | StartError::Listen { .. } => {}
-            // Each has a test of its own.
+            // These errors have separate tests.
             StartError::Peers(_) | StartError::Rules(_) => {}
             StartError::Component(_)
             | StartError::ComponentWithRemedy(_)
--- a/crates/front/src/transient_tests.rs
+++ b/crates/front/src/transient_tests.rs
@@ -5,7 +5,7 @@
 
 use super::{retry, retry_for, NO_BUFFERS, SYSTEM_DESCRIPTORS};
 
-const ADDRESS_IN_USE: i32 = 98; // EADDRINUSE
+const ADDRESS_IN_USE: i32 = 98; // EADDRINUSE, which is not transient
 
 #[test]
 fn transient_error_is_retried_until_it_passes() {
