--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -47,7 +47,7 @@
     max_bytes: usize,
     /// Limit of the connections of clients and sessions together.
     max_clients: usize,
-    /// Whether memory was full when the last statement arrived. Changes are logged once.
+    /// Whether memory was full when the last statement arrived. Changes are logged.
     is_memory_full: bool,
     clients: Clients,
     engines: Engines,
