--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -1,5 +1,4 @@
-//! Dispatch: the dispatcher's orders are carried out by clients, engines and sessions; what becomes of them is reported
-//! back to it.
+//! Dispatch: executes the dispatcher's commands on clients, engines and sessions, and reports the outcomes back to it.
 
 use std::rc::Rc;
 
@@ -19,7 +18,7 @@
 use crate::scatter::Load;
 
 impl EventLoopState {
-    /// Reports replies of engines, and how executions have ended, to the dispatcher; answers go on to clients.
+    /// Reports replies of engines and the ends of executions to the dispatcher, and forwards answers to clients.
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
@@ -49,7 +48,8 @@
         }
     }
 
-    /// An execution has ended at its engine; its result answers its statement, or the statement it is a part of.
+    /// Handles an execution that has ended at its engine. Its result answers its statement, or the parent statement that
+    /// it is a part of.
     fn execution_ended(
         &mut self,
         execution_id: ExecutionId,
@@ -71,33 +71,33 @@
         }
     }
 
-    /// What the admission of units of sessions depends on just now.
+    /// The current state that the admission of sessions' units depends on.
     pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
         let full =
             held > self.max_bytes || self.dispatcher.statements_held() >= self.max_statements;
         AdmissionState {
-            waited: self.clock.waited(),
+            waited: self.clock.unread_time(),
             full,
         }
     }
 
-    /// A statement is a session's.
-    pub(super) fn is_of_session(&self, ticket: Ticket) -> bool {
+    /// Whether a statement belongs to a PostgreSQL session.
+    pub(super) fn is_session_statement(&self, ticket: Ticket) -> bool {
         self.gateway
             .as_ref()
             .is_some_and(|gateway| gateway.owns(ticket))
     }
 
-    /// An execution is one of a session's.
-    pub(super) fn is_execution_of_session(&self, sent: ExecutionId) -> bool {
+    /// Whether an execution belongs to a PostgreSQL session.
+    pub(super) fn is_session_execution(&self, execution_id: ExecutionId) -> bool {
         self.gateway
             .as_ref()
-            .is_some_and(|gateway| gateway.has(sent))
+            .is_some_and(|gateway| gateway.has(execution_id))
     }
 
-    /// Carries out rulings of the access rules: executions that were held go on, or statements end.
-    pub(super) fn apply_rulings(&mut self) {
+    /// Applies the decisions of the access rules: releases executions that they held, or ends statements.
+    pub(super) fn apply_rule_decisions(&mut self) {
         let Some(rules) = self.rules.clone() else {
             return;
         };
@@ -111,7 +111,7 @@
             .tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
-                Ruling::Send(ordered) => self.await_promises(ordered),
+                Ruling::Send(ordered) => self.await_ledger_entries(ordered),
                 Ruling::Deny(ticket) => {
                     let refusal = Refusal::Rejected { retry_after: None };
                     self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
@@ -133,8 +133,9 @@
         }
     }
 
-    /// Carries out rulings of the ledger: executions that were held for promises go on, or statements end.
-    pub(super) fn apply_promises(&mut self) {
+    /// Applies the decisions of the ledger: releases executions that were held for their ledger entries, or ends
+    /// statements.
+    pub(super) fn apply_ledger_decisions(&mut self) {
         let Some((guard, peers)) = self.guard.as_mut().zip(self.peers.as_mut()) else {
             return;
         };
@@ -152,7 +153,7 @@
                     ..
                 }) => {
                     self.dispatcher.execution_sent(now, ticket, execution);
-                    self.await_mark(Ordered {
+                    self.await_load_marker(Ordered {
                         judged: self.statement_for_rules(ticket),
                         ticket,
                         execution,
@@ -162,7 +163,7 @@
                 }
                 ledger_barrier::BarrierDecision::Reject(ticket) => {
                     let retry_after = self.dispatcher.reject(now, ticket);
-                    self.carry_out(Command::Reject {
+                    self.execute_command(Command::Reject {
                         ticket,
                         retry_after,
                         cause: RejectCause::LedgerEntry,
@@ -170,7 +171,7 @@
                 }
                 ledger_barrier::BarrierDecision::Abort(ticket) => {
                     self.dispatcher.reject(now, ticket);
-                    self.carry_out(Command::Abort {
+                    self.execute_command(Command::Abort {
                         ticket,
                         cause: RejectCause::LedgerEntry,
                     });
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Gives a statement its final answer without a result.
+    /// Sends the final answer of a statement that ends without a result.
     fn answer_without_result(&mut self, ticket: Ticket, refusal: Refusal, cause: RejectCause) {
         let now = self.clock.now;
         let outcome = match refusal {
@@ -187,7 +188,7 @@
             Refusal::Aborted => "aborted",
         };
         log::debug!("statement {ticket}: {outcome}: {cause}");
-        if self.is_of_session(ticket) {
+        if self.is_session_statement(ticket) {
             if let Some(gateway) = &mut self.gateway {
                 gateway.refuse(now, ticket, refusal);
             }
@@ -202,16 +203,17 @@
         self.clients.answer(now, ticket, &reply);
     }
 
-    /// An execution that rules have let go on waits for its promises, or leaves.
-    fn await_promises(&mut self, ordered: Ordered) {
+    /// Holds an execution that the rules have passed until its ledger entries are replicated; passes it on if it needs
+    /// none.
+    fn await_ledger_entries(&mut self, ordered: Ordered) {
         let (now, guard) = (self.clock.now, self.guard.as_mut());
         if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, &ordered)) {
-            self.await_mark(ordered);
+            self.await_load_marker(ordered);
         }
     }
 
-    /// An execution that has its promises waits for the mark on its load, or leaves.
-    fn await_mark(&mut self, ordered: Ordered) {
+    /// Holds an execution whose ledger entries are replicated until its load is marked; sends it if it needs no marker.
+    fn await_load_marker(&mut self, ordered: Ordered) {
         let now = self.clock.now;
         let load = self.load(ordered.ticket);
         let loads = self
@@ -227,25 +229,26 @@
         }
     }
 
-    /// What a statement may write, where loads are marked.
+    /// What a statement may write; None if loads are not marked.
     fn load(&mut self, ticket: Ticket) -> Option<Load> {
         self.scatter.as_ref()?.loads.as_ref()?;
-        if self.is_of_session(ticket) {
+        if self.is_session_statement(ticket) {
             return self.gateway.as_mut()?.load(ticket);
         }
         self.call(ticket).map(Load::Call)
     }
 
-    /// Whether rules still let it leave: nothing may come between this look and its way.
-    pub(super) fn may_leave(&mut self, ordered: Ordered) -> bool {
+    /// Whether the access rules still allow an execution. To be called immediately before it is sent: nothing may happen
+    /// in between.
+    pub(super) fn recheck_access_rules(&mut self, ordered: Ordered) -> bool {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        let may = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
-        self.rules.as_ref().is_none_or(may)
+        let allows = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
+        self.rules.as_ref().is_none_or(allows)
     }
 
-    /// An execution leaves for its engine.
+    /// Sends an execution to its engine, if the access rules still allow it.
     fn send(&mut self, ordered: Ordered) {
-        if !self.may_leave(ordered) {
+        if !self.recheck_access_rules(ordered) {
             return;
         }
         let Ordered {
@@ -255,13 +258,13 @@
             terms,
             ..
         } = ordered;
-        let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
+        let (now, execution_id) = (self.clock.now, ExecutionId::new(ticket, execution));
         self.send_capacity.sent(place);
-        if self.is_of_session(ticket) {
+        if self.is_session_statement(ticket) {
             return self
                 .gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.send(now, sent, place, None));
+                .for_each(|gateway| gateway.send(now, execution_id, place, None));
         }
         match self.call(ticket) {
             Some(call) => {
@@ -269,7 +272,7 @@
                     "statement {ticket}: execution {execution} of id {} is sent",
                     call.id
                 );
-                self.engines.send(now, sent, place, call, terms)
+                self.engines.send(now, execution_id, place, call, terms)
             }
             None => {
                 _ = self
@@ -279,43 +282,49 @@
         }
     }
 
-    /// Cancels an execution, wherever it is.
-    fn stop(&mut self, sent: ExecutionId, ending: Ending) {
+    /// Cancels an execution, whether it is held, queued or sent.
+    fn cancel_execution(&mut self, execution_id: ExecutionId, ending: Ending) {
         let now = self.clock.now;
-        if self.withdraw_held(now, sent) {
-            // Its session is to know why, though nothing of it has left.
+        if self.withdraw_held(now, execution_id) {
+            // The session is notified of the reason, although nothing was sent.
             self.gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.stop(now, sent, ending));
-            self.dispatcher
-                .execution_ended(now, sent.ticket, sent.number, Ending::Withdrawn, None);
-        } else if self.is_execution_of_session(sent) {
+                .for_each(|gateway| gateway.stop(now, execution_id, ending));
+            self.dispatcher.execution_ended(
+                now,
+                execution_id.ticket,
+                execution_id.number,
+                Ending::Withdrawn,
+                None,
+            );
+        } else if self.is_session_execution(execution_id) {
             self.gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.stop(now, sent, ending));
+                .for_each(|gateway| gateway.stop(now, execution_id, ending));
         } else {
-            self.engines.cancel(now, sent, ending);
+            self.engines.cancel(now, execution_id, ending);
         }
     }
 
-    /// Lets go of an execution that waits for rules, promises or a mark: nothing of it has left. False if it does not.
-    pub(super) fn withdraw_held(&mut self, now: Micros, sent: ExecutionId) -> bool {
-        let of = self.statement_for_rules(sent.ticket);
+    /// Withdraws an execution that waits for rules, ledger entries or a load marker, so that it was never sent. Returns
+    /// false if it does not wait for any.
+    pub(super) fn withdraw_held(&mut self, now: Micros, execution_id: ExecutionId) -> bool {
+        let judged = self.statement_for_rules(execution_id.ticket);
         let loads = self
             .scatter
             .as_mut()
             .and_then(|scatter| scatter.loads.as_mut());
         self.rules
             .as_ref()
-            .is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
+            .is_some_and(|rules| rules.borrow_mut().cancel(judged, execution_id))
             || self
                 .guard
                 .as_mut()
-                .is_some_and(|guard| guard.cancel(now, sent))
-            || loads.is_some_and(|loads| loads.cancel(sent))
+                .is_some_and(|guard| guard.cancel(now, execution_id))
+            || loads.is_some_and(|loads| loads.cancel(execution_id))
     }
 
-    /// The statement that rules know: of a part the whole.
+    /// The statement that the access rules know: for a part its parent statement, otherwise the statement itself.
     pub(super) fn statement_for_rules(&self, ticket: Ticket) -> Ticket {
         self.scatter
             .as_ref()
@@ -332,8 +341,8 @@
         self.clients.call(ticket).or_else(part)
     }
 
-    /// Carries out what the dispatcher has decided.
-    pub(super) fn carry_out(&mut self, command: Command) {
+    /// Executes a command of the dispatcher.
+    pub(super) fn execute_command(&mut self, command: Command) {
         let now = self.clock.now;
         match command {
             Command::Send {
@@ -352,7 +361,7 @@
                 ticket,
                 execution,
                 ending,
-            } => self.stop(ExecutionId::new(ticket, execution), ending),
+            } => self.cancel_execution(ExecutionId::new(ticket, execution), ending),
             Command::SetPriority {
                 ticket,
                 execution,
@@ -383,16 +392,16 @@
         }
     }
 
-    /// An execution leaves once rules, promises and marks allow it.
+    /// Sends an execution once the rules, its ledger entries and its load marker allow it.
     fn send_when_allowed(&mut self, ordered: Ordered) {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         let passes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
         if self.rules.as_ref().is_none_or(passes) {
-            self.await_promises(ordered);
+            self.await_ledger_entries(ordered);
         }
     }
 
-    /// Changes the priority of an execution, wherever it is.
+    /// Changes the priority of an execution, whether it is held, queued or sent.
     fn set_priority(&mut self, execution_id: ExecutionId, priority: u8) {
         if let Some(guard) = &mut self.guard {
             guard.set_priority(execution_id.ticket, priority);
@@ -400,8 +409,8 @@
         self.engines.set_priority(execution_id, priority);
     }
 
-    /// Sends a health check to an engine. One on behalf of the fleet stays here if that work has become another front's
-    /// between the decision and now.
+    /// Sends a health check to an engine. One on behalf of the fleet is dropped if another front has taken over these
+    /// probes since the decision.
     fn probe(&mut self, place: EngineIndex, for_fleet: bool) {
         let may_probe = self.peers.as_ref().is_none_or(Peers::may_probe);
         if may_probe || !for_fleet {
