--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -5,7 +5,7 @@
 use hallmux_native_codec::tables;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Transaction, UnitPart};
-use hallmux_scatter::marks::numbers;
+use hallmux_scatter::load_markers::numbers;
 
 use super::Gateway;
 use crate::postgres::sessions::OpenSession;
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -7,8 +7,8 @@
 use hallmux_ledger::{Key, Kind, LedgerAnswer, LedgerRequest, Operation, Outcome};
 use hallmux_native_codec::statement::Call;
 use hallmux_native_codec::tables;
+use hallmux_scatter::load_markers::{key, numbered, Affected};
 use hallmux_scatter::marker::{self, Effect, LedgerReply, Marker};
-use hallmux_scatter::marks::{key, numbered, Affected};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::SummaryStore;
 
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -11,7 +11,7 @@
 use hallmux_gossip::PeerId;
 use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::{Action, Answer, Gather, GatherRules, PartFailure};
-use hallmux_scatter::marks::{numbers, Marks};
+use hallmux_scatter::load_markers::{numbers, Marks};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo, Plan, Reason};
 use hallmux_scatter::sql::Query;
 
--- a/crates/front/tests/scatter/site.rs
+++ b/crates/front/tests/scatter/site.rs
@@ -8,7 +8,7 @@
 
 use ed25519_dalek::{SigningKey, VerifyingKey};
 use hallmux_scatter::build::{layered, summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::marks::numbers;
+use hallmux_scatter::load_markers::numbers;
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -7,7 +7,7 @@
 use crate::condition::Condition;
 use crate::filter::Members;
 use crate::from_sql::chain;
-use crate::marks::Affected;
+use crate::load_markers::Affected;
 use crate::plan::{reason_to_ask, Basis, LoadInfo, Reason};
 use crate::row::{beyond_one_row, is_of_one_reading};
 use crate::runs;
--- a/crates/scatter/src/load.rs
+++ b/crates/scatter/src/load.rs
@@ -5,7 +5,7 @@
     OnConflictAction, OnInsert, SetExpr, Statement, TableObject, Value as Word,
 };
 
-use crate::marks::{Affected, Cell};
+use crate::load_markers::{Affected, Cell};
 use crate::sql::{self, literal, plain_name};
 
 const MOST_ROWS_BYTES: usize = 256; // bytes of a load's rows that a mark keeps; of more nothing is known
--- a/crates/scatter/src/marker.rs
+++ b/crates/scatter/src/marker.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::marks::{Affected, Marks, ReportedLoads};
+use crate::load_markers::{Affected, Marks, ReportedLoads};
 
 const APART_MS: u64 = 10_000; // milliseconds that fronts' clocks may be apart, as gossip has it
 const MOST_TRIES: u32 = 16; // changes of one batch that others' got before; then its loads are turned away
@@ -34,7 +34,7 @@
     Put {
         /// The version that the entry has to have for the put to be done.
         expects: u64,
-        /// The marks, as [`crate::marks::Marks::bytes`] writes them.
+        /// The marks, as [`crate::load_markers::Marks::bytes`] writes them.
         value: Vec<u8>,
     },
 }
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::condition::Condition;
 use crate::join::reason_to_ask_join;
-use crate::marks::Marks;
+use crate::load_markers::Marks;
 use crate::sql::Query;
 use crate::store::SummaryStore;
 use crate::summary::{Summary, Table};
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -4,7 +4,7 @@
 use datasketches::common::NumStdDev;
 use datasketches::hll::{HllSketch, HllType, HllUnion};
 
-use crate::marks::{Affected, Cell};
+use crate::load_markers::{Affected, Cell};
 use crate::plan::{Basis, LoadInfo};
 use crate::sql::Query;
 use crate::value::{Kind, Value};
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::layers::{self, Detail};
-use crate::marks::ReportedLoads;
+use crate::load_markers::ReportedLoads;
 use crate::retention::{Outcome, Retention};
 use crate::sql::Query;
 use crate::summary::{Loads, Refused, Summary};
--- a/crates/scatter/tests/distinct.rs
+++ b/crates/scatter/tests/distinct.rs
@@ -5,7 +5,7 @@
 
 use ed25519_dalek::SigningKey;
 use hallmux_scatter::build::{layered, summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::marks::{Affected, Marks};
+use hallmux_scatter::load_markers::{Affected, Marks};
 use hallmux_scatter::plan::{Basis, LoadInfo};
 use hallmux_scatter::sketch::{distinct, Estimate};
 use hallmux_scatter::sql;
--- a/crates/scatter/tests/join.rs
+++ b/crates/scatter/tests/join.rs
@@ -6,7 +6,7 @@
 
 use ed25519_dalek::SigningKey;
 use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::marks::{Affected, Marks};
+use hallmux_scatter::load_markers::{Affected, Marks};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo, Reason};
 use hallmux_scatter::sql::{self, Query};
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
--- a/crates/scatter/tests/loads.rs
+++ b/crates/scatter/tests/loads.rs
@@ -6,7 +6,7 @@
 
 use ed25519_dalek::SigningKey;
 use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::marks::{numbered, numbers, Affected, Marks, ReportedLoads};
+use hallmux_scatter::load_markers::{numbered, numbers, Affected, Marks, ReportedLoads};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
