--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -1,11 +1,11 @@
 //! What a site says of its data, signed by it, as bytes and back. What is read is looked at as a whole before it counts.
 
-mod refused;
+mod error;
 
 use ed25519_dalek::{Signature, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
 
-pub use refused::Refused;
+pub use error::Refused;
 
 use crate::filter::Members;
 use crate::layers::{self, Detail, LAYERED, LAYERED_EXTENDED};
