--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -4,7 +4,7 @@
 use hallmux_gossip::channels::Channel;
 use hallmux_native_codec::statement::{self, Reply};
 use hallmux_scatter::gather::{Answer, PartFailure};
-use hallmux_scatter::marker::Effect;
+use hallmux_scatter::marker_requests::Effect;
 use hallmux_scatter::sql::Query;
 
 use super::admission::CheckedRequest;
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -8,7 +8,7 @@
 use hallmux_native_codec::statement::Call;
 use hallmux_native_codec::tables;
 use hallmux_scatter::load_markers::{key, numbered, Affected};
-use hallmux_scatter::marker::{self, Effect, LedgerReply, Marker};
+use hallmux_scatter::marker_requests::{self, Effect, LedgerReply, Marker};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::SummaryStore;
 
@@ -227,7 +227,8 @@
     }
 
     fn outcome(&mut self, follows: Effect) -> LoadOutcome {
-        let sent = |(ticket, number): marker::Waiter| ExecutionId::new(ticket as u32, number);
+        let sent =
+            |(ticket, number): marker_requests::Waiter| ExecutionId::new(ticket as u32, number);
         match follows {
             Effect::Send { load, numbers } => match self.held.remove(&sent(load)) {
                 Some(Held {
@@ -261,11 +262,11 @@
     }
 }
 
-fn ask(ask: marker::LedgerRequest) -> LedgerRequest {
+fn ask(ask: marker_requests::LedgerRequest) -> LedgerRequest {
     let operation = match ask.what {
-        marker::Operation::Read => Operation::Read,
+        marker_requests::Operation::Read => Operation::Read,
         // It never ends: what it says of versions holds for good.
-        marker::Operation::Put { expects, value } => Operation::Put {
+        marker_requests::Operation::Put { expects, value } => Operation::Put {
             expects: Some(expects),
             ends_ms: 0,
             value,
--- a/crates/scatter/src/lib.rs
+++ b/crates/scatter/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod layers;
 mod load;
 pub mod load_markers;
-pub mod marker;
+pub mod marker_requests;
 pub mod plan;
 pub mod retention;
 mod row;
--- a/crates/scatter/src/marker.rs
+++ b/crates/scatter/src/marker_requests.rs
@@ -327,5 +327,5 @@
 }
 
 #[cfg(test)]
-#[path = "marker_tests.rs"]
+#[path = "marker_requests_tests.rs"]
 mod tests;
--- a/crates/scatter/src/marker_tests.rs
+++ b/crates/scatter/src/marker_requests_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `marker` module.
+//! Unit tests of the `marker_requests` module.
 
 use super::*;
 
