--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -181,10 +181,10 @@
                     cause: RejectCause::LoadMark,
                 });
             }
-            LoadOutcome::Other(Effect::Marks {
+            LoadOutcome::Other(Effect::Markers {
                 group,
                 scatters,
-                marks,
+                markers: marks,
             }) => {
                 let waiting: Vec<Ticket> =
                     scatters.iter().map(|ticket| *ticket as Ticket).collect();
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -132,9 +132,9 @@
             .filter(|s| s.version == of.version);
         let table = summary.and_then(|summary| Some((summary, summary.table(&query.table)?)));
         let sure = table.is_some_and(|(summary, table)| match word {
-            LoadInfo::Marks(marks) => marks.prove_absent(summary, table, &query.condition),
+            LoadInfo::Markers(marks) => marks.prove_absent(summary, table, &query.condition),
             LoadInfo::NoLoads => true,
-            LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => false,
+            LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => false,
         });
         self.conclude(&of, rows, sure);
         true
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -8,7 +8,7 @@
 use hallmux_native_codec::statement::Call;
 use hallmux_native_codec::tables;
 use hallmux_scatter::load_markers::{key, numbered, Affected};
-use hallmux_scatter::marker_requests::{self, Effect, LedgerReply, Marker};
+use hallmux_scatter::marker_requests::{self, Effect, LedgerReply, MarkerRequests};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::SummaryStore;
 
@@ -65,7 +65,7 @@
 
 /// Executions that wait until the marks of their loads are in the ledger.
 pub struct Loads {
-    marker: Marker,
+    marker: MarkerRequests,
     held: HashMap<ExecutionId, Held>,
     /// Workloads whose statements may write.
     writes: Vec<String>,
@@ -99,7 +99,7 @@
     /// `writes` are the workloads whose statements may write, `locations` the sites' names.
     pub fn new(writes: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
-            marker: Marker::new(ASK_NUMBERS),
+            marker: MarkerRequests::new(ASK_NUMBERS),
             held: HashMap::new(),
             writes,
             locations,
@@ -169,7 +169,7 @@
 
     /// A scattered statement waits for the marks of its group.
     pub fn scatter(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
-        self.marker.await_marks(u64::from(ticket), group);
+        self.marker.await_markers(u64::from(ticket), group);
     }
 
     /// When something is due though no answer comes, in Unix microseconds.
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -11,7 +11,7 @@
 use hallmux_gossip::PeerId;
 use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::{Action, Answer, Gather, GatherRules, PartFailure};
-use hallmux_scatter::load_markers::{numbers, Marks};
+use hallmux_scatter::load_markers::{numbers, LoadMarkers};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo, Plan, Reason};
 use hallmux_scatter::sql::Query;
 
@@ -40,7 +40,7 @@
     /// Sites that may be asked; None: all.
     allowed: Option<Vec<String>>,
     /// Of a join: the marks of its groups that are there.
-    group_marks: BTreeMap<u32, Option<Marks>>,
+    group_marks: BTreeMap<u32, Option<LoadMarkers>>,
     /// None while the marks of its group are awaited.
     whole: Option<Gather>,
     /// Parts that are out: place and ticket.
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy)]
 pub struct GroupMarks<'a> {
     pub group: u32,
-    pub marks: Option<&'a Marks>,
+    pub marks: Option<&'a LoadMarkers>,
 }
 
 /// A statement that waits for audits alone, until the time given.
@@ -214,7 +214,9 @@
         waiting: &[Ticket],
         dispatcher: &mut Dispatcher,
     ) {
-        let load_info = group_marks.marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
+        let load_info = group_marks
+            .marks
+            .map_or(LoadInfo::Unknown, LoadInfo::Markers);
         for ticket in waiting {
             if self
                 .open
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -71,7 +71,7 @@
         let both = a.clone().zip(b.clone());
         let word = both
             .as_ref()
-            .map_or(LoadInfo::Unknown, |(a, b)| LoadInfo::MarksOfJoin(a, b));
+            .map_or(LoadInfo::Unknown, |(a, b)| LoadInfo::JoinMarkers(a, b));
         self.ask_sites(now, ticket, &word, dispatcher);
     }
 
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -147,11 +147,11 @@
 fn untouched((summary, table): (&Summary, &Table), loads: &LoadInfo) -> bool {
     let elsewhere = |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
     match loads {
-        LoadInfo::Marks(marks) => marks
+        LoadInfo::Markers(markers) => markers
             .uncovered(summary)
             .is_some_and(|open| open.into_iter().all(elsewhere)),
         LoadInfo::NoLoads => true,
-        LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => false,
+        LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => false,
     }
 }
 
--- a/crates/scatter/src/load_markers.rs
+++ b/crates/scatter/src/load_markers.rs
@@ -47,7 +47,7 @@
 
 /// Loads at a site that its summary may not speak of yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct LoadMarker {
     /// Their numbers, from the first to the last.
     pub from: u64,
     /// The highest number, inclusive.
@@ -66,12 +66,12 @@
     last: u64,
     /// The version of its summary that marks were cleared by: an older one proves nothing.
     min_version: u64,
-    marks: Vec<Mark>,
+    markers: Vec<LoadMarker>,
 }
 
 /// All marks on a group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Marks {
+pub struct LoadMarkers {
     sites: BTreeMap<String, Site>,
 }
 
@@ -108,11 +108,11 @@
     })
 }
 
-impl Marks {
+impl LoadMarkers {
     /// None: no marks, or damaged; then nothing is known.
-    pub fn read(bytes: &[u8]) -> Option<Marks> {
-        let (marks, rest) = postcard::take_from_bytes::<Marks>(bytes).ok()?;
-        (rest.is_empty() && bytes.len() <= MOST_BYTES).then_some(marks)
+    pub fn read(bytes: &[u8]) -> Option<LoadMarkers> {
+        let (markers, rest) = postcard::take_from_bytes::<LoadMarkers>(bytes).ok()?;
+        (rest.is_empty() && bytes.len() <= MOST_BYTES).then_some(markers)
     }
 
     /// None: they are too many to be kept, and the load can't be marked.
@@ -126,7 +126,7 @@
     pub fn add(&mut self, site: &str, ends_ms: u64, touched: Affected) -> u64 {
         let site = self.sites.entry(site.to_string()).or_default();
         site.last += 1;
-        site.marks.push(Mark {
+        site.markers.push(LoadMarker {
             from: site.last,
             to: site.last,
             ends_ms,
@@ -148,14 +148,14 @@
     ) {
         for (name, site) in &mut self.sites {
             let next = site.last + 1;
-            for mark in &mut site.marks {
+            for mark in &mut site.markers {
                 if mark.ended_before.is_none() && mark.ends_ms < wall_ms {
                     mark.ended_before = Some(next);
                 }
             }
             let reported_loads = reported_loads(name);
             site.clear_covered(reported_loads.settled);
-            if site.marks.len() >= MANY_MARKS {
+            if site.markers.len() >= MANY_MARKS {
                 site.clear_covered(reported_loads.newest);
             }
         }
@@ -190,7 +190,7 @@
             return Some(Vec::new());
         };
         let open = site
-            .marks
+            .markers
             .iter()
             .filter(|mark| !mark.is_covered(&summary.loads));
         (summary.version >= site.min_version).then(|| open.map(|mark| &mark.touched).collect())
@@ -208,7 +208,7 @@
             return Some(Reason::SummaryBehind);
         }
         let mut open = site
-            .marks
+            .markers
             .iter()
             .filter(|mark| !mark.is_covered(&summary.loads));
         let fits = open.find(|mark| !mark.touched.never_true(table, condition))?;
@@ -221,7 +221,7 @@
 
     /// How many marks stand, of all sites.
     pub fn len(&self) -> usize {
-        self.sites.values().map(|site| site.marks.len()).sum()
+        self.sites.values().map(|site| site.markers.len()).sum()
     }
 
     /// Whether no mark stands for any site.
@@ -257,18 +257,18 @@
     /// Takes out what a version lifts. Older ones prove nothing from then on.
     fn clear_covered(&mut self, by: Version) {
         let Some((version, loads)) = by else { return };
-        let before = self.marks.len();
-        self.marks.retain(|mark| !mark.is_covered(loads));
-        if self.marks.len() < before {
+        let before = self.markers.len();
+        self.markers.retain(|mark| !mark.is_covered(loads));
+        if self.markers.len() < before {
             self.min_version = self.min_version.max(version);
         }
     }
 
     /// Makes one of the first ones until there are no more than that.
     fn merge_oldest(&mut self, most: usize) {
-        while self.marks.len() > most.max(1) {
-            let first = self.marks.remove(0);
-            let Some(second) = self.marks.first_mut() else {
+        while self.markers.len() > most.max(1) {
+            let first = self.markers.remove(0);
+            let Some(second) = self.markers.first_mut() else {
                 return;
             };
             second.from = first.from;
@@ -283,7 +283,7 @@
     }
 }
 
-impl Mark {
+impl LoadMarker {
     fn is_covered(&self, loads: &Loads) -> bool {
         loads.has(self.from, self.to)
             || self
--- a/crates/scatter/src/marker_requests.rs
+++ b/crates/scatter/src/marker_requests.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::load_markers::{Affected, Marks, ReportedLoads};
+use crate::load_markers::{Affected, LoadMarkers, ReportedLoads};
 
 const APART_MS: u64 = 10_000; // milliseconds that fronts' clocks may be apart, as gossip has it
 const MOST_TRIES: u32 = 16; // changes of one batch that others' got before; then its loads are turned away
@@ -34,7 +34,7 @@
     Put {
         /// The version that the entry has to have for the put to be done.
         expects: u64,
-        /// The marks, as [`crate::load_markers::Marks::bytes`] writes them.
+        /// The marks, as [`crate::load_markers::LoadMarkers::bytes`] writes them.
         value: Vec<u8>,
     },
 }
@@ -78,13 +78,13 @@
         load: Waiter,
     },
     /// The word on a group, for scatters. None: there is none to have.
-    Marks {
+    Markers {
         /// The table group that was asked about.
         group: u32,
         /// The scatters that waited, by the tickets given to [`Marker::await_marks`].
         scatters: Vec<u64>,
         /// The marks as the ledger has them after all these scatters came.
-        marks: Option<Marks>,
+        markers: Option<LoadMarkers>,
     },
 }
 
@@ -100,27 +100,27 @@
 struct Group {
     /// The entry as it was seen last.
     version: u64,
-    marks: Marks,
+    markers: LoadMarkers,
     queue: BTreeSet<Waiter>,
     /// The change that is requested for: its number, loads and the marks as they will be.
-    put: Option<(u64, Batch, Marks)>,
+    put: Option<(u64, Batch, LoadMarkers)>,
     tries: u32,
     readers: Vec<u64>,
     read: Option<(u64, Vec<u64>)>,
 }
 
 /// All of one front.
-pub struct Marker {
+pub struct MarkerRequests {
     next: u64,
     loads: BTreeMap<Waiter, Load>,
     groups: BTreeMap<u32, Group>,
     requested: BTreeMap<u64, u32>,
 }
 
-impl Marker {
+impl MarkerRequests {
     /// Its requests are numbered from the number given.
-    pub fn new(first: u64) -> Marker {
-        Marker {
+    pub fn new(first: u64) -> MarkerRequests {
+        MarkerRequests {
             next: first,
             loads: BTreeMap::new(),
             groups: BTreeMap::new(),
@@ -162,7 +162,7 @@
     }
 
     /// A scatter waits for the word on a group.
-    pub fn await_marks(&mut self, ticket: u64, group: u32) {
+    pub fn await_markers(&mut self, ticket: u64, group: u32) {
         self.groups.entry(group).or_default().readers.push(ticket);
     }
 
@@ -188,8 +188,8 @@
             if group.put.is_some() || group.queue.is_empty() {
                 continue;
             }
-            let mut marks = group.marks.clone();
-            marks.clean_up(wall_ms.saturating_sub(APART_MS), |site| {
+            let mut markers = group.markers.clone();
+            markers.clean_up(wall_ms.saturating_sub(APART_MS), |site| {
                 reported_loads(site, number)
             });
             let mut batch = Vec::new();
@@ -200,14 +200,17 @@
                 let Some(touched) = load.left.get(&number) else {
                     continue;
                 };
-                batch.push((waiter, marks.add(&load.site, load.ends_ms, touched.clone())));
+                batch.push((
+                    waiter,
+                    markers.add(&load.site, load.ends_ms, touched.clone()),
+                ));
             }
-            marks.shrink_to_fit(|site| reported_loads(site, number));
-            match marks.bytes() {
+            markers.shrink_to_fit(|site| reported_loads(site, number));
+            match markers.bytes() {
                 _ if batch.is_empty() => {}
                 None => reject(&mut self.loads, batch, &mut effects),
                 Some(value) => {
-                    group.put = Some((self.next, batch, marks));
+                    group.put = Some((self.next, batch, markers));
                     self.requested.insert(self.next, number);
                     let what = Operation::Put {
                         expects: group.version,
@@ -243,26 +246,26 @@
                 .read
                 .take()
                 .map_or(Vec::new(), |(_, scatters)| scatters);
-            let marks = match reply {
+            let markers = match reply {
                 LedgerReply::Stands { value, .. } | LedgerReply::Held { value, .. } => {
-                    Marks::read(&value)
+                    LoadMarkers::read(&value)
                 }
-                LedgerReply::Absent => Some(Marks::default()),
+                LedgerReply::Absent => Some(LoadMarkers::default()),
                 LedgerReply::Unreachable => None,
             };
-            effects.push(Effect::Marks {
+            effects.push(Effect::Markers {
                 group: place,
                 scatters,
-                marks,
+                markers,
             });
             return effects;
         }
-        let Some((_, batch, marks)) = group.put.take() else {
+        let Some((_, batch, markers)) = group.put.take() else {
             return effects;
         };
         match reply {
             LedgerReply::Stands { version, .. } => {
-                (group.version, group.marks, group.tries) = (version, marks, 0);
+                (group.version, group.markers, group.tries) = (version, markers, 0);
                 for (waiter, number) in batch {
                     let Some(load) = self.loads.get_mut(&waiter) else {
                         continue;
@@ -282,9 +285,9 @@
             // Another front was before: once more on what it has left.
             LedgerReply::Held { version, value } => {
                 group.tries += 1;
-                match Marks::read(&value).filter(|_| group.tries < MOST_TRIES) {
-                    Some(marks) => {
-                        (group.version, group.marks) = (version, marks);
+                match LoadMarkers::read(&value).filter(|_| group.tries < MOST_TRIES) {
+                    Some(markers) => {
+                        (group.version, group.markers) = (version, markers);
                         group
                             .queue
                             .extend(batch.into_iter().map(|(waiter, _)| waiter));
@@ -296,7 +299,7 @@
                 }
             }
             LedgerReply::Absent if group.version > 0 => {
-                (group.version, group.marks) = (0, Marks::default());
+                (group.version, group.markers) = (0, LoadMarkers::default());
                 group
                     .queue
                     .extend(batch.into_iter().map(|(waiter, _)| waiter));
--- a/crates/scatter/src/marker_requests_tests.rs
+++ b/crates/scatter/src/marker_requests_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn load(marker: &mut Marker, ticket: u64) {
+fn load(marker: &mut MarkerRequests, ticket: u64) {
     marker.add_load(
         (ticket, 0),
         "ash",
@@ -11,13 +11,13 @@
     );
 }
 
-fn asks(marker: &mut Marker) -> Vec<LedgerRequest> {
+fn asks(marker: &mut MarkerRequests) -> Vec<LedgerRequest> {
     marker.requests(0, |_, _| ReportedLoads::default()).0
 }
 
 #[test]
 fn a_load_leaves_once_its_mark_stands_and_takes_its_turn_behind_other_fronts() {
-    let mut marker = Marker::new(100);
+    let mut marker = MarkerRequests::new(100);
     load(&mut marker, 1);
     let [ask] = &asks(&mut marker)[..] else {
         panic!()
@@ -26,7 +26,7 @@
     // One change of a group at a time; what comes meanwhile waits for the next.
     load(&mut marker, 2);
     assert_eq!(asks(&mut marker), []);
-    let mut others = Marks::default();
+    let mut others = LoadMarkers::default();
     others.add("ash", 60, Affected::Anything);
     let held = LedgerReply::Held {
         version: 7,
@@ -39,7 +39,7 @@
     let Operation::Put { expects: 7, value } = &ask.what else {
         panic!("{ask:?}")
     };
-    assert_eq!(Marks::read(value).unwrap().len(), 3);
+    assert_eq!(LoadMarkers::read(value).unwrap().len(), 3);
     let follows = marker.on_reply(
         ask.number,
         LedgerReply::Stands {
@@ -57,18 +57,18 @@
 
 #[test]
 fn without_an_answer_a_load_never_leaves_and_a_scatter_has_no_word() {
-    let mut marker = Marker::new(0);
+    let mut marker = MarkerRequests::new(0);
     load(&mut marker, 1);
-    marker.await_marks(9, 17);
+    marker.await_markers(9, 17);
     let asked = asks(&mut marker);
     let follows: Vec<Effect> = asked
         .iter()
         .flat_map(|a| marker.on_reply(a.number, LedgerReply::Unreachable))
         .collect();
-    let none = Effect::Marks {
+    let none = Effect::Markers {
         group: 17,
         scatters: vec![9],
-        marks: None,
+        markers: None,
     };
     assert_eq!(follows, [none, Effect::Reject { load: (1, 0) }]);
     // One that was stopped meanwhile goes nowhere.
@@ -89,15 +89,15 @@
 
 #[test]
 fn a_scatter_has_a_word_that_was_asked_for_after_it_came() {
-    let mut marker = Marker::new(0);
-    marker.await_marks(1, 17);
+    let mut marker = MarkerRequests::new(0);
+    marker.await_markers(1, 17);
     let first = asks(&mut marker);
-    marker.await_marks(2, 17);
+    marker.await_markers(2, 17);
     assert_eq!(asks(&mut marker), []);
-    let word = Effect::Marks {
+    let word = Effect::Markers {
         group: 17,
         scatters: vec![1],
-        marks: Some(Marks::default()),
+        markers: Some(LoadMarkers::default()),
     };
     assert_eq!(
         marker.on_reply(first[0].number, LedgerReply::Absent),
@@ -110,10 +110,10 @@
     };
     assert_eq!(
         marker.on_reply(1, damaged),
-        [Effect::Marks {
+        [Effect::Markers {
             group: 17,
             scatters: vec![2],
-            marks: None
+            markers: None
         }]
     );
 }
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::condition::Condition;
 use crate::join::reason_to_ask_join;
-use crate::load_markers::Marks;
+use crate::load_markers::LoadMarkers;
 use crate::sql::Query;
 use crate::store::SummaryStore;
 use crate::summary::{Summary, Table};
@@ -10,9 +10,9 @@
 /// What is known of loads on the group.
 pub enum LoadInfo<'a> {
     /// The marks, as the ledger said after the statement came.
-    Marks(&'a Marks),
+    Markers(&'a LoadMarkers),
     /// The marks of the two groups of a join.
-    MarksOfJoin(&'a Marks, &'a Marks),
+    JoinMarkers(&'a LoadMarkers, &'a LoadMarkers),
     /// The operator says that no load goes through a front.
     NoLoads,
     /// Nothing: the ledger does not answer.
@@ -23,12 +23,12 @@
     /// What is known of each side of a join.
     pub(crate) fn sides(&self) -> (LoadInfo<'a>, LoadInfo<'a>) {
         match self {
-            LoadInfo::MarksOfJoin(first, second) => {
-                (LoadInfo::Marks(first), LoadInfo::Marks(second))
+            LoadInfo::JoinMarkers(first, second) => {
+                (LoadInfo::Markers(first), LoadInfo::Markers(second))
             }
             LoadInfo::NoLoads => (LoadInfo::NoLoads, LoadInfo::NoLoads),
             // Of one group alone the other's loads are not known.
-            LoadInfo::Marks(_) | LoadInfo::Unknown => (LoadInfo::Unknown, LoadInfo::Unknown),
+            LoadInfo::Markers(_) | LoadInfo::Unknown => (LoadInfo::Unknown, LoadInfo::Unknown),
         }
     }
 }
@@ -191,9 +191,9 @@
         });
     }
     match loads {
-        LoadInfo::Marks(marks) => marks.reason_to_ask(summary, table, condition),
+        LoadInfo::Markers(markers) => markers.reason_to_ask(summary, table, condition),
         LoadInfo::NoLoads => None,
-        LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => Some(Reason::LoadsUnknown),
+        LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => Some(Reason::LoadsUnknown),
     }
 }
 
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -85,9 +85,9 @@
         }
         all.update(&read(column.sketch.as_ref()?)?);
         let open = match loads {
-            LoadInfo::Marks(marks) => marks.uncovered(summary)?,
+            LoadInfo::Markers(markers) => markers.uncovered(summary)?,
             LoadInfo::NoLoads => Vec::new(),
-            LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => return None,
+            LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => return None,
         };
         for touched in open {
             let Affected::Rows {
--- a/crates/scatter/tests/distinct.rs
+++ b/crates/scatter/tests/distinct.rs
@@ -5,7 +5,7 @@
 
 use ed25519_dalek::SigningKey;
 use hallmux_scatter::build::{layered, summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::load_markers::{Affected, Marks};
+use hallmux_scatter::load_markers::{Affected, LoadMarkers};
 use hallmux_scatter::plan::{Basis, LoadInfo};
 use hallmux_scatter::sketch::{distinct, Estimate};
 use hallmux_scatter::sql;
@@ -109,20 +109,20 @@
     SITES
         .iter()
         .for_each(|site| _ = all.accept(0, &told(site, 0..10, WHOLE, true, false)));
-    let mut marks = Marks::default();
+    let mut markers = LoadMarkers::default();
     let rows = |text: &str| Affected::of_statement(text.as_bytes(), 17);
-    marks.add(
+    markers.add(
         "elm",
         9,
         rows("insert into sales_17.orders (id) values (3), (50), (51), (null)"),
     );
-    marks.add(
+    markers.add(
         "elm",
         9,
         rows("insert into sales_17.others (id) values (70)"),
     );
     assert_eq!(
-        asked(&all, &LoadInfo::Marks(&marks)).map(|e| e.distinct),
+        asked(&all, &LoadInfo::Markers(&markers)).map(|e| e.distinct),
         Some(12)
     );
     for unknown in [
@@ -130,9 +130,9 @@
         "insert into sales_17.orders (name) values ('x')",
         "insert into sales_17.orders (id) values (1.5)",
     ] {
-        let mut marks = marks.clone();
-        marks.add("oak", 9, rows(unknown));
-        assert_eq!(asked(&all, &LoadInfo::Marks(&marks)), None, "{unknown}");
+        let mut markers = markers.clone();
+        markers.add("oak", 9, rows(unknown));
+        assert_eq!(asked(&all, &LoadInfo::Markers(&markers)), None, "{unknown}");
     }
     assert_eq!(asked(&all, &LoadInfo::Unknown), None);
     // A site without a sketch, of another kind, or barred.
--- a/crates/scatter/tests/join.rs
+++ b/crates/scatter/tests/join.rs
@@ -6,7 +6,7 @@
 
 use ed25519_dalek::SigningKey;
 use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::load_markers::{Affected, Marks};
+use hallmux_scatter::load_markers::{Affected, LoadMarkers};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo, Reason};
 use hallmux_scatter::sql::{self, Query};
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
@@ -116,13 +116,13 @@
             |(at, (a, b, from)): (usize, &(Rows, Rows, i128))| (lies(at, a, 0), lies(at, b, *from));
         let mut sites: Vec<(Rows, Rows)> = sites.iter().enumerate().map(place).collect();
         let book = book(&sites);
-        let (mut first, mut second) = (Marks::default(), Marks::default());
+        let (mut first, mut second) = (LoadMarkers::default(), LoadMarkers::default());
         for (at, is_first, k, v) in loads {
             let k = k * PARTS + at as i128;
             let (group, table) = if is_first { (17, "a") } else { (18, "b") };
             let text = format!("insert into s_{group}.{table} (k, v) values ({k}, {v})");
-            let marks = if is_first { &mut first } else { &mut second };
-            marks.add(SITES[at], 9, Affected::of_statement(text.as_bytes(), group));
+            let markers = if is_first { &mut first } else { &mut second };
+            markers.add(SITES[at], 9, Affected::of_statement(text.as_bytes(), group));
             if is_first {
                 &mut sites[at].0
             } else {
@@ -131,7 +131,7 @@
             .push((Some(k), v));
         }
         let query = joined(&format!("where x.v < {low} and (y.v >= {high} or x.v = 3)"));
-        let parts = asked(&query, &book, &LoadInfo::MarksOfJoin(&first, &second));
+        let parts = asked(&query, &book, &LoadInfo::JoinMarkers(&first, &second));
         for (site, (a, b)) in SITES.iter().zip(&sites) {
             let fits = |x: i128, y: i128| x < low && (y >= high || x == 3);
             let pairs = |(k, x): &(Option<i128>, i128)| {
@@ -180,9 +180,9 @@
             .map(|(site, _)| site)
             .collect()
     };
-    let (none, query) = (Marks::default(), joined(""));
+    let (none, query) = (LoadMarkers::default(), joined(""));
     assert_eq!(
-        names(&query, &LoadInfo::MarksOfJoin(&none, &none)),
+        names(&query, &LoadInfo::JoinMarkers(&none, &none)),
         ["ash", "elm"]
     );
     assert_eq!(names(&query, &LoadInfo::NoLoads), ["ash", "elm"]);
@@ -198,17 +198,17 @@
     assert_eq!(names(&other, &LoadInfo::NoLoads), ["ash", "elm"]);
     // A load that the summaries do not speak of, of either side; of one group alone nothing is known of the
     // other.
-    let mut touched = Marks::default();
+    let mut touched = LoadMarkers::default();
     touched.add(
         "yew",
         9,
         Affected::of_statement(b"insert into s_18.b (k, v) values (3, 1)", 18),
     );
     assert_eq!(
-        names(&query, &LoadInfo::MarksOfJoin(&none, &touched)),
+        names(&query, &LoadInfo::JoinMarkers(&none, &touched)),
         ["ash", "elm", "yew"]
     );
-    assert_eq!(names(&query, &LoadInfo::Marks(&none)).len(), 4);
+    assert_eq!(names(&query, &LoadInfo::Markers(&none)).len(), 4);
     assert_eq!(names(&query, &LoadInfo::Unknown).len(), 4);
 }
 
--- a/crates/scatter/tests/loads.rs
+++ b/crates/scatter/tests/loads.rs
@@ -6,7 +6,7 @@
 
 use ed25519_dalek::SigningKey;
 use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::load_markers::{numbered, numbers, Affected, Marks, ReportedLoads};
+use hallmux_scatter::load_markers::{numbered, numbers, Affected, LoadMarkers, ReportedLoads};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
@@ -111,7 +111,7 @@
     let mut books: Vec<SummaryStore> = (0..FRONTS).map(|_| book()).collect();
     let mut sites: Vec<Site> = SITES.iter().map(|_| Site::default()).collect();
     // The ledger: one entry, changed as a whole.
-    let mut entry = Marks::default().bytes().unwrap();
+    let mut entry = LoadMarkers::default().bytes().unwrap();
     let (mut under_way, mut written) = (Vec::new(), Vec::new());
     let (mut now, mut missing, mut asked, mut all) = (1_000u64, 0, 0, 0);
     for step in steps {
@@ -122,7 +122,7 @@
                 value,
                 known,
             } => {
-                let mut marks = Marks::read(&entry).unwrap();
+                let mut markers = LoadMarkers::read(&entry).unwrap();
                 let text = match known {
                     true => format!("insert into sales_17.orders (id) values ({value})"),
                     false => {
@@ -130,16 +130,16 @@
                     }
                 };
                 // By what others hold, as fronts do it, or at once.
-                marks.clean_up(now, |name| match value % 2 {
+                markers.clean_up(now, |name| match value % 2 {
                     0 => books[front].reported_loads(now, name, 17),
                     _ => ReportedLoads::at_once(books[front].current(now, name, 17)),
                 });
-                let n = marks.add(
+                let n = markers.add(
                     SITES[site],
                     now + LIFE_MS,
                     Affected::of_statement(text.as_bytes(), 17),
                 );
-                entry = marks.bytes().unwrap();
+                entry = markers.bytes().unwrap();
                 under_way.push((
                     now + LIFE_MS,
                     site,
@@ -182,9 +182,9 @@
                 let text =
                     format!("select * from sales_17.orders where id between {from} and {to}");
                 let query = sql::read(text.as_bytes()).unwrap();
-                let marks = Marks::read(&entry).unwrap();
+                let markers = LoadMarkers::read(&entry).unwrap();
                 let word = if with_marks {
-                    LoadInfo::Marks(&marks)
+                    LoadInfo::Markers(&markers)
                 } else {
                     LoadInfo::NoLoads
                 };
@@ -232,10 +232,10 @@
 #[test]
 fn a_load_that_is_lost_keeps_its_site_asked_until_a_later_one_is_spoken_of() {
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
-    let proved = |marks: &Marks, book: &SummaryStore| {
+    let proved = |markers: &LoadMarkers, book: &SummaryStore| {
         plan(
             &query,
-            &basis(&["ash".to_string()], book, 0, &LoadInfo::Marks(marks)),
+            &basis(&["ash".to_string()], book, 0, &LoadInfo::Markers(markers)),
         )
         .parts
         .is_empty()
@@ -255,34 +255,34 @@
         summary(about, vec![table], MOST_BYTES).sign(&key("ash"))
     };
     // A later load that was marked before the end of the lost one says nothing of it.
-    let (mut marks, mut both) = (Marks::default(), book());
-    marks.add("ash", 50, Affected::Anything);
-    marks.add("ash", 50, Affected::Anything);
+    let (mut markers, mut both) = (LoadMarkers::default(), book());
+    markers.add("ash", 50, Affected::Anything);
+    markers.add("ash", 50, Affected::Anything);
     both.accept(0, &reported_loads(1, &[2])).unwrap();
-    marks.clean_up(100, |name| {
+    markers.clean_up(100, |name| {
         ReportedLoads::at_once(both.current(0, name, 17))
     });
-    assert!(!proved(&marks, &both));
-    let (mut marks, mut book) = (Marks::default(), book());
-    marks.add("ash", 50, Affected::Anything);
+    assert!(!proved(&markers, &both));
+    let (mut markers, mut book) = (LoadMarkers::default(), book());
+    markers.add("ash", 50, Affected::Anything);
     for version in 1..4 {
         book.accept(0, &reported_loads(version, &[])).unwrap();
-        marks.clean_up(100 * version, |name| {
+        markers.clean_up(100 * version, |name| {
             ReportedLoads::at_once(book.current(0, name, 17))
         });
-        assert!(!proved(&marks, &book));
+        assert!(!proved(&markers, &book));
     }
-    assert_eq!(marks.add("ash", 500, Affected::Anything), 2);
+    assert_eq!(markers.add("ash", 500, Affected::Anything), 2);
     book.accept(0, &reported_loads(4, &[2])).unwrap();
-    assert!(proved(&marks, &book));
+    assert!(proved(&markers, &book));
     // Whoever tidies leaves behind what others need: an older summary proves nothing any more.
-    marks.clean_up(600, |name| {
+    markers.clean_up(600, |name| {
         ReportedLoads::at_once(book.current(0, name, 17))
     });
-    assert!(marks.is_empty());
+    assert!(markers.is_empty());
     let mut behind = self::book();
     behind.accept(0, &reported_loads(3, &[])).unwrap();
-    assert!(!proved(&marks, &behind));
+    assert!(!proved(&markers, &behind));
 }
 
 /// A site's word that speaks of loads up to a number.
@@ -303,28 +303,28 @@
 #[test]
 fn a_front_whose_summary_is_a_little_behind_need_not_ask_for_what_another_has_lifted() {
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
-    let pruned = |marks: &Marks, book: &SummaryStore, now| {
-        let word = LoadInfo::Marks(marks);
+    let pruned = |markers: &LoadMarkers, book: &SummaryStore, now| {
+        let word = LoadInfo::Markers(markers);
         !plan(&query, &basis(&["ash".to_string()], book, now, &word))
             .pruned
             .is_empty()
     };
-    let (mut near, mut far, mut marks) = (book(), book(), Marks::default());
+    let (mut near, mut far, mut markers) = (book(), book(), LoadMarkers::default());
     for book in [&mut near, &mut far] {
         book.accept(0, &reported_loads("ash", 1, 0)).unwrap();
     }
-    marks.add(
+    markers.add(
         "ash",
         60_000,
         Affected::of_statement(b"insert into sales_17.orders (id) values (7)", 17),
     );
     // The new summary is at the front where the next load comes, and on its way to the other.
     near.accept(1_000, &reported_loads("ash", 2, 1)).unwrap();
-    marks.clean_up(1_100, |name| near.reported_loads(1_100, name, 17));
-    assert!(pruned(&marks, &near, 1_100) && pruned(&marks, &far, 1_100));
+    markers.clean_up(1_100, |name| near.reported_loads(1_100, name, 17));
+    assert!(pruned(&markers, &near, 1_100) && pruned(&markers, &far, 1_100));
     // Once it has been there for a while the mark goes, and what is older proves nothing.
-    marks.clean_up(6_100, |name| near.reported_loads(6_100, name, 17));
-    assert!(marks.is_empty() && pruned(&marks, &near, 6_100) && !pruned(&marks, &far, 6_100));
+    markers.clean_up(6_100, |name| near.reported_loads(6_100, name, 17));
+    assert!(markers.is_empty() && pruned(&markers, &near, 6_100) && !pruned(&markers, &far, 6_100));
     // Versions that come every second settle too, one after the other.
     for version in 3..60 {
         near.accept(version * 1_000, &reported_loads("ash", version, version))
@@ -341,20 +341,20 @@
 
 #[test]
 fn marks_of_a_thousand_sites_find_room() {
-    let (mut marks, mut all) = (Marks::default(), 0);
+    let (mut markers, mut all) = (LoadMarkers::default(), 0);
     let sites: Vec<String> = (0..1_000).map(|n| format!("site-{n:04}")).collect();
     for round in 0..20 {
         for site in &sites {
             let text = format!("insert into sales_17.orders (id) values ({round})");
-            marks.add(site, 60_000, Affected::of_statement(text.as_bytes(), 17));
+            markers.add(site, 60_000, Affected::of_statement(text.as_bytes(), 17));
         }
-        marks.shrink_to_fit(|_| ReportedLoads::default());
+        markers.shrink_to_fit(|_| ReportedLoads::default());
         assert!(
-            marks.bytes().is_some(),
+            markers.bytes().is_some(),
             "round {round}: {} marks",
-            marks.len()
+            markers.len()
         );
-        all = marks.len();
+        all = markers.len();
     }
     assert!(
         all >= sites.len(),
