--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -5,7 +5,7 @@
 use hallmux_native_codec::tables;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Transaction, UnitPart};
-use hallmux_scatter::load_markers::numbers;
+use hallmux_scatter::load_markers::load_numbers;
 
 use super::Gateway;
 use crate::postgres::sessions::OpenSession;
@@ -83,7 +83,7 @@
 
 /// Whether a unit's text passes for a numbered load, where loads are marked.
 pub(super) fn passes_for_numbered(writes: &[String], part: &UnitPart) -> bool {
-    !writes.is_empty() && part.texts().any(|text| !numbers(text).is_empty())
+    !writes.is_empty() && part.texts().any(|text| !load_numbers(text).is_empty())
 }
 
 fn writes(workloads: &[String], open_session: &OpenSession, part: &UnitPart) -> bool {
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -5,7 +5,7 @@
 use std::hash::{BuildHasher, RandomState};
 
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_scatter::audit::{AuditSettings, Audits, Verdict};
+use hallmux_scatter::audit::{AuditResult, AuditSettings, Audits};
 use hallmux_scatter::exchange::FalseSummary;
 use hallmux_scatter::plan::{LoadInfo, Plan};
 use hallmux_scatter::sql::Query;
@@ -147,7 +147,7 @@
             version,
         } = of;
         match self.audits.answered(site, rows, sure) {
-            Verdict::False => {
+            AuditResult::Refuted => {
                 let counts = self.audits.counts;
                 self.found.push(FalseSummary {
                     site: site.clone(),
@@ -163,8 +163,8 @@
                     counts.rows
                 );
             }
-            Verdict::Earned => log::info!("site '{site}': its summaries count again"),
-            Verdict::Holds | Verdict::Unsure => {}
+            AuditResult::Recovered => log::info!("site '{site}': its summaries count again"),
+            AuditResult::Confirmed | AuditResult::Inconclusive => {}
         }
     }
 }
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -7,7 +7,7 @@
 use hallmux_ledger::{Key, Kind, LedgerAnswer, LedgerRequest, Operation, Outcome};
 use hallmux_native_codec::statement::Call;
 use hallmux_native_codec::tables;
-use hallmux_scatter::load_markers::{key, numbered, Affected};
+use hallmux_scatter::load_markers::{ledger_key, with_load_numbers, Affected};
 use hallmux_scatter::marker_requests::{self, Effect, LedgerReply, MarkerRequests};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::SummaryStore;
@@ -236,7 +236,7 @@
                     terms,
                     load: held,
                 }) => {
-                    let text = held.text().map(|text| numbered(&numbers, text));
+                    let text = held.text().map(|text| with_load_numbers(&numbers, text));
                     let outgoing = match (held, text) {
                         (Load::Call(call), Some(statement)) => Outgoing::Call(Rc::new(Call {
                             statement,
@@ -276,7 +276,7 @@
         number: ask.number,
         key: Key {
             kind: Kind::Mark,
-            name: key(ask.group),
+            name: ledger_key(ask.group),
         },
         operation,
     }
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -11,7 +11,7 @@
 use hallmux_gossip::PeerId;
 use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::{Action, Answer, Gather, GatherRules, PartFailure};
-use hallmux_scatter::load_markers::{numbers, LoadMarkers};
+use hallmux_scatter::load_markers::{load_numbers, LoadMarkers};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo, Plan, Reason};
 use hallmux_scatter::sql::Query;
 
@@ -162,7 +162,7 @@
 
     /// A client's statement passes for a load that a front has numbered: its site would take its word for it.
     pub fn passes_for_numbered(&self, call: &Call) -> bool {
-        self.loads.is_some() && !numbers(&call.statement).is_empty()
+        self.loads.is_some() && !load_numbers(&call.statement).is_empty()
     }
 
     /// The one site that has all rows, where the operator's file names it.
@@ -265,9 +265,9 @@
         };
         let rules = GatherRules {
             limit: statement.query.limit,
-            partial: self.settings.partial.contains(&statement.call.customer),
-            at_once: self.settings.at_once,
-            most_bytes: self.settings.answer_bytes,
+            allow_partial: self.settings.partial.contains(&statement.call.customer),
+            max_parallel_parts: self.settings.at_once,
+            max_answer_bytes: self.settings.answer_bytes,
             combine: statement.query.combine.clone(),
         };
         let (whole, acts) = Gather::new(plan.parts, plan.barred, rules);
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -13,7 +13,7 @@
 use hallmux_scatter::layers::Detail;
 use hallmux_scatter::retention::{Budget, Retention};
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
-use hallmux_scatter::summary::{Refused, MOST_BYTES};
+use hallmux_scatter::summary::{SummaryError, MAX_SUMMARY_BYTES};
 
 /// Microseconds between lines of the log on what other fronts sent that was refused.
 const LOG_INTERVAL: Micros = 60_000_000;
@@ -58,9 +58,9 @@
             .map(key)
             .collect::<std::io::Result<BTreeMap<_, _>>>()?,
         schemas: settings.schemas.clone(),
-        oldest_ms: settings.oldest_ms,
-        ahead_ms: settings.ahead_ms,
-        most: settings.most,
+        max_age_ms: settings.oldest_ms,
+        max_ahead_ms: settings.ahead_ms,
+        max_summaries: settings.most,
     })
 }
 
@@ -165,7 +165,7 @@
             // One byte more than counts: what is longer is refused for its length.
             let mut bytes = Vec::new();
             let read = File::open(&path).and_then(|file| {
-                file.take(MOST_BYTES as u64 + 1)
+                file.take(MAX_SUMMARY_BYTES as u64 + 1)
                     .read_to_end(&mut bytes)
                     .map(|_| ())
             });
@@ -236,7 +236,7 @@
             if held.get(name).copied() < self.book.wanted_detail(*name) {
                 let read = std::fs::read(path)
                     .ok()
-                    .filter(|bytes| bytes.len() <= MOST_BYTES);
+                    .filter(|bytes| bytes.len() <= MAX_SUMMARY_BYTES);
                 read.into_iter()
                     .for_each(|bytes| _ = self.book.accept((now / 1000) as u64, &bytes));
             }
@@ -271,7 +271,7 @@
     fn take(&mut self, now: Micros, mut out: Output) -> Vec<(PeerId, Vec<u8>)> {
         self.found.append(&mut out.false_summaries);
         self.lend(now, &mut out);
-        let refused: Vec<Refused> = out.accepted.into_iter().filter_map(Result::err).collect();
+        let refused: Vec<SummaryError> = out.accepted.into_iter().filter_map(Result::err).collect();
         if let Some(why) = refused
             .first()
             .filter(|_| self.last_log + LOG_INTERVAL <= now)
@@ -279,7 +279,7 @@
             self.last_log = now;
             log::warn!(
                 "from another front: {why}; refused so far: {:?}",
-                self.book.refused
+                self.book.rejected
             );
         }
         out.messages
--- a/crates/front/tests/scatter/site.rs
+++ b/crates/front/tests/scatter/site.rs
@@ -7,15 +7,15 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use ed25519_dalek::{SigningKey, VerifyingKey};
-use hallmux_scatter::build::{layered, summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::load_markers::numbers;
-use hallmux_scatter::summary::{Loads, MOST_BYTES};
+use hallmux_scatter::build::{build_layered_summary, build_summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::load_markers::load_numbers;
+use hallmux_scatter::summary::{LoadNumbers, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
 #[derive(Default)]
 pub struct Held {
     rows: Vec<i64>,
-    loads: Loads,
+    loads: LoadNumbers,
     asked: usize,
     fails: bool,
 }
@@ -81,18 +81,18 @@
     /// Writes a summary of what it holds into a directory.
     pub fn writes(&self, directory: &Path, version: u64) {
         let (about, table) = self.summed(version);
-        let bytes =
-            summary(about, vec![table], MOST_BYTES).sign(&SigningKey::from_bytes(&[self.key; 32]));
+        let bytes = build_summary(about, vec![table], MAX_SUMMARY_BYTES)
+            .sign(&SigningKey::from_bytes(&[self.key; 32]));
         std::fs::write(directory.join(self.name), bytes).unwrap();
     }
 
     /// The same in sheets, of which fronts may hold a part.
     pub fn writes_in_sheets(&self, directory: &Path, version: u64) {
         let (about, table) = self.summed(version);
-        let bytes = layered(
+        let bytes = build_layered_summary(
             about,
             vec![table],
-            MOST_BYTES,
+            MAX_SUMMARY_BYTES,
             &SigningKey::from_bytes(&[self.key; 32]),
         );
         std::fs::write(directory.join(self.name), bytes).unwrap();
@@ -154,7 +154,7 @@
     /// Rows come, by a text that may carry its numbers.
     pub fn load(&mut self, text: &str, rows: Vec<i64>) {
         self.rows.extend(rows);
-        numbers(text.as_bytes())
+        load_numbers(text.as_bytes())
             .iter()
             .for_each(|(_, n)| self.loads.insert(*n));
     }
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -7,8 +7,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::summary::{Column, Loads, Summary, Table, MOST_BYTES};
+use hallmux_scatter::build::{build_summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::summary::{Column, LoadNumbers, Summary, Table, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
 use super::agreed::zone_name;
@@ -29,7 +29,7 @@
 #[derive(Default)]
 struct Site {
     values: Vec<i64>,
-    loads: Loads,
+    loads: LoadNumbers,
     version: u64,
 }
 
@@ -159,7 +159,7 @@
             made_ms: now_ms(),
             loads,
         };
-        Some(summary(about, vec![table], MOST_BYTES))
+        Some(build_summary(about, vec![table], MAX_SUMMARY_BYTES))
     }
 
     /// Written beside and renamed, into the directory of a front.
--- a/crates/scatter/src/audit.rs
+++ b/crates/scatter/src/audit.rs
@@ -30,15 +30,15 @@
 
 /// What an answer of a site that its summary rules out has shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AuditResult {
     /// Its word holds.
-    Holds,
+    Confirmed,
     /// It holds, and counts again from now on.
-    Earned,
+    Recovered,
     /// It was false: the site is asked always for now.
-    False,
+    Refuted,
     /// It has rows, which may be those of a load.
-    Unsure,
+    Inconclusive,
 }
 
 /// What audits have found since the front started.
@@ -129,9 +129,9 @@
     }
 
     /// A site that its summary rules out has answered with so many rows. `sure`: no load can have brought them.
-    pub fn answered(&mut self, site: &str, rows: u64, sure: bool) -> Verdict {
+    pub fn answered(&mut self, site: &str, rows: u64, sure: bool) -> AuditResult {
         if rows > 0 && !sure {
-            return Verdict::Unsure;
+            return AuditResult::Inconclusive;
         }
         let site = self.sites.entry(site.to_string()).or_default();
         if rows > 0 {
@@ -139,14 +139,14 @@
             site.answers_owed = site.penalty;
             self.counts.found += 1;
             self.counts.rows += rows;
-            return Verdict::False;
+            return AuditResult::Refuted;
         }
         let owed = site.answers_owed;
         site.answers_owed = owed.saturating_sub(1);
         if owed == 1 {
-            Verdict::Earned
+            AuditResult::Recovered
         } else {
-            Verdict::Holds
+            AuditResult::Confirmed
         }
     }
 }
--- a/crates/scatter/src/build.rs
+++ b/crates/scatter/src/build.rs
@@ -6,12 +6,12 @@
 
 use crate::filter::Members;
 use crate::layers;
-use crate::summary::{Column, Loads, Summary, Table, MOST_BYTES};
+use crate::summary::{Column, LoadNumbers, Summary, Table, MAX_SUMMARY_BYTES};
 use crate::value::{less, Kind, Value};
 use crate::{runs, sketch};
 
 const LONGEST_TEXT: usize = 64; // bytes of text that bounds keep
-const MOST_HASHES: usize = MOST_BYTES; // of a column: a filter of more would not fit
+const MOST_HASHES: usize = MAX_SUMMARY_BYTES; // of a column: a filter of more would not fit
 const SIGNATURE_BYTES: usize = 128; // bytes for the signature and lengths around it
 
 /// What holds for a whole summary.
@@ -28,7 +28,7 @@
     /// Unix milliseconds by the site's clock.
     pub made_ms: u64,
     /// The marked loads whose rows are in it.
-    pub loads: Loads,
+    pub loads: LoadNumbers,
 }
 
 /// One table as rows come in.
@@ -204,7 +204,11 @@
 }
 
 /// The summary of a group's tables. Where it would be too long, the largest filters go until it is not.
-pub fn summary(about: SummaryHeader, tables: Vec<TableBuilder>, most_bytes: usize) -> Summary {
+pub fn build_summary(
+    about: SummaryHeader,
+    tables: Vec<TableBuilder>,
+    most_bytes: usize,
+) -> Summary {
     let SummaryHeader {
         site,
         group,
@@ -222,7 +226,9 @@
         tables,
         ..Summary::empty(&site, group)
     };
-    let most = most_bytes.min(MOST_BYTES).saturating_sub(SIGNATURE_BYTES);
+    let most = most_bytes
+        .min(MAX_SUMMARY_BYTES)
+        .saturating_sub(SIGNATURE_BYTES);
     while summary.size() > most {
         let columns = summary.tables.iter_mut().flat_map(|t| &mut t.columns);
         let largest = columns.max_by_key(|c| c.members.as_ref().map_or(0, Members::size));
@@ -235,7 +241,7 @@
 }
 
 /// The same in sheets, signed: fronts may hold a part of it.
-pub fn layered(
+pub fn build_layered_summary(
     about: SummaryHeader,
     tables: Vec<TableBuilder>,
     most_bytes: usize,
--- a/crates/scatter/src/exchange.rs
+++ b/crates/scatter/src/exchange.rs
@@ -12,7 +12,7 @@
 
 use crate::layers::Detail;
 use crate::store::{HeldVersion, SummaryStore};
-use crate::summary::Refused;
+use crate::summary::SummaryError;
 use crate::Micros;
 
 use message::{list, Message};
@@ -45,7 +45,7 @@
     fresh: BTreeSet<u64>,
     /// By site and group the highest version found false, and when this front came to know of it.
     false_reports: BTreeMap<(String, u32), (u64, Micros)>,
-    /// Refused reports: name, version, whose.
+    /// SummaryError reports: name, version, whose.
     refused: BTreeSet<(u64, u64, FrontId)>,
     /// Names and versions that this front can read whole at home, whatever it holds of them.
     pub local: BTreeMap<u64, u64>,
@@ -58,7 +58,7 @@
     pub messages: Vec<(FrontId, Vec<u8>)>,
     /// Whether each summary that came in whole was new, or why it was refused; a message that can't be read counts as
     /// one of the wrong form.
-    pub accepted: Vec<Result<bool, Refused>>,
+    pub accepted: Vec<Result<bool, SummaryError>>,
     /// What is to be read at home and handed to `send_piece`.
     pub local_reads: Vec<PieceRequest>,
     /// False reports that others have found and this front had not heard of.
@@ -289,7 +289,7 @@
                     .filter(|report| self.report_false(now, report))
                     .collect();
             }
-            _ => out.accepted.push(Err(Refused::Form)),
+            _ => out.accepted.push(Err(SummaryError::Form)),
         }
         out
     }
--- a/crates/scatter/src/exchange/pieces.rs
+++ b/crates/scatter/src/exchange/pieces.rs
@@ -6,7 +6,7 @@
 use super::{Exchange, FrontId, Output, MAX_DOWNLOADS, WINDOW};
 use crate::layers::{self, Detail};
 use crate::store::{HeldVersion, SummaryStore};
-use crate::summary::MOST_BYTES;
+use crate::summary::MAX_SUMMARY_BYTES;
 use crate::Micros;
 
 const PIECE: usize = 800; // bytes: with what seals it, it fits a datagram
@@ -201,7 +201,7 @@
         } = *piece;
         let download = self.downloads.get_mut(&name)?;
         let expected = (download.version, download.from, download.next) == (version, from, piece);
-        if !expected || piece >= pieces || download.bytes.len() + bytes.len() > MOST_BYTES {
+        if !expected || piece >= pieces || download.bytes.len() + bytes.len() > MAX_SUMMARY_BYTES {
             return None;
         }
         download.bytes.extend_from_slice(bytes);
--- a/crates/scatter/src/gather.rs
+++ b/crates/scatter/src/gather.rs
@@ -79,11 +79,11 @@
     /// The statement's LIMIT: an answer needs no more rows.
     pub limit: Option<u64>,
     /// The customer takes an answer that says which sites are missing.
-    pub partial: bool,
+    pub allow_partial: bool,
     /// Parts of a statement with a limit that are asked at a time.
-    pub at_once: usize,
+    pub max_parallel_parts: usize,
     /// Bytes of an answer.
-    pub most_bytes: usize,
+    pub max_answer_bytes: usize,
     /// The answer is one row of these, from one row of each part.
     pub combine: Option<Vec<Aggregate>>,
 }
@@ -130,7 +130,7 @@
             done: false,
             audits_skipped: false,
         };
-        if !gather.barred.is_empty() && !gather.rules.partial {
+        if !gather.barred.is_empty() && !gather.rules.allow_partial {
             gather.done = true;
             let barred = gather.barred.clone();
             return (gather, vec![Action::Answer(Answer::Barred(barred))]);
@@ -183,7 +183,7 @@
             return self.ended(place, State::Dropped);
         }
         let site = self.site(place).unwrap_or_default().to_string();
-        if self.rules.partial {
+        if self.rules.allow_partial {
             if failed == PartFailure::Barred {
                 self.barred.push(site);
                 return self.ended(place, State::Dropped);
@@ -226,7 +226,7 @@
     }
 
     fn advance(&mut self) -> Vec<Action> {
-        if self.rows().map(<[u8]>::len).sum::<usize>() > self.rules.most_bytes {
+        if self.rows().map(<[u8]>::len).sum::<usize>() > self.rules.max_answer_bytes {
             return self.end(Answer::TooLong);
         }
         let had: u64 = self.rows().map(lines).sum();
@@ -246,7 +246,7 @@
             .filter(|(_, state)| *state == State::Running)
             .count();
         let most = if self.rules.limit.is_some() {
-            self.rules.at_once.max(1)
+            self.rules.max_parallel_parts.max(1)
         } else {
             usize::MAX
         };
--- a/crates/scatter/src/gather_tests.rs
+++ b/crates/scatter/src/gather_tests.rs
@@ -4,9 +4,9 @@
 
 const RULES: GatherRules = GatherRules {
     limit: None,
-    partial: false,
-    at_once: 1,
-    most_bytes: 100,
+    allow_partial: false,
+    max_parallel_parts: 1,
+    max_answer_bytes: 100,
     combine: None,
 };
 
@@ -67,7 +67,7 @@
 #[test]
 fn an_answer_that_lacks_sites_says_so_where_the_customer_takes_it() {
     let rules = GatherRules {
-        partial: true,
+        allow_partial: true,
         ..RULES
     };
     let (mut whole, _) = Gather::new(parts(&[1.0, 1.0]), vec!["far".into()], rules);
@@ -97,7 +97,7 @@
         parts(&[1.0, 9.0, 5.0]),
         vec![],
         GatherRules {
-            at_once: 2,
+            max_parallel_parts: 2,
             ..rules.clone()
         },
     );
--- a/crates/scatter/src/layers.rs
+++ b/crates/scatter/src/layers.rs
@@ -7,7 +7,7 @@
 
 use crate::filter::Members;
 use crate::runs;
-use crate::summary::{signed, Extension, Signed, Summary, Table, MOST_BYTES};
+use crate::summary::{signed, Extension, Signed, Summary, Table, MAX_SUMMARY_BYTES};
 
 pub(crate) const LAYERED: u16 = 2; // the format of summaries in layers; a front of an earlier version refuses them
 pub(crate) const LAYERED_EXTENDED: u16 = 4;
@@ -60,7 +60,7 @@
     {
         column.runs = runs::coarser(std::mem::take(&mut column.runs), runs::FEWER);
     }
-    summary.cut(most.min(MOST_BYTES) / 2, LAYERED, LAYERED_EXTENDED);
+    summary.cut(most.min(MAX_SUMMARY_BYTES) / 2, LAYERED, LAYERED_EXTENDED);
     let size = |layer: &Layer| {
         layer
             .iter()
@@ -69,7 +69,7 @@
     };
     let core = summary.encoded(LAYERED, LAYERED_EXTENDED);
     let most = most
-        .min(MOST_BYTES)
+        .min(MAX_SUMMARY_BYTES)
         .saturating_sub(core.len() + SIGNATURE_BYTES);
     while size(&small) + size(&full) > most {
         let layer = if full.is_empty() {
@@ -143,5 +143,5 @@
         postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
     let core = bytes.len() - rest.len();
     let small = core + small.bytes as usize;
-    Some([core, small, small + full.bytes as usize]).filter(|ends| ends[2] <= MOST_BYTES)
+    Some([core, small, small + full.bytes as usize]).filter(|ends| ends[2] <= MAX_SUMMARY_BYTES)
 }
--- a/crates/scatter/src/load_markers.rs
+++ b/crates/scatter/src/load_markers.rs
@@ -9,14 +9,14 @@
 use crate::load;
 use crate::plan::Reason;
 use crate::sql;
-use crate::summary::{Column, Loads, Summary, Table};
+use crate::summary::{Column, LoadNumbers, Summary, Table};
 use crate::value::Literal;
 
 const MOST_MARKS: usize = 64; // of a site that are kept apart; more make one
 const MANY_MARKS: usize = 32; // of a site: from here on what any summary lifts is taken out
 const FEWER: [usize; 3] = [16, 4, 1]; // of a site, where all sites' together are too long
 /// Bytes of a group's marks: a thousand sites with two each.
-pub const MOST_BYTES: usize = 64 << 10;
+pub const MAX_MARKERS_BYTES: usize = 64 << 10;
 
 /// What a load may have touched.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
     Unknown,
 }
 
-/// Loads at a site that its summary may not speak of yet.
+/// LoadNumbers at a site that its summary may not speak of yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadMarker {
     /// Their numbers, from the first to the last.
@@ -76,12 +76,12 @@
 }
 
 /// The ledger's key of a group's marks.
-pub fn key(group: u32) -> String {
+pub fn ledger_key(group: u32) -> String {
     format!("group/{group}")
 }
 
 /// A load's text as it goes to the site, which is to name the numbers in its summaries once the load is in them.
-pub fn numbered(numbers: &[(u32, u64)], statement: &[u8]) -> Vec<u8> {
+pub fn with_load_numbers(numbers: &[(u32, u64)], statement: &[u8]) -> Vec<u8> {
     let all: Vec<String> = numbers
         .iter()
         .map(|(group, number)| format!("{group}:{number}"))
@@ -94,7 +94,7 @@
 }
 
 /// The groups and numbers that a load carries.
-pub fn numbers(statement: &[u8]) -> Vec<(u32, u64)> {
+pub fn load_numbers(statement: &[u8]) -> Vec<(u32, u64)> {
     let text = String::from_utf8_lossy(statement);
     let head = text
         .strip_prefix("/* load ")
@@ -112,14 +112,14 @@
     /// None: no marks, or damaged; then nothing is known.
     pub fn read(bytes: &[u8]) -> Option<LoadMarkers> {
         let (markers, rest) = postcard::take_from_bytes::<LoadMarkers>(bytes).ok()?;
-        (rest.is_empty() && bytes.len() <= MOST_BYTES).then_some(markers)
+        (rest.is_empty() && bytes.len() <= MAX_MARKERS_BYTES).then_some(markers)
     }
 
     /// None: they are too many to be kept, and the load can't be marked.
     pub fn bytes(&self) -> Option<Vec<u8>> {
         postcard::to_stdvec(self)
             .ok()
-            .filter(|bytes| bytes.len() <= MOST_BYTES)
+            .filter(|bytes| bytes.len() <= MAX_MARKERS_BYTES)
     }
 
     /// Marks a load at a site, which can't be running any more from `ends_ms` on. Its number.
@@ -231,7 +231,7 @@
 }
 
 /// The loads that a version of a site's summary speaks of.
-pub type Version<'a> = Option<(u64, &'a Loads)>;
+pub type Version<'a> = Option<(u64, &'a LoadNumbers)>;
 
 /// What a front holds of a site's word on loads.
 #[derive(Clone, Copy, Debug, Default)]
@@ -284,7 +284,7 @@
 }
 
 impl LoadMarker {
-    fn is_covered(&self, loads: &Loads) -> bool {
+    fn is_covered(&self, loads: &LoadNumbers) -> bool {
         loads.has(self.from, self.to)
             || self
                 .ended_before
--- a/crates/scatter/src/marker_requests.rs
+++ b/crates/scatter/src/marker_requests.rs
@@ -11,7 +11,7 @@
 /// Who waits: a load's execution or a scatter, as the caller knows it.
 pub type Waiter = (u64, usize);
 
-/// Loads, and the number that each gets.
+/// LoadNumbers, and the number that each gets.
 type Batch = Vec<(Waiter, u64)>;
 
 /// What is to be requested of the ledger.
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -11,7 +11,7 @@
 use crate::load_markers::ReportedLoads;
 use crate::retention::{Outcome, Retention};
 use crate::sql::Query;
-use crate::summary::{Loads, Refused, Summary};
+use crate::summary::{LoadNumbers, Summary, SummaryError};
 use crate::value::Kind;
 use crate::Micros;
 
@@ -23,11 +23,11 @@
     /// The schema that a group's summaries must be of, where it is stated.
     pub schemas: BTreeMap<u32, u32>,
     /// The age in milliseconds beyond which a summary does not count.
-    pub oldest_ms: u64,
+    pub max_age_ms: u64,
     /// How far a site's clock may be ahead of this front's.
-    pub ahead_ms: u64,
+    pub max_ahead_ms: u64,
     /// Summaries in all.
-    pub most: usize,
+    pub max_summaries: usize,
 }
 
 const SETTLES_MS: u64 = 5_000; // milliseconds after which others hold what is held here
@@ -37,7 +37,7 @@
 struct SeenVersion {
     came_ms: u64,
     version: u64,
-    loads: Loads,
+    loads: LoadNumbers,
 }
 
 /// A version of a summary, and how much of it there is. Between fronts it is written as these three, in this order.
@@ -87,12 +87,12 @@
 
 /// The summaries that one front holds, checked and by site and group.
 pub struct SummaryStore {
-    terms: StoreSettings,
+    settings: StoreSettings,
     held: BTreeMap<(String, u32), HeldSummary>,
     /// What is held and how fine, where that follows from what it spares; None: all that comes, whole.
     pub retention: Option<Retention>,
     /// What counted for nothing, by why.
-    pub refused: BTreeMap<&'static str, u64>,
+    pub rejected: BTreeMap<&'static str, u64>,
 }
 
 /// The name that a site's summary of a group goes by between fronts.
@@ -102,19 +102,19 @@
 
 impl SummaryStore {
     /// An empty store that holds summaries whole.
-    pub fn new(terms: StoreSettings) -> SummaryStore {
+    pub fn new(settings: StoreSettings) -> SummaryStore {
         SummaryStore {
-            terms,
+            settings,
             held: BTreeMap::new(),
             retention: None,
-            refused: BTreeMap::new(),
+            rejected: BTreeMap::new(),
         }
     }
 
     /// Other terms hold from now on; what is of no site any more goes.
-    pub fn reconfigure(&mut self, terms: StoreSettings) {
-        let before = std::mem::replace(&mut self.terms, terms);
-        let sites = &self.terms.sites;
+    pub fn reconfigure(&mut self, settings: StoreSettings) {
+        let before = std::mem::replace(&mut self.settings, settings);
+        let sites = &self.settings.sites;
         // Under another key of the site it may be anybody's.
         self.held.retain(|(site, _), _| {
             sites.get(site).is_some() && sites.get(site) == before.sites.get(site)
@@ -122,23 +122,23 @@
     }
 
     /// Takes a site's word, from wherever it came. False: held already. What is refused changes nothing.
-    pub fn accept(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, Refused> {
+    pub fn accept(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, SummaryError> {
         let taken = self.check_and_hold(wall_ms, bytes);
         if let Err(why) = &taken {
-            *self.refused.entry(why.why()).or_default() += 1;
+            *self.rejected.entry(why.name()).or_default() += 1;
         }
         taken
     }
 
-    fn check_and_hold(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, Refused> {
-        let summary = Summary::read(bytes, |site| self.terms.sites.get(site).copied())?;
+    fn check_and_hold(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, SummaryError> {
+        let summary = Summary::read(bytes, |site| self.settings.sites.get(site).copied())?;
         let (site, group, version) = (summary.site.clone(), summary.group, summary.version);
         self.check_validity(wall_ms, &summary)?;
         let known = self.held.get(&(site.clone(), group));
         if let Some(held) = known {
             match version.cmp(&held.summary.version) {
                 std::cmp::Ordering::Less => {
-                    return Err(Refused::Version {
+                    return Err(SummaryError::Version {
                         site,
                         group,
                         version,
@@ -150,7 +150,7 @@
                 std::cmp::Ordering::Equal if bytes.starts_with(&held.bytes) => {}
                 // Two words under one version: the one that was first stays.
                 std::cmp::Ordering::Equal => {
-                    return Err(Refused::Version {
+                    return Err(SummaryError::Version {
                         site,
                         group,
                         version,
@@ -159,8 +159,8 @@
                 }
                 std::cmp::Ordering::Greater => {}
             }
-        } else if self.held.len() >= self.terms.most {
-            return Err(Refused::Full {
+        } else if self.held.len() >= self.settings.max_summaries {
+            return Err(SummaryError::Full {
                 site,
                 group,
                 held: self.held.len(),
@@ -238,7 +238,7 @@
         else {
             return;
         };
-        let sites = &self.terms.sites;
+        let sites = &self.settings.sites;
         let less = held
             .bytes
             .get(..end)
@@ -278,13 +278,13 @@
 
     /// The name and version of what a known site has signed.
     pub fn id_and_version(&self, bytes: &[u8]) -> Option<(u64, u64)> {
-        let summary = Summary::read(bytes, |site| self.terms.sites.get(site).copied()).ok()?;
+        let summary = Summary::read(bytes, |site| self.settings.sites.get(site).copied()).ok()?;
         Some((summary_id(&summary.site, summary.group), summary.version))
     }
 
     /// Whether the operator names this site.
     pub fn has_site(&self, site: &str) -> bool {
-        self.terms.sites.contains_key(site)
+        self.settings.sites.contains_key(site)
     }
 
     /// Lets go of one.
@@ -316,12 +316,12 @@
     }
 
     /// Whether it may count now, apart from its version.
-    fn check_validity(&self, wall_ms: u64, summary: &Summary) -> Result<(), Refused> {
+    fn check_validity(&self, wall_ms: u64, summary: &Summary) -> Result<(), SummaryError> {
         let (site, group) = (summary.site.clone(), summary.group);
         let (schema, made_ms) = (summary.schema, summary.made_ms);
-        match self.terms.schemas.get(&group) {
+        match self.settings.schemas.get(&group) {
             Some(&stated) if stated != schema => {
-                return Err(Refused::Schema {
+                return Err(SummaryError::Schema {
                     site,
                     group,
                     schema,
@@ -331,16 +331,16 @@
             _ => {}
         }
         let ahead_ms = made_ms.saturating_sub(wall_ms);
-        if ahead_ms > self.terms.ahead_ms {
-            return Err(Refused::Ahead {
+        if ahead_ms > self.settings.max_ahead_ms {
+            return Err(SummaryError::Ahead {
                 site,
                 group,
                 ahead_ms,
             });
         }
-        let (age_ms, most_ms) = (wall_ms.saturating_sub(made_ms), self.terms.oldest_ms);
+        let (age_ms, most_ms) = (wall_ms.saturating_sub(made_ms), self.settings.max_age_ms);
         if age_ms > most_ms {
-            return Err(Refused::Old {
+            return Err(SummaryError::Old {
                 site,
                 group,
                 age_ms,
--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -5,28 +5,28 @@
 use ed25519_dalek::{Signature, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
 
-pub use error::Refused;
+pub use error::SummaryError;
 
 use crate::filter::Members;
 use crate::layers::{self, Detail, LAYERED, LAYERED_EXTENDED};
 use crate::runs::{EncodedRuns, Runs};
 use crate::sketch;
-use crate::value::{less, Kind, Value, MOST_SCALE};
+use crate::value::{less, Kind, Value, MAX_SCALE};
 
 /// The longest summary that is read or made.
-pub const MOST_BYTES: usize = 64 << 10; // bytes of a summary: 50,000 values in filters, and 60 pieces on their way
+pub const MAX_SUMMARY_BYTES: usize = 64 << 10; // bytes of a summary: 50,000 values in filters, and 60 pieces on their way
 const FORMAT: u16 = 1;
 const EXTENDED: u16 = 3; // 2 and 4 are in sheets
 const RUN_BYTES: usize = 6; // bytes of a run, about
 const SIGNING_CONTEXT: &[u8] = b"hallmux summary\0"; // what is signed says what it is: no other word passes for it
 /// The most tables that a summary may have.
-pub const MOST_TABLES: usize = 64; // of a group
+pub const MAX_TABLES: usize = 64; // of a group
 /// The most columns that a table may have.
-pub const MOST_COLUMNS: usize = 256; // of a table
+pub const MAX_COLUMNS: usize = 256; // of a table
 /// The longest name of a table or column.
-pub const MOST_NAME: usize = 128; // bytes of a name
-/// The most runs that [`Loads`] may have.
-pub const MOST_RUNS: usize = 64; // of load numbers
+pub const MAX_NAME_BYTES: usize = 128; // bytes of a name
+/// The most runs that [`LoadNumbers`] may have.
+pub const MAX_LOAD_RUNS: usize = 64; // of load numbers
 
 /// A site's data of one table group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -44,8 +44,8 @@
     /// Unix milliseconds by the site's clock.
     pub made_ms: u64,
     /// The marked loads whose rows are in it.
-    pub loads: Loads,
-    /// The group's tables, at most [`MOST_TABLES`]; their names differ.
+    pub loads: LoadNumbers,
+    /// The group's tables, at most [`MAX_TABLES`]; their names differ.
     pub tables: Vec<Table>,
     /// How much of what its site says is here.
     #[serde(skip)]
@@ -62,9 +62,9 @@
 
 /// Numbers of the loads that are in it, as runs from the first to the last of each, in order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Loads(pub Vec<(u64, u64)>);
+pub struct LoadNumbers(pub Vec<(u64, u64)>);
 
-impl Loads {
+impl LoadNumbers {
     /// Takes in one more; the oldest runs go where they are too many, which only means that more is asked.
     pub fn insert(&mut self, number: u64) {
         if self.has(number, number) {
@@ -79,7 +79,7 @@
             }
             meets
         });
-        let over = self.0.len().saturating_sub(MOST_RUNS);
+        let over = self.0.len().saturating_sub(MAX_LOAD_RUNS);
         self.0.drain(..over);
     }
 
@@ -101,7 +101,7 @@
     pub name: String,
     /// The number of rows.
     pub rows: u64,
-    /// The columns that are told of, at most [`MOST_COLUMNS`]; their names differ.
+    /// The columns that are told of, at most [`MAX_COLUMNS`]; their names differ.
     pub columns: Vec<Column>,
 }
 
@@ -156,7 +156,7 @@
             schema: 0,
             version: 1,
             made_ms: 0,
-            loads: Loads::default(),
+            loads: LoadNumbers::default(),
             tables: Vec::new(),
             detail: Detail::Full,
         }
@@ -234,37 +234,37 @@
     pub fn read(
         bytes: &[u8],
         key: impl Fn(&str) -> Option<VerifyingKey>,
-    ) -> Result<Summary, Refused> {
-        if bytes.len() > MOST_BYTES {
-            return Err(Refused::Long(bytes.len()));
+    ) -> Result<Summary, SummaryError> {
+        if bytes.len() > MAX_SUMMARY_BYTES {
+            return Err(SummaryError::Long(bytes.len()));
         }
         let (signed, rest) =
-            postcard::take_from_bytes::<Signed>(bytes).map_err(|_| Refused::Form)?;
-        let signature = Signature::from_slice(&signed.signature).map_err(|_| Refused::Form)?;
+            postcard::take_from_bytes::<Signed>(bytes).map_err(|_| SummaryError::Form)?;
+        let signature = Signature::from_slice(&signed.signature).map_err(|_| SummaryError::Form)?;
         // The format comes first in every format there will be.
         let (format, _) =
-            postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| Refused::Form)?;
+            postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| SummaryError::Form)?;
         if !matches!(format, FORMAT | LAYERED | EXTENDED | LAYERED_EXTENDED) {
-            return Err(Refused::Format(format));
+            return Err(SummaryError::Format(format));
         }
-        let (mut summary, mut behind) =
-            postcard::take_from_bytes::<Summary>(&signed.summary).map_err(|_| Refused::Form)?;
+        let (mut summary, mut behind) = postcard::take_from_bytes::<Summary>(&signed.summary)
+            .map_err(|_| SummaryError::Form)?;
         if matches!(format, EXTENDED | LAYERED_EXTENDED) {
-            behind = summary.take_extension(behind).ok_or(Refused::Form)?;
+            behind = summary.take_extension(behind).ok_or(SummaryError::Form)?;
         }
         // What it is made of says the rest.
         summary.format = FORMAT;
         if matches!(format, LAYERED | LAYERED_EXTENDED) {
             summary.detail =
-                layers::apply(&mut summary.tables, behind, rest).ok_or(Refused::Form)?;
+                layers::apply(&mut summary.tables, behind, rest).ok_or(SummaryError::Form)?;
         } else if !rest.is_empty() || !behind.is_empty() {
-            return Err(Refused::Form);
+            return Err(SummaryError::Form);
         }
-        let key = key(&summary.site).ok_or_else(|| Refused::Unknown(summary.site.clone()))?;
+        let key = key(&summary.site).ok_or_else(|| SummaryError::Unknown(summary.site.clone()))?;
         key.verify_strict(&signed_bytes(&signed.summary), &signature)
-            .map_err(|_| Refused::Forged(summary.site.clone()))?;
+            .map_err(|_| SummaryError::Forged(summary.site.clone()))?;
         match summary.inconsistency() {
-            Some(what) => Err(Refused::Content {
+            Some(what) => Err(SummaryError::Content {
                 site: summary.site,
                 group: summary.group,
                 what,
@@ -283,7 +283,7 @@
         let runs = &self.loads.0;
         let ordered =
             runs.windows(2).all(|w| w[0].1 < w[1].0) && runs.iter().all(|run| run.0 <= run.1);
-        if runs.len() > MOST_RUNS || !ordered {
+        if runs.len() > MAX_LOAD_RUNS || !ordered {
             return Some("its loads");
         }
         let names = |all: &mut dyn Iterator<Item = &String>, most: usize| {
@@ -291,13 +291,13 @@
             let count = names.len();
             names.sort_unstable();
             names.dedup();
-            names.len() == count && count <= most && names.iter().all(|n| n.len() <= MOST_NAME)
+            names.len() == count && count <= most && names.iter().all(|n| n.len() <= MAX_NAME_BYTES)
         };
-        if !names(&mut self.tables.iter().map(|t| &t.name), MOST_TABLES) {
+        if !names(&mut self.tables.iter().map(|t| &t.name), MAX_TABLES) {
             return Some("its tables' names");
         }
         for table in &self.tables {
-            if !names(&mut table.columns.iter().map(|c| &c.name), MOST_COLUMNS) {
+            if !names(&mut table.columns.iter().map(|c| &c.name), MAX_COLUMNS) {
                 return Some("its columns' names");
             }
             if let Some(what) = table
@@ -336,7 +336,7 @@
 
 impl Column {
     fn inconsistency(&self, rows: u64) -> Option<&'static str> {
-        if matches!(self.kind, Kind::Number { scale } if scale > MOST_SCALE) {
+        if matches!(self.kind, Kind::Number { scale } if scale > MAX_SCALE) {
             return Some("the digits of a number");
         }
         if self.nulls > rows || self.distinct > rows - self.nulls {
--- a/crates/scatter/src/summary/error.rs
+++ b/crates/scatter/src/summary/error.rs
@@ -1,12 +1,12 @@
 //! Why a summary is refused, in words that say what to do about it.
 
-use super::{FORMAT, MOST_BYTES};
+use super::{FORMAT, MAX_SUMMARY_BYTES};
 
 /// Why a summary counts for nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    /// Longer than [`MOST_BYTES`]; holds its length in bytes.
-    #[error("a summary of {0} bytes, over {MOST_BYTES}: make it coarser at its site")]
+pub enum SummaryError {
+    /// Longer than [`MAX_SUMMARY_BYTES`]; holds its length in bytes.
+    #[error("a summary of {0} bytes, over {MAX_SUMMARY_BYTES}: make it coarser at its site")]
     Long(usize),
     /// The bytes are no summary, or end too early.
     #[error("a summary that is cut short or no summary: let the site write it again")]
@@ -96,21 +96,21 @@
     },
 }
 
-impl Refused {
+impl SummaryError {
     /// For counts by reason.
-    pub fn why(&self) -> &'static str {
+    pub fn name(&self) -> &'static str {
         match self {
-            Refused::Long(_) => "long",
-            Refused::Form => "form",
-            Refused::Format(_) => "format",
-            Refused::Unknown(_) => "unknown site",
-            Refused::Forged(_) => "forged",
-            Refused::Content { .. } => "content",
-            Refused::Schema { .. } => "schema",
-            Refused::Version { .. } => "version",
-            Refused::Old { .. } => "old",
-            Refused::Ahead { .. } => "clock ahead",
-            Refused::Full { .. } => "full",
+            SummaryError::Long(_) => "long",
+            SummaryError::Form => "form",
+            SummaryError::Format(_) => "format",
+            SummaryError::Unknown(_) => "unknown site",
+            SummaryError::Forged(_) => "forged",
+            SummaryError::Content { .. } => "content",
+            SummaryError::Schema { .. } => "schema",
+            SummaryError::Version { .. } => "version",
+            SummaryError::Old { .. } => "old",
+            SummaryError::Ahead { .. } => "clock ahead",
+            SummaryError::Full { .. } => "full",
         }
     }
 }
--- a/crates/scatter/src/value.rs
+++ b/crates/scatter/src/value.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The most digits behind the point that a column of numbers may have.
-pub const MOST_SCALE: u8 = 18; // digits behind the point: with 18 before it they fit 128 bits by far
+pub const MAX_SCALE: u8 = 18; // digits behind the point: with 18 before it they fit 128 bits by far
 const MOST_DIGITS: usize = 30; // of a literal; longer ones are not understood
 const SLACK: f64 = 1e-6; // of a float: an engine may round a literal to four bytes, which is off by a tenth of that
 
@@ -14,7 +14,7 @@
 pub enum Kind {
     /// Whole numbers and decimals, in units of the last digit behind the point.
     Number {
-        /// How many digits there are behind the point, at most [`MOST_SCALE`].
+        /// How many digits there are behind the point, at most [`MAX_SCALE`].
         scale: u8,
     },
     /// Binary floating-point numbers of either size.
--- a/crates/scatter/tests/audit.rs
+++ b/crates/scatter/tests/audit.rs
@@ -1,6 +1,6 @@
 //! How long a site's false word lasts, in simulated time, by the share of scatters and the budget of the fleet.
 
-use hallmux_scatter::audit::{AuditSettings, Audits, Verdict};
+use hallmux_scatter::audit::{AuditResult, AuditSettings, Audits};
 use hallmux_scatter::Micros;
 
 const FRONTS: usize = 10;
@@ -34,7 +34,7 @@
             if let Some(site) = asked {
                 let rows = u64::from(site == FALSE && has);
                 let verdict = front.answered(site, rows, true);
-                assert_eq!(verdict == Verdict::False, rows > 0);
+                assert_eq!(verdict == AuditResult::Refuted, rows > 0);
             }
             missed += u64::from(has && asked != Some(FALSE));
         }
@@ -70,15 +70,15 @@
         per_second: 1.0,
     });
     // Rows that a load may have brought prove nothing.
-    assert_eq!(audits.answered(FALSE, 1, false), Verdict::Unsure);
+    assert_eq!(audits.answered(FALSE, 1, false), AuditResult::Inconclusive);
     assert!(!audits.is_suspected(FALSE));
     for penalty in [20, 40, 80] {
-        assert_eq!(audits.answered(FALSE, 3, true), Verdict::False);
+        assert_eq!(audits.answered(FALSE, 3, true), AuditResult::Refuted);
         for _ in 1..penalty {
-            assert_eq!(audits.answered(FALSE, 0, true), Verdict::Holds);
+            assert_eq!(audits.answered(FALSE, 0, true), AuditResult::Confirmed);
             assert!(audits.is_suspected(FALSE));
         }
-        assert_eq!(audits.answered(FALSE, 0, true), Verdict::Earned);
+        assert_eq!(audits.answered(FALSE, 0, true), AuditResult::Recovered);
         assert!(!audits.is_suspected(FALSE));
     }
     assert_eq!((audits.counts.found, audits.counts.rows), (3, 9));
@@ -92,13 +92,13 @@
     });
     audits.reported_by_peer(FALSE);
     for _ in 1..20 {
-        assert_eq!(audits.answered(FALSE, 0, true), Verdict::Holds);
+        assert_eq!(audits.answered(FALSE, 0, true), AuditResult::Confirmed);
         assert!(audits.is_suspected(FALSE));
     }
-    assert_eq!(audits.answered(FALSE, 0, true), Verdict::Earned);
+    assert_eq!(audits.answered(FALSE, 0, true), AuditResult::Recovered);
     assert!(!audits.is_suspected(FALSE) && audits.counts.found == 0);
     // Found false here after that it costs twice as much.
-    assert_eq!(audits.answered(FALSE, 1, true), Verdict::False);
-    let earned = (0..100).position(|_| audits.answered(FALSE, 0, true) == Verdict::Earned);
+    assert_eq!(audits.answered(FALSE, 1, true), AuditResult::Refuted);
+    let earned = (0..100).position(|_| audits.answered(FALSE, 0, true) == AuditResult::Recovered);
     assert_eq!(earned, Some(39));
 }
--- a/crates/scatter/tests/distinct.rs
+++ b/crates/scatter/tests/distinct.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::build::{layered, summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::build::{build_layered_summary, build_summary, SummaryHeader, TableBuilder};
 use hallmux_scatter::load_markers::{Affected, LoadMarkers};
 use hallmux_scatter::plan::{Basis, LoadInfo};
 use hallmux_scatter::sketch::{distinct, Estimate};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
-use hallmux_scatter::summary::{Loads, MOST_BYTES};
+use hallmux_scatter::summary::{LoadNumbers, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
 const SITES: [&str; 3] = ["ash", "elm", "oak"];
@@ -27,9 +27,9 @@
     SummaryStore::new(StoreSettings {
         sites,
         schemas: BTreeMap::new(),
-        oldest_ms: u64::MAX,
-        ahead_ms: u64::MAX,
-        most: 10,
+        max_age_ms: u64::MAX,
+        max_ahead_ms: u64::MAX,
+        max_summaries: 10,
     })
 }
 
@@ -46,7 +46,7 @@
         table = table.with_sketches(&["id"]);
     }
     values.for_each(|value| table.add_row(&[Some(Value::Number(value))]));
-    let loads = Loads::default();
+    let loads = LoadNumbers::default();
     let about = SummaryHeader {
         site: site.into(),
         group: 17,
@@ -56,8 +56,8 @@
         loads,
     };
     match sheets {
-        true => layered(about, vec![table], MOST_BYTES, &key(site)),
-        false => summary(about, vec![table], MOST_BYTES).sign(&key(site)),
+        true => build_layered_summary(about, vec![table], MAX_SUMMARY_BYTES, &key(site)),
+        false => build_summary(about, vec![table], MAX_SUMMARY_BYTES).sign(&key(site)),
     }
 }
 
@@ -199,11 +199,11 @@
         schema: 1,
         version: 1,
         made_ms: 0,
-        loads: Loads::default(),
+        loads: LoadNumbers::default(),
     };
     let mut table = TableBuilder::new("orders", &[("id", WHOLE)]).with_sketches(&["id"]);
     (0..9_000).for_each(|n| table.add_row(&[Some(Value::Number(n))]));
-    let good = summary(about, vec![table], MOST_BYTES);
+    let good = build_summary(about, vec![table], MAX_SUMMARY_BYTES);
     let mut read = 0;
     for at in 0..400 {
         let mut whole = good.clone();
--- a/crates/scatter/tests/join.rs
+++ b/crates/scatter/tests/join.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::build::{build_summary, SummaryHeader, TableBuilder};
 use hallmux_scatter::load_markers::{Affected, LoadMarkers};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo, Reason};
 use hallmux_scatter::sql::{self, Query};
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
-use hallmux_scatter::summary::{Loads, MOST_BYTES};
+use hallmux_scatter::summary::{LoadNumbers, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
@@ -30,7 +30,7 @@
     let mut builder = TableBuilder::new(table, &[("k", WHOLE), ("v", WHOLE)]);
     rows.iter()
         .for_each(|(k, v)| builder.add_row(&[k.map(Value::Number), Some(Value::Number(*v))]));
-    let loads = Loads::default();
+    let loads = LoadNumbers::default();
     let about = SummaryHeader {
         site: site.into(),
         group,
@@ -39,7 +39,7 @@
         made_ms: 0,
         loads,
     };
-    summary(about, vec![builder], MOST_BYTES).sign(&key(site))
+    build_summary(about, vec![builder], MAX_SUMMARY_BYTES).sign(&key(site))
 }
 
 fn book(sites: &[(Rows, Rows)]) -> SummaryStore {
@@ -50,9 +50,9 @@
     let mut book = SummaryStore::new(StoreSettings {
         sites: keys,
         schemas: BTreeMap::new(),
-        oldest_ms: u64::MAX,
-        ahead_ms: u64::MAX,
-        most: 100,
+        max_age_ms: u64::MAX,
+        max_ahead_ms: u64::MAX,
+        max_summaries: 100,
     });
     for (site, (first, second)) in SITES.iter().zip(sites) {
         assert_eq!(book.accept(0, &told(site, 17, "a", first)), Ok(true));
--- a/crates/scatter/tests/loads.rs
+++ b/crates/scatter/tests/loads.rs
@@ -5,12 +5,14 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::load_markers::{numbered, numbers, Affected, LoadMarkers, ReportedLoads};
+use hallmux_scatter::build::{build_summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::load_markers::{
+    load_numbers, with_load_numbers, Affected, LoadMarkers, ReportedLoads,
+};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
-use hallmux_scatter::summary::{Loads, MOST_BYTES};
+use hallmux_scatter::summary::{LoadNumbers, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
@@ -84,7 +86,7 @@
 #[derive(Default)]
 struct Site {
     rows: Vec<i128>,
-    loads: Loads,
+    loads: LoadNumbers,
     version: u64,
 }
 
@@ -96,9 +98,9 @@
     SummaryStore::new(StoreSettings {
         sites,
         schemas: BTreeMap::new(),
-        oldest_ms: u64::MAX,
-        ahead_ms: u64::MAX,
-        most: 10,
+        max_age_ms: u64::MAX,
+        max_ahead_ms: u64::MAX,
+        max_summaries: 10,
     })
 }
 
@@ -144,14 +146,14 @@
                     now + LIFE_MS,
                     site,
                     value,
-                    numbered(&[(17, n)], text.as_bytes()),
+                    with_load_numbers(&[(17, n)], text.as_bytes()),
                 ));
             }
             Step::Run { which, lost } if !under_way.is_empty() => {
                 let (ends, site, value, text) = under_way.remove(which % under_way.len());
                 if !lost && now < ends {
                     sites[site].rows.push(value);
-                    numbers(&text)
+                    load_numbers(&text)
                         .iter()
                         .for_each(|(_, n)| sites[site].loads.insert(*n));
                 }
@@ -172,7 +174,9 @@
                     made_ms: now,
                     loads,
                 };
-                written.push(summary(about, vec![table], MOST_BYTES).sign(&key(SITES[site])));
+                written.push(
+                    build_summary(about, vec![table], MAX_SUMMARY_BYTES).sign(&key(SITES[site])),
+                );
             }
             Step::Reach { which, front } if !written.is_empty() => {
                 let _ = books[front].accept(now, &written[which % written.len()]);
@@ -241,7 +245,7 @@
         .is_empty()
     };
     let reported_loads = |version, numbers: &[u64]| {
-        let mut loads = Loads::default();
+        let mut loads = LoadNumbers::default();
         numbers.iter().for_each(|n| loads.insert(*n));
         let about = SummaryHeader {
             site: "ash".into(),
@@ -252,7 +256,7 @@
             loads,
         };
         let table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
-        summary(about, vec![table], MOST_BYTES).sign(&key("ash"))
+        build_summary(about, vec![table], MAX_SUMMARY_BYTES).sign(&key("ash"))
     };
     // A later load that was marked before the end of the lost one says nothing of it.
     let (mut markers, mut both) = (LoadMarkers::default(), book());
@@ -287,7 +291,7 @@
 
 /// A site's word that speaks of loads up to a number.
 fn reported_loads(site: &str, version: u64, to: u64) -> Vec<u8> {
-    let loads = Loads(if to > 0 { vec![(1, to)] } else { Vec::new() });
+    let loads = LoadNumbers(if to > 0 { vec![(1, to)] } else { Vec::new() });
     let about = SummaryHeader {
         site: site.into(),
         group: 17,
@@ -297,7 +301,7 @@
         loads,
     };
     let table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
-    summary(about, vec![table], MOST_BYTES).sign(&key(site))
+    build_summary(about, vec![table], MAX_SUMMARY_BYTES).sign(&key(site))
 }
 
 #[test]
--- a/crates/scatter/tests/proof.rs
+++ b/crates/scatter/tests/proof.rs
@@ -4,9 +4,9 @@
 use std::cell::Cell;
 use std::cmp::Ordering;
 
-use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::build::{build_summary, SummaryHeader, TableBuilder};
 use hallmux_scatter::sql;
-use hallmux_scatter::summary::{Loads, Summary, MOST_BYTES};
+use hallmux_scatter::summary::{LoadNumbers, Summary, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Collation, Kind, Value};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
@@ -258,9 +258,9 @@
         schema: 1,
         version: 1,
         made_ms: 0,
-        loads: Loads::default(),
+        loads: LoadNumbers::default(),
     };
-    summary(about, vec![table], MOST_BYTES)
+    build_summary(about, vec![table], MAX_SUMMARY_BYTES)
 }
 
 #[test]
@@ -322,9 +322,9 @@
         schema: 1,
         version: 1,
         made_ms: 0,
-        loads: Loads::default(),
+        loads: LoadNumbers::default(),
     };
-    let mut told = summary(about, vec![table], MOST_BYTES);
+    let mut told = build_summary(about, vec![table], MAX_SUMMARY_BYTES);
     let out = |told: &Summary, text: &str| {
         let read = Summary::read(&told.sign(&key), |_| Some(key.verifying_key())).unwrap();
         let query =
@@ -352,5 +352,5 @@
     // Runs that contradict the bounds are no word to go by.
     told.tables[0].columns[0].runs = vec![(0, 5)];
     let refused = Summary::read(&told.sign(&key), |_| Some(key.verifying_key())).unwrap_err();
-    assert_eq!(refused.why(), "content");
+    assert_eq!(refused.name(), "content");
 }
--- a/crates/scatter/tests/retention.rs
+++ b/crates/scatter/tests/retention.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::build::{layered, SummaryHeader, TableBuilder};
+use hallmux_scatter::build::{build_layered_summary, SummaryHeader, TableBuilder};
 use hallmux_scatter::layers::{layer_ends, Detail};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo};
 use hallmux_scatter::retention::{Budget, Retention};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::{summary_id, StoreSettings, SummaryStore};
-use hallmux_scatter::summary::{Loads, MOST_BYTES};
+use hallmux_scatter::summary::{LoadNumbers, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
 const SITES: usize = 12;
@@ -78,7 +78,7 @@
             let mut table = TableBuilder::new("t", &[("id", Kind::Number { scale: 0 })]);
             ids.iter()
                 .for_each(|id| table.add_row(&[Some(Value::Number(i128::from(*id)))]));
-            let (name, loads) = (site(at), Loads::default());
+            let (name, loads) = (site(at), LoadNumbers::default());
             let about = SummaryHeader {
                 site: name,
                 group: group as u32,
@@ -89,7 +89,7 @@
             };
             bytes.insert(
                 (group, at),
-                layered(about, vec![table], MOST_BYTES, &key(at)),
+                build_layered_summary(about, vec![table], MAX_SUMMARY_BYTES, &key(at)),
             );
             all.insert((group, at), ids);
         }
@@ -104,9 +104,9 @@
     let terms = StoreSettings {
         sites,
         schemas: BTreeMap::new(),
-        oldest_ms: DAY_MS * 2,
-        ahead_ms: 0,
-        most: 10_000,
+        max_age_ms: DAY_MS * 2,
+        max_ahead_ms: 0,
+        max_summaries: 10_000,
     };
     let mut book = SummaryStore::new(terms);
     book.retention = keep;
--- a/crates/scatter/tests/store.rs
+++ b/crates/scatter/tests/store.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::build::{build_summary, SummaryHeader, TableBuilder};
 use hallmux_scatter::exchange::Exchange;
 use hallmux_scatter::sql::{self, Unsupported};
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
-use hallmux_scatter::summary::{Loads, Summary, MOST_BYTES};
+use hallmux_scatter::summary::{LoadNumbers, Summary, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Collation, Kind, Value};
 
 const NOW: u64 = 1_000_000; // milliseconds
@@ -23,9 +23,9 @@
     StoreSettings {
         sites,
         schemas: BTreeMap::from([(17, 3)]),
-        oldest_ms: 10_000,
-        ahead_ms: 1_000,
-        most: 2_000,
+        max_age_ms: 10_000,
+        max_ahead_ms: 1_000,
+        max_summaries: 2_000,
     }
 }
 
@@ -41,7 +41,7 @@
             Some(Value::Text(format!("{n}").repeat(40))),
         ]);
     }
-    let (site, loads) = (format!("s{site}"), Loads::default());
+    let (site, loads) = (format!("s{site}"), LoadNumbers::default());
     let about = SummaryHeader {
         site,
         group: 17,
@@ -50,13 +50,13 @@
         made_ms: NOW,
         loads,
     };
-    summary(about, vec![table], MOST_BYTES)
+    build_summary(about, vec![table], MAX_SUMMARY_BYTES)
 }
 
 #[test]
 fn what_is_not_a_sites_own_fresh_word_is_refused_with_its_reason_and_changes_nothing() {
     let mut book = SummaryStore::new(StoreSettings {
-        most: 1,
+        max_summaries: 1,
         ..terms(2)
     });
     let good = word(0, 5, 200).sign(&key(0));
@@ -70,7 +70,7 @@
     let cases: [(Vec<u8>, &str); 13] = [
         (good[..good.len() - 1].to_vec(), "form"),
         ([good.clone(), vec![0]].concat(), "form"),
-        (vec![0; MOST_BYTES + 1], "long"),
+        (vec![0; MAX_SUMMARY_BYTES + 1], "long"),
         (of(&|s| s.format = 5), "format"),
         (word(0, 6, 5).sign(&key(1)), "forged"),
         (of(&|s| s.site = "elsewhere".into()), "unknown site"),
@@ -84,7 +84,7 @@
     ];
     for (bytes, why) in cases {
         let refused = book.accept(NOW, &bytes).unwrap_err();
-        assert_eq!(refused.why(), why, "{refused}");
+        assert_eq!(refused.name(), why, "{refused}");
         // Each says what is wrong, and behind a colon what can be done, or which site it is of.
         assert!(
             refused.to_string().contains("summar") || refused.to_string().contains("site '"),
@@ -144,7 +144,7 @@
 #[test]
 fn a_summary_that_would_be_too_long_loses_filters_and_nothing_else() {
     let long = word(0, 1, 40_000);
-    assert!(long.sign(&key(0)).len() <= MOST_BYTES);
+    assert!(long.sign(&key(0)).len() <= MAX_SUMMARY_BYTES);
     let table = &long.tables[0];
     assert!(
         table.columns.iter().filter(|c| c.members.is_none()).count() == 1,
