--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -93,7 +93,7 @@
         let drawn = self.random.hash_one(ticket);
         if let Some(at) = self
             .audits
-            .pick(now, drawn, self.fronts as f64, &plan.pruned)
+            .choose_site(now, drawn, self.fronts as f64, &plan.pruned)
         {
             plan.audit(at, sites, allowed);
         }
@@ -146,7 +146,7 @@
             group,
             version,
         } = of;
-        match self.audits.answered(site, rows, sure) {
+        match self.audits.record_answer(site, rows, sure) {
             AuditResult::Refuted => {
                 let counts = self.audits.counts;
                 self.found.push(FalseSummary {
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -208,11 +208,11 @@
     /// What follows from an answer of the ledger.
     pub fn done(&mut self, done: LedgerAnswer) -> Vec<LoadOutcome> {
         let said = match done.outcome {
-            Outcome::Stands(entry) => LedgerReply::Stands {
+            Outcome::Stands(entry) => LedgerReply::Entry {
                 version: entry.version,
                 value: entry.value,
             },
-            Outcome::Held(entry) => LedgerReply::Held {
+            Outcome::Held(entry) => LedgerReply::Conflict {
                 version: entry.version,
                 value: entry.value,
             },
@@ -263,11 +263,14 @@
 }
 
 fn ask(ask: marker_requests::LedgerRequest) -> LedgerRequest {
-    let operation = match ask.what {
+    let operation = match ask.operation {
         marker_requests::Operation::Read => Operation::Read,
         // It never ends: what it says of versions holds for good.
-        marker_requests::Operation::Put { expects, value } => Operation::Put {
-            expects: Some(expects),
+        marker_requests::Operation::Put {
+            expected_version,
+            value,
+        } => Operation::Put {
+            expects: Some(expected_version),
             ends_ms: 0,
             value,
         },
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -397,7 +397,7 @@
                     }
                     Err(InvalidRequest::NoAllowedLocation) => {
                         let whole = statement.whole.as_mut();
-                        let more = whole.map(|whole| whole.failed(place, PartFailure::Barred));
+                        let more = whole.map(|whole| whole.part_failed(place, PartFailure::Barred));
                         acts.extend(more.unwrap_or_default());
                     }
                     Err(invalid) => {
@@ -451,9 +451,9 @@
                 self.note_rows(now, ticket, place, &rows, dispatcher);
                 let statement = self.open.get_mut(&ticket);
                 let whole = statement.and_then(|statement| statement.whole.as_mut());
-                whole.map_or(Vec::new(), |whole| whole.answered(place, rows))
+                whole.map_or(Vec::new(), |whole| whole.part_answered(place, rows))
             }
-            Err(failed) => whole.failed(place, failed),
+            Err(failed) => whole.part_failed(place, failed),
         };
         self.act(now, ticket, acts, dispatcher);
         self.note_audit_wait(now, ticket);
--- a/crates/scatter/src/audit.rs
+++ b/crates/scatter/src/audit.rs
@@ -82,7 +82,7 @@
 
     /// Which of the sites that a scatter leaves out it asks all the same: the one audited longest ago. `drawn` is chance,
     /// `fronts` how many share the fleet's budget.
-    pub fn pick(
+    pub fn choose_site(
         &mut self,
         now: Micros,
         drawn: u64,
@@ -129,7 +129,7 @@
     }
 
     /// A site that its summary rules out has answered with so many rows. `sure`: no load can have brought them.
-    pub fn answered(&mut self, site: &str, rows: u64, sure: bool) -> AuditResult {
+    pub fn record_answer(&mut self, site: &str, rows: u64, sure: bool) -> AuditResult {
         if rows > 0 && !sure {
             return AuditResult::Inconclusive;
         }
--- a/crates/scatter/src/build.rs
+++ b/crates/scatter/src/build.rs
@@ -145,7 +145,7 @@
             }
             if greatest.len() > LONGEST_TEXT {
                 tight = false;
-                match above(cut(greatest)) {
+                match prefix_successor(cut(greatest)) {
                     Some(text) => *greatest = text,
                     None => bounds = None,
                 }
@@ -189,7 +189,7 @@
 }
 
 /// Text above everything that begins with the text given: its last character that has a next one, one further.
-pub fn above(text: &str) -> Option<String> {
+pub fn prefix_successor(text: &str) -> Option<String> {
     let mut chars: Vec<char> = text.chars().collect();
     while let Some(last) = chars.pop() {
         let next = (u32::from(last) + 1..=u32::from(char::MAX))
--- a/crates/scatter/src/condition.rs
+++ b/crates/scatter/src/condition.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::build::above;
+use crate::build::prefix_successor;
 use crate::filter::Members;
 use crate::runs;
 use crate::summary::{Column, Table};
@@ -179,13 +179,17 @@
     }
 
     /// Which share of the rows may make it TRUE, by a guess that only ever orders sites.
-    pub fn share(&self, table: &Table) -> f64 {
+    pub fn selectivity(&self, table: &Table) -> f64 {
         if self.never_true(table) {
             return 0.0;
         }
         match self {
-            Condition::All(all) => all.iter().map(|c| c.share(table)).product(),
-            Condition::Any(any) => any.iter().map(|c| c.share(table)).sum::<f64>().min(1.0),
+            Condition::All(all) => all.iter().map(|c| c.selectivity(table)).product(),
+            Condition::Any(any) => any
+                .iter()
+                .map(|c| c.selectivity(table))
+                .sum::<f64>()
+                .min(1.0),
             Condition::Compare {
                 column,
                 by: Comparison::Equal,
@@ -299,7 +303,7 @@
         }
         let few = high.checked_sub(low).is_some_and(|span| span < MOST_POINTS);
         let none =
-            |members: &Members| (low..=high).all(|n| !members.may_have(Value::Number(n).hash()));
+            |members: &Members| (low..=high).all(|n| !members.may_contain(Value::Number(n).hash()));
         bound && (column.has_none(low, high) || few && column.members.as_ref().is_some_and(none))
     })
 }
@@ -307,7 +311,7 @@
 impl Column {
     /// Surely no value from the one to the other, by its runs.
     fn has_none(&self, low: i128, high: i128) -> bool {
-        !self.runs.is_empty() && !runs::meet(&self.runs, low, high)
+        !self.runs.is_empty() && !runs::overlaps(&self.runs, low, high)
     }
 
     /// Which part of the range between its bounds lies so to the literal.
@@ -344,8 +348,11 @@
                 let outside = outside
                     || matches!((&point.below, &point.above),
                         (Value::Number(low), Value::Number(high)) if self.has_none(*low, *high));
-                let absent =
-                    |v: &Value| self.members.as_ref().is_some_and(|m| !m.may_have(v.hash()));
+                let absent = |v: &Value| {
+                    self.members
+                        .as_ref()
+                        .is_some_and(|m| !m.may_contain(v.hash()))
+                };
                 outside || self.kind != Kind::Float && absent(&point.below) && absent(&point.above)
             }
             Comparison::Unequal => self.tight && same(least, greatest) && same(least, &point.below),
@@ -366,7 +373,8 @@
         else {
             return false;
         };
-        let behind = above(prefix).is_some_and(|above| least.as_bytes() >= above.as_bytes());
+        let behind =
+            prefix_successor(prefix).is_some_and(|above| least.as_bytes() >= above.as_bytes());
         greatest.as_bytes() < prefix.as_bytes() || behind
     }
 }
--- a/crates/scatter/src/filter.rs
+++ b/crates/scatter/src/filter.rs
@@ -71,7 +71,7 @@
     }
 
     /// Whether what was read can be asked without a look beyond its end.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         match self {
             Members::All(hashes) => hashes.len() < FEW && hashes.windows(2).all(|w| w[0] < w[1]),
             Members::Bits(bytes) => (1..1 << 24).contains(&bytes.len()),
@@ -91,7 +91,7 @@
     }
 
     /// False: surely none of them.
-    pub fn may_have(&self, hash: u64) -> bool {
+    pub fn may_contain(&self, hash: u64) -> bool {
         match self {
             Members::All(hashes) => hashes.binary_search(&hash).is_ok(),
             Members::Bits(bytes) => {
--- a/crates/scatter/src/filter_tests.rs
+++ b/crates/scatter/src/filter_tests.rs
@@ -22,19 +22,19 @@
 fn every_member_is_found_and_few_others() {
     for count in [0, 1, 31, 32, 33, 100, 5_000] {
         let members = Members::new(hashes(0, count)).unwrap();
-        assert!(members.is_sound());
+        assert!(members.is_valid());
         assert!(hashes(0, count)
             .into_iter()
-            .all(|hash| members.may_have(hash)));
-        assert!(wrong(|hash| members.may_have(hash)) < 0.006, "{count}");
+            .all(|hash| members.may_contain(hash)));
+        assert!(wrong(|hash| members.may_contain(hash)) < 0.006, "{count}");
         let small = Members::small(hashes(0, count));
         assert!(
-            small.is_sound()
+            small.is_valid()
                 && hashes(0, count)
                     .into_iter()
-                    .all(|hash| small.may_have(hash))
+                    .all(|hash| small.may_contain(hash))
         );
-        assert!(wrong(|hash| small.may_have(hash)) < 0.25, "{count}");
+        assert!(wrong(|hash| small.may_contain(hash)) < 0.25, "{count}");
     }
 }
 
@@ -43,7 +43,7 @@
 fn bits_kept_prove_more_than_those_of_a_bloom_filter() {
     let members = Members::new(hashes(0, 50_000)).unwrap();
     let bits = members.size() as f64 * 8.0 / 50_000.0;
-    let fuse = wrong(|hash| members.may_have(hash));
+    let fuse = wrong(|hash| members.may_contain(hash));
     let bloom = fastbloom::BloomFilter::with_num_bits((bits * 50_000.0) as usize).seed(&7);
     let bloom = bloom.items(hashes(0, 50_000).iter());
     let bloom = wrong(|hash| bloom.contains(&hash));
@@ -72,12 +72,12 @@
         segments,
         fingerprints: fingerprints.to_vec(),
     };
-    assert!(fuse(segment, segments, &fingerprints).is_sound());
-    assert!(!fuse(segment, segments, &fingerprints[1..]).is_sound());
-    assert!(!fuse(segment * 2, segments, &fingerprints).is_sound());
-    assert!(!fuse(0, segments, &fingerprints).is_sound());
-    assert!(!fuse(segment, 0, &fingerprints).is_sound());
-    assert!(!fuse(segment, u32::MAX, &fingerprints).is_sound());
+    assert!(fuse(segment, segments, &fingerprints).is_valid());
+    assert!(!fuse(segment, segments, &fingerprints[1..]).is_valid());
+    assert!(!fuse(segment * 2, segments, &fingerprints).is_valid());
+    assert!(!fuse(0, segments, &fingerprints).is_valid());
+    assert!(!fuse(segment, 0, &fingerprints).is_valid());
+    assert!(!fuse(segment, u32::MAX, &fingerprints).is_valid());
     assert!(!Members::All(
         vec![fnv1a(*b"b"), fnv1a(*b"a")]
             .into_iter()
@@ -85,5 +85,5 @@
             .collect::<Vec<_>>()
             .repeat(2)
     )
-    .is_sound());
+    .is_valid());
 }
--- a/crates/scatter/src/gather.rs
+++ b/crates/scatter/src/gather.rs
@@ -170,12 +170,12 @@
     }
 
     /// A part is answered.
-    pub fn answered(&mut self, place: usize, rows: Vec<u8>) -> Vec<Action> {
+    pub fn part_answered(&mut self, place: usize, rows: Vec<u8>) -> Vec<Action> {
         self.ended(place, State::Rows(rows))
     }
 
     /// A part failed for good.
-    pub fn failed(&mut self, place: usize, failed: PartFailure) -> Vec<Action> {
+    pub fn part_failed(&mut self, place: usize, failed: PartFailure) -> Vec<Action> {
         if self.done || !self.is_out(place) {
             return Vec::new();
         }
--- a/crates/scatter/src/gather_tests.rs
+++ b/crates/scatter/src/gather_tests.rs
@@ -38,18 +38,18 @@
 fn rows_are_joined_in_the_order_of_sites_and_the_answer_is_given_once() {
     let (mut whole, acts) = Gather::new(parts(&[1.0, 9.0]), vec![], RULES);
     assert_eq!(acts, [Action::Start(0), Action::Start(1)]);
-    assert_eq!(whole.answered(1, b"b\n".to_vec()), []);
-    assert_eq!(whole.answered(1, b"again\n".to_vec()), []);
-    assert_eq!(whole.answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
-    assert_eq!(whole.answered(0, b"a\n".to_vec()), []);
-    assert_eq!(whole.failed(0, PartFailure::Aborted), []);
+    assert_eq!(whole.part_answered(1, b"b\n".to_vec()), []);
+    assert_eq!(whole.part_answered(1, b"again\n".to_vec()), []);
+    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
+    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), []);
+    assert_eq!(whole.part_failed(0, PartFailure::Aborted), []);
     assert_eq!(whole.skip_audits(), []);
 }
 
 #[test]
 fn a_part_that_fails_for_good_fails_the_whole_and_ends_the_others() {
     let (mut whole, _) = Gather::new(parts(&[1.0, 1.0, 1.0]), vec![], RULES);
-    whole.answered(0, vec![]);
+    whole.part_answered(0, vec![]);
     let rejected = Answer::Rejected {
         retry_after: Some(5),
         site: "s1".into(),
@@ -58,7 +58,7 @@
         retry_after: Some(5),
     };
     assert_eq!(
-        whole.failed(1, failed),
+        whole.part_failed(1, failed),
         [Action::End(2), Action::Answer(rejected)]
     );
     assert!(whole.is_done());
@@ -71,13 +71,16 @@
         ..RULES
     };
     let (mut whole, _) = Gather::new(parts(&[1.0, 1.0]), vec!["far".into()], rules);
-    assert_eq!(whole.failed(0, PartFailure::Aborted), []);
+    assert_eq!(whole.part_failed(0, PartFailure::Aborted), []);
     let answer = Answer::Rows {
         bytes: b"b\n".to_vec(),
         missing: vec!["s0".into()],
         barred: vec!["far".into()],
     };
-    assert_eq!(whole.answered(1, b"b\n".to_vec()), [Action::Answer(answer)]);
+    assert_eq!(
+        whole.part_answered(1, b"b\n".to_vec()),
+        [Action::Answer(answer)]
+    );
     let (_, acts) = Gather::new(parts(&[1.0]), vec!["far".into()], RULES);
     assert_eq!(acts, [Action::Answer(Answer::Barred(vec!["far".into()]))]);
 }
@@ -90,8 +93,11 @@
     };
     let (mut whole, acts) = Gather::new(parts(&[1.0, 9.0, 5.0]), vec![], rules.clone());
     assert_eq!(acts, [Action::Start(1)]);
-    assert_eq!(whole.answered(1, b"b\n".to_vec()), [Action::Start(2)]);
-    assert_eq!(whole.answered(2, b"c\nd\n".to_vec()), [rows(b"b\nc\n")]);
+    assert_eq!(whole.part_answered(1, b"b\n".to_vec()), [Action::Start(2)]);
+    assert_eq!(
+        whole.part_answered(2, b"c\nd\n".to_vec()),
+        [rows(b"b\nc\n")]
+    );
     // Two out at once: the other is ended.
     let (mut whole, _) = Gather::new(
         parts(&[1.0, 9.0, 5.0]),
@@ -102,7 +108,7 @@
         },
     );
     assert_eq!(
-        whole.answered(1, b"b\nx\n".to_vec()),
+        whole.part_answered(1, b"b\nx\n".to_vec()),
         [Action::End(2), rows(b"b\nx\n")]
     );
 }
@@ -113,7 +119,7 @@
     assert_eq!(acts, [rows(b"")]);
     let (mut whole, _) = Gather::new(parts(&[1.0]), vec![], RULES);
     assert_eq!(
-        whole.answered(0, vec![b'x'; 101]),
+        whole.part_answered(0, vec![b'x'; 101]),
         [Action::Answer(Answer::TooLong)]
     );
 }
@@ -126,15 +132,15 @@
         Gather::new(two, vec![], RULES).0
     };
     let mut whole = two();
-    assert_eq!(whole.failed(1, PartFailure::Aborted), []);
-    assert_eq!(whole.answered(0, b"a\n".to_vec()), [rows(b"a\n")]);
+    assert_eq!(whole.part_failed(1, PartFailure::Aborted), []);
+    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), [rows(b"a\n")]);
     let mut whole = two();
     assert!(!whole.only_audits_pending());
-    assert_eq!(whole.answered(0, b"a\n".to_vec()), []);
+    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), []);
     assert!(whole.only_audits_pending());
     assert_eq!(whole.skip_audits(), [Action::End(1), rows(b"a\n")]);
     // What it finds in time is in the answer.
     let mut whole = two();
-    whole.answered(1, b"b\n".to_vec());
-    assert_eq!(whole.answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
+    whole.part_answered(1, b"b\n".to_vec());
+    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
 }
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -172,7 +172,10 @@
     }
     let (runs_a, runs_b) = (runs_of(a), runs_of(b));
     if let (Some(all), Some(others)) = (&runs_a, &runs_b) {
-        if !all.iter().any(|(from, to)| runs::meet(others, *from, *to)) {
+        if !all
+            .iter()
+            .any(|(from, to)| runs::overlaps(others, *from, *to))
+        {
             return true;
         }
     }
@@ -194,7 +197,7 @@
         return false;
     };
     if let Some(Members::All(hashes)) = &few.members {
-        return hashes.iter().all(|hash| !members.may_have(*hash));
+        return hashes.iter().all(|hash| !members.may_contain(*hash));
     }
     let (Kind::Number { .. }, Some(runs)) = (few.kind, runs) else {
         return false;
@@ -205,11 +208,11 @@
     let own = |hash: u64| {
         few.members
             .as_ref()
-            .is_none_or(|members| members.may_have(hash))
+            .is_none_or(|members| members.may_contain(hash))
     };
     let in_both = |value: i128| {
         let hash = Value::Number(value).hash();
-        own(hash) && members.may_have(hash)
+        own(hash) && members.may_contain(hash)
     };
     count.is_some_and(|count| count <= MOST_KEYS)
         && !runs.iter().any(|(from, to)| (*from..=*to).any(in_both))
--- a/crates/scatter/src/layers.rs
+++ b/crates/scatter/src/layers.rs
@@ -58,7 +58,7 @@
         .iter_mut()
         .flat_map(|table| &mut table.columns)
     {
-        column.runs = runs::coarser(std::mem::take(&mut column.runs), runs::FEWER);
+        column.runs = runs::merge_closest(std::mem::take(&mut column.runs), runs::MAX_LAYERED_RUNS);
     }
     summary.cut(most.min(MAX_SUMMARY_BYTES) / 2, LAYERED, LAYERED_EXTENDED);
     let size = |layer: &Layer| {
--- a/crates/scatter/src/load_markers.rs
+++ b/crates/scatter/src/load_markers.rs
@@ -285,7 +285,7 @@
 
 impl LoadMarker {
     fn is_covered(&self, loads: &LoadNumbers) -> bool {
-        loads.has(self.from, self.to)
+        loads.contains_range(self.from, self.to)
             || self
                 .ended_before
                 .is_some_and(|number| loads.last() >= number)
--- a/crates/scatter/src/marker_requests.rs
+++ b/crates/scatter/src/marker_requests.rs
@@ -22,7 +22,7 @@
     /// The table group whose marks are read or changed.
     pub group: u32,
     /// What is to be done.
-    pub what: Operation,
+    pub operation: Operation,
 }
 
 /// What the ledger is to do with a group's marks.
@@ -33,7 +33,7 @@
     /// 0: there is none yet.
     Put {
         /// The version that the entry has to have for the put to be done.
-        expects: u64,
+        expected_version: u64,
         /// The marks, as [`crate::load_markers::LoadMarkers::bytes`] writes them.
         value: Vec<u8>,
     },
@@ -43,14 +43,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerReply {
     /// The entry as read, or as a put has left it.
-    Stands {
+    Entry {
         /// The entry's version.
         version: u64,
         /// The entry's bytes.
         value: Vec<u8>,
     },
     /// A put was not done: the entry has another version than expected.
-    Held {
+    Conflict {
         /// The entry's version.
         version: u64,
         /// The entry's bytes.
@@ -181,7 +181,7 @@
                 requests.push(LedgerRequest {
                     number: self.next,
                     group: number,
-                    what: Operation::Read,
+                    operation: Operation::Read,
                 });
                 self.next += 1;
             }
@@ -212,14 +212,14 @@
                 Some(value) => {
                     group.put = Some((self.next, batch, markers));
                     self.requested.insert(self.next, number);
-                    let what = Operation::Put {
-                        expects: group.version,
+                    let operation = Operation::Put {
+                        expected_version: group.version,
                         value,
                     };
                     requests.push(LedgerRequest {
                         number: self.next,
                         group: number,
-                        what,
+                        operation,
                     });
                     self.next += 1;
                 }
@@ -247,7 +247,7 @@
                 .take()
                 .map_or(Vec::new(), |(_, scatters)| scatters);
             let markers = match reply {
-                LedgerReply::Stands { value, .. } | LedgerReply::Held { value, .. } => {
+                LedgerReply::Entry { value, .. } | LedgerReply::Conflict { value, .. } => {
                     LoadMarkers::read(&value)
                 }
                 LedgerReply::Absent => Some(LoadMarkers::default()),
@@ -264,7 +264,7 @@
             return effects;
         };
         match reply {
-            LedgerReply::Stands { version, .. } => {
+            LedgerReply::Entry { version, .. } => {
                 (group.version, group.markers, group.tries) = (version, markers, 0);
                 for (waiter, number) in batch {
                     let Some(load) = self.loads.get_mut(&waiter) else {
@@ -283,7 +283,7 @@
                 }
             }
             // Another front was before: once more on what it has left.
-            LedgerReply::Held { version, value } => {
+            LedgerReply::Conflict { version, value } => {
                 group.tries += 1;
                 match LoadMarkers::read(&value).filter(|_| group.tries < MOST_TRIES) {
                     Some(markers) => {
--- a/crates/scatter/src/marker_requests_tests.rs
+++ b/crates/scatter/src/marker_requests_tests.rs
@@ -22,13 +22,19 @@
     let [ask] = &asks(&mut marker)[..] else {
         panic!()
     };
-    assert!(matches!(ask.what, Operation::Put { expects: 0, .. }));
+    assert!(matches!(
+        ask.operation,
+        Operation::Put {
+            expected_version: 0,
+            ..
+        }
+    ));
     // One change of a group at a time; what comes meanwhile waits for the next.
     load(&mut marker, 2);
     assert_eq!(asks(&mut marker), []);
     let mut others = LoadMarkers::default();
     others.add("ash", 60, Affected::Anything);
-    let held = LedgerReply::Held {
+    let held = LedgerReply::Conflict {
         version: 7,
         value: others.bytes().unwrap(),
     };
@@ -36,13 +42,17 @@
     let [ask] = &asks(&mut marker)[..] else {
         panic!()
     };
-    let Operation::Put { expects: 7, value } = &ask.what else {
+    let Operation::Put {
+        expected_version: 7,
+        value,
+    } = &ask.operation
+    else {
         panic!("{ask:?}")
     };
     assert_eq!(LoadMarkers::read(value).unwrap().len(), 3);
     let follows = marker.on_reply(
         ask.number,
-        LedgerReply::Stands {
+        LedgerReply::Entry {
             version: 8,
             value: value.clone(),
         },
@@ -78,7 +88,7 @@
     assert_eq!(
         marker.on_reply(
             asked[0].number,
-            LedgerReply::Stands {
+            LedgerReply::Entry {
                 version: 1,
                 value: vec![]
             }
@@ -104,7 +114,7 @@
         [word]
     );
     assert_eq!(asks(&mut marker).len(), 1);
-    let damaged = LedgerReply::Stands {
+    let damaged = LedgerReply::Entry {
         version: 1,
         value: vec![9; 3],
     };
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -161,7 +161,7 @@
             plan.barred.push(site.clone());
         } else {
             let rows = table.map_or(f64::INFINITY, |(_, t)| {
-                t.rows as f64 * query.condition.share(t)
+                t.rows as f64 * query.condition.selectivity(t)
             });
             let reason = reason.unwrap_or(Reason::Suspected);
             plan.parts.push(Part {
--- a/crates/scatter/src/runs.rs
+++ b/crates/scatter/src/runs.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 /// The most runs that a column may have.
-pub const MOST: usize = 256; // runs of a column: some 1,500 bytes
-pub(crate) const FEWER: usize = 64; // of a column that is told in sheets, where all fronts hold them
-const GROWING: usize = 4_096; // runs of a column as its rows come
+pub const MAX_RUNS: usize = 256; // runs of a column: some 1,500 bytes
+pub(crate) const MAX_LAYERED_RUNS: usize = 64; // of a column that is told in sheets, where all fronts hold them
+const MAX_BUILDER_RUNS: usize = 4_096; // runs of a column as its rows come
 
 /// First and last value of each, in order.
 pub type Runs = Vec<(i128, i128)>;
@@ -47,18 +47,18 @@
             end = from.checked_add_unsigned(*length)?;
             runs.push((from, end));
         }
-        (runs.len() <= MOST).then_some(runs)
+        (runs.len() <= MAX_RUNS).then_some(runs)
     }
 }
 
 /// Whether a run has a value from the one to the other.
-pub fn meet(runs: &[(i128, i128)], low: i128, high: i128) -> bool {
+pub fn overlaps(runs: &[(i128, i128)], low: i128, high: i128) -> bool {
     let at = runs.partition_point(|(_, end)| *end < low);
     runs.get(at).is_some_and(|(from, _)| *from <= high)
 }
 
 /// Joins those with the least between them until there are no more than that.
-pub fn coarser(runs: Runs, most: usize) -> Runs {
+pub fn merge_closest(runs: Runs, most: usize) -> Runs {
     if runs.len() <= most.max(1) {
         return runs;
     }
@@ -100,15 +100,17 @@
             .and_then(|next| self.0.remove(&next))
             .unwrap_or(value);
         self.0.insert(from, end);
-        if self.0.len() > GROWING {
+        if self.0.len() > MAX_BUILDER_RUNS {
             let all = std::mem::take(&mut self.0).into_iter().collect();
-            self.0 = coarser(all, GROWING / 2).into_iter().collect();
+            self.0 = merge_closest(all, MAX_BUILDER_RUNS / 2)
+                .into_iter()
+                .collect();
         }
     }
 
-    /// The runs, joined where there are more than [`MOST`].
+    /// The runs, joined where there are more than [`MAX_RUNS`].
     pub fn runs(self) -> Runs {
-        coarser(self.0.into_iter().collect(), MOST)
+        merge_closest(self.0.into_iter().collect(), MAX_RUNS)
     }
 }
 
--- a/crates/scatter/src/runs_tests.rs
+++ b/crates/scatter/src/runs_tests.rs
@@ -21,9 +21,14 @@
             (i128::MAX, i128::MAX)
         ]
     );
-    assert_eq!(coarser(runs.clone(), 4)[1..3], [(1, 9), (90, 90)]);
+    assert_eq!(merge_closest(runs.clone(), 4)[1..3], [(1, 9), (90, 90)]);
     assert_eq!(EncodedRuns::of(&runs).unwrap().runs().unwrap(), runs);
-    assert!(meet(&runs, 4, 5) && meet(&runs, 3, 4) && !meet(&runs, 4, 4) && !meet(&runs, 10, 89));
+    assert!(
+        overlaps(&runs, 4, 5)
+            && overlaps(&runs, 3, 4)
+            && !overlaps(&runs, 4, 4)
+            && !overlaps(&runs, 10, 89)
+    );
 }
 
 proptest! {
@@ -34,9 +39,9 @@
     ) {
         let mut growing = RunsBuilder::default();
         values.iter().for_each(|value| growing.add_value(*value));
-        let runs = coarser(growing.runs(), most);
+        let runs = merge_closest(growing.runs(), most);
         prop_assert!(runs.len() <= most && runs.windows(2).all(|w| w[0].1 < w[1].0));
-        prop_assert!(values.iter().all(|value| meet(&runs, *value, *value)));
+        prop_assert!(values.iter().all(|value| overlaps(&runs, *value, *value)));
     }
 
     #[test]
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -42,7 +42,7 @@
         .filter(|sketch| sketch.lg_config_k() == LG_K)
 }
 
-pub(crate) fn is_sound(bytes: &[u8]) -> bool {
+pub(crate) fn is_valid(bytes: &[u8]) -> bool {
     read(bytes).is_some()
 }
 
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -261,10 +261,12 @@
         let shown = match table {
             None if asked => Outcome::Unknown,
             None => return,
-            Some((_, table)) if !asked => match query.condition.never_true(&table.bare()) {
-                true => Outcome::ByBounds,
-                false => Outcome::ByFilter,
-            },
+            Some((_, table)) if !asked => {
+                match query.condition.never_true(&table.without_filters()) {
+                    true => Outcome::ByBounds,
+                    false => Outcome::ByFilter,
+                }
+            }
             // It was asked for its loads.
             Some((_, table)) if query.condition.never_true(table) => return,
             Some(_) if !query.condition.has_equality() => return,
--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -67,7 +67,7 @@
 impl LoadNumbers {
     /// Takes in one more; the oldest runs go where they are too many, which only means that more is asked.
     pub fn insert(&mut self, number: u64) {
-        if self.has(number, number) {
+        if self.contains_range(number, number) {
             return;
         }
         let at = self.0.partition_point(|(from, _)| *from < number);
@@ -84,7 +84,7 @@
     }
 
     /// Whether all from one number to another are in.
-    pub fn has(&self, from: u64, to: u64) -> bool {
+    pub fn contains_range(&self, from: u64, to: u64) -> bool {
         self.0.iter().any(|run| run.0 <= from && to <= run.1)
     }
 
@@ -314,8 +314,8 @@
 
 impl Table {
     /// The same without its columns' filters.
-    pub fn bare(&self) -> Table {
-        let bare = |c: &Column| Column {
+    pub fn without_filters(&self) -> Table {
+        let without_filters = |c: &Column| Column {
             name: c.name.clone(),
             kind: c.kind,
             nulls: c.nulls,
@@ -329,7 +329,7 @@
         Table {
             name: self.name.clone(),
             rows: self.rows,
-            columns: self.columns.iter().map(bare).collect(),
+            columns: self.columns.iter().map(without_filters).collect(),
         }
     }
 }
@@ -357,13 +357,13 @@
         if self
             .sketch
             .as_ref()
-            .is_some_and(|sketch| !sketch::is_sound(sketch))
+            .is_some_and(|sketch| !sketch::is_valid(sketch))
         {
             return Some("a column's sketch");
         }
         let members = self.members.as_ref();
         members
-            .is_some_and(|m| !m.is_sound())
+            .is_some_and(|m| !m.is_valid())
             .then_some("a column's filter")
     }
 }
--- a/crates/scatter/tests/audit.rs
+++ b/crates/scatter/tests/audit.rs
@@ -29,11 +29,11 @@
             assert!(steps < 2_000_000, "never found");
             // One scatter in ten has a row there that its summary denies.
             let has = drawn(&mut seed).is_multiple_of(10);
-            let at = front.pick(now, drawn(&mut seed), FRONTS as f64, &sites);
+            let at = front.choose_site(now, drawn(&mut seed), FRONTS as f64, &sites);
             let asked = at.map(|at| sites[at].as_str());
             if let Some(site) = asked {
                 let rows = u64::from(site == FALSE && has);
-                let verdict = front.answered(site, rows, true);
+                let verdict = front.record_answer(site, rows, true);
                 assert_eq!(verdict == AuditResult::Refuted, rows > 0);
             }
             missed += u64::from(has && asked != Some(FALSE));
@@ -70,15 +70,18 @@
         per_second: 1.0,
     });
     // Rows that a load may have brought prove nothing.
-    assert_eq!(audits.answered(FALSE, 1, false), AuditResult::Inconclusive);
+    assert_eq!(
+        audits.record_answer(FALSE, 1, false),
+        AuditResult::Inconclusive
+    );
     assert!(!audits.is_suspected(FALSE));
     for penalty in [20, 40, 80] {
-        assert_eq!(audits.answered(FALSE, 3, true), AuditResult::Refuted);
+        assert_eq!(audits.record_answer(FALSE, 3, true), AuditResult::Refuted);
         for _ in 1..penalty {
-            assert_eq!(audits.answered(FALSE, 0, true), AuditResult::Confirmed);
+            assert_eq!(audits.record_answer(FALSE, 0, true), AuditResult::Confirmed);
             assert!(audits.is_suspected(FALSE));
         }
-        assert_eq!(audits.answered(FALSE, 0, true), AuditResult::Recovered);
+        assert_eq!(audits.record_answer(FALSE, 0, true), AuditResult::Recovered);
         assert!(!audits.is_suspected(FALSE));
     }
     assert_eq!((audits.counts.found, audits.counts.rows), (3, 9));
@@ -92,13 +95,14 @@
     });
     audits.reported_by_peer(FALSE);
     for _ in 1..20 {
-        assert_eq!(audits.answered(FALSE, 0, true), AuditResult::Confirmed);
+        assert_eq!(audits.record_answer(FALSE, 0, true), AuditResult::Confirmed);
         assert!(audits.is_suspected(FALSE));
     }
-    assert_eq!(audits.answered(FALSE, 0, true), AuditResult::Recovered);
+    assert_eq!(audits.record_answer(FALSE, 0, true), AuditResult::Recovered);
     assert!(!audits.is_suspected(FALSE) && audits.counts.found == 0);
     // Found false here after that it costs twice as much.
-    assert_eq!(audits.answered(FALSE, 1, true), AuditResult::Refuted);
-    let earned = (0..100).position(|_| audits.answered(FALSE, 0, true) == AuditResult::Recovered);
+    assert_eq!(audits.record_answer(FALSE, 1, true), AuditResult::Refuted);
+    let earned =
+        (0..100).position(|_| audits.record_answer(FALSE, 0, true) == AuditResult::Recovered);
     assert_eq!(earned, Some(39));
 }
