--- a/crates/scatter/src/audit.rs
+++ b/crates/scatter/src/audit.rs
@@ -6,8 +6,8 @@
 use crate::Micros;
 
 const ANSWERS_TO_RECOVER: u32 = 20; // answers in a row that bear its word out, for a site that was found wrong once
-const MOST: u32 = 640; // for one that was found wrong again and again: each time twice as many
-const BURST: f64 = 1.0; // audits that a front may save up
+const MAX_ANSWERS_TO_RECOVER: u32 = 640; // for one that was found wrong again and again: each time twice as many
+const MAX_AUDIT_BUDGET: f64 = 1.0; // audits that a front may save up
 
 /// How much is spent on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -23,7 +23,7 @@
     /// When it was audited last.
     audited_at: Micros,
     /// Answers that it still has to give before its word counts again; 0: it counts.
-    answers_owed: u32,
+    answers_to_recover: u32,
     /// What the next false word costs.
     penalty: u32,
 }
@@ -54,7 +54,7 @@
 
 /// The audits of one front: when one is due, and which sites are suspected.
 pub struct Audits {
-    terms: AuditSettings,
+    settings: AuditSettings,
     /// What may be spent, as of when.
     budget: f64,
     refilled_at: Option<Micros>,
@@ -65,10 +65,10 @@
 
 impl Audits {
     /// No site is suspected yet, and one audit may be made at once.
-    pub fn new(terms: AuditSettings) -> Audits {
+    pub fn new(settings: AuditSettings) -> Audits {
         Audits {
-            terms,
-            budget: BURST,
+            settings,
+            budget: MAX_AUDIT_BUDGET,
             refilled_at: None,
             sites: BTreeMap::new(),
             counts: AuditCounts::default(),
@@ -76,8 +76,8 @@
     }
 
     /// Changes the settings; what is known of the sites stays.
-    pub fn reconfigure(&mut self, terms: AuditSettings) {
-        self.terms = terms;
+    pub fn reconfigure(&mut self, settings: AuditSettings) {
+        self.settings = settings;
     }
 
     /// Which of the sites that a scatter leaves out it asks all the same: the one audited longest ago. `drawn` is chance,
@@ -93,9 +93,10 @@
             .refilled_at
             .replace(now)
             .map_or(0, |filled| (now - filled).max(0));
-        self.budget =
-            (self.budget + since as f64 / 1e6 * self.terms.per_second / fronts.max(1.0)).min(BURST);
-        if !drawn.is_multiple_of(self.terms.one_in.max(1)) || self.budget < 1.0 {
+        self.budget = (self.budget
+            + since as f64 / 1e6 * self.settings.per_second / fronts.max(1.0))
+        .min(MAX_AUDIT_BUDGET);
+        if !drawn.is_multiple_of(self.settings.one_in.max(1)) || self.budget < 1.0 {
             return None;
         }
         let audited_at = |name: &String| {
@@ -103,21 +104,21 @@
                 .get(name)
                 .map_or(Micros::MIN, |site| site.audited_at)
         };
-        let (at, name) = pruned
+        let (index, name) = pruned
             .iter()
             .enumerate()
             .min_by_key(|(_, name)| audited_at(name))?;
         self.budget -= 1.0;
         self.counts.audits += 1;
         self.sites.entry(name.clone()).or_default().audited_at = now;
-        Some(at)
+        Some(index)
     }
 
     /// A site's word counts for nothing for now.
     pub fn is_suspected(&self, site: &str) -> bool {
         self.sites
             .get(site)
-            .is_some_and(|site| site.answers_owed > 0)
+            .is_some_and(|site| site.answers_to_recover > 0)
     }
 
     /// Another front has found a site's word false: it loses credit here too, as much as for one that was
@@ -125,25 +126,25 @@
     pub fn reported_by_peer(&mut self, site: &str) {
         let site = self.sites.entry(site.to_string()).or_default();
         site.penalty = site.penalty.max(ANSWERS_TO_RECOVER);
-        site.answers_owed = site.answers_owed.max(ANSWERS_TO_RECOVER);
+        site.answers_to_recover = site.answers_to_recover.max(ANSWERS_TO_RECOVER);
     }
 
     /// A site that its summary rules out has answered with so many rows. `sure`: no load can have brought them.
-    pub fn record_answer(&mut self, site: &str, rows: u64, sure: bool) -> AuditResult {
-        if rows > 0 && !sure {
+    pub fn record_answer(&mut self, site: &str, rows: u64, load_free: bool) -> AuditResult {
+        if rows > 0 && !load_free {
             return AuditResult::Inconclusive;
         }
         let site = self.sites.entry(site.to_string()).or_default();
         if rows > 0 {
-            site.penalty = (site.penalty * 2).clamp(ANSWERS_TO_RECOVER, MOST);
-            site.answers_owed = site.penalty;
+            site.penalty = (site.penalty * 2).clamp(ANSWERS_TO_RECOVER, MAX_ANSWERS_TO_RECOVER);
+            site.answers_to_recover = site.penalty;
             self.counts.found += 1;
             self.counts.rows += rows;
             return AuditResult::Refuted;
         }
-        let owed = site.answers_owed;
-        site.answers_owed = owed.saturating_sub(1);
-        if owed == 1 {
+        let remaining = site.answers_to_recover;
+        site.answers_to_recover = remaining.saturating_sub(1);
+        if remaining == 1 {
             AuditResult::Recovered
         } else {
             AuditResult::Confirmed
--- a/crates/scatter/src/build.rs
+++ b/crates/scatter/src/build.rs
@@ -10,9 +10,9 @@
 use crate::value::{less, Kind, Value};
 use crate::{runs, sketch};
 
-const LONGEST_TEXT: usize = 64; // bytes of text that bounds keep
-const MOST_HASHES: usize = MAX_SUMMARY_BYTES; // of a column: a filter of more would not fit
-const SIGNATURE_BYTES: usize = 128; // bytes for the signature and lengths around it
+const MAX_BOUND_TEXT_BYTES: usize = 64; // bytes of text that bounds keep
+const MAX_COLUMN_HASHES: usize = MAX_SUMMARY_BYTES; // of a column: a filter of more would not fit
+const RESERVED_SIGNATURE_BYTES: usize = 128; // bytes for the signature and lengths around it
 
 /// What holds for a whole summary.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
 impl TableBuilder {
     /// Names as unquoted ones are, without the schema.
     pub fn new(name: &str, columns: &[(&str, Kind)]) -> TableBuilder {
-        let growing = |(name, kind): &(&str, Kind)| ColumnBuilder {
+        let column_builder = |(name, kind): &(&str, Kind)| ColumnBuilder {
             name: name.to_ascii_lowercase(),
             kind: *kind,
             nulls: 0,
@@ -66,7 +66,7 @@
         TableBuilder {
             name: name.to_ascii_lowercase(),
             rows: 0,
-            columns: columns.iter().map(growing).collect(),
+            columns: columns.iter().map(column_builder).collect(),
         }
     }
 
@@ -85,8 +85,8 @@
     /// One row, its values in the order of the columns; None and what is missing are null.
     pub fn add_row(&mut self, values: &[Option<Value>]) {
         self.rows += 1;
-        for (place, column) in self.columns.iter_mut().enumerate() {
-            match values.get(place) {
+        for (position, column) in self.columns.iter_mut().enumerate() {
+            match values.get(position) {
                 Some(Some(value)) => column.add_value(value),
                 _ => column.nulls += 1,
             }
@@ -109,7 +109,7 @@
 
 impl ColumnBuilder {
     fn add_value(&mut self, value: &Value) {
-        if self.hashes.len() < MOST_HASHES {
+        if self.hashes.len() < MAX_COLUMN_HASHES {
             self.hashes.insert(value.hash());
         }
         // NaN has no order that all engines share.
@@ -140,12 +140,12 @@
         let usable = !self.unordered && self.kind != Kind::Other;
         let (mut bounds, mut tight) = (self.bounds.filter(|_| usable), true);
         if let Some((Value::Text(least), Value::Text(greatest))) = &mut bounds {
-            if least.len() > LONGEST_TEXT {
-                (tight, *least) = (false, cut(least).to_string());
+            if least.len() > MAX_BOUND_TEXT_BYTES {
+                (tight, *least) = (false, truncate(least).to_string());
             }
-            if greatest.len() > LONGEST_TEXT {
+            if greatest.len() > MAX_BOUND_TEXT_BYTES {
                 tight = false;
-                match prefix_successor(cut(greatest)) {
+                match prefix_successor(truncate(greatest)) {
                     Some(text) => *greatest = text,
                     None => bounds = None,
                 }
@@ -158,10 +158,11 @@
             .filter(|_| usable)
             .map(sketch::SketchBuilder::bytes);
         // Engines round floats in ways of their own: their equality proves nothing.
-        let whole = self.hashes.len() < MOST_HASHES && usable && self.kind != Kind::Float;
-        let hashes: Vec<u64> = self.hashes.into_iter().filter(|_| whole).collect();
-        let small = whole.then(|| Members::small(hashes.clone()));
-        let members = whole.then(|| Members::new(hashes)).flatten();
+        let has_all_hashes =
+            self.hashes.len() < MAX_COLUMN_HASHES && usable && self.kind != Kind::Float;
+        let hashes: Vec<u64> = self.hashes.into_iter().filter(|_| has_all_hashes).collect();
+        let small = has_all_hashes.then(|| Members::small(hashes.clone()));
+        let members = has_all_hashes.then(|| Members::new(hashes)).flatten();
         let (name, kind, nulls) = (self.name, self.kind, self.nulls);
         (
             Column {
@@ -180,8 +181,8 @@
     }
 }
 
-fn cut(text: &str) -> &str {
-    let mut end = LONGEST_TEXT.min(text.len());
+fn truncate(text: &str) -> &str {
+    let mut end = MAX_BOUND_TEXT_BYTES.min(text.len());
     while !text.is_char_boundary(end) {
         end -= 1;
     }
@@ -205,9 +206,9 @@
 
 /// The summary of a group's tables. Where it would be too long, the largest filters go until it is not.
 pub fn build_summary(
-    about: SummaryHeader,
+    header: SummaryHeader,
     tables: Vec<TableBuilder>,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> Summary {
     let SummaryHeader {
         site,
@@ -216,7 +217,7 @@
         version,
         made_ms,
         loads,
-    } = about;
+    } = header;
     let tables = tables.into_iter().map(|table| table.finish().0).collect();
     let mut summary = Summary {
         schema,
@@ -226,25 +227,25 @@
         tables,
         ..Summary::empty(&site, group)
     };
-    let most = most_bytes
+    let max_content_bytes = max_bytes
         .min(MAX_SUMMARY_BYTES)
-        .saturating_sub(SIGNATURE_BYTES);
-    while summary.size() > most {
+        .saturating_sub(RESERVED_SIGNATURE_BYTES);
+    while summary.size() > max_content_bytes {
         let columns = summary.tables.iter_mut().flat_map(|t| &mut t.columns);
         let largest = columns.max_by_key(|c| c.members.as_ref().map_or(0, Members::size));
         if largest.and_then(|c| c.members.take()).is_none() {
             break;
         }
     }
-    summary.cut(most, summary.format, summary.format);
+    summary.drop_extensions(max_content_bytes, summary.format, summary.format);
     summary
 }
 
 /// The same in sheets, signed: fronts may hold a part of it.
 pub fn build_layered_summary(
-    about: SummaryHeader,
+    header: SummaryHeader,
     tables: Vec<TableBuilder>,
-    most_bytes: usize,
+    max_bytes: usize,
     key: &SigningKey,
 ) -> Vec<u8> {
     let SummaryHeader {
@@ -254,24 +255,30 @@
         version,
         made_ms,
         loads,
-    } = about;
+    } = header;
     let (mut small, mut full) = (Vec::new(), Vec::new());
-    let mut of = |(at, table): (usize, TableBuilder)| {
-        let (mut table, smalls) = table.finish();
-        for (place, (column, few)) in table.columns.iter_mut().zip(smalls).enumerate() {
-            let name = (at as u16, place as u16);
+    let mut finish_table = |(table_position, table): (usize, TableBuilder)| {
+        let (mut table, small_filters) = table.finish();
+        for (position, (column, small_filter)) in
+            table.columns.iter_mut().zip(small_filters).enumerate()
+        {
+            let name = (table_position as u16, position as u16);
             let members = column.members.take();
             // Few values are all there already.
             full.extend(
                 members
-                    .filter(|m| Some(m) != few.as_ref())
+                    .filter(|m| Some(m) != small_filter.as_ref())
                     .map(|m| (name.0, name.1, m)),
             );
-            small.extend(few.map(|m| (name.0, name.1, m)));
+            small.extend(small_filter.map(|m| (name.0, name.1, m)));
         }
         table
     };
-    let tables = tables.into_iter().enumerate().map(&mut of).collect();
+    let tables = tables
+        .into_iter()
+        .enumerate()
+        .map(&mut finish_table)
+        .collect();
     let summary = Summary {
         schema,
         version,
@@ -280,5 +287,5 @@
         tables,
         ..Summary::empty(&site, group)
     };
-    layers::sign(summary, small, full, most_bytes, key)
+    layers::sign(summary, small, full, max_bytes, key)
 }
--- a/crates/scatter/src/combine.rs
+++ b/crates/scatter/src/combine.rs
@@ -5,12 +5,12 @@
 use bigdecimal::BigDecimal;
 use sqlparser::ast::{Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, SelectItem};
 
-use crate::row::{arguments, beyond_one_row};
+use crate::row::{arguments, non_row_expression};
 use crate::sql::{ColumnScope, Unsupported};
 use crate::value::Kind;
 
-const NULLS: [&str; 4] = ["", "\\N", "NULL", "null"]; // as engines write that there is no value
-const LONGEST: usize = 1_000; // characters of a number
+const NULL_SPELLINGS: [&str; 4] = ["", "\\N", "NULL", "null"]; // as engines write that there is no value
+const MAX_NUMBER_CHARS: usize = 1_000; // characters of a number
 
 /// The aggregates that can be put together from those of the sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
         "max" => Some(AggregateKind::Max),
         _ => None,
     };
-    let of = |item: &SelectItem| match item {
+    let aggregate_call = |item: &SelectItem| match item {
         SelectItem::UnnamedExpr(Expr::Function(f))
         | SelectItem::ExprWithAlias {
             expr: Expr::Function(f),
@@ -56,7 +56,8 @@
         } => kind_of(f).map(|kind| (kind, f.clone())),
         _ => None,
     };
-    let all: Vec<(AggregateKind, Function)> = projection.iter().filter_map(of).collect();
+    let all: Vec<(AggregateKind, Function)> =
+        projection.iter().filter_map(aggregate_call).collect();
     if all.is_empty() {
         return Ok(None);
     }
@@ -67,8 +68,8 @@
     let mut aggregates = Vec::new();
     for (kind, f) in all {
         let column = match (kind, arguments(&f).as_deref()) {
-            (AggregateKind::Count, None) if is_of_rows(&f) => None,
-            (AggregateKind::Count, Some([e])) if beyond_one_row(e).is_none() => None,
+            (AggregateKind::Count, None) if is_row_count(&f) => None,
+            (AggregateKind::Count, Some([e])) if non_row_expression(e).is_none() => None,
             (AggregateKind::Sum | AggregateKind::Min | AggregateKind::Max, Some([e])) => {
                 match names.column(e) {
                     Some(column) => Some(column),
@@ -91,7 +92,7 @@
 }
 
 /// `count(*)` and nothing else.
-fn is_of_rows(f: &Function) -> bool {
+fn is_row_count(f: &Function) -> bool {
     let plain = f.over.is_none()
         && f.filter.is_none()
         && f.within_group.is_empty()
@@ -131,13 +132,15 @@
     }
 
     fn join(&self, fields: &[&str]) -> Option<String> {
-        let null = fields.iter().find(|field| NULLS.contains(field));
+        let null = fields.iter().find(|field| NULL_SPELLINGS.contains(field));
         if self.float && self.kind != AggregateKind::Count {
             return self.join_floats(fields, null.copied());
         }
-        let values = fields.iter().filter(|field| !NULLS.contains(field));
+        let values = fields
+            .iter()
+            .filter(|field| !NULL_SPELLINGS.contains(field));
         let values: Vec<(BigDecimal, &str)> = values
-            .map(|field| Some((number(field)?, *field)))
+            .map(|field| Some((parse_decimal(field)?, *field)))
             .collect::<Option<_>>()?;
         if values.is_empty() || self.kind == AggregateKind::Count && null.is_some() {
             return null
@@ -163,9 +166,11 @@
     /// The sum of doubles in the order of sites, which is the same at each try; or the one that is least or
     /// greatest, as it came.
     fn join_floats(&self, fields: &[&str], null: Option<&str>) -> Option<String> {
-        let values = fields.iter().filter(|field| !NULLS.contains(field));
+        let values = fields
+            .iter()
+            .filter(|field| !NULL_SPELLINGS.contains(field));
         let values: Vec<(f64, &str)> = values
-            .map(|field| Some((float(field)?, *field)))
+            .map(|field| Some((parse_float(field)?, *field)))
             .collect::<Option<_>>()?;
         if values.is_empty() {
             return null.map(str::to_string);
@@ -189,21 +194,21 @@
 }
 
 /// A finite one: of others engines make this or that.
-fn float(field: &str) -> Option<f64> {
+fn parse_float(field: &str) -> Option<f64> {
     let plain = |c: u8| c.is_ascii_digit() || b"+-.eE".contains(&c);
-    let short = field.len() <= LONGEST && field.bytes().all(plain);
+    let short = field.len() <= MAX_NUMBER_CHARS && field.bytes().all(plain);
     field
         .parse()
         .ok()
         .filter(|number: &f64| short && number.is_finite())
 }
 
-fn number(field: &str) -> Option<BigDecimal> {
+fn parse_decimal(field: &str) -> Option<BigDecimal> {
     let plain = |c: u8| c.is_ascii_digit() || b"+-.".contains(&c);
     field
         .parse()
         .ok()
-        .filter(|_| field.len() <= LONGEST && field.bytes().all(plain))
+        .filter(|_| field.len() <= MAX_NUMBER_CHARS && field.bytes().all(plain))
 }
 
 /// One row from one row of each part; the place of the first part that is of another form where there is one.
@@ -219,11 +224,11 @@
             .split('\t')
             .collect();
         // Engines' rows have three columns: what is not asked for is empty.
-        let beyond = fields.split_off(aggregates.len().min(fields.len()));
-        if fields.len() != aggregates.len() || beyond.iter().any(|field| !field.is_empty()) {
+        let extra_fields = fields.split_off(aggregates.len().min(fields.len()));
+        if fields.len() != aggregates.len() || extra_fields.iter().any(|field| !field.is_empty()) {
             return Err(at);
         }
-        empty = empty.max(beyond.len());
+        empty = empty.max(extra_fields.len());
         rows.push(fields);
     }
     let mut joined = Vec::new();
@@ -233,8 +238,8 @@
             .filter_map(|row| row.get(place).copied())
             .collect();
         let Some(field) = aggregate.join(&fields) else {
-            let wrong = |field: &&str| aggregate.join(&[field]).is_none();
-            return Err(fields.iter().position(wrong).unwrap_or(0));
+            let is_malformed = |field: &&str| aggregate.join(&[field]).is_none();
+            return Err(fields.iter().position(is_malformed).unwrap_or(0));
         };
         joined.push(field);
     }
--- a/crates/scatter/src/combine_tests.rs
+++ b/crates/scatter/src/combine_tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn of(way: AggregateKind) -> Aggregate {
+fn aggregate(aggregate_kind: AggregateKind) -> Aggregate {
     Aggregate {
-        kind: way,
+        kind: aggregate_kind,
         column: None,
         float: false,
     }
@@ -12,9 +12,9 @@
 
 #[test]
 fn floats_are_added_in_the_order_of_sites_and_compared_as_numbers() {
-    let float = |way| Aggregate {
+    let float = |kind| Aggregate {
         float: true,
-        ..of(way)
+        ..aggregate(kind)
     };
     let all = [
         float(AggregateKind::Sum),
@@ -42,10 +42,10 @@
 #[test]
 fn aggregates_are_joined_exactly() {
     let all = [
-        of(AggregateKind::Count),
-        of(AggregateKind::Sum),
-        of(AggregateKind::Min),
-        of(AggregateKind::Max),
+        aggregate(AggregateKind::Count),
+        aggregate(AggregateKind::Sum),
+        aggregate(AggregateKind::Min),
+        aggregate(AggregateKind::Max),
     ];
     let parts: [&[u8]; 3] = [
         b"2\t99999999999999999999999999999999999999.10\t-3\t9\n",
--- a/crates/scatter/src/condition.rs
+++ b/crates/scatter/src/condition.rs
@@ -95,24 +95,25 @@
 impl Condition {
     /// Surely no row of the table makes it TRUE.
     pub fn never_true(&self, table: &Table) -> bool {
-        table.rows == 0 || self.never(table, true, self.leaves() <= FEW_LEAVES)
+        table.rows == 0
+            || self.never_has_truth(table, true, self.leaves() <= MAX_LEAVES_WITH_CONSTANTS)
     }
 
     /// Surely no row gives it this truth value.
-    fn never(&self, table: &Table, truth: bool, tries_constants: bool) -> bool {
+    fn never_has_truth(&self, table: &Table, truth: bool, check_constants: bool) -> bool {
         let column = |name: &str| table.columns.iter().find(|c| c.name == name);
-        let never = |c: &Condition| c.never(table, truth, tries_constants);
+        let never = |c: &Condition| c.never_has_truth(table, truth, check_constants);
         match self {
             // One that is never TRUE keeps the whole from being TRUE; for FALSE all must never be FALSE.
             Condition::All(all) if truth => {
                 all.iter().any(never)
                     || excluded_by_range(all, table)
-                    || tries_constants && no_listed_value_fits(all, table)
+                    || check_constants && no_listed_value_fits(all, table)
             }
             Condition::All(all) => all.iter().all(never),
             Condition::Any(any) if truth => any.iter().all(never),
             Condition::Any(any) => any.iter().any(never),
-            Condition::Not(inner) => inner.never(table, !truth, tries_constants),
+            Condition::Not(inner) => inner.never_has_truth(table, !truth, check_constants),
             Condition::Constant(value) => *value != truth,
             Condition::Null { column: name } => column(name).is_some_and(|c| match truth {
                 true => c.nulls == 0,
@@ -204,23 +205,25 @@
                 literal,
             } => {
                 let column = table.columns.iter().find(|c| c.name == *column);
-                column.and_then(|c| c.part(*by, literal)).unwrap_or(SOME)
+                column
+                    .and_then(|c| c.range_fraction(*by, literal))
+                    .unwrap_or(DEFAULT_SELECTIVITY)
             }
-            Condition::StartsWith { .. } => SOME,
+            Condition::StartsWith { .. } => DEFAULT_SELECTIVITY,
             _ => 0.5,
         }
     }
 }
 
-const SOME: f64 = 0.3; // of the rows, where nothing tells how many
-const FEW_LEAVES: usize = 32; // of a condition whose constants are each held against the whole: a thousand sites in a millisecond or two
-const MOST_POINTS: i128 = 64; // whole numbers between two bounds that are each asked of the filter
+const DEFAULT_SELECTIVITY: f64 = 0.3; // of the rows, where nothing tells how many
+const MAX_LEAVES_WITH_CONSTANTS: usize = 32; // of a condition whose constants are each held against the whole: a thousand sites in a millisecond or two
+const MAX_FILTER_PROBES: i128 = 64; // whole numbers between two bounds that are each asked of the filter
 
 /// A column that must be one of a few constants, none of which it has or the rest allows.
 fn no_listed_value_fits(all: &[Condition], table: &Table) -> bool {
-    let refuted = |condition: &Condition| {
+    let is_refuted = |condition: &Condition| {
         let any = match condition {
-            Condition::Any(any) if any.len() <= FEW_LEAVES => &any[..],
+            Condition::Any(any) if any.len() <= MAX_LEAVES_WITH_CONSTANTS => &any[..],
             one => std::slice::from_ref(one),
         };
         any.iter().all(|one| {
@@ -242,7 +245,7 @@
             let bounds = Some((point.below, point.above));
             let (name, tight) = (column.name.clone(), point.exact);
             let (kind, distinct, runs) = (column.kind, 1, Vec::new());
-            let of = Column {
+            let column_of_literal = Column {
                 name,
                 kind,
                 nulls: 0,
@@ -256,13 +259,13 @@
             let row = Table {
                 name: String::new(),
                 rows: 1,
-                columns: vec![of],
+                columns: vec![column_of_literal],
             };
             column.excludes(Comparison::Equal, literal)
-                || all.iter().any(|c| c.never(&row, true, false))
+                || all.iter().any(|c| c.never_has_truth(&row, true, false))
         })
     };
-    all.iter().any(refuted)
+    all.iter().any(is_refuted)
 }
 
 /// Bounds on one column of numbers between which it has no value: by its runs, or each of the few by its
@@ -275,7 +278,7 @@
         let Some((Value::Number(mut low), Value::Number(mut high))) = column.bounds else {
             return false;
         };
-        let mut bound = false;
+        let mut is_bounded = false;
         for condition in all {
             let Condition::Compare {
                 column: name,
@@ -299,23 +302,27 @@
                 Comparison::Less => high = high.min(above.saturating_sub(1)),
                 Comparison::Equal | Comparison::Unequal => continue,
             }
-            bound = true;
+            is_bounded = true;
         }
-        let few = high.checked_sub(low).is_some_and(|span| span < MOST_POINTS);
-        let none =
+        let few = high
+            .checked_sub(low)
+            .is_some_and(|span| span < MAX_FILTER_PROBES);
+        let none_in_filter =
             |members: &Members| (low..=high).all(|n| !members.may_contain(Value::Number(n).hash()));
-        bound && (column.has_none(low, high) || few && column.members.as_ref().is_some_and(none))
+        is_bounded
+            && (column.has_no_value_between(low, high)
+                || few && column.members.as_ref().is_some_and(none_in_filter))
     })
 }
 
 impl Column {
     /// Surely no value from the one to the other, by its runs.
-    fn has_none(&self, low: i128, high: i128) -> bool {
+    fn has_no_value_between(&self, low: i128, high: i128) -> bool {
         !self.runs.is_empty() && !runs::overlaps(&self.runs, low, high)
     }
 
     /// Which part of the range between its bounds lies so to the literal.
-    fn part(&self, by: Comparison, literal: &Literal) -> Option<f64> {
+    fn range_fraction(&self, by: Comparison, literal: &Literal) -> Option<f64> {
         let (least, greatest) = self.bounds.as_ref()?;
         let at = literal.point(self.kind)?.above;
         let number = |v: &Value| match v {
@@ -347,7 +354,7 @@
                 let outside = less(&point.above, least) || less(greatest, &point.below);
                 let outside = outside
                     || matches!((&point.below, &point.above),
-                        (Value::Number(low), Value::Number(high)) if self.has_none(*low, *high));
+                        (Value::Number(low), Value::Number(high)) if self.has_no_value_between(*low, *high));
                 let absent = |v: &Value| {
                     self.members
                         .as_ref()
@@ -373,8 +380,8 @@
         else {
             return false;
         };
-        let behind =
+        let least_is_after =
             prefix_successor(prefix).is_some_and(|above| least.as_bytes() >= above.as_bytes());
-        greatest.as_bytes() < prefix.as_bytes() || behind
+        greatest.as_bytes() < prefix.as_bytes() || least_is_after
     }
 }
--- a/crates/scatter/src/exchange.rs
+++ b/crates/scatter/src/exchange.rs
@@ -15,38 +15,38 @@
 use crate::summary::SummaryError;
 use crate::Micros;
 
-use message::{list, Message};
+use message::{version_list, Message};
 use pieces::{Download, Piece, PIECE_TIMEOUT};
 
 /// Another front, by the first bytes of its public key.
 pub type FrontId = u64;
 
-const ROUND: Micros = 1_000_000; // microseconds between rounds
+const ROUND_INTERVAL: Micros = 1_000_000; // microseconds between rounds
 const ROUND_FANOUT: usize = 2; // fronts that a round is told to
 const NEW_VERSION_FANOUT: usize = 3; // fronts that a new version is told to, each of which tells it on
-const WINDOW: usize = 32; // names and versions of a round: some 600 bytes
-const BYTES_A_SECOND: f64 = 12_000.0; // of messages, answers included: a whole summary in some six seconds
+const VERSIONS_PER_MESSAGE: usize = 32; // names and versions of a round: some 600 bytes
+const MAX_BYTES_PER_SECOND: f64 = 12_000.0; // of messages, answers included: a whole summary in some six seconds
 const MAX_DOWNLOADS: usize = 8; // summaries that come in at once
 const FALSE_REPORT_TTL: Micros = 60_000_000; // microseconds for which a false word is told, each round to two
 const MAX_FALSE_REPORTS: usize = 1_024; // sites and groups whose false reports are known
-const MAX_REFUSED: usize = 256; // reports of others that were refused and are not asked for again
+const MAX_REJECTED: usize = 256; // reports of others that were refused and are not asked for again
 
 /// One front's part in the exchange of summaries. It sends nothing itself: messages come in and go out as
 /// bytes.
 pub struct Exchange {
-    due: Micros,
+    next_round: Micros,
     /// Where the next window begins.
-    after: u64,
+    last_announced: u64,
     next_peer: usize,
     byte_budget: f64,
     refilled_at: Micros,
     downloads: BTreeMap<u64, Download>,
     /// New here, to be told on.
-    fresh: BTreeSet<u64>,
+    unannounced: BTreeSet<u64>,
     /// By site and group the highest version found false, and when this front came to know of it.
     false_reports: BTreeMap<(String, u32), (u64, Micros)>,
     /// SummaryError reports: name, version, whose.
-    refused: BTreeSet<(u64, u64, FrontId)>,
+    rejected: BTreeSet<(u64, u64, FrontId)>,
     /// Names and versions that this front can read whole at home, whatever it holds of them.
     pub local: BTreeMap<u64, u64>,
 }
@@ -69,23 +69,23 @@
     /// `next_peer` is where among the others it begins; fronts should differ.
     pub fn new(next_peer: usize) -> Exchange {
         Exchange {
-            due: 0,
-            after: 0,
+            next_round: 0,
+            last_announced: 0,
             next_peer,
-            byte_budget: BYTES_A_SECOND,
+            byte_budget: MAX_BYTES_PER_SECOND,
             refilled_at: 0,
             downloads: BTreeMap::new(),
-            fresh: BTreeSet::new(),
+            unannounced: BTreeSet::new(),
             false_reports: BTreeMap::new(),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             local: BTreeMap::new(),
         }
     }
 
     /// When [`Exchange::tick`] is next due, in microseconds on the front's clock; 0: at once.
     pub fn due(&self) -> Micros {
-        if self.fresh.is_empty() {
-            self.due
+        if self.unannounced.is_empty() {
+            self.next_round
         } else {
             0
         }
@@ -93,22 +93,22 @@
 
     /// A version of this name is new here.
     pub fn announce(&mut self, name: u64) {
-        self.fresh.insert(name);
+        self.unannounced.insert(name);
     }
 
     /// A site's word was found false here, or was heard to be: false where that was known already.
     pub fn report_false(&mut self, now: Micros, report: &FalseSummary) -> bool {
-        let of = (report.site.clone(), report.group);
+        let key = (report.site.clone(), report.group);
         let known = self
             .false_reports
-            .get(&of)
+            .get(&key)
             .is_some_and(|(version, _)| *version >= report.version);
         let has_capacity =
-            self.false_reports.len() < MAX_FALSE_REPORTS || self.false_reports.contains_key(&of);
+            self.false_reports.len() < MAX_FALSE_REPORTS || self.false_reports.contains_key(&key);
         if known || !has_capacity {
             return false;
         }
-        self.false_reports.insert(of, (report.version, now));
+        self.false_reports.insert(key, (report.version, now));
         true
     }
 
@@ -131,42 +131,42 @@
     }
 
     /// Tells some of what is held to some others, where it is time.
-    pub fn tick(&mut self, now: Micros, others: &[FrontId], summaries: &SummaryStore) -> Output {
+    pub fn tick(&mut self, now: Micros, peers: &[FrontId], summaries: &SummaryStore) -> Output {
         let mut out = Output::default();
-        self.announce_new(now, others, summaries, &mut out);
-        if now < self.due {
+        self.announce_new(now, peers, summaries, &mut out);
+        if now < self.next_round {
             return out;
         }
-        self.due = now + ROUND;
+        self.next_round = now + ROUND_INTERVAL;
         self.downloads
-            .retain(|_, download| now - download.asked < PIECE_TIMEOUT);
-        let found = self.false_to_report(now);
-        for _ in 0..ROUND_FANOUT.min(others.len()) {
-            let Some(message) = &found else { break };
-            let to = self.choose_peer(others);
+            .retain(|_, download| now - download.requested_at < PIECE_TIMEOUT);
+        let false_reports = self.false_to_report(now);
+        for _ in 0..ROUND_FANOUT.min(peers.len()) {
+            let Some(message) = &false_reports else { break };
+            let to = self.choose_peer(peers);
             self.send(now, to, message, &mut out);
         }
         let mut all = self.available(summaries);
-        if all.is_empty() || others.is_empty() {
+        if all.is_empty() || peers.is_empty() {
             return out;
         }
         all.sort_unstable();
-        let first = all.partition_point(|held| held.name <= self.after);
+        let first = all.partition_point(|held| held.name <= self.last_announced);
         all.rotate_left(first);
-        all.truncate(WINDOW);
-        self.after = all.last().map_or(0, |held| held.name);
-        for _ in 0..ROUND_FANOUT.min(others.len()) {
-            let to = self.choose_peer(others);
-            self.send(now, to, &list(all.clone(), summaries), &mut out);
+        all.truncate(VERSIONS_PER_MESSAGE);
+        self.last_announced = all.last().map_or(0, |held| held.name);
+        for _ in 0..ROUND_FANOUT.min(peers.len()) {
+            let to = self.choose_peer(peers);
+            self.send(now, to, &version_list(all.clone(), summaries), &mut out);
         }
         out
     }
 
     /// The next of the others in turn; there has to be one.
-    fn choose_peer(&mut self, others: &[FrontId]) -> FrontId {
+    fn choose_peer(&mut self, peers: &[FrontId]) -> FrontId {
         self.next_peer = self.next_peer.wrapping_add(1);
-        others
-            .get(self.next_peer % others.len())
+        peers
+            .get(self.next_peer % peers.len())
             .copied()
             .unwrap_or_default()
     }
@@ -174,23 +174,23 @@
     fn announce_new(
         &mut self,
         now: Micros,
-        others: &[FrontId],
+        peers: &[FrontId],
         summaries: &SummaryStore,
         out: &mut Output,
     ) {
-        let fresh = std::mem::take(&mut self.fresh);
-        if fresh.is_empty() || others.is_empty() {
+        let unannounced = std::mem::take(&mut self.unannounced);
+        if unannounced.is_empty() || peers.is_empty() {
             return;
         }
         let all: Vec<_> = self
             .available(summaries)
             .into_iter()
-            .filter(|held| fresh.contains(&held.name))
+            .filter(|held| unannounced.contains(&held.name))
             .collect();
-        for window in all.chunks(WINDOW) {
-            for _ in 0..NEW_VERSION_FANOUT.min(others.len()) {
-                let to = self.choose_peer(others);
-                self.send(now, to, &list(window.to_vec(), summaries), out);
+        for window in all.chunks(VERSIONS_PER_MESSAGE) {
+            for _ in 0..NEW_VERSION_FANOUT.min(peers.len()) {
+                let to = self.choose_peer(peers);
+                self.send(now, to, &version_list(window.to_vec(), summaries), out);
             }
         }
     }
@@ -226,12 +226,12 @@
         let mut out = Output::default();
         match postcard::take_from_bytes(bytes) {
             Ok((Message::Versions(all), [])) => {
-                let whole = |(name, version)| HeldVersion {
+                let full_version = |(name, version)| HeldVersion {
                     name,
                     version,
                     detail: Detail::Full,
                 };
-                let all: Vec<_> = all.into_iter().map(whole).collect();
+                let all: Vec<_> = all.into_iter().map(full_version).collect();
                 self.compare(now, from, &all, summaries, &mut out);
             }
             Ok((Message::DetailedVersions(all), [])) => {
@@ -270,16 +270,16 @@
                     pieces,
                     bytes,
                 };
-                let whole = self.add_piece(now, from, &piece, &mut out);
-                if let Some(whole) = whole {
-                    let taken = summaries.accept(wall_ms, &whole);
-                    if taken == Ok(true) {
-                        self.fresh.insert(name);
+                let summary_bytes = self.add_piece(now, from, &piece, &mut out);
+                if let Some(summary_bytes) = summary_bytes {
+                    let outcome = summaries.accept(wall_ms, &summary_bytes);
+                    if outcome == Ok(true) {
+                        self.unannounced.insert(name);
                     }
-                    if taken.is_err() && self.refused.len() < MAX_REFUSED {
-                        self.refused.insert((name, version, from));
+                    if outcome.is_err() && self.rejected.len() < MAX_REJECTED {
+                        self.rejected.insert((name, version, from));
                     }
-                    out.accepted.push(taken);
+                    out.accepted.push(outcome);
                 }
             }
             Ok((Message::FalseSummaries(reports), [])) => {
@@ -298,8 +298,8 @@
         let Ok(bytes) = postcard::to_stdvec(message) else {
             return;
         };
-        let fills = (now - self.refilled_at).max(0) as f64 / 1e6 * BYTES_A_SECOND;
-        self.byte_budget = (self.byte_budget + fills).min(BYTES_A_SECOND);
+        let fills = (now - self.refilled_at).max(0) as f64 / 1e6 * MAX_BYTES_PER_SECOND;
+        self.byte_budget = (self.byte_budget + fills).min(MAX_BYTES_PER_SECOND);
         self.refilled_at = now;
         // What is over the bound is lost, as any datagram may be: it is asked for again.
         if self.byte_budget >= bytes.len() as f64 {
--- a/crates/scatter/src/exchange/message.rs
+++ b/crates/scatter/src/exchange/message.rs
@@ -38,11 +38,12 @@
 }
 
 /// What a front tells that it has; to fronts that take all of a summary, as they know it.
-pub(super) fn list(all: Vec<HeldVersion>, summaries: &SummaryStore) -> Message {
+pub(super) fn version_list(versions: Vec<HeldVersion>, summaries: &SummaryStore) -> Message {
     match summaries.retention {
-        Some(_) => Message::DetailedVersions(all),
+        Some(_) => Message::DetailedVersions(versions),
         None => Message::Versions(
-            all.into_iter()
+            versions
+                .into_iter()
                 .map(|held| (held.name, held.version))
                 .collect(),
         ),
--- a/crates/scatter/src/exchange/pieces.rs
+++ b/crates/scatter/src/exchange/pieces.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use super::message::{list, Message};
-use super::{Exchange, FrontId, Output, MAX_DOWNLOADS, WINDOW};
+use super::message::{version_list, Message};
+use super::{Exchange, FrontId, Output, MAX_DOWNLOADS, VERSIONS_PER_MESSAGE};
 use crate::layers::{self, Detail};
 use crate::store::{HeldVersion, SummaryStore};
 use crate::summary::MAX_SUMMARY_BYTES;
 use crate::Micros;
 
-const PIECE: usize = 800; // bytes: with what seals it, it fits a datagram
+const PIECE_BYTES: usize = 800; // bytes: with what seals it, it fits a datagram
 pub(super) const PIECE_TIMEOUT: Micros = 1_500_000; // microseconds for a piece, then another front may be asked
 
 /// A piece of a summary that has come.
@@ -27,8 +27,8 @@
     wanted: Detail,
     from: FrontId,
     bytes: Vec<u8>,
-    next: u16,
-    pub(super) asked: Micros,
+    next_piece: u16,
+    pub(super) requested_at: Micros,
 }
 
 /// A piece that another front wants of what lies at home and is not held.
@@ -52,7 +52,7 @@
         summaries: &SummaryStore,
         out: &mut Output,
     ) {
-        let known: BTreeMap<u64, (u64, Detail)> = self
+        let available: BTreeMap<u64, (u64, Detail)> = self
             .available(summaries)
             .into_iter()
             .map(|held| (held.name, (held.version, held.detail)))
@@ -65,42 +65,41 @@
         for &HeldVersion {
             name,
             version,
-            detail: finest,
-        } in all.iter().take(WINDOW)
+            detail: available_detail,
+        } in all.iter().take(VERSIONS_PER_MESSAGE)
         {
-            let here = known.get(&name).copied();
-            newer.extend(
-                here.filter(|(held, _)| *held > version)
-                    .map(|(version, detail)| HeldVersion {
-                        name,
-                        version,
-                        detail,
-                    }),
-            );
+            let local_version = available.get(&name).copied();
+            newer.extend(local_version.filter(|(held, _)| *held > version).map(
+                |(version, detail)| HeldVersion {
+                    name,
+                    version,
+                    detail,
+                },
+            ));
             let Some(wanted) = summaries
                 .wanted_detail(name)
-                .map(|wanted| wanted.min(finest))
+                .map(|wanted| wanted.min(available_detail))
             else {
                 continue;
             };
-            let lacks = held.get(&name).is_none_or(|held| *held < (version, wanted));
-            let waits = self
+            let is_missing = held.get(&name).is_none_or(|held| *held < (version, wanted));
+            let is_pending = self
                 .downloads
                 .get(&name)
-                .is_some_and(|c| now - c.asked < PIECE_TIMEOUT && c.version >= version);
+                .is_some_and(|c| now - c.requested_at < PIECE_TIMEOUT && c.version >= version);
             let has_capacity =
                 self.downloads.len() < MAX_DOWNLOADS || self.downloads.contains_key(&name);
-            if lacks
+            if is_missing
                 && version > 0
-                && !waits
+                && !is_pending
                 && has_capacity
-                && !self.refused.contains(&(name, version, from))
+                && !self.rejected.contains(&(name, version, from))
             {
                 // What is held of it already need not come again.
                 let bytes = summaries.bytes(name).filter(|(held, _)| *held == version);
                 let mut bytes = bytes.map_or(Vec::new(), |(_, bytes)| bytes.to_vec());
-                bytes.truncate(bytes.len() / PIECE * PIECE);
-                let next = (bytes.len() / PIECE) as u16;
+                bytes.truncate(bytes.len() / PIECE_BYTES * PIECE_BYTES);
+                let next_piece = (bytes.len() / PIECE_BYTES) as u16;
                 self.downloads.insert(
                     name,
                     Download {
@@ -108,8 +107,8 @@
                         wanted,
                         from,
                         bytes,
-                        next,
-                        asked: now,
+                        next_piece,
+                        requested_at: now,
                     },
                 );
                 self.send(
@@ -118,14 +117,14 @@
                     &Message::Request {
                         name,
                         version,
-                        piece: next,
+                        piece: next_piece,
                     },
                     out,
                 );
             }
         }
         if !newer.is_empty() {
-            self.send(now, from, &list(newer, summaries), out);
+            self.send(now, from, &version_list(newer, summaries), out);
         }
     }
 
@@ -145,7 +144,7 @@
         let held = summaries.bytes(name).filter(|(held, _)| *held == version);
         match held {
             // Where there is more at home, a piece that is not whole comes from there.
-            Some((_, bytes)) if (usize::from(piece) + 1) * PIECE <= bytes.len() => {
+            Some((_, bytes)) if (usize::from(piece) + 1) * PIECE_BYTES <= bytes.len() => {
                 self.send_piece(now, request, &bytes, out);
             }
             _ if summaries.retention.is_some() && self.local.get(&name) == Some(&version) => {
@@ -170,10 +169,10 @@
             version,
             piece,
         } = request;
-        let Some(part) = bytes.chunks(PIECE).nth(usize::from(piece)) else {
+        let Some(part) = bytes.chunks(PIECE_BYTES).nth(usize::from(piece)) else {
             return;
         };
-        let pieces = bytes.len().div_ceil(PIECE) as u16;
+        let pieces = bytes.len().div_ceil(PIECE_BYTES) as u16;
         let message = Message::Piece {
             name,
             version,
@@ -200,30 +199,31 @@
             ref bytes,
         } = *piece;
         let download = self.downloads.get_mut(&name)?;
-        let expected = (download.version, download.from, download.next) == (version, from, piece);
+        let expected =
+            (download.version, download.from, download.next_piece) == (version, from, piece);
         if !expected || piece >= pieces || download.bytes.len() + bytes.len() > MAX_SUMMARY_BYTES {
             return None;
         }
         download.bytes.extend_from_slice(bytes);
-        download.next += 1;
-        download.asked = now;
+        download.next_piece += 1;
+        download.requested_at = now;
         let ends = layers::layer_ends(&download.bytes);
         let end = ends.and_then(|ends| ends.get(download.wanted as usize).copied());
         if let Some(end) = end.filter(|end| *end <= download.bytes.len()) {
             download.bytes.truncate(end);
             return self.downloads.remove(&name).map(|download| download.bytes);
         }
-        if download.next == pieces {
+        if download.next_piece == pieces {
             return self.downloads.remove(&name).map(|download| download.bytes);
         }
-        let next = download.next;
+        let next_piece = download.next_piece;
         self.send(
             now,
             from,
             &Message::Request {
                 name,
                 version,
-                piece: next,
+                piece: next_piece,
             },
             out,
         );
--- a/crates/scatter/src/filter.rs
+++ b/crates/scatter/src/filter.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use xorf::{BinaryFuse8, BinaryFuse8Ref, Filter, FilterRef};
 
-const HEAD: usize = 20; // bytes: a seed of eight, three figures of four
-const FEW: usize = 32; // hashes: below that a filter's segments take more than they do
+const FUSE_HEADER_BYTES: usize = 20; // bytes: a seed of eight, three figures of four
+const MIN_FILTER_HASHES: usize = 32; // hashes: below that a filter's segments take more than they do
 
 /// The hashes of a column's values, exactly or as a filter with false positives and no false negatives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     pub fn new(mut hashes: Vec<u64>) -> Option<Members> {
         hashes.sort_unstable();
         hashes.dedup();
-        if hashes.len() < FEW {
+        if hashes.len() < MIN_FILTER_HASHES {
             return Some(Members::All(hashes));
         }
         let BinaryFuse8 {
@@ -59,7 +59,7 @@
     pub fn small(mut hashes: Vec<u64>) -> Members {
         hashes.sort_unstable();
         hashes.dedup();
-        if hashes.len() < FEW {
+        if hashes.len() < MIN_FILTER_HASHES {
             return Members::All(hashes);
         }
         let mut bytes = vec![0; hashes.len().div_ceil(2)];
@@ -73,7 +73,9 @@
     /// Whether what was read can be asked without a look beyond its end.
     pub fn is_valid(&self) -> bool {
         match self {
-            Members::All(hashes) => hashes.len() < FEW && hashes.windows(2).all(|w| w[0] < w[1]),
+            Members::All(hashes) => {
+                hashes.len() < MIN_FILTER_HASHES && hashes.windows(2).all(|w| w[0] < w[1])
+            }
             Members::Bits(bytes) => (1..1 << 24).contains(&bytes.len()),
             Members::Fuse {
                 segment,
@@ -111,12 +113,12 @@
                 fingerprints,
             } => {
                 // The library takes a filter that lies elsewhere by a head of this form.
-                let mut head = Vec::with_capacity(HEAD);
-                head.extend(seed.to_le_bytes());
-                head.extend(segment.to_le_bytes());
-                head.extend(segment.wrapping_sub(1).to_le_bytes());
-                head.extend(segments.to_le_bytes());
-                BinaryFuse8Ref::from_dma(&head, fingerprints).contains(&hash)
+                let mut header = Vec::with_capacity(FUSE_HEADER_BYTES);
+                header.extend(seed.to_le_bytes());
+                header.extend(segment.to_le_bytes());
+                header.extend(segment.wrapping_sub(1).to_le_bytes());
+                header.extend(segments.to_le_bytes());
+                BinaryFuse8Ref::from_dma(&header, fingerprints).contains(&hash)
             }
         }
     }
--- a/crates/scatter/src/filter_tests.rs
+++ b/crates/scatter/src/filter_tests.rs
@@ -10,10 +10,10 @@
         .collect()
 }
 
-fn wrong(may: impl Fn(u64) -> bool) -> f64 {
+fn false_positive_rate(may_contain: impl Fn(u64) -> bool) -> f64 {
     hashes(1_000_000_000, 200_000)
         .into_iter()
-        .filter(|hash| may(*hash))
+        .filter(|hash| may_contain(*hash))
         .count() as f64
         / 200_000.0
 }
@@ -26,7 +26,10 @@
         assert!(hashes(0, count)
             .into_iter()
             .all(|hash| members.may_contain(hash)));
-        assert!(wrong(|hash| members.may_contain(hash)) < 0.006, "{count}");
+        assert!(
+            false_positive_rate(|hash| members.may_contain(hash)) < 0.006,
+            "{count}"
+        );
         let small = Members::small(hashes(0, count));
         assert!(
             small.is_valid()
@@ -34,7 +37,10 @@
                     .into_iter()
                     .all(|hash| small.may_contain(hash))
         );
-        assert!(wrong(|hash| small.may_contain(hash)) < 0.25, "{count}");
+        assert!(
+            false_positive_rate(|hash| small.may_contain(hash)) < 0.25,
+            "{count}"
+        );
     }
 }
 
@@ -43,10 +49,10 @@
 fn bits_kept_prove_more_than_those_of_a_bloom_filter() {
     let members = Members::new(hashes(0, 50_000)).unwrap();
     let bits = members.size() as f64 * 8.0 / 50_000.0;
-    let fuse = wrong(|hash| members.may_contain(hash));
+    let fuse = false_positive_rate(|hash| members.may_contain(hash));
     let bloom = fastbloom::BloomFilter::with_num_bits((bits * 50_000.0) as usize).seed(&7);
     let bloom = bloom.items(hashes(0, 50_000).iter());
-    let bloom = wrong(|hash| bloom.contains(&hash));
+    let bloom = false_positive_rate(|hash| bloom.contains(&hash));
     println!(
         "bits a value {bits:.2}: binary fuse {:.3} %, bloom {:.3} %",
         fuse * 100.0,
--- a/crates/scatter/src/from_sql.rs
+++ b/crates/scatter/src/from_sql.rs
@@ -1,49 +1,49 @@
 //! A condition from the expression of a statement.
 
-use sqlparser::ast::{BinaryOperator, Expr, InTarget, UnaryOperator, Value as Word};
+use sqlparser::ast::{BinaryOperator, Expr, InTarget, UnaryOperator, Value as SqlValue};
 
 use crate::condition::{Comparison, Condition};
 use crate::sql::{literal, ColumnScope};
 use crate::value::Literal;
 
-const DEEPEST: usize = 64; // expressions within expressions; what is deeper is not understood
-const MOST_LISTED: usize = 256; // constants of a list
-const MOST_LEAVES: usize = 256; // comparisons: each is held against each site's summary in the front's one thread
+const MAX_EXPRESSION_DEPTH: usize = 64; // expressions within expressions; what is nested is not understood
+const MAX_LIST_ITEMS: usize = 256; // constants of a list
+const MAX_CONDITION_LEAVES: usize = 256; // comparisons: each is held against each site's summary in the front's one thread
 
 /// What is not understood is `Other`, which proves nothing.
 pub(crate) fn condition(e: &Expr, names: &ColumnScope) -> Condition {
-    Some(within(e, names, 0))
-        .filter(|c| c.leaves() <= MOST_LEAVES)
+    Some(condition_at_depth(e, names, 0))
+        .filter(|c| c.leaves() <= MAX_CONDITION_LEAVES)
         .unwrap_or(Condition::Other)
 }
 
-fn within(e: &Expr, names: &ColumnScope, depth: usize) -> Condition {
-    if depth > DEEPEST {
+fn condition_at_depth(e: &Expr, names: &ColumnScope, depth: usize) -> Condition {
+    if depth > MAX_EXPRESSION_DEPTH {
         return Condition::Other;
     }
-    let deeper = |e: &Expr| within(e, names, depth + 1);
+    let nested = |e: &Expr| condition_at_depth(e, names, depth + 1);
     match e {
-        Expr::Nested(inner) => deeper(inner),
+        Expr::Nested(inner) => nested(inner),
         Expr::UnaryOp {
             op: UnaryOperator::Not,
             expr,
-        } => Condition::Not(Box::new(deeper(expr))),
+        } => Condition::Not(Box::new(nested(expr))),
         Expr::BinaryOp {
             op: BinaryOperator::And,
             ..
         } => Condition::All(
-            chain(e, &BinaryOperator::And)
+            operands(e, &BinaryOperator::And)
                 .into_iter()
-                .map(deeper)
+                .map(nested)
                 .collect(),
         ),
         Expr::BinaryOp {
             op: BinaryOperator::Or,
             ..
         } => Condition::Any(
-            chain(e, &BinaryOperator::Or)
+            operands(e, &BinaryOperator::Or)
                 .into_iter()
-                .map(deeper)
+                .map(nested)
                 .collect(),
         ),
         Expr::BinaryOp { left, op, right } => comparison(left, op, right, names),
@@ -58,9 +58,9 @@
             target: InTarget::List(list),
             negated,
             global: false,
-        } => not(*negated, one_of(expr, list, names)),
-        Expr::IsNull(inner) => null(inner, false, names),
-        Expr::IsNotNull(inner) => null(inner, true, names),
+        } => not(*negated, in_list(expr, list, names)),
+        Expr::IsNull(inner) => is_null(inner, false, names),
+        Expr::IsNotNull(inner) => is_null(inner, true, names),
         Expr::Like {
             negated,
             any: false,
@@ -69,7 +69,7 @@
             escape_char,
         } => not(*negated, like(expr, pattern, escape_char.as_deref(), names)),
         Expr::Value(value) => match value.value {
-            Word::Boolean(b) => Condition::Constant(b),
+            SqlValue::Boolean(b) => Condition::Constant(b),
             _ => Condition::Other,
         },
         _ => names
@@ -114,19 +114,19 @@
     else {
         return Condition::Other;
     };
-    let side = |by, literal| Condition::Compare {
+    let bound = |by, literal| Condition::Compare {
         column: column.clone(),
         by,
         literal,
     };
     Condition::All(vec![
-        side(Comparison::AtLeast, low),
-        side(Comparison::AtMost, high),
+        bound(Comparison::AtLeast, low),
+        bound(Comparison::AtMost, high),
     ])
 }
 
-fn one_of(e: &Expr, list: &[Expr], names: &ColumnScope) -> Condition {
-    let (Some(column), true) = (names.column(e), list.len() <= MOST_LISTED) else {
+fn in_list(e: &Expr, list: &[Expr], names: &ColumnScope) -> Condition {
+    let (Some(column), true) = (names.column(e), list.len() <= MAX_LIST_ITEMS) else {
         return Condition::Other;
     };
     let equal = |e: &Expr| {
@@ -166,22 +166,22 @@
     }
 }
 
-fn null(inner: &Expr, negated: bool, names: &ColumnScope) -> Condition {
+fn is_null(inner: &Expr, negated: bool, names: &ColumnScope) -> Condition {
     names.column(inner).map_or(Condition::Other, |column| {
         not(negated, Condition::Null { column })
     })
 }
 
 /// The members of a chain of one operator, which may be as long as the statement.
-pub(crate) fn chain<'a>(e: &'a Expr, of: &BinaryOperator) -> Vec<&'a Expr> {
-    let (mut members, mut rest) = (Vec::new(), e);
-    while let Expr::BinaryOp { left, op, right } = rest {
-        if op != of {
+pub(crate) fn operands<'a>(e: &'a Expr, operator: &BinaryOperator) -> Vec<&'a Expr> {
+    let (mut members, mut remaining) = (Vec::new(), e);
+    while let Expr::BinaryOp { left, op, right } = remaining {
+        if op != operator {
             break;
         }
         members.push(&**right);
-        rest = left;
+        remaining = left;
     }
-    members.push(rest);
+    members.push(remaining);
     members
 }
--- a/crates/scatter/src/gather.rs
+++ b/crates/scatter/src/gather.rs
@@ -140,13 +140,13 @@
     }
 
     /// The site of the part at an index of the plan.
-    pub fn site(&self, place: usize) -> Option<&str> {
-        self.parts.get(place).map(|(part, _)| part.site.as_str())
+    pub fn site(&self, index: usize) -> Option<&str> {
+        self.parts.get(index).map(|(part, _)| part.site.as_str())
     }
 
     /// The part of a place.
-    pub fn part(&self, place: usize) -> Option<&Part> {
-        self.parts.get(place).map(|(part, _)| part)
+    pub fn part(&self, index: usize) -> Option<&Part> {
+        self.parts.get(index).map(|(part, _)| part)
     }
 
     /// All that is still out are audits.
@@ -170,51 +170,51 @@
     }
 
     /// A part is answered.
-    pub fn part_answered(&mut self, place: usize, rows: Vec<u8>) -> Vec<Action> {
-        self.ended(place, State::Rows(rows))
+    pub fn part_answered(&mut self, index: usize, rows: Vec<u8>) -> Vec<Action> {
+        self.finish_part(index, State::Rows(rows))
     }
 
     /// A part failed for good.
-    pub fn part_failed(&mut self, place: usize, failed: PartFailure) -> Vec<Action> {
-        if self.done || !self.is_out(place) {
+    pub fn part_failed(&mut self, index: usize, failed: PartFailure) -> Vec<Action> {
+        if self.done || !self.is_running(index) {
             return Vec::new();
         }
-        if self.part(place).is_some_and(|part| part.audit) {
-            return self.ended(place, State::Dropped);
+        if self.part(index).is_some_and(|part| part.audit) {
+            return self.finish_part(index, State::Dropped);
         }
-        let site = self.site(place).unwrap_or_default().to_string();
+        let site = self.site(index).unwrap_or_default().to_string();
         if self.rules.allow_partial {
             if failed == PartFailure::Barred {
                 self.barred.push(site);
-                return self.ended(place, State::Dropped);
+                return self.finish_part(index, State::Dropped);
             }
-            return self.ended(place, State::Missing);
+            return self.finish_part(index, State::Missing);
         }
-        self.set(place, State::Dropped);
-        self.end(match failed {
+        self.set_state(index, State::Dropped);
+        self.finish(match failed {
             PartFailure::Rejected { retry_after } => Answer::Rejected { retry_after, site },
             PartFailure::Aborted => Answer::Aborted { site },
             PartFailure::Barred => Answer::Barred(vec![site]),
         })
     }
 
-    fn ended(&mut self, place: usize, state: State) -> Vec<Action> {
-        if self.done || !self.is_out(place) {
+    fn finish_part(&mut self, index: usize, state: State) -> Vec<Action> {
+        if self.done || !self.is_running(index) {
             return Vec::new();
         }
-        self.set(place, state);
+        self.set_state(index, state);
         self.advance()
     }
 
-    fn is_out(&self, place: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         self.parts
-            .get(place)
+            .get(index)
             .is_some_and(|(_, state)| *state == State::Running)
     }
 
-    fn set(&mut self, place: usize, state: State) {
-        if let Some((_, was)) = self.parts.get_mut(place) {
-            *was = state;
+    fn set_state(&mut self, index: usize, state: State) {
+        if let Some((_, current)) = self.parts.get_mut(index) {
+            *current = state;
         }
     }
 
@@ -227,47 +227,47 @@
 
     fn advance(&mut self) -> Vec<Action> {
         if self.rows().map(<[u8]>::len).sum::<usize>() > self.rules.max_answer_bytes {
-            return self.end(Answer::TooLong);
+            return self.finish(Answer::TooLong);
         }
-        let had: u64 = self.rows().map(lines).sum();
-        let enough = self.rules.limit.is_some_and(|limit| had >= limit);
+        let row_count: u64 = self.rows().map(count_lines).sum();
+        let limit_reached = self.rules.limit.is_some_and(|limit| row_count >= limit);
         let audits_skipped = self.audits_skipped;
         let open = |(part, state): &(Part, State)| {
             matches!(state, State::Waiting | State::Running) && !(audits_skipped && part.audit)
         };
-        if enough || !self.parts.iter().any(open) {
-            let answer = self.combined(enough);
-            return self.end(answer);
+        if limit_reached || !self.parts.iter().any(open) {
+            let answer = self.build_answer(limit_reached);
+            return self.finish(answer);
         }
         let mut actions = Vec::new();
-        let mut out = self
+        let mut running = self
             .parts
             .iter()
             .filter(|(_, state)| *state == State::Running)
             .count();
-        let most = if self.rules.limit.is_some() {
+        let max_running = if self.rules.limit.is_some() {
             self.rules.max_parallel_parts.max(1)
         } else {
             usize::MAX
         };
-        for place in self.order.clone() {
-            if out >= most {
+        for index in self.order.clone() {
+            if running >= max_running {
                 break;
             }
             if self
                 .parts
-                .get(place)
+                .get(index)
                 .is_some_and(|(_, state)| *state == State::Waiting)
             {
-                self.set(place, State::Running);
-                actions.push(Action::Start(place));
-                out += 1;
+                self.set_state(index, State::Running);
+                actions.push(Action::Start(index));
+                running += 1;
             }
         }
         actions
     }
 
-    fn combined(&self, enough: bool) -> Answer {
+    fn build_answer(&self, limit_reached: bool) -> Answer {
         let mut bytes: Vec<u8> = match &self.rules.combine {
             Some(aggregates) if self.rows().next().is_some() => {
                 let parts: Vec<&[u8]> = self.rows().collect();
@@ -288,15 +288,15 @@
             _ => self.rows().flatten().copied().collect(),
         };
         if let Some(limit) = self.rules.limit {
-            bytes.truncate(first_lines(&bytes, limit));
+            bytes.truncate(first_lines_end(&bytes, limit));
         }
         // What a limit has filled lacks nothing.
         let missing = self
             .parts
             .iter()
-            .filter(|(_, state)| !enough && *state == State::Missing);
+            .filter(|(_, state)| !limit_reached && *state == State::Missing);
         let missing = missing.map(|(part, _)| part.site.clone()).collect();
-        let barred = if enough {
+        let barred = if limit_reached {
             Vec::new()
         } else {
             self.barred.clone()
@@ -308,12 +308,12 @@
         }
     }
 
-    fn end(&mut self, answer: Answer) -> Vec<Action> {
+    fn finish(&mut self, answer: Answer) -> Vec<Action> {
         if std::mem::replace(&mut self.done, true) {
             return Vec::new();
         }
         let mut actions: Vec<Action> = (0..self.parts.len())
-            .filter(|p| self.is_out(*p))
+            .filter(|p| self.is_running(*p))
             .map(Action::End)
             .collect();
         actions.push(Action::Answer(answer));
@@ -322,13 +322,13 @@
 }
 
 /// Rows of a result: each ends with a line feed.
-fn lines(rows: &[u8]) -> u64 {
+fn count_lines(rows: &[u8]) -> u64 {
     rows.iter().filter(|c| **c == b'\n').count() as u64
 }
 
-fn first_lines(rows: &[u8], most: u64) -> usize {
-    let most = usize::try_from(most).unwrap_or(usize::MAX);
-    let Some(before) = most.checked_sub(1) else {
+fn first_lines_end(rows: &[u8], max_lines: u64) -> usize {
+    let max_lines = usize::try_from(max_lines).unwrap_or(usize::MAX);
+    let Some(lines_before) = max_lines.checked_sub(1) else {
         return 0;
     };
     let ends = rows
@@ -336,7 +336,7 @@
         .enumerate()
         .filter(|(_, c)| **c == b'\n')
         .map(|(at, _)| at + 1);
-    ends.into_iter().nth(before).unwrap_or(rows.len())
+    ends.into_iter().nth(lines_before).unwrap_or(rows.len())
 }
 
 #[cfg(test)]
--- a/crates/scatter/src/gather_tests.rs
+++ b/crates/scatter/src/gather_tests.rs
@@ -14,13 +14,13 @@
     rows.iter()
         .enumerate()
         .map(|(n, rows)| {
-            let (site, why) = (format!("s{n}"), crate::plan::Reason::Bounds);
+            let (site, ask_reason) = (format!("s{n}"), crate::plan::Reason::Bounds);
             Part {
                 site,
                 rows: *rows,
                 ruled_out: false,
                 audit: false,
-                reason: why,
+                reason: ask_reason,
             }
         })
         .collect()
@@ -36,20 +36,20 @@
 
 #[test]
 fn rows_are_joined_in_the_order_of_sites_and_the_answer_is_given_once() {
-    let (mut whole, acts) = Gather::new(parts(&[1.0, 9.0]), vec![], RULES);
-    assert_eq!(acts, [Action::Start(0), Action::Start(1)]);
-    assert_eq!(whole.part_answered(1, b"b\n".to_vec()), []);
-    assert_eq!(whole.part_answered(1, b"again\n".to_vec()), []);
-    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
-    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), []);
-    assert_eq!(whole.part_failed(0, PartFailure::Aborted), []);
-    assert_eq!(whole.skip_audits(), []);
+    let (mut gather, actions) = Gather::new(parts(&[1.0, 9.0]), vec![], RULES);
+    assert_eq!(actions, [Action::Start(0), Action::Start(1)]);
+    assert_eq!(gather.part_answered(1, b"b\n".to_vec()), []);
+    assert_eq!(gather.part_answered(1, b"again\n".to_vec()), []);
+    assert_eq!(gather.part_answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
+    assert_eq!(gather.part_answered(0, b"a\n".to_vec()), []);
+    assert_eq!(gather.part_failed(0, PartFailure::Aborted), []);
+    assert_eq!(gather.skip_audits(), []);
 }
 
 #[test]
 fn a_part_that_fails_for_good_fails_the_whole_and_ends_the_others() {
-    let (mut whole, _) = Gather::new(parts(&[1.0, 1.0, 1.0]), vec![], RULES);
-    whole.part_answered(0, vec![]);
+    let (mut gather, _) = Gather::new(parts(&[1.0, 1.0, 1.0]), vec![], RULES);
+    gather.part_answered(0, vec![]);
     let rejected = Answer::Rejected {
         retry_after: Some(5),
         site: "s1".into(),
@@ -58,10 +58,10 @@
         retry_after: Some(5),
     };
     assert_eq!(
-        whole.part_failed(1, failed),
+        gather.part_failed(1, failed),
         [Action::End(2), Action::Answer(rejected)]
     );
-    assert!(whole.is_done());
+    assert!(gather.is_done());
 }
 
 #[test]
@@ -70,19 +70,22 @@
         allow_partial: true,
         ..RULES
     };
-    let (mut whole, _) = Gather::new(parts(&[1.0, 1.0]), vec!["far".into()], rules);
-    assert_eq!(whole.part_failed(0, PartFailure::Aborted), []);
+    let (mut gather, _) = Gather::new(parts(&[1.0, 1.0]), vec!["far".into()], rules);
+    assert_eq!(gather.part_failed(0, PartFailure::Aborted), []);
     let answer = Answer::Rows {
         bytes: b"b\n".to_vec(),
         missing: vec!["s0".into()],
         barred: vec!["far".into()],
     };
     assert_eq!(
-        whole.part_answered(1, b"b\n".to_vec()),
+        gather.part_answered(1, b"b\n".to_vec()),
         [Action::Answer(answer)]
     );
-    let (_, acts) = Gather::new(parts(&[1.0]), vec!["far".into()], RULES);
-    assert_eq!(acts, [Action::Answer(Answer::Barred(vec!["far".into()]))]);
+    let (_, actions) = Gather::new(parts(&[1.0]), vec!["far".into()], RULES);
+    assert_eq!(
+        actions,
+        [Action::Answer(Answer::Barred(vec!["far".into()]))]
+    );
 }
 
 #[test]
@@ -91,15 +94,15 @@
         limit: Some(2),
         ..RULES
     };
-    let (mut whole, acts) = Gather::new(parts(&[1.0, 9.0, 5.0]), vec![], rules.clone());
-    assert_eq!(acts, [Action::Start(1)]);
-    assert_eq!(whole.part_answered(1, b"b\n".to_vec()), [Action::Start(2)]);
+    let (mut gather, actions) = Gather::new(parts(&[1.0, 9.0, 5.0]), vec![], rules.clone());
+    assert_eq!(actions, [Action::Start(1)]);
+    assert_eq!(gather.part_answered(1, b"b\n".to_vec()), [Action::Start(2)]);
     assert_eq!(
-        whole.part_answered(2, b"c\nd\n".to_vec()),
+        gather.part_answered(2, b"c\nd\n".to_vec()),
         [rows(b"b\nc\n")]
     );
     // Two out at once: the other is ended.
-    let (mut whole, _) = Gather::new(
+    let (mut gather, _) = Gather::new(
         parts(&[1.0, 9.0, 5.0]),
         vec![],
         GatherRules {
@@ -108,18 +111,18 @@
         },
     );
     assert_eq!(
-        whole.part_answered(1, b"b\nx\n".to_vec()),
+        gather.part_answered(1, b"b\nx\n".to_vec()),
         [Action::End(2), rows(b"b\nx\n")]
     );
 }
 
 #[test]
 fn nothing_to_ask_is_an_answer_without_rows_and_too_much_is_none() {
-    let (_, acts) = Gather::new(vec![], vec![], RULES);
-    assert_eq!(acts, [rows(b"")]);
-    let (mut whole, _) = Gather::new(parts(&[1.0]), vec![], RULES);
+    let (_, actions) = Gather::new(vec![], vec![], RULES);
+    assert_eq!(actions, [rows(b"")]);
+    let (mut gather, _) = Gather::new(parts(&[1.0]), vec![], RULES);
     assert_eq!(
-        whole.part_answered(0, vec![b'x'; 101]),
+        gather.part_answered(0, vec![b'x'; 101]),
         [Action::Answer(Answer::TooLong)]
     );
 }
@@ -131,16 +134,16 @@
         two[1].audit = true;
         Gather::new(two, vec![], RULES).0
     };
-    let mut whole = two();
-    assert_eq!(whole.part_failed(1, PartFailure::Aborted), []);
-    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), [rows(b"a\n")]);
-    let mut whole = two();
-    assert!(!whole.only_audits_pending());
-    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), []);
-    assert!(whole.only_audits_pending());
-    assert_eq!(whole.skip_audits(), [Action::End(1), rows(b"a\n")]);
+    let mut gather = two();
+    assert_eq!(gather.part_failed(1, PartFailure::Aborted), []);
+    assert_eq!(gather.part_answered(0, b"a\n".to_vec()), [rows(b"a\n")]);
+    let mut gather = two();
+    assert!(!gather.only_audits_pending());
+    assert_eq!(gather.part_answered(0, b"a\n".to_vec()), []);
+    assert!(gather.only_audits_pending());
+    assert_eq!(gather.skip_audits(), [Action::End(1), rows(b"a\n")]);
     // What it finds in time is in the answer.
-    let mut whole = two();
-    whole.part_answered(1, b"b\n".to_vec());
-    assert_eq!(whole.part_answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
+    let mut gather = two();
+    gather.part_answered(1, b"b\n".to_vec());
+    assert_eq!(gather.part_answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
 }
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -6,16 +6,16 @@
 
 use crate::condition::Condition;
 use crate::filter::Members;
-use crate::from_sql::chain;
+use crate::from_sql::operands;
 use crate::load_markers::Affected;
 use crate::plan::{reason_to_ask, Basis, LoadInfo, Reason};
-use crate::row::{beyond_one_row, is_of_one_reading};
+use crate::row::{is_unambiguous, non_row_expression};
 use crate::runs;
 use crate::sql::{condition, not_divisible, table_reference, ColumnScope, Query, Unsupported};
 use crate::summary::{Column, Summary, Table};
 use crate::value::{less, Kind, Value};
 
-const MOST_KEYS: i128 = 4_096; // values of the smaller side that are each asked of the other's filter
+const MAX_KEY_PROBES: i128 = 4_096; // values of the smaller side that are each asked of the other's filter
 
 /// The other table.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,14 +31,14 @@
 }
 
 /// The names of the first table, what the join asks of its rows, and the other table.
-pub(crate) type Read = (ColumnScope, (Condition, Join));
+pub(crate) type JoinParts = (ColumnScope, (Condition, Join));
 
-/// Takes an inner join apart.
+/// Takes an inner join keys_disjoint.
 pub(crate) fn read(
     joined: &Joined,
     first: ColumnScope,
     selection: Option<&Expr>,
-) -> Result<Read, Unsupported> {
+) -> Result<JoinParts, Unsupported> {
     let Joined {
         relation,
         global: false,
@@ -52,22 +52,22 @@
     else {
         return not_divisible("a join that is no JOIN ... ON");
     };
-    if let Some(what) = beyond_one_row(on) {
+    if let Some(what) = non_row_expression(on) {
         return not_divisible(what);
     }
     let mut on = on;
     while let Expr::Nested(inner) = on {
         on = inner;
     }
-    let other = table_reference(relation)?;
-    if other.alias == first.table {
+    let other_table = table_reference(relation)?;
+    if other_table.alias == first.table {
         return not_divisible("a join of two tables by one name");
     }
     let second = ColumnScope {
-        table: other.alias,
+        table: other_table.alias,
         ..first.clone()
     };
-    let both = |names: &ColumnScope| {
+    let table_condition = |names: &ColumnScope| {
         Condition::All(vec![
             condition(selection, names),
             condition(Some(on), names),
@@ -87,16 +87,16 @@
             _ => Some((first.column(right)?, second.column(left)?)),
         }
     };
-    let all = chain(on, &BinaryOperator::And);
+    let all = operands(on, &BinaryOperator::And);
     let keys = all
         .into_iter()
-        .filter(|_| is_of_one_reading(on))
+        .filter(|_| is_unambiguous(on))
         .filter_map(equal)
         .collect();
     let join = Join {
-        group: other.group,
-        table: other.table,
-        condition: both(&second),
+        group: other_table.group,
+        table: other_table.table,
+        condition: table_condition(&second),
         keys,
     };
     let of_first = condition(Some(on), &first);
@@ -122,41 +122,41 @@
         side(join.group, &join.table),
     );
     let (of_first, of_second) = basis.loads.sides();
-    let why = |side: Side, condition: &Condition, loads: &LoadInfo| match side {
+    let reason = |side: Side, condition: &Condition, loads: &LoadInfo| match side {
         None => Some(Reason::NoSummary),
         Some((summary, table)) => reason_to_ask(condition, summary, table, loads),
     };
-    let by_first = why(first, &query.condition, &of_first)?;
-    why(second, &join.condition, &of_second)?;
+    let first_reason = reason(first, &query.condition, &of_first)?;
+    reason(second, &join.condition, &of_second)?;
     let (Some(first), Some(second)) = (first, second) else {
-        return Some(by_first);
+        return Some(first_reason);
     };
-    let settled = untouched(first, &of_first) && untouched(second, &of_second);
+    let unaffected_by_loads = is_unaffected(first, &of_first) && is_unaffected(second, &of_second);
     let column = |table: &Table, name: &str| table.columns.iter().position(|c| c.name == *name);
-    let apart = |(a, b): &(String, String)| {
+    let keys_disjoint = |(a, b): &(String, String)| {
         let (a, b) = (column(first.1, a), column(second.1, b));
         let of = a
             .zip(b)
             .and_then(|(a, b)| Some((first.1.columns.get(a)?, second.1.columns.get(b)?)));
-        of.is_some_and(|(a, b)| have_none_in_common((a, first.1.rows), (b, second.1.rows)))
+        of.is_some_and(|(a, b)| share_no_value((a, first.1.rows), (b, second.1.rows)))
     };
-    (!settled || !join.keys.iter().any(apart)).then_some(by_first)
+    (!unaffected_by_loads || !join.keys.iter().any(keys_disjoint)).then_some(first_reason)
 }
 
 /// No load that the summary does not speak of has touched the table.
-fn untouched((summary, table): (&Summary, &Table), loads: &LoadInfo) -> bool {
-    let elsewhere = |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
+fn is_unaffected((summary, table): (&Summary, &Table), loads: &LoadInfo) -> bool {
+    let in_other_table = |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
     match loads {
         LoadInfo::Markers(markers) => markers
             .uncovered(summary)
-            .is_some_and(|open| open.into_iter().all(elsewhere)),
+            .is_some_and(|open| open.into_iter().all(in_other_table)),
         LoadInfo::NoLoads => true,
         LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => false,
     }
 }
 
 /// Surely no value of the one column equals one of the other.
-fn have_none_in_common((a, rows_a): (&Column, u64), (b, rows_b): (&Column, u64)) -> bool {
+fn share_no_value((a, rows_a): (&Column, u64), (b, rows_b): (&Column, u64)) -> bool {
     // Null equals nothing.
     if a.nulls == rows_a || b.nulls == rows_b {
         return true;
@@ -179,7 +179,7 @@
             return true;
         }
     }
-    none_of(a, runs_a, b) || none_of(b, runs_b, a)
+    shares_no_listed_value(a, runs_a, b) || shares_no_listed_value(b, runs_b, a)
 }
 
 /// Where the numbers of a column lie, as far as is told.
@@ -192,7 +192,7 @@
 }
 
 /// None of the few values that a column can have is in the other.
-fn none_of(few: &Column, runs: Option<runs::Runs>, other: &Column) -> bool {
+fn shares_no_listed_value(few: &Column, runs: Option<runs::Runs>, other: &Column) -> bool {
     let Some(members) = &other.members else {
         return false;
     };
@@ -205,15 +205,15 @@
     let count = runs.iter().try_fold(0_i128, |sum, (from, to)| {
         sum.checked_add(to.checked_sub(*from)?.checked_add(1)?)
     });
-    let own = |hash: u64| {
+    let in_few = |hash: u64| {
         few.members
             .as_ref()
             .is_none_or(|members| members.may_contain(hash))
     };
     let in_both = |value: i128| {
         let hash = Value::Number(value).hash();
-        own(hash) && members.may_contain(hash)
+        in_few(hash) && members.may_contain(hash)
     };
-    count.is_some_and(|count| count <= MOST_KEYS)
+    count.is_some_and(|count| count <= MAX_KEY_PROBES)
         && !runs.iter().any(|(from, to)| (*from..=*to).any(in_both))
 }
--- a/crates/scatter/src/layers.rs
+++ b/crates/scatter/src/layers.rs
@@ -9,9 +9,9 @@
 use crate::runs;
 use crate::summary::{signed, Extension, Signed, Summary, Table, MAX_SUMMARY_BYTES};
 
-pub(crate) const LAYERED: u16 = 2; // the format of summaries in layers; a front of an earlier version refuses them
-pub(crate) const LAYERED_EXTENDED: u16 = 4;
-const SIGNATURE_BYTES: usize = 256; // bytes for the signature, the hashes and lengths
+pub(crate) const LAYERED_FORMAT: u16 = 2; // the format of summaries in layers; a front of an earlier version refuses them
+pub(crate) const LAYERED_EXTENDED_FORMAT: u16 = 4;
+const RESERVED_SIGNATURE_BYTES: usize = 256; // bytes for the signature, the hashes and lengths
 
 /// How much of a summary there is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
     mut summary: Summary,
     mut small: Layer,
     mut full: Layer,
-    most: usize,
+    max_bytes: usize,
     key: &SigningKey,
 ) -> Vec<u8> {
     for column in summary
@@ -60,18 +60,22 @@
     {
         column.runs = runs::merge_closest(std::mem::take(&mut column.runs), runs::MAX_LAYERED_RUNS);
     }
-    summary.cut(most.min(MAX_SUMMARY_BYTES) / 2, LAYERED, LAYERED_EXTENDED);
+    summary.drop_extensions(
+        max_bytes.min(MAX_SUMMARY_BYTES) / 2,
+        LAYERED_FORMAT,
+        LAYERED_EXTENDED_FORMAT,
+    );
     let size = |layer: &Layer| {
         layer
             .iter()
             .map(|(_, _, members)| members.size() + 8)
             .sum::<usize>()
     };
-    let core = summary.encoded(LAYERED, LAYERED_EXTENDED);
-    let most = most
+    let core = summary.encoded(LAYERED_FORMAT, LAYERED_EXTENDED_FORMAT);
+    let max_bytes = max_bytes
         .min(MAX_SUMMARY_BYTES)
-        .saturating_sub(core.len() + SIGNATURE_BYTES);
-    while size(&small) + size(&full) > most {
+        .saturating_sub(core.len() + RESERVED_SIGNATURE_BYTES);
+    while size(&small) + size(&full) > max_bytes {
         let layer = if full.is_empty() {
             &mut small
         } else {
@@ -135,8 +139,10 @@
     let (format, _) = postcard::take_from_bytes::<u16>(&signed.summary).ok()?;
     let (_, mut digests) = postcard::take_from_bytes::<Summary>(&signed.summary).ok()?;
     match format {
-        LAYERED => {}
-        LAYERED_EXTENDED => digests = postcard::take_from_bytes::<Extension>(digests).ok()?.1,
+        LAYERED_FORMAT => {}
+        LAYERED_EXTENDED_FORMAT => {
+            digests = postcard::take_from_bytes::<Extension>(digests).ok()?.1
+        }
         _ => return None,
     }
     let ((small, full), _) =
--- a/crates/scatter/src/load.rs
+++ b/crates/scatter/src/load.rs
@@ -2,14 +2,14 @@
 
 use sqlparser::ast::{
     Assignment, AssignmentTarget, ConflictTarget, Expr, Ident, Insert, OnConflict,
-    OnConflictAction, OnInsert, SetExpr, Statement, TableObject, Value as Word,
+    OnConflictAction, OnInsert, SetExpr, Statement, TableObject, Value as SqlValue,
 };
 
 use crate::load_markers::{Affected, Cell};
 use crate::sql::{self, literal, plain_name};
 
-const MOST_ROWS_BYTES: usize = 256; // bytes of a load's rows that a mark keeps; of more nothing is known
-const MOST_ROWS: usize = 64; // of a load that a mark keeps
+const MAX_MARKER_ROWS_BYTES: usize = 256; // bytes of a load's rows that a mark keeps; of more nothing is known
+const MAX_MARKER_ROWS: usize = 64; // of a load that a mark keeps
 
 /// The rows of an `INSERT ... VALUES` into a table of the group that does nothing else.
 pub(crate) fn rows(statement: Statement, group: u32) -> Option<Affected> {
@@ -56,7 +56,7 @@
     };
     let columns: Vec<String> = columns.iter().map(name).collect::<Option<_>>()?;
     let cell = |e: &Expr| match e {
-        Expr::Value(value) if value.value == Word::Null => Cell::Null,
+        Expr::Value(value) if value.value == SqlValue::Null => Cell::Null,
         e => literal(e).map_or(Cell::Unknown, Cell::Is),
     };
     let rows: Vec<Vec<Cell>> = values
@@ -64,16 +64,16 @@
         .iter()
         .map(|row| row.content.iter().map(cell).collect())
         .collect();
-    let kept = match on {
+    let reliable = match on {
         None => (0..columns.len()).collect(),
-        Some(on) => kept(&on, &columns)?,
+        Some(on) => reliable_columns(&on, &columns)?,
     };
-    short(table, &columns, &rows, kept)
+    shorten(table, &columns, &rows, reliable)
 }
 
 /// Which columns of the rows are surely so where they are there already: those that tell that they are, and
 /// those that are set anew. The others may stay as they were.
-fn kept(on: &OnInsert, columns: &[String]) -> Option<Vec<usize>> {
+fn reliable_columns(on: &OnInsert, columns: &[String]) -> Option<Vec<usize>> {
     let OnInsert::OnConflict(OnConflict {
         conflict_target,
         action,
@@ -84,7 +84,7 @@
     let OnConflictAction::DoUpdate(update) = action else {
         return Some((0..columns.len()).collect());
     };
-    let place = |name: &Ident| {
+    let position_of = |name: &Ident| {
         columns
             .iter()
             .position(|column| *column == plain_name(name))
@@ -95,50 +95,56 @@
     else {
         return None;
     };
-    let mut kept: Vec<usize> = target.iter().map(place).collect::<Option<_>>()?;
+    let mut reliable: Vec<usize> = target.iter().map(position_of).collect::<Option<_>>()?;
     for Assignment { target, value } in &update.assignments {
         let AssignmentTarget::ColumnName(name) = target else {
             return None;
         };
         let [part] = &name.0[..] else { return None };
-        let set = place(part.as_ident()?)?;
+        let position = position_of(part.as_ident()?)?;
         match value {
             Expr::CompoundIdentifier(parts) => match &parts[..] {
-                [from, name] if plain_name(from) == "excluded" && place(name) == Some(set) => {
-                    kept.push(set)
+                [from, name]
+                    if plain_name(from) == "excluded" && position_of(name) == Some(position) =>
+                {
+                    reliable.push(position)
                 }
                 // Another value, as good as unknown.
-                _ => kept.retain(|at| *at != set),
+                _ => reliable.retain(|at| *at != position),
             },
-            _ => kept.retain(|at| *at != set),
+            _ => reliable.retain(|at| *at != position),
         }
     }
-    kept.sort_unstable();
-    kept.dedup();
-    (!kept.is_empty()).then_some(kept)
+    reliable.sort_unstable();
+    reliable.dedup();
+    (!reliable.is_empty()).then_some(reliable)
 }
 
 /// As much of the rows as a mark keeps. Of too many the columns with the fewest values stay: a load of a
 /// day's rows is known by its day.
-fn short(
+fn shorten(
     table: String,
     columns: &[String],
     rows: &[Vec<Cell>],
-    kept: Vec<usize>,
+    reliable: Vec<usize>,
 ) -> Option<Affected> {
-    let of = |kept: &[usize]| {
-        let project =
-            |row: &Vec<Cell>| kept.iter().filter_map(|at| row.get(*at).cloned()).collect();
+    let with_columns = |reliable: &[usize]| {
+        let project = |row: &Vec<Cell>| {
+            reliable
+                .iter()
+                .filter_map(|at| row.get(*at).cloned())
+                .collect()
+        };
         let mut all: Vec<Vec<Cell>> = Vec::new();
         for row in rows.iter().map(project) {
             if !all.contains(&row) {
                 all.push(row);
             }
-            if all.len() > MOST_ROWS {
+            if all.len() > MAX_MARKER_ROWS {
                 return None;
             }
         }
-        let columns = kept
+        let columns = reliable
             .iter()
             .filter_map(|at| columns.get(*at).cloned())
             .collect();
@@ -147,26 +153,29 @@
             columns,
             rows: all,
         };
-        let short = postcard::to_stdvec(&touched).is_ok_and(|bytes| bytes.len() <= MOST_ROWS_BYTES);
-        short.then_some(touched)
+        let fits =
+            postcard::to_stdvec(&touched).is_ok_and(|bytes| bytes.len() <= MAX_MARKER_ROWS_BYTES);
+        fits.then_some(touched)
     };
     if rows.iter().any(|row| row.len() != columns.len()) {
         return None;
     }
-    let mut order = kept;
-    let touched = of(&order);
+    let mut order = reliable;
+    let touched = with_columns(&order);
     if touched.is_some() {
         return touched;
     }
     let distinct = |at: &usize| {
         let mut seen: Vec<&Cell> = Vec::new();
         for cell in rows.iter().filter_map(|row| row.get(*at)) {
-            if !seen.contains(&cell) && seen.len() <= MOST_ROWS {
+            if !seen.contains(&cell) && seen.len() <= MAX_MARKER_ROWS {
                 seen.push(cell);
             }
         }
         seen.len()
     };
     order.sort_by_cached_key(distinct);
-    (1..order.len()).rev().find_map(|most| of(&order[..most]))
+    (1..order.len())
+        .rev()
+        .find_map(|count| with_columns(&order[..count]))
 }
--- a/crates/scatter/src/load_markers.rs
+++ b/crates/scatter/src/load_markers.rs
@@ -12,9 +12,9 @@
 use crate::summary::{Column, LoadNumbers, Summary, Table};
 use crate::value::Literal;
 
-const MOST_MARKS: usize = 64; // of a site that are kept apart; more make one
-const MANY_MARKS: usize = 32; // of a site: from here on what any summary lifts is taken out
-const FEWER: [usize; 3] = [16, 4, 1]; // of a site, where all sites' together are too long
+const MAX_SITE_MARKERS: usize = 64; // of a site that are kept apart; more make one
+const EARLY_CLEAN_UP_MARKERS: usize = 32; // of a site: from here on what any summary lifts is taken out
+const REDUCED_SITE_MARKERS: [usize; 3] = [16, 4, 1]; // of a site, where all sites' together are too long
 /// Bytes of a group's marks: a thousand sites with two each.
 pub const MAX_MARKERS_BYTES: usize = 64 << 10;
 
@@ -99,12 +99,12 @@
     let head = text
         .strip_prefix("/* load ")
         .and_then(|rest| rest.split_once(" */"));
-    let pair = |pair: &str| {
+    let group_and_number = |pair: &str| {
         let (group, number) = pair.split_once(':')?;
         Some((group.parse().ok()?, number.parse().ok()?))
     };
     head.map_or(Vec::new(), |(numbers, _)| {
-        numbers.split(' ').filter_map(pair).collect()
+        numbers.split(' ').filter_map(group_and_number).collect()
     })
 }
 
@@ -133,7 +133,7 @@
             ended_before: None,
             touched,
         });
-        site.merge_oldest(MOST_MARKS);
+        site.merge_oldest(MAX_SITE_MARKERS);
         site.last
     }
 
@@ -148,14 +148,14 @@
     ) {
         for (name, site) in &mut self.sites {
             let next = site.last + 1;
-            for mark in &mut site.markers {
-                if mark.ended_before.is_none() && mark.ends_ms < wall_ms {
-                    mark.ended_before = Some(next);
+            for marker in &mut site.markers {
+                if marker.ended_before.is_none() && marker.ends_ms < wall_ms {
+                    marker.ended_before = Some(next);
                 }
             }
             let reported_loads = reported_loads(name);
             site.clear_covered(reported_loads.settled);
-            if site.markers.len() >= MANY_MARKS {
+            if site.markers.len() >= EARLY_CLEAN_UP_MARKERS {
                 site.clear_covered(reported_loads.newest);
             }
         }
@@ -163,19 +163,19 @@
 
     /// Makes room where all marks together are too long: what any summary lifts goes, then marks are folded.
     pub fn shrink_to_fit<'a>(&mut self, reported_loads: impl Fn(&str) -> ReportedLoads<'a>) {
-        let mut fewer = FEWER.iter();
-        let mut cleared = false;
+        let mut limits = REDUCED_SITE_MARKERS.iter();
+        let mut cleared_covered = false;
         while self.bytes().is_none() {
-            if !std::mem::replace(&mut cleared, true) {
+            if !std::mem::replace(&mut cleared_covered, true) {
                 self.sites
                     .iter_mut()
                     .for_each(|(name, site)| site.clear_covered(reported_loads(name).newest));
                 continue;
             }
-            let Some(most) = fewer.next() else { return };
+            let Some(limit) = limits.next() else { return };
             self.sites
                 .values_mut()
-                .for_each(|site| site.merge_oldest(*most));
+                .for_each(|site| site.merge_oldest(*limit));
         }
     }
 
@@ -189,11 +189,12 @@
         let Some(site) = self.sites.get(&summary.site) else {
             return Some(Vec::new());
         };
-        let open = site
+        let uncovered = site
             .markers
             .iter()
-            .filter(|mark| !mark.is_covered(&summary.loads));
-        (summary.version >= site.min_version).then(|| open.map(|mark| &mark.touched).collect())
+            .filter(|marker| !marker.is_covered(&summary.loads));
+        (summary.version >= site.min_version)
+            .then(|| uncovered.map(|marker| &marker.touched).collect())
     }
 
     /// What of loads stands against that.
@@ -207,12 +208,12 @@
         if summary.version < site.min_version {
             return Some(Reason::SummaryBehind);
         }
-        let mut open = site
+        let mut uncovered = site
             .markers
             .iter()
-            .filter(|mark| !mark.is_covered(&summary.loads));
-        let fits = open.find(|mark| !mark.touched.never_true(table, condition))?;
-        Some(if fits.touched == Affected::Anything {
+            .filter(|marker| !marker.is_covered(&summary.loads));
+        let matching = uncovered.find(|marker| !marker.touched.never_true(table, condition))?;
+        Some(if matching.touched == Affected::Anything {
             Reason::UnknownLoad
         } else {
             Reason::LoadedRows
@@ -245,10 +246,10 @@
 impl<'a> ReportedLoads<'a> {
     /// All that is held counts as held by others.
     pub fn at_once(summary: Option<&'a Summary>) -> ReportedLoads<'a> {
-        let of = summary.map(|s| (s.version, &s.loads));
+        let version = summary.map(|s| (s.version, &s.loads));
         ReportedLoads {
-            newest: of,
-            settled: of,
+            newest: version,
+            settled: version,
         }
     }
 }
@@ -258,15 +259,15 @@
     fn clear_covered(&mut self, by: Version) {
         let Some((version, loads)) = by else { return };
         let before = self.markers.len();
-        self.markers.retain(|mark| !mark.is_covered(loads));
+        self.markers.retain(|marker| !marker.is_covered(loads));
         if self.markers.len() < before {
             self.min_version = self.min_version.max(version);
         }
     }
 
     /// Makes one of the first ones until there are no more than that.
-    fn merge_oldest(&mut self, most: usize) {
-        while self.markers.len() > most.max(1) {
+    fn merge_oldest(&mut self, limit: usize) {
+        while self.markers.len() > limit.max(1) {
             let first = self.markers.remove(0);
             let Some(second) = self.markers.first_mut() else {
                 return;
@@ -307,16 +308,16 @@
             Affected::Rows { table: other, .. } if *other != table.name => true,
             Affected::Rows { columns, rows, .. } => rows
                 .iter()
-                .all(|row| condition.never_true(&one(table, columns, row))),
+                .all(|row| condition.never_true(&single_row_table(table, columns, row))),
         }
     }
 }
 
 /// A table of one row, of the columns whose values are known.
-fn one(table: &Table, columns: &[String], row: &[Cell]) -> Table {
+fn single_row_table(table: &Table, columns: &[String], row: &[Cell]) -> Table {
     let known = |column: &Column| {
         let place = columns.iter().position(|name| *name == column.name)?;
-        let of = |nulls, bounds, tight| {
+        let column_of = |nulls, bounds, tight| {
             let (name, kind, distinct) = (column.name.clone(), column.kind, column.distinct);
             // Nothing that the summary tells holds for this row.
             Column {
@@ -332,10 +333,10 @@
             }
         };
         match row.get(place)? {
-            Cell::Null => Some(of(1, None, true)),
+            Cell::Null => Some(column_of(1, None, true)),
             Cell::Is(literal) => {
                 let point = literal.point(column.kind)?;
-                Some(of(0, Some((point.below, point.above)), point.exact))
+                Some(column_of(0, Some((point.below, point.above)), point.exact))
             }
             Cell::Unknown => None,
         }
--- a/crates/scatter/src/marker_requests.rs
+++ b/crates/scatter/src/marker_requests.rs
@@ -5,8 +5,8 @@
 
 use crate::load_markers::{Affected, LoadMarkers, ReportedLoads};
 
-const APART_MS: u64 = 10_000; // milliseconds that fronts' clocks may be apart, as gossip has it
-const MOST_TRIES: u32 = 16; // changes of one batch that others' got before; then its loads are turned away
+const MAX_CLOCK_SKEW_MS: u64 = 10_000; // milliseconds that fronts' clocks may be apart, as gossip has it
+const MAX_PUT_ATTEMPTS: u32 = 16; // changes of one batch that others' got before; then its loads are turned away
 
 /// Who waits: a load's execution or a scatter, as the caller knows it.
 pub type Waiter = (u64, usize);
@@ -92,7 +92,7 @@
     site: String,
     ends_ms: u64,
     /// Groups that are not marked yet, and what it may have touched there.
-    left: BTreeMap<u32, Affected>,
+    unmarked_groups: BTreeMap<u32, Affected>,
     numbers: Vec<(u32, u64)>,
 }
 
@@ -104,14 +104,14 @@
     queue: BTreeSet<Waiter>,
     /// The change that is requested for: its number, loads and the marks as they will be.
     put: Option<(u64, Batch, LoadMarkers)>,
-    tries: u32,
+    put_attempts: u32,
     readers: Vec<u64>,
     read: Option<(u64, Vec<u64>)>,
 }
 
 /// All of one front.
 pub struct MarkerRequests {
-    next: u64,
+    next_number: u64,
     loads: BTreeMap<Waiter, Load>,
     groups: BTreeMap<u32, Group>,
     requested: BTreeMap<u64, u32>,
@@ -121,7 +121,7 @@
     /// Its requests are numbered from the number given.
     pub fn new(first: u64) -> MarkerRequests {
         MarkerRequests {
-            next: first,
+            next_number: first,
             loads: BTreeMap::new(),
             groups: BTreeMap::new(),
             requested: BTreeMap::new(),
@@ -139,13 +139,13 @@
         for group in touched.keys() {
             self.groups.entry(*group).or_default().queue.insert(load);
         }
-        let one = Load {
+        let waiting_load = Load {
             site: site.to_string(),
             ends_ms,
-            left: touched,
+            unmarked_groups: touched,
             numbers: Vec::new(),
         };
-        self.loads.insert(load, one);
+        self.loads.insert(load, waiting_load);
     }
 
     /// A load waits no longer. False if it did not.
@@ -176,20 +176,20 @@
         for (&number, group) in &mut self.groups {
             if group.read.is_none() && !group.readers.is_empty() {
                 // Those that come from now on are for the next one: this one may be older than they are.
-                group.read = Some((self.next, std::mem::take(&mut group.readers)));
-                self.requested.insert(self.next, number);
+                group.read = Some((self.next_number, std::mem::take(&mut group.readers)));
+                self.requested.insert(self.next_number, number);
                 requests.push(LedgerRequest {
-                    number: self.next,
+                    number: self.next_number,
                     group: number,
                     operation: Operation::Read,
                 });
-                self.next += 1;
+                self.next_number += 1;
             }
             if group.put.is_some() || group.queue.is_empty() {
                 continue;
             }
             let mut markers = group.markers.clone();
-            markers.clean_up(wall_ms.saturating_sub(APART_MS), |site| {
+            markers.clean_up(wall_ms.saturating_sub(MAX_CLOCK_SKEW_MS), |site| {
                 reported_loads(site, number)
             });
             let mut batch = Vec::new();
@@ -197,7 +197,7 @@
                 let Some(load) = self.loads.get(&waiter) else {
                     continue;
                 };
-                let Some(touched) = load.left.get(&number) else {
+                let Some(touched) = load.unmarked_groups.get(&number) else {
                     continue;
                 };
                 batch.push((
@@ -208,20 +208,20 @@
             markers.shrink_to_fit(|site| reported_loads(site, number));
             match markers.bytes() {
                 _ if batch.is_empty() => {}
-                None => reject(&mut self.loads, batch, &mut effects),
+                None => reject_batch(&mut self.loads, batch, &mut effects),
                 Some(value) => {
-                    group.put = Some((self.next, batch, markers));
-                    self.requested.insert(self.next, number);
+                    group.put = Some((self.next_number, batch, markers));
+                    self.requested.insert(self.next_number, number);
                     let operation = Operation::Put {
                         expected_version: group.version,
                         value,
                     };
                     requests.push(LedgerRequest {
-                        number: self.next,
+                        number: self.next_number,
                         group: number,
                         operation,
                     });
-                    self.next += 1;
+                    self.next_number += 1;
                 }
             }
         }
@@ -231,10 +231,10 @@
     /// The ledger has answered an ask.
     pub fn on_reply(&mut self, number: u64, reply: LedgerReply) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let Some(place) = self.requested.remove(&number) else {
+        let Some(group_number) = self.requested.remove(&number) else {
             return effects;
         };
-        let Some(group) = self.groups.get_mut(&place) else {
+        let Some(group) = self.groups.get_mut(&group_number) else {
             return effects;
         };
         if group
@@ -254,7 +254,7 @@
                 LedgerReply::Unreachable => None,
             };
             effects.push(Effect::Markers {
-                group: place,
+                group: group_number,
                 scatters,
                 markers,
             });
@@ -265,14 +265,14 @@
         };
         match reply {
             LedgerReply::Entry { version, .. } => {
-                (group.version, group.markers, group.tries) = (version, markers, 0);
+                (group.version, group.markers, group.put_attempts) = (version, markers, 0);
                 for (waiter, number) in batch {
                     let Some(load) = self.loads.get_mut(&waiter) else {
                         continue;
                     };
-                    load.left.remove(&place);
-                    load.numbers.push((place, number));
-                    if load.left.is_empty() {
+                    load.unmarked_groups.remove(&group_number);
+                    load.numbers.push((group_number, number));
+                    if load.unmarked_groups.is_empty() {
                         let numbers = std::mem::take(&mut load.numbers);
                         self.loads.remove(&waiter);
                         effects.push(Effect::Send {
@@ -284,8 +284,8 @@
             }
             // Another front was before: once more on what it has left.
             LedgerReply::Conflict { version, value } => {
-                group.tries += 1;
-                match LoadMarkers::read(&value).filter(|_| group.tries < MOST_TRIES) {
+                group.put_attempts += 1;
+                match LoadMarkers::read(&value).filter(|_| group.put_attempts < MAX_PUT_ATTEMPTS) {
                     Some(markers) => {
                         (group.version, group.markers) = (version, markers);
                         group
@@ -293,8 +293,8 @@
                             .extend(batch.into_iter().map(|(waiter, _)| waiter));
                     }
                     None => {
-                        group.tries = 0;
-                        reject(&mut self.loads, batch, &mut effects);
+                        group.put_attempts = 0;
+                        reject_batch(&mut self.loads, batch, &mut effects);
                     }
                 }
             }
@@ -305,7 +305,7 @@
                     .extend(batch.into_iter().map(|(waiter, _)| waiter));
             }
             LedgerReply::Absent | LedgerReply::Unreachable => {
-                reject(&mut self.loads, batch, &mut effects)
+                reject_batch(&mut self.loads, batch, &mut effects)
             }
         }
         effects
@@ -321,7 +321,7 @@
     }
 }
 
-fn reject(loads: &mut BTreeMap<Waiter, Load>, batch: Batch, effects: &mut Vec<Effect>) {
+fn reject_batch(loads: &mut BTreeMap<Waiter, Load>, batch: Batch, effects: &mut Vec<Effect>) {
     for (load, _) in batch {
         if loads.remove(&load).is_some() {
             effects.push(Effect::Reject { load });
--- a/crates/scatter/src/marker_requests_tests.rs
+++ b/crates/scatter/src/marker_requests_tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn load(marker: &mut MarkerRequests, ticket: u64) {
-    marker.add_load(
+fn load(requests: &mut MarkerRequests, ticket: u64) {
+    requests.add_load(
         (ticket, 0),
         "ash",
         50,
@@ -11,83 +11,83 @@
     );
 }
 
-fn asks(marker: &mut MarkerRequests) -> Vec<LedgerRequest> {
-    marker.requests(0, |_, _| ReportedLoads::default()).0
+fn ledger_requests(requests: &mut MarkerRequests) -> Vec<LedgerRequest> {
+    requests.requests(0, |_, _| ReportedLoads::default()).0
 }
 
 #[test]
 fn a_load_leaves_once_its_mark_stands_and_takes_its_turn_behind_other_fronts() {
-    let mut marker = MarkerRequests::new(100);
-    load(&mut marker, 1);
-    let [ask] = &asks(&mut marker)[..] else {
+    let mut requests = MarkerRequests::new(100);
+    load(&mut requests, 1);
+    let [request] = &ledger_requests(&mut requests)[..] else {
         panic!()
     };
     assert!(matches!(
-        ask.operation,
+        request.operation,
         Operation::Put {
             expected_version: 0,
             ..
         }
     ));
     // One change of a group at a time; what comes meanwhile waits for the next.
-    load(&mut marker, 2);
-    assert_eq!(asks(&mut marker), []);
-    let mut others = LoadMarkers::default();
-    others.add("ash", 60, Affected::Anything);
+    load(&mut requests, 2);
+    assert_eq!(ledger_requests(&mut requests), []);
+    let mut peer_markers = LoadMarkers::default();
+    peer_markers.add("ash", 60, Affected::Anything);
     let held = LedgerReply::Conflict {
         version: 7,
-        value: others.bytes().unwrap(),
+        value: peer_markers.bytes().unwrap(),
     };
-    assert_eq!(marker.on_reply(ask.number, held), []);
-    let [ask] = &asks(&mut marker)[..] else {
+    assert_eq!(requests.on_reply(request.number, held), []);
+    let [request] = &ledger_requests(&mut requests)[..] else {
         panic!()
     };
     let Operation::Put {
         expected_version: 7,
         value,
-    } = &ask.operation
+    } = &request.operation
     else {
-        panic!("{ask:?}")
+        panic!("{request:?}")
     };
     assert_eq!(LoadMarkers::read(value).unwrap().len(), 3);
-    let follows = marker.on_reply(
-        ask.number,
+    let effects = requests.on_reply(
+        request.number,
         LedgerReply::Entry {
             version: 8,
             value: value.clone(),
         },
     );
-    let go = |ticket, number| Effect::Send {
+    let sent = |ticket, number| Effect::Send {
         load: (ticket, 0),
         numbers: vec![(17, number)],
     };
-    assert_eq!(follows, [go(1, 2), go(2, 3)]);
-    assert!(marker.is_idle());
+    assert_eq!(effects, [sent(1, 2), sent(2, 3)]);
+    assert!(requests.is_idle());
 }
 
 #[test]
 fn without_an_answer_a_load_never_leaves_and_a_scatter_has_no_word() {
-    let mut marker = MarkerRequests::new(0);
-    load(&mut marker, 1);
-    marker.await_markers(9, 17);
-    let asked = asks(&mut marker);
-    let follows: Vec<Effect> = asked
+    let mut requests = MarkerRequests::new(0);
+    load(&mut requests, 1);
+    requests.await_markers(9, 17);
+    let sent = ledger_requests(&mut requests);
+    let effects: Vec<Effect> = sent
         .iter()
-        .flat_map(|a| marker.on_reply(a.number, LedgerReply::Unreachable))
+        .flat_map(|a| requests.on_reply(a.number, LedgerReply::Unreachable))
         .collect();
-    let none = Effect::Markers {
+    let no_markers = Effect::Markers {
         group: 17,
         scatters: vec![9],
         markers: None,
     };
-    assert_eq!(follows, [none, Effect::Reject { load: (1, 0) }]);
+    assert_eq!(effects, [no_markers, Effect::Reject { load: (1, 0) }]);
     // One that was stopped meanwhile goes nowhere.
-    load(&mut marker, 2);
-    let asked = asks(&mut marker);
-    assert!(marker.cancel((2, 0)) && !marker.cancel((2, 0)));
+    load(&mut requests, 2);
+    let sent = ledger_requests(&mut requests);
+    assert!(requests.cancel((2, 0)) && !requests.cancel((2, 0)));
     assert_eq!(
-        marker.on_reply(
-            asked[0].number,
+        requests.on_reply(
+            sent[0].number,
             LedgerReply::Entry {
                 version: 1,
                 value: vec![]
@@ -99,27 +99,27 @@
 
 #[test]
 fn a_scatter_has_a_word_that_was_asked_for_after_it_came() {
-    let mut marker = MarkerRequests::new(0);
-    marker.await_markers(1, 17);
-    let first = asks(&mut marker);
-    marker.await_markers(2, 17);
-    assert_eq!(asks(&mut marker), []);
-    let word = Effect::Markers {
+    let mut requests = MarkerRequests::new(0);
+    requests.await_markers(1, 17);
+    let first = ledger_requests(&mut requests);
+    requests.await_markers(2, 17);
+    assert_eq!(ledger_requests(&mut requests), []);
+    let reply = Effect::Markers {
         group: 17,
         scatters: vec![1],
         markers: Some(LoadMarkers::default()),
     };
     assert_eq!(
-        marker.on_reply(first[0].number, LedgerReply::Absent),
-        [word]
+        requests.on_reply(first[0].number, LedgerReply::Absent),
+        [reply]
     );
-    assert_eq!(asks(&mut marker).len(), 1);
+    assert_eq!(ledger_requests(&mut requests).len(), 1);
     let damaged = LedgerReply::Entry {
         version: 1,
         value: vec![9; 3],
     };
     assert_eq!(
-        marker.on_reply(1, damaged),
+        requests.on_reply(1, damaged),
         [Effect::Markers {
             group: 17,
             scatters: vec![2],
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -154,8 +154,8 @@
                 reason_to_ask(&query.condition, summary, table, loads)
             }
         };
-        let proved = reason.is_none();
-        if proved && !suspected(site) || query.limit == Some(0) {
+        let is_ruled_out = reason.is_none();
+        if is_ruled_out && !suspected(site) || query.limit == Some(0) {
             plan.pruned.push(site.clone());
         } else if !basis.allows(site) {
             plan.barred.push(site.clone());
@@ -167,7 +167,7 @@
             plan.parts.push(Part {
                 site: site.clone(),
                 rows,
-                ruled_out: proved,
+                ruled_out: is_ruled_out,
                 audit: false,
                 reason,
             });
@@ -234,18 +234,18 @@
     }
 
     /// A site that is left out is asked all the same, if it may be.
-    pub fn audit(&mut self, at: usize, sites: &[String], allowed: Option<&[&str]>) {
-        if at >= self.pruned.len() {
+    pub fn audit(&mut self, index: usize, sites: &[String], allowed: Option<&[&str]>) {
+        if index >= self.pruned.len() {
             return;
         }
-        let site = self.pruned.remove(at);
+        let site = self.pruned.remove(index);
         if allowed.is_none_or(|allowed| allowed.contains(&site.as_str())) {
-            let place = |name: &String| sites.iter().position(|site| site == name);
-            let at = self
+            let position_of = |name: &String| sites.iter().position(|site| site == name);
+            let index = self
                 .parts
-                .partition_point(|part| place(&part.site) < place(&site));
+                .partition_point(|part| position_of(&part.site) < position_of(&site));
             self.parts.insert(
-                at,
+                index,
                 Part {
                     site,
                     rows: 0.0,
--- a/crates/scatter/src/retention.rs
+++ b/crates/scatter/src/retention.rs
@@ -8,15 +8,15 @@
 use crate::layers::{Detail, ALL};
 use crate::Micros;
 
-const HALF_LIFE: f64 = 3_600e6; // microseconds in which what was spared counts half: a day's turns are followed within hours
-const TWICE: f64 = 2.0; // a byte is held as it came and as it is read
-const FINDS: [f64; 2] = [0.845, 0.996]; // of what has no row and lies within the bounds, by a small and a full filter
-const STAYS: f64 = 1.25; // what is held counts so much more: a change costs its traffic again
-const NEW: f64 = 0.5; // sites spared by what nothing is known of yet: it is tried, coarsely, where there is room
-const USUAL: [u32; 3] = [200, 1_200, 3_600]; // bytes, where no summary of that name was seen
-const USUAL_AGE: f64 = 60e6; // microseconds between versions, until two were seen
-const FORMAT: u16 = 1;
-const MOST: usize = 65_536; // names that are known of
+const BENEFIT_HALF_LIFE: f64 = 3_600e6; // microseconds in which what was spared counts half: a day's turns are followed within hours
+const MEMORY_BYTES_PER_BYTE: f64 = 2.0; // a byte is held as it came and as it is read
+const FILTER_PRUNE_RATES: [f64; 2] = [0.845, 0.996]; // of what has no row and lies within the bounds, by a small and a full filter
+const HELD_DETAIL_FACTOR: f64 = 1.25; // what is held counts so much more: a change costs its traffic again
+const NEW_SUMMARY_BENEFIT: f64 = 0.5; // sites spared by what nothing is known of yet: it is tried, coarsely, where there is room
+const DEFAULT_BYTES: [u32; 3] = [200, 1_200, 3_600]; // bytes, where no summary of that name was seen
+const DEFAULT_VERSION_INTERVAL: f64 = 60e6; // microseconds between versions, until two were seen
+const SAVED_STATE_FORMAT: u16 = 1;
+const MAX_ENTRIES: usize = 65_536; // names that are known of
 
 /// What may be held and taken in.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,7 +27,7 @@
     pub traffic: f64,
 }
 
-/// What a scatter has shown of a site that has no row for it.
+/// What a scatter has outcome of a site that has no row for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Its bounds rule it out.
@@ -58,31 +58,32 @@
 
 impl Entry {
     fn new(now: Micros) -> Entry {
-        let bytes = USUAL;
+        let bytes = DEFAULT_BYTES;
         Entry {
-            bounds: NEW,
+            bounds: NEW_SUMMARY_BENEFIT,
             filter: 0.0,
             decayed_at: now,
             bytes,
             version: 0,
             arrived: now,
-            interval: USUAL_AGE,
+            interval: DEFAULT_VERSION_INTERVAL,
             detail: Some(Detail::Bounds),
         }
     }
 
     fn decay(&mut self, now: Micros) {
-        let part = 0.5_f64.powf((now - self.decayed_at).max(0) as f64 / HALF_LIFE);
-        (self.bounds, self.filter, self.decayed_at) = (self.bounds * part, self.filter * part, now);
+        let factor = 0.5_f64.powf((now - self.decayed_at).max(0) as f64 / BENEFIT_HALF_LIFE);
+        (self.bounds, self.filter, self.decayed_at) =
+            (self.bounds * factor, self.filter * factor, now);
     }
 
     /// Sites spared by a fineness, of which `hit` of the chances of a filter come true.
-    fn benefit(&self, detail: Option<Detail>, hit: f64) -> f64 {
+    fn benefit(&self, detail: Option<Detail>, hit_rate: f64) -> f64 {
         match detail {
             None => 0.0,
             Some(Detail::Bounds) => self.bounds,
-            Some(Detail::Small) => self.bounds + self.filter * hit * FINDS[0],
-            Some(Detail::Full) => self.bounds + self.filter * hit * FINDS[1],
+            Some(Detail::Small) => self.bounds + self.filter * hit_rate * FILTER_PRUNE_RATES[0],
+            Some(Detail::Full) => self.bounds + self.filter * hit_rate * FILTER_PRUNE_RATES[1],
         }
     }
 
@@ -92,7 +93,7 @@
             .copied()
             .unwrap_or(0);
         (
-            f64::from(bytes) * TWICE,
+            f64::from(bytes) * MEMORY_BYTES_PER_BYTE,
             f64::from(bytes) / (self.interval / 1e6).max(1.0),
         )
     }
@@ -109,7 +110,7 @@
 /// What is known of each summary's use, and the detail that each is to be held in.
 pub struct Retention {
     budget: Budget,
-    items: BTreeMap<u64, Entry>,
+    entries: BTreeMap<u64, Entry>,
     /// Of what bounds do not rule out: how often filters do, and how often they were there and did not.
     filter_hits: (f64, f64),
     /// Of sites that were asked for nothing: those that bounds rule out, and the others.
@@ -119,7 +120,7 @@
 #[derive(Serialize, Deserialize)]
 struct SavedState {
     format: u16,
-    items: BTreeMap<u64, Entry>,
+    entries: BTreeMap<u64, Entry>,
     filter_hits: (f64, f64),
     bounds_share: (f64, f64),
 }
@@ -129,7 +130,7 @@
     pub fn new(budget: Budget) -> Retention {
         Retention {
             budget,
-            items: BTreeMap::new(),
+            entries: BTreeMap::new(),
             filter_hits: (1.0, 0.0),
             bounds_share: (1.0, 1.0),
         }
@@ -139,8 +140,8 @@
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> bool {
         let Ok((
             SavedState {
-                format: FORMAT,
-                mut items,
+                format: SAVED_STATE_FORMAT,
+                mut entries,
                 filter_hits,
                 bounds_share,
             },
@@ -149,29 +150,33 @@
         else {
             return false;
         };
-        let sound = |x: f64| x.is_finite() && x >= 0.0;
-        let figures =
-            |item: &Entry| sound(item.bounds) && sound(item.filter) && item.interval >= 1.0;
+        let is_valid_sum = |x: f64| x.is_finite() && x >= 0.0;
+        let is_valid_entry = |entry: &Entry| {
+            is_valid_sum(entry.bounds) && is_valid_sum(entry.filter) && entry.interval >= 1.0
+        };
         let sums = [filter_hits.0, filter_hits.1, bounds_share.0, bounds_share.1];
-        if items.len() > MOST || !items.values().all(figures) || !sums.into_iter().all(sound) {
+        if entries.len() > MAX_ENTRIES
+            || !entries.values().all(is_valid_entry)
+            || !sums.into_iter().all(is_valid_sum)
+        {
             return false;
         }
-        for item in items.values_mut() {
+        for entry in entries.values_mut() {
             // Nothing is held yet; a clock that went back fades nothing.
-            (item.detail, item.version, item.decayed_at) = (None, 0, item.decayed_at.min(now));
-            item.arrived = now;
+            (entry.detail, entry.version, entry.decayed_at) = (None, 0, entry.decayed_at.min(now));
+            entry.arrived = now;
         }
-        (self.items, self.filter_hits, self.bounds_share) = (items, filter_hits, bounds_share);
+        (self.entries, self.filter_hits, self.bounds_share) = (entries, filter_hits, bounds_share);
         true
     }
 
     /// What was learned, for [`Retention::restore`] after a restart.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let (items, filter_hits, bounds_share) =
-            (self.items.clone(), self.filter_hits, self.bounds_share);
+        let (entries, filter_hits, bounds_share) =
+            (self.entries.clone(), self.filter_hits, self.bounds_share);
         postcard::to_stdvec(&SavedState {
-            format: FORMAT,
-            items,
+            format: SAVED_STATE_FORMAT,
+            entries,
             filter_hits,
             bounds_share,
         })
@@ -183,43 +188,43 @@
         self.budget = budget;
     }
 
-    fn item(&mut self, now: Micros, name: u64) -> Option<&mut Entry> {
-        if self.items.len() >= MOST && !self.items.contains_key(&name) {
+    fn entry(&mut self, now: Micros, name: u64) -> Option<&mut Entry> {
+        if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&name) {
             return None;
         }
-        Some(self.items.entry(name).or_insert_with(|| Entry::new(now)))
+        Some(self.entries.entry(name).or_insert_with(|| Entry::new(now)))
     }
 
     /// A version was taken in, of so many bytes up to the end of each fineness.
     pub fn version_arrived(&mut self, now: Micros, name: u64, version: u64, bytes: [usize; 3]) {
-        let Some(item) = self.item(now, name) else {
+        let Some(entry) = self.entry(now, name) else {
             return;
         };
-        if version > item.version && item.version > 0 {
-            item.interval =
-                (item.interval * 0.75 + (now - item.arrived).max(0) as f64 * 0.25).max(1e6);
+        if version > entry.version && entry.version > 0 {
+            entry.interval =
+                (entry.interval * 0.75 + (now - entry.arrived).max(0) as f64 * 0.25).max(1e6);
         }
-        if version > item.version {
-            (item.version, item.arrived) = (version, now);
+        if version > entry.version {
+            (entry.version, entry.arrived) = (version, now);
         }
-        item.bytes = bytes.map(|bytes| bytes as u32);
+        entry.bytes = bytes.map(|bytes| bytes as u32);
     }
 
-    /// What a scatter has shown of a site without rows.
-    pub fn record(&mut self, now: Micros, name: u64, shown: Outcome) {
+    /// What a scatter has outcome of a site without rows.
+    pub fn record(&mut self, now: Micros, name: u64, outcome: Outcome) {
         let by_bounds = self.bounds_share.0 / (self.bounds_share.0 + self.bounds_share.1).max(1.0);
-        let Some(item) = self.item(now, name) else {
+        let Some(entry) = self.entry(now, name) else {
             return;
         };
-        item.decay(now);
-        let (bounds, filter) = match shown {
+        entry.decay(now);
+        let (bounds, filter) = match outcome {
             Outcome::ByBounds => (1.0, 0.0),
             Outcome::ByFilter | Outcome::MissedByBounds => (0.0, 1.0),
             Outcome::MissedByFilter => (0.0, 0.0),
             Outcome::Unknown => (by_bounds, 1.0 - by_bounds),
         };
-        (item.bounds, item.filter) = (item.bounds + bounds, item.filter + filter);
-        let add = |sum: &mut (f64, f64), first: bool| {
+        (entry.bounds, entry.filter) = (entry.bounds + bounds, entry.filter + filter);
+        let add_sample = |sum: &mut (f64, f64), first: bool| {
             // They halve as they grow: what was seen last counts most.
             if sum.0 + sum.1 > 2_000.0 {
                 *sum = (sum.0 / 2.0, sum.1 / 2.0);
@@ -230,55 +235,63 @@
                 sum.1 += 1.0;
             }
         };
-        match shown {
-            Outcome::ByBounds => add(&mut self.bounds_share, true),
+        match outcome {
+            Outcome::ByBounds => add_sample(&mut self.bounds_share, true),
             Outcome::ByFilter => {
-                add(&mut self.bounds_share, false);
-                add(&mut self.filter_hits, true);
+                add_sample(&mut self.bounds_share, false);
+                add_sample(&mut self.filter_hits, true);
             }
-            Outcome::MissedByFilter => add(&mut self.filter_hits, false),
+            Outcome::MissedByFilter => add_sample(&mut self.filter_hits, false),
             Outcome::MissedByBounds | Outcome::Unknown => {}
         }
     }
 
     /// How fine the summary of a name is to be held; None: not at all.
     pub fn wanted_detail(&self, name: u64) -> Option<Detail> {
-        match self.items.get(&name) {
-            Some(item) => item.detail,
+        match self.entries.get(&name) {
+            Some(entry) => entry.detail,
             // One that is new is looked at, coarsely.
-            None => (self.items.len() < MOST).then_some(Detail::Bounds),
+            None => (self.entries.len() < MAX_ENTRIES).then_some(Detail::Bounds),
         }
     }
 
     /// Chooses anew what is held: by what each step spares for the part of the budget that it takes, the best first.
     pub fn choose(&mut self, now: Micros) {
-        let hit = self.filter_hits.0 / (self.filter_hits.0 + self.filter_hits.1).max(1.0);
+        let hit_rate = self.filter_hits.0 / (self.filter_hits.0 + self.filter_hits.1).max(1.0);
         let Budget { memory, traffic } = self.budget;
-        let part = |(bytes, rate): (f64, f64)| bytes / memory.max(1.0) + rate / traffic.max(1.0);
+        let budget_share =
+            |(bytes, rate): (f64, f64)| bytes / memory.max(1.0) + rate / traffic.max(1.0);
         let mut steps = Vec::new();
-        for (&name, item) in &mut self.items {
-            item.decay(now);
+        for (&name, entry) in &mut self.entries {
+            entry.decay(now);
             let mut from = None;
             // Along the upper edge of what it spares over what it takes: always the steepest step next.
             while from < Some(Detail::Full) {
-                let slope = |to: Detail| {
-                    let more = item.benefit(Some(to), hit) - item.benefit(from, hit);
-                    more / (part(item.cost(Some(to))) - part(item.cost(from))).max(1e-9)
+                let benefit_per_cost_to = |to: Detail| {
+                    let gain = entry.benefit(Some(to), hit_rate) - entry.benefit(from, hit_rate);
+                    gain / (budget_share(entry.cost(Some(to))) - budget_share(entry.cost(from)))
+                        .max(1e-9)
                 };
                 let finer = ALL.into_iter().filter(|to| Some(*to) > from);
-                let Some(to) = finer.max_by(|a, b| slope(*a).total_cmp(&slope(*b))) else {
+                let Some(to) = finer
+                    .max_by(|a, b| benefit_per_cost_to(*a).total_cmp(&benefit_per_cost_to(*b)))
+                else {
                     break;
                 };
-                let held = if Some(to) <= item.detail { STAYS } else { 1.0 };
+                let held_factor = if Some(to) <= entry.detail {
+                    HELD_DETAIL_FACTOR
+                } else {
+                    1.0
+                };
                 steps.push(Upgrade {
-                    benefit_per_cost: slope(to) * held,
+                    benefit_per_cost: benefit_per_cost_to(to) * held_factor,
                     name,
                     from,
                     to,
                 });
                 from = Some(to);
             }
-            item.detail = None;
+            entry.detail = None;
         }
         steps.sort_by(|a, b| {
             b.benefit_per_cost
@@ -288,28 +301,28 @@
         });
         let mut left = (memory, traffic);
         for step in steps {
-            let Some(item) = self
-                .items
+            let Some(entry) = self
+                .entries
                 .get_mut(&step.name)
-                .filter(|item| item.detail == step.from)
+                .filter(|entry| entry.detail == step.from)
             else {
                 continue;
             };
-            let (before, after) = (item.cost(step.from), item.cost(Some(step.to)));
-            let rest = (left.0 + before.0 - after.0, left.1 + before.1 - after.1);
-            if step.benefit_per_cost > 0.0 && rest.0 >= 0.0 && rest.1 >= 0.0 {
-                (item.detail, left) = (Some(step.to), rest);
+            let (before, after) = (entry.cost(step.from), entry.cost(Some(step.to)));
+            let remaining = (left.0 + before.0 - after.0, left.1 + before.1 - after.1);
+            if step.benefit_per_cost > 0.0 && remaining.0 >= 0.0 && remaining.1 >= 0.0 {
+                (entry.detail, left) = (Some(step.to), remaining);
             }
         }
     }
 
     /// Names that are known of.
     pub fn len(&self) -> usize {
-        self.items.len()
+        self.entries.len()
     }
 
     /// Whether nothing is known of any summary.
     pub fn is_empty(&self) -> bool {
-        self.items.is_empty()
+        self.entries.is_empty()
     }
 }
--- a/crates/scatter/src/row.rs
+++ b/crates/scatter/src/row.rs
@@ -5,11 +5,11 @@
 
 use sqlparser::ast::{
     BinaryOperator, Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, InTarget,
-    SelectItem, UnaryOperator, Value as Word,
+    SelectItem, UnaryOperator, Value as SqlValue,
 };
 
 /// Functions of one row alone. Any other may be an aggregate, or give another value at each call.
-const OF_ONE_ROW: [&str; 24] = [
+const SINGLE_ROW_FUNCTIONS: [&str; 24] = [
     "abs",
     "ceil",
     "ceiling",
@@ -36,17 +36,19 @@
     "upper",
 ];
 
-type Look = fn(&Expr) -> ControlFlow<String>;
+type ExpressionCheck = fn(&Expr) -> ControlFlow<String>;
 
 /// What in an expression is not of one row alone, by itself; None: nothing.
-pub(crate) fn beyond_one_row(e: &Expr) -> Option<String> {
-    walk(e, of_one_row)
+pub(crate) fn non_row_expression(e: &Expr) -> Option<String> {
+    walk(e, check_single_row)
 }
 
 /// The same of what is selected.
-pub(crate) fn selects_beyond_one_row(item: &SelectItem) -> Option<String> {
+pub(crate) fn selected_non_row_expression(item: &SelectItem) -> Option<String> {
     match item {
-        SelectItem::UnnamedExpr(e) | SelectItem::ExprWithAlias { expr: e, .. } => beyond_one_row(e),
+        SelectItem::UnnamedExpr(e) | SelectItem::ExprWithAlias { expr: e, .. } => {
+            non_row_expression(e)
+        }
         SelectItem::Wildcard(options) | SelectItem::QualifiedWildcard(_, options) => {
             let plain = options.opt_replace.is_none() && options.opt_alias.is_none();
             (!plain).then(|| "* with other values".to_string())
@@ -56,25 +58,25 @@
 }
 
 /// Whether every dialect takes its operators for the same ones, with the same rank. It is of one row.
-pub(crate) fn is_of_one_reading(e: &Expr) -> bool {
-    walk(e, of_one_reading).is_none()
+pub(crate) fn is_unambiguous(e: &Expr) -> bool {
+    walk(e, check_unambiguous).is_none()
 }
 
 /// Chains of operators may be as long as the statement: no call within a call.
-fn walk(e: &Expr, look: Look) -> Option<String> {
+fn walk(e: &Expr, check: ExpressionCheck) -> Option<String> {
     let mut open = vec![e];
     while let Some(e) = open.pop() {
-        if let ControlFlow::Break(what) = look(e) {
+        if let ControlFlow::Break(what) = check(e) {
             return Some(what);
         }
-        within(e, &mut open);
+        push_operands(e, &mut open);
     }
     None
 }
 
 /// The expressions directly within one, of the kinds that are of one row; each field is named, so that what a later version
 /// of the crate adds is looked at here.
-fn within<'a>(e: &'a Expr, open: &mut Vec<&'a Expr>) {
+fn push_operands<'a>(e: &'a Expr, open: &mut Vec<&'a Expr>) {
     match e {
         Expr::IsFalse(e)
         | Expr::IsNotFalse(e)
@@ -220,7 +222,7 @@
 }
 
 /// Whether an expression is of one row alone, by itself.
-fn of_one_row(e: &Expr) -> ControlFlow<String> {
+fn check_single_row(e: &Expr) -> ControlFlow<String> {
     let stop = |what: &str| ControlFlow::Break(what.to_string());
     match e {
         Expr::Identifier(name) if name.value.eq_ignore_ascii_case("rownum") => stop("ROWNUM"),
@@ -253,11 +255,13 @@
             ControlFlow::Continue(())
         }
         Expr::Collate { .. } | Expr::Nested(_) | Expr::Case { .. } => ControlFlow::Continue(()),
-        Expr::Value(value) if matches!(value.value, Word::Placeholder(_)) => stop("a placeholder"),
+        Expr::Value(value) if matches!(value.value, SqlValue::Placeholder(_)) => {
+            stop("a placeholder")
+        }
         Expr::Value(_) => ControlFlow::Continue(()),
         Expr::Function(f) => {
             let name = f.name.to_string().to_ascii_lowercase();
-            match arguments(f).is_some() && OF_ONE_ROW.contains(&name.as_str()) {
+            match arguments(f).is_some() && SINGLE_ROW_FUNCTIONS.contains(&name.as_str()) {
                 true => ControlFlow::Continue(()),
                 false => ControlFlow::Break(format!("function '{name}'")),
             }
@@ -268,7 +272,7 @@
 }
 
 /// Whether every dialect takes the operator for the same one, with the same rank.
-fn of_one_reading(e: &Expr) -> ControlFlow<String> {
+fn check_unambiguous(e: &Expr) -> ControlFlow<String> {
     use BinaryOperator::{
         And, Divide, Eq, Gt, GtEq, Lt, LtEq, Minus, Modulo, Multiply, NotEq, Or, Plus,
     };
--- a/crates/scatter/src/runs.rs
+++ b/crates/scatter/src/runs.rs
@@ -58,14 +58,14 @@
 }
 
 /// Joins those with the least between them until there are no more than that.
-pub fn merge_closest(runs: Runs, most: usize) -> Runs {
-    if runs.len() <= most.max(1) {
+pub fn merge_closest(runs: Runs, max_runs: usize) -> Runs {
+    if runs.len() <= max_runs.max(1) {
         return runs;
     }
-    let gap = |at: usize| runs[at].0.abs_diff(runs[at - 1].1);
+    let gap_before = |at: usize| runs[at].0.abs_diff(runs[at - 1].1);
     let mut order: Vec<usize> = (1..runs.len()).collect();
-    order.sort_by_key(|at| (std::cmp::Reverse(gap(*at)), *at));
-    order.truncate(most.max(1) - 1);
+    order.sort_by_key(|at| (std::cmp::Reverse(gap_before(*at)), *at));
+    order.truncate(max_runs.max(1) - 1);
     order.sort_unstable();
     let begins = std::iter::once(0).chain(order.iter().copied());
     let ends = order.iter().copied().chain([runs.len()]);
--- a/crates/scatter/src/runs_tests.rs
+++ b/crates/scatter/src/runs_tests.rs
@@ -5,11 +5,11 @@
 
 #[test]
 fn runs_are_joined_over_the_least_gaps() {
-    let mut growing = RunsBuilder::default();
+    let mut builder = RunsBuilder::default();
     [5, 1, 2, 9, 3, 90, 7, i128::MIN, i128::MAX]
         .into_iter()
-        .for_each(|v| growing.add_value(v));
-    let runs = growing.runs();
+        .for_each(|v| builder.add_value(v));
+    let runs = builder.runs();
     assert_eq!(
         runs[1..7],
         [
@@ -35,12 +35,12 @@
     #[test]
     fn every_value_lies_in_a_run(
         values in prop::collection::vec(-500i128..500, 1..300),
-        most in 1usize..40,
+        max_runs in 1usize..40,
     ) {
-        let mut growing = RunsBuilder::default();
-        values.iter().for_each(|value| growing.add_value(*value));
-        let runs = merge_closest(growing.runs(), most);
-        prop_assert!(runs.len() <= most && runs.windows(2).all(|w| w[0].1 < w[1].0));
+        let mut builder = RunsBuilder::default();
+        values.iter().for_each(|value| builder.add_value(*value));
+        let runs = merge_closest(builder.runs(), max_runs);
+        prop_assert!(runs.len() <= max_runs && runs.windows(2).all(|w| w[0].1 < w[1].0));
         prop_assert!(values.iter().all(|value| overlaps(&runs, *value, *value)));
     }
 
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -9,8 +9,8 @@
 use crate::sql::Query;
 use crate::value::{Kind, Value};
 
-const LG_K: u8 = 12; // 4,096 registers: 3.3 % at two standard deviations, some 2,100 bytes a column
-const LONGEST: usize = 8 << 10; // bytes of one
+const LOG2_REGISTERS: u8 = 12; // 4,096 registers: 3.3 % at two standard deviations, some 2,100 bytes a column
+const MAX_SKETCH_BYTES: usize = 8 << 10; // bytes of one
 
 /// A column's sketch as its rows come.
 pub(crate) struct SketchBuilder(HllSketch);
@@ -18,7 +18,7 @@
 impl SketchBuilder {
     /// `None`: engines may take unequal values of this kind for equal, so that they cannot be counted here.
     pub fn new(kind: Kind) -> Option<SketchBuilder> {
-        HllSketch::new(LG_K, HllType::Hll4)
+        HllSketch::new(LOG2_REGISTERS, HllType::Hll4)
             .ok()
             .filter(|_| kind.is_equal_by_value())
             .map(SketchBuilder)
@@ -35,15 +35,15 @@
     }
 }
 
-fn read(bytes: &[u8]) -> Option<HllSketch> {
-    let short = Some(bytes).filter(|bytes| bytes.len() <= LONGEST)?;
-    HllSketch::deserialize(short)
+fn deserialize_sketch(bytes: &[u8]) -> Option<HllSketch> {
+    let bounded = Some(bytes).filter(|bytes| bytes.len() <= MAX_SKETCH_BYTES)?;
+    HllSketch::deserialize(bounded)
         .ok()
-        .filter(|sketch| sketch.lg_config_k() == LG_K)
+        .filter(|sketch| sketch.lg_config_k() == LOG2_REGISTERS)
 }
 
 pub(crate) fn is_valid(bytes: &[u8]) -> bool {
-    read(bytes).is_some()
+    deserialize_sketch(bytes).is_some()
 }
 
 /// Distinct values, and by which part of them that may be wrong at two standard deviations.
@@ -67,8 +67,8 @@
         ..
     } = *basis;
     let name = query.distinct.as_ref()?;
-    let mut all = HllUnion::new(LG_K).ok()?;
-    let mut alike = None;
+    let mut union = HllUnion::new(LOG2_REGISTERS).ok()?;
+    let mut common_kind = None;
     for site in sites {
         if suspected(site) || !basis.allows(site) {
             return None;
@@ -80,16 +80,16 @@
             .iter()
             .find(|column| column.name == *name)?;
         // Values of two kinds may be equal and are not known to be.
-        if *alike.get_or_insert(column.kind) != column.kind {
+        if *common_kind.get_or_insert(column.kind) != column.kind {
             return None;
         }
-        all.update(&read(column.sketch.as_ref()?)?);
-        let open = match loads {
+        union.update(&deserialize_sketch(column.sketch.as_ref()?)?);
+        let uncovered = match loads {
             LoadInfo::Markers(markers) => markers.uncovered(summary)?,
             LoadInfo::NoLoads => Vec::new(),
             LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => return None,
         };
-        for touched in open {
+        for touched in uncovered {
             let Affected::Rows {
                 table,
                 columns,
@@ -101,24 +101,29 @@
             if *table != query.table {
                 continue;
             }
-            let place = columns.iter().position(|column| column == name)?;
+            let position = columns.iter().position(|column| column == name)?;
             for row in rows {
-                match row.get(place)? {
+                match row.get(position)? {
                     Cell::Null => {}
                     Cell::Is(literal) => {
                         let point = literal.point(column.kind).filter(|point| point.exact)?;
-                        all.update_value(point.below.hash());
+                        union.update_value(point.below.hash());
                     }
                     Cell::Unknown => return None,
                 }
             }
         }
     }
-    let of = all.estimate();
-    let wide = (all.upper_bound(NumStdDev::Two) - of).max(of - all.lower_bound(NumStdDev::Two));
-    let error = if of > 0.0 { wide / of } else { 0.0 };
+    let estimate = union.estimate();
+    let deviation = (union.upper_bound(NumStdDev::Two) - estimate)
+        .max(estimate - union.lower_bound(NumStdDev::Two));
+    let error = if estimate > 0.0 {
+        deviation / estimate
+    } else {
+        0.0
+    };
     Some(Estimate {
-        distinct: of.round().max(0.0) as u64,
+        distinct: estimate.round().max(0.0) as u64,
         error,
     })
 }
--- a/crates/scatter/src/sql.rs
+++ b/crates/scatter/src/sql.rs
@@ -6,7 +6,7 @@
 use sqlparser::ast::{
     Distinct, DuplicateTreatment, Expr, FunctionArguments, GroupByExpr, Ident, LimitClause,
     ObjectName, Query as Parsed, Select, SelectFlavor, SelectItem, SetExpr, Statement,
-    TableWithJoins, Value as Word,
+    TableWithJoins, Value as SqlValue,
 };
 use sqlparser::dialect::GenericDialect;
 use sqlparser::parser::Parser;
@@ -16,11 +16,11 @@
 use crate::combine::{self, Aggregate};
 use crate::condition::Condition;
 use crate::join::{self, Join};
-use crate::row::{beyond_one_row, is_of_one_reading, selects_beyond_one_row};
+use crate::row::{is_unambiguous, non_row_expression, selected_non_row_expression};
 
 use names::alias_of;
 
-const LONGEST: usize = 16 << 10; // bytes of a statement that is looked at; conditions nest by its length
+const MAX_STATEMENT_BYTES: usize = 16 << 10; // bytes of a statement that is looked at; conditions nest by its length
 
 /// A statement whose rows can be put together from those of its sites.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,7 +46,7 @@
 pub enum Unsupported {
     /// Too long to be parsed; holds its length in bytes.
     #[error(
-        "a statement of {0} bytes, over {LONGEST}: shorten it, or name a scatter.whole_site for it"
+        "a statement of {0} bytes, over {MAX_STATEMENT_BYTES}: shorten it, or name a scatter.whole_site for it"
     )]
     Long(usize),
     /// Text that dialects read in different ways; holds what makes it so.
@@ -77,16 +77,16 @@
 
 /// Text that begins or ends strings and comments in one dialect and not in another.
 fn ambiguous(text: &str) -> Option<&'static str> {
-    let dashes = |(at, _): (usize, &str)| {
+    let is_ambiguous_comment = |(at, _): (usize, &str)| {
         text[at + 2..]
             .chars()
             .next()
             .is_some_and(|c| !c.is_whitespace())
     };
-    let nested = || {
+    let has_ambiguous_comment = || {
         let mut rest = text;
-        while let Some((_, behind)) = rest.split_once("/*") {
-            let Some((comment, after)) = behind.split_once("*/") else {
+        while let Some((_, after_start)) = rest.split_once("/*") {
+            let Some((comment, after)) = after_start.split_once("*/") else {
                 return true;
             };
             if comment.contains("/*") || comment.starts_with(['!', '+', 'M']) {
@@ -100,14 +100,16 @@
         () if text.contains('\\') => Some("a backslash"),
         () if text.contains('#') => Some("#"),
         () if text.contains('$') => Some("$"),
-        () if text.match_indices("--").any(dashes) => Some("-- without a space behind"),
-        () if nested() => Some("a comment within a comment, or one with orders"),
+        () if text.match_indices("--").any(is_ambiguous_comment) => {
+            Some("-- without a space behind")
+        }
+        () if has_ambiguous_comment() => Some("a comment within a comment, or one with orders"),
         () => None,
     }
 }
 
 pub(crate) fn parse(statement: &[u8]) -> Result<Statement, Unsupported> {
-    if statement.len() > LONGEST {
+    if statement.len() > MAX_STATEMENT_BYTES {
         return Err(Unsupported::Long(statement.len()));
     }
     let Ok(text) = std::str::from_utf8(statement) else {
@@ -118,7 +120,7 @@
     }
     match Parser::parse_sql(&GenericDialect {}, text) {
         Ok(mut all) => match (all.pop(), all.is_empty()) {
-            (Some(one), true) => Ok(one),
+            (Some(statement), true) => Ok(statement),
             (Some(_), false) => Err(Unsupported::Syntax("several statements".to_string())),
             (None, _) => Err(Unsupported::Syntax("no statement".to_string())),
         },
@@ -128,7 +130,7 @@
 
 /// Takes a statement apart, if its rows can be put together from parts.
 pub fn read(statement: &[u8]) -> Result<Query, Unsupported> {
-    of(parse(statement)?)
+    query_of_statement(parse(statement)?)
 }
 
 /// The same of `SELECT COUNT(DISTINCT column)` over all rows of a table, which sketches may answer. None: it
@@ -159,7 +161,7 @@
     // What holds for the greatest of a column's values holds for this: one column by its name, nothing beside
     // it.
     f.name = ObjectName::from(vec![Ident::new("max")]);
-    let query = of(statement).ok()?;
+    let query = query_of_statement(statement).ok()?;
     let [Aggregate {
         column: Some(column),
         ..
@@ -167,8 +169,8 @@
     else {
         return None;
     };
-    let all = query.condition == Condition::Constant(true);
-    let distinct = Some(column.clone()).filter(|_| all)?;
+    let selects_all_rows = query.condition == Condition::Constant(true);
+    let distinct = Some(column.clone()).filter(|_| selects_all_rows)?;
     Some(Query {
         combine: None,
         distinct: Some(distinct),
@@ -176,7 +178,7 @@
     })
 }
 
-fn of(statement: Statement) -> Result<Query, Unsupported> {
+fn query_of_statement(statement: Statement) -> Result<Query, Unsupported> {
     let Statement::Query(query) = statement else {
         return not_divisible("what is no SELECT");
     };
@@ -193,7 +195,7 @@
         format_clause,
         pipe_operators,
     } = *query;
-    for (there, what) in [
+    for (is_present, what) in [
         (with.is_some(), "WITH"),
         (order_by.is_some(), "ORDER BY"),
         (fetch.is_some(), "FETCH"),
@@ -204,7 +206,7 @@
         ),
         (!pipe_operators.is_empty(), "a pipe"),
     ] {
-        if there {
+        if is_present {
             return not_divisible(what);
         }
     }
@@ -217,16 +219,16 @@
             limit,
             offset: None,
             limit_by,
-        }) if limit_by.is_empty() => limit.map(|limit| rows(&limit)).transpose()?,
+        }) if limit_by.is_empty() => limit.map(|limit| row_limit(&limit)).transpose()?,
         Some(_) => return not_divisible("OFFSET"),
     };
     select_from(*select, limit)
 }
 
-fn rows(limit: &Expr) -> Result<u64, Unsupported> {
+fn row_limit(limit: &Expr) -> Result<u64, Unsupported> {
     let count = match limit {
         Expr::Value(value) => match &value.value {
-            Word::Number(digits, false) => digits.parse().ok(),
+            SqlValue::Number(digits, false) => digits.parse().ok(),
             _ => None,
         },
         _ => None,
@@ -263,7 +265,7 @@
     } = select;
     let grouped = !matches!(&group_by, GroupByExpr::Expressions(by, with) if by.is_empty() && with.is_empty());
     let sorted = !cluster_by.is_empty() || !distribute_by.is_empty() || !sort_by.is_empty();
-    for (there, what) in [
+    for (is_present, what) in [
         (
             distinct.is_some_and(|d| !matches!(d, Distinct::All)),
             "DISTINCT",
@@ -286,15 +288,15 @@
             "a SELECT of another form",
         ),
     ] {
-        if there {
+        if is_present {
             return not_divisible(what);
         }
     }
-    of_tables(&from, &projection, selection.as_ref(), limit)
+    query_of_tables(&from, &projection, selection.as_ref(), limit)
 }
 
 /// The query of a SELECT without other clauses.
-fn of_tables(
+fn query_of_tables(
     from: &[TableWithJoins],
     projection: &[SelectItem],
     selection: Option<&Expr>,
@@ -326,11 +328,11 @@
     if combine.is_some() && limit.is_some() {
         return not_divisible("LIMIT beside aggregates");
     }
-    let beyond = projection
+    let unsupported = projection
         .iter()
         .filter(|_| combine.is_none())
-        .find_map(selects_beyond_one_row);
-    if let Some(what) = beyond.or_else(|| selection.and_then(beyond_one_row)) {
+        .find_map(selected_non_row_expression);
+    if let Some(what) = unsupported.or_else(|| selection.and_then(non_row_expression)) {
         return not_divisible(what);
     }
     let condition = condition(selection, &names);
@@ -354,7 +356,7 @@
     match selection {
         None => Condition::Constant(true),
         // MySQL reads some operators as AND and OR: then the whole falls apart otherwise.
-        Some(e) if !is_of_one_reading(e) => Condition::Other,
+        Some(e) if !is_unambiguous(e) => Condition::Other,
         Some(e) => crate::from_sql::condition(e, names),
     }
 }
--- a/crates/scatter/src/sql/names.rs
+++ b/crates/scatter/src/sql/names.rs
@@ -1,13 +1,13 @@
 //! Names and constants of a statement: which table and group, which column, which value.
 
 use sqlparser::ast::{
-    Expr, Ident, ObjectName, SelectItem, TableFactor, UnaryOperator, Value as Word,
+    Expr, Ident, ObjectName, SelectItem, TableFactor, UnaryOperator, Value as SqlValue,
 };
 
 use super::{not_divisible, Unsupported};
 use crate::value::Literal;
 
-const SCRATCH: &str = "staging"; // the schema that is no group's
+const STAGING_SCHEMA: &str = "staging"; // the schema that is no group's
 
 /// The group and the table that a name of two parts stands for.
 pub(crate) fn table(name: &ObjectName) -> Option<(u32, String)> {
@@ -15,12 +15,12 @@
     let [schema, table] = parts?[..] else {
         return None;
     };
-    let (area, number) = schema.value.rsplit_once('_')?;
-    let plain = !number.is_empty() && number.bytes().all(|c| c.is_ascii_digit());
+    let (prefix, number) = schema.value.rsplit_once('_')?;
+    let is_number = !number.is_empty() && number.bytes().all(|c| c.is_ascii_digit());
     let group = number
         .parse()
         .ok()
-        .filter(|_| plain && !area.eq_ignore_ascii_case(SCRATCH))?;
+        .filter(|_| is_number && !prefix.eq_ignore_ascii_case(STAGING_SCHEMA))?;
     Some((group, plain_name(table)))
 }
 
@@ -57,8 +57,12 @@
     else {
         return not_divisible("anything but a table");
     };
-    let aliased = alias.as_ref().is_some_and(|a| !a.columns.is_empty());
-    if !with_hints.is_empty() || !partitions.is_empty() || !index_directives.is_empty() || aliased {
+    let renames_columns = alias.as_ref().is_some_and(|a| !a.columns.is_empty());
+    if !with_hints.is_empty()
+        || !partitions.is_empty()
+        || !index_directives.is_empty()
+        || renames_columns
+    {
         return not_divisible("a table with hints, partitions or other names");
     }
     let (group, table) = table(name).ok_or(Unsupported::NoGroup)?;
@@ -115,12 +119,12 @@
     match e {
         Expr::Nested(inner) => literal(inner),
         Expr::Value(value) => match &value.value {
-            Word::Number(digits, false) => Some(Literal::Number {
+            SqlValue::Number(digits, false) => Some(Literal::Number {
                 negative: false,
                 digits: digits.clone(),
             }),
-            Word::SingleQuotedString(text) => Some(Literal::Text(text.clone())),
-            Word::Boolean(b) => Some(Literal::Bool(*b)),
+            SqlValue::SingleQuotedString(text) => Some(Literal::Text(text.clone())),
+            SqlValue::Boolean(b) => Some(Literal::Bool(*b)),
             _ => None,
         },
         Expr::UnaryOp {
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -30,12 +30,12 @@
     pub max_summaries: usize,
 }
 
-const SETTLES_MS: u64 = 5_000; // milliseconds after which others hold what is held here
-const MOST_NOTED: usize = 8; // versions of one summary that are not settled yet
+const SETTLE_TIME_MS: u64 = 5_000; // milliseconds after which others hold what is held here
+const MAX_VERSIONS_SEEN: usize = 8; // versions of one summary that are not settled yet
 
 /// A version, and which loads were in it.
 struct SeenVersion {
-    came_ms: u64,
+    arrived_ms: u64,
     version: u64,
     loads: LoadNumbers,
 }
@@ -66,18 +66,19 @@
 ) -> VecDeque<SeenVersion> {
     while versions_seen
         .get(1)
-        .is_some_and(|next| next.came_ms + SETTLES_MS <= wall_ms)
+        .is_some_and(|next| next.arrived_ms + SETTLE_TIME_MS <= wall_ms)
     {
         versions_seen.pop_front();
     }
     let latest = versions_seen.back();
-    let new = latest.is_none_or(|n| {
-        n.version < summary.version && n.came_ms + SETTLES_MS / (MOST_NOTED as u64 - 2) <= wall_ms
+    let is_new = latest.is_none_or(|n| {
+        n.version < summary.version
+            && n.arrived_ms + SETTLE_TIME_MS / (MAX_VERSIONS_SEEN as u64 - 2) <= wall_ms
     });
-    if new && versions_seen.len() < MOST_NOTED {
+    if is_new && versions_seen.len() < MAX_VERSIONS_SEEN {
         let (version, loads) = (summary.version, summary.loads.clone());
         versions_seen.push_back(SeenVersion {
-            came_ms: wall_ms,
+            arrived_ms: wall_ms,
             version,
             loads,
         });
@@ -123,14 +124,14 @@
 
     /// Takes a site's word, from wherever it came. False: held already. What is refused changes nothing.
     pub fn accept(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, SummaryError> {
-        let taken = self.check_and_hold(wall_ms, bytes);
-        if let Err(why) = &taken {
+        let outcome = self.check_and_insert(wall_ms, bytes);
+        if let Err(why) = &outcome {
             *self.rejected.entry(why.name()).or_default() += 1;
         }
-        taken
+        outcome
     }
 
-    fn check_and_hold(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, SummaryError> {
+    fn check_and_insert(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, SummaryError> {
         let summary = Summary::read(bytes, |site| self.settings.sites.get(site).copied())?;
         let (site, group, version) = (summary.site.clone(), summary.group, summary.version);
         self.check_validity(wall_ms, &summary)?;
@@ -176,26 +177,26 @@
             );
         }
         let wanted = self.wanted_detail(summary_id(&site, group));
-        let of = (site, group);
+        let key = (site, group);
         if wanted.is_none() {
             // An older one proves less than none: loads may have come since.
-            self.held.remove(&of);
+            self.held.remove(&key);
             return Ok(false);
         }
         let versions_seen = self
             .held
-            .remove(&of)
+            .remove(&key)
             .map_or(VecDeque::new(), |held| held.versions_seen);
         let versions_seen = note_version(versions_seen, wall_ms, &summary);
         self.held.insert(
-            of.clone(),
+            key.clone(),
             HeldSummary {
                 summary,
                 bytes: bytes.into(),
                 versions_seen,
             },
         );
-        self.cut(&of, wanted);
+        self.reduce_detail(&key, wanted);
         Ok(true)
     }
 
@@ -214,19 +215,19 @@
             return;
         };
         retention.choose((wall_ms * 1000) as Micros);
-        for of in self.held.keys().cloned().collect::<Vec<_>>() {
-            let wanted = self.wanted_detail(summary_id(&of.0, of.1));
-            self.cut(&of, wanted);
+        for key in self.held.keys().cloned().collect::<Vec<_>>() {
+            let wanted = self.wanted_detail(summary_id(&key.0, key.1));
+            self.reduce_detail(&key, wanted);
         }
     }
 
     /// Lets go of what is finer than wanted.
-    fn cut(&mut self, of: &(String, u32), wanted: Option<Detail>) {
-        let Some(held) = self.held.get_mut(of) else {
+    fn reduce_detail(&mut self, key: &(String, u32), wanted: Option<Detail>) {
+        let Some(held) = self.held.get_mut(key) else {
             return;
         };
         let Some(wanted) = wanted else {
-            self.held.remove(of);
+            self.held.remove(key);
             return;
         };
         if held.summary.detail <= wanted {
@@ -239,13 +240,13 @@
             return;
         };
         let sites = &self.settings.sites;
-        let less = held
+        let reduced = held
             .bytes
             .get(..end)
             .and_then(|b| Some((b, Summary::read(b, |s| sites.get(s).copied()).ok()?)));
-        match less {
+        match reduced {
             Some((bytes, summary)) => (held.bytes, held.summary) = (bytes.into(), summary),
-            None => _ = self.held.remove(of),
+            None => _ = self.held.remove(key),
         }
     }
 
@@ -258,7 +259,7 @@
         let summary = self.current(wall_ms, site, query.group);
         let table =
             summary.and_then(|summary| Some((summary.detail, summary.table(&query.table)?)));
-        let shown = match table {
+        let outcome = match table {
             None if asked => Outcome::Unknown,
             None => return,
             Some((_, table)) if !asked => {
@@ -275,7 +276,7 @@
         };
         self.retention
             .iter_mut()
-            .for_each(|retention| retention.record(now, summary_id(site, query.group), shown));
+            .for_each(|retention| retention.record(now, summary_id(site, query.group), outcome));
     }
 
     /// The name and version of what a known site has signed.
@@ -296,12 +297,12 @@
 
     /// What a column holds, where all that is held speaks alike of it.
     pub fn column_kind(&self, group: u32, table: &str, column: &str) -> Option<Kind> {
-        let of = self
+        let tables = self
             .held
             .iter()
-            .filter(|((_, of), _)| *of == group)
+            .filter(|((_, held_group), _)| *held_group == group)
             .filter_map(|(_, held)| held.summary.table(table));
-        let mut kinds = of.map(|table| {
+        let mut kinds = tables.map(|table| {
             table
                 .columns
                 .iter()
@@ -372,10 +373,10 @@
             .versions_seen
             .iter()
             .rev()
-            .find(|versions_seen| versions_seen.came_ms + SETTLES_MS <= wall_ms);
+            .find(|seen| seen.arrived_ms + SETTLE_TIME_MS <= wall_ms);
         ReportedLoads {
             newest,
-            settled: settled.map(|versions_seen| (versions_seen.version, &versions_seen.loads)),
+            settled: settled.map(|seen| (seen.version, &seen.loads)),
         }
     }
 
@@ -391,12 +392,12 @@
 
     /// All that is held.
     pub fn versions(&self) -> impl Iterator<Item = HeldVersion> + '_ {
-        let of = |((site, group), held): (&(String, u32), &HeldSummary)| HeldVersion {
+        let version_of = |((site, group), held): (&(String, u32), &HeldSummary)| HeldVersion {
             name: summary_id(site, *group),
             version: held.summary.version,
             detail: held.summary.detail,
         };
-        self.held.iter().map(of)
+        self.held.iter().map(version_of)
     }
 
     /// The bytes of one that is held, as they came.
--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -8,16 +8,16 @@
 pub use error::SummaryError;
 
 use crate::filter::Members;
-use crate::layers::{self, Detail, LAYERED, LAYERED_EXTENDED};
+use crate::layers::{self, Detail, LAYERED_EXTENDED_FORMAT, LAYERED_FORMAT};
 use crate::runs::{EncodedRuns, Runs};
 use crate::sketch;
 use crate::value::{less, Kind, Value, MAX_SCALE};
 
 /// The longest summary that is read or made.
 pub const MAX_SUMMARY_BYTES: usize = 64 << 10; // bytes of a summary: 50,000 values in filters, and 60 pieces on their way
-const FORMAT: u16 = 1;
-const EXTENDED: u16 = 3; // 2 and 4 are in sheets
-const RUN_BYTES: usize = 6; // bytes of a run, about
+const PLAIN_FORMAT: u16 = 1;
+const EXTENDED_FORMAT: u16 = 3; // 2 and 4 are in sheets
+const APPROXIMATE_RUN_BYTES: usize = 6; // bytes of a run, about
 const SIGNING_CONTEXT: &[u8] = b"hallmux summary\0"; // what is signed says what it is: no other word passes for it
 /// The most tables that a summary may have.
 pub const MAX_TABLES: usize = 64; // of a group
@@ -73,14 +73,14 @@
         let at = self.0.partition_point(|(from, _)| *from < number);
         self.0.insert(at, (number, number));
         self.0.dedup_by(|next, run| {
-            let meets = run.1.checked_add(1).is_none_or(|after| next.0 <= after);
-            if meets {
+            let adjoins = run.1.checked_add(1).is_none_or(|after| next.0 <= after);
+            if adjoins {
                 run.1 = run.1.max(next.1);
             }
-            meets
+            adjoins
         });
-        let over = self.0.len().saturating_sub(MAX_LOAD_RUNS);
-        self.0.drain(..over);
+        let excess = self.0.len().saturating_sub(MAX_LOAD_RUNS);
+        self.0.drain(..excess);
     }
 
     /// Whether all from one number to another are in.
@@ -150,7 +150,7 @@
     /// A summary without tables, in full detail and of version 1.
     pub fn empty(site: &str, group: u32) -> Summary {
         Summary {
-            format: FORMAT,
+            format: PLAIN_FORMAT,
             site: site.to_string(),
             group,
             schema: 0,
@@ -164,39 +164,39 @@
 
     /// Its bytes with the site's signature over them.
     pub fn sign(&self, key: &SigningKey) -> Vec<u8> {
-        signed(self.encoded(FORMAT, EXTENDED), key)
+        signed(self.encoded(PLAIN_FORMAT, EXTENDED_FORMAT), key)
     }
 
     pub(crate) fn size(&self) -> usize {
-        self.encoded(FORMAT, EXTENDED).len()
+        self.encoded(PLAIN_FORMAT, EXTENDED_FORMAT).len()
     }
 
     /// Its bytes: of the one format as they always were, of the other with what tells extension. One that says
     /// that it is of another is left so.
     pub(crate) fn encoded(&self, plain: u16, extended: u16) -> Vec<u8> {
-        if self.format != FORMAT {
+        if self.format != PLAIN_FORMAT {
             return postcard::to_stdvec(self).unwrap_or_default();
         }
         let mut extension = Extension::default();
         for (at, table) in self.tables.iter().enumerate() {
-            for (place, column) in table.columns.iter().enumerate() {
-                let name = (at as u16, place as u16);
+            for (position, column) in table.columns.iter().enumerate() {
+                let name = (at as u16, position as u16);
                 extension
                     .runs
-                    .extend(EncodedRuns::of(&column.runs).map(|told| (name.0, name.1, told)));
+                    .extend(EncodedRuns::of(&column.runs).map(|runs| (name.0, name.1, runs)));
                 extension
                     .sketches
                     .extend(column.sketch.clone().map(|sketch| (name.0, name.1, sketch)));
             }
         }
-        let none = extension == Extension::default();
-        let format = if none { plain } else { extended };
+        let is_plain = extension == Extension::default();
+        let format = if is_plain { plain } else { extended };
         let mut bytes = postcard::to_stdvec(&Summary {
             format,
             ..self.clone()
         })
         .unwrap_or_default();
-        if !none {
+        if !is_plain {
             bytes.extend(postcard::to_stdvec(&extension).unwrap_or_default());
         }
         bytes
@@ -204,11 +204,12 @@
 
     /// Lets go of what tells more, of the columns where it is longest first, until it is not longer than
     /// that.
-    pub(crate) fn cut(&mut self, most: usize, plain: u16, extended: u16) {
-        while self.encoded(plain, extended).len() > most {
+    pub(crate) fn drop_extensions(&mut self, max_bytes: usize, plain: u16, extended: u16) {
+        while self.encoded(plain, extended).len() > max_bytes {
             let columns = self.tables.iter_mut().flat_map(|t| &mut t.columns);
-            let length =
-                |c: &Column| c.runs.len() * RUN_BYTES + c.sketch.as_ref().map_or(0, Vec::len);
+            let length = |c: &Column| {
+                c.runs.len() * APPROXIMATE_RUN_BYTES + c.sketch.as_ref().map_or(0, Vec::len)
+            };
             let Some(largest) = columns.max_by_key(|c| length(c)).filter(|c| length(c) > 0) else {
                 return;
             };
@@ -217,11 +218,11 @@
     }
 
     /// Takes what stands behind it and tells more; what is left behind that. None: it is none.
-    fn take_extension<'a>(&mut self, behind: &'a [u8]) -> Option<&'a [u8]> {
-        let (extension, rest) = postcard::take_from_bytes::<Extension>(behind).ok()?;
-        for (table, column, told) in extension.runs {
+    fn apply_extension<'a>(&mut self, trailing: &'a [u8]) -> Option<&'a [u8]> {
+        let (extension, rest) = postcard::take_from_bytes::<Extension>(trailing).ok()?;
+        for (table, column, runs) in extension.runs {
             let table = self.tables.get_mut(usize::from(table))?;
-            table.columns.get_mut(usize::from(column))?.runs = told.runs()?;
+            table.columns.get_mut(usize::from(column))?.runs = runs.runs()?;
         }
         for (table, column, sketch) in extension.sketches {
             let table = self.tables.get_mut(usize::from(table))?;
@@ -244,20 +245,25 @@
         // The format comes first in every format there will be.
         let (format, _) =
             postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| SummaryError::Form)?;
-        if !matches!(format, FORMAT | LAYERED | EXTENDED | LAYERED_EXTENDED) {
+        if !matches!(
+            format,
+            PLAIN_FORMAT | LAYERED_FORMAT | EXTENDED_FORMAT | LAYERED_EXTENDED_FORMAT
+        ) {
             return Err(SummaryError::Format(format));
         }
-        let (mut summary, mut behind) = postcard::take_from_bytes::<Summary>(&signed.summary)
+        let (mut summary, mut trailing) = postcard::take_from_bytes::<Summary>(&signed.summary)
             .map_err(|_| SummaryError::Form)?;
-        if matches!(format, EXTENDED | LAYERED_EXTENDED) {
-            behind = summary.take_extension(behind).ok_or(SummaryError::Form)?;
+        if matches!(format, EXTENDED_FORMAT | LAYERED_EXTENDED_FORMAT) {
+            trailing = summary
+                .apply_extension(trailing)
+                .ok_or(SummaryError::Form)?;
         }
         // What it is made of says the rest.
-        summary.format = FORMAT;
-        if matches!(format, LAYERED | LAYERED_EXTENDED) {
+        summary.format = PLAIN_FORMAT;
+        if matches!(format, LAYERED_FORMAT | LAYERED_EXTENDED_FORMAT) {
             summary.detail =
-                layers::apply(&mut summary.tables, behind, rest).ok_or(SummaryError::Form)?;
-        } else if !rest.is_empty() || !behind.is_empty() {
+                layers::apply(&mut summary.tables, trailing, rest).ok_or(SummaryError::Form)?;
+        } else if !rest.is_empty() || !trailing.is_empty() {
             return Err(SummaryError::Form);
         }
         let key = key(&summary.site).ok_or_else(|| SummaryError::Unknown(summary.site.clone()))?;
@@ -281,23 +287,25 @@
     /// What in it can't be so.
     fn inconsistency(&self) -> Option<&'static str> {
         let runs = &self.loads.0;
-        let ordered =
+        let is_ordered =
             runs.windows(2).all(|w| w[0].1 < w[1].0) && runs.iter().all(|run| run.0 <= run.1);
-        if runs.len() > MAX_LOAD_RUNS || !ordered {
+        if runs.len() > MAX_LOAD_RUNS || !is_ordered {
             return Some("its loads");
         }
-        let names = |all: &mut dyn Iterator<Item = &String>, most: usize| {
+        let are_valid_names = |all: &mut dyn Iterator<Item = &String>, max_count: usize| {
             let mut names: Vec<&String> = all.collect();
             let count = names.len();
             names.sort_unstable();
             names.dedup();
-            names.len() == count && count <= most && names.iter().all(|n| n.len() <= MAX_NAME_BYTES)
+            names.len() == count
+                && count <= max_count
+                && names.iter().all(|n| n.len() <= MAX_NAME_BYTES)
         };
-        if !names(&mut self.tables.iter().map(|t| &t.name), MAX_TABLES) {
+        if !are_valid_names(&mut self.tables.iter().map(|t| &t.name), MAX_TABLES) {
             return Some("its tables' names");
         }
         for table in &self.tables {
-            if !names(&mut table.columns.iter().map(|c| &c.name), MAX_COLUMNS) {
+            if !are_valid_names(&mut table.columns.iter().map(|c| &c.name), MAX_COLUMNS) {
                 return Some("its columns' names");
             }
             if let Some(what) = table
@@ -343,8 +351,8 @@
             return Some("a column's counts");
         }
         if let Some((least, greatest)) = &self.bounds {
-            let orders = |v: &Value| v.fits(self.kind) && crate::value::order(v, v).is_some();
-            if !orders(least) || !orders(greatest) || less(greatest, least) {
+            let is_ordered = |v: &Value| v.fits(self.kind) && crate::value::order(v, v).is_some();
+            if !is_ordered(least) || !is_ordered(greatest) || less(greatest, least) {
                 return Some("a column's least and greatest value");
             }
         }
--- a/crates/scatter/src/summary/error.rs
+++ b/crates/scatter/src/summary/error.rs
@@ -1,6 +1,6 @@
 //! Why a summary is refused, in words that say what to do about it.
 
-use super::{FORMAT, MAX_SUMMARY_BYTES};
+use super::{MAX_SUMMARY_BYTES, PLAIN_FORMAT};
 
 /// Why a summary counts for nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -13,7 +13,7 @@
     Form,
     /// A format that this build does not read; holds its number.
     #[error(
-        "a summary of format {0}, this front reads {FORMAT}: site and front must be of versions that agree"
+        "a summary of format {0}, this front reads {PLAIN_FORMAT}: site and front must be of versions that agree"
     )]
     Format(u16),
     /// A site that the operator does not name; holds its name.
--- a/crates/scatter/src/value.rs
+++ b/crates/scatter/src/value.rs
@@ -6,8 +6,8 @@
 
 /// The most digits behind the point that a column of numbers may have.
 pub const MAX_SCALE: u8 = 18; // digits behind the point: with 18 before it they fit 128 bits by far
-const MOST_DIGITS: usize = 30; // of a literal; longer ones are not understood
-const SLACK: f64 = 1e-6; // of a float: an engine may round a literal to four bytes, which is off by a tenth of that
+const MAX_LITERAL_DIGITS: usize = 30; // of a literal; longer ones are not understood
+const FLOAT_TOLERANCE: f64 = 1e-6; // of a float: an engine may round a literal to four bytes, which is off by a tenth of that
 
 /// What a column holds, as its site declares it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -127,13 +127,16 @@
         };
         match (self, kind) {
             (Literal::Number { negative, digits }, Kind::Number { scale }) => {
-                number(*negative, digits, scale)
+                decimal_point(*negative, digits, scale)
             }
             (Literal::Number { negative, digits }, Kind::Float) => {
-                let near: f64 = digits.parse().ok().filter(|f: &f64| f.is_finite())?;
-                let near = if *negative { -near } else { near };
-                let slack = near.abs() * SLACK + f64::from(f32::MIN_POSITIVE);
-                let (below, above) = (Value::Float(near - slack), Value::Float(near + slack));
+                let nearest: f64 = digits.parse().ok().filter(|f: &f64| f.is_finite())?;
+                let nearest = if *negative { -nearest } else { nearest };
+                let tolerance = nearest.abs() * FLOAT_TOLERANCE + f64::from(f32::MIN_POSITIVE);
+                let (below, above) = (
+                    Value::Float(nearest - tolerance),
+                    Value::Float(nearest + tolerance),
+                );
                 Some(Point {
                     below,
                     above,
@@ -149,20 +152,24 @@
     }
 }
 
-fn number(negative: bool, digits: &str, scale: u8) -> Option<Point> {
-    let (whole, part) = digits.split_once('.').unwrap_or((digits, ""));
-    let plain = |text: &str| text.bytes().all(|c| c.is_ascii_digit());
-    if !plain(whole) || !plain(part) || whole.len() + part.len() > MOST_DIGITS || digits == "." {
+fn decimal_point(negative: bool, digits: &str, scale: u8) -> Option<Point> {
+    let (integer_digits, fraction_digits) = digits.split_once('.').unwrap_or((digits, ""));
+    let is_digits = |text: &str| text.bytes().all(|c| c.is_ascii_digit());
+    if !is_digits(integer_digits)
+        || !is_digits(fraction_digits)
+        || integer_digits.len() + fraction_digits.len() > MAX_LITERAL_DIGITS
+        || digits == "."
+    {
         return None;
     }
-    let part = part.trim_end_matches('0');
-    let kept: String = part
+    let fraction_digits = fraction_digits.trim_end_matches('0');
+    let kept: String = fraction_digits
         .chars()
         .chain(std::iter::repeat('0'))
         .take(usize::from(scale))
         .collect();
-    let units: i128 = format!("0{whole}{kept}").parse().ok()?;
-    let (low, high) = match part.len() > usize::from(scale) {
+    let units: i128 = format!("0{integer_digits}{kept}").parse().ok()?;
+    let (low, high) = match fraction_digits.len() > usize::from(scale) {
         // Between two values: engines may round it to either, or compare it as it is.
         true => (units, units + 1),
         false => (units, units),
