--- a/crates/scatter/src/audit.rs
+++ b/crates/scatter/src/audit.rs
@@ -1,70 +1,74 @@
-//! Sites whose word turns out to be false: now and then one is asked that its own summary rules out. One that has rows all the
-//! same loses credit, and is asked always until it has earned it back.
+//! Audits of sites whose summaries may be wrong. From time to time a scatter asks a site although
+//! the site's summary rules it out. A site that has matching rows nevertheless is suspected and is
+//! asked by every scatter until enough of its answers agree with its summaries.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 
-const ANSWERS_TO_RECOVER: u32 = 20; // answers in a row that bear its word out, for a site that was found wrong once
-const MAX_ANSWERS_TO_RECOVER: u32 = 640; // for one that was found wrong again and again: each time twice as many
-const MAX_AUDIT_BUDGET: f64 = 1.0; // audits that a front may save up
+// Consecutive answers that agree with the site's summaries, after it was refuted once.
+const ANSWERS_TO_RECOVER: u32 = 20;
+// Upper bound: the number doubles each time the site is refuted again.
+const MAX_ANSWERS_TO_RECOVER: u32 = 640;
+// Audits that a front may accumulate.
+const MAX_AUDIT_BUDGET: f64 = 1.0;
 
-/// How much is spent on it.
+/// How many audits are made.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AuditSettings {
-    /// One scatter of so many.
+    /// One scatter out of this many is audited.
     pub one_in: u64,
-    /// Audits a second, of the whole fleet.
+    /// Audits per second, for all fronts together.
     pub per_second: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Site {
-    /// When it was audited last.
+    /// When the site was last audited.
     audited_at: Micros,
-    /// Answers that it still has to give before its word counts again; 0: it counts.
+    /// Answers that must still agree before the site's summaries count again; 0 if they count.
     answers_to_recover: u32,
-    /// What the next false word costs.
+    /// The number of answers last required; it doubles when the site is refuted again.
     penalty: u32,
 }
 
-/// What an answer of a site that its summary rules out has shown.
+/// What the answer of a site that its summary ruled out shows about the summary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuditResult {
-    /// Its word holds.
+    /// The site has no rows, as its summary says.
     Confirmed,
-    /// It holds, and counts again from now on.
+    /// The site has no rows, and its summaries count again from now on.
     Recovered,
-    /// It was false: the site is asked always for now.
+    /// The summary is wrong: the site is suspected.
     Refuted,
-    /// It has rows, which may be those of a load.
+    /// The site has rows, but a load may have added them after the summary.
     Inconclusive,
 }
 
-/// What audits have found since the front started.
+/// Totals of the audits since the front started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AuditCounts {
-    /// Sites asked that their summaries rule out.
+    /// Sites asked although their summaries ruled them out.
     pub audits: u64,
-    /// False words found.
+    /// Answers that refuted a summary.
     pub found: u64,
-    /// Rows that sites have by such answers and have not by their own word.
+    /// Rows in those answers.
     pub rows: u64,
 }
 
-/// The audits of one front: when one is due, and which sites are suspected.
+/// The audits of one front: when an audit is due, and which sites are suspected.
 pub struct Audits {
     settings: AuditSettings,
-    /// What may be spent, as of when.
+    /// The audits that may be made as of `refilled_at`; grows with the configured rate.
     budget: f64,
     refilled_at: Option<Micros>,
     sites: BTreeMap<String, Site>,
-    /// What audits have found; the caller reads it for its log and counters.
+    /// Totals of the audits; the caller reads them for its log and counters.
     pub counts: AuditCounts,
 }
 
 impl Audits {
-    /// No site is suspected yet, and one audit may be made at once.
+    /// Creates a state in which no site is suspected and one audit may be made at once.
     pub fn new(settings: AuditSettings) -> Audits {
         Audits {
             settings,
@@ -75,13 +79,14 @@
         }
     }
 
-    /// Changes the settings; what is known of the sites stays.
+    /// Changes the settings; the state of the sites is kept.
     pub fn reconfigure(&mut self, settings: AuditSettings) {
         self.settings = settings;
     }
 
-    /// Which of the sites that a scatter leaves out it asks all the same: the one audited longest ago. `drawn` is chance,
-    /// `fronts` how many share the fleet's budget.
+    /// Chooses which of the sites that a scatter leaves out (`pruned`) is audited: the one whose
+    /// last audit is longest ago. Returns its index, or None if no audit is due. `drawn` is a
+    /// random number; `fronts` is the number of fronts that share the fleet's rate.
     pub fn choose_site(
         &mut self,
         now: Micros,
@@ -114,22 +119,23 @@
         Some(index)
     }
 
-    /// A site's word counts for nothing for now.
+    /// Whether the site's summaries do not count at present.
     pub fn is_suspected(&self, site: &str) -> bool {
         self.sites
             .get(site)
             .is_some_and(|site| site.answers_to_recover > 0)
     }
 
-    /// Another front has found a site's word false: it loses credit here too, as much as for one that was
-    /// found here first.
+    /// Records that another front has refuted a site's summary. The site must recover here too, by
+    /// as many answers as if this front had refuted it for the first time.
     pub fn reported_by_peer(&mut self, site: &str) {
         let site = self.sites.entry(site.to_string()).or_default();
         site.penalty = site.penalty.max(ANSWERS_TO_RECOVER);
         site.answers_to_recover = site.answers_to_recover.max(ANSWERS_TO_RECOVER);
     }
 
-    /// A site that its summary rules out has answered with so many rows. `sure`: no load can have brought them.
+    /// Records the number of rows in the answer of a site that its summary rules out. `load_free`
+    /// means that no load can have added the rows.
     pub fn record_answer(&mut self, site: &str, rows: u64, load_free: bool) -> AuditResult {
         if rows > 0 && !load_free {
             return AuditResult::Inconclusive;
--- a/crates/scatter/src/build.rs
+++ b/crates/scatter/src/build.rs
@@ -1,4 +1,4 @@
-//! A site's summary from the rows that it holds, within a bound of bytes.
+//! Builds a site's summary from its rows, within a limit of bytes.
 
 use std::collections::BTreeSet;
 
@@ -10,28 +10,31 @@
 use crate::value::{less, Kind, Value};
 use crate::{runs, sketch};
 
-const MAX_BOUND_TEXT_BYTES: usize = 64; // bytes of text that bounds keep
-const MAX_COLUMN_HASHES: usize = MAX_SUMMARY_BYTES; // of a column: a filter of more would not fit
-const RESERVED_SIGNATURE_BYTES: usize = 128; // bytes for the signature and lengths around it
+// Longer bounds are truncated.
+const MAX_BOUND_TEXT_BYTES: usize = 64;
+// A filter of more hashes would not fit.
+const MAX_COLUMN_HASHES: usize = MAX_SUMMARY_BYTES;
+// For the signature and the lengths around it.
+const RESERVED_SIGNATURE_BYTES: usize = 128;
 
-/// What holds for a whole summary.
+/// The fields of a summary that do not come from its tables.
 #[derive(Clone, Debug)]
 pub struct SummaryHeader {
-    /// The site that signs it.
+    /// The site that signs the summary.
     pub site: String,
-    /// The table group that it is about.
+    /// The table group that the summary describes.
     pub group: u32,
     /// The version of the tables' schema, as the operator counts it.
     pub schema: u32,
-    /// The summary's version; has to grow with each summary of this site and group.
+    /// The summary's version; must increase with each summary of this site and group.
     pub version: u64,
-    /// Unix milliseconds by the site's clock.
+    /// Unix milliseconds on the site's clock.
     pub made_ms: u64,
-    /// The marked loads whose rows are in it.
+    /// The numbers of the marked loads whose rows are in the summary.
     pub loads: LoadNumbers,
 }
 
-/// One table as rows come in.
+/// Collects the rows of one table.
 pub struct TableBuilder {
     name: String,
     rows: u64,
@@ -43,7 +46,8 @@
     kind: Kind,
     nulls: u64,
     bounds: Option<(Value, Value)>,
-    /// A value came that has no place in any order, or is not of the kind: nothing is usable of the column.
+    /// Whether a value had no order or did not fit the column's kind: the column's bounds and
+    /// filter are not usable then.
     unordered: bool,
     runs: runs::RunsBuilder,
     sketch: Option<sketch::SketchBuilder>,
@@ -51,7 +55,8 @@
 }
 
 impl TableBuilder {
-    /// Names as unquoted ones are, without the schema.
+    /// Creates a builder without rows. `name` is the table's name without its schema; table and
+    /// column names are converted to lower case, as for unquoted identifiers.
     pub fn new(name: &str, columns: &[(&str, Kind)]) -> TableBuilder {
         let column_builder = |(name, kind): &(&str, Kind)| ColumnBuilder {
             name: name.to_ascii_lowercase(),
@@ -70,7 +75,7 @@
         }
     }
 
-    /// Sketches of the distinct values of these columns are made too, where their kind has them.
+    /// Also builds sketches of the distinct values of these columns, where their kind supports it.
     pub fn with_sketches(mut self, columns: &[&str]) -> TableBuilder {
         for column in self
             .columns
@@ -82,7 +87,7 @@
         self
     }
 
-    /// One row, its values in the order of the columns; None and what is missing are null.
+    /// Adds a row whose values are in the order of the columns; None and missing values are null.
     pub fn add_row(&mut self, values: &[Option<Value>]) {
         self.rows += 1;
         for (position, column) in self.columns.iter_mut().enumerate() {
@@ -93,7 +98,7 @@
         }
     }
 
-    /// The table with full filters, and the small ones of its columns.
+    /// Returns the table with its full filters, and the small filters by column.
     fn finish(self) -> (Table, Vec<Option<Members>>) {
         let (columns, small) = self.columns.into_iter().map(ColumnBuilder::finish).unzip();
         (
@@ -112,7 +117,7 @@
         if self.hashes.len() < MAX_COLUMN_HASHES {
             self.hashes.insert(value.hash());
         }
-        // NaN has no order that all engines share.
+        // Engines do not agree on the order of NaN.
         if !value.fits(self.kind) || matches!(value, Value::Float(f) if !f.is_finite()) {
             self.unordered = true;
             return;
@@ -157,7 +162,7 @@
             .as_ref()
             .filter(|_| usable)
             .map(sketch::SketchBuilder::bytes);
-        // Engines round floats in ways of their own: their equality proves nothing.
+        // Engines round floats differently, so that equality of floats proves nothing.
         let has_all_hashes =
             self.hashes.len() < MAX_COLUMN_HASHES && usable && self.kind != Kind::Float;
         let hashes: Vec<u64> = self.hashes.into_iter().filter(|_| has_all_hashes).collect();
@@ -189,7 +194,9 @@
     &text[..end]
 }
 
-/// Text above everything that begins with the text given: its last character that has a next one, one further.
+/// Returns a text that is greater than every text with the given prefix: the
+/// prefix with its last character that has a successor replaced by that successor. None if no
+/// character has one.
 pub fn prefix_successor(text: &str) -> Option<String> {
     let mut chars: Vec<char> = text.chars().collect();
     while let Some(last) = chars.pop() {
@@ -204,7 +211,8 @@
     None
 }
 
-/// The summary of a group's tables. Where it would be too long, the largest filters go until it is not.
+/// Builds the summary of a group's tables. Removes the largest filters while the summary is longer
+/// than `max_bytes` (at most [`MAX_SUMMARY_BYTES`]).
 pub fn build_summary(
     header: SummaryHeader,
     tables: Vec<TableBuilder>,
@@ -241,7 +249,7 @@
     summary
 }
 
-/// The same in sheets, signed: fronts may hold a part of it.
+/// Builds and signs a summary in layers, of which fronts may hold only the first ones.
 pub fn build_layered_summary(
     header: SummaryHeader,
     tables: Vec<TableBuilder>,
@@ -264,7 +272,7 @@
         {
             let name = (table_position as u16, position as u16);
             let members = column.members.take();
-            // Few values are all there already.
+            // With few values the small filter already holds all hashes.
             full.extend(
                 members
                     .filter(|m| Some(m) != small_filter.as_ref())
--- a/crates/scatter/src/combine.rs
+++ b/crates/scatter/src/combine.rs
@@ -1,6 +1,6 @@
-//! Aggregates that are put together from those of the sites: counts and sums of decimals of any length, the
-//! least and the greatest of numbers, exactly; sums of floats as doubles in the order of sites. What depends
-//! on a collation is not taken.
+//! Combines the aggregates of the sites into one row. Counts, sums of decimals of any length,
+//! minima and maxima of numbers are exact; floats are added as doubles in the order of the sites.
+//! Aggregates that depend on a collation are not supported.
 
 use bigdecimal::BigDecimal;
 use sqlparser::ast::{Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, SelectItem};
@@ -9,34 +9,35 @@
 use crate::sql::{ColumnScope, Unsupported};
 use crate::value::Kind;
 
-const NULL_SPELLINGS: [&str; 4] = ["", "\\N", "NULL", "null"]; // as engines write that there is no value
-const MAX_NUMBER_CHARS: usize = 1_000; // characters of a number
+// How engines write NULL.
+const NULL_SPELLINGS: [&str; 4] = ["", "\\N", "NULL", "null"];
+const MAX_NUMBER_CHARS: usize = 1_000;
 
-/// The aggregates that can be put together from those of the sites.
+/// The aggregates that can be computed from those of the sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AggregateKind {
-    /// `count(*)` or `count(column)`; the parts are added.
+    /// `count(*)` or `count(column)`; the counts are added.
     Count,
-    /// `sum(column)`; the parts are added.
+    /// `sum(column)`; the sums are added.
     Sum,
-    /// `min(column)`; the least of the parts.
+    /// `min(column)`; the least value is the result.
     Min,
-    /// `max(column)`; the greatest of the parts.
+    /// `max(column)`; the greatest value is the result.
     Max,
 }
 
 /// One column of the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Aggregate {
-    /// How the parts are put together.
+    /// How the values of the parts are combined.
     pub kind: AggregateKind,
-    /// Of which column; None: of rows.
+    /// The column that is aggregated; None for `count(*)` and for counts of expressions.
     pub column: Option<String>,
-    /// The column holds floats: they are added as doubles, in the order of sites.
+    /// Whether the column holds floats, which are added as doubles in the order of the sites.
     pub float: bool,
 }
 
-/// Takes a select list of aggregates; None: it has none.
+/// Reads the aggregates of a select list. None if it has no aggregates.
 pub(crate) fn read(
     projection: &[SelectItem],
     names: &ColumnScope,
@@ -91,7 +92,7 @@
     Ok(Some(aggregates))
 }
 
-/// `count(*)` and nothing else.
+/// Whether the call is exactly `count(*)`.
 fn is_row_count(f: &Function) -> bool {
     let plain = f.over.is_none()
         && f.filter.is_none()
@@ -111,7 +112,9 @@
 }
 
 impl Aggregate {
-    /// Whether it can be put together, by what its column holds at every site. Text depends on a collation.
+    /// Checks that the aggregate can be combined, given the kind of its column at the sites, and
+    /// notes whether it is a float. Minimum and maximum of text depend on the collation and are not
+    /// supported.
     pub fn check(&mut self, column_kind: impl Fn(&str) -> Option<Kind>) -> Result<(), Unsupported> {
         let Some(column) = &self.column else {
             return Ok(());
@@ -163,8 +166,8 @@
         }
     }
 
-    /// The sum of doubles in the order of sites, which is the same at each try; or the one that is least or
-    /// greatest, as it came.
+    /// Combines floats: adds doubles in the order of the sites, so that each attempt has the same
+    /// result, or returns the least or the greatest one as its site wrote it.
     fn join_floats(&self, fields: &[&str], null: Option<&str>) -> Option<String> {
         let values = fields
             .iter()
@@ -184,7 +187,7 @@
                 .iter()
                 .max_by(|a, b| a.0.total_cmp(&b.0))
                 .map(|(_, f)| (*f).to_string()),
-            // One site's own sum stays as it wrote it.
+            // The sum of a single site is returned as the site wrote it.
             _ if values.len() == 1 => Some(values[0].1.to_string()),
             _ => Some(values.iter().map(|(number, _)| number).sum::<f64>())
                 .filter(|sum| sum.is_finite())
@@ -193,7 +196,7 @@
     }
 }
 
-/// A finite one: of others engines make this or that.
+/// Parses a finite float; engines treat other values differently.
 fn parse_float(field: &str) -> Option<f64> {
     let plain = |c: u8| c.is_ascii_digit() || b"+-.eE".contains(&c);
     let short = field.len() <= MAX_NUMBER_CHARS && field.bytes().all(plain);
@@ -211,7 +214,8 @@
         .filter(|_| field.len() <= MAX_NUMBER_CHARS && field.bytes().all(plain))
 }
 
-/// One row from one row of each part; the place of the first part that is of another form where there is one.
+/// Combines one row from each part into one row. If a part's answer is malformed, returns the index
+/// of the first such part.
 pub fn join(aggregates: &[Aggregate], parts: &[&[u8]]) -> Result<Vec<u8>, usize> {
     let (mut rows, mut empty): (Vec<Vec<&str>>, usize) = (Vec::new(), 0);
     for (at, part) in parts.iter().enumerate() {
@@ -223,7 +227,7 @@
             .ok_or(at)?
             .split('\t')
             .collect();
-        // Engines' rows have three columns: what is not asked for is empty.
+        // Rows of engines have three columns; columns that were not selected are empty.
         let extra_fields = fields.split_off(aggregates.len().min(fields.len()));
         if fields.len() != aggregates.len() || extra_fields.iter().any(|field| !field.is_empty()) {
             return Err(at);
--- a/crates/scatter/src/combine_tests.rs
+++ b/crates/scatter/src/combine_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn floats_are_added_in_the_order_of_sites_and_compared_as_numbers() {
+fn floats_are_added_in_site_order_and_compared_as_numbers() {
     let float = |kind| Aggregate {
         float: true,
         ..aggregate(kind)
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn aggregates_are_joined_exactly() {
+fn aggregates_of_decimals_are_combined_exactly() {
     let all = [
         aggregate(AggregateKind::Count),
         aggregate(AggregateKind::Sum),
--- a/crates/scatter/src/condition.rs
+++ b/crates/scatter/src/condition.rs
@@ -1,5 +1,5 @@
-//! A statement's condition, and what a summary proves of it: that no row can make it TRUE, or none FALSE. What is not
-//! understood proves neither.
+//! The condition of a statement, and what a summary proves about it: that no row makes it TRUE, or
+//! that none makes it FALSE. A condition that is not understood proves neither.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,44 +9,44 @@
 use crate::summary::{Column, Table};
 use crate::value::{less, Collation, Kind, Literal, Value};
 
-/// A condition over the columns of one table, in three-valued logic as in SQL.
+/// A condition on the columns of one table, in the three-valued logic of SQL.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Condition {
-    /// All of them hold (`AND`).
+    /// All of the conditions hold (`AND`).
     All(Vec<Condition>),
-    /// One of them holds (`OR`).
+    /// At least one of the conditions holds (`OR`).
     Any(Vec<Condition>),
-    /// It is FALSE; NULL stays NULL (`NOT`).
+    /// The condition is FALSE; NULL stays NULL (`NOT`).
     Not(Box<Condition>),
-    /// A column compared with a constant; NULL for a null.
+    /// A column is compared with a constant; NULL if the column is null.
     Compare {
         /// The column's name, in lower case.
         column: String,
-        /// How they are compared, the column on the left.
+        /// The comparison, with the column on the left.
         by: Comparison,
         /// The constant.
         literal: Literal,
     },
-    /// A column is null; never NULL itself.
+    /// A column is null; the result is never NULL.
     Null {
         /// The column's name, in lower case.
         column: String,
     },
-    /// LIKE with this beginning, and anything behind it.
+    /// LIKE with a pattern that begins with this prefix.
     StartsWith {
         /// The column's name, in lower case.
         column: String,
-        /// The beginning, up to the first wildcard of the pattern.
+        /// The pattern up to its first wildcard.
         prefix: String,
     },
-    /// A column of truth values by itself.
+    /// A boolean column by itself.
     IsTrue {
         /// The column's name, in lower case.
         column: String,
     },
     /// TRUE or FALSE for all rows.
     Constant(bool),
-    /// Not understood.
+    /// A condition that is not understood.
     Other,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl Comparison {
-    /// What holds where this does not, for a value that is not null.
+    /// The comparison that holds exactly where this one does not, for values that are not null.
     fn complement(self) -> Comparison {
         match self {
             Comparison::Equal => Comparison::Unequal,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The same with its sides changed.
+    /// The same comparison with its operands exchanged.
     pub fn flipped(self) -> Comparison {
         match self {
             Comparison::Less => Comparison::Greater,
@@ -93,18 +93,20 @@
 }
 
 impl Condition {
-    /// Surely no row of the table makes it TRUE.
+    /// Whether the table's statistics prove that no row makes the condition TRUE.
     pub fn never_true(&self, table: &Table) -> bool {
         table.rows == 0
             || self.never_has_truth(table, true, self.leaves() <= MAX_LEAVES_WITH_CONSTANTS)
     }
 
-    /// Surely no row gives it this truth value.
+    /// Whether the table's statistics prove that no row gives the condition this truth value.
+    /// `check_constants` also tests the constants of equalities against the other conditions.
     fn never_has_truth(&self, table: &Table, truth: bool, check_constants: bool) -> bool {
         let column = |name: &str| table.columns.iter().find(|c| c.name == name);
         let never = |c: &Condition| c.never_has_truth(table, truth, check_constants);
         match self {
-            // One that is never TRUE keeps the whole from being TRUE; for FALSE all must never be FALSE.
+            // One operand that is never TRUE suffices for an AND that is never TRUE; an AND that is
+            // never FALSE needs all operands to be never FALSE.
             Condition::All(all) if truth => {
                 all.iter().any(never)
                     || excluded_by_range(all, table)
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Whether an equality is asked for, which a filter may rule out.
+    /// Whether the condition contains an equality, which a filter may rule out.
     pub fn has_equality(&self) -> bool {
         match self {
             Condition::All(all) | Condition::Any(all) => all.iter().any(Condition::has_equality),
@@ -151,7 +153,8 @@
         }
     }
 
-    /// Whether all of it is understood, and over columns that the table's summary tells of.
+    /// Whether the whole condition is understood and refers only to columns that the table's
+    /// summary describes.
     pub fn is_summarized(&self, table: &Table) -> bool {
         let summarized = |name: &String| {
             table
@@ -170,7 +173,7 @@
         }
     }
 
-    /// How many comparisons it is made of.
+    /// The number of comparisons in the condition.
     pub fn leaves(&self) -> usize {
         match self {
             Condition::All(all) | Condition::Any(all) => all.iter().map(Condition::leaves).sum(),
@@ -179,7 +182,8 @@
         }
     }
 
-    /// Which share of the rows may make it TRUE, by a guess that only ever orders sites.
+    /// Estimates the fraction of the rows that make the condition TRUE. The estimate only orders
+    /// sites.
     pub fn selectivity(&self, table: &Table) -> f64 {
         if self.never_true(table) {
             return 0.0;
@@ -215,11 +219,16 @@
     }
 }
 
-const DEFAULT_SELECTIVITY: f64 = 0.3; // of the rows, where nothing tells how many
-const MAX_LEAVES_WITH_CONSTANTS: usize = 32; // of a condition whose constants are each held against the whole: a thousand sites in a millisecond or two
-const MAX_FILTER_PROBES: i128 = 64; // whole numbers between two bounds that are each asked of the filter
+// Fraction of the rows, where the statistics give no estimate.
+const DEFAULT_SELECTIVITY: f64 = 0.3;
+// Each constant of a condition is tested against all other conditions. With 32 constants a thousand
+// sites take a millisecond or two.
+const MAX_LEAVES_WITH_CONSTANTS: usize = 32;
+// Integers between two bounds that are each looked up in the filter.
+const MAX_FILTER_PROBES: i128 = 64;
 
-/// A column that must be one of a few constants, none of which it has or the rest allows.
+/// Whether a column must equal one of a few constants, each of which is absent from the column or
+/// contradicts another condition.
 fn no_listed_value_fits(all: &[Condition], table: &Table) -> bool {
     let is_refuted = |condition: &Condition| {
         let any = match condition {
@@ -241,7 +250,8 @@
             let Some(point) = literal.point(column.kind) else {
                 return false;
             };
-            // A row of that constant alone: what else is asked of the column may rule it out.
+            // A table with one row of this constant: the other conditions on the column may rule
+            // the row out.
             let bounds = Some((point.below, point.above));
             let (name, tight) = (column.name.clone(), point.exact);
             let (kind, distinct, runs) = (column.kind, 1, Vec::new());
@@ -268,8 +278,8 @@
     all.iter().any(is_refuted)
 }
 
-/// Bounds on one column of numbers between which it has no value: by its runs, or each of the few by its
-/// filter.
+/// Whether conditions bound a column of numbers to a range in which it has no value, either because
+/// of its runs or because its filter holds none of the few values of the range.
 fn excluded_by_range(all: &[Condition], table: &Table) -> bool {
     table.columns.iter().any(|column| {
         let Kind::Number { .. } = column.kind else {
@@ -297,7 +307,7 @@
             match by {
                 Comparison::AtLeast => low = low.max(below),
                 Comparison::AtMost => high = high.min(above),
-                // However an engine rounds the literal: the next value at least.
+                // However an engine rounds the literal, the value is at least the next one.
                 Comparison::Greater => low = low.max(below.saturating_add(1)),
                 Comparison::Less => high = high.min(above.saturating_sub(1)),
                 Comparison::Equal | Comparison::Unequal => continue,
@@ -316,12 +326,13 @@
 }
 
 impl Column {
-    /// Surely no value from the one to the other, by its runs.
+    /// Whether the column's runs prove that it has no value in this range, both ends included.
     fn has_no_value_between(&self, low: i128, high: i128) -> bool {
         !self.runs.is_empty() && !runs::overlaps(&self.runs, low, high)
     }
 
-    /// Which part of the range between its bounds lies so to the literal.
+    /// Estimates the fraction of the range between the column's bounds that satisfies the
+    /// comparison.
     fn range_fraction(&self, by: Comparison, literal: &Literal) -> Option<f64> {
         let (least, greatest) = self.bounds.as_ref()?;
         let at = literal.point(self.kind)?.above;
@@ -339,7 +350,8 @@
         }
     }
 
-    /// Surely no value that is not null compares so to the literal.
+    /// Whether the column's statistics prove that no value that is not null satisfies the
+    /// comparison.
     fn excludes(&self, by: Comparison, literal: &Literal) -> bool {
         let (Some(point), Some((least, greatest))) = (literal.point(self.kind), &self.bounds)
         else {
@@ -372,7 +384,8 @@
         }
     }
 
-    /// Surely no value begins so. LIKE goes by characters, so bytes tell wherever equality goes by bytes.
+    /// Whether the column's bounds prove that no value has this prefix. LIKE compares characters,
+    /// so that bytes decide wherever equality compares bytes.
     fn never_starts_with(&self, prefix: &str) -> bool {
         let by_bytes = matches!(self.kind, Kind::Text(Collation::C | Collation::Exact));
         let Some((Value::Text(least), Value::Text(greatest))) =
--- a/crates/scatter/src/exchange.rs
+++ b/crates/scatter/src/exchange.rs
@@ -1,6 +1,7 @@
-//! Summaries between fronts: each round tells two others some names and versions in turn; whoever lacks a version asks for
-//! it piece by piece. A version that is new at a front is told on at once. What leaves a second is bounded,
-//! whatever the number of fronts and sites.
+//! Exchange of summaries between fronts. Each round announces the names and versions of some
+//! summaries to two peers; a peer that lacks a version requests it piece by piece. A version that
+//! is new at a front is announced to peers at once. The bytes sent per second are bounded, whatever
+//! the number of fronts and sites.
 
 mod message;
 mod pieces;
@@ -18,55 +19,66 @@
 use message::{version_list, Message};
 use pieces::{Download, Piece, PIECE_TIMEOUT};
 
-/// Another front, by the first bytes of its public key.
+/// Identifies a front by the first bytes of its public key.
 pub type FrontId = u64;
 
-const ROUND_INTERVAL: Micros = 1_000_000; // microseconds between rounds
-const ROUND_FANOUT: usize = 2; // fronts that a round is told to
-const NEW_VERSION_FANOUT: usize = 3; // fronts that a new version is told to, each of which tells it on
-const VERSIONS_PER_MESSAGE: usize = 32; // names and versions of a round: some 600 bytes
-const MAX_BYTES_PER_SECOND: f64 = 12_000.0; // of messages, answers included: a whole summary in some six seconds
-const MAX_DOWNLOADS: usize = 8; // summaries that come in at once
-const FALSE_REPORT_TTL: Micros = 60_000_000; // microseconds for which a false word is told, each round to two
-const MAX_FALSE_REPORTS: usize = 1_024; // sites and groups whose false reports are known
-const MAX_REJECTED: usize = 256; // reports of others that were refused and are not asked for again
+// Microseconds between rounds.
+const ROUND_INTERVAL: Micros = 1_000_000;
+// Peers that each round announces versions to.
+const ROUND_FANOUT: usize = 2;
+// Peers to which a new version is announced; each announces it to others in turn.
+const NEW_VERSION_FANOUT: usize = 3;
+// Some 600 bytes.
+const VERSIONS_PER_MESSAGE: usize = 32;
+// Messages of all kinds; a complete summary takes some six seconds.
+const MAX_BYTES_PER_SECOND: f64 = 12_000.0;
+// Summaries that are downloaded at the same time.
+const MAX_DOWNLOADS: usize = 8;
+// Microseconds for which a false summary is reported, to two peers in each round.
+const FALSE_REPORT_TTL: Micros = 60_000_000;
+// Sites and groups of which false summaries are recorded.
+const MAX_FALSE_REPORTS: usize = 1_024;
+// Downloaded versions that were rejected and are not requested again from the same front.
+const MAX_REJECTED: usize = 256;
 
-/// One front's part in the exchange of summaries. It sends nothing itself: messages come in and go out as
-/// bytes.
+/// The state of one front in the exchange of summaries. It does no input or output: messages are
+/// received and returned as bytes.
 pub struct Exchange {
     next_round: Micros,
-    /// Where the next window begins.
+    /// The name after which the next round's versions begin.
     last_announced: u64,
     next_peer: usize,
     byte_budget: f64,
     refilled_at: Micros,
     downloads: BTreeMap<u64, Download>,
-    /// New here, to be told on.
+    /// Names of summaries that are new here and not announced yet.
     unannounced: BTreeSet<u64>,
-    /// By site and group the highest version found false, and when this front came to know of it.
+    /// For each site and group the highest version found false, and when this front learned of it.
     false_reports: BTreeMap<(String, u32), (u64, Micros)>,
-    /// SummaryError reports: name, version, whose.
+    /// Rejected downloads: name, version and the front that sent it.
     rejected: BTreeSet<(u64, u64, FrontId)>,
-    /// Names and versions that this front can read whole at home, whatever it holds of them.
+    /// Names and versions that this front can read completely from its local summary files, whatever
+    /// detail of them it holds.
     pub local: BTreeMap<u64, u64>,
 }
 
-/// What is to leave, and what became of whole summaries that came.
+/// The messages to send, and the results for summaries that were received completely.
 #[derive(Default)]
 pub struct Output {
-    /// Messages to other fronts, as bytes.
+    /// Messages to peers, as bytes.
     pub messages: Vec<(FrontId, Vec<u8>)>,
-    /// Whether each summary that came in whole was new, or why it was refused; a message that can't be read counts as
-    /// one of the wrong form.
+    /// For each summary received completely, whether it was new or why it was rejected; a message
+    /// that can't be read counts as a summary of the wrong form.
     pub accepted: Vec<Result<bool, SummaryError>>,
-    /// What is to be read at home and handed to `send_piece`.
+    /// Pieces that the caller reads from local summary files and passes to [`Exchange::send_piece`].
     pub local_reads: Vec<PieceRequest>,
-    /// False reports that others have found and this front had not heard of.
+    /// Reports of false summaries by peers that this front did not know of.
     pub false_summaries: Vec<FalseSummary>,
 }
 
 impl Exchange {
-    /// `next_peer` is where among the others it begins; fronts should differ.
+    /// Creates the state of a front. `next_peer` is the index of the first peer to contact; it
+    /// should differ between fronts.
     pub fn new(next_peer: usize) -> Exchange {
         Exchange {
             next_round: 0,
@@ -82,7 +94,7 @@
         }
     }
 
-    /// When [`Exchange::tick`] is next due, in microseconds on the front's clock; 0: at once.
+    /// When [`Exchange::tick`] is next due, in microseconds on the front's clock; 0 if at once.
     pub fn due(&self) -> Micros {
         if self.unannounced.is_empty() {
             self.next_round
@@ -91,12 +103,13 @@
         }
     }
 
-    /// A version of this name is new here.
+    /// Records that a new version of this summary is held, which the next tick announces.
     pub fn announce(&mut self, name: u64) {
         self.unannounced.insert(name);
     }
 
-    /// A site's word was found false here, or was heard to be: false where that was known already.
+    /// Records that a site's summary was found false here or was reported by a peer. Returns false
+    /// if this was known, or if too many reports are recorded already.
     pub fn report_false(&mut self, now: Micros, report: &FalseSummary) -> bool {
         let key = (report.site.clone(), report.group);
         let known = self
@@ -112,7 +125,7 @@
         true
     }
 
-    /// The false reports that are told in this round, those found last first.
+    /// The reports of false summaries for this round, the latest ones first.
     fn false_to_report(&self, now: Micros) -> Option<Message> {
         let mut all: Vec<_> = self
             .false_reports
@@ -130,7 +143,7 @@
         (!reports.is_empty()).then_some(Message::FalseSummaries(reports))
     }
 
-    /// Tells some of what is held to some others, where it is time.
+    /// Announces new versions and, if a round is due, some of the versions that are available here.
     pub fn tick(&mut self, now: Micros, peers: &[FrontId], summaries: &SummaryStore) -> Output {
         let mut out = Output::default();
         self.announce_new(now, peers, summaries, &mut out);
@@ -162,7 +175,7 @@
         out
     }
 
-    /// The next of the others in turn; there has to be one.
+    /// The next peer in round-robin order; `peers` must not be empty.
     fn choose_peer(&mut self, peers: &[FrontId]) -> FrontId {
         self.next_peer = self.next_peer.wrapping_add(1);
         peers
@@ -195,7 +208,7 @@
         }
     }
 
-    /// What can be had here: what is held, and what lies at home.
+    /// The versions that this front can serve: those it holds and those in its local summary files.
     fn available(&self, summaries: &SummaryStore) -> Vec<HeldVersion> {
         let mut all: BTreeMap<u64, (u64, Detail)> = summaries
             .versions()
@@ -214,7 +227,7 @@
             .collect()
     }
 
-    /// A message has come. One that can't be read counts for nothing.
+    /// Handles a message of a peer. A message that can't be read changes nothing.
     pub fn on_message(
         &mut self,
         now: Micros,
@@ -301,7 +314,8 @@
         let fills = (now - self.refilled_at).max(0) as f64 / 1e6 * MAX_BYTES_PER_SECOND;
         self.byte_budget = (self.byte_budget + fills).min(MAX_BYTES_PER_SECOND);
         self.refilled_at = now;
-        // What is over the bound is lost, as any datagram may be: it is asked for again.
+        // A message over the rate limit is dropped, as any datagram may be; the peer requests it
+        // again.
         if self.byte_budget >= bytes.len() as f64 {
             self.byte_budget -= bytes.len() as f64;
             out.messages.push((to, bytes));
--- a/crates/scatter/src/exchange/message.rs
+++ b/crates/scatter/src/exchange/message.rs
@@ -1,5 +1,5 @@
-//! What fronts send each other about summaries, as `postcard` writes it. Variants are numbered by their order: new ones
-//! go to the end.
+//! Messages between fronts about summaries, as `postcard` writes them. Variants are numbered by
+//! their order, so that new ones must be appended.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,9 +10,9 @@
 pub(super) enum Message {
     /// Summaries that the sender can serve, by id and version.
     Versions(Vec<(u64, u64)>),
-    /// The sender lacks this piece.
+    /// Requests a piece that the sender lacks.
     Request { name: u64, version: u64, piece: u16 },
-    /// The answer to `Request`: the bytes of one of so many pieces.
+    /// The answer to `Request`: the bytes of one piece, and the number of pieces of the summary.
     Piece {
         name: u64,
         version: u64,
@@ -20,13 +20,13 @@
         pieces: u16,
         bytes: Vec<u8>,
     },
-    /// The same as `Versions`, with the detail of each: between fronts that hold parts of summaries.
+    /// Like `Versions`, with the detail of each, between fronts that hold parts of summaries.
     DetailedVersions(Vec<HeldVersion>),
-    /// False reports of sites that fronts have found lately.
+    /// Summaries that fronts have recently found false.
     FalseSummaries(Vec<FalseSummary>),
 }
 
-/// A site's summary of a group said that it has no row for a statement, and it had.
+/// Reports that a site's summary ruled out rows that the site had.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FalseSummary {
     /// The site whose summary was wrong.
@@ -37,7 +37,8 @@
     pub version: u64,
 }
 
-/// What a front tells that it has; to fronts that take all of a summary, as they know it.
+/// The announcement of the available versions. Fronts without a retention budget hold complete
+/// summaries and send the variant without details.
 pub(super) fn version_list(versions: Vec<HeldVersion>, summaries: &SummaryStore) -> Message {
     match summaries.retention {
         Some(_) => Message::DetailedVersions(versions),
--- a/crates/scatter/src/exchange/pieces.rs
+++ b/crates/scatter/src/exchange/pieces.rs
@@ -1,4 +1,4 @@
-//! How a version that a front lacks gets to it: asked for piece by piece, of one front at a time.
+//! Download of a version that a front lacks, piece by piece from one peer at a time.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,16 @@
 use crate::summary::MAX_SUMMARY_BYTES;
 use crate::Micros;
 
-const PIECE_BYTES: usize = 800; // bytes: with what seals it, it fits a datagram
-pub(super) const PIECE_TIMEOUT: Micros = 1_500_000; // microseconds for a piece, then another front may be asked
+// Fits a datagram together with its encryption.
+const PIECE_BYTES: usize = 800;
+// Microseconds after which another peer may be asked.
+pub(super) const PIECE_TIMEOUT: Micros = 1_500_000;
 
-/// A piece of a summary that has come.
+/// A piece of a summary, as received.
 pub(super) struct Piece {
     pub(super) name: u64,
     pub(super) version: u64,
-    /// Which of its pieces it is, counted from 0, and how many there are.
+    /// The index of the piece, from 0, and the number of pieces.
     pub(super) piece: u16,
     pub(super) pieces: u16,
     pub(super) bytes: Vec<u8>,
@@ -31,14 +33,14 @@
     pub(super) requested_at: Micros,
 }
 
-/// A piece that another front wants of what lies at home and is not held.
+/// A peer's request for a piece that is not held but can be read from local summary files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PieceRequest {
-    /// The front that asked.
+    /// The front that sent the request.
     pub to: FrontId,
-    /// Which summary, as [`crate::store::summary_id`] numbers them.
+    /// The summary's id, as [`crate::store::summary_id`] computes it.
     pub name: u64,
-    /// The version asked for.
+    /// The requested version.
     pub version: u64,
     pub(super) piece: u16,
 }
@@ -95,7 +97,7 @@
                 && has_capacity
                 && !self.rejected.contains(&(name, version, from))
             {
-                // What is held of it already need not come again.
+                // The pieces of this version that are held already are not requested again.
                 let bytes = summaries.bytes(name).filter(|(held, _)| *held == version);
                 let mut bytes = bytes.map_or(Vec::new(), |(_, bytes)| bytes.to_vec());
                 bytes.truncate(bytes.len() / PIECE_BYTES * PIECE_BYTES);
@@ -143,7 +145,7 @@
         } = request;
         let held = summaries.bytes(name).filter(|(held, _)| *held == version);
         match held {
-            // Where there is more at home, a piece that is not whole comes from there.
+            // Where the local file has more, an incomplete last piece is read from it.
             Some((_, bytes)) if (usize::from(piece) + 1) * PIECE_BYTES <= bytes.len() => {
                 self.send_piece(now, request, &bytes, out);
             }
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Gives a piece of what was read at home.
+    /// Sends a piece of the summary that the caller read from local summary files.
     pub fn send_piece(
         &mut self,
         now: Micros,
@@ -183,7 +185,8 @@
         self.send(now, to, &message, out);
     }
 
-    /// Puts a piece behind those that have come; the whole, with the last one.
+    /// Appends a piece to its download and requests the next one. Returns the summary's bytes once
+    /// the wanted detail is complete.
     pub(super) fn add_piece(
         &mut self,
         now: Micros,
--- a/crates/scatter/src/filter.rs
+++ b/crates/scatter/src/filter.rs
@@ -1,16 +1,19 @@
-//! Which values a column has, by their hashes: all of them where they are few, else a filter that has every one of them and
-//! one in 256 of the others.
+//! The set of a column's values, by their hashes: all hashes where there are few, otherwise a
+//! filter that contains every value and one in 256 of other values.
 
 use serde::{Deserialize, Serialize};
 use xorf::{BinaryFuse8, BinaryFuse8Ref, Filter, FilterRef};
 
-const FUSE_HEADER_BYTES: usize = 20; // bytes: a seed of eight, three figures of four
-const MIN_FILTER_HASHES: usize = 32; // hashes: below that a filter's segments take more than they do
+// A seed of eight bytes and three integers of four.
+const FUSE_HEADER_BYTES: usize = 20;
+// With fewer hashes a filter's segments are larger than the hashes themselves.
+const MIN_FILTER_HASHES: usize = 32;
 
-/// The hashes of a column's values, exactly or as a filter with false positives and no false negatives.
+/// The hashes of a column's values, exactly or as a filter with false positives and no false
+/// negatives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Members {
-    /// Their hashes, in order.
+    /// All hashes, in ascending order.
     All(Vec<u64>),
     /// A binary fuse filter: its seed, its segments and its fingerprints.
     Fuse {
@@ -18,16 +21,17 @@
         seed: u64,
         /// The length of a segment, a power of two.
         segment: u32,
-        /// The length of all segments but the last two, a multiple of one segment's.
+        /// The length of all segments but the last two, a multiple of the length of one segment.
         segments: u32,
-        /// One byte for each place of the filter.
+        /// One byte for each slot of the filter.
         fingerprints: Vec<u8>,
     },
-    /// Four bits a value, of which each sets two: one in six of the others is found too.
+    /// A bitmap of four bits per value, two of which each value sets; one in six of other values is
+    /// a false positive.
     Bits(Vec<u8>),
 }
 
-/// The two bits of a hash among so many; the hash is mixed first (the finaliser of SplitMix64).
+/// The two bit positions of a hash, which is mixed first (the finalizer of SplitMix64).
 fn bit_positions(hash: u64, bits: u64) -> [u64; 2] {
     let mut mixed = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -36,7 +40,7 @@
 }
 
 impl Members {
-    /// None where no filter could be made of them, which is not to be expected.
+    /// Builds the full filter. None if the filter can't be constructed, which is not expected.
     pub fn new(mut hashes: Vec<u64>) -> Option<Members> {
         hashes.sort_unstable();
         hashes.dedup();
@@ -55,7 +59,7 @@
         })
     }
 
-    /// The small filter of the same; all of the hashes where they are few.
+    /// Builds the small filter, or keeps all hashes where there are few.
     pub fn small(mut hashes: Vec<u64>) -> Members {
         hashes.sort_unstable();
         hashes.dedup();
@@ -70,7 +74,7 @@
         Members::Bits(bytes)
     }
 
-    /// Whether what was read can be asked without a look beyond its end.
+    /// Whether lookups in a filter that was received stay within its bounds.
     pub fn is_valid(&self) -> bool {
         match self {
             Members::All(hashes) => {
@@ -92,7 +96,7 @@
         }
     }
 
-    /// False: surely none of them.
+    /// Whether the filter may contain the hash; false is certain.
     pub fn may_contain(&self, hash: u64) -> bool {
         match self {
             Members::All(hashes) => hashes.binary_search(&hash).is_ok(),
@@ -112,7 +116,7 @@
                 segments,
                 fingerprints,
             } => {
-                // The library takes a filter that lies elsewhere by a head of this form.
+                // The library reads a filter outside its own memory by a header of this form.
                 let mut header = Vec::with_capacity(FUSE_HEADER_BYTES);
                 header.extend(seed.to_le_bytes());
                 header.extend(segment.to_le_bytes());
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Bytes that it takes, near enough.
+    /// The approximate encoded size in bytes.
     pub fn size(&self) -> usize {
         match self {
             Members::All(hashes) => hashes.len() * 10 + 4,
--- a/crates/scatter/src/filter_tests.rs
+++ b/crates/scatter/src/filter_tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_member_is_found_and_few_others() {
+fn filters_contain_every_member_and_few_other_values() {
     for count in [0, 1, 31, 32, 33, 100, 5_000] {
         let members = Members::new(hashes(0, count)).unwrap();
         assert!(members.is_valid());
@@ -44,9 +44,10 @@
     }
 }
 
-/// The reason for the filter chosen, as the design note has it.
+/// The full filter is a binary fuse filter because it has fewer false positives than a Bloom filter
+/// of the same size.
 #[test]
-fn bits_kept_prove_more_than_those_of_a_bloom_filter() {
+fn full_filter_has_fewer_false_positives_than_a_bloom_filter_of_equal_size() {
     let members = Members::new(hashes(0, 50_000)).unwrap();
     let bits = members.size() as f64 * 8.0 / 50_000.0;
     let fuse = false_positive_rate(|hash| members.may_contain(hash));
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn what_would_look_beyond_its_end_is_unsound() {
+fn filters_whose_lookups_would_leave_their_bounds_are_invalid() {
     let Some(Members::Fuse {
         seed,
         segment,
--- a/crates/scatter/src/from_sql.rs
+++ b/crates/scatter/src/from_sql.rs
@@ -1,4 +1,4 @@
-//! A condition from the expression of a statement.
+//! Converts the expression of a statement into a condition.
 
 use sqlparser::ast::{BinaryOperator, Expr, InTarget, UnaryOperator, Value as SqlValue};
 
@@ -6,11 +6,15 @@
 use crate::sql::{literal, ColumnScope};
 use crate::value::Literal;
 
-const MAX_EXPRESSION_DEPTH: usize = 64; // expressions within expressions; what is nested is not understood
-const MAX_LIST_ITEMS: usize = 256; // constants of a list
-const MAX_CONDITION_LEAVES: usize = 256; // comparisons: each is held against each site's summary in the front's one thread
+// A condition nested more deeply is not understood.
+const MAX_EXPRESSION_DEPTH: usize = 64;
+// A longer list of constants is not understood.
+const MAX_LIST_ITEMS: usize = 256;
+// The front's only thread evaluates each comparison against each site's summary.
+const MAX_CONDITION_LEAVES: usize = 256;
 
-/// What is not understood is `Other`, which proves nothing.
+/// Converts an expression. Anything that is not understood becomes `Condition::Other`, which proves
+/// nothing.
 pub(crate) fn condition(e: &Expr, names: &ColumnScope) -> Condition {
     Some(condition_at_depth(e, names, 0))
         .filter(|c| c.leaves() <= MAX_CONDITION_LEAVES)
@@ -78,7 +82,7 @@
     }
 }
 
-/// A column beside a constant, on either side.
+/// Converts a comparison of a column with a constant, on either side.
 fn comparison(left: &Expr, op: &BinaryOperator, right: &Expr, names: &ColumnScope) -> Condition {
     let by = match op {
         BinaryOperator::Eq => Comparison::Equal,
@@ -140,7 +144,7 @@
     Condition::Any(list.iter().map(equal).collect())
 }
 
-/// A pattern by what stands before its first wildcard.
+/// Converts LIKE by the part of the pattern before its first wildcard.
 fn like(e: &Expr, pattern: &Expr, escape: Option<&Expr>, names: &ColumnScope) -> Condition {
     let (Some(column), Some(Literal::Text(pattern))) = (names.column(e), literal(pattern)) else {
         return Condition::Other;
@@ -157,7 +161,7 @@
     Condition::StartsWith { column, prefix }
 }
 
-/// What is not understood stays so, negated or not.
+/// Negates a condition if requested. A condition that is not understood stays so.
 fn not(negated: bool, condition: Condition) -> Condition {
     match condition {
         Condition::Other => Condition::Other,
@@ -172,7 +176,7 @@
     })
 }
 
-/// The members of a chain of one operator, which may be as long as the statement.
+/// The operands of a chain of one operator, which may be as long as the statement.
 pub(crate) fn operands<'a>(e: &'a Expr, operator: &BinaryOperator) -> Vec<&'a Expr> {
     let (mut members, mut remaining) = (Vec::new(), e);
     while let Expr::BinaryOp { left, op, right } = remaining {
--- a/crates/scatter/src/gather.rs
+++ b/crates/scatter/src/gather.rs
@@ -1,90 +1,92 @@
-//! One statement in progress over its sites: which parts to start and to end, and one final answer from them.
+//! A statement in progress at its sites: which parts to start and to end, and the final answer that
+//! is built from them.
 
 use crate::combine::{self, Aggregate};
 use crate::plan::Part;
 use crate::Micros;
 
-/// What is to be done.
+/// What the caller must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// The part of this place is to be asked.
+    /// Start the part with this index.
     Start(usize),
-    /// It is no longer waited for.
+    /// Cancel the part with this index.
     End(usize),
-    /// Final, once.
+    /// Return the final answer; happens once.
     Answer(Answer),
 }
 
 /// The final answer to a statement over several sites.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// `missing`: the sites whose rows are not in it; only where the customer takes such answers.
+    /// The rows of the sites. Sites are missing only if the customer accepts partial answers.
     Rows {
-        /// The rows, each ended by a line feed.
+        /// The rows, each terminated by a line feed.
         bytes: Vec<u8>,
         /// The sites whose rows are missing because their parts failed.
         missing: Vec<String>,
         /// The sites whose rows are missing because access rules do not allow them to be asked.
         barred: Vec<String>,
     },
-    /// Trying again is harmless.
+    /// The statement was not executed; a retry is harmless.
     Rejected {
-        /// Microseconds after which a retry has a chance, where the site said so.
+        /// Microseconds after which a retry may succeed, if the site reported it.
         retry_after: Option<Micros>,
         /// The site that rejected its part.
         site: String,
     },
-    /// Nothing is promised: a part may have run or not.
+    /// A part may have been executed or not.
     Aborted {
         /// The site whose part was aborted.
         site: String,
     },
-    /// Sites that could have rows may not be asked.
+    /// Access rules do not allow these sites, which can have rows, to be asked.
     Barred(Vec<String>),
-    /// More rows than an answer holds.
+    /// The rows exceed the size limit of an answer.
     TooLong,
-    /// So many distinct values, and by which part of them that may be wrong at two standard deviations.
+    /// An estimate of the number of distinct values, with its error at two standard deviations.
     Estimate {
         /// The estimated number of distinct values.
         distinct: u64,
         /// The relative error: 0.033 means that the number may be off by 3.3 %.
         error: f64,
     },
-    /// Sketches do not tell it now as well as its customer wants it.
+    /// The sketches do not give an estimate as exact as the customer requires.
     NotEstimated,
-    /// A site's answer can't be joined with the others: it is of another form.
+    /// A site's answer does not have the form of the others and can't be combined with them.
     Mismatch {
         /// The site of the first such answer.
         site: String,
     },
 }
 
-/// How a part failed for good.
+/// Why a part has failed finally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartFailure {
-    /// A retry is harmless.
+    /// The part was not executed; a retry is harmless.
     Rejected {
-        /// Microseconds after which a retry has a chance, where the site said so.
+        /// Microseconds after which a retry may succeed, if the site reported it.
         retry_after: Option<Micros>,
     },
-    /// Nothing is promised: it may have run or not.
+    /// The part may have been executed or not.
     Aborted,
-    /// It may not be asked there.
+    /// Access rules do not allow the site to be asked.
     Barred,
 }
 
-/// What holds for the gather.
+/// How the parts of a statement are started and combined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatherRules {
-    /// The statement's LIMIT: an answer needs no more rows.
+    /// The statement's LIMIT; an answer needs no more rows.
     pub limit: Option<u64>,
-    /// The customer takes an answer that says which sites are missing.
+    /// Whether the customer accepts an answer that lacks sites and names them.
     pub allow_partial: bool,
-    /// Parts of a statement with a limit that are asked at a time.
+    /// The number of parts in flight at a time, for statements with a limit.
     pub max_parallel_parts: usize,
-    /// Bytes of an answer.
+    /// The size limit of an answer, in bytes.
     pub max_answer_bytes: usize,
-    /// The answer is one row of these, from one row of each part.
+    /// The aggregates of the answer, whose one row is computed from one row of each part; None: the
+    /// rows of the parts are concatenated.
     pub combine: Option<Vec<Aggregate>>,
 }
 
@@ -97,24 +99,26 @@
     Dropped,
 }
 
-/// A statement and its parts, from the first to the final answer.
+/// The parent statement and the states of its parts.
 pub struct Gather {
     rules: GatherRules,
     parts: Vec<(Part, State)>,
     barred: Vec<String>,
-    /// Places in the order in which they are asked.
+    /// The indexes of the parts in the order in which they are started.
     order: Vec<usize>,
     done: bool,
-    /// Audits are waited for no more.
+    /// Whether the answer no longer waits for audits.
     audits_skipped: bool,
 }
 
 impl Gather {
-    /// What is to be done first; an answer where nothing needs to be asked.
+    /// Returns the gather with its first actions; these contain the answer if no part needs to be
+    /// started.
     pub fn new(parts: Vec<Part>, barred: Vec<String>, rules: GatherRules) -> (Gather, Vec<Action>) {
         let mut order: Vec<usize> = (0..parts.len()).collect();
         if rules.limit.is_some() {
-            // Those likeliest to have enough rows go first; of equal ones the first.
+            // Starts with the parts expected to have the most rows; among equal ones with the
+            // first.
             let rows = |at: &usize| parts.get(*at).map_or(0.0, |part| part.rows);
             order.sort_by(|a, b| rows(b).total_cmp(&rows(a)));
         }
@@ -139,23 +143,23 @@
         (gather, actions)
     }
 
-    /// The site of the part at an index of the plan.
+    /// The site of the part with this index.
     pub fn site(&self, index: usize) -> Option<&str> {
         self.parts.get(index).map(|(part, _)| part.site.as_str())
     }
 
-    /// The part of a place.
+    /// The part with this index.
     pub fn part(&self, index: usize) -> Option<&Part> {
         self.parts.get(index).map(|(part, _)| part)
     }
 
-    /// All that is still out are audits.
+    /// Whether every part that is still in flight is an audit.
     pub fn only_audits_pending(&self) -> bool {
         let open = |(_, state): &&(Part, State)| matches!(state, State::Waiting | State::Running);
         !self.done && self.parts.iter().filter(open).all(|(part, _)| part.audit)
     }
 
-    /// Audits are waited for no more.
+    /// Stops waiting for audits.
     pub fn skip_audits(&mut self) -> Vec<Action> {
         self.audits_skipped = true;
         if self.done {
@@ -164,17 +168,17 @@
         self.advance()
     }
 
-    /// Whether the final answer has been given.
+    /// Whether the final answer has been returned.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// A part is answered.
+    /// Handles the rows of a part.
     pub fn part_answered(&mut self, index: usize, rows: Vec<u8>) -> Vec<Action> {
         self.finish_part(index, State::Rows(rows))
     }
 
-    /// A part failed for good.
+    /// Handles the final failure of a part.
     pub fn part_failed(&mut self, index: usize, failed: PartFailure) -> Vec<Action> {
         if self.done || !self.is_running(index) {
             return Vec::new();
@@ -290,7 +294,7 @@
         if let Some(limit) = self.rules.limit {
             bytes.truncate(first_lines_end(&bytes, limit));
         }
-        // What a limit has filled lacks nothing.
+        // No row is missing from an answer that has reached the limit.
         let missing = self
             .parts
             .iter()
@@ -321,7 +325,7 @@
     }
 }
 
-/// Rows of a result: each ends with a line feed.
+/// Counts the rows of a result, each of which ends with a line feed.
 fn count_lines(rows: &[u8]) -> u64 {
     rows.iter().filter(|c| **c == b'\n').count() as u64
 }
--- a/crates/scatter/src/gather_tests.rs
+++ b/crates/scatter/src/gather_tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn rows_are_joined_in_the_order_of_sites_and_the_answer_is_given_once() {
+fn rows_are_concatenated_in_site_order_and_answered_once() {
     let (mut gather, actions) = Gather::new(parts(&[1.0, 9.0]), vec![], RULES);
     assert_eq!(actions, [Action::Start(0), Action::Start(1)]);
     assert_eq!(gather.part_answered(1, b"b\n".to_vec()), []);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_part_that_fails_for_good_fails_the_whole_and_ends_the_others() {
+fn a_failed_part_fails_the_statement_and_ends_the_other_parts() {
     let (mut gather, _) = Gather::new(parts(&[1.0, 1.0, 1.0]), vec![], RULES);
     gather.part_answered(0, vec![]);
     let rejected = Answer::Rejected {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_answer_that_lacks_sites_says_so_where_the_customer_takes_it() {
+fn a_partial_answer_names_the_missing_sites_if_the_customer_accepts_it() {
     let rules = GatherRules {
         allow_partial: true,
         ..RULES
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_limit_asks_the_likeliest_first_and_ends_once_it_is_filled() {
+fn a_limit_starts_the_largest_parts_first_and_ends_once_reached() {
     let rules = GatherRules {
         limit: Some(2),
         ..RULES
@@ -101,7 +101,7 @@
         gather.part_answered(2, b"c\nd\n".to_vec()),
         [rows(b"b\nc\n")]
     );
-    // Two out at once: the other is ended.
+    // Two parts are in flight at a time: the other one is ended.
     let (mut gather, _) = Gather::new(
         parts(&[1.0, 9.0, 5.0]),
         vec![],
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn nothing_to_ask_is_an_answer_without_rows_and_too_much_is_none() {
+fn no_parts_give_an_empty_answer_and_too_many_bytes_give_none() {
     let (_, actions) = Gather::new(vec![], vec![], RULES);
     assert_eq!(actions, [rows(b"")]);
     let (mut gather, _) = Gather::new(parts(&[1.0]), vec![], RULES);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn an_audit_never_fails_the_whole_and_is_not_waited_for_once_it_is_hurried() {
+fn an_audit_never_fails_the_statement_and_can_be_skipped() {
     let two = || {
         let mut two = parts(&[1.0, 0.0]);
         two[1].audit = true;
@@ -142,7 +142,7 @@
     assert_eq!(gather.part_answered(0, b"a\n".to_vec()), []);
     assert!(gather.only_audits_pending());
     assert_eq!(gather.skip_audits(), [Action::End(1), rows(b"a\n")]);
-    // What it finds in time is in the answer.
+    // Rows that an audit returns in time are in the answer.
     let mut gather = two();
     gather.part_answered(1, b"b\n".to_vec());
     assert_eq!(gather.part_answered(0, b"a\n".to_vec()), [rows(b"a\nb\n")]);
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -1,6 +1,6 @@
-//! Joins of two tables whose groups lie at the same sites: rows with equal keys are at one site, as the
-//! operator says. A site is left out where one side has no row that is asked for, or the two have no key in
-//! common.
+//! Joins of two tables whose groups lie at the same sites. The operator guarantees that rows with
+//! equal keys are at one site. A site is left out if one of its tables has no row that matches the
+//! conditions, or if the two have no key in common.
 
 use sqlparser::ast::{BinaryOperator, Expr, Join as Joined, JoinConstraint, JoinOperator};
 
@@ -15,25 +15,26 @@
 use crate::summary::{Column, Summary, Table};
 use crate::value::{less, Kind, Value};
 
-const MAX_KEY_PROBES: i128 = 4_096; // values of the smaller side that are each asked of the other's filter
+// Values of the smaller side that are looked up in the filter of the other side.
+const MAX_KEY_PROBES: i128 = 4_096;
 
-/// The other table.
+/// The second table of a join.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Join {
-    /// The table group of the other table.
+    /// The table group of the second table.
     pub group: u32,
-    /// The name of the other table, without its schema.
+    /// The name of the second table, without its schema.
     pub table: String,
-    /// What is asked of its rows.
+    /// The condition on the rows of the second table.
     pub condition: Condition,
-    /// Columns that are equal: of the first table and of this one.
+    /// Pairs of columns that must be equal, one of the first table and one of the second.
     pub keys: Vec<(String, String)>,
 }
 
-/// The names of the first table, what the join asks of its rows, and the other table.
+/// The column scope of the first table, the join's condition on its rows, and the second table.
 pub(crate) type JoinParts = (ColumnScope, (Condition, Join));
 
-/// Takes an inner join keys_disjoint.
+/// Reads an inner join.
 pub(crate) fn read(
     joined: &Joined,
     first: ColumnScope,
@@ -103,10 +104,10 @@
     Ok((first, (of_first, join)))
 }
 
-/// What of a site's summary of one side there is to go by.
+/// A site's summary and its table for one side of the join; None if there is none.
 type Side<'a> = Option<(&'a Summary, &'a Table)>;
 
-/// What stands against leaving a site out of a join; None: surely no row of it is asked for.
+/// Why a site must be asked for a join; None if no row of it can match.
 pub(crate) fn reason_to_ask_join(
     query: &Query,
     join: &Join,
@@ -143,7 +144,7 @@
     (!unaffected_by_loads || !join.keys.iter().any(keys_disjoint)).then_some(first_reason)
 }
 
-/// No load that the summary does not speak of has touched the table.
+/// Whether no load that the summary does not cover can have changed the table.
 fn is_unaffected((summary, table): (&Summary, &Table), loads: &LoadInfo) -> bool {
     let in_other_table = |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
     match loads {
@@ -155,13 +156,13 @@
     }
 }
 
-/// Surely no value of the one column equals one of the other.
+/// Whether no value of one column can equal a value of the other.
 fn share_no_value((a, rows_a): (&Column, u64), (b, rows_b): (&Column, u64)) -> bool {
-    // Null equals nothing.
+    // NULL equals nothing.
     if a.nulls == rows_a || b.nulls == rows_b {
         return true;
     }
-    // Values of two kinds may be equal in ways of an engine's own.
+    // Engines differ on the equality of values of different kinds.
     if a.kind != b.kind || !a.kind.is_equal_by_value() {
         return false;
     }
@@ -182,7 +183,7 @@
     shares_no_listed_value(a, runs_a, b) || shares_no_listed_value(b, runs_b, a)
 }
 
-/// Where the numbers of a column lie, as far as is told.
+/// The ranges that contain the numbers of a column, as far as the summary states them.
 fn runs_of(column: &Column) -> Option<runs::Runs> {
     match (&column.bounds, column.runs.is_empty()) {
         (Some((Value::Number(from), Value::Number(to))), true) => Some(vec![(*from, *to)]),
@@ -191,7 +192,7 @@
     }
 }
 
-/// None of the few values that a column can have is in the other.
+/// Whether none of the values that the first column can have is in the other.
 fn shares_no_listed_value(few: &Column, runs: Option<runs::Runs>, other: &Column) -> bool {
     let Some(members) = &other.members else {
         return false;
--- a/crates/scatter/src/layers.rs
+++ b/crates/scatter/src/layers.rs
@@ -1,5 +1,6 @@
-//! A summary in layers: what its site signs holds rows and bounds, and the hashes of two layers behind it: small filters, and
-//! full ones. A front may hold as much of it as earns its bytes, and hand on what it holds: any of it proves itself.
+//! Summaries in layers. The part that the site signs holds rows and bounds, and the hashes of the
+//! two layers that follow: small filters and full filters. A front may hold as many layers as are
+//! worth their bytes and pass them on, since each layer can be verified on its own.
 
 use ed25519_dalek::SigningKey;
 use serde::{Deserialize, Serialize};
@@ -9,33 +10,35 @@
 use crate::runs;
 use crate::summary::{signed, Extension, Signed, Summary, Table, MAX_SUMMARY_BYTES};
 
-pub(crate) const LAYERED_FORMAT: u16 = 2; // the format of summaries in layers; a front of an earlier version refuses them
+// The format of layered summaries; fronts of earlier versions reject it.
+pub(crate) const LAYERED_FORMAT: u16 = 2;
 pub(crate) const LAYERED_EXTENDED_FORMAT: u16 = 4;
-const RESERVED_SIGNATURE_BYTES: usize = 256; // bytes for the signature, the hashes and lengths
+// For the signature, the hashes and the lengths.
+const RESERVED_SIGNATURE_BYTES: usize = 256;
 
-/// How much of a summary there is.
+/// How much of a summary is held or wanted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Detail {
-    /// Rows, nulls, distinct values and bounds.
+    /// Numbers of rows, nulls and distinct values, and bounds.
     Bounds,
-    /// And filters of four bits a value.
+    /// Also filters of four bits per value.
     Small,
-    /// And those of some ten.
+    /// Also the full filters, of some ten bits per value.
     #[default]
     Full,
 }
 
-/// All of them, the coarsest first.
+/// All levels of detail, the coarsest first.
 pub const ALL: [Detail; 3] = [Detail::Bounds, Detail::Small, Detail::Full];
 
-/// A layer that stands behind what is signed.
+/// The length and the hash of a layer that follows the signed part.
 #[derive(Serialize, Deserialize)]
 struct LayerDigest {
     bytes: u32,
     hash: [u8; 32],
 }
 
-/// Members of columns, by the places of their tables and of themselves.
+/// Filters with the positions of their tables and columns.
 pub(crate) type Layer = Vec<(u16, u16, Members)>;
 
 fn digest(layer: &[u8]) -> LayerDigest {
@@ -45,7 +48,8 @@
     }
 }
 
-/// The bytes of a summary without members whose members are on the layers; the largest go until it is not too long.
+/// Encodes and signs a summary whose filters are in the layers. The largest filters are removed
+/// until it is not longer than `max_bytes`.
 pub(crate) fn sign(
     mut summary: Summary,
     mut small: Layer,
@@ -96,7 +100,8 @@
     [signed([core, digests].concat(), key), small, full].concat()
 }
 
-/// Puts the members of what layers there are into the tables. None: what is there is none of them, or cut within one.
+/// Sets the filters of the columns from the layers that are present. Returns the detail reached, or
+/// None if the layers do not match their hashes or are truncated.
 pub(crate) fn apply(tables: &mut [Table], digests: &[u8], layers: &[u8]) -> Option<Detail> {
     let ((small, full), rest) =
         postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
@@ -133,7 +138,8 @@
     layers.is_empty().then_some(present)
 }
 
-/// Where in its bytes each fineness ends, the coarsest first; from its beginning alone, once that is there. Nothing is checked.
+/// The end of each level of detail in the summary's bytes, the coarsest first. The signed part
+/// alone is sufficient; nothing is verified.
 pub fn layer_ends(bytes: &[u8]) -> Option<[usize; 3]> {
     let (signed, rest) = postcard::take_from_bytes::<Signed>(bytes).ok()?;
     let (format, _) = postcard::take_from_bytes::<u16>(&signed.summary).ok()?;
--- a/crates/scatter/src/lib.rs
+++ b/crates/scatter/src/lib.rs
@@ -1,5 +1,7 @@
-//! Which sites could have rows that a statement asks for: sites' own signed summaries, what a condition proves by them,
-//! marks of loads that they do not speak of yet, and one answer from the parts. No sockets, no clock, no randomness.
+//! Decides which sites can have rows that a statement selects. Each site signs summaries of its
+//! data; a condition is evaluated against them to rule sites out, load markers name loads that the
+//! summaries do not cover yet, and the answers of the parts are combined into one. The crate uses
+//! no sockets, no clock and no randomness.
 
 #![warn(missing_docs)]
 
--- a/crates/scatter/src/load.rs
+++ b/crates/scatter/src/load.rs
@@ -1,4 +1,4 @@
-//! What a load's text says of the rows that it brings.
+//! Determines from a load's text which rows it adds.
 
 use sqlparser::ast::{
     Assignment, AssignmentTarget, ConflictTarget, Expr, Ident, Insert, OnConflict,
@@ -8,10 +8,13 @@
 use crate::load_markers::{Affected, Cell};
 use crate::sql::{self, literal, plain_name};
 
-const MAX_MARKER_ROWS_BYTES: usize = 256; // bytes of a load's rows that a mark keeps; of more nothing is known
-const MAX_MARKER_ROWS: usize = 64; // of a load that a mark keeps
+// Larger loads are recorded with fewer columns, or as changing anything.
+const MAX_MARKER_ROWS_BYTES: usize = 256;
+// The same holds for loads with more distinct rows.
+const MAX_MARKER_ROWS: usize = 64;
 
-/// The rows of an `INSERT ... VALUES` into a table of the group that does nothing else.
+/// The rows of an `INSERT ... VALUES` into a table of the group that has no other effect; None for
+/// other statements.
 pub(crate) fn rows(statement: Statement, group: u32) -> Option<Affected> {
     let Statement::Insert(insert) = statement else {
         return None;
@@ -71,8 +74,8 @@
     shorten(table, &columns, &rows, reliable)
 }
 
-/// Which columns of the rows are surely so where they are there already: those that tell that they are, and
-/// those that are set anew. The others may stay as they were.
+/// The columns whose values are certain even if a row exists already: those of the conflict target
+/// and those that are set to the new value. Other columns may keep their old values.
 fn reliable_columns(on: &OnInsert, columns: &[String]) -> Option<Vec<usize>> {
     let OnInsert::OnConflict(OnConflict {
         conflict_target,
@@ -109,7 +112,7 @@
                 {
                     reliable.push(position)
                 }
-                // Another value, as good as unknown.
+                // Another value, which is not evaluated here.
                 _ => reliable.retain(|at| *at != position),
             },
             _ => reliable.retain(|at| *at != position),
@@ -120,8 +123,8 @@
     (!reliable.is_empty()).then_some(reliable)
 }
 
-/// As much of the rows as a mark keeps. Of too many the columns with the fewest values stay: a load of a
-/// day's rows is known by its day.
+/// Reduces the rows to what a load marker stores. If they are too many, the columns with the fewest
+/// distinct values are kept: a load of a day's rows is identified by its day.
 fn shorten(
     table: String,
     columns: &[String],
--- a/crates/scatter/src/load_markers.rs
+++ b/crates/scatter/src/load_markers.rs
@@ -1,5 +1,6 @@
-//! Marks of loads on one group, as they stand in the ledger: which loads a site's summary may not speak of yet, and what they
-//! may have touched. Changed by compare and swap alone, so that all fronts see one order of changes.
+//! Load markers of one table group, as they are stored in the ledger: which loads a site's summary
+//! may not cover yet, and what they may have changed. The entry is changed by compare-and-swap
+//! only, so that all fronts see the same order of changes.
 
 use std::collections::BTreeMap;
 
@@ -12,49 +13,53 @@
 use crate::summary::{Column, LoadNumbers, Summary, Table};
 use crate::value::Literal;
 
-const MAX_SITE_MARKERS: usize = 64; // of a site that are kept apart; more make one
-const EARLY_CLEAN_UP_MARKERS: usize = 32; // of a site: from here on what any summary lifts is taken out
-const REDUCED_SITE_MARKERS: [usize; 3] = [16, 4, 1]; // of a site, where all sites' together are too long
-/// Bytes of a group's marks: a thousand sites with two each.
+// Beyond this number the oldest markers of a site are merged.
+const MAX_SITE_MARKERS: usize = 64;
+// From this number on, markers covered by the newest summary are removed before it has settled.
+const EARLY_CLEAN_UP_MARKERS: usize = 32;
+// Per site, applied in turn while the group's entry is too long.
+const REDUCED_SITE_MARKERS: [usize; 3] = [16, 4, 1];
+/// The size limit of a group's markers, in bytes: a thousand sites with two markers each.
 pub const MAX_MARKERS_BYTES: usize = 64 << 10;
 
-/// What a load may have touched.
+/// What a load may have changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Affected {
     /// Anything in the group.
     Anything,
-    /// These rows came to this table, nothing else changed.
+    /// Rows were added to this table; nothing else changed.
     Rows {
         /// The table's name, without its schema.
         table: String,
-        /// The columns that are known of the rows.
+        /// The columns whose values are known.
         columns: Vec<String>,
         /// The rows, with one cell for each of these columns.
         rows: Vec<Vec<Cell>>,
     },
 }
 
-/// A value that a load names.
+/// A value of a row that a load adds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Cell {
-    /// It is null.
+    /// NULL.
     Null,
-    /// It is this constant.
+    /// A constant.
     Is(Literal),
-    /// An expression that is not evaluated here.
+    /// The value of an expression that is not evaluated here.
     Unknown,
 }
 
-/// LoadNumbers at a site that its summary may not speak of yet.
+/// Marks a range of loads at a site which the site's summary may not cover yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadMarker {
-    /// Their numbers, from the first to the last.
+    /// The lowest load number, inclusive.
     pub from: u64,
-    /// The highest number, inclusive.
+    /// The highest load number, inclusive.
     pub to: u64,
-    /// Unix milliseconds from which none of them can be running.
+    /// Unix milliseconds from which none of the loads can be running.
     pub ends_ms: u64,
-    /// Once that moment has passed: the next load's number. A summary with that one or a later one speaks beyond these.
+    /// The number of the next load, set once `ends_ms` has passed. A summary that contains a load
+    /// with this number or a later one covers the marked loads.
     pub ended_before: Option<u64>,
     /// What these loads may have changed.
     pub touched: Affected,
@@ -62,25 +67,27 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Site {
-    /// The last number given.
+    /// The highest load number assigned.
     last: u64,
-    /// The version of its summary that marks were cleared by: an older one proves nothing.
+    /// Summaries of an older version than this prove nothing, because markers were removed on the
+    /// basis of this version.
     min_version: u64,
     markers: Vec<LoadMarker>,
 }
 
-/// All marks on a group.
+/// All load markers of a table group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadMarkers {
     sites: BTreeMap<String, Site>,
 }
 
-/// The ledger's key of a group's marks.
+/// The ledger key of a group's load markers.
 pub fn ledger_key(group: u32) -> String {
     format!("group/{group}")
 }
 
-/// A load's text as it goes to the site, which is to name the numbers in its summaries once the load is in them.
+/// The text of a load as it is sent to its site. The site names the load's numbers in its summaries
+/// once they include the load's rows.
 pub fn with_load_numbers(numbers: &[(u32, u64)], statement: &[u8]) -> Vec<u8> {
     let all: Vec<String> = numbers
         .iter()
@@ -93,7 +100,7 @@
     .concat()
 }
 
-/// The groups and numbers that a load carries.
+/// The groups and load numbers that a load's text contains.
 pub fn load_numbers(statement: &[u8]) -> Vec<(u32, u64)> {
     let text = String::from_utf8_lossy(statement);
     let head = text
@@ -109,20 +116,21 @@
 }
 
 impl LoadMarkers {
-    /// None: no marks, or damaged; then nothing is known.
+    /// Decodes an entry. None if it is damaged or too long; nothing is known about loads then.
     pub fn read(bytes: &[u8]) -> Option<LoadMarkers> {
         let (markers, rest) = postcard::take_from_bytes::<LoadMarkers>(bytes).ok()?;
         (rest.is_empty() && bytes.len() <= MAX_MARKERS_BYTES).then_some(markers)
     }
 
-    /// None: they are too many to be kept, and the load can't be marked.
+    /// Encodes the entry. None if it is too long to be stored, so that the load can't be marked.
     pub fn bytes(&self) -> Option<Vec<u8>> {
         postcard::to_stdvec(self)
             .ok()
             .filter(|bytes| bytes.len() <= MAX_MARKERS_BYTES)
     }
 
-    /// Marks a load at a site, which can't be running any more from `ends_ms` on. Its number.
+    /// Adds a marker for a load at a site that can't be running from `ends_ms` on. Returns the
+    /// load's number.
     pub fn add(&mut self, site: &str, ends_ms: u64, touched: Affected) -> u64 {
         let site = self.sites.entry(site.to_string()).or_default();
         site.last += 1;
@@ -137,10 +145,11 @@
         site.last
     }
 
-    /// Takes out what summaries lift that other fronts hold by now, and notes what can't be running any more
-    /// by `wall_ms`, the clock of the front less what fronts' clocks may differ by. A mark that is out asks
-    /// for a summary that cleared it: until one is held everywhere, fronts without it would have to ask the
-    /// site.
+    /// Removes markers that settled summaries cover, and records which loads can't be running any
+    /// more. `wall_ms` is the front's clock minus the clock skew allowed between fronts. A site
+    /// counts as unknown to a front whose summary is older than the one that a marker was removed
+    /// for; a marker is therefore kept until peers are expected to hold that summary too, or they
+    /// would have to ask the site.
     pub fn clean_up<'a>(
         &mut self,
         wall_ms: u64,
@@ -161,7 +170,8 @@
         }
     }
 
-    /// Makes room where all marks together are too long: what any summary lifts goes, then marks are folded.
+    /// Shortens the entry until it can be stored: removes the markers that the newest summaries
+    /// cover, then merges the oldest markers of each site.
     pub fn shrink_to_fit<'a>(&mut self, reported_loads: impl Fn(&str) -> ReportedLoads<'a>) {
         let mut limits = REDUCED_SITE_MARKERS.iter();
         let mut cleared_covered = false;
@@ -179,12 +189,13 @@
         }
     }
 
-    /// Surely none of the site's rows makes the condition TRUE, as far as loads go that were marked.
+    /// Whether the marked loads can't have added a row at the site that makes the condition TRUE.
     pub fn prove_absent(&self, summary: &Summary, table: &Table, condition: &Condition) -> bool {
         self.reason_to_ask(summary, table, condition).is_none()
     }
 
-    /// What loads may have touched that a summary does not speak of. None: it is too old to say.
+    /// What loads that the summary does not cover may have changed. None if the summary is too old
+    /// to tell.
     pub fn uncovered(&self, summary: &Summary) -> Option<Vec<&Affected>> {
         let Some(site) = self.sites.get(&summary.site) else {
             return Some(Vec::new());
@@ -197,7 +208,7 @@
             .then(|| uncovered.map(|marker| &marker.touched).collect())
     }
 
-    /// What of loads stands against that.
+    /// Why the marked loads require the site to be asked; None if they do not.
     pub fn reason_to_ask(
         &self,
         summary: &Summary,
@@ -220,31 +231,31 @@
         })
     }
 
-    /// How many marks stand, of all sites.
+    /// The number of markers, of all sites.
     pub fn len(&self) -> usize {
         self.sites.values().map(|site| site.markers.len()).sum()
     }
 
-    /// Whether no mark stands for any site.
+    /// Whether no site has a marker.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// The loads that a version of a site's summary speaks of.
+/// A summary's version and the loads whose rows it contains.
 pub type Version<'a> = Option<(u64, &'a LoadNumbers)>;
 
-/// What a front holds of a site's word on loads.
+/// The loads that the summaries of a site contain, as far as this front holds them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportedLoads<'a> {
-    /// The newest version held, if it may count.
+    /// The newest version held, if it is valid.
     pub newest: Version<'a>,
-    /// The newest that has been here long enough for other fronts to hold it too.
+    /// The newest version held for long enough that peers are expected to hold it too.
     pub settled: Version<'a>,
 }
 
 impl<'a> ReportedLoads<'a> {
-    /// All that is held counts as held by others.
+    /// Treats the summary as settled at once.
     pub fn at_once(summary: Option<&'a Summary>) -> ReportedLoads<'a> {
         let version = summary.map(|s| (s.version, &s.loads));
         ReportedLoads {
@@ -255,7 +266,7 @@
 }
 
 impl Site {
-    /// Takes out what a version lifts. Older ones prove nothing from then on.
+    /// Removes the markers that this version covers; older versions prove nothing from then on.
     fn clear_covered(&mut self, by: Version) {
         let Some((version, loads)) = by else { return };
         let before = self.markers.len();
@@ -265,7 +276,7 @@
         }
     }
 
-    /// Makes one of the first ones until there are no more than that.
+    /// Merges the oldest markers until at most `limit` are left.
     fn merge_oldest(&mut self, limit: usize) {
         while self.markers.len() > limit.max(1) {
             let first = self.markers.remove(0);
@@ -274,7 +285,7 @@
             };
             second.from = first.from;
             second.ends_ms = second.ends_ms.max(first.ends_ms);
-            // None where either is not over.
+            // None if either load may still be running.
             second.ended_before = second
                 .ended_before
                 .zip(first.ended_before)
@@ -294,7 +305,7 @@
 }
 
 impl Affected {
-    /// What a load says of itself, for the group that it names.
+    /// What a load changes in this group, according to its text.
     pub fn of_statement(statement: &[u8], group: u32) -> Affected {
         sql::parse(statement)
             .ok()
@@ -313,13 +324,13 @@
     }
 }
 
-/// A table of one row, of the columns whose values are known.
+/// A table of one row with the columns whose values are known.
 fn single_row_table(table: &Table, columns: &[String], row: &[Cell]) -> Table {
     let known = |column: &Column| {
         let place = columns.iter().position(|name| *name == column.name)?;
         let column_of = |nulls, bounds, tight| {
             let (name, kind, distinct) = (column.name.clone(), column.kind, column.distinct);
-            // Nothing that the summary tells holds for this row.
+            // The other statistics of the column do not apply to this row.
             Column {
                 name,
                 kind,
--- a/crates/scatter/src/marker_requests.rs
+++ b/crates/scatter/src/marker_requests.rs
@@ -1,55 +1,58 @@
-//! What a front requests of the ledger for marks: loads that wait until they are marked, and scatters that wait for a word on a
-//! group that is requested for after they came. One change of a group's entry at a time; all that waits shares it.
+//! Ledger requests for load markers, on behalf of loads that wait until they are marked and of
+//! scatters that wait for the markers of a group. A read serves only scatters that began before it
+//! was sent. A group has at most one change in progress; all loads that wait share the next one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::load_markers::{Affected, LoadMarkers, ReportedLoads};
 
-const MAX_CLOCK_SKEW_MS: u64 = 10_000; // milliseconds that fronts' clocks may be apart, as gossip has it
-const MAX_PUT_ATTEMPTS: u32 = 16; // changes of one batch that others' got before; then its loads are turned away
+// The clock skew between fronts that gossip tolerates.
+const MAX_CLOCK_SKEW_MS: u64 = 10_000;
+// Changes of a batch that lost to other fronts; its loads are rejected then.
+const MAX_PUT_ATTEMPTS: u32 = 16;
 
-/// Who waits: a load's execution or a scatter, as the caller knows it.
+/// Identifies a waiting load, as the caller numbers executions.
 pub type Waiter = (u64, usize);
 
-/// LoadNumbers, and the number that each gets.
+/// Loads, and the number that each receives.
 type Batch = Vec<(Waiter, u64)>;
 
-/// What is to be requested of the ledger.
+/// A request for the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerRequest {
-    /// Identifies the request; the reply comes under the same number.
+    /// Identifies the request; the reply has the same number.
     pub number: u64,
-    /// The table group whose marks are read or changed.
+    /// The table group whose markers are read or changed.
     pub group: u32,
-    /// What is to be done.
+    /// What the ledger must do.
     pub operation: Operation,
 }
 
-/// What the ledger is to do with a group's marks.
+/// An operation of the ledger on a group's markers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Return the marks as they stand, in one order with all changes.
+    /// Return the current markers, linearizable with all changes.
     Read,
-    /// 0: there is none yet.
+    /// Replace the markers if the entry has the expected version.
     Put {
-        /// The version that the entry has to have for the put to be done.
+        /// The version that the entry must have; 0 if there must be no entry.
         expected_version: u64,
-        /// The marks, as [`crate::load_markers::LoadMarkers::bytes`] writes them.
+        /// The markers, as [`crate::load_markers::LoadMarkers::bytes`] encodes them.
         value: Vec<u8>,
     },
 }
 
-/// What the ledger answers.
+/// The ledger's reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerReply {
-    /// The entry as read, or as a put has left it.
+    /// The entry as it was read or written.
     Entry {
         /// The entry's version.
         version: u64,
         /// The entry's bytes.
         value: Vec<u8>,
     },
-    /// A put was not done: the entry has another version than expected.
+    /// A put was not executed because the entry has another version.
     Conflict {
         /// The entry's version.
         version: u64,
@@ -58,32 +61,33 @@
     },
     /// There is no entry.
     Absent,
-    /// It may stand or not, or there is no room.
+    /// The outcome is unknown, or the ledger is full.
     Unreachable,
 }
 
-/// What effects for those that waited.
+/// What the caller must do for a waiting load or scatter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A load's marks stand: it leaves with these numbers.
+    /// Send a load whose markers are replicated.
     Send {
         /// The load.
         load: Waiter,
-        /// For each group that it touches the number under which it is marked.
+        /// For each group that the load changes, the number under which it is marked.
         numbers: Vec<(u32, u64)>,
     },
-    /// A load can't be marked: it must not leave.
+    /// Reject a load that can't be marked; it must not be sent.
     Reject {
         /// The load.
         load: Waiter,
     },
-    /// The word on a group, for scatters. None: there is none to have.
+    /// Continue scatters with the markers of a group.
     Markers {
-        /// The table group that was asked about.
+        /// The table group whose markers were read.
         group: u32,
-        /// The scatters that waited, by the tickets given to [`Marker::await_marks`].
+        /// The scatters that waited, by the tickets given to [`MarkerRequests::await_markers`].
         scatters: Vec<u64>,
-        /// The marks as the ledger has them after all these scatters came.
+        /// The markers as of a read that was sent after all these scatters began; None if the
+        /// ledger can't be read.
         markers: Option<LoadMarkers>,
     },
 }
@@ -91,25 +95,25 @@
 struct Load {
     site: String,
     ends_ms: u64,
-    /// Groups that are not marked yet, and what it may have touched there.
+    /// Groups in which the load is not marked yet, and what it may change there.
     unmarked_groups: BTreeMap<u32, Affected>,
     numbers: Vec<(u32, u64)>,
 }
 
 #[derive(Default)]
 struct Group {
-    /// The entry as it was seen last.
+    /// The version of the entry when it was last seen.
     version: u64,
     markers: LoadMarkers,
     queue: BTreeSet<Waiter>,
-    /// The change that is requested for: its number, loads and the marks as they will be.
+    /// The change in progress: its request number, its loads, and the markers as they will be.
     put: Option<(u64, Batch, LoadMarkers)>,
     put_attempts: u32,
     readers: Vec<u64>,
     read: Option<(u64, Vec<u64>)>,
 }
 
-/// All of one front.
+/// The waiting loads and scatters of one front.
 pub struct MarkerRequests {
     next_number: u64,
     loads: BTreeMap<Waiter, Load>,
@@ -118,7 +122,7 @@
 }
 
 impl MarkerRequests {
-    /// Its requests are numbered from the number given.
+    /// Creates an empty state whose requests are numbered from `first`.
     pub fn new(first: u64) -> MarkerRequests {
         MarkerRequests {
             next_number: first,
@@ -128,7 +132,7 @@
         }
     }
 
-    /// A load waits to leave for a site; it can't be running any more from `ends_ms` on.
+    /// Adds a load that waits until it is marked. It can't be running from `ends_ms` on.
     pub fn add_load(
         &mut self,
         load: Waiter,
@@ -148,7 +152,7 @@
         self.loads.insert(load, waiting_load);
     }
 
-    /// A load waits no longer. False if it did not.
+    /// Removes a waiting load. Returns false if it was not waiting.
     pub fn cancel(&mut self, load: Waiter) -> bool {
         self.groups
             .values_mut()
@@ -156,17 +160,18 @@
         self.loads.remove(&load).is_some()
     }
 
-    /// The loads that have yet to be marked.
+    /// The loads that are not marked yet.
     pub fn waiting(&self) -> impl Iterator<Item = Waiter> + '_ {
         self.loads.keys().copied()
     }
 
-    /// A scatter waits for the word on a group.
+    /// Adds a scatter that waits for the markers of a group.
     pub fn await_markers(&mut self, ticket: u64, group: u32) {
         self.groups.entry(group).or_default().readers.push(ticket);
     }
 
-    /// What is to be requested now. `wall_ms` is the Unix clock; summaries lift what they speak beyond.
+    /// The requests to send now, and the loads rejected because the markers are full. `wall_ms` is
+    /// the Unix clock; `reported_loads` returns the loads that a site's summaries cover.
     pub fn requests<'a>(
         &mut self,
         wall_ms: u64,
@@ -175,7 +180,8 @@
         let (mut requests, mut effects) = (Vec::new(), Vec::new());
         for (&number, group) in &mut self.groups {
             if group.read.is_none() && !group.readers.is_empty() {
-                // Those that come from now on are for the next one: this one may be older than they are.
+                // Scatters that begin from now on need the next read, since this one may be older
+                // than they are.
                 group.read = Some((self.next_number, std::mem::take(&mut group.readers)));
                 self.requested.insert(self.next_number, number);
                 requests.push(LedgerRequest {
@@ -228,7 +234,7 @@
         (requests, effects)
     }
 
-    /// The ledger has answered an ask.
+    /// Handles the ledger's reply to a request.
     pub fn on_reply(&mut self, number: u64, reply: LedgerReply) -> Vec<Effect> {
         let mut effects = Vec::new();
         let Some(group_number) = self.requested.remove(&number) else {
@@ -282,7 +288,7 @@
                     }
                 }
             }
-            // Another front was before: once more on what it has left.
+            // Another front changed the entry first: retries on the basis of its version.
             LedgerReply::Conflict { version, value } => {
                 group.put_attempts += 1;
                 match LoadMarkers::read(&value).filter(|_| group.put_attempts < MAX_PUT_ATTEMPTS) {
@@ -311,7 +317,7 @@
         effects
     }
 
-    /// Whether nothing waits.
+    /// Whether nothing is waiting.
     pub fn is_idle(&self) -> bool {
         self.requested.is_empty()
             && self
--- a/crates/scatter/src/marker_requests_tests.rs
+++ b/crates/scatter/src/marker_requests_tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_load_leaves_once_its_mark_stands_and_takes_its_turn_behind_other_fronts() {
+fn a_load_is_sent_once_its_marker_is_replicated_after_those_of_other_fronts() {
     let mut requests = MarkerRequests::new(100);
     load(&mut requests, 1);
     let [request] = &ledger_requests(&mut requests)[..] else {
@@ -29,7 +29,7 @@
             ..
         }
     ));
-    // One change of a group at a time; what comes meanwhile waits for the next.
+    // A group has one change in progress; loads that arrive meanwhile wait for the next one.
     load(&mut requests, 2);
     assert_eq!(ledger_requests(&mut requests), []);
     let mut peer_markers = LoadMarkers::default();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn without_an_answer_a_load_never_leaves_and_a_scatter_has_no_word() {
+fn an_unreachable_ledger_rejects_loads_and_leaves_scatters_without_markers() {
     let mut requests = MarkerRequests::new(0);
     load(&mut requests, 1);
     requests.await_markers(9, 17);
@@ -81,7 +81,7 @@
         markers: None,
     };
     assert_eq!(effects, [no_markers, Effect::Reject { load: (1, 0) }]);
-    // One that was stopped meanwhile goes nowhere.
+    // A load that was cancelled meanwhile is not sent.
     load(&mut requests, 2);
     let sent = ledger_requests(&mut requests);
     assert!(requests.cancel((2, 0)) && !requests.cancel((2, 0)));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_scatter_has_a_word_that_was_asked_for_after_it_came() {
+fn a_scatter_gets_markers_read_after_it_began() {
     let mut requests = MarkerRequests::new(0);
     requests.await_markers(1, 17);
     let first = ledger_requests(&mut requests);
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which sites a statement is asked of, and in which order.
+//! Decides which sites are asked for a statement, and in which order.
 
 use crate::condition::Condition;
 use crate::join::reason_to_ask_join;
@@ -7,27 +7,27 @@
 use crate::store::SummaryStore;
 use crate::summary::{Summary, Table};
 
-/// What is known of loads on the group.
+/// What is known about loads on the statement's groups.
 pub enum LoadInfo<'a> {
-    /// The marks, as the ledger said after the statement came.
+    /// The load markers, read from the ledger after the statement arrived.
     Markers(&'a LoadMarkers),
-    /// The marks of the two groups of a join.
+    /// The load markers of the two groups of a join.
     JoinMarkers(&'a LoadMarkers, &'a LoadMarkers),
-    /// The operator says that no load goes through a front.
+    /// The operator declares that no load is sent through a front.
     NoLoads,
-    /// Nothing: the ledger does not answer.
+    /// Nothing, because the ledger does not answer.
     Unknown,
 }
 
 impl<'a> LoadInfo<'a> {
-    /// What is known of each side of a join.
+    /// What is known about loads on each side of a join.
     pub(crate) fn sides(&self) -> (LoadInfo<'a>, LoadInfo<'a>) {
         match self {
             LoadInfo::JoinMarkers(first, second) => {
                 (LoadInfo::Markers(first), LoadInfo::Markers(second))
             }
             LoadInfo::NoLoads => (LoadInfo::NoLoads, LoadInfo::NoLoads),
-            // Of one group alone the other's loads are not known.
+            // The markers of one group say nothing about loads on the other.
             LoadInfo::Markers(_) | LoadInfo::Unknown => (LoadInfo::Unknown, LoadInfo::Unknown),
         }
     }
@@ -36,34 +36,35 @@
 /// Why a site is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// Nothing that may count is held of it: none came, or it is too old, or of another schema.
+    /// No valid summary is held: none was received, or it is too old or of another schema.
     NoSummary,
-    /// Its summary does not name the table.
+    /// The site's summary does not contain the table.
     NoTable,
-    /// The ledger gives no word on loads.
+    /// The ledger gives no information on loads.
     LoadsUnknown,
-    /// Marks were lifted by a later summary than the one that is held.
+    /// Markers were removed on the basis of a later summary than the one held.
     SummaryBehind,
-    /// A load that its summary does not speak of may have touched anything.
+    /// A load that the summary does not cover may have changed anything.
     UnknownLoad,
-    /// Rows that such a load names fit.
+    /// Rows that such a load added may match.
     LoadedRows,
-    /// The condition is not understood, or over what its summary does not tell.
+    /// The condition is not understood, or refers to columns that the summary does not describe.
     NotSummarized,
-    /// Its summary does not rule it out: an equality by its filter, anything else by its bounds and runs.
+    /// Neither the filter nor the bounds and runs rule the site out, and the condition contains an
+    /// equality.
     Filter,
-    /// Its bounds and runs do not rule it out.
+    /// The bounds and runs do not rule the site out, and the condition contains no equality.
     Bounds,
-    /// Its word counts for nothing for now.
+    /// The site's summaries do not count at present.
     Suspected,
-    /// Its summary is checked: it is asked though it should have no rows.
+    /// The summary rules the site out; the site is asked to verify it.
     Audit,
-    /// One is asked that says in the engines' own way that there is nothing.
+    /// One site must be asked so that the answer without rows has the engines' form.
     OneForAll,
 }
 
 impl Reason {
-    /// For counts by reason.
+    /// The name under which the reason is counted.
     pub fn name(self) -> &'static str {
         match self {
             Reason::NoSummary => "no summary",
@@ -87,52 +88,53 @@
 pub struct Part {
     /// The site's name.
     pub site: String,
-    /// Rows to expect, by a guess that only orders the sites; infinitely many where nothing is known.
+    /// The estimated number of rows, which only orders the sites; infinite if nothing is known.
     pub rows: f64,
-    /// Its summary rules it out: it is asked because its word counts for nothing for now, or for an audit.
+    /// Whether the site is asked although its summary rules it out: it is suspected or audited.
     pub ruled_out: bool,
-    /// The whole does not hang on it.
+    /// Whether the part is an audit, whose failure does not fail the parent statement.
     pub audit: bool,
     /// Why the site is asked.
     pub reason: Reason,
 }
 
-/// The sites of a statement: those to ask, those that access rules bar, and those that are left out.
+/// The sites of a statement: those to ask, those that access rules forbid, and those that are left
+/// out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// In the order in which their rows are joined.
+    /// The sites to ask, in the order in which their rows are concatenated.
     pub parts: Vec<Part>,
-    /// Could have rows, and may not be asked.
+    /// Sites that can have rows but may not be asked.
     pub barred: Vec<String>,
-    /// Proved to have none.
+    /// Sites proved to have no matching rows.
     pub pruned: Vec<String>,
 }
 
-/// What the choice of sites goes by, beside the statement itself.
+/// The information that the choice of sites is based on, besides the statement.
 #[derive(Clone, Copy)]
 pub struct Basis<'a> {
-    /// All sites of the operator, in the order in which their rows are joined.
+    /// All configured sites, in the order in which their rows are concatenated.
     pub sites: &'a [String],
-    /// The sites that may be asked; None: all.
+    /// The sites that may be asked; None for all.
     pub allowed: Option<&'a [&'a str]>,
     /// The summaries that this front holds.
     pub summaries: &'a SummaryStore,
-    /// Unix milliseconds by this front's clock.
+    /// Unix milliseconds on this front's clock.
     pub wall_ms: u64,
-    /// What is known of loads on the statement's groups.
+    /// What is known about loads on the statement's groups.
     pub loads: &'a LoadInfo<'a>,
-    /// Whether a site's summaries count for nothing for now.
+    /// Whether a site's summaries do not count at present.
     pub suspected: &'a dyn Fn(&str) -> bool,
 }
 
 impl Basis<'_> {
-    /// Whether a site may be asked.
+    /// Whether the site may be asked.
     pub(crate) fn allows(&self, site: &str) -> bool {
         self.allowed.is_none_or(|allowed| allowed.contains(&site))
     }
 }
 
-/// The sites that could have rows, in their order.
+/// Determines the sites that can have matching rows, in their order.
 pub fn plan(query: &Query, basis: &Basis) -> Plan {
     let Basis {
         sites,
@@ -176,7 +178,7 @@
     plan
 }
 
-/// What stands against leaving a site out; None: surely no row of it is asked for.
+/// Why a site can't be left out; None if none of its rows can match.
 pub(crate) fn reason_to_ask(
     condition: &Condition,
     summary: &Summary,
@@ -198,7 +200,7 @@
 }
 
 impl Plan {
-    /// Of the one site that has all rows.
+    /// The plan for a statement that is answered by the one site that has all rows.
     pub fn single_site(site: &str, allowed: Option<&[&str]>) -> Plan {
         let site = site.to_string();
         if allowed.is_some_and(|allowed| !allowed.contains(&site.as_str())) {
@@ -220,7 +222,8 @@
         }
     }
 
-    /// What each site answers even without rows is asked of one of them at least.
+    /// Ensures that at least one site is asked, for statements to which each site returns a row
+    /// even if it has no matching ones.
     pub fn ensure_one(&mut self, sites: &[String], allowed: Option<&[&str]>) {
         while self.parts.is_empty() && self.barred.is_empty() && !self.pruned.is_empty() {
             self.audit(0, sites, allowed);
@@ -233,7 +236,7 @@
         }
     }
 
-    /// A site that is left out is asked all the same, if it may be.
+    /// Adds the pruned site with this index as an audit, if it may be asked.
     pub fn audit(&mut self, index: usize, sites: &[String], allowed: Option<&[&str]>) {
         if index >= self.pruned.len() {
             return;
--- a/crates/scatter/src/retention.rs
+++ b/crates/scatter/src/retention.rs
@@ -1,5 +1,6 @@
-//! Which summaries a front holds, and how fine: under a budget of memory and one of traffic, by what each has spared for its
-//! bytes. What is learned fades, and is handed out and in as bytes.
+//! Decides which summaries a front holds and in which detail, within a budget of memory and one of
+//! traffic, by the number of sites that each summary has ruled out per byte. The observations
+//! decay, and can be saved and restored as bytes.
 
 use std::collections::BTreeMap;
 
@@ -8,49 +9,61 @@
 use crate::layers::{Detail, ALL};
 use crate::Micros;
 
-const BENEFIT_HALF_LIFE: f64 = 3_600e6; // microseconds in which what was spared counts half: a day's turns are followed within hours
-const MEMORY_BYTES_PER_BYTE: f64 = 2.0; // a byte is held as it came and as it is read
-const FILTER_PRUNE_RATES: [f64; 2] = [0.845, 0.996]; // of what has no row and lies within the bounds, by a small and a full filter
-const HELD_DETAIL_FACTOR: f64 = 1.25; // what is held counts so much more: a change costs its traffic again
-const NEW_SUMMARY_BENEFIT: f64 = 0.5; // sites spared by what nothing is known of yet: it is tried, coarsely, where there is room
-const DEFAULT_BYTES: [u32; 3] = [200, 1_200, 3_600]; // bytes, where no summary of that name was seen
-const DEFAULT_VERSION_INTERVAL: f64 = 60e6; // microseconds between versions, until two were seen
+// Microseconds. The daily pattern of a load is followed within hours.
+const BENEFIT_HALF_LIFE: f64 = 3_600e6;
+// A summary is held both encoded and decoded.
+const MEMORY_BYTES_PER_BYTE: f64 = 2.0;
+// The fraction of sites without matching rows, within the bounds, that a small and a full filter
+// rule out.
+const FILTER_PRUNE_RATES: [f64; 2] = [0.845, 0.996];
+// The weight of detail already held, since a change costs its traffic again.
+const HELD_DETAIL_FACTOR: f64 = 1.25;
+// Benefit assumed for a summary about which nothing is known yet, so that its bounds are held where
+// there is room.
+const NEW_SUMMARY_BENEFIT: f64 = 0.5;
+// Bytes up to the end of each level of detail, for a summary not seen yet.
+const DEFAULT_BYTES: [u32; 3] = [200, 1_200, 3_600];
+// Microseconds between versions, until two versions were seen.
+const DEFAULT_VERSION_INTERVAL: f64 = 60e6;
 const SAVED_STATE_FORMAT: u16 = 1;
-const MAX_ENTRIES: usize = 65_536; // names that are known of
+// Summaries about which observations are kept.
+const MAX_ENTRIES: usize = 65_536;
 
-/// What may be held and taken in.
+/// The limits on what is held and received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Bytes of memory.
     pub memory: f64,
-    /// Bytes a second of versions that come, in the mean.
+    /// Average bytes per second of the versions received.
     pub traffic: f64,
 }
 
-/// What a scatter has outcome of a site that has no row for it.
+/// What a scatter shows about the summary of a site that has no matching row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its bounds rule it out.
+    /// The summary's bounds rule the site out.
     ByBounds,
-    /// Only its filter does.
+    /// Only the summary's filter rules the site out.
     ByFilter,
-    /// It was asked for nothing: its bounds did not rule it out, and an equality was asked for, so that a filter might have.
+    /// The site was asked in vain: its bounds did not rule it out, and the condition contains an
+    /// equality that a filter might have ruled out.
     MissedByBounds,
-    /// It was asked for nothing though its filter was held.
+    /// The site was asked in vain although its filter was held.
     MissedByFilter,
-    /// It was asked for nothing, and nothing of it was held.
+    /// The site was asked in vain, and no summary of it was held.
     Unknown,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Entry {
-    /// Sites spared, or that could have been: by bounds, and by filters beyond them.
+    /// Decayed numbers of scatters for which the site was or could have been ruled out: by the
+    /// bounds, and by the filters only.
     bounds: f64,
     filter: f64,
     decayed_at: Micros,
     bytes: [u32; 3],
     version: u64,
-    /// When that came, and how far interval versions come.
+    /// When that version arrived, and the average interval between versions.
     arrived: Micros,
     interval: f64,
     detail: Option<Detail>,
@@ -77,7 +90,8 @@
             (self.bounds * factor, self.filter * factor, now);
     }
 
-    /// Sites spared by a fineness, of which `hit` of the chances of a filter come true.
+    /// The expected number of sites ruled out with this detail; `hit_rate` is the fraction of the
+    /// possible cases in which a filter rules a site out.
     fn benefit(&self, detail: Option<Detail>, hit_rate: f64) -> f64 {
         match detail {
             None => 0.0,
@@ -99,7 +113,7 @@
     }
 }
 
-/// A step from one fineness of one summary to a finer one.
+/// A step of one summary from one level of detail to a finer one.
 struct Upgrade {
     benefit_per_cost: f64,
     name: u64,
@@ -107,13 +121,14 @@
     to: Detail,
 }
 
-/// What is known of each summary's use, and the detail that each is to be held in.
+/// The observed use of each summary, and the detail in which each is to be held.
 pub struct Retention {
     budget: Budget,
     entries: BTreeMap<u64, Entry>,
-    /// Of what bounds do not rule out: how often filters do, and how often they were there and did not.
+    /// Of the sites that bounds did not rule out, how many filters ruled out, and how many they did
+    /// not although they were held.
     filter_hits: (f64, f64),
-    /// Of sites that were asked for nothing: those that bounds rule out, and the others.
+    /// Of the sites ruled out, how many the bounds ruled out, and how many only the filters.
     bounds_share: (f64, f64),
 }
 
@@ -126,7 +141,7 @@
 }
 
 impl Retention {
-    /// Nothing is known yet.
+    /// Creates a state without observations.
     pub fn new(budget: Budget) -> Retention {
         Retention {
             budget,
@@ -136,7 +151,8 @@
         }
     }
 
-    /// What was learned in an earlier life. False: it is damaged, or of another format, and nothing is taken from it.
+    /// Restores the observations of an earlier incarnation of the front. Returns false and changes
+    /// nothing if they are damaged or of another format.
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> bool {
         let Ok((
             SavedState {
@@ -162,7 +178,7 @@
             return false;
         }
         for entry in entries.values_mut() {
-            // Nothing is held yet; a clock that went back fades nothing.
+            // Nothing is held yet. A clock that was set back must not cause decay.
             (entry.detail, entry.version, entry.decayed_at) = (None, 0, entry.decayed_at.min(now));
             entry.arrived = now;
         }
@@ -170,7 +186,7 @@
         true
     }
 
-    /// What was learned, for [`Retention::restore`] after a restart.
+    /// Encodes the observations for [`Retention::restore`] after a restart.
     pub fn to_bytes(&self) -> Vec<u8> {
         let (entries, filter_hits, bounds_share) =
             (self.entries.clone(), self.filter_hits, self.bounds_share);
@@ -195,7 +211,7 @@
         Some(self.entries.entry(name).or_insert_with(|| Entry::new(now)))
     }
 
-    /// A version was taken in, of so many bytes up to the end of each fineness.
+    /// Records a version that was received, with its bytes up to the end of each level of detail.
     pub fn version_arrived(&mut self, now: Micros, name: u64, version: u64, bytes: [usize; 3]) {
         let Some(entry) = self.entry(now, name) else {
             return;
@@ -210,7 +226,7 @@
         entry.bytes = bytes.map(|bytes| bytes as u32);
     }
 
-    /// What a scatter has outcome of a site without rows.
+    /// Records what a scatter showed about a site without matching rows.
     pub fn record(&mut self, now: Micros, name: u64, outcome: Outcome) {
         let by_bounds = self.bounds_share.0 / (self.bounds_share.0 + self.bounds_share.1).max(1.0);
         let Some(entry) = self.entry(now, name) else {
@@ -225,7 +241,7 @@
         };
         (entry.bounds, entry.filter) = (entry.bounds + bounds, entry.filter + filter);
         let add_sample = |sum: &mut (f64, f64), first: bool| {
-            // They halve as they grow: what was seen last counts most.
+            // Halving the sums as they grow gives recent observations more weight.
             if sum.0 + sum.1 > 2_000.0 {
                 *sum = (sum.0 / 2.0, sum.1 / 2.0);
             }
@@ -246,16 +262,17 @@
         }
     }
 
-    /// How fine the summary of a name is to be held; None: not at all.
+    /// The detail in which a summary is to be held; None if not at all.
     pub fn wanted_detail(&self, name: u64) -> Option<Detail> {
         match self.entries.get(&name) {
             Some(entry) => entry.detail,
-            // One that is new is looked at, coarsely.
+            // An unknown summary is held with its bounds only.
             None => (self.entries.len() < MAX_ENTRIES).then_some(Detail::Bounds),
         }
     }
 
-    /// Chooses anew what is held: by what each step spares for the part of the budget that it takes, the best first.
+    /// Chooses again what is held, by the benefit of each step per share of the budget, in
+    /// descending order.
     pub fn choose(&mut self, now: Micros) {
         let hit_rate = self.filter_hits.0 / (self.filter_hits.0 + self.filter_hits.1).max(1.0);
         let Budget { memory, traffic } = self.budget;
@@ -265,7 +282,8 @@
         for (&name, entry) in &mut self.entries {
             entry.decay(now);
             let mut from = None;
-            // Along the upper edge of what it spares over what it takes: always the steepest step next.
+            // Always takes the step with the highest benefit per cost next, which follows the
+            // convex hull of benefit over cost.
             while from < Some(Detail::Full) {
                 let benefit_per_cost_to = |to: Detail| {
                     let gain = entry.benefit(Some(to), hit_rate) - entry.benefit(from, hit_rate);
@@ -316,12 +334,12 @@
         }
     }
 
-    /// Names that are known of.
+    /// The number of summaries with observations.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is known of any summary.
+    /// Whether there are no observations.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/scatter/src/row.rs
+++ b/crates/scatter/src/row.rs
@@ -1,5 +1,6 @@
-//! Whether expressions are of one row alone, and read alike by all dialects. The expressions within one are named here, not
-//! walked by the crate's own visitor: that has the whole of its tree walked by code made anew, minutes of a release build.
+//! Checks whether expressions depend on one row only, and whether all dialects read them alike. The
+//! expressions within an expression are enumerated here, because the visitor of `sqlparser` is
+//! generic code over its whole syntax tree, which adds minutes to a release build.
 
 use std::ops::ControlFlow;
 
@@ -8,7 +9,8 @@
     SelectItem, UnaryOperator, Value as SqlValue,
 };
 
-/// Functions of one row alone. Any other may be an aggregate, or give another value at each call.
+/// Functions of one row only. Any other function may be an aggregate, or return another value at
+/// each call.
 const SINGLE_ROW_FUNCTIONS: [&str; 24] = [
     "abs",
     "ceil",
@@ -38,12 +40,13 @@
 
 type ExpressionCheck = fn(&Expr) -> ControlFlow<String>;
 
-/// What in an expression is not of one row alone, by itself; None: nothing.
+/// Describes the first part of an expression that does not depend on one row only; None if there is
+/// none.
 pub(crate) fn non_row_expression(e: &Expr) -> Option<String> {
     walk(e, check_single_row)
 }
 
-/// The same of what is selected.
+/// Like [`non_row_expression`], for an item of a select list.
 pub(crate) fn selected_non_row_expression(item: &SelectItem) -> Option<String> {
     match item {
         SelectItem::UnnamedExpr(e) | SelectItem::ExprWithAlias { expr: e, .. } => {
@@ -57,12 +60,14 @@
     }
 }
 
-/// Whether every dialect takes its operators for the same ones, with the same rank. It is of one row.
+/// Whether every dialect reads the operators of a single-row expression alike and with the same
+/// precedence.
 pub(crate) fn is_unambiguous(e: &Expr) -> bool {
     walk(e, check_unambiguous).is_none()
 }
 
-/// Chains of operators may be as long as the statement: no call within a call.
+/// Applies a check to an expression and all expressions within it. Iterative, since chains of
+/// operators may be as long as the statement.
 fn walk(e: &Expr, check: ExpressionCheck) -> Option<String> {
     let mut open = vec![e];
     while let Some(e) = open.pop() {
@@ -74,8 +79,8 @@
     None
 }
 
-/// The expressions directly within one, of the kinds that are of one row; each field is named, so that what a later version
-/// of the crate adds is looked at here.
+/// Pushes the expressions directly within a single-row expression. Each field is named, so that a
+/// field added by a later version of `sqlparser` is noticed here.
 fn push_operands<'a>(e: &'a Expr, open: &mut Vec<&'a Expr>) {
     match e {
         Expr::IsFalse(e)
@@ -199,7 +204,7 @@
     }
 }
 
-/// The arguments of a plain call: `name(a, b)` and nothing else.
+/// The arguments of a call of the form `name(a, b)`, without any other clause.
 pub(crate) fn arguments(f: &Function) -> Option<Vec<&Expr>> {
     let plain = f.over.is_none()
         && f.filter.is_none()
@@ -221,7 +226,7 @@
     Some(all.collect())
 }
 
-/// Whether an expression is of one row alone, by itself.
+/// Checks whether an expression, apart from its operands, depends on one row only.
 fn check_single_row(e: &Expr) -> ControlFlow<String> {
     let stop = |what: &str| ControlFlow::Break(what.to_string());
     match e {
@@ -271,7 +276,7 @@
     }
 }
 
-/// Whether every dialect takes the operator for the same one, with the same rank.
+/// Checks whether every dialect reads an operator alike and with the same precedence.
 fn check_unambiguous(e: &Expr) -> ControlFlow<String> {
     use BinaryOperator::{
         And, Divide, Eq, Gt, GtEq, Lt, LtEq, Minus, Modulo, Multiply, NotEq, Or, Plus,
--- a/crates/scatter/src/runs.rs
+++ b/crates/scatter/src/runs.rs
@@ -1,20 +1,22 @@
-//! Where the values of a column of numbers lie: runs from one value to another, with none between them. What
-//! bounds leave open once a few values lie far from the others, runs rule out.
+//! The ranges that contain the values of a column of numbers, with no value between them. They rule
+//! out what the bounds can't once a few values lie far from the others.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The most runs that a column may have.
-pub const MAX_RUNS: usize = 256; // runs of a column: some 1,500 bytes
-pub(crate) const MAX_LAYERED_RUNS: usize = 64; // of a column that is told in sheets, where all fronts hold them
-const MAX_BUILDER_RUNS: usize = 4_096; // runs of a column as its rows come
+/// The maximum number of runs of a column, which take some 1,500 bytes.
+pub const MAX_RUNS: usize = 256;
+// For layered summaries, whose signed part all fronts hold.
+pub(crate) const MAX_LAYERED_RUNS: usize = 64;
+// While rows are added.
+const MAX_BUILDER_RUNS: usize = 4_096;
 
-/// First and last value of each, in order.
+/// The first and the last value of each run, in ascending order.
 pub type Runs = Vec<(i128, i128)>;
 
-/// The same as bytes hold it: the first value, then how far each run begins behind the last one's end, and
-/// how long it is.
+/// The encoded form of runs: the first value, then for each run its distance from the end of the
+/// previous one, and its length.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EncodedRuns {
     first: i128,
@@ -22,7 +24,7 @@
 }
 
 impl EncodedRuns {
-    /// `None`: there are no runs.
+    /// Encodes runs; None if there are none.
     pub fn of(runs: &[(i128, i128)]) -> Option<EncodedRuns> {
         let first = runs.first()?.0;
         let mut end = first;
@@ -37,7 +39,7 @@
         })
     }
 
-    /// None: it is of no runs.
+    /// Decodes the runs; None if they are invalid.
     pub fn runs(&self) -> Option<Runs> {
         let (mut end, mut runs) = (self.first, Runs::new());
         for (at, (gap, length)) in self.steps.iter().enumerate() {
@@ -51,13 +53,13 @@
     }
 }
 
-/// Whether a run has a value from the one to the other.
+/// Whether a run intersects the range from `low` to `high`, both included.
 pub fn overlaps(runs: &[(i128, i128)], low: i128, high: i128) -> bool {
     let at = runs.partition_point(|(_, end)| *end < low);
     runs.get(at).is_some_and(|(from, _)| *from <= high)
 }
 
-/// Joins those with the least between them until there are no more than that.
+/// Merges the runs with the smallest gaps between them until at most `max_runs` are left.
 pub fn merge_closest(runs: Runs, max_runs: usize) -> Runs {
     if runs.len() <= max_runs.max(1) {
         return runs;
@@ -75,12 +77,12 @@
         .collect()
 }
 
-/// Runs as values come, in any order.
+/// Collects runs from values in any order.
 #[derive(Default)]
 pub(crate) struct RunsBuilder(BTreeMap<i128, i128>);
 
 impl RunsBuilder {
-    /// Takes in one value.
+    /// Adds a value.
     pub fn add_value(&mut self, value: i128) {
         let before = self
             .0
@@ -90,7 +92,7 @@
         if before.is_some_and(|(_, end)| value <= end) {
             return;
         }
-        // What stands next to one is of it: there is no value between.
+        // A value adjacent to a run extends it, as there is no value between them.
         let from = match before {
             Some((from, end)) if end.checked_add(1) == Some(value) => from,
             _ => value,
@@ -108,7 +110,7 @@
         }
     }
 
-    /// The runs, joined where there are more than [`MAX_RUNS`].
+    /// The runs, merged if there are more than [`MAX_RUNS`].
     pub fn runs(self) -> Runs {
         merge_closest(self.0.into_iter().collect(), MAX_RUNS)
     }
--- a/crates/scatter/src/runs_tests.rs
+++ b/crates/scatter/src/runs_tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn runs_are_joined_over_the_least_gaps() {
+fn runs_are_merged_over_the_smallest_gaps() {
     let mut builder = RunsBuilder::default();
     [5, 1, 2, 9, 3, 90, 7, i128::MIN, i128::MAX]
         .into_iter()
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn what_is_read_is_in_order(
+    fn decoded_runs_are_in_order(
         first in any::<i128>(),
         steps in prop::collection::vec(any::<(u128, u128)>(), 0..4),
     ) {
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -1,5 +1,5 @@
-//! How many distinct values columns have, within an error that is stated: sketches (HyperLogLog) that sites
-//! make of the columns that they are told to, joined at a front without asking any site.
+//! Estimates the number of distinct values of columns, with a stated error, from HyperLogLog
+//! sketches that sites make of the configured columns. A front merges them without asking any site.
 
 use datasketches::common::NumStdDev;
 use datasketches::hll::{HllSketch, HllType, HllUnion};
@@ -9,14 +9,17 @@
 use crate::sql::Query;
 use crate::value::{Kind, Value};
 
-const LOG2_REGISTERS: u8 = 12; // 4,096 registers: 3.3 % at two standard deviations, some 2,100 bytes a column
-const MAX_SKETCH_BYTES: usize = 8 << 10; // bytes of one
+// 4,096 registers: 3.3 % at two standard deviations, some 2,100 bytes per column.
+const LOG2_REGISTERS: u8 = 12;
+// The size limit of one sketch.
+const MAX_SKETCH_BYTES: usize = 8 << 10;
 
-/// A column's sketch as its rows come.
+/// Builds a column's sketch while rows are added.
 pub(crate) struct SketchBuilder(HllSketch);
 
 impl SketchBuilder {
-    /// `None`: engines may take unequal values of this kind for equal, so that they cannot be counted here.
+    /// Creates an empty sketch. None if engines may treat unequal values of this kind as equal, so
+    /// that they can't be counted here.
     pub fn new(kind: Kind) -> Option<SketchBuilder> {
         HllSketch::new(LOG2_REGISTERS, HllType::Hll4)
             .ok()
@@ -24,12 +27,12 @@
             .map(SketchBuilder)
     }
 
-    /// Takes in one value.
+    /// Adds a value.
     pub fn add_value(&mut self, value: &Value) {
         self.0.update(value.hash());
     }
 
-    /// The bytes that go into a summary.
+    /// The encoded sketch, as summaries contain it.
     pub fn bytes(&self) -> Vec<u8> {
         self.0.serialize()
     }
@@ -46,7 +49,7 @@
     deserialize_sketch(bytes).is_some()
 }
 
-/// Distinct values, and by which part of them that may be wrong at two standard deviations.
+/// An estimate of the number of distinct values, with its error at two standard deviations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The estimated number of distinct values.
@@ -55,8 +58,8 @@
     pub error: f64,
 }
 
-/// How many distinct values a column has at all of the sites. None: a site says nothing of it that counts, or
-/// a load may have brought values that are not known.
+/// Estimates the number of distinct values of a column over all sites. None if a site has no valid
+/// sketch of it, or if a load may have added values that are not known.
 pub fn distinct(query: &Query, basis: &Basis) -> Option<Estimate> {
     let Basis {
         sites,
@@ -79,7 +82,7 @@
             .columns
             .iter()
             .find(|column| column.name == *name)?;
-        // Values of two kinds may be equal and are not known to be.
+        // Values of different kinds may be equal without being recognized as such.
         if *common_kind.get_or_insert(column.kind) != column.kind {
             return None;
         }
--- a/crates/scatter/src/sql.rs
+++ b/crates/scatter/src/sql.rs
@@ -1,5 +1,5 @@
-//! What a statement asks for, taken from it by `sqlparser`: one table, a condition, a bound on rows. Dialects read some text
-//! in two ways; such text is not understood here, so that no reading of an engine's is missed.
+//! Reads what a statement selects, by means of `sqlparser`: a table, a condition and a limit. Text
+//! that dialects read in different ways is rejected, so that no engine's reading of it is missed.
 
 mod names;
 
@@ -20,53 +20,56 @@
 
 use names::alias_of;
 
-const MAX_STATEMENT_BYTES: usize = 16 << 10; // bytes of a statement that is looked at; conditions nest by its length
+// The nesting depth of conditions is bounded by the statement's length.
+const MAX_STATEMENT_BYTES: usize = 16 << 10;
 
-/// A statement whose rows can be put together from those of its sites.
+/// A statement whose answer can be built from those of its sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
     /// The table group, from the number in the schema's name.
     pub group: u32,
     /// The table's name, without its schema; in lower case unless it is quoted.
     pub table: String,
-    /// What the statement asks of the rows of this table.
+    /// The condition on the rows of this table.
     pub condition: Condition,
     /// The statement's LIMIT, if it has one.
     pub limit: Option<u64>,
-    /// Its answer is one row of aggregates, put together from those of the parts.
+    /// The aggregates of the answer, which is one row computed from those of the parts; None if
+    /// rows are selected.
     pub combine: Option<Vec<Aggregate>>,
-    /// It asks for the number of distinct values of this column in all rows, and for nothing else.
+    /// The column whose distinct values in all rows are counted, if the statement asks for nothing
+    /// else.
     pub distinct: Option<String>,
-    /// The rows are joined with those of another table at the same site.
+    /// The second table of a join, whose matching rows are at the same site.
     pub join: Option<Join>,
 }
 
-/// Why the rows of a statement can't be put together from parts.
+/// Why the answer to a statement can't be built from parts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unsupported {
-    /// Too long to be parsed; holds its length in bytes.
+    /// The statement is too long to be parsed; holds its length in bytes.
     #[error(
         "a statement of {0} bytes, over {MAX_STATEMENT_BYTES}: shorten it, or name a scatter.whole_site for it"
     )]
     Long(usize),
-    /// Text that dialects read in different ways; holds what makes it so.
+    /// Dialects read the text in different ways; holds the part that causes it.
     #[error(
         "text that dialects read in different ways ({0}): write it without, or name a scatter.whole_site"
     )]
     Ambiguous(&'static str),
-    /// Not parsed, or several statements; holds the parser's message.
+    /// The statement can't be parsed, or there are several; holds the parser's message.
     #[error("not understood ({0}): write it plainer, or name a scatter.whole_site")]
     Syntax(String),
-    /// A clause that can't be computed from the sites' answers; holds its name.
+    /// A clause can't be computed from the sites' answers; holds its name.
     #[error("{0} can't be put together from the sites' parts: leave it out, or name a scatter.whole_site")]
     NotDivisible(String),
-    /// A join of two table groups that may lie at different sites; holds their numbers.
+    /// The join is of two table groups that may lie at different sites; holds their numbers.
     #[error(
         "a join of groups {0} and {1}, which scatter.together does not name: name them where equal keys lie \
          at one site, or name a scatter.whole_site"
     )]
     NotColocated(u32, u32),
-    /// A table whose name does not tell its group.
+    /// The table's name does not contain its group.
     #[error("names no table as SCHEMA_NUMBER.TABLE: name the group's schema, or name a scatter.whole_site")]
     NoGroup,
 }
@@ -75,7 +78,7 @@
     Err(Unsupported::NotDivisible(what.into()))
 }
 
-/// Text that begins or ends strings and comments in one dialect and not in another.
+/// Finds text that begins or ends strings or comments in some dialects only.
 fn ambiguous(text: &str) -> Option<&'static str> {
     let is_ambiguous_comment = |(at, _): (usize, &str)| {
         text[at + 2..]
@@ -128,13 +131,13 @@
     }
 }
 
-/// Takes a statement apart, if its rows can be put together from parts.
+/// Reads a statement whose answer can be built from parts.
 pub fn read(statement: &[u8]) -> Result<Query, Unsupported> {
     query_of_statement(parse(statement)?)
 }
 
-/// The same of `SELECT COUNT(DISTINCT column)` over all rows of a table, which sketches may answer. None: it
-/// is another.
+/// Reads a `SELECT COUNT(DISTINCT column)` over all rows of a table, which sketches may answer.
+/// None for other statements.
 pub fn read_distinct(statement: &[u8]) -> Option<Query> {
     let mut statement = parse(statement).ok()?;
     let Statement::Query(query) = &mut statement else {
@@ -158,8 +161,7 @@
     if !counts || list.duplicate_treatment.take() != Some(DuplicateTreatment::Distinct) {
         return None;
     }
-    // What holds for the greatest of a column's values holds for this: one column by its name, nothing beside
-    // it.
+    // The rules for `max(column)` apply here too: a single column, and no other clause.
     f.name = ObjectName::from(vec![Ident::new("max")]);
     let query = query_of_statement(statement).ok()?;
     let [Aggregate {
@@ -182,7 +184,8 @@
     let Statement::Query(query) = statement else {
         return not_divisible("what is no SELECT");
     };
-    // Named one by one: a clause that a later version of the crate knows of must be looked at here.
+    // Each field is named, so that a clause added by a later version of `sqlparser` is noticed
+    // here.
     let Parsed {
         with,
         body,
@@ -295,7 +298,7 @@
     query_of_tables(&from, &projection, selection.as_ref(), limit)
 }
 
-/// The query of a SELECT without other clauses.
+/// Reads a SELECT without other clauses.
 fn query_of_tables(
     from: &[TableWithJoins],
     projection: &[SelectItem],
@@ -351,11 +354,12 @@
     })
 }
 
-/// What a row of a table is asked for.
+/// The condition on the rows of a table.
 pub(crate) fn condition(selection: Option<&Expr>, names: &ColumnScope) -> Condition {
     match selection {
         None => Condition::Constant(true),
-        // MySQL reads some operators as AND and OR: then the whole falls apart otherwise.
+        // MySQL reads some operators as AND and OR, which changes the structure of the whole
+        // condition.
         Some(e) if !is_unambiguous(e) => Condition::Other,
         Some(e) => crate::from_sql::condition(e, names),
     }
--- a/crates/scatter/src/sql/names.rs
+++ b/crates/scatter/src/sql/names.rs
@@ -1,4 +1,4 @@
-//! Names and constants of a statement: which table and group, which column, which value.
+//! Names and constants of a statement: tables with their groups, columns and literals.
 
 use sqlparser::ast::{
     Expr, Ident, ObjectName, SelectItem, TableFactor, UnaryOperator, Value as SqlValue,
@@ -7,9 +7,10 @@
 use super::{not_divisible, Unsupported};
 use crate::value::Literal;
 
-const STAGING_SCHEMA: &str = "staging"; // the schema that is no group's
+// The schema that belongs to no group.
+const STAGING_SCHEMA: &str = "staging";
 
-/// The group and the table that a name of two parts stands for.
+/// The group and the table of a name with two parts.
 pub(crate) fn table(name: &ObjectName) -> Option<(u32, String)> {
     let parts: Option<Vec<&Ident>> = name.0.iter().map(|part| part.as_ident()).collect();
     let [schema, table] = parts?[..] else {
@@ -24,7 +25,7 @@
     Some((group, plain_name(table)))
 }
 
-/// A name as it is kept: quoted ones as they are.
+/// A name in its normal form: in lower case unless it is quoted.
 pub(crate) fn plain_name(name: &Ident) -> String {
     match name.quote_style {
         None => name.value.to_ascii_lowercase(),
@@ -32,11 +33,11 @@
     }
 }
 
-/// A table as a statement names it.
+/// A table as a statement refers to it.
 pub(crate) struct TableReference {
     pub group: u32,
     pub table: String,
-    /// What its columns are named by.
+    /// The name that qualifies the table's columns.
     pub alias: String,
 }
 
@@ -83,18 +84,19 @@
     }
 }
 
-/// Which names stand for columns of the table.
+/// Determines which names refer to columns of the table.
 #[derive(Clone)]
 pub(crate) struct ColumnScope {
     pub table: String,
-    /// Given to what is selected: dialects differ in what they stand for in a condition.
+    /// Aliases of the select list; dialects differ on what they refer to in a condition.
     pub aliases: Vec<String>,
-    /// Beside another table: a name by itself may be a column of either.
+    /// Whether another table is joined: an unqualified name may be a column of either then.
     pub qualified: bool,
 }
 
 impl ColumnScope {
-    /// The column that an expression names; `None`: it names none, or dialects differ on it.
+    /// The column that an expression refers to. None if it refers to none, or if dialects differ on
+    /// it.
     pub fn column(&self, e: &Expr) -> Option<String> {
         let name = match e {
             Expr::Identifier(name) if !self.qualified => name,
@@ -105,7 +107,7 @@
             Expr::Nested(inner) => return self.column(inner),
             _ => return None,
         };
-        // What is quoted is a name in one dialect and text in another.
+        // Quoted text is a name in some dialects and a string in others.
         let plain = name
             .quote_style
             .is_none()
@@ -114,7 +116,7 @@
     }
 }
 
-/// A constant that is not null.
+/// A constant that is not NULL.
 pub(crate) fn literal(e: &Expr) -> Option<Literal> {
     match e {
         Expr::Nested(inner) => literal(inner),
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -1,4 +1,4 @@
-//! The summaries that a front holds: one for each site and group, the highest version that was found good.
+//! The summaries that a front holds: for each site and group the highest valid version received.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -15,50 +15,53 @@
 use crate::value::Kind;
 use crate::Micros;
 
-/// What the operator says of summaries.
+/// The operator's settings for summaries.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
     /// The sites and their public keys.
     pub sites: BTreeMap<String, VerifyingKey>,
-    /// The schema that a group's summaries must be of, where it is stated.
+    /// The schema that a group's summaries must have, where it is configured.
     pub schemas: BTreeMap<u32, u32>,
-    /// The age in milliseconds beyond which a summary does not count.
+    /// The age in milliseconds beyond which a summary is not valid.
     pub max_age_ms: u64,
-    /// How far a site's clock may be ahead of this front's.
+    /// The number of milliseconds by which a site's clock may be ahead of this front's.
     pub max_ahead_ms: u64,
-    /// Summaries in all.
+    /// The maximum number of summaries held.
     pub max_summaries: usize,
 }
 
-const SETTLE_TIME_MS: u64 = 5_000; // milliseconds after which others hold what is held here
-const MAX_VERSIONS_SEEN: usize = 8; // versions of one summary that are not settled yet
+// After this time peers are expected to hold what is held here.
+const SETTLE_TIME_MS: u64 = 5_000;
+// Versions of one summary that have not settled.
+const MAX_VERSIONS_SEEN: usize = 8;
 
-/// A version, and which loads were in it.
+/// A version that was received, and the loads in it.
 struct SeenVersion {
     arrived_ms: u64,
     version: u64,
     loads: LoadNumbers,
 }
 
-/// A version of a summary, and how much of it there is. Between fronts it is written as these three, in this order.
+/// A version of a summary, and how much of it is available. Fronts exchange these three fields in
+/// this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HeldVersion {
-    /// Which summary, as [`summary_id`] numbers them.
+    /// The summary's id, as [`summary_id`] computes it.
     pub name: u64,
-    /// Its version.
+    /// The version of the summary.
     pub version: u64,
-    /// How much of it there is.
+    /// The detail that is available.
     pub detail: Detail,
 }
 
 struct HeldSummary {
     summary: Summary,
     bytes: Rc<[u8]>,
-    /// In the order in which they came; the first is the settled one, where one is.
+    /// In the order of arrival; the first one is the settled version, if there is one.
     versions_seen: VecDeque<SeenVersion>,
 }
 
-/// Notes a version that has come.
+/// Records the arrival of a version.
 fn note_version(
     mut versions_seen: VecDeque<SeenVersion>,
     wall_ms: u64,
@@ -86,23 +89,24 @@
     versions_seen
 }
 
-/// The summaries that one front holds, checked and by site and group.
+/// The verified summaries that a front holds, by site and group.
 pub struct SummaryStore {
     settings: StoreSettings,
     held: BTreeMap<(String, u32), HeldSummary>,
-    /// What is held and how fine, where that follows from what it spares; None: all that comes, whole.
+    /// Determines which summaries are held and in which detail, by their benefit. None: all
+    /// summaries are held completely.
     pub retention: Option<Retention>,
-    /// What counted for nothing, by why.
+    /// The number of rejected summaries, by reason.
     pub rejected: BTreeMap<&'static str, u64>,
 }
 
-/// The name that a site's summary of a group goes by between fronts.
+/// The id by which fronts refer to a site's summary of a group.
 pub fn summary_id(site: &str, group: u32) -> u64 {
     fnv1a(site.bytes().chain([0]).chain(group.to_le_bytes()))
 }
 
 impl SummaryStore {
-    /// An empty store that holds summaries whole.
+    /// Creates an empty store that holds summaries completely.
     pub fn new(settings: StoreSettings) -> SummaryStore {
         SummaryStore {
             settings,
@@ -112,17 +116,18 @@
         }
     }
 
-    /// Other terms hold from now on; what is of no site any more goes.
+    /// Applies other settings and removes the summaries of sites that they do not contain.
     pub fn reconfigure(&mut self, settings: StoreSettings) {
         let before = std::mem::replace(&mut self.settings, settings);
         let sites = &self.settings.sites;
-        // Under another key of the site it may be anybody's.
+        // Summaries of a site whose key has changed may come from anyone.
         self.held.retain(|(site, _), _| {
             sites.get(site).is_some() && sites.get(site) == before.sites.get(site)
         });
     }
 
-    /// Takes a site's word, from wherever it came. False: held already. What is refused changes nothing.
+    /// Verifies and stores a summary from any source. Returns false if it was held already. A
+    /// summary that is rejected changes nothing.
     pub fn accept(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, SummaryError> {
         let outcome = self.check_and_insert(wall_ms, bytes);
         if let Err(why) = &outcome {
@@ -147,9 +152,9 @@
                     })
                 }
                 std::cmp::Ordering::Equal if held.bytes.starts_with(bytes) => return Ok(false),
-                // More sheets of the same.
+                // More layers of the same summary.
                 std::cmp::Ordering::Equal if bytes.starts_with(&held.bytes) => {}
-                // Two words under one version: the one that was first stays.
+                // Two summaries with the same version: the first one is kept.
                 std::cmp::Ordering::Equal => {
                     return Err(SummaryError::Version {
                         site,
@@ -179,7 +184,7 @@
         let wanted = self.wanted_detail(summary_id(&site, group));
         let key = (site, group);
         if wanted.is_none() {
-            // An older one proves less than none: loads may have come since.
+            // An older version must not be kept, since it does not cover later loads.
             self.held.remove(&key);
             return Ok(false);
         }
@@ -200,7 +205,7 @@
         Ok(true)
     }
 
-    /// How fine the summary of a name is to be held.
+    /// The detail in which a summary is to be held; None if not at all.
     pub fn wanted_detail(&self, name: u64) -> Option<Detail> {
         self.retention
             .as_ref()
@@ -209,7 +214,7 @@
             })
     }
 
-    /// Chooses anew what is held, and lets go of the rest.
+    /// Chooses again what is held, and removes the rest.
     pub fn choose(&mut self, wall_ms: u64) {
         let Some(retention) = &mut self.retention else {
             return;
@@ -221,7 +226,7 @@
         }
     }
 
-    /// Lets go of what is finer than wanted.
+    /// Removes the detail beyond what is wanted.
     fn reduce_detail(&mut self, key: &(String, u32), wanted: Option<Detail>) {
         let Some(held) = self.held.get_mut(key) else {
             return;
@@ -233,7 +238,7 @@
         if held.summary.detail <= wanted {
             return;
         }
-        // One that is not in sheets has no less of it.
+        // A summary that is not layered can't be reduced.
         let Some(end) =
             layers::layer_ends(&held.bytes).and_then(|ends| ends.get(wanted as usize).copied())
         else {
@@ -250,7 +255,8 @@
         }
     }
 
-    /// A scatter has left a site out by its summary, or has asked it and heard of no row.
+    /// Records that a scatter left a site out because of its summary, or asked it and received no
+    /// row.
     pub fn record_outcome(&mut self, wall_ms: u64, query: &Query, site: &str, asked: bool) {
         if self.retention.is_none() {
             return;
@@ -268,7 +274,7 @@
                     false => Outcome::ByFilter,
                 }
             }
-            // It was asked for its loads.
+            // The site was asked because of loads.
             Some((_, table)) if query.condition.never_true(table) => return,
             Some(_) if !query.condition.has_equality() => return,
             Some((Detail::Bounds, _)) => Outcome::MissedByBounds,
@@ -279,23 +285,23 @@
             .for_each(|retention| retention.record(now, summary_id(site, query.group), outcome));
     }
 
-    /// The name and version of what a known site has signed.
+    /// The id and version of a summary that a configured site has signed.
     pub fn id_and_version(&self, bytes: &[u8]) -> Option<(u64, u64)> {
         let summary = Summary::read(bytes, |site| self.settings.sites.get(site).copied()).ok()?;
         Some((summary_id(&summary.site, summary.group), summary.version))
     }
 
-    /// Whether the operator names this site.
+    /// Whether the site is configured.
     pub fn has_site(&self, site: &str) -> bool {
         self.settings.sites.contains_key(site)
     }
 
-    /// Lets go of one.
+    /// Removes a summary.
     pub fn remove(&mut self, site: &str, group: u32) {
         self.held.remove(&(site.to_string(), group));
     }
 
-    /// What a column holds, where all that is held speaks alike of it.
+    /// The kind of a column, if all summaries held agree on it.
     pub fn column_kind(&self, group: u32, table: &str, column: &str) -> Option<Kind> {
         let tables = self
             .held
@@ -313,12 +319,12 @@
         kinds.all(|kind| kind == Some(first)).then_some(first)
     }
 
-    /// Bytes of what is held.
+    /// The total size of the summaries held, in bytes.
     pub fn size(&self) -> usize {
         self.held.values().map(|held| held.bytes.len()).sum()
     }
 
-    /// Whether it may count now, apart from its version.
+    /// Whether a summary is valid now, regardless of its version.
     fn check_validity(&self, wall_ms: u64, summary: &Summary) -> Result<(), SummaryError> {
         let (site, group) = (summary.site.clone(), summary.group);
         let (schema, made_ms) = (summary.schema, summary.made_ms);
@@ -353,7 +359,7 @@
         Ok(())
     }
 
-    /// A site's summary of a group, as long as it may count.
+    /// A site's summary of a group, if it is held and valid.
     pub fn current(&self, wall_ms: u64, site: &str, group: u32) -> Option<&Summary> {
         let held = self.held.get(&(site.to_string(), group))?;
         self.check_validity(wall_ms, &held.summary)
@@ -361,7 +367,7 @@
             .then_some(&held.summary)
     }
 
-    /// What a site has said of loads into a group.
+    /// The loads that a site's summaries of a group contain.
     pub fn reported_loads(&self, wall_ms: u64, site: &str, group: u32) -> ReportedLoads<'_> {
         let Some(held) = self.held.get(&(site.to_string(), group)) else {
             return ReportedLoads::default();
@@ -380,7 +386,7 @@
         }
     }
 
-    /// How many summaries are held.
+    /// The number of summaries held.
     pub fn len(&self) -> usize {
         self.held.len()
     }
@@ -390,7 +396,7 @@
         self.held.is_empty()
     }
 
-    /// All that is held.
+    /// The versions of all summaries held.
     pub fn versions(&self) -> impl Iterator<Item = HeldVersion> + '_ {
         let version_of = |((site, group), held): (&(String, u32), &HeldSummary)| HeldVersion {
             name: summary_id(site, *group),
@@ -400,7 +406,7 @@
         self.held.iter().map(version_of)
     }
 
-    /// The bytes of one that is held, as they came.
+    /// The version and the bytes of a summary that is held, as received.
     pub fn bytes(&self, wanted: u64) -> Option<(u64, Rc<[u8]>)> {
         let mut all = self.held.iter();
         let found = all.find(|((site, group), _)| summary_id(site, *group) == wanted);
--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -1,4 +1,5 @@
-//! What a site says of its data, signed by it, as bytes and back. What is read is looked at as a whole before it counts.
+//! The statistics that a site signs about its data, and their encoding. A summary is used only
+//! after all of its content has been validated.
 
 mod error;
 
@@ -13,59 +14,64 @@
 use crate::sketch;
 use crate::value::{less, Kind, Value, MAX_SCALE};
 
-/// The longest summary that is read or made.
-pub const MAX_SUMMARY_BYTES: usize = 64 << 10; // bytes of a summary: 50,000 values in filters, and 60 pieces on their way
+/// The size limit of a summary in bytes. It fits 50,000 values in filters, and is transferred in some 60
+/// pieces.
+pub const MAX_SUMMARY_BYTES: usize = 64 << 10;
 const PLAIN_FORMAT: u16 = 1;
-const EXTENDED_FORMAT: u16 = 3; // 2 and 4 are in sheets
-const APPROXIMATE_RUN_BYTES: usize = 6; // bytes of a run, about
-const SIGNING_CONTEXT: &[u8] = b"hallmux summary\0"; // what is signed says what it is: no other word passes for it
-/// The most tables that a summary may have.
-pub const MAX_TABLES: usize = 64; // of a group
-/// The most columns that a table may have.
-pub const MAX_COLUMNS: usize = 256; // of a table
-/// The longest name of a table or column.
-pub const MAX_NAME_BYTES: usize = 128; // bytes of a name
-/// The most runs that [`LoadNumbers`] may have.
-pub const MAX_LOAD_RUNS: usize = 64; // of load numbers
+// Formats 2 and 4 are layered.
+const EXTENDED_FORMAT: u16 = 3;
+// The approximate encoded size of a run.
+const APPROXIMATE_RUN_BYTES: usize = 6;
+// Part of the signed bytes, so that a signature made for another purpose is not accepted.
+const SIGNING_CONTEXT: &[u8] = b"hallmux summary\0";
+/// The maximum number of tables in a summary.
+pub const MAX_TABLES: usize = 64;
+/// The maximum number of columns of a table in a summary.
+pub const MAX_COLUMNS: usize = 256;
+/// The maximum length of a table's or column's name, in bytes.
+pub const MAX_NAME_BYTES: usize = 128;
+/// The maximum number of runs in [`LoadNumbers`].
+pub const MAX_LOAD_RUNS: usize = 64;
 
-/// A site's data of one table group.
+/// A site's statistics about one table group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The format of the bytes; [`Summary::read`] refuses formats that it does not know.
+    /// The format of the bytes; [`Summary::read`] rejects formats that it does not know.
     pub format: u16,
-    /// The site that signs it.
+    /// The site that signed the summary.
     pub site: String,
-    /// The table group that it is about.
+    /// The table group that the summary describes.
     pub group: u32,
-    /// Which shape of the tables it is of, as the operator counts them.
+    /// The version of the tables' schema, as the operator counts it.
     pub schema: u32,
-    /// Grows with each summary of this site and group, also over the site's restarts.
+    /// Increases with each summary of this site and group, also across restarts of the site.
     pub version: u64,
-    /// Unix milliseconds by the site's clock.
+    /// Unix milliseconds on the site's clock.
     pub made_ms: u64,
-    /// The marked loads whose rows are in it.
+    /// The numbers of the marked loads whose rows are in the summary.
     pub loads: LoadNumbers,
     /// The group's tables, at most [`MAX_TABLES`]; their names differ.
     pub tables: Vec<Table>,
-    /// How much of what its site says is here.
+    /// How much of the summary is present.
     #[serde(skip)]
     pub detail: Detail,
 }
 
-/// What stands behind a summary and tells more of its columns, by the places of their tables and of
-/// themselves.
+/// Optional data that follows a summary: runs and sketches, with the positions of their tables and
+/// columns.
 #[derive(Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Extension {
     runs: Vec<(u16, u16, EncodedRuns)>,
     sketches: Vec<(u16, u16, Vec<u8>)>,
 }
 
-/// Numbers of the loads that are in it, as runs from the first to the last of each, in order.
+/// The numbers of the loads contained in a summary, as inclusive ranges in ascending order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadNumbers(pub Vec<(u64, u64)>);
 
 impl LoadNumbers {
-    /// Takes in one more; the oldest runs go where they are too many, which only means that more is asked.
+    /// Adds a number. If there are too many ranges the lowest ones are removed, which only causes
+    /// more sites to be asked.
     pub fn insert(&mut self, number: u64) {
         if self.contains_range(number, number) {
             return;
@@ -83,50 +89,50 @@
         self.0.drain(..excess);
     }
 
-    /// Whether all from one number to another are in.
+    /// Whether all numbers from `from` to `to` are contained.
     pub fn contains_range(&self, from: u64, to: u64) -> bool {
         self.0.iter().any(|run| run.0 <= from && to <= run.1)
     }
 
-    /// The highest number that is in; 0 where none is.
+    /// The highest number contained; 0 if there is none.
     pub fn last(&self) -> u64 {
         self.0.last().map_or(0, |run| run.1)
     }
 }
 
-/// One table's statistics.
+/// The statistics of one table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// Without its schema, in lower case as unquoted names are.
+    /// The table's name without its schema, in lower case as for unquoted names.
     pub name: String,
     /// The number of rows.
     pub rows: u64,
-    /// The columns that are told of, at most [`MAX_COLUMNS`]; their names differ.
+    /// The columns described, at most [`MAX_COLUMNS`]; their names differ.
     pub columns: Vec<Column>,
 }
 
-/// One column's statistics.
+/// The statistics of one column.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Column {
     /// The column's name, in lower case.
     pub name: String,
-    /// What the column holds.
+    /// The kind of values that the column holds.
     pub kind: Kind,
-    /// The number of rows in which it is null.
+    /// The number of rows in which the column is null.
     pub nulls: u64,
-    /// Distinct values that are not null.
+    /// The number of distinct values that are not null.
     pub distinct: u64,
-    /// All values lie from the one to the other, both included; text by its bytes. None: nothing is told.
+    /// The least and the greatest value; text is ordered by its bytes. None: unknown.
     pub bounds: Option<(Value, Value)>,
-    /// Whether the bounds are values of the column themselves; long text is cut.
+    /// Whether the bounds are values of the column; bounds of long text are truncated.
     pub tight: bool,
-    /// Of numbers: all values lie in these. None: nothing is told beyond the bounds.
+    /// Ranges that contain all values of a column of numbers. Empty: only the bounds are known.
     #[serde(skip)]
     pub runs: Runs,
-    /// Of its distinct values, where the site was told to make one.
+    /// A sketch of the distinct values, if the site is configured to make one.
     #[serde(skip)]
     pub sketch: Option<Vec<u8>>,
-    /// The hashes of its values. `None`: nothing is told.
+    /// The hashes of the column's values. None: unknown.
     pub members: Option<Members>,
 }
 
@@ -147,7 +153,7 @@
 }
 
 impl Summary {
-    /// A summary without tables, in full detail and of version 1.
+    /// Creates a summary without tables, in full detail and with version 1.
     pub fn empty(site: &str, group: u32) -> Summary {
         Summary {
             format: PLAIN_FORMAT,
@@ -162,7 +168,7 @@
         }
     }
 
-    /// Its bytes with the site's signature over them.
+    /// Encodes the summary with the site's signature.
     pub fn sign(&self, key: &SigningKey) -> Vec<u8> {
         signed(self.encoded(PLAIN_FORMAT, EXTENDED_FORMAT), key)
     }
@@ -171,8 +177,8 @@
         self.encoded(PLAIN_FORMAT, EXTENDED_FORMAT).len()
     }
 
-    /// Its bytes: of the one format as they always were, of the other with what tells extension. One that says
-    /// that it is of another is left so.
+    /// Encodes the summary: in the plain format if there is no extension, otherwise in the extended
+    /// format with the extension after it. A summary with another format set keeps that format.
     pub(crate) fn encoded(&self, plain: u16, extended: u16) -> Vec<u8> {
         if self.format != PLAIN_FORMAT {
             return postcard::to_stdvec(self).unwrap_or_default();
@@ -202,8 +208,8 @@
         bytes
     }
 
-    /// Lets go of what tells more, of the columns where it is longest first, until it is not longer than
-    /// that.
+    /// Removes runs and sketches, of the columns with the largest ones first, until the encoded
+    /// summary is not longer than `max_bytes`.
     pub(crate) fn drop_extensions(&mut self, max_bytes: usize, plain: u16, extended: u16) {
         while self.encoded(plain, extended).len() > max_bytes {
             let columns = self.tables.iter_mut().flat_map(|t| &mut t.columns);
@@ -217,7 +223,8 @@
         }
     }
 
-    /// Takes what stands behind it and tells more; what is left behind that. None: it is none.
+    /// Reads the extension that follows the summary. Returns the bytes after it, or None if it is
+    /// malformed.
     fn apply_extension<'a>(&mut self, trailing: &'a [u8]) -> Option<&'a [u8]> {
         let (extension, rest) = postcard::take_from_bytes::<Extension>(trailing).ok()?;
         for (table, column, runs) in extension.runs {
@@ -231,7 +238,8 @@
         Some(rest)
     }
 
-    /// Reads one whose site's key is known; what it says of time and version is not looked at yet.
+    /// Decodes and verifies a summary of a site whose key is known. Its time and version are not
+    /// checked here.
     pub fn read(
         bytes: &[u8],
         key: impl Fn(&str) -> Option<VerifyingKey>,
@@ -242,7 +250,7 @@
         let (signed, rest) =
             postcard::take_from_bytes::<Signed>(bytes).map_err(|_| SummaryError::Form)?;
         let signature = Signature::from_slice(&signed.signature).map_err(|_| SummaryError::Form)?;
-        // The format comes first in every format there will be.
+        // All formats begin with the format number.
         let (format, _) =
             postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| SummaryError::Form)?;
         if !matches!(
@@ -258,7 +266,7 @@
                 .apply_extension(trailing)
                 .ok_or(SummaryError::Form)?;
         }
-        // What it is made of says the rest.
+        // The format is normalized, as the content shows which parts are present.
         summary.format = PLAIN_FORMAT;
         if matches!(format, LAYERED_FORMAT | LAYERED_EXTENDED_FORMAT) {
             summary.detail =
@@ -279,12 +287,12 @@
         }
     }
 
-    /// The table of a name, if the summary has it.
+    /// The table with this name, if the summary contains it.
     pub fn table(&self, name: &str) -> Option<&Table> {
         self.tables.iter().find(|t| t.name == name)
     }
 
-    /// What in it can't be so.
+    /// Describes the first inconsistency of the content; None if there is none.
     fn inconsistency(&self) -> Option<&'static str> {
         let runs = &self.loads.0;
         let is_ordered =
@@ -321,7 +329,7 @@
 }
 
 impl Table {
-    /// The same without its columns' filters.
+    /// The table without its columns' filters and sketches.
     pub fn without_filters(&self) -> Table {
         let without_filters = |c: &Column| Column {
             name: c.name.clone(),
--- a/crates/scatter/src/value.rs
+++ b/crates/scatter/src/value.rs
@@ -1,34 +1,37 @@
-//! Values of columns as summaries keep them, literals as statements write them, and how the two compare: where engines
-//! may differ, a comparison answers for each of them.
+//! Values of columns as summaries store them, literals as statements write them, and comparisons
+//! between them. Where engines may differ, the result holds for each of them.
 
 use hallmux_hash::fnv1a;
 use serde::{Deserialize, Serialize};
 
-/// The most digits behind the point that a column of numbers may have.
-pub const MAX_SCALE: u8 = 18; // digits behind the point: with 18 before it they fit 128 bits by far
-const MAX_LITERAL_DIGITS: usize = 30; // of a literal; longer ones are not understood
-const FLOAT_TOLERANCE: f64 = 1e-6; // of a float: an engine may round a literal to four bytes, which is off by a tenth of that
+/// The maximum number of decimal places of a column of numbers. With 18 digits before
+/// the point as well, values fit 128 bits with a wide margin.
+pub const MAX_SCALE: u8 = 18;
+// Longer literals are not understood.
+const MAX_LITERAL_DIGITS: usize = 30;
+// Relative. An engine may round a literal to four bytes, which is off by at most a tenth of this.
+const FLOAT_TOLERANCE: f64 = 1e-6;
 
-/// What a column holds, as its site declares it.
+/// The kind of values that a column holds, as its site declares it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Whole numbers and decimals, in units of the last digit behind the point.
+    /// Integers and decimals, in units of the last decimal place.
     Number {
-        /// How many digits there are behind the point, at most [`MAX_SCALE`].
+        /// The number of decimal places, at most [`MAX_SCALE`].
         scale: u8,
     },
-    /// Binary floating-point numbers of either size.
+    /// Binary floating-point numbers of four or eight bytes.
     Float,
-    /// Text, compared by this collation.
+    /// Text with this collation.
     Text(Collation),
-    /// Truth values.
+    /// Booleans.
     Bool,
-    /// Anything else: only nulls are told.
+    /// Any other kind, of which only nulls are described.
     Other,
 }
 
 impl Kind {
-    /// Whether two values are equal for an engine exactly where they are so here.
+    /// Whether engines consider two values equal exactly if they are equal here.
     pub fn is_equal_by_value(self) -> bool {
         matches!(
             self,
@@ -37,29 +40,29 @@
     }
 }
 
-/// What is known of how a column of text compares.
+/// What is known about the comparison of a text column.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Collation {
-    /// By bytes, as `C`.
+    /// Compared by bytes, as with collation `C`.
     C,
-    /// Equal only where the bytes are; the order is another's.
+    /// Equal only if the bytes are equal; the order is unknown.
     Exact,
-    /// Unequal bytes may be equal (case, accents, spaces at the end).
+    /// Different bytes may be equal (case, accents, trailing spaces).
     Unknown,
 }
 
 /// A value that is not null.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
-    /// A number in units of the last digit behind the point, as the column's scale says.
+    /// A number in units of the last decimal place, according to the column's scale.
     Number(i128),
     /// A binary floating-point number.
     Float(f64),
-    /// Text, as the engine gives it.
+    /// Text, as the engine returns it.
     Text(String),
-    /// A truth value.
+    /// A boolean.
     Bool(bool),
-    /// Of a column whose kind tells nothing.
+    /// A value of a column of kind [`Kind::Other`].
     Other,
 }
 
@@ -76,7 +79,7 @@
         )
     }
 
-    /// What the membership filter knows it by; the same in every build.
+    /// The value's hash in membership filters; the same in every build.
     pub fn hash(&self) -> u64 {
         match self {
             Value::Number(n) => fnv1a(n.to_le_bytes()),
@@ -88,35 +91,37 @@
     }
 }
 
-/// A constant of a statement.
+/// A constant in a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Literal {
-    /// Digits with at most one point; negative or not.
+    /// A decimal number.
     Number {
-        /// Whether a minus stands before it.
+        /// Whether the number has a minus sign.
         negative: bool,
-        /// The digits, with at most one point among them.
+        /// The digits, with at most one decimal point.
         digits: String,
     },
-    /// Text between single quotes.
+    /// Text in single quotes.
     Text(String),
     /// TRUE or FALSE.
     Bool(bool),
 }
 
-/// The values of a column between which a literal lies: the same where it is one of them.
+/// The neighbouring values of a literal among a column's values; both are the same if the literal
+/// is one of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Point {
     /// The literal is at or above this value, however an engine rounds it.
     pub below: Value,
     /// The literal is at or below this value, however an engine rounds it.
     pub above: Value,
-    /// It is a value of the column for every engine.
+    /// Whether the literal is a value of the column for every engine.
     pub exact: bool,
 }
 
 impl Literal {
-    /// Where it lies among the values of a column. None: engines may make anything of it.
+    /// Locates the literal among the values of a column. None if engines may interpret it in
+    /// different ways.
     pub fn point(&self, kind: Kind) -> Option<Point> {
         let exact = |v: Value| {
             Some(Point {
@@ -170,7 +175,7 @@
         .collect();
     let units: i128 = format!("0{integer_digits}{kept}").parse().ok()?;
     let (low, high) = match fraction_digits.len() > usize::from(scale) {
-        // Between two values: engines may round it to either, or compare it as it is.
+        // Between two values: engines may round it to either, or compare it exactly.
         true => (units, units + 1),
         false => (units, units),
     };
@@ -182,7 +187,7 @@
     })
 }
 
-/// Order of two values of one kind; None where they are of two.
+/// The order of two values of one kind; None if their kinds differ or they have no order.
 pub fn order(a: &Value, b: &Value) -> Option<std::cmp::Ordering> {
     match (a, b) {
         (Value::Number(a), Value::Number(b)) => Some(a.cmp(b)),
@@ -193,7 +198,7 @@
     }
 }
 
-/// Surely less; false where they can't be compared.
+/// Whether `a` is certainly less than `b`; false if they can't be compared.
 pub fn less(a: &Value, b: &Value) -> bool {
     order(a, b) == Some(std::cmp::Ordering::Less)
 }
--- a/crates/scatter/src/value_tests.rs
+++ b/crates/scatter/src/value_tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn numbers_lie_on_a_value_or_between_two() {
+fn number_literals_equal_a_value_or_lie_between_two() {
     for (text, scale, found) in [
         ("7", 0, Some((7, 7))),
         ("-7", 2, Some((-700, -700))),
