--- a/crates/scatter/tests/distinct.rs
+++ b/crates/scatter/tests/distinct.rs
@@ -1,5 +1,6 @@
-//! Numbers of distinct values from sites' sketches: within the error that is stated, with the rows of loads
-//! that no summary speaks of; none where anything is not known.
+//! Estimates of distinct values from the sketches of sites. They must be within the stated error
+//! and include the rows of loads that no summary covers, and there must be none if anything is
+//! unknown.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +20,7 @@
     SigningKey::from_bytes(&[site.as_bytes()[0]; 32])
 }
 
-fn book() -> SummaryStore {
+fn store() -> SummaryStore {
     let sites = SITES
         .iter()
         .map(|s| (s.to_string(), key(s).verifying_key()))
@@ -33,12 +34,12 @@
     })
 }
 
-fn told(
+fn signed_summary(
     site: &str,
     values: std::ops::Range<i128>,
     kind: Kind,
     with_sketches: bool,
-    sheets: bool,
+    is_layered: bool,
 ) -> Vec<u8> {
     let columns = [("id", kind)];
     let mut table = TableBuilder::new("orders", &columns);
@@ -47,7 +48,7 @@
     }
     values.for_each(|value| table.add_row(&[Some(Value::Number(value))]));
     let loads = LoadNumbers::default();
-    let about = SummaryHeader {
+    let header = SummaryHeader {
         site: site.into(),
         group: 17,
         schema: 1,
@@ -55,43 +56,47 @@
         made_ms: 0,
         loads,
     };
-    match sheets {
-        true => build_layered_summary(about, vec![table], MAX_SUMMARY_BYTES, &key(site)),
-        false => build_summary(about, vec![table], MAX_SUMMARY_BYTES).sign(&key(site)),
+    match is_layered {
+        true => build_layered_summary(header, vec![table], MAX_SUMMARY_BYTES, &key(site)),
+        false => build_summary(header, vec![table], MAX_SUMMARY_BYTES).sign(&key(site)),
     }
 }
 
-const WHOLE: Kind = Kind::Number { scale: 0 };
+const INTEGER: Kind = Kind::Number { scale: 0 };
 
-fn basis<'a>(sites: &'a [String], book: &'a SummaryStore, word: &'a LoadInfo<'a>) -> Basis<'a> {
+fn basis<'a>(
+    sites: &'a [String],
+    store: &'a SummaryStore,
+    load_info: &'a LoadInfo<'a>,
+) -> Basis<'a> {
     Basis {
         sites,
         allowed: None,
-        summaries: book,
+        summaries: store,
         wall_ms: 0,
-        loads: word,
+        loads: load_info,
         suspected: &|_| false,
     }
 }
 
-fn asked(book: &SummaryStore, word: &LoadInfo) -> Option<Estimate> {
+fn estimate(store: &SummaryStore, load_info: &LoadInfo) -> Option<Estimate> {
     let query = sql::read_distinct(b"select count(distinct id) as n from sales_17.orders").unwrap();
     let sites = SITES.map(str::to_string);
-    distinct(&query, &basis(&sites, book, word))
+    distinct(&query, &basis(&sites, store, load_info))
 }
 
 #[test]
-fn distinct_values_of_all_sites_are_told_within_the_error_that_is_stated() {
+fn distinct_values_of_all_sites_are_estimated_within_the_stated_error() {
     for (each, apart) in [(10, 5), (1_000, 500), (60_000, 30_000)] {
-        let mut book = book();
+        let mut store = store();
         for (n, site) in (0..).zip(SITES) {
-            let bytes = told(site, n * apart..n * apart + each, WHOLE, true, n == 1);
-            assert_eq!(book.accept(0, &bytes), Ok(true));
+            let bytes = signed_summary(site, n * apart..n * apart + each, INTEGER, true, n == 1);
+            assert_eq!(store.accept(0, &bytes), Ok(true));
         }
         let truth = (2 * apart + each) as f64;
-        let found = asked(&book, &LoadInfo::NoLoads).unwrap();
+        let found = estimate(&store, &LoadInfo::NoLoads).unwrap();
         println!(
-            "{truth} distinct: {} told, within {:.2} %",
+            "{truth} distinct: estimate {}, within {:.2} %",
             found.distinct,
             found.error * 100.0
         );
@@ -104,11 +109,11 @@
 }
 
 #[test]
-fn loads_that_no_summary_speaks_of_count_by_their_rows_and_what_is_not_known_tells_nothing() {
-    let mut all = book();
+fn uncovered_loads_count_by_their_rows_and_unknown_ones_prevent_an_estimate() {
+    let mut all = store();
     SITES
         .iter()
-        .for_each(|site| _ = all.accept(0, &told(site, 0..10, WHOLE, true, false)));
+        .for_each(|site| _ = all.accept(0, &signed_summary(site, 0..10, INTEGER, true, false)));
     let mut markers = LoadMarkers::default();
     let rows = |text: &str| Affected::of_statement(text.as_bytes(), 17);
     markers.add(
@@ -122,7 +127,7 @@
         rows("insert into sales_17.others (id) values (70)"),
     );
     assert_eq!(
-        asked(&all, &LoadInfo::Markers(&markers)).map(|e| e.distinct),
+        estimate(&all, &LoadInfo::Markers(&markers)).map(|e| e.distinct),
         Some(12)
     );
     for unknown in [
@@ -132,20 +137,25 @@
     ] {
         let mut markers = markers.clone();
         markers.add("oak", 9, rows(unknown));
-        assert_eq!(asked(&all, &LoadInfo::Markers(&markers)), None, "{unknown}");
+        assert_eq!(
+            estimate(&all, &LoadInfo::Markers(&markers)),
+            None,
+            "{unknown}"
+        );
     }
-    assert_eq!(asked(&all, &LoadInfo::Unknown), None);
-    // A site without a sketch, of another kind, or barred.
+    assert_eq!(estimate(&all, &LoadInfo::Unknown), None);
+    // A site whose summary has no sketch, whose column is of another kind, or that may not be
+    // asked.
     for other in [
-        told("oak", 0..10, WHOLE, false, false),
-        told("oak", 0..10, Kind::Number { scale: 2 }, true, false),
+        signed_summary("oak", 0..10, INTEGER, false, false),
+        signed_summary("oak", 0..10, Kind::Number { scale: 2 }, true, false),
     ] {
-        let mut two = book();
+        let mut two = store();
         SITES[..2]
             .iter()
-            .for_each(|site| _ = two.accept(0, &told(site, 0..10, WHOLE, true, false)));
+            .for_each(|site| _ = two.accept(0, &signed_summary(site, 0..10, INTEGER, true, false)));
         two.accept(0, &other).unwrap();
-        assert_eq!(asked(&two, &LoadInfo::NoLoads), None);
+        assert_eq!(estimate(&two, &LoadInfo::NoLoads), None);
     }
     let query = sql::read_distinct(b"select count(distinct id) from sales_17.orders").unwrap();
     let sites = SITES.map(str::to_string);
@@ -173,7 +183,7 @@
 }
 
 #[test]
-fn only_distinct_values_of_one_column_in_all_rows_are_taken() {
+fn only_distinct_values_of_one_column_in_all_rows_are_supported() {
     for text in [
         "select count(distinct id) from sales_17.orders where id > 5",
         "select count(distinct id), count(*) from sales_17.orders",
@@ -192,8 +202,8 @@
 }
 
 #[test]
-fn a_damaged_sketch_is_refused() {
-    let about = SummaryHeader {
+fn a_damaged_sketch_causes_no_panic() {
+    let header = SummaryHeader {
         site: "ash".into(),
         group: 17,
         schema: 1,
@@ -201,9 +211,9 @@
         made_ms: 0,
         loads: LoadNumbers::default(),
     };
-    let mut table = TableBuilder::new("orders", &[("id", WHOLE)]).with_sketches(&["id"]);
+    let mut table = TableBuilder::new("orders", &[("id", INTEGER)]).with_sketches(&["id"]);
     (0..9_000).for_each(|n| table.add_row(&[Some(Value::Number(n))]));
-    let good = build_summary(about, vec![table], MAX_SUMMARY_BYTES);
+    let good = build_summary(header, vec![table], MAX_SUMMARY_BYTES);
     let mut read = 0;
     for at in 0..400 {
         let mut whole = good.clone();
@@ -211,10 +221,10 @@
         let sketch = whole.tables[0].columns[0].sketch.as_mut().unwrap();
         let (place, flip) = (at % 200 * sketch.len() / 200, [0xff, 0x11][at / 200]);
         sketch[place] ^= flip;
-        let mut all = book();
-        // Taken or refused; never a panic, here or when it is asked.
+        let mut all = store();
+        // Accepted or rejected, but never a panic, neither here nor in an estimate.
         read += usize::from(all.accept(0, &whole.sign(&key("ash"))).is_ok());
-        let _ = asked(&all, &LoadInfo::NoLoads);
+        let _ = estimate(&all, &LoadInfo::NoLoads);
     }
     println!("{read} of 400 altered sketches can be read");
 }
--- a/crates/scatter/tests/join.rs
+++ b/crates/scatter/tests/join.rs
@@ -1,5 +1,6 @@
-//! Joins of two tables whose equal keys lie at one site: drawn rows, conditions and loads, held against a
-//! plain join over the rows. Never a row missing; how many sites are asked beside those that have a row.
+//! Joins of two tables whose equal keys lie at one site. Random rows, conditions and loads are
+//! compared with a plain join of the rows: no row may be missing, and the number of sites asked is
+//! printed beside the number of those with rows.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -16,22 +17,22 @@
 use proptest::test_runner::{Config, TestRunner};
 
 const SITES: [&str; 4] = ["ash", "elm", "oak", "yew"];
-const WHOLE: Kind = Kind::Number { scale: 0 };
-const PARTS: i128 = 4;
+const INTEGER: Kind = Kind::Number { scale: 0 };
+const KEY_STRIDE: i128 = 4;
 
-/// Rows of one table at one site: key, and a value.
+/// The rows of one table at one site: a key and a value.
 type Rows = Vec<(Option<i128>, i128)>;
 
 fn key(site: &str) -> SigningKey {
     SigningKey::from_bytes(&[site.as_bytes()[0]; 32])
 }
 
-fn told(site: &str, group: u32, table: &str, rows: &Rows) -> Vec<u8> {
-    let mut builder = TableBuilder::new(table, &[("k", WHOLE), ("v", WHOLE)]);
+fn signed_summary(site: &str, group: u32, table: &str, rows: &Rows) -> Vec<u8> {
+    let mut builder = TableBuilder::new(table, &[("k", INTEGER), ("v", INTEGER)]);
     rows.iter()
         .for_each(|(k, v)| builder.add_row(&[k.map(Value::Number), Some(Value::Number(*v))]));
     let loads = LoadNumbers::default();
-    let about = SummaryHeader {
+    let header = SummaryHeader {
         site: site.into(),
         group,
         schema: 1,
@@ -39,15 +40,15 @@
         made_ms: 0,
         loads,
     };
-    build_summary(about, vec![builder], MAX_SUMMARY_BYTES).sign(&key(site))
+    build_summary(header, vec![builder], MAX_SUMMARY_BYTES).sign(&key(site))
 }
 
-fn book(sites: &[(Rows, Rows)]) -> SummaryStore {
+fn store(sites: &[(Rows, Rows)]) -> SummaryStore {
     let keys = SITES
         .iter()
         .map(|s| (s.to_string(), key(s).verifying_key()))
         .collect();
-    let mut book = SummaryStore::new(StoreSettings {
+    let mut store = SummaryStore::new(StoreSettings {
         sites: keys,
         schemas: BTreeMap::new(),
         max_age_ms: u64::MAX,
@@ -55,20 +56,26 @@
         max_summaries: 100,
     });
     for (site, (first, second)) in SITES.iter().zip(sites) {
-        assert_eq!(book.accept(0, &told(site, 17, "a", first)), Ok(true));
-        assert_eq!(book.accept(0, &told(site, 18, "b", second)), Ok(true));
+        assert_eq!(
+            store.accept(0, &signed_summary(site, 17, "a", first)),
+            Ok(true)
+        );
+        assert_eq!(
+            store.accept(0, &signed_summary(site, 18, "b", second)),
+            Ok(true)
+        );
     }
-    book
+    store
 }
 
-fn asked(query: &Query, book: &SummaryStore, word: &LoadInfo) -> Vec<(String, Reason)> {
+fn asked(query: &Query, store: &SummaryStore, load_info: &LoadInfo) -> Vec<(String, Reason)> {
     let sites = SITES.map(str::to_string);
     let basis = Basis {
         sites: &sites,
         allowed: None,
-        summaries: book,
+        summaries: store,
         wall_ms: 0,
-        loads: word,
+        loads: load_info,
         suspected: &|_| false,
     };
     let plan = plan(query, &basis);
@@ -83,15 +90,15 @@
     sql::read(text.as_bytes()).unwrap()
 }
 
-/// Rows of a table whose keys are of one site; the second table has few of them, in a place of its own.
+/// Random rows of a table; the second table of a site has few of them, in a key range of its own.
 fn rows(most: usize, spread: i128) -> impl Strategy<Value = Rows> {
     let row = (prop::option::weighted(0.9, 0..spread), 0i128..50);
     prop::collection::vec(row, 0..most)
 }
 
-fn lies(at: usize, rows: &Rows, from: i128) -> Rows {
+fn spread_keys(at: usize, rows: &Rows, from: i128) -> Rows {
     rows.iter()
-        .map(|(k, v)| (k.map(|k| (from + k) * PARTS + at as i128), *v))
+        .map(|(k, v)| (k.map(|k| (from + k) * KEY_STRIDE + at as i128), *v))
         .collect()
 }
 
@@ -112,13 +119,14 @@
         ends,
     );
     let outcome = runner.run(&drawn, |(sites, loads, (low, high))| {
-        let place =
-            |(at, (a, b, from)): (usize, &(Rows, Rows, i128))| (lies(at, a, 0), lies(at, b, *from));
+        let place = |(at, (a, b, from)): (usize, &(Rows, Rows, i128))| {
+            (spread_keys(at, a, 0), spread_keys(at, b, *from))
+        };
         let mut sites: Vec<(Rows, Rows)> = sites.iter().enumerate().map(place).collect();
-        let book = book(&sites);
+        let store = store(&sites);
         let (mut first, mut second) = (LoadMarkers::default(), LoadMarkers::default());
         for (at, is_first, k, v) in loads {
-            let k = k * PARTS + at as i128;
+            let k = k * KEY_STRIDE + at as i128;
             let (group, table) = if is_first { (17, "a") } else { (18, "b") };
             let text = format!("insert into s_{group}.{table} (k, v) values ({k}, {v})");
             let markers = if is_first { &mut first } else { &mut second };
@@ -131,7 +139,7 @@
             .push((Some(k), v));
         }
         let query = joined(&format!("where x.v < {low} and (y.v >= {high} or x.v = 3)"));
-        let parts = asked(&query, &book, &LoadInfo::JoinMarkers(&first, &second));
+        let parts = asked(&query, &store, &LoadInfo::JoinMarkers(&first, &second));
         for (site, (a, b)) in SITES.iter().zip(&sites) {
             let fits = |x: i128, y: i128| x < low && (y >= high || x == 3);
             let pairs = |(k, x): &(Option<i128>, i128)| {
@@ -161,7 +169,8 @@
 #[test]
 fn keys_of_the_smaller_side_narrow_the_sites_of_the_larger() {
     let large = |at: i128| -> Rows { (0..2_000).map(|n| (Some(n * 20 + at), 1)).collect() };
-    // The last has more than are kept as they are, each to be looked for between keys of the other side.
+    // The last site has more keys than a summary stores exactly, so that each must be looked up
+    // between keys of the other side.
     let forty = (0..40).map(|n| 10_005 + n * 20).collect();
     let sites: Vec<(Rows, Rows)> = [vec![40, 80], vec![41], vec![], forty]
         .into_iter()
@@ -173,9 +182,9 @@
             )
         })
         .collect();
-    let book = book(&sites);
-    let names = |query: &Query, word: &LoadInfo| -> Vec<String> {
-        asked(query, &book, word)
+    let store = store(&sites);
+    let names = |query: &Query, load_info: &LoadInfo| -> Vec<String> {
+        asked(query, &store, load_info)
             .into_iter()
             .map(|(site, _)| site)
             .collect()
@@ -186,7 +195,7 @@
         ["ash", "elm"]
     );
     assert_eq!(names(&query, &LoadInfo::NoLoads), ["ash", "elm"]);
-    // One side's own condition, aggregates, keys the other way round.
+    // A condition on one side, aggregates, and the keys in the other order.
     assert_eq!(
         names(&joined("where y.v > 1"), &LoadInfo::NoLoads),
         Vec::<String>::new()
@@ -196,16 +205,16 @@
     let other = sql::read(text.as_bytes()).unwrap();
     assert!(other.combine.is_some());
     assert_eq!(names(&other, &LoadInfo::NoLoads), ["ash", "elm"]);
-    // A load that the summaries do not speak of, of either side; of one group alone nothing is known of the
-    // other.
-    let mut touched = LoadMarkers::default();
-    touched.add(
+    // A load on either side that the summaries do not cover. Markers of one group say nothing about
+    // the other group.
+    let mut second_markers = LoadMarkers::default();
+    second_markers.add(
         "yew",
         9,
         Affected::of_statement(b"insert into s_18.b (k, v) values (3, 1)", 18),
     );
     assert_eq!(
-        names(&query, &LoadInfo::JoinMarkers(&none, &touched)),
+        names(&query, &LoadInfo::JoinMarkers(&none, &second_markers)),
         ["ash", "elm", "yew"]
     );
     assert_eq!(names(&query, &LoadInfo::Markers(&none)).len(), 4);
@@ -213,7 +222,7 @@
 }
 
 #[test]
-fn other_joins_are_refused_with_a_way_out() {
+fn unsupported_joins_are_rejected_with_a_remedy() {
     for text in [
         "select x.v from s_17.a x left join s_18.b y on x.k = y.k",
         "select x.v from s_17.a x join s_18.b y using (k)",
@@ -226,15 +235,18 @@
         "select x.v from s_17.a x join b y on x.k = y.k",
         "select sum(y.v) from s_17.a x join s_18.b y on x.k = y.k",
     ] {
-        let why = sql::read(text.as_bytes()).unwrap_err();
-        assert!(why.to_string().contains("whole_site"), "{text}: {why}");
+        let reason = sql::read(text.as_bytes()).unwrap_err();
+        assert!(
+            reason.to_string().contains("whole_site"),
+            "{text}: {reason}"
+        );
     }
-    // A name by itself may be a column of either side: it proves nothing.
+    // An unqualified name may be a column of either side and proves nothing.
     let query = joined("where v = 5 and k = 9");
     assert!(query.join.is_some());
     let sites: Vec<(Rows, Rows)> = SITES
         .iter()
         .map(|_| (vec![(Some(1), 1)], vec![(Some(1), 1)]))
         .collect();
-    assert_eq!(asked(&query, &book(&sites), &LoadInfo::NoLoads).len(), 4);
+    assert_eq!(asked(&query, &store(&sites), &LoadInfo::NoLoads).len(), 4);
 }
--- a/crates/scatter/tests/loads.rs
+++ b/crates/scatter/tests/loads.rs
@@ -1,5 +1,6 @@
-//! Drawn schedules of loads, summaries that come late or never, and scatters at several fronts: never a row missing that is at
-//! a site, whoever marked it, tidied or was lost. And without the marks there would be.
+//! Random schedules of loads, late or lost summaries, and scatters at several fronts. No row that
+//! is at a site may be missing from a scatter, whichever front marked the load, cleaned up markers
+//! or was lost; without markers rows would be missing.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -19,18 +20,18 @@
 
 const SITES: [&str; 3] = ["ash", "elm", "oak"];
 const FRONTS: usize = 3;
-const LIFE_MS: u64 = 50; // for which a load may run
+const MAX_LOAD_RUN_MS: u64 = 50; // Milliseconds for which a load may run.
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A front marks a load of a value; whether its keys are known.
+    /// A front marks a load of a value; `known` tells whether its rows can be read from its text.
     Mark {
         front: usize,
         site: usize,
         value: i128,
         known: bool,
     },
-    /// What was marked arrives and runs, or never does.
+    /// A marked load arrives and runs, or is lost.
     Run {
         which: usize,
         lost: bool,
@@ -39,7 +40,7 @@
     Write {
         site: usize,
     },
-    /// One that was written reaches a front.
+    /// A written summary reaches a front.
     Reach {
         which: usize,
         front: usize,
@@ -56,16 +57,16 @@
 
 fn basis<'a>(
     sites: &'a [String],
-    book: &'a SummaryStore,
+    store: &'a SummaryStore,
     wall_ms: u64,
-    word: &'a LoadInfo<'a>,
+    load_info: &'a LoadInfo<'a>,
 ) -> Basis<'a> {
     Basis {
         sites,
         allowed: None,
-        summaries: book,
+        summaries: store,
         wall_ms,
-        loads: word,
+        loads: load_info,
         suspected: &|_| false,
     }
 }
@@ -90,7 +91,7 @@
     version: u64,
 }
 
-fn book() -> SummaryStore {
+fn store() -> SummaryStore {
     let sites = SITES
         .iter()
         .map(|s| (s.to_string(), key(s).verifying_key()))
@@ -108,13 +109,13 @@
     SigningKey::from_bytes(&[site.as_bytes()[0]; 32])
 }
 
-/// The rows that a scatter missed, and the sites asked, of all, in a schedule.
-fn play(steps: &[Step], with_marks: bool) -> (u32, u32, u32) {
-    let mut books: Vec<SummaryStore> = (0..FRONTS).map(|_| book()).collect();
+/// Plays a schedule. Returns the rows that scatters missed, the sites asked, and all sites.
+fn play(steps: &[Step], with_markers: bool) -> (u32, u32, u32) {
+    let mut stores: Vec<SummaryStore> = (0..FRONTS).map(|_| store()).collect();
     let mut sites: Vec<Site> = SITES.iter().map(|_| Site::default()).collect();
-    // The ledger: one entry, changed as a whole.
+    // The ledger's single entry, which is replaced as a whole.
     let mut entry = LoadMarkers::default().bytes().unwrap();
-    let (mut under_way, mut written) = (Vec::new(), Vec::new());
+    let (mut in_flight, mut written) = (Vec::new(), Vec::new());
     let (mut now, mut missing, mut asked, mut all) = (1_000u64, 0, 0, 0);
     for step in steps {
         match *step {
@@ -131,26 +132,27 @@
                         format!("insert into sales_17.orders (id) select {value} from sales_17.new")
                     }
                 };
-                // By what others hold, as fronts do it, or at once.
+                // By what peers are expected to hold, as fronts do it, or by the front's own
+                // summary at once.
                 markers.clean_up(now, |name| match value % 2 {
-                    0 => books[front].reported_loads(now, name, 17),
-                    _ => ReportedLoads::at_once(books[front].current(now, name, 17)),
+                    0 => stores[front].reported_loads(now, name, 17),
+                    _ => ReportedLoads::at_once(stores[front].current(now, name, 17)),
                 });
-                let n = markers.add(
+                let number = markers.add(
                     SITES[site],
-                    now + LIFE_MS,
+                    now + MAX_LOAD_RUN_MS,
                     Affected::of_statement(text.as_bytes(), 17),
                 );
                 entry = markers.bytes().unwrap();
-                under_way.push((
-                    now + LIFE_MS,
+                in_flight.push((
+                    now + MAX_LOAD_RUN_MS,
                     site,
                     value,
-                    with_load_numbers(&[(17, n)], text.as_bytes()),
+                    with_load_numbers(&[(17, number)], text.as_bytes()),
                 ));
             }
-            Step::Run { which, lost } if !under_way.is_empty() => {
-                let (ends, site, value, text) = under_way.remove(which % under_way.len());
+            Step::Run { which, lost } if !in_flight.is_empty() => {
+                let (ends, site, value, text) = in_flight.remove(which % in_flight.len());
                 if !lost && now < ends {
                     sites[site].rows.push(value);
                     load_numbers(&text)
@@ -166,7 +168,7 @@
                     .iter()
                     .for_each(|v| table.add_row(&[Some(Value::Number(*v))]));
                 let (name, version, loads) = (SITES[site].to_string(), s.version, s.loads.clone());
-                let about = SummaryHeader {
+                let header = SummaryHeader {
                     site: name,
                     group: 17,
                     schema: 1,
@@ -175,11 +177,11 @@
                     loads,
                 };
                 written.push(
-                    build_summary(about, vec![table], MAX_SUMMARY_BYTES).sign(&key(SITES[site])),
+                    build_summary(header, vec![table], MAX_SUMMARY_BYTES).sign(&key(SITES[site])),
                 );
             }
             Step::Reach { which, front } if !written.is_empty() => {
-                let _ = books[front].accept(now, &written[which % written.len()]);
+                let _ = stores[front].accept(now, &written[which % written.len()]);
             }
             Step::Pass { ms } => now += ms,
             Step::Ask { front, from, to } => {
@@ -187,13 +189,13 @@
                     format!("select * from sales_17.orders where id between {from} and {to}");
                 let query = sql::read(text.as_bytes()).unwrap();
                 let markers = LoadMarkers::read(&entry).unwrap();
-                let word = if with_marks {
+                let load_info = if with_markers {
                     LoadInfo::Markers(&markers)
                 } else {
                     LoadInfo::NoLoads
                 };
                 let names = SITES.map(str::to_string);
-                let plan = plan(&query, &basis(&names, &books[front], now, &word));
+                let plan = plan(&query, &basis(&names, &stores[front], now, &load_info));
                 all += 3;
                 asked += plan.parts.len() as u32;
                 for (site, name) in sites.iter().zip(SITES) {
@@ -225,7 +227,7 @@
     });
     outcome.unwrap();
     println!(
-        "asked {} of {} sites; without marks {} missed",
+        "asked {} of {} sites; without markers {} missed",
         asked.get(),
         all.get(),
         without.get()
@@ -234,12 +236,12 @@
 }
 
 #[test]
-fn a_load_that_is_lost_keeps_its_site_asked_until_a_later_one_is_spoken_of() {
+fn a_lost_load_keeps_its_site_asked_until_a_summary_contains_a_later_one() {
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
-    let proved = |markers: &LoadMarkers, book: &SummaryStore| {
+    let proved = |markers: &LoadMarkers, store: &SummaryStore| {
         plan(
             &query,
-            &basis(&["ash".to_string()], book, 0, &LoadInfo::Markers(markers)),
+            &basis(&["ash".to_string()], store, 0, &LoadInfo::Markers(markers)),
         )
         .parts
         .is_empty()
@@ -247,7 +249,7 @@
     let reported_loads = |version, numbers: &[u64]| {
         let mut loads = LoadNumbers::default();
         numbers.iter().for_each(|n| loads.insert(*n));
-        let about = SummaryHeader {
+        let header = SummaryHeader {
             site: "ash".into(),
             group: 17,
             schema: 1,
@@ -256,10 +258,10 @@
             loads,
         };
         let table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
-        build_summary(about, vec![table], MAX_SUMMARY_BYTES).sign(&key("ash"))
+        build_summary(header, vec![table], MAX_SUMMARY_BYTES).sign(&key("ash"))
     };
-    // A later load that was marked before the end of the lost one says nothing of it.
-    let (mut markers, mut both) = (LoadMarkers::default(), book());
+    // A later load that was marked before the end of the lost one does not cover it.
+    let (mut markers, mut both) = (LoadMarkers::default(), store());
     markers.add("ash", 50, Affected::Anything);
     markers.add("ash", 50, Affected::Anything);
     both.accept(0, &reported_loads(1, &[2])).unwrap();
@@ -267,32 +269,32 @@
         ReportedLoads::at_once(both.current(0, name, 17))
     });
     assert!(!proved(&markers, &both));
-    let (mut markers, mut book) = (LoadMarkers::default(), book());
+    let (mut markers, mut store) = (LoadMarkers::default(), store());
     markers.add("ash", 50, Affected::Anything);
     for version in 1..4 {
-        book.accept(0, &reported_loads(version, &[])).unwrap();
+        store.accept(0, &reported_loads(version, &[])).unwrap();
         markers.clean_up(100 * version, |name| {
-            ReportedLoads::at_once(book.current(0, name, 17))
+            ReportedLoads::at_once(store.current(0, name, 17))
         });
-        assert!(!proved(&markers, &book));
+        assert!(!proved(&markers, &store));
     }
     assert_eq!(markers.add("ash", 500, Affected::Anything), 2);
-    book.accept(0, &reported_loads(4, &[2])).unwrap();
-    assert!(proved(&markers, &book));
-    // Whoever tidies leaves behind what others need: an older summary proves nothing any more.
+    store.accept(0, &reported_loads(4, &[2])).unwrap();
+    assert!(proved(&markers, &store));
+    // After a clean-up an older summary proves nothing any more.
     markers.clean_up(600, |name| {
-        ReportedLoads::at_once(book.current(0, name, 17))
+        ReportedLoads::at_once(store.current(0, name, 17))
     });
     assert!(markers.is_empty());
-    let mut behind = self::book();
-    behind.accept(0, &reported_loads(3, &[])).unwrap();
-    assert!(!proved(&markers, &behind));
+    let mut older_store = self::store();
+    older_store.accept(0, &reported_loads(3, &[])).unwrap();
+    assert!(!proved(&markers, &older_store));
 }
 
-/// A site's word that speaks of loads up to a number.
+/// A site's summary that contains the loads up to a number.
 fn reported_loads(site: &str, version: u64, to: u64) -> Vec<u8> {
     let loads = LoadNumbers(if to > 0 { vec![(1, to)] } else { Vec::new() });
-    let about = SummaryHeader {
+    let header = SummaryHeader {
         site: site.into(),
         group: 17,
         schema: 1,
@@ -301,40 +303,48 @@
         loads,
     };
     let table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
-    build_summary(about, vec![table], MAX_SUMMARY_BYTES).sign(&key(site))
+    build_summary(header, vec![table], MAX_SUMMARY_BYTES).sign(&key(site))
 }
 
 #[test]
-fn a_front_whose_summary_is_a_little_behind_need_not_ask_for_what_another_has_lifted() {
+fn a_front_with_a_slightly_older_summary_need_not_ask_for_a_covered_marker() {
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
-    let pruned = |markers: &LoadMarkers, book: &SummaryStore, now| {
-        let word = LoadInfo::Markers(markers);
-        !plan(&query, &basis(&["ash".to_string()], book, now, &word))
+    let pruned = |markers: &LoadMarkers, store: &SummaryStore, now| {
+        let load_info = LoadInfo::Markers(markers);
+        !plan(&query, &basis(&["ash".to_string()], store, now, &load_info))
             .pruned
             .is_empty()
     };
-    let (mut near, mut far, mut markers) = (book(), book(), LoadMarkers::default());
-    for book in [&mut near, &mut far] {
-        book.accept(0, &reported_loads("ash", 1, 0)).unwrap();
+    let (mut newer_store, mut older_store, mut markers) =
+        (store(), store(), LoadMarkers::default());
+    for store in [&mut newer_store, &mut older_store] {
+        store.accept(0, &reported_loads("ash", 1, 0)).unwrap();
     }
     markers.add(
         "ash",
         60_000,
         Affected::of_statement(b"insert into sales_17.orders (id) values (7)", 17),
     );
-    // The new summary is at the front where the next load comes, and on its way to the other.
-    near.accept(1_000, &reported_loads("ash", 2, 1)).unwrap();
-    markers.clean_up(1_100, |name| near.reported_loads(1_100, name, 17));
-    assert!(pruned(&markers, &near, 1_100) && pruned(&markers, &far, 1_100));
-    // Once it has been there for a while the mark goes, and what is older proves nothing.
-    markers.clean_up(6_100, |name| near.reported_loads(6_100, name, 17));
-    assert!(markers.is_empty() && pruned(&markers, &near, 6_100) && !pruned(&markers, &far, 6_100));
-    // Versions that come every second settle too, one after the other.
+    // The new summary has reached the front that marks the next load, and not the other front yet.
+    newer_store
+        .accept(1_000, &reported_loads("ash", 2, 1))
+        .unwrap();
+    markers.clean_up(1_100, |name| newer_store.reported_loads(1_100, name, 17));
+    assert!(pruned(&markers, &newer_store, 1_100) && pruned(&markers, &older_store, 1_100));
+    // Once the summary has settled the marker is removed, and older summaries prove nothing.
+    markers.clean_up(6_100, |name| newer_store.reported_loads(6_100, name, 17));
+    assert!(
+        markers.is_empty()
+            && pruned(&markers, &newer_store, 6_100)
+            && !pruned(&markers, &older_store, 6_100)
+    );
+    // Versions that arrive every second settle too, one after the other.
     for version in 3..60 {
-        near.accept(version * 1_000, &reported_loads("ash", version, version))
+        newer_store
+            .accept(version * 1_000, &reported_loads("ash", version, version))
             .unwrap();
     }
-    let now = near.reported_loads(60_000, "ash", 17);
+    let now = newer_store.reported_loads(60_000, "ash", 17);
     assert_eq!(now.newest.map(|(version, _)| version), Some(59));
     assert!(
         now.settled
@@ -344,7 +354,7 @@
 }
 
 #[test]
-fn marks_of_a_thousand_sites_find_room() {
+fn markers_of_a_thousand_sites_fit_the_entry() {
     let (mut markers, mut all) = (LoadMarkers::default(), 0);
     let sites: Vec<String> = (0..1_000).map(|n| format!("site-{n:04}")).collect();
     for round in 0..20 {
@@ -355,7 +365,7 @@
         markers.shrink_to_fit(|_| ReportedLoads::default());
         assert!(
             markers.bytes().is_some(),
-            "round {round}: {} marks",
+            "round {round}: {} markers",
             markers.len()
         );
         all = markers.len();
@@ -367,7 +377,7 @@
 }
 
 #[test]
-fn a_load_of_many_rows_is_known_by_the_columns_with_few_values() {
+fn a_load_of_many_rows_is_recorded_by_the_columns_with_few_values() {
     let rows: Vec<String> = (0..200)
         .map(|n| format!("(20260401, {n}, 'x{n}')"))
         .collect();
@@ -400,7 +410,7 @@
 }
 
 #[test]
-fn a_load_that_writes_over_rows_is_known_by_what_it_sets_and_by_what_tells_them_apart() {
+fn an_upsert_is_recorded_by_its_assigned_columns_and_conflict_target() {
     let by = |rest: &str| {
         let text = format!(
             "insert into sales_17.orders (id, day, price) values (1, 2, 3), (4, 2, 5) {rest}"
--- a/crates/scatter/tests/proof.rs
+++ b/crates/scatter/tests/proof.rs
@@ -1,5 +1,6 @@
-//! Drawn tables and conditions: what a summary rules out is held against a plain evaluator over the rows, as three kinds of
-//! engines would evaluate them. Never a row missing; and how many sites are asked beside those that have rows.
+//! Random tables and conditions. What a summary rules out is compared with a plain evaluation of
+//! the rows as three kinds of engines would do it: no row may be missing, and the number of sites
+//! asked is printed beside the number of those with rows.
 
 use std::cell::Cell;
 use std::cmp::Ordering;
@@ -20,7 +21,7 @@
     ("heat", Kind::Float),
 ];
 
-/// A condition as the test has it: the text for us, the meaning for the evaluator.
+/// A random condition, with its SQL text and its evaluation.
 #[derive(Clone, Debug)]
 enum Test {
     Compare(usize, &'static str, String),
@@ -134,7 +135,8 @@
     }
 }
 
-/// Engines differ: in what becomes of a literal with more digits than its column, in the order of text.
+/// Engines differ in the handling of a literal with more digits than its column, and in the order
+/// of text.
 fn compare(kind: Kind, value: &Value, literal: &str, engine: usize) -> Ordering {
     match (value, kind) {
         (Value::Number(n), Kind::Number { scale }) => {
@@ -215,7 +217,7 @@
 
 type Row = Vec<Option<Value>>;
 
-/// Rows of one site: about a place of its own.
+/// The rows of one site, whose numbers are in a range of the site's own.
 fn rows() -> impl Strategy<Value = Vec<Row>> {
     (0i128..50).prop_flat_map(|at| {
         let row = (
@@ -236,7 +238,7 @@
                 Value::Text(word),
                 Value::Float(at as f64 + f64::from(heat) / 10.0),
             ];
-            // Mostly none, now and then some are null.
+            // Most rows have no nulls, some have a few.
             let is_null =
                 |c: usize| nulls < 6 && usize::from(nulls) != c && c % 2 == usize::from(nulls) % 2;
             values
@@ -249,10 +251,10 @@
     })
 }
 
-fn summed(rows: &[Row]) -> Summary {
+fn summarize(rows: &[Row]) -> Summary {
     let mut table = TableBuilder::new("orders", &COLUMNS);
     rows.iter().for_each(|row| table.add_row(row));
-    let about = SummaryHeader {
+    let header = SummaryHeader {
         site: "s".into(),
         group: 17,
         schema: 1,
@@ -260,7 +262,7 @@
         made_ms: 0,
         loads: LoadNumbers::default(),
     };
-    build_summary(about, vec![table], MAX_SUMMARY_BYTES)
+    build_summary(header, vec![table], MAX_SUMMARY_BYTES)
 }
 
 #[test]
@@ -280,7 +282,7 @@
         let query =
             sql::read(text.as_bytes()).map_err(|e| TestCaseError::fail(format!("{text}: {e}")))?;
         for rows in &sites {
-            let summary = summed(rows);
+            let summary = summarize(rows);
             let out = query.condition.never_true(summary.table("orders").unwrap());
             let matches = rows
                 .iter()
@@ -305,18 +307,18 @@
     );
     assert!(
         asked < all * 9 / 10,
-        "{asked} of {all}: nothing much is proved"
+        "{asked} of {all}: too few sites are ruled out"
     );
 }
 
 #[test]
-fn a_few_values_far_from_the_others_do_not_have_a_site_asked_for_all_between() {
+fn outliers_do_not_cause_a_site_to_be_asked_for_the_values_between() {
     use ed25519_dalek::SigningKey;
     let key = SigningKey::from_bytes(&[7; 32]);
     let mut table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
     let values = (0..400).map(|n| n * 3).chain([50_000, 90_000]);
     values.for_each(|value| table.add_row(&[Some(Value::Number(value))]));
-    let about = SummaryHeader {
+    let header = SummaryHeader {
         site: "s".into(),
         group: 17,
         schema: 1,
@@ -324,9 +326,9 @@
         made_ms: 0,
         loads: LoadNumbers::default(),
     };
-    let mut told = build_summary(about, vec![table], MAX_SUMMARY_BYTES);
-    let out = |told: &Summary, text: &str| {
-        let read = Summary::read(&told.sign(&key), |_| Some(key.verifying_key())).unwrap();
+    let mut summary = build_summary(header, vec![table], MAX_SUMMARY_BYTES);
+    let out = |summary: &Summary, text: &str| {
+        let read = Summary::read(&summary.sign(&key), |_| Some(key.verifying_key())).unwrap();
         let query =
             sql::read(format!("select id from s_17.orders where {text}").as_bytes()).unwrap();
         query.condition.never_true(&read.tables[0])
@@ -336,7 +338,7 @@
         "id > 1200 and id < 50000",
         "id >= 60000 and id <= 80000",
     ] {
-        assert!(out(&told, text), "{text}");
+        assert!(out(&summary, text), "{text}");
     }
     for text in [
         "id between 1197 and 1300",
@@ -344,13 +346,13 @@
         "id > 50000",
         "id <> 3",
     ] {
-        assert!(!out(&told, text), "{text}");
+        assert!(!out(&summary, text), "{text}");
     }
-    // As a site of an earlier version tells it: read as ever, and proves less.
-    told.tables[0].columns[0].runs.clear();
-    assert!(!out(&told, "id between 2000 and 49000") && out(&told, "id > 90000"));
-    // Runs that contradict the bounds are no word to go by.
-    told.tables[0].columns[0].runs = vec![(0, 5)];
-    let refused = Summary::read(&told.sign(&key), |_| Some(key.verifying_key())).unwrap_err();
-    assert_eq!(refused.name(), "content");
+    // The summary of a site of an earlier version: it can still be read, and proves less.
+    summary.tables[0].columns[0].runs.clear();
+    assert!(!out(&summary, "id between 2000 and 49000") && out(&summary, "id > 90000"));
+    // A summary whose runs contradict its bounds is rejected.
+    summary.tables[0].columns[0].runs = vec![(0, 5)];
+    let rejected = Summary::read(&summary.sign(&key), |_| Some(key.verifying_key())).unwrap_err();
+    assert_eq!(rejected.name(), "content");
 }
--- a/crates/scatter/tests/store.rs
+++ b/crates/scatter/tests/store.rs
@@ -1,4 +1,5 @@
-//! What is held of sites' words, what is refused and why, and how it spreads: bounded, whatever the number of fronts.
+//! The summary store and the exchange between fronts: what is rejected and why, and how summaries
+//! spread at a bounded cost, whatever the number of fronts.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +11,13 @@
 use hallmux_scatter::summary::{LoadNumbers, Summary, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Collation, Kind, Value};
 
-const NOW: u64 = 1_000_000; // milliseconds
+const NOW: u64 = 1_000_000; // Milliseconds.
 
 fn key(site: usize) -> SigningKey {
     SigningKey::from_bytes(&[site as u8 + 1; 32])
 }
 
-fn terms(sites: usize) -> StoreSettings {
+fn settings(sites: usize) -> StoreSettings {
     let sites = (0..sites)
         .map(|n| (format!("s{n}"), key(n).verifying_key()))
         .collect();
@@ -29,7 +30,7 @@
     }
 }
 
-fn word(site: usize, version: u64, rows: i128) -> Summary {
+fn site_summary(site: usize, version: u64, rows: i128) -> Summary {
     let columns = [
         ("id", Kind::Number { scale: 0 }),
         ("name", Kind::Text(Collation::C)),
@@ -42,7 +43,7 @@
         ]);
     }
     let (site, loads) = (format!("s{site}"), LoadNumbers::default());
-    let about = SummaryHeader {
+    let header = SummaryHeader {
         site,
         group: 17,
         schema: 3,
@@ -50,20 +51,20 @@
         made_ms: NOW,
         loads,
     };
-    build_summary(about, vec![table], MAX_SUMMARY_BYTES)
+    build_summary(header, vec![table], MAX_SUMMARY_BYTES)
 }
 
 #[test]
-fn what_is_not_a_sites_own_fresh_word_is_refused_with_its_reason_and_changes_nothing() {
-    let mut book = SummaryStore::new(StoreSettings {
+fn invalid_summaries_are_rejected_with_their_reason_and_change_nothing() {
+    let mut store = SummaryStore::new(StoreSettings {
         max_summaries: 1,
-        ..terms(2)
+        ..settings(2)
     });
-    let good = word(0, 5, 200).sign(&key(0));
-    assert_eq!(book.accept(NOW, &good), Ok(true));
-    assert_eq!(book.accept(NOW, &good), Ok(false));
-    let of = |change: &dyn Fn(&mut Summary)| {
-        let mut summary = word(0, 6, 200);
+    let good = site_summary(0, 5, 200).sign(&key(0));
+    assert_eq!(store.accept(NOW, &good), Ok(true));
+    assert_eq!(store.accept(NOW, &good), Ok(false));
+    let signed_with = |change: &dyn Fn(&mut Summary)| {
+        let mut summary = site_summary(0, 6, 200);
         change(&mut summary);
         summary.sign(&key(0))
     };
@@ -71,58 +72,68 @@
         (good[..good.len() - 1].to_vec(), "form"),
         ([good.clone(), vec![0]].concat(), "form"),
         (vec![0; MAX_SUMMARY_BYTES + 1], "long"),
-        (of(&|s| s.format = 5), "format"),
-        (word(0, 6, 5).sign(&key(1)), "forged"),
-        (of(&|s| s.site = "elsewhere".into()), "unknown site"),
-        (of(&|s| s.schema = 2), "schema"),
-        (of(&|s| s.version = 4), "version"),
-        (of(&|s| (s.version, s.made_ms) = (5, NOW - 1)), "version"),
-        (of(&|s| s.made_ms = NOW - 10_001), "old"),
-        (of(&|s| s.made_ms = NOW + 1_001), "clock ahead"),
-        (of(&|s| s.tables[0].columns[0].nulls = 201), "content"),
-        (word(1, 1, 5).sign(&key(1)), "full"),
+        (signed_with(&|s| s.format = 5), "format"),
+        (site_summary(0, 6, 5).sign(&key(1)), "forged"),
+        (
+            signed_with(&|s| s.site = "elsewhere".into()),
+            "unknown site",
+        ),
+        (signed_with(&|s| s.schema = 2), "schema"),
+        (signed_with(&|s| s.version = 4), "version"),
+        (
+            signed_with(&|s| (s.version, s.made_ms) = (5, NOW - 1)),
+            "version",
+        ),
+        (signed_with(&|s| s.made_ms = NOW - 10_001), "old"),
+        (signed_with(&|s| s.made_ms = NOW + 1_001), "clock ahead"),
+        (
+            signed_with(&|s| s.tables[0].columns[0].nulls = 201),
+            "content",
+        ),
+        (site_summary(1, 1, 5).sign(&key(1)), "full"),
     ];
-    for (bytes, why) in cases {
-        let refused = book.accept(NOW, &bytes).unwrap_err();
-        assert_eq!(refused.name(), why, "{refused}");
-        // Each says what is wrong, and behind a colon what can be done, or which site it is of.
+    for (bytes, reason) in cases {
+        let rejected = store.accept(NOW, &bytes).unwrap_err();
+        assert_eq!(rejected.name(), reason, "{rejected}");
+        // Each message says what is wrong and after a colon what can be done, or which site it is
+        // about.
         assert!(
-            refused.to_string().contains("summar") || refused.to_string().contains("site '"),
-            "{refused}"
+            rejected.to_string().contains("summar") || rejected.to_string().contains("site '"),
+            "{rejected}"
         );
-        assert!(refused.to_string().contains(": "), "{refused}");
-        assert_eq!(book.current(NOW, "s0", 17).map(|s| s.version), Some(5));
+        assert!(rejected.to_string().contains(": "), "{rejected}");
+        assert_eq!(store.current(NOW, "s0", 17).map(|s| s.version), Some(5));
     }
-    assert!(book.current(NOW + 10_001, "s0", 17).is_none());
-    book.reconfigure(StoreSettings {
+    assert!(store.current(NOW + 10_001, "s0", 17).is_none());
+    store.reconfigure(StoreSettings {
         sites: BTreeMap::from([("s0".into(), key(7).verifying_key())]),
-        ..terms(1)
+        ..settings(1)
     });
-    assert!(book.is_empty());
+    assert!(store.is_empty());
 }
 
 #[test]
-fn altered_bytes_never_count_and_never_panic() {
-    let mut book = SummaryStore::new(terms(1));
-    let good = word(0, 5, 60).sign(&key(0));
+fn altered_bytes_are_rejected_and_never_panic() {
+    let mut store = SummaryStore::new(settings(1));
+    let good = site_summary(0, 5, 60).sign(&key(0));
     for at in 0..good.len() {
         for flip in [1, 0x80, 0xff] {
-            let mut spoilt = good.clone();
-            spoilt[at] ^= flip;
-            assert!(book.accept(NOW, &spoilt).is_err(), "byte {at}");
+            let mut altered = good.clone();
+            altered[at] ^= flip;
+            assert!(store.accept(NOW, &altered).is_err(), "byte {at}");
         }
-        assert!(book.accept(NOW, &good[..at]).is_err());
+        assert!(store.accept(NOW, &good[..at]).is_err());
     }
-    // A site whose own words are odd, signed as they are.
-    let whole = postcard::to_stdvec(&word(0, 5, 60)).unwrap();
+    // A site that signs inconsistent summaries.
+    let whole = postcard::to_stdvec(&site_summary(0, 5, 60)).unwrap();
     for at in 0..whole.len() {
-        let mut odd = whole.clone();
-        odd[at] ^= 0x55;
-        let Ok(odd) = postcard::from_bytes::<Summary>(&odd) else {
+        let mut inconsistent = whole.clone();
+        inconsistent[at] ^= 0x55;
+        let Ok(inconsistent) = postcard::from_bytes::<Summary>(&inconsistent) else {
             continue;
         };
-        if book.accept(NOW, &odd.sign(&key(0))).is_ok() {
-            let Some(held) = book.current(NOW, "s0", 17) else {
+        if store.accept(NOW, &inconsistent.sign(&key(0))).is_ok() {
+            let Some(held) = store.current(NOW, "s0", 17) else {
                 continue;
             };
             for text in [
@@ -142,8 +153,8 @@
 }
 
 #[test]
-fn a_summary_that_would_be_too_long_loses_filters_and_nothing_else() {
-    let long = word(0, 1, 40_000);
+fn a_summary_that_is_too_long_loses_only_filters() {
+    let long = site_summary(0, 1, 40_000);
     assert!(long.sign(&key(0)).len() <= MAX_SUMMARY_BYTES);
     let table = &long.tables[0];
     assert!(
@@ -153,46 +164,52 @@
     assert!(table.columns.iter().all(|c| c.bounds.is_some()) && table.rows == 40_000);
 }
 
-/// Fronts that each hold some sites' summaries at first: seconds until all hold all, and bytes a second and front.
-fn spread(fronts: usize, sites: usize) -> (i64, f64) {
-    let mut books: Vec<SummaryStore> = (0..fronts)
-        .map(|_| SummaryStore::new(terms(sites)))
+/// Lets fronts that each hold the summaries of some sites exchange them. Returns the seconds until
+/// all fronts hold all summaries, and the bytes per second and front after that.
+fn exchange_summaries(fronts: usize, sites: usize) -> (i64, f64) {
+    let mut stores: Vec<SummaryStore> = (0..fronts)
+        .map(|_| SummaryStore::new(settings(sites)))
         .collect();
-    let mut spreads: Vec<Exchange> = (0..fronts).map(|n| Exchange::new(n * 7)).collect();
+    let mut exchanges: Vec<Exchange> = (0..fronts).map(|n| Exchange::new(n * 7)).collect();
     for site in 0..sites {
         assert_eq!(
-            books[site % fronts].accept(NOW, &word(site, 1, 300).sign(&key(site))),
+            stores[site % fronts].accept(NOW, &site_summary(site, 1, 300).sign(&key(site))),
             Ok(true)
         );
     }
     let (mut bytes, mut whole, mut dropped) = (0, None, 0u32);
     for second in 0..120 {
         for front in 0..fronts {
-            let others: Vec<u64> = (0..fronts)
+            let peers: Vec<u64> = (0..fronts)
                 .filter(|f| *f != front)
                 .map(|f| f as u64)
                 .collect();
-            let told = spreads[front].tick(second * 1_000_000, &others, &books[front]);
-            let mut messages: Vec<(u64, u64, Vec<u8>)> = told
+            let round = exchanges[front].tick(second * 1_000_000, &peers, &stores[front]);
+            let mut messages: Vec<(u64, u64, Vec<u8>)> = round
                 .messages
                 .into_iter()
                 .map(|(to, l)| (front as u64, to, l))
                 .collect();
-            while let Some((from, to, letter)) = messages.pop() {
-                bytes += letter.len();
+            while let Some((from, to, datagram)) = messages.pop() {
+                bytes += datagram.len();
                 dropped = dropped.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
                 if dropped >> 28 == 0 {
-                    continue; // lost on its way
+                    continue; // Lost datagram.
                 }
                 let at = to as usize;
-                let out =
-                    spreads[at].on_message(second * 1_000_000, NOW, from, &letter, &mut books[at]);
+                let out = exchanges[at].on_message(
+                    second * 1_000_000,
+                    NOW,
+                    from,
+                    &datagram,
+                    &mut stores[at],
+                );
                 assert!(out.accepted.iter().all(Result::is_ok), "{:?}", out.accepted);
                 messages.extend(out.messages.into_iter().map(|(next, l)| (to, next, l)));
             }
         }
-        if whole.is_none() && books.iter().all(|book| book.len() == sites) {
-            (whole, bytes) = (Some(second), 0); // from here on, what it costs at rest
+        if whole.is_none() && stores.iter().all(|store| store.len() == sites) {
+            (whole, bytes) = (Some(second), 0); // From here on, only the steady state is counted.
         }
     }
     let whole = whole.unwrap_or(999);
@@ -203,8 +220,9 @@
 }
 
 #[test]
-fn every_front_comes_to_hold_every_summary_at_a_bounded_cost() {
-    let at = [(5, 40), (40, 40), (120, 40)].map(|(fronts, sites)| (fronts, spread(fronts, sites)));
+fn every_front_receives_every_summary_at_a_bounded_cost() {
+    let at = [(5, 40), (40, 40), (120, 40)]
+        .map(|(fronts, sites)| (fronts, exchange_summaries(fronts, sites)));
     println!("fronts, (seconds until all hold all, bytes a second and front at rest): {at:?}");
     for (fronts, (seconds, bytes)) in at {
         assert!(
@@ -215,7 +233,7 @@
 }
 
 #[test]
-fn statements_that_parts_do_not_make_up_are_refused_with_a_way_out() {
+fn statements_not_computable_from_parts_are_rejected_with_a_remedy() {
     for text in [
         "select count(distinct a) from s_17.t",
         "select count(*), a from s_17.t",
@@ -250,8 +268,11 @@
         "select a frm s_17.t",
         "",
     ] {
-        let why = sql::read(text.as_bytes()).unwrap_err();
-        assert!(why.to_string().contains("whole_site"), "{text}: {why}");
+        let reason = sql::read(text.as_bytes()).unwrap_err();
+        assert!(
+            reason.to_string().contains("whole_site"),
+            "{text}: {reason}"
+        );
     }
     assert!(matches!(
         sql::read(&[b'x'; 20_000]),
@@ -275,8 +296,8 @@
 }
 
 #[test]
-fn what_dialects_may_read_otherwise_proves_nothing() {
-    let summary = word(0, 1, 3);
+fn text_that_dialects_read_differently_proves_nothing() {
+    let summary = site_summary(0, 1, 3);
     let proved = |text: &str| {
         let text = format!("select a as name from s_17.orders where {text}");
         sql::read(text.as_bytes())
@@ -299,93 +320,103 @@
 }
 
 #[test]
-fn a_new_version_is_told_on_at_once_and_not_with_the_next_round() {
+fn a_new_version_is_announced_at_once_and_not_with_the_next_round() {
     const FRONTS: usize = 40;
-    let mut books: Vec<SummaryStore> = (0..FRONTS).map(|_| SummaryStore::new(terms(1))).collect();
-    let mut spreads: Vec<Exchange> = (0..FRONTS).map(|n| Exchange::new(n * 7)).collect();
-    let others =
+    let mut stores: Vec<SummaryStore> = (0..FRONTS)
+        .map(|_| SummaryStore::new(settings(1)))
+        .collect();
+    let mut exchanges: Vec<Exchange> = (0..FRONTS).map(|n| Exchange::new(n * 7)).collect();
+    let peers =
         |front: usize| -> Vec<u64> { (0..FRONTS as u64).filter(|f| *f != front as u64).collect() };
     for front in 0..FRONTS {
         assert_eq!(
-            books[front].accept(NOW, &word(0, 1, 300).sign(&key(0))),
+            stores[front].accept(NOW, &site_summary(0, 1, 300).sign(&key(0))),
             Ok(true)
         );
-        let _ = spreads[front].tick(1_000_000, &others(front), &books[front]);
+        let _ = exchanges[front].tick(1_000_000, &peers(front), &stores[front]);
     }
     assert_eq!(
-        books[3].accept(NOW, &word(0, 2, 300).sign(&key(0))),
+        stores[3].accept(NOW, &site_summary(0, 2, 300).sign(&key(0))),
         Ok(true)
     );
-    spreads[3].announce(hallmux_scatter::store::summary_id("s0", 17));
-    // Half a second: no front's round is due.
+    exchanges[3].announce(hallmux_scatter::store::summary_id("s0", 17));
+    // Half a second later no front's round is due.
     let now = 1_500_000;
-    while let Some(front) = (0..FRONTS).find(|front| spreads[*front].due() <= now) {
-        let told = spreads[front].tick(now, &others(front), &books[front]);
-        let mut messages: Vec<_> = told
+    while let Some(front) = (0..FRONTS).find(|front| exchanges[*front].due() <= now) {
+        let round = exchanges[front].tick(now, &peers(front), &stores[front]);
+        let mut messages: Vec<_> = round
             .messages
             .into_iter()
             .map(|(to, l)| (front as u64, to, l))
             .collect();
-        while let Some((from, to, letter)) = messages.pop() {
+        while let Some((from, to, datagram)) = messages.pop() {
             let at = to as usize;
-            let out = spreads[at].on_message(now, NOW, from, &letter, &mut books[at]);
+            let out = exchanges[at].on_message(now, NOW, from, &datagram, &mut stores[at]);
             messages.extend(out.messages.into_iter().map(|(next, l)| (to, next, l)));
         }
     }
-    let held = books
+    let held = stores
         .iter()
-        .filter(|book| book.current(NOW, "s0", 17).is_some_and(|s| s.version == 2))
+        .filter(|store| store.current(NOW, "s0", 17).is_some_and(|s| s.version == 2))
         .count();
     println!("{held} of {FRONTS} fronts hold it before any round");
     assert!(held >= FRONTS * 3 / 4, "{held} of {FRONTS}");
 }
 
 #[test]
-fn a_false_word_found_at_one_front_is_known_at_all() {
+fn a_false_summary_found_at_one_front_is_reported_to_all() {
     use hallmux_scatter::exchange::FalseSummary;
     const FRONTS: usize = 40;
-    let mut books: Vec<SummaryStore> = (0..FRONTS).map(|_| SummaryStore::new(terms(1))).collect();
-    let mut spreads: Vec<Exchange> = (0..FRONTS).map(|n| Exchange::new(n * 7)).collect();
-    let word = |site: &str, version| FalseSummary {
+    let mut stores: Vec<SummaryStore> = (0..FRONTS)
+        .map(|_| SummaryStore::new(settings(1)))
+        .collect();
+    let mut exchanges: Vec<Exchange> = (0..FRONTS).map(|n| Exchange::new(n * 7)).collect();
+    let report = |site: &str, version| FalseSummary {
         site: site.to_string(),
         group: 17,
         version,
     };
     assert!(
-        spreads[0].report_false(0, &word("s0", 4)) && !spreads[0].report_false(0, &word("s0", 3))
+        exchanges[0].report_false(0, &report("s0", 4))
+            && !exchanges[0].report_false(0, &report("s0", 3))
     );
-    // One of no site that is known is no front's matter.
-    assert!(spreads[0].report_false(0, &word("elsewhere", 1)));
-    let (mut has_site, mut seconds) = (vec![0; FRONTS], 0);
-    while has_site[1..].contains(&0) && seconds < 60 {
+    // A report about a site that a front does not know is ignored by it.
+    assert!(exchanges[0].report_false(0, &report("elsewhere", 1)));
+    let (mut reports_received, mut seconds) = (vec![0; FRONTS], 0);
+    while reports_received[1..].contains(&0) && seconds < 60 {
         seconds += 1;
         let mut messages = Vec::new();
         for front in 0..FRONTS {
-            let others: Vec<u64> = (0..FRONTS as u64).filter(|f| *f != front as u64).collect();
-            let out = spreads[front].tick(seconds * 1_000_000, &others, &books[front]);
+            let peers: Vec<u64> = (0..FRONTS as u64).filter(|f| *f != front as u64).collect();
+            let out = exchanges[front].tick(seconds * 1_000_000, &peers, &stores[front]);
             messages.extend(
                 out.messages
                     .into_iter()
                     .map(|(to, l)| (front as u64, to, l)),
             );
         }
-        for (from, to, letter) in messages {
+        for (from, to, datagram) in messages {
             let at = to as usize;
-            let out =
-                spreads[at].on_message(seconds * 1_000_000, NOW, from, &letter, &mut books[at]);
+            let out = exchanges[at].on_message(
+                seconds * 1_000_000,
+                NOW,
+                from,
+                &datagram,
+                &mut stores[at],
+            );
             assert!(
                 out.false_summaries
                     .iter()
-                    .all(|found| *found == word("s0", 4)),
+                    .all(|found| *found == report("s0", 4)),
                 "{:?}",
                 out.false_summaries
             );
-            has_site[at] += out.false_summaries.len();
+            reports_received[at] += out.false_summaries.len();
         }
     }
     println!("all of {FRONTS} fronts know after {seconds} s");
     assert!(
-        seconds < 20 && has_site[1..].iter().all(|heard| *heard == 1),
-        "{seconds} s: {has_site:?}"
+        seconds < 20 && reports_received[1..].iter().all(|count| *count == 1),
+        "{seconds} s: {reports_received:?}"
     );
 }
