--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -100,8 +100,8 @@
         condition: table_condition(&second),
         keys,
     };
-    let of_first = condition(Some(on), &first);
-    Ok((first, (of_first, join)))
+    let first_condition = condition(Some(on), &first);
+    Ok((first, (first_condition, join)))
 }
 
 /// A site's summary and its table for one side of the join; None if there is none.
@@ -122,35 +122,36 @@
         side(query.group, &query.table),
         side(join.group, &join.table),
     );
-    let (of_first, of_second) = basis.loads.sides();
+    let (first_loads, second_loads) = basis.loads.sides();
     let reason = |side: Side, condition: &Condition, loads: &LoadInfo| match side {
         None => Some(Reason::NoSummary),
         Some((summary, table)) => reason_to_ask(condition, summary, table, loads),
     };
-    let first_reason = reason(first, &query.condition, &of_first)?;
-    reason(second, &join.condition, &of_second)?;
+    let first_reason = reason(first, &query.condition, &first_loads)?;
+    reason(second, &join.condition, &second_loads)?;
     let (Some(first), Some(second)) = (first, second) else {
         return Some(first_reason);
     };
-    let unaffected_by_loads = is_unaffected(first, &of_first) && is_unaffected(second, &of_second);
+    let unaffected_by_loads =
+        is_unaffected(first, &first_loads) && is_unaffected(second, &second_loads);
     let column = |table: &Table, name: &str| table.columns.iter().position(|c| c.name == *name);
     let keys_disjoint = |(a, b): &(String, String)| {
         let (a, b) = (column(first.1, a), column(second.1, b));
-        let of = a
+        let columns = a
             .zip(b)
             .and_then(|(a, b)| Some((first.1.columns.get(a)?, second.1.columns.get(b)?)));
-        of.is_some_and(|(a, b)| share_no_value((a, first.1.rows), (b, second.1.rows)))
+        columns.is_some_and(|(a, b)| share_no_value((a, first.1.rows), (b, second.1.rows)))
     };
     (!unaffected_by_loads || !join.keys.iter().any(keys_disjoint)).then_some(first_reason)
 }
 
 /// Whether no load that the summary does not cover can have changed the table.
 fn is_unaffected((summary, table): (&Summary, &Table), loads: &LoadInfo) -> bool {
-    let in_other_table = |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
+    let in_other_table = |touched: &Affected| matches!(touched, Affected::Rows { table: name, .. } if *name != table.name);
     match loads {
         LoadInfo::Markers(markers) => markers
             .uncovered(summary)
-            .is_some_and(|open| open.into_iter().all(in_other_table)),
+            .is_some_and(|uncovered| uncovered.into_iter().all(in_other_table)),
         LoadInfo::NoLoads => true,
         LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => false,
     }
--- a/crates/scatter/src/load_markers.rs
+++ b/crates/scatter/src/load_markers.rs
@@ -146,10 +146,9 @@
     }
 
     /// Removes markers that settled summaries cover, and records which loads can't be running any
-    /// more. `wall_ms` is the front's clock minus the clock skew allowed between fronts. A site
-    /// counts as unknown to a front whose summary is older than the one that a marker was removed
-    /// for; a marker is therefore kept until peers are expected to hold that summary too, or they
-    /// would have to ask the site.
+    /// more. `wall_ms` is the front's clock minus the clock skew allowed between fronts. Once a
+    /// marker is removed, a front whose summary is older than the one that covered the loads must
+    /// ask the site. A marker is therefore kept until peers are expected to hold that summary.
     pub fn clean_up<'a>(
         &mut self,
         wall_ms: u64,
@@ -316,7 +315,7 @@
     fn never_true(&self, table: &Table, condition: &Condition) -> bool {
         match self {
             Affected::Anything => false,
-            Affected::Rows { table: other, .. } if *other != table.name => true,
+            Affected::Rows { table: changed, .. } if *changed != table.name => true,
             Affected::Rows { columns, rows, .. } => rows
                 .iter()
                 .all(|row| condition.never_true(&single_row_table(table, columns, row))),
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -347,13 +347,13 @@
                 ahead_ms,
             });
         }
-        let (age_ms, most_ms) = (wall_ms.saturating_sub(made_ms), self.settings.max_age_ms);
-        if age_ms > most_ms {
+        let (age_ms, max_age_ms) = (wall_ms.saturating_sub(made_ms), self.settings.max_age_ms);
+        if age_ms > max_age_ms {
             return Err(SummaryError::Old {
                 site,
                 group,
                 age_ms,
-                most_ms,
+                max_age_ms,
             });
         }
         Ok(())
--- a/crates/scatter/src/summary/error.rs
+++ b/crates/scatter/src/summary/error.rs
@@ -6,24 +6,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SummaryError {
     /// Longer than [`MAX_SUMMARY_BYTES`]; holds the length in bytes.
-    #[error("a summary of {0} bytes, over {MAX_SUMMARY_BYTES}: make it coarser at its site")]
+    #[error("a summary of {0} bytes exceeds the limit of {MAX_SUMMARY_BYTES}: reduce its size at the site")]
     Long(usize),
     /// The bytes are malformed or truncated.
-    #[error("a summary that is cut short or no summary: let the site write it again")]
+    #[error("a malformed or truncated summary: let the site write it again")]
     Form,
     /// A format that this build does not read; holds its number.
     #[error(
-        "a summary of format {0}, this front reads {PLAIN_FORMAT}: site and front must be of versions that agree"
+        "a summary of format {0}, but this front reads {PLAIN_FORMAT}: run compatible versions at the site and the front"
     )]
     Format(u16),
     /// A site that is not configured; holds its name.
-    #[error("a summary of site '{0}', which scatter.sites does not name: add the site with its key, or take the file away")]
+    #[error("a summary of site '{0}', which scatter.sites does not name: add the site with its key, or remove the file")]
     Unknown(String),
     /// The signature does not match the site's key; holds the site's name.
-    #[error("a summary of site '{0}' whose signature does not hold: compare the key in scatter.sites with the site's own")]
+    #[error("a summary of site '{0}' with an invalid signature: compare the key in scatter.sites with the site's own")]
     Forged(String),
     /// The signature is valid, but the content is inconsistent.
-    #[error("site '{site}', group {group}: a summary that contradicts itself in {what}: the site makes it wrongly")]
+    #[error("site '{site}', group {group}: an inconsistent summary ({what}): correct how the site builds it")]
     Content {
         /// The site that signed the summary.
         site: String,
@@ -34,7 +34,7 @@
     },
     /// The schema is not the configured one.
     #[error(
-        "site '{site}', group {group}: schema {schema}, scatter.schemas says {stated}: bring the two in line"
+        "site '{site}', group {group}: schema {schema}, but scatter.schemas states {stated}: make the two agree"
     )]
     Schema {
         /// The site that signed the summary.
@@ -48,7 +48,7 @@
     },
     /// Not newer than the summary held.
     #[error(
-        "site '{site}', group {group}: version {version} after {held}: a site's versions must grow"
+        "site '{site}', group {group}: version {version} after {held}: the versions of a site's summaries must increase"
     )]
     Version {
         /// The site that signed the summary.
@@ -61,7 +61,7 @@
         held: u64,
     },
     /// Older than the configured limit.
-    #[error("site '{site}', group {group}: made {age_ms} ms ago, scatter.oldest_ms is {most_ms}: the site must write more often")]
+    #[error("site '{site}', group {group}: made {age_ms} ms ago, but scatter.oldest_ms is {max_age_ms}: the site must write summaries more often")]
     Old {
         /// The site that signed the summary.
         site: String,
@@ -70,11 +70,11 @@
         /// The summary's age in milliseconds.
         age_ms: u64,
         /// The maximum age in milliseconds.
-        most_ms: u64,
+        max_age_ms: u64,
     },
     /// Made in the future, by this front's clock.
     #[error(
-        "site '{site}', group {group}: made {ahead_ms} ms ahead of this front's clock: set the clocks right"
+        "site '{site}', group {group}: made {ahead_ms} ms ahead of this front's clock: synchronize the clocks"
     )]
     Ahead {
         /// The site that signed the summary.
@@ -85,7 +85,7 @@
         ahead_ms: u64,
     },
     /// The store has no room for another site or group.
-    #[error("site '{site}', group {group}: {held} summaries are held, as many as scatter.most allows: raise it or name fewer sites")]
+    #[error("site '{site}', group {group}: {held} summaries are held, which is the limit of scatter.most: raise it or configure fewer sites")]
     Full {
         /// The site that signed the summary.
         site: String,
