--- a/crates/scatter/src/audit.rs
+++ b/crates/scatter/src/audit.rs
@@ -85,12 +85,12 @@
     }
 
     /// Chooses which of the sites that a scatter leaves out (`pruned`) is audited: the one whose
-    /// last audit is longest ago. Returns its index, or None if no audit is due. `drawn` is a
+    /// last audit is longest ago. Returns its index, or None if no audit is due. `random` is a
     /// random number; `fronts` is the number of fronts that share the fleet's rate.
     pub fn choose_site(
         &mut self,
         now: Micros,
-        drawn: u64,
+        random: u64,
         fronts: f64,
         pruned: &[String],
     ) -> Option<usize> {
@@ -101,7 +101,7 @@
         self.budget = (self.budget
             + since as f64 / 1e6 * self.settings.per_second / fronts.max(1.0))
         .min(MAX_AUDIT_BUDGET);
-        if !drawn.is_multiple_of(self.settings.one_in.max(1)) || self.budget < 1.0 {
+        if !random.is_multiple_of(self.settings.one_in.max(1)) || self.budget < 1.0 {
             return None;
         }
         let audited_at = |name: &String| {
--- a/crates/scatter/src/sql.rs
+++ b/crates/scatter/src/sql.rs
@@ -314,7 +314,7 @@
         alias,
     } = table_reference(&from.relation)?;
     let aliases: Vec<String> = projection.iter().filter_map(alias_of).collect();
-    let (first, other) = (
+    let (first, joins) = (
         ColumnScope {
             table: alias,
             aliases,
@@ -322,7 +322,7 @@
         },
         &from.joins[..],
     );
-    let (names, joined) = match other {
+    let (names, joined) = match joins {
         [] => (first, None),
         [other] => join::read(other, first, selection).map(|(names, join)| (names, Some(join)))?,
         _ => return not_divisible("a join of more than two tables"),
--- a/crates/scatter/tests/distinct.rs
+++ b/crates/scatter/tests/distinct.rs
@@ -216,14 +216,14 @@
     let good = build_summary(header, vec![table], MAX_SUMMARY_BYTES);
     let mut read = 0;
     for at in 0..400 {
-        let mut whole = good.clone();
-        whole.tables[0].columns[0].members = None;
-        let sketch = whole.tables[0].columns[0].sketch.as_mut().unwrap();
+        let mut altered = good.clone();
+        altered.tables[0].columns[0].members = None;
+        let sketch = altered.tables[0].columns[0].sketch.as_mut().unwrap();
         let (place, flip) = (at % 200 * sketch.len() / 200, [0xff, 0x11][at / 200]);
         sketch[place] ^= flip;
         let mut all = store();
         // Accepted or rejected, but never a panic, neither here nor in an estimate.
-        read += usize::from(all.accept(0, &whole.sign(&key("ash"))).is_ok());
+        read += usize::from(all.accept(0, &altered.sign(&key("ash"))).is_ok());
         let _ = estimate(&all, &LoadInfo::NoLoads);
     }
     println!("{read} of 400 altered sketches can be read");
--- a/crates/scatter/tests/join.rs
+++ b/crates/scatter/tests/join.rs
@@ -91,9 +91,9 @@
 }
 
 /// Random rows of a table; the second table of a site has few of them, in a key range of its own.
-fn rows(most: usize, spread: i128) -> impl Strategy<Value = Rows> {
+fn rows(max_rows: usize, spread: i128) -> impl Strategy<Value = Rows> {
     let row = (prop::option::weighted(0.9, 0..spread), 0i128..50);
-    prop::collection::vec(row, 0..most)
+    prop::collection::vec(row, 0..max_rows)
 }
 
 fn spread_keys(at: usize, rows: &Rows, from: i128) -> Rows {
--- a/crates/scatter/tests/retention.rs
+++ b/crates/scatter/tests/retention.rs
@@ -30,8 +30,8 @@
         z ^ (z >> 31)
     }
 
-    fn below(&mut self, most: u64) -> u64 {
-        self.next() % most
+    fn below(&mut self, limit: u64) -> u64 {
+        self.next() % limit
     }
 }
 
@@ -240,14 +240,14 @@
 fn retention_by_benefit_asks_fewer_sites_than_equal_shares_and_last_use() {
     let world = world(7);
     let day = day(11, &world);
-    let whole: usize = world.bytes.values().map(Vec::len).sum();
+    let total_bytes: usize = world.bytes.values().map(Vec::len).sum();
     println!(
-        "{} summaries of {whole} bytes, {SCATTERS} scatters over {SITES} sites",
+        "{} summaries of {total_bytes} bytes, {SCATTERS} scatters over {SITES} sites",
         world.bytes.len()
     );
     for part in [0.1, 0.35, 0.7] {
         let budget = Budget {
-            memory: whole as f64 * 2.0 * part,
+            memory: total_bytes as f64 * 2.0 * part,
             traffic: 1e9,
         };
         let [by_benefit, equal, last] = [Policy::ByBenefit, Policy::EqualShares, Policy::LastUsed]
@@ -303,14 +303,14 @@
     use hallmux_scatter::exchange::Exchange;
     use hallmux_scatter::retention::Outcome;
     let world = world(3);
-    let ((group, at), whole) = world
+    let ((group, at), summary_bytes) = world
         .bytes
         .iter()
         .max_by_key(|(_, bytes)| bytes.len())
         .unwrap();
     let (of, layer_end) = (
         summary_id(&site(*at), *group as u32),
-        layer_ends(whole).unwrap(),
+        layer_ends(summary_bytes).unwrap(),
     );
     assert!(layer_end[2] > 2_000, "several pieces");
     let budget = Budget {
@@ -323,7 +323,7 @@
     ];
     let mut exchanges = [Exchange::new(0), Exchange::new(0)];
     exchanges[0].local.insert(of, 1);
-    stores[0].accept(0, whole).unwrap();
+    stores[0].accept(0, summary_bytes).unwrap();
     let mut held = Vec::new();
     for second in 1..=40 {
         let now = second * 1_000_000;
@@ -352,7 +352,7 @@
                 exchanges[at].on_message(now, now as u64 / 1_000, from, &bytes, &mut stores[at]);
             assert!(out.accepted.iter().all(Result::is_ok), "{:?}", out.accepted);
             for request in std::mem::take(&mut out.local_reads) {
-                exchanges[at].send_piece(now, request, whole, &mut out);
+                exchanges[at].send_piece(now, request, summary_bytes, &mut out);
             }
             messages.extend(
                 out.messages
--- a/crates/scatter/tests/store.rs
+++ b/crates/scatter/tests/store.rs
@@ -125,9 +125,9 @@
         assert!(store.accept(NOW, &good[..at]).is_err());
     }
     // A site that signs inconsistent summaries.
-    let whole = postcard::to_stdvec(&site_summary(0, 5, 60)).unwrap();
-    for at in 0..whole.len() {
-        let mut inconsistent = whole.clone();
+    let encoded = postcard::to_stdvec(&site_summary(0, 5, 60)).unwrap();
+    for at in 0..encoded.len() {
+        let mut inconsistent = encoded.clone();
         inconsistent[at] ^= 0x55;
         let Ok(inconsistent) = postcard::from_bytes::<Summary>(&inconsistent) else {
             continue;
@@ -177,7 +177,7 @@
             Ok(true)
         );
     }
-    let (mut bytes, mut whole, mut dropped) = (0, None, 0u32);
+    let (mut bytes, mut complete_after, mut dropped) = (0, None, 0u32);
     for second in 0..120 {
         for front in 0..fronts {
             let peers: Vec<u64> = (0..fronts)
@@ -208,14 +208,14 @@
                 messages.extend(out.messages.into_iter().map(|(next, l)| (to, next, l)));
             }
         }
-        if whole.is_none() && stores.iter().all(|store| store.len() == sites) {
-            (whole, bytes) = (Some(second), 0); // From here on, only the steady state is counted.
+        if complete_after.is_none() && stores.iter().all(|store| store.len() == sites) {
+            (complete_after, bytes) = (Some(second), 0); // From here on, only the steady state is counted.
         }
     }
-    let whole = whole.unwrap_or(999);
+    let complete_after = complete_after.unwrap_or(999);
     (
-        whole,
-        bytes as f64 / fronts as f64 / (119 - whole).max(1) as f64,
+        complete_after,
+        bytes as f64 / fronts as f64 / (119 - complete_after).max(1) as f64,
     )
 }
 
