--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -19,7 +19,7 @@
 use crate::rule::RuleSet;
 use crate::shares::{Limit, Shares};
 use crate::versions::Versions;
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
 /// How one front's part in the rules is configured.
 pub struct AccessConfig {
@@ -148,7 +148,7 @@
     }
 
     /// What a set would decide otherwise of what was asked here, before it is put in force.
-    pub fn what_if(&mut self, at: Moment, set: RuleSet) -> WhatIfReport {
+    pub fn what_if(&mut self, at: ClockReading, set: RuleSet) -> WhatIfReport {
         let (held, known) = (self.versions.held(), self.versions.known());
         self.record
             .compare(at, &self.region, held, &Index::new(set), known)
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -8,11 +8,11 @@
 use crate::index::{Index, Verdict};
 use crate::judge::{judge, Request};
 use crate::shares::Limit;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
 impl Access {
     /// Judges a statement, once for all its attempts.
-    pub fn judge(&mut self, at: Moment, request: Request) -> Decision {
+    pub fn judge(&mut self, at: ClockReading, request: Request) -> Decision {
         if !self.known().covers(&request.customer) {
             return Decision::Unrestricted;
         }
@@ -77,7 +77,13 @@
 
     /// Whether an execution may leave for a location now: by the version that the statement was judged by, by the one
     /// that holds, and under a lease. One that may not never will; its statement is to end.
-    pub fn may_send(&mut self, at: Moment, statement: u64, execution: u64, location: &str) -> bool {
+    pub fn may_send(
+        &mut self,
+        at: ClockReading,
+        statement: u64,
+        execution: u64,
+        location: &str,
+    ) -> bool {
         let place = self.known().place(location);
         let Some(index) = self.versions.lease(at.steady) else {
             return false;
@@ -98,7 +104,7 @@
     }
 
     /// Ends the statements that run where a version that was adopted bars them.
-    pub(super) fn revoke_barred(&mut self, at: Moment) {
+    pub(super) fn revoke_barred(&mut self, at: ClockReading) {
         let index = self.versions.held();
         if index.set.version == self.checked_version {
             return;
@@ -120,7 +126,7 @@
 
 impl OpenStatement {
     /// What a set says of the statement now.
-    fn judge_again(&self, index: &Index, region: &str, at: Moment) -> Verdict {
+    fn judge_again(&self, index: &Index, region: &str, at: ClockReading) -> Verdict {
         let first_judged_ms = Some(self.first_judged_ms);
         judge(index, region, &self.request, at.wall_ms, first_judged_ms)
     }
--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -5,7 +5,7 @@
 use super::Access;
 use crate::event::Event;
 use crate::output::Output;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
 impl Access {
     /// The time on the steady clock, in microseconds, at which [`Access::tick`] is next due; `Micros::MAX` if
@@ -19,7 +19,7 @@
 
     /// Does what is due: renews the lease, reads and changes the version, writes counts, and moves shares of
     /// limits. To be called at [`Access::due`]; a call before that does no harm.
-    pub fn tick(&mut self, at: Moment) {
+    pub fn tick(&mut self, at: ClockReading) {
         self.versions.tick(at);
         self.shares.tick(at, &mut || self.versions.number());
         self.count_those_with_shares();
@@ -37,7 +37,7 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn on_ledger_answer(&mut self, at: Moment, done: LedgerAnswer) -> bool {
+    pub fn on_ledger_answer(&mut self, at: ClockReading, done: LedgerAnswer) -> bool {
         let LedgerAnswer { number, outcome } = done;
         let versions = &mut self.versions;
         let was_asked = versions.done(at, number, outcome.clone())
@@ -54,7 +54,7 @@
     }
 
     /// Asks for the fleet's count; it comes with `Output`.
-    pub fn request_fleet_hits(&mut self, at: Moment) {
+    pub fn request_fleet_hits(&mut self, at: ClockReading) {
         self.hits.sweep(at);
     }
 
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -11,7 +11,7 @@
 use hallmux_ledger::{Key, LedgerRequest, Operation, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
 use fold::{Fold, VersionedPart};
 use storage::IncarnationList;
@@ -186,7 +186,7 @@
     }
 
     /// Asks for the fleet's count.
-    pub fn sweep(&mut self, at: Moment) {
+    pub fn sweep(&mut self, at: ClockReading) {
         if self.sweep.is_none() {
             self.sweep = Some(Sweep::new(at.steady, &self.fronts));
             self.retry_at = self.retry_at.min(at.steady);
@@ -203,7 +203,7 @@
     }
 
     /// Queues the requests that are due. `number` gives each request a number of its own.
-    pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
+    pub fn tick(&mut self, at: ClockReading, number: &mut impl FnMut() -> u64) {
         self.ticked = at.steady;
         if at.steady < self.retry_at {
             return;
@@ -237,7 +237,7 @@
     /// The ledger has answered. False if it was not asked here.
     pub fn done(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         asked: u64,
         outcome: Outcome,
         number: &mut impl FnMut() -> u64,
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -32,8 +32,8 @@
 pub use event::Event;
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{
-    Entry, FrontId, Key, Kind, LedgerAnswer, LedgerRequest, Micros, Moment, Operation, Outcome,
-    Owner,
+    ClockReading, Entry, FrontId, Key, Kind, LedgerAnswer, LedgerRequest, Micros, Operation,
+    Outcome, Owner,
 };
 pub use head::{Head, StoredVersion};
 pub use hits::{merge_counts, FleetHits, Hit, HitCounts};
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -6,7 +6,7 @@
 use crate::index::Index;
 use crate::judge::{judge, Request};
 use crate::shares::Limit;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
 /// Kinds of statements, some 250 bytes each.
 const MAX_KINDS: usize = 4_096;
@@ -125,7 +125,7 @@
     /// What a set would decide otherwise than the one held, of what was asked, were it asked now.
     pub fn compare(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         region: &str,
         held: &Index,
         other: &Index,
--- a/crates/access/src/record_tests.rs
+++ b/crates/access/src/record_tests.rs
@@ -13,7 +13,7 @@
     let mut record = Record::new(24_000_000);
     let index = Index::new(RuleSet::empty());
     let counts = |record: &mut Record, now: Micros| {
-        let at = Moment {
+        let at = ClockReading {
             steady: now,
             wall_ms: 0,
         };
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -12,7 +12,7 @@
 use hallmux_ledger::{LedgerRequest, Outcome, Owner};
 
 use crate::event::Event;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
 use share::{Share, ShareContext};
 pub use table::Limit;
@@ -144,7 +144,7 @@
 
     /// Queues the requests that are due and serves the statements that wait. `number` gives each request a
     /// number of its own.
-    pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
+    pub fn tick(&mut self, at: ClockReading, number: &mut impl FnMut() -> u64) {
         for (limit, share) in &mut self.shares {
             let Some(operation) = share.tick(at.steady) else {
                 continue;
@@ -168,7 +168,7 @@
     /// The ledger has answered. False if it was not asked here.
     pub fn done(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         asked: u64,
         outcome: Outcome,
         number: &mut impl FnMut() -> u64,
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -14,7 +14,7 @@
 use crate::known::KnownNames;
 use crate::read::RulesCommand;
 use crate::rule::RuleSet;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
 /// Microseconds; what left under a lease that has ended may still be under way.
 const IN_FLIGHT: Micros = 200_000;
@@ -206,7 +206,7 @@
         requests.any(|request| what(&request.pending))
     }
 
-    fn ask(&mut self, at: Moment, pending: Pending, key: Key, operation: Operation) {
+    fn ask(&mut self, at: ClockReading, pending: Pending, key: Key, operation: Operation) {
         let number = self.number();
         let request = Request {
             pending,
@@ -221,7 +221,7 @@
     }
 
     /// Queues the requests that are due, and says whether this front may judge.
-    pub fn tick(&mut self, at: Moment) {
+    pub fn tick(&mut self, at: ClockReading) {
         self.ticked = at.steady;
         let open = at.steady < self.lease_until;
         if open != self.was_open {
@@ -250,7 +250,7 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn done(&mut self, at: Moment, number: u64, outcome: Outcome) -> bool {
+    pub fn done(&mut self, at: ClockReading, number: u64, outcome: Outcome) -> bool {
         let Some(request) = self.requests.remove(&number) else {
             return false;
         };
@@ -263,7 +263,7 @@
         true
     }
 
-    fn on_failure(&mut self, at: Moment, pending: Pending, outcome: Outcome) {
+    fn on_failure(&mut self, at: ClockReading, pending: Pending, outcome: Outcome) {
         self.retry_at = at.steady + RETRY_INTERVAL;
         match pending {
             Pending::Head => self.next_head_read = at.steady + RETRY_INTERVAL,
@@ -283,7 +283,7 @@
         }
     }
 
-    fn on_answer(&mut self, at: Moment, request: Request, outcome: Outcome) {
+    fn on_answer(&mut self, at: ClockReading, request: Request, outcome: Outcome) {
         let entry = match outcome {
             Outcome::Stands(entry) => Some(entry),
             _ => None,
--- a/crates/access/src/versions/adopt.rs
+++ b/crates/access/src/versions/adopt.rs
@@ -8,11 +8,11 @@
 use crate::index::Index;
 use crate::read::{read, RulesCommand};
 use crate::rule::RuleSet;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
 impl Versions {
     /// What stands at the head, as of some moment after it was asked for.
-    pub(super) fn on_head(&mut self, at: Moment, asked_at: Micros, entry: Option<Entry>) {
+    pub(super) fn on_head(&mut self, at: ClockReading, asked_at: Micros, entry: Option<Entry>) {
         let version = entry.as_ref().map_or(0, |entry| entry.version);
         let known = self.head.as_ref().map_or(0, |stored| stored.version);
         if version < known {
@@ -37,7 +37,7 @@
     }
 
     /// Goes by a later head.
-    fn set_head(&mut self, at: Moment, stored: StoredHead) {
+    fn set_head(&mut self, at: ClockReading, stored: StoredHead) {
         let head = &stored.head;
         // A set that is said to be in force after it was only changed is the same set.
         let before = self.head.take().map(|before| before.head);
@@ -57,7 +57,7 @@
     }
 
     /// Fetches the set that the head names, where it is not the one held.
-    pub(super) fn fetch(&mut self, at: Moment) {
+    pub(super) fn fetch(&mut self, at: ClockReading) {
         let Some(of) = self.head.as_ref().map(|stored| stored.head.current) else {
             return;
         };
@@ -73,7 +73,13 @@
         }
     }
 
-    pub(super) fn on_part(&mut self, at: Moment, of: StoredVersion, number: usize, bytes: Vec<u8>) {
+    pub(super) fn on_part(
+        &mut self,
+        at: ClockReading,
+        of: StoredVersion,
+        number: usize,
+        bytes: Vec<u8>,
+    ) {
         let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.of == of) else {
             return;
         };
@@ -95,7 +101,7 @@
     }
 
     /// Judges by a set from now on, if it is still the head's.
-    fn adopt(&mut self, at: Moment, of: StoredVersion, text: &str) {
+    fn adopt(&mut self, at: ClockReading, of: StoredVersion, text: &str) {
         let stored = self.head.as_ref();
         let Some(stored) = stored.filter(|stored| stored.head.current == of) else {
             return;
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -10,7 +10,7 @@
 };
 use crate::index::Index;
 use crate::read::RulesCommand;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
 impl Versions {
     /// A file was read: it is to be the fleet's.
@@ -91,7 +91,7 @@
     }
 
     /// Brings an offer one step on: its parts, then the head.
-    pub(super) fn propose(&mut self, at: Moment) {
+    pub(super) fn propose(&mut self, at: ClockReading) {
         // One that is not above the head is never swapped in, however the head was read.
         self.resolve_offer();
         let Some(offer) = self
@@ -125,7 +125,7 @@
         self.swap_head(at, wanted, in_force);
     }
 
-    fn put_parts(&mut self, at: Moment, keys: Vec<Key>, parts: Vec<Vec<u8>>) {
+    fn put_parts(&mut self, at: ClockReading, keys: Vec<Key>, parts: Vec<Vec<u8>>) {
         if let Some(offer) = &mut self.offer {
             offer.parts_stored = 0;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Changes the head to the version that the offer wants.
-    fn swap_head(&mut self, at: Moment, wanted: StoredVersion, in_force: bool) {
+    fn swap_head(&mut self, at: ClockReading, wanted: StoredVersion, in_force: bool) {
         let stored = self.head.as_ref();
         let NextHead { head, dropped } =
             Head::after(stored.map(|stored| &stored.head), wanted, in_force);
@@ -158,7 +158,7 @@
     }
 
     /// Nothing is barred by it that the set in force lets through: it holds with its swap.
-    pub(super) fn holds_at_once(&self, offer: &Offer, at: Moment) -> bool {
+    pub(super) fn holds_at_once(&self, offer: &Offer, at: ClockReading) -> bool {
         let RulesCommand::Replace(set) = &offer.command else {
             return false;
         };
@@ -171,7 +171,7 @@
 
     pub(super) fn on_swapped(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         asked_at: Micros,
         to: StoredVersion,
         dropped: Option<StoredVersion>,
@@ -194,7 +194,7 @@
     }
 
     /// Says that the head is in force.
-    pub(super) fn confirm_in_force(&mut self, at: Moment) {
+    pub(super) fn confirm_in_force(&mut self, at: ClockReading) {
         let Some(StoredHead { head, version }) = &self.head else {
             return;
         };
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, AccessConfig, ChangedDecision, Decision, Entry, Event, FleetHits, HeldVersion,
-    Key, KnownNames, LedgerAnswer, Moment, Operation, Outcome, Owner, Permission, Request,
+    read, Access, AccessConfig, ChangedDecision, ClockReading, Decision, Entry, Event, FleetHits,
+    HeldVersion, Key, KnownNames, LedgerAnswer, Operation, Outcome, Owner, Permission, Request,
     RulesCommand, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
@@ -84,8 +84,8 @@
         self.advance(4_000);
     }
 
-    fn at(&self) -> Moment {
-        Moment {
+    fn at(&self) -> ClockReading {
+        ClockReading {
             steady: self.now,
             wall_ms: START_MS + self.now as u64 / 1000,
         }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, AccessConfig, Decision, Entry, Event, FleetHits, Head, Hit, Key, KnownNames,
-    LedgerAnswer, LedgerRequest, Moment, Operation, Outcome, Owner, Request, RuleSet, RulesCommand,
-    StoredVersion, Terms, WorkloadLocations,
+    read, Access, AccessConfig, ClockReading, Decision, Entry, Event, FleetHits, Head, Hit, Key,
+    KnownNames, LedgerAnswer, LedgerRequest, Operation, Outcome, Owner, Request, RuleSet,
+    RulesCommand, StoredVersion, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -134,9 +134,9 @@
         self.fronts.len()
     }
 
-    fn moment(&self, front: usize) -> Moment {
+    fn moment(&self, front: usize) -> ClockReading {
         let steady = (self.now as f64 * self.fronts[front].rate) as i64 + front as i64 * 77_000;
-        Moment {
+        ClockReading {
             steady,
             wall_ms: 1_700_000_000_000 + self.now as u64 / 1000,
         }
@@ -340,7 +340,7 @@
         self.send(front, at);
     }
 
-    fn statement(&mut self, front: usize, at: Moment) {
+    fn statement(&mut self, front: usize, at: ClockReading) {
         let customer = ["acme", "brisk", "free"][self.rng.random_range(0..3)].to_string();
         let workload = ["lookup", "report"][self.rng.random_range(0..2)].to_string();
         let asked = Request {
@@ -386,7 +386,7 @@
         }
     }
 
-    fn send(&mut self, front: usize, at: Moment) {
+    fn send(&mut self, front: usize, at: ClockReading) {
         let f = &mut self.fronts[front];
         let (due, later) = std::mem::take(&mut f.queued)
             .into_iter()
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    Entry, Key, LedgerRequest, Limit, Moment, Operation, Outcome, Owner, Shares, Terms,
+    ClockReading, Entry, Key, LedgerRequest, Limit, Operation, Outcome, Owner, Shares, Terms,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -126,9 +126,9 @@
         )
     }
 
-    fn moment(&self, front: usize) -> Moment {
+    fn moment(&self, front: usize) -> ClockReading {
         let steady = (self.now as f64 * self.fronts[front].rate) as i64 + front as i64 * 77_000;
-        Moment {
+        ClockReading {
             steady,
             wall_ms: 1_700_000_000_000 + self.now as u64 / 1000,
         }
@@ -341,7 +341,7 @@
         self.fronts[front].queued.push((self.now + wait, statement));
     }
 
-    fn begin(&mut self, front: usize, at: Moment) {
+    fn begin(&mut self, front: usize, at: ClockReading) {
         let now = self.now;
         let f = &mut self.fronts[front];
         let (due, later): (Vec<_>, Vec<_>) = f.queued.drain(..).partition(|(when, _)| *when <= now);
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -57,7 +57,7 @@
 
     /// Submits a request to the ledger.
     pub fn submit(&mut self, at: ClockReading, request: LedgerRequest) {
-        self.ledger.ask(clock(at), request);
+        self.ledger.submit(clock(at), request);
     }
 
     /// Removes and returns the answers since the last call.
@@ -89,12 +89,12 @@
 
     /// Whether this front still leads a shard that another front could lead.
     pub fn has_shards_to_hand_over(&self) -> bool {
-        self.ledger.hands_over()
+        self.ledger.leads_transferable_shard()
     }
 
     /// Whether a shard would lose its quorum without this front.
     pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
-        self.ledger.is_needed(clock(at))
+        self.ledger.is_needed_for_quorum(clock(at))
     }
 
     /// Passes the health of the members, as known from gossip, to the ledger.
@@ -136,7 +136,7 @@
 
     /// Restarts the ledger without any replicas on the disk with the identity `disk`.
     pub fn reset(&mut self, at: ClockReading, disk: u64) {
-        self.ledger.start_over(clock(at), disk);
+        self.ledger.reset(clock(at), disk);
     }
 
     /// The number of replicas found to differ from their majority so far, and of those repaired on this front.
@@ -155,9 +155,9 @@
         let hallmux_ledger::Output {
             packets,
             saves,
-            done,
+            answers,
         } = self.ledger.take_output();
-        self.answers.extend(done);
+        self.answers.extend(answers);
         out.datagrams.extend(self.datagrams(at, node, packets));
         for save in saves {
             let datagrams = self.datagrams(at, node, save.packets);
@@ -195,8 +195,8 @@
 }
 
 /// Converts a clock reading to the ledger's type.
-fn clock(at: ClockReading) -> hallmux_ledger::Moment {
-    hallmux_ledger::Moment {
+fn clock(at: ClockReading) -> hallmux_ledger::ClockReading {
+    hallmux_ledger::ClockReading {
         steady: at.steady,
         wall_ms: at.wall_ms,
     }
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -44,15 +44,15 @@
     // In memory each incarnation is a disk of its own.
     let disk = RandomState::new().hash_one(incarnation).max(1);
     let setup = Setup {
-        copies: ledger.copies,
+        replication_factor: ledger.copies,
         shards: ledger.shards,
-        most_entries: ledger.most_entries,
-        most_bytes: ledger.most_bytes,
-        ask_timeout: ledger.patience,
+        max_shard_entries: ledger.most_entries,
+        max_shard_bytes: ledger.most_bytes,
+        request_timeout: ledger.patience,
         repair_after: ledger.repair_after,
-        repair_bytes: ledger.repair_bytes,
-        moves_percent: ledger.moves_percent,
-        zone_after: ledger.zone_after,
+        repair_bytes_per_s: ledger.repair_bytes,
+        max_moving_percent: ledger.moves_percent,
+        zone_repair_after: ledger.zone_after,
         clock_skew_ms: ledger.clocks_apart_ms,
         ..Setup::new(&ledger.fleet, own, incarnation, disk, members)
     };
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -14,7 +14,7 @@
 
 use hallmux_access::{self as access, Access, Decision, FleetHits, Request, RulesCommand};
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
-use hallmux_ledger::{self as ledger, Ledger, Moment};
+use hallmux_ledger::{self as ledger, ClockReading, Ledger};
 use hallmux_native_codec::tables;
 
 use super::peers::Peers;
@@ -101,8 +101,8 @@
         self.access.request_fleet_hits(self.moment(now));
     }
 
-    fn moment(&self, now: Micros) -> Moment {
-        Moment {
+    fn moment(&self, now: Micros) -> ClockReading {
+        ClockReading {
             steady: self.steady.elapsed().as_micros() as Micros,
             wall_ms: (now / 1000) as u64,
         }
@@ -340,7 +340,7 @@
     fn ask_ledger(
         &mut self,
         now: Micros,
-        at: Moment,
+        at: ClockReading,
         asks: Vec<ledger::LedgerRequest>,
         peers: Option<&mut Peers>,
     ) -> Vec<ledger::LedgerAnswer> {
@@ -367,7 +367,7 @@
         }
     }
 
-    fn take(&mut self, at: Moment, out: &access::Output) {
+    fn take(&mut self, at: ClockReading, out: &access::Output) {
         out.events.iter().for_each(log_lines::log_event);
         for number in &out.counted {
             let Some(s) = self.statements.get_mut(number) else {
@@ -411,11 +411,11 @@
 
 fn ask_own_ledger(
     ledger: &mut Ledger,
-    at: Moment,
+    at: ClockReading,
     asks: Vec<ledger::LedgerRequest>,
 ) -> Vec<ledger::LedgerAnswer> {
     for ask in asks {
-        ledger.ask(at, ask);
+        ledger.submit(at, ask);
     }
     ledger.tick(at);
     let output = ledger.take_output();
@@ -423,8 +423,8 @@
     for save in &output.saves {
         ledger.saved(at, save.number, true);
     }
-    let mut answers = output.done;
-    answers.extend(ledger.take_output().done);
+    let mut answers = output.answers;
+    answers.extend(ledger.take_output().answers);
     answers
 }
 
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -1,13 +1,13 @@
 //! Lines of the log on rules, with what an operator can do.
 
 use hallmux_access::{Event, FleetHits, Permission, WhatIfReport};
-use hallmux_ledger::Moment;
+use hallmux_ledger::ClockReading;
 
 use super::Rules;
 
 impl Rules {
     /// A line for each row of the fleet's count, where it has changed.
-    pub(super) fn log_hits(&mut self, at: Moment, fleet: &FleetHits) {
+    pub(super) fn log_hits(&mut self, at: ClockReading, fleet: &FleetHits) {
         let same = self
             .logged_hits
             .as_ref()
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -8,7 +8,7 @@
 use hallmux_access::{self as access, Access, AccessConfig, Owner, RulesCommand};
 use hallmux_config::{NodeConfig, Settings};
 use hallmux_dispatcher::Micros;
-use hallmux_ledger::{self as ledger, Ledger, Member, Moment};
+use hallmux_ledger::{self as ledger, ClockReading, Ledger, Member};
 
 use super::file::{known, read};
 use super::{Rules, Shared, ASK_NUMBERS};
@@ -100,11 +100,11 @@
     };
     let disk = own.incarnation | 1;
     let setup = ledger::Setup {
-        copies: 1,
+        replication_factor: 1,
         shards: 1,
         ..ledger::Setup::new("alone", own.front, own.incarnation, disk, vec![member])
     };
-    let at = Moment {
+    let at = ClockReading {
         steady: 0,
         wall_ms: own.incarnation,
     };
--- a/crates/lab/src/simulated/growth.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -74,8 +74,8 @@
             held.ledger_bytes = held.ledger_bytes.max(counters.bytes as i64);
             held.disk_bytes = held.disk_bytes.max(disk as i64);
             held.records = held.records.max(member.disk.records.len() as i64);
-            if counters.copies > most.0 {
-                most = (counters.copies, Some(n));
+            if counters.replicas > most.0 {
+                most = (counters.replicas, Some(n));
             }
         }
         self.growth.samples.push(held);
@@ -102,8 +102,8 @@
             .iter()
             .filter_map(|m| m.life.as_ref()?.exchange.as_ref());
         for counters in exchanges.filter_map(|exchange| exchange.ledger_counters()) {
-            (owned, kept) = (owned + counters.led, kept + counters.copies);
-            missing += counters.missing;
+            (owned, kept) = (owned + counters.led_shards, kept + counters.replicas);
+            missing += counters.missing_replicas;
         }
         let shards = usize::from(self.shards);
         if owned >= shards && kept >= shards * copies && missing == 0 {
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -64,7 +64,7 @@
         let disk = &self.members[n].disk;
         let own = peer_id(&exchange.public_key());
         let setup = Setup {
-            copies,
+            replication_factor: copies,
             ..Setup::new("lab", own, at.wall_ms, disk.identity, members.clone())
         };
         let found = disk.found();
--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -14,7 +14,7 @@
 use crate::messages::LedgerMessage;
 use crate::shard_view::ShardView;
 use crate::state::State;
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
 const INTERVAL: Micros = 60_000_000; // microseconds between comparisons of a shard
 /// Microseconds until a shard is compared again whose replicas differed.
@@ -24,7 +24,7 @@
 impl Ledger {
     /// Begins a comparison of a shard that this front leads where one is due, and ends the one
     /// before.
-    pub(crate) fn compare_replicas(&mut self, at: Moment, shard: u16) {
+    pub(crate) fn compare_replicas(&mut self, at: ClockReading, shard: u16) {
         self.conclude_comparison(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -60,7 +60,7 @@
     }
 
     /// Ends a comparison once its answers were waited for, and repairs what differs.
-    fn conclude_comparison(&mut self, at: Moment, shard: u16) {
+    fn conclude_comparison(&mut self, at: ClockReading, shard: u16) {
         let own = self.own.front;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -89,7 +89,7 @@
             return;
         }
         view.comparison.next = at.steady + RECHECK;
-        self.counters.differed += wrong.len() as u64;
+        self.counters.differing += wrong.len() as u64;
         let config = replica.config;
         if wrong.contains(&own) {
             // One of the majority leads the shard from now on, and repairs this front's replica.
@@ -116,7 +116,7 @@
     /// The hashes of another member: of the leader, or of one that answers it.
     pub(crate) fn receive_hashes(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: ReplicaId,
         configuration: ConfigurationId,
         received: StateHashes,
@@ -140,7 +140,7 @@
     }
 
     /// Answers the leader's hashes once this replica has applied as much, and no more.
-    pub(crate) fn answer_hashes(&mut self, at: Moment, shard: u16) {
+    pub(crate) fn answer_hashes(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
@@ -180,7 +180,7 @@
             return;
         };
         if replica.leader() == Some(from.front) && replica.replace_state(index, state) {
-            self.counters.mended += 1;
+            self.counters.repaired_after_comparison += 1;
             self.touched.insert(configuration.shard);
         }
     }
--- a/crates/ledger/src/away.rs
+++ b/crates/ledger/src/away.rs
@@ -50,7 +50,7 @@
             .map(|m| m.zone.as_str());
         match zone {
             Some(zone) if self.is_zone_away(&setup.members, zone) => {
-                since + setup.zone_after.max(setup.repair_after)
+                since + setup.zone_repair_after.max(setup.repair_after)
             }
             Some(zone) => {
                 self.returned_at
--- a/crates/ledger/src/away_tests.rs
+++ b/crates/ledger/src/away_tests.rs
@@ -9,7 +9,7 @@
         zone: format!("z{}", front % 3),
     };
     let mut setup = Setup::new("f", 1, 1, 1, (0..9).map(member).collect());
-    (setup.repair_after, setup.zone_after) = (10, 100);
+    (setup.repair_after, setup.zone_repair_after) = (10, 100);
     let mut away = Away::default();
     away.since.extend([(0, 5), (3, 6)]);
     assert_eq!(away.wait_until(&setup, 0, 5), 15);
--- a/crates/ledger/src/balance.rs
+++ b/crates/ledger/src/balance.rs
@@ -23,16 +23,16 @@
     most: u64,
 }
 
-fn zones(members: &[Member], copies: u64) -> Zones<'_> {
+fn zones(members: &[Member], replication_factor: u64) -> Zones<'_> {
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
     members
         .iter()
         .for_each(|member| *counts.entry(member.zone.as_str()).or_default() += 1);
     let fronts: Vec<u64> = counts.values().copied().collect();
     let room = |most: u64| fronts.iter().map(|fronts| (*fronts).min(most)).sum::<u64>();
-    let most = (1..=copies)
-        .find(|most| room(*most) >= copies)
-        .unwrap_or(copies);
+    let most = (1..=replication_factor)
+        .find(|most| room(*most) >= replication_factor)
+        .unwrap_or(replication_factor);
     Zones {
         names: counts.into_keys().collect(),
         fronts,
@@ -42,13 +42,13 @@
 
 /// How many replicas each zone is to hold: as even for its fronts as different zones for a shard's
 /// replicas permit.
-fn parts(zones: &Zones, copies: u64, shards: u64) -> Vec<u64> {
+fn parts(zones: &Zones, replication_factor: u64, shards: u64) -> Vec<u64> {
     let base: Vec<u64> = zones
         .fronts
         .iter()
         .map(|fronts| shards * (*fronts).min(zones.most - 1))
         .collect();
-    let left = (shards * copies).saturating_sub(base.iter().sum());
+    let left = (shards * replication_factor).saturating_sub(base.iter().sum());
     let at = |level: u64| -> Vec<u64> {
         let part = |(fronts, base): (&u64, &u64)| {
             let room = if *fronts >= zones.most { shards } else { 0 };
@@ -58,7 +58,7 @@
         };
         zones.fronts.iter().zip(&base).map(part).collect()
     };
-    let (mut low, mut high) = (0, (shards * copies + 1) * LEVEL_STEPS);
+    let (mut low, mut high) = (0, (shards * replication_factor + 1) * LEVEL_STEPS);
     while low < high {
         let middle = (low + high) / 2;
         if at(middle).iter().sum::<u64>() >= left {
@@ -182,8 +182,12 @@
 }
 
 /// The fronts that are to hold each shard, the most preferred first; fewer where there are fewer.
-pub(crate) fn placed(members: &[Member], copies: usize, shards: u16) -> Vec<Vec<FrontId>> {
-    let (count, all) = (copies.min(members.len()), u64::from(shards));
+pub(crate) fn placed(
+    members: &[Member],
+    replication_factor: usize,
+    shards: u16,
+) -> Vec<Vec<FrontId>> {
+    let (count, all) = (replication_factor.min(members.len()), u64::from(shards));
     if count == 0 {
         return vec![Vec::new(); usize::from(shards)];
     }
--- a/crates/ledger/src/counters.rs
+++ b/crates/ledger/src/counters.rs
@@ -26,14 +26,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Messages, records and requests that were refused, by reason.
-    pub refused: std::collections::BTreeMap<&'static str, u64>,
+    pub rejected: std::collections::BTreeMap<&'static str, u64>,
     /// Shards of which this front holds a replica.
-    pub copies: usize,
+    pub replicas: usize,
     /// Shards that it leads now.
-    pub led: usize,
+    pub led_shards: usize,
     /// Of the shards it leads: replicas that are missing, by members that are silent or have yet to
     /// catch up.
-    pub missing: usize,
+    pub missing_replicas: usize,
     /// Entries in its replicas.
     pub entries: usize,
     /// Bytes of those entries.
@@ -43,17 +43,17 @@
     /// Rounds of the log that the answers took.
     pub rounds: u64,
     /// Replicas rebuilt.
-    pub repaired: u64,
+    pub rebuilt: u64,
     /// Of them, those that moved though none was missing.
-    pub moved: u64,
+    pub rebalanced: u64,
     /// Moves under way now.
-    pub moving: usize,
+    pub moving_replicas: usize,
     /// Replicas that differed from the majority when this front compared them.
-    pub differed: u64,
+    pub differing: u64,
     /// Replicas of this front that were repaired after such a comparison.
-    pub mended: u64,
+    pub repaired_after_comparison: u64,
     /// Shards that other leaders transferred to it.
-    pub taken_over: u64,
+    pub accepted_leaderships: u64,
     /// A save has failed: this front holds no replicas until it starts again.
     pub failed: bool,
 }
@@ -66,13 +66,15 @@
             let Some(replica) = &view.replica else {
                 continue;
             };
-            counters.copies += 1;
+            counters.replicas += 1;
             counters.entries += replica.state.len();
             counters.bytes += replica.state.bytes();
             if view.leader_since.is_some() {
-                counters.led += 1;
-                counters.missing += usize::from(view.repair.is_some_and(|repair| !repair.moves));
-                counters.moving += usize::from(view.repair.is_some_and(|repair| repair.moves));
+                counters.led_shards += 1;
+                counters.missing_replicas +=
+                    usize::from(view.repair.is_some_and(|repair| !repair.moves));
+                counters.moving_replicas +=
+                    usize::from(view.repair.is_some_and(|repair| repair.moves));
             }
         }
         counters
@@ -81,8 +83,8 @@
     /// Replicas that were found to differ from their majority, so far.
     pub fn differences(&self) -> Differences {
         Differences {
-            found: self.counters.differed,
-            repaired_here: self.counters.mended,
+            found: self.counters.differing,
+            repaired_here: self.counters.repaired_after_comparison,
         }
     }
 
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -5,11 +5,11 @@
 use crate::ledger::{Ledger, UnsavedAnswers};
 use crate::records;
 use crate::replica::Replica;
-use crate::{LedgerAnswer, Moment, Outcome, OutgoingPacket, Record, Save};
+use crate::{ClockReading, LedgerAnswer, Outcome, OutgoingPacket, Record, Save};
 
 impl Ledger {
     /// Takes in what has happened, and gathers what is to go out.
-    pub(crate) fn settle(&mut self, at: Moment) {
+    pub(crate) fn settle(&mut self, at: ClockReading) {
         while let Some(shard) = self.touched.pop_first() {
             self.settle_shard(at, shard);
         }
@@ -38,7 +38,7 @@
         }
         if self.unsaved.is_empty() {
             self.out.packets.extend(packets);
-            self.out.done.extend(done);
+            self.out.answers.extend(done);
         } else if !packets.is_empty() || !done.is_empty() {
             self.save(Vec::new(), packets, done);
         }
@@ -64,7 +64,7 @@
     }
 
     /// A save is durable, with those before it, or has failed.
-    pub fn saved(&mut self, at: Moment, number: u64, ok: bool) {
+    pub fn saved(&mut self, at: ClockReading, number: u64, ok: bool) {
         if !ok {
             self.fail();
         }
@@ -72,7 +72,7 @@
             if first.number > number {
                 break;
             }
-            self.out.done.append(&mut first.answers);
+            self.out.answers.append(&mut first.answers);
             self.unsaved.pop_front();
         }
         self.settle(at);
@@ -95,12 +95,12 @@
                 outcome: Outcome::Unreachable,
                 ..answer
             });
-            self.out.done.extend(unreachable);
+            self.out.answers.extend(unreachable);
         }
     }
 
     /// Begins anew with another disk, or with none but memory: as a front that remembers nothing.
-    pub fn start_over(&mut self, at: Moment, disk: u64) {
+    pub fn reset(&mut self, at: ClockReading, disk: u64) {
         self.fail();
         self.counters.failed = false;
         self.setup.disk = disk;
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -12,14 +12,14 @@
     NoMembers,
     /// The list of members names this front twice.
     #[error("ledger: front {0:016x} is named twice among the members; name each front once")]
-    Twice(FrontId),
+    DuplicateMember(FrontId),
     /// There can't be so many replicas of a shard.
     #[error(
-        "ledger: {copies} copies of {members} members; give 1 to {members} copies, or name more members"
+        "ledger: {replication_factor} copies of {members} members; give 1 to {members} copies, or name more members"
     )]
-    Copies {
+    ReplicationFactor {
         /// Replicas wanted of a shard.
-        copies: usize,
+        replication_factor: usize,
         /// Members in the list.
         members: usize,
     },
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -16,7 +16,7 @@
 use crate::replica::Replica;
 use crate::shard_view::Learned;
 use crate::state::{State, StateAt};
-use crate::{FrontId, Moment, Owner};
+use crate::{ClockReading, FrontId, Owner};
 
 /// A message of the consensus library, and its number in its sender's order; 0: it need not come in
 /// order.
@@ -27,7 +27,7 @@
 
 impl Ledger {
     /// A packet of a front has come, whose signature holds.
-    pub fn receive(&mut self, at: Moment, from: FrontId, bytes: &[u8]) {
+    pub fn receive(&mut self, at: ClockReading, from: FrontId, bytes: &[u8]) {
         if from == self.own.front {
             return self.reject(Rejection::OwnPacket);
         }
@@ -61,7 +61,7 @@
         self.settle(at);
     }
 
-    fn handle(&mut self, at: Moment, sender: ReplicaIncarnation, message: LedgerMessage) {
+    fn handle(&mut self, at: ClockReading, sender: ReplicaIncarnation, message: LedgerMessage) {
         let from = sender.id.front;
         match message {
             LedgerMessage::Log {
@@ -98,7 +98,7 @@
     }
 
     /// Requests for entries, and what answers them.
-    fn handle_request(&mut self, at: Moment, from: FrontId, message: LedgerMessage) {
+    fn handle_request(&mut self, at: ClockReading, from: FrontId, message: LedgerMessage) {
         match message {
             LedgerMessage::Request { shard, command } => {
                 self.touched.insert(shard);
@@ -134,7 +134,7 @@
     }
 
     /// The comparison of replicas.
-    fn handle_comparison(&mut self, at: Moment, sender: ReplicaId, message: LedgerMessage) {
+    fn handle_comparison(&mut self, at: ClockReading, sender: ReplicaId, message: LedgerMessage) {
         match message {
             LedgerMessage::Hashes {
                 shard,
@@ -160,7 +160,7 @@
     /// Who the members of a shard are, who can become one, and what a new one starts from.
     fn handle_membership(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         sender: ReplicaIncarnation,
         message: LedgerMessage,
     ) {
@@ -214,7 +214,7 @@
     /// A snapshot for a front that is to become a member: kept until it does.
     fn receive_snapshot(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: FrontId,
         configuration: ConfigurationId,
         index: u64,
@@ -257,7 +257,7 @@
     /// one.
     fn receive_log_message(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         sender: ReplicaIncarnation,
         configuration: ConfigurationId,
         numbered: NumberedMessage,
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -13,7 +13,7 @@
 use crate::peer::Peer;
 use crate::replica::Replica;
 use crate::shard_view::ShardView;
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
 /// Microseconds until another candidate is asked: some round trips and a sync.
 const RETRY: Micros = 150_000;
@@ -25,14 +25,14 @@
 
 impl Peer {
     /// It has run for a while, by its Unix clock and this one's.
-    fn is_settled(&self, at: Moment) -> bool {
+    fn is_settled(&self, at: ClockReading) -> bool {
         at.wall_ms.saturating_sub(self.incarnation) >= SETTLED_AFTER / 1_000
     }
 }
 
 impl Ledger {
     /// This front is shutting down: from now on it leads nothing that another front can lead.
-    pub fn begin_shutdown(&mut self, at: Moment) {
+    pub fn begin_shutdown(&mut self, at: ClockReading) {
         if self.shutdown.is_none() {
             self.shutdown = Some(Shutdown {
                 retry_at: at.steady,
@@ -44,7 +44,7 @@
     }
 
     /// Whether it still leads a shard that another front could lead.
-    pub fn hands_over(&self) -> bool {
+    pub fn leads_transferable_shard(&self) -> bool {
         let others = self.shards.iter().filter(|view| view.members().len() > 1);
         others
             .filter_map(|view| view.replica.as_ref())
@@ -53,7 +53,7 @@
 
     /// Asks candidates to take over the shards that this front leads, where that is due, and tells
     /// all members that it is shutting down.
-    pub(crate) fn transfer_leadership(&mut self, at: Moment) {
+    pub(crate) fn transfer_leadership(&mut self, at: ClockReading) {
         let now = at.steady;
         let Some(shutdown) = self
             .shutdown
@@ -84,7 +84,12 @@
 
     /// The members that can lead a shard instead of this front, the best first; the next one is
     /// asked where one does not take it, as it may be shutting down itself.
-    fn transfer_candidates(&self, at: Moment, view: &ShardView, replica: &Replica) -> Vec<FrontId> {
+    fn transfer_candidates(
+        &self,
+        at: ClockReading,
+        view: &ShardView,
+        replica: &Replica,
+    ) -> Vec<FrontId> {
         let heard_lately = |peer: &Peer| peer.disk != 0 && at.steady - peer.heard_at < HEARD_WITHIN;
         let is_candidate = |front: &FrontId| {
             *front != self.own.front
@@ -113,7 +118,7 @@
     }
 
     /// Tells the other members of all shards held here that this front is shutting down.
-    fn announce_shutdown(&mut self, at: Moment) {
+    fn announce_shutdown(&mut self, at: ClockReading) {
         let replicas = self.shards.iter().filter_map(|view| view.replica.as_ref());
         let members =
             replicas.flat_map(|replica| replica.members.iter().map(|member| member.front));
@@ -136,7 +141,7 @@
 
     /// Transfers a shard to the member that is preferred as its leader, once that one has run for a
     /// while: a front that was restarted gets its part again.
-    pub(crate) fn yield_leadership(&mut self, at: Moment, shard: u16) {
+    pub(crate) fn yield_leadership(&mut self, at: ClockReading, shard: u16) {
         let (now, own) = (at.steady, self.own.front);
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
@@ -179,7 +184,7 @@
     /// Whether a shard that this front keeps would have no majority without it, as others of its
     /// members are away: an end had better wait for them. Of two that leave at once the one with
     /// the lower id does not wait for the other.
-    pub fn is_needed(&self, at: Moment) -> bool {
+    pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
         let here = |member: &ReplicaId| {
             let peer = self
                 .peers
@@ -211,7 +216,7 @@
         let replica = view.and_then(|view| view.replica.as_mut());
         if let Some(replica) = replica.filter(|r| r.config == config && r.leader() == Some(from)) {
             replica.campaign();
-            self.counters.taken_over += 1;
+            self.counters.accepted_leaderships += 1;
             self.touched.insert(shard);
         }
     }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -18,7 +18,8 @@
 use crate::shard_view::ShardView;
 use crate::transport::Transport;
 use crate::{
-    Counters, Error, FrontId, LedgerAnswer, Micros, Moment, Outcome, Output, Record, Saved, Setup,
+    ClockReading, Counters, Error, FrontId, LedgerAnswer, Micros, Outcome, Output, Record, Saved,
+    Setup,
 };
 
 pub(crate) const TICK: Micros = 50_000; // microseconds between turns of the logs' clocks
@@ -71,11 +72,11 @@
 impl Ledger {
     /// `saved` is what an earlier incarnation on the same disk gave out to be saved; None only
     /// where there was none.
-    pub fn new(at: Moment, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
+    pub fn new(at: ClockReading, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
         setup.check()?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
         let own = ReplicaId {
-            front: setup.own,
+            front: setup.local_front,
             disk: setup.disk,
         };
         let saved = match &saved {
@@ -156,13 +157,13 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, at: Moment) {
+    pub fn tick(&mut self, at: ClockReading) {
         let due = self.pending.due_now(at);
         let unreachable = due.expired.into_iter().map(|number| LedgerAnswer {
             number,
             outcome: Outcome::Unreachable,
         });
-        self.out.done.extend(unreachable);
+        self.out.answers.extend(unreachable);
         for number in due.retry {
             self.send_request(at, number);
         }
@@ -177,7 +178,7 @@
     }
 
     /// One tick of the clock of each log; asks members to resync that may have missed messages.
-    fn tick_logs(&mut self, at: Moment) {
+    fn tick_logs(&mut self, at: ClockReading) {
         for (shard, view) in (0..).zip(&mut self.shards) {
             let Some(replica) = &mut view.replica else {
                 continue;
@@ -210,6 +211,6 @@
     }
 
     pub(crate) fn reject(&mut self, why: Rejection) {
-        *self.counters.refused.entry(why.label()).or_default() += 1;
+        *self.counters.rejected.entry(why.label()).or_default() += 1;
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -94,11 +94,11 @@
 pub type DiskId = u64;
 
 /// Milliseconds for which the answer to a request is remembered, so that a repeat counts once.
-pub const REMEMBERED_MS: u64 = 10_000;
+pub const ANSWER_RETENTION_MS: u64 = 10_000;
 
 /// One moment on a front's clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct ClockReading {
     /// Microseconds on a monotonic clock that runs evenly.
     pub steady: Micros,
     /// Unix time in milliseconds: entries end by it.
@@ -148,5 +148,5 @@
     pub saves: Vec<Save>,
     /// Answers to this front's own requests; each gets one. One for an order or dedup key that was `Held` may get
     /// `Absent` later: the key is free now, and this front is next.
-    pub done: Vec<LedgerAnswer>,
+    pub answers: Vec<LedgerAnswer>,
 }
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -12,7 +12,7 @@
 use crate::repair::{missing_member, spare_front, MissingMember, Repair};
 use crate::replica::{Replica, FIRST};
 use crate::state::{Limits, State, StateAt};
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
 /// Microseconds between two runs of `maintain`, and between announcements of a front to another.
 pub(crate) const MAINTENANCE_INTERVAL: Micros = 250_000;
@@ -22,9 +22,13 @@
     /// Begins to bootstrap the shards that are placed on this front and that it knows nothing of: they have yet to start,
     /// or it has lost its disk.
     pub(crate) fn start_bootstraps(&mut self) {
-        let (own, copies) = (self.own.front, self.setup.copies);
+        let (own, replication_factor) = (self.own.front, self.setup.replication_factor);
         for view in &mut self.shards {
-            let placed = view.ranked.iter().take(copies).any(|front| *front == own);
+            let placed = view
+                .ranked
+                .iter()
+                .take(replication_factor)
+                .any(|front| *front == own);
             if placed && view.replica.is_none() && view.barred == 0 && view.bootstrap.is_none() {
                 view.bootstrap = Some(Bootstrap::default());
             }
@@ -32,16 +36,21 @@
     }
 
     /// Takes the next step of a shard that has yet to start.
-    pub(crate) fn advance_bootstrap(&mut self, at: Moment, shard: u16) {
+    pub(crate) fn advance_bootstrap(&mut self, at: ClockReading, shard: u16) {
         let own = ReplicaIncarnation {
             id: self.own,
             incarnation: self.transport.incarnation,
         };
-        let copies = self.setup.copies;
+        let replication_factor = self.setup.replication_factor;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
-        let placed: Vec<FrontId> = view.ranked.iter().take(copies).copied().collect();
+        let placed: Vec<FrontId> = view
+            .ranked
+            .iter()
+            .take(replication_factor)
+            .copied()
+            .collect();
         let Some(bootstrap) = &mut view.bootstrap else {
             return;
         };
@@ -76,7 +85,7 @@
     /// Tells the fronts that a shard is placed on with whom this one has agreed to start it.
     fn send_agreed(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         shard: u16,
         placed: &[FrontId],
         agreed: &[ReplicaIncarnation],
@@ -92,11 +101,15 @@
     }
 
     /// Asks and tells the fronts that a shard that has yet to start depends on.
-    fn drive_bootstrap(&mut self, at: Moment, shard: u16) {
+    fn drive_bootstrap(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
         };
-        let placed = view.ranked.iter().take(self.setup.copies).copied();
+        let placed = view
+            .ranked
+            .iter()
+            .take(self.setup.replication_factor)
+            .copied();
         let members = view.members().iter().map(|member| member.front);
         let others: Vec<FrontId> = placed
             .chain(members)
@@ -116,7 +129,7 @@
     }
 
     /// Does what is due at intervals.
-    pub(crate) fn maintain(&mut self, at: Moment) {
+    pub(crate) fn maintain(&mut self, at: ClockReading) {
         if at.steady < self.maintain_at {
             return;
         }
@@ -148,7 +161,7 @@
     }
 
     /// Replaces a missing replica of a shard that this front leads, or moves one.
-    fn replace_missing(&mut self, at: Moment, shard: u16) {
+    fn replace_missing(&mut self, at: ClockReading, shard: u16) {
         let now = at.steady;
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
@@ -205,7 +218,7 @@
     }
 
     /// Asks fronts that hold no replica of a shard whether they can, two at a time.
-    fn probe_spares(&mut self, at: Moment, shard: u16) {
+    fn probe_spares(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
         };
@@ -225,7 +238,7 @@
     }
 
     /// Asks a front whether it can hold a replica.
-    pub(crate) fn probe(&mut self, at: Moment, to: FrontId, shard: u16) {
+    pub(crate) fn probe(&mut self, at: ClockReading, to: FrontId, shard: u16) {
         self.transport
             .send(at, to, &LedgerMessage::Probe { shard }, Pace::Fast);
     }
@@ -233,7 +246,7 @@
     /// Sends the state to the replica that is to replace another; `moves`: until when, where none is missing.
     fn start_replacement(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         shard: u16,
         out: ReplicaId,
         into: ReplicaId,
@@ -246,7 +259,14 @@
         let config = replica.config;
         let (index, bytes) = (replica.applied(), replica.state.bytes());
         let state = encode(&replica.state);
-        let mut repair = Repair::new(at.steady, out, into, config, bytes, self.setup.repair_bytes);
+        let mut repair = Repair::new(
+            at.steady,
+            out,
+            into,
+            config,
+            bytes,
+            self.setup.repair_bytes_per_s,
+        );
         (repair.moves, repair.ends) = (moves.is_some(), moves.unwrap_or(repair.ends));
         view.repair = Some(repair);
         self.transport.send(
@@ -264,7 +284,7 @@
 
     /// The time that goes with a round: the median of the members' Unix clocks, so that one that is far off ends no entry
     /// of others.
-    pub(crate) fn wall_ms(&self, at: Moment, shard: u16) -> u64 {
+    pub(crate) fn wall_ms(&self, at: ClockReading, shard: u16) -> u64 {
         let members = self
             .shards
             .get(usize::from(shard))
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -12,13 +12,13 @@
 use crate::replica::{Replica, FIRST};
 use crate::shard_view::Learned;
 use crate::state::StateAt;
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
 const MEMBERSHIP_INTERVAL: Micros = 500_000; // microseconds until a front that is behind is sent the members again
 
 impl Ledger {
     /// Tells a front that this one can hold a replica of the shard, what it knows of it, and on which disk.
-    pub(crate) fn announce(&mut self, at: Moment, to: FrontId, shard: u16) {
+    pub(crate) fn announce(&mut self, at: ClockReading, to: FrontId, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
@@ -48,7 +48,7 @@
     /// Another front can hold a replica of the shard: it is heard as one to start the shard with, or is brought up to date.
     pub(crate) fn receive_availability(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         sender: ReplicaIncarnation,
         shard: u16,
         config: u32,
@@ -69,7 +69,7 @@
     }
 
     /// Tells a front that is behind who the members are, and the state to start from where it is one of them.
-    pub(crate) fn send_membership(&mut self, at: Moment, sender: ReplicaId, shard: u16) {
+    pub(crate) fn send_membership(&mut self, at: ClockReading, sender: ReplicaId, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
@@ -113,7 +113,7 @@
     /// Another front tells the members of a later configuration.
     pub(crate) fn receive_membership(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: FrontId,
         shard: u16,
         config: u32,
@@ -161,7 +161,7 @@
     /// This front is a member of a configuration, and is given what to start from.
     pub(crate) fn join(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         shard: u16,
         config: u32,
         members: Vec<ReplicaId>,
@@ -184,7 +184,7 @@
     /// Starts a replica of a configuration from what its members agree on; it is durable before anything is sent of it.
     pub(crate) fn open_replica(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         shard: u16,
         configuration: Configuration,
         base: StateAt,
@@ -215,7 +215,7 @@
     }
 
     /// Goes on under the next configuration, once the log has decided on its members.
-    pub(crate) fn adopt_next_members(&mut self, at: Moment, shard: u16) {
+    pub(crate) fn adopt_next_members(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
@@ -251,7 +251,7 @@
     }
 
     /// Sends new members what they start from, and tells those that are no members any more.
-    fn announce_next_members(&mut self, at: Moment, shard: u16, next: &Configuration) {
+    fn announce_next_members(&mut self, at: ClockReading, shard: u16, next: &Configuration) {
         let Configuration { config, members } = next;
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
@@ -270,10 +270,14 @@
                 base: replica.base_after(caught_up),
             };
             self.transport.send(at, to.front, &message, Pace::Fast);
-            self.counters.repaired += 1;
-            self.counters.moved += u64::from(moves);
+            self.counters.rebuilt += 1;
+            self.counters.rebalanced += u64::from(moves);
         }
-        let placed = view.ranked.iter().take(self.setup.copies).copied();
+        let placed = view
+            .ranked
+            .iter()
+            .take(self.setup.replication_factor)
+            .copied();
         let before = replica.members.iter().map(|member| member.front);
         let stays = |front: &FrontId| members.iter().any(|member| member.front == *front);
         let others = placed.chain(before).filter(|front| !stays(front));
--- a/crates/ledger/src/pending_requests.rs
+++ b/crates/ledger/src/pending_requests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::batch::Command;
-use crate::{FrontId, Micros, Moment, REMEMBERED_MS};
+use crate::{ClockReading, FrontId, Micros, ANSWER_RETENTION_MS};
 
 const RETRY_INTERVAL: Micros = 100_000; // microseconds until a request is sent again, elsewhere
 const MAX_WAITING: usize = 16_384; // requests that wait at once
@@ -87,13 +87,13 @@
     }
 
     /// Ends the requests that nobody has answered in time, and finds those that are to be sent again.
-    pub fn due_now(&mut self, at: Moment) -> DueRequests {
+    pub fn due_now(&mut self, at: ClockReading) -> DueRequests {
         let is_expired = |waiting: &Waiting| waiting.ends <= at.steady;
         let expired = self.numbers(is_expired);
         self.waiting.retain(|_, waiting| !is_expired(waiting));
         let retry = self.numbers(|waiting| waiting.retry_at <= at.steady);
         self.first
-            .retain(|_, first| first.saturating_add(2 * REMEMBERED_MS) > at.wall_ms);
+            .retain(|_, first| first.saturating_add(2 * ANSWER_RETENTION_MS) > at.wall_ms);
         DueRequests { retry, expired }
     }
 
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -12,7 +12,7 @@
 use crate::placement::ranked;
 use crate::repair::{Repair, HEARD_WITHIN, REPLACEMENT_TIMEOUT};
 use crate::shard_view::ShardView;
-use crate::{Error, FrontId, Member, Micros, Moment, Setup};
+use crate::{ClockReading, Error, FrontId, Member, Micros, Setup};
 
 /// A change of a shard's members.
 struct MemberChange {
@@ -47,7 +47,7 @@
 
 /// How long a shard may still move, by the Unix clock; none where it is the turn of others.
 fn move_window(setup: &Setup, shard: u16, wall_ms: u64) -> Option<Micros> {
-    let groups = 100_u64.div_ceil(u64::from(setup.moves_percent.clamp(1, 100)));
+    let groups = 100_u64.div_ceil(u64::from(setup.max_moving_percent.clamp(1, 100)));
     let length = (window_length(setup) / 1_000).max(1) as u64;
     let (number, into) = (wall_ms / length, wall_ms % length);
     // Clocks are apart by so much: the turns of two groups do not meet.
@@ -58,12 +58,12 @@
 /// Microseconds of a turn: for the largest shard to be copied.
 fn window_length(setup: &Setup) -> Micros {
     let apart = 2_000 * setup.clock_skew_ms as Micros;
-    apart + REPLACEMENT_TIMEOUT + Repair::duration(setup.most_bytes, setup.repair_bytes)
+    apart + REPLACEMENT_TIMEOUT + Repair::duration(setup.max_shard_bytes, setup.repair_bytes_per_s)
 }
 
 impl Ledger {
     /// The operator's list has changed. A front that has yet to start its shards goes on with the earlier list.
-    pub fn set_members(&mut self, at: Moment, members: Vec<Member>) -> Result<(), Error> {
+    pub fn set_members(&mut self, at: ClockReading, members: Vec<Member>) -> Result<(), Error> {
         let setup = Setup {
             members,
             ..self.setup.clone()
@@ -82,7 +82,7 @@
     }
 
     /// Who is up and who is not, as far as the caller knows; of others nothing is said.
-    pub fn set_health(&mut self, at: Moment, up: &[FrontId], away: &[FrontId]) {
+    pub fn set_health(&mut self, at: ClockReading, up: &[FrontId], away: &[FrontId]) {
         up.iter()
             .for_each(|front| self.away.returned(at.steady, &self.setup.members, *front));
         away.iter()
@@ -91,7 +91,7 @@
 
     /// Places all shards anew where that has to be: on all that are there or waited for.
     pub(crate) fn update_placement(&mut self, now: Micros) {
-        let moves = self.setup.moves_percent > 0;
+        let moves = self.setup.max_moving_percent > 0;
         let due = |front: &FrontId, since: &Micros| {
             moves && self.away.wait_until(&self.setup, *front, *since) <= now
         };
@@ -112,12 +112,12 @@
         let first = |view: &ShardView| {
             view.ranked
                 .iter()
-                .take(self.setup.copies)
+                .take(self.setup.replication_factor)
                 .copied()
                 .collect()
         };
         let placed = match moves {
-            true => placed(&here, self.setup.copies, self.setup.shards),
+            true => placed(&here, self.setup.replication_factor, self.setup.shards),
             false => self.shards.iter().map(first).collect(),
         };
         let leaders = preferred_leaders(&placed, here.len());
@@ -136,24 +136,24 @@
 
     /// A member is silent for longer than it is waited for: it counts as gone, whatever gossip says.
     pub(crate) fn declare_gone(&mut self, now: Micros, front: FrontId) {
-        let ago = self.setup.zone_after.max(self.setup.repair_after);
+        let ago = self.setup.zone_repair_after.max(self.setup.repair_after);
         self.away.since.insert(front, now.saturating_sub(ago));
         self.update_placement(now);
     }
 
     /// The move of a replica of a shard that this front leads, and of which none is missing, once it is the shard's turn.
-    pub(crate) fn next_move(&mut self, at: Moment, shard: u16) -> Option<Move> {
+    pub(crate) fn next_move(&mut self, at: ClockReading, shard: u16) -> Option<Move> {
         let now = at.steady;
         let view = self.shards.get(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
-        if self.setup.moves_percent == 0 || view.wanted.len() < self.setup.copies {
+        if self.setup.max_moving_percent == 0 || view.wanted.len() < self.setup.replication_factor {
             return None;
         }
         let MemberChange { out, into } =
             next_change(&view.wanted, &replica.members, self.own.front)?;
         let left = move_window(&self.setup, shard, self.wall_ms(at, shard))?;
-        let takes =
-            REPLACEMENT_TIMEOUT + Repair::duration(replica.state.bytes(), self.setup.repair_bytes);
+        let takes = REPLACEMENT_TIMEOUT
+            + Repair::duration(replica.state.bytes(), self.setup.repair_bytes_per_s);
         let busy = self.shards.iter().any(|view| view.repair.is_some());
         if left < takes || busy || self.away.is_away(into) {
             return None;
--- a/crates/ledger/src/rebalance_tests.rs
+++ b/crates/ledger/src/rebalance_tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn no_more_than_the_share_of_shards_moves_at_once_and_each_has_a_turn() {
     let setup = Setup {
-        moves_percent: 25,
+        max_moving_percent: 25,
         ..Setup::new("f", 1, 1, 1, Vec::new())
     };
     let mut had = BTreeSet::new();
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -8,7 +8,7 @@
 use crate::rejection::Rejection;
 use crate::replica::Replica;
 use crate::{
-    shard_of, FrontId, Key, LedgerAnswer, LedgerRequest, Moment, Operation, Outcome, Owner,
+    shard_of, ClockReading, FrontId, Key, LedgerAnswer, LedgerRequest, Operation, Outcome, Owner,
 };
 
 const LONGEST_NAME: usize = 1_024; // bytes of a key's name
@@ -16,12 +16,12 @@
 
 impl Ledger {
     /// Asks for an act; one answer follows.
-    pub fn ask(&mut self, at: Moment, ask: LedgerRequest) {
+    pub fn submit(&mut self, at: ClockReading, request: LedgerRequest) {
         let LedgerRequest {
             number,
             key,
             operation,
-        } = ask;
+        } = request;
         if self.pending.is_waiting(number) {
             return;
         }
@@ -44,7 +44,7 @@
             key,
             operation,
         };
-        let ends = at.steady + self.setup.ask_timeout;
+        let ends = at.steady + self.setup.request_timeout;
         if !self.pending.wait(command, shard, ends) {
             return self.answer_at_once(number, Outcome::Unreachable);
         }
@@ -54,11 +54,11 @@
 
     /// Answers a request that depends on nothing that has yet to be saved.
     fn answer_at_once(&mut self, number: u64, outcome: Outcome) {
-        self.out.done.push(LedgerAnswer { number, outcome });
+        self.out.answers.push(LedgerAnswer { number, outcome });
     }
 
     /// Passes a request on to the shard's leader, as far as that is known.
-    pub(crate) fn send_request(&mut self, at: Moment, number: u64) {
+    pub(crate) fn send_request(&mut self, at: ClockReading, number: u64) {
         let Some(attempt) = self.pending.next_attempt(at.steady, number) else {
             return;
         };
@@ -98,7 +98,7 @@
     /// Another front does not lead the shard of a request, and says which one does.
     pub(crate) fn redirect(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: FrontId,
         number: u64,
         leader: Option<FrontId>,
@@ -132,7 +132,7 @@
     /// A request of another front has come.
     pub(crate) fn receive_request(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: FrontId,
         shard: u16,
         command: Command,
@@ -143,7 +143,7 @@
             return self.reject(Rejection::ForeignRequest);
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
-        let ends = at.steady + self.setup.ask_timeout;
+        let ends = at.steady + self.setup.request_timeout;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -6,11 +6,11 @@
 use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
 use crate::replica::{DecidedCommand, MemberMessage};
-use crate::{LedgerAnswer, Micros, Moment, Outcome};
+use crate::{ClockReading, LedgerAnswer, Micros, Outcome};
 
 impl Ledger {
     /// Takes in what a shard's log has decided, answers the requests, and sends the log's messages.
-    pub(crate) fn settle_shard(&mut self, at: Moment, shard: u16) {
+    pub(crate) fn settle_shard(&mut self, at: ClockReading, shard: u16) {
         let wall_ms = self.wall_ms(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -64,7 +64,7 @@
 
     /// Sends a message of a shard's log. What would overtake a long one counts as lost instead: it is sent again once that
     /// has come.
-    fn send_to_member(&mut self, at: Moment, shard: u16, message: &MemberMessage) {
+    fn send_to_member(&mut self, at: ClockReading, shard: u16, message: &MemberMessage) {
         let pace = if message.is_ordered {
             Pace::Log(shard)
         } else {
@@ -77,7 +77,7 @@
     }
 
     /// Answers a request of this front or of another one.
-    fn answer(&mut self, at: Moment, answer: DecidedCommand) {
+    fn answer(&mut self, at: ClockReading, answer: DecidedCommand) {
         let DecidedCommand { command, outcome } = answer;
         let CommandId { owner, number } = command.id();
         if owner.front != self.own.front {
@@ -93,7 +93,7 @@
     }
 
     /// Tells the first front in a key's queue that the key is free.
-    fn announce_free_key(&mut self, at: Moment, command: CommandId) {
+    fn announce_free_key(&mut self, at: ClockReading, command: CommandId) {
         let CommandId { owner, number } = command;
         if owner.front == self.own.front {
             return self.key_is_free(command);
--- a/crates/ledger/src/setup.rs
+++ b/crates/ledger/src/setup.rs
@@ -20,7 +20,7 @@
     /// The fleet's name: messages and records of another are refused.
     pub fleet: String,
     /// This front.
-    pub own: FrontId,
+    pub local_front: FrontId,
     /// When this front started, in Unix milliseconds; has to grow with each start.
     pub incarnation: u64,
     /// Drawn anew whenever the directory is made new, and at every start without one; never 0.
@@ -28,23 +28,23 @@
     /// All fronts that hold replicas, the same list on every front; this front need not be one.
     pub members: Vec<Member>,
     /// Replicas of a shard in all.
-    pub copies: usize,
+    pub replication_factor: usize,
     /// Number of shards; the same on every front, and never changed.
     pub shards: u16,
     /// Most entries of a shard.
-    pub most_entries: usize,
+    pub max_shard_entries: usize,
     /// Most bytes of a shard's entries.
-    pub most_bytes: usize,
+    pub max_shard_bytes: usize,
     /// Microseconds until a request that no quorum has answered is [`crate::Outcome::Unreachable`].
-    pub ask_timeout: Micros,
+    pub request_timeout: Micros,
     /// Microseconds without a sign of a member until its replicas are rebuilt elsewhere.
     pub repair_after: Micros,
     /// Bytes a second that rebuilding replicas may take.
-    pub repair_bytes: u32,
+    pub repair_bytes_per_s: u32,
     /// Hundredths of the shards that may move at once for balance, or as members change; 0: none moves.
-    pub moves_percent: u8,
+    pub max_moving_percent: u8,
     /// Microseconds that a zone is waited for that is away as a whole; never less than `repair_after`.
-    pub zone_after: Micros,
+    pub zone_repair_after: Micros,
     /// The latest message format that it reads and writes, see [`FORMAT`]; an earlier one is for tests of mixed fleets.
     pub format: u8,
     /// The latest format in which it saves entries and records, once all members read it, see [`SAVED_FORMAT`].
@@ -64,19 +64,19 @@
     ) -> Setup {
         Setup {
             fleet: fleet.to_string(),
-            own,
+            local_front: own,
             incarnation,
             disk,
             members,
-            copies: 3,
+            replication_factor: 3,
             shards: 16,
-            most_entries: 4_096,
-            most_bytes: 512 * 1_024,
-            ask_timeout: 500_000,
+            max_shard_entries: 4_096,
+            max_shard_bytes: 512 * 1_024,
+            request_timeout: 500_000,
             repair_after: 30_000_000,
-            repair_bytes: 16_384,
-            moves_percent: 0,
-            zone_after: 600_000_000,
+            repair_bytes_per_s: 16_384,
+            max_moving_percent: 0,
+            zone_repair_after: 600_000_000,
             format: FORMAT,
             saved_format: SAVED_FORMAT,
             clock_skew_ms: 500,
@@ -94,11 +94,11 @@
             .iter()
             .find(|member| !seen.insert(member.front))
         {
-            return Err(Error::Twice(twice.front));
+            return Err(Error::DuplicateMember(twice.front));
         }
-        if self.copies == 0 || self.copies > self.members.len() {
-            return Err(Error::Copies {
-                copies: self.copies,
+        if self.replication_factor == 0 || self.replication_factor > self.members.len() {
+            return Err(Error::ReplicationFactor {
+                replication_factor: self.replication_factor,
                 members: self.members.len(),
             });
         }
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -10,7 +10,7 @@
 use crate::members::ReplicaId;
 use crate::stored_answers::{StoredAnswer, StoredOutcome};
 use crate::tail::Tail;
-use crate::{Entry, Key, Operation, Outcome, Setup, REMEMBERED_MS};
+use crate::{Entry, Key, Operation, Outcome, Setup, ANSWER_RETENTION_MS};
 
 const ENTRY_OVERHEAD: usize = 64; // bytes that an entry counts beside its name and value
 const MAX_ANSWERS: usize = 8_192; // answers remembered: some 30 bytes each in a snapshot
@@ -32,8 +32,8 @@
 impl Limits {
     pub fn of(setup: &Setup) -> Limits {
         Limits {
-            entries: setup.most_entries,
-            bytes: setup.most_bytes,
+            entries: setup.max_shard_entries,
+            bytes: setup.max_shard_bytes,
             clock_skew_ms: setup.clock_skew_ms,
         }
     }
@@ -222,7 +222,7 @@
         }
         // An answer to one asked as long ago, or in the future, could be forgotten before a copy of it comes.
         let age = self.now_ms.abs_diff(command.asked_ms);
-        if age >= REMEMBERED_MS || self.answers.len() >= MAX_ANSWERS {
+        if age >= ANSWER_RETENTION_MS || self.answers.len() >= MAX_ANSWERS {
             return Outcome::Unreachable;
         }
         let CarriedOut { outcome, stored } = self.carry_out(command);
@@ -334,7 +334,7 @@
             self.remove(&first.key);
         }
         while let Some(first) = self.index().forgotten.first().copied() {
-            if first.asked_ms.saturating_add(REMEMBERED_MS) > now {
+            if first.asked_ms.saturating_add(ANSWER_RETENTION_MS) > now {
                 break;
             }
             self.index().forgotten.remove(&first);
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -115,7 +115,7 @@
         Outcome::Absent
     );
     // Once it may be forgotten, it counts for nothing.
-    let end = 1_000 + REMEMBERED_MS;
+    let end = 1_000 + ANSWER_RETENTION_MS;
     assert_eq!(
         once(&mut state, end, command(1, 1, "a", claim(0))),
         Outcome::Unreachable
--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -12,7 +12,7 @@
 use crate::peer_formats::PeerFormats;
 use crate::reassembly::{Added, Fragment, MessageId, Reassembly};
 use crate::rejection::Rejection;
-use crate::{DiskId, FrontId, Micros, Moment, OutgoingPacket, Setup};
+use crate::{ClockReading, DiskId, FrontId, Micros, OutgoingPacket, Setup};
 
 const LOG_RATE: f64 = 2_000_000.0; // bytes a second of long messages of the log: a follower waits for them
 
@@ -61,7 +61,7 @@
             next_long: incarnation << 20, // an earlier incarnation's are not this one's
             reassembly: Reassembly::default(),
             log_pacer: Pacer::new(LOG_RATE),
-            repair_pacer: Pacer::new(f64::from(setup.repair_bytes)),
+            repair_pacer: Pacer::new(f64::from(setup.repair_bytes_per_s)),
             payloads: Vec::new(),
         }
     }
@@ -77,7 +77,7 @@
     }
 
     /// Puts a message into the next packets to this front.
-    pub fn send(&mut self, at: Moment, to: FrontId, message: &LedgerMessage, pace: Pace) {
+    pub fn send(&mut self, at: ClockReading, to: FrontId, message: &LedgerMessage, pace: Pace) {
         let bytes = encode(message);
         if bytes.len() + LENGTH_BYTES <= FRAGMENT_BYTES {
             self.small.entry(to).or_default().push(bytes);
@@ -113,7 +113,7 @@
     /// Takes in a packet.
     pub fn receive(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: FrontId,
         bytes: &[u8],
     ) -> Result<ReceivedPacket, Rejection> {
@@ -234,7 +234,7 @@
     }
 
     /// The packets that may leave now.
-    pub fn packets(&mut self, at: Moment) -> Vec<OutgoingPacket> {
+    pub fn packets(&mut self, at: ClockReading) -> Vec<OutgoingPacket> {
         self.payloads
             .extend(self.reassembly.request_missing(at.steady));
         self.remind_receivers(at.steady);
@@ -248,7 +248,7 @@
     }
 
     /// Wraps a payload in a packet, in the latest format that its receiver is known to read.
-    fn packet(&self, at: Moment, outgoing: OutgoingPayload) -> OutgoingPacket {
+    fn packet(&self, at: ClockReading, outgoing: OutgoingPayload) -> OutgoingPacket {
         let OutgoingPayload { to, payload } = outgoing;
         let packet = Packet {
             format: self.common_format(to),
--- a/crates/ledger/src/transport_tests.rs
+++ b/crates/ledger/src/transport_tests.rs
@@ -4,14 +4,14 @@
 
 fn transport(front: u64) -> Transport {
     let setup = Setup {
-        repair_bytes: 20_000,
+        repair_bytes_per_s: 20_000,
         ..Setup::new("f", front, front, front * 10, Vec::new())
     };
     Transport::new(&setup, 7)
 }
 
-fn at(steady: Micros) -> Moment {
-    Moment {
+fn at(steady: Micros) -> ClockReading {
+    ClockReading {
         steady,
         wall_ms: 1_000,
     }
--- a/crates/ledger/tests/anti_entropy.rs
+++ b/crates/ledger/tests/anti_entropy.rs
@@ -28,9 +28,9 @@
         .fronts
         .iter()
         .filter_map(|front| front.ledger.as_ref());
-    ledgers
-        .map(|l| l.counters())
-        .fold((0, 0), |all, t| (all.0 + t.differed, all.1 + t.mended))
+    ledgers.map(|l| l.counters()).fold((0, 0), |all, t| {
+        (all.0 + t.differing, all.1 + t.repaired_after_comparison)
+    })
 }
 
 #[test]
--- a/crates/ledger/tests/drawn.rs
+++ b/crates/ledger/tests/drawn.rs
@@ -41,19 +41,22 @@
     next_fault: Micros,
     /// The front that has lost its disk, until all replicas stand again.
     lost: Option<usize>,
-    copies: usize,
+    replication_factor: usize,
 }
 
 impl Run {
     fn new(seed: u64, same_disk: bool) -> Run {
-        let (fronts, copies, shards) =
+        let (fronts, replication_factor, shards) =
             [(3, 3, 1), (4, 3, 2), (5, 3, 3), (5, 5, 1)][seed as usize % 4];
-        let mut fleet = Fleet::new(fronts, copies, shards, seed);
+        let mut fleet = Fleet::new(fronts, replication_factor, shards, seed);
         fleet.same_disk = same_disk;
         fleet.setup.repair_after = 4 * SECOND;
         // Replicas move for balance too, all at once.
-        (fleet.setup.moves_percent, fleet.setup.zone_after) = (100, 8 * SECOND);
-        (fleet.setup.most_bytes, fleet.setup.repair_bytes) = (8_192, 65_536);
+        (
+            fleet.setup.max_moving_percent,
+            fleet.setup.zone_repair_after,
+        ) = (100, 8 * SECOND);
+        (fleet.setup.max_shard_bytes, fleet.setup.repair_bytes_per_s) = (8_192, 65_536);
         fleet.start_anew(fronts);
         fleet.run_until(10 * SECOND, Fleet::is_whole);
         let next_fault = fleet.now;
@@ -65,7 +68,7 @@
             unanswered,
             next_fault,
             lost: None,
-            copies,
+            replication_factor,
         }
     }
 
@@ -171,7 +174,7 @@
             fleet,
             totals,
             lost,
-            copies,
+            replication_factor,
             ..
         } = self;
         let fronts = fleet.fronts.len();
@@ -206,8 +209,8 @@
                 (*lost, totals.failed) = (Some(n), totals.failed + 1);
             }
             // The operator's list loses a front, or has it again; one that is out of it still holds what it has to.
-            8 if lost.is_none() && fronts > *copies => {
-                change_list(fleet, *copies);
+            8 if lost.is_none() && fronts > *replication_factor => {
+                change_list(fleet, *replication_factor);
                 totals.listed += 1;
             }
             // What gossip says, right or wrong.
@@ -238,7 +241,7 @@
             .fronts
             .iter()
             .filter_map(|front| front.ledger.as_ref());
-        totals.moved = ledgers.map(|ledger| ledger.counters().moved).sum();
+        totals.moved = ledgers.map(|ledger| ledger.counters().rebalanced).sum();
         for op in &fleet.record.ops {
             match op.done {
                 Some((_, Outcome::Unreachable)) => totals.unreachable += 1,
@@ -284,9 +287,9 @@
 }
 
 /// Changes the list for all that run; others read it as they start.
-fn change_list(fleet: &mut Fleet, copies: usize) {
+fn change_list(fleet: &mut Fleet, replication_factor: usize) {
     let mut members = Fleet::members(fleet.fronts.len());
-    if fleet.setup.members.len() == members.len() && members.len() > copies {
+    if fleet.setup.members.len() == members.len() && members.len() > replication_factor {
         members.remove(fleet.chance.random_range(0..members.len()));
     }
     fleet.set_members(members);
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -14,8 +14,8 @@
     }
 }
 
-fn whole(fronts: usize, copies: usize, shards: u16, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(fronts, copies, shards, seed);
+fn whole(fronts: usize, replication_factor: usize, shards: u16, seed: u64) -> Fleet {
+    let mut fleet = Fleet::new(fronts, replication_factor, shards, seed);
     assert!(
         fleet.run_until(10 * SECOND, Fleet::is_whole),
         "no copies of all shards after {}",
@@ -31,8 +31,8 @@
 
 #[test]
 fn a_fleet_starts_and_any_front_is_answered() {
-    for (fronts, copies) in [(1, 1), (3, 1), (3, 3), (2, 2), (5, 5), (7, 3)] {
-        let mut fleet = whole(fronts, copies, 4, 1);
+    for (fronts, replication_factor) in [(1, 1), (3, 1), (3, 3), (2, 2), (5, 5), (7, 3)] {
+        let mut fleet = whole(fronts, replication_factor, 4, 1);
         for n in 0..fronts {
             let key = format!("r{n}");
             assert!(
@@ -40,7 +40,7 @@
                     fleet.get_until_answered(n, &key, put(7)),
                     Outcome::Stands(_)
                 ),
-                "{fronts} {copies} {n}"
+                "{fronts} {replication_factor} {n}"
             );
             let other = (n + 1) % fronts;
             assert!(matches!(
@@ -205,7 +205,7 @@
 #[test]
 fn a_large_shard_is_rebuilt_at_its_rate_though_packets_are_lost() {
     let mut fleet = Fleet::new(3, 3, 1, 8);
-    fleet.setup.repair_bytes = 65_536;
+    fleet.setup.repair_bytes_per_s = 65_536;
     (0..3).for_each(|n| fleet.start(n));
     assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
     for n in 0..250u64 {
--- a/crates/ledger/tests/rebalance.rs
+++ b/crates/ledger/tests/rebalance.rs
@@ -48,8 +48,11 @@
 fn begun(fronts: usize, members: usize, shards: u16, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(fronts, 3, shards, seed);
     fleet.setup.members.truncate(members);
-    (fleet.setup.moves_percent, fleet.setup.zone_after) = (50, 40 * SECOND);
-    (fleet.setup.repair_bytes, fleet.setup.most_bytes) = (65_536, 32_768);
+    (
+        fleet.setup.max_moving_percent,
+        fleet.setup.zone_repair_after,
+    ) = (50, 40 * SECOND);
+    (fleet.setup.repair_bytes_per_s, fleet.setup.max_shard_bytes) = (65_536, 32_768);
     fleet.setup.clock_skew_ms = 200;
     fleet.start_anew(members);
     assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
--- a/crates/ledger/tests/rolling_restart.rs
+++ b/crates/ledger/tests/rolling_restart.rs
@@ -47,14 +47,18 @@
 }
 
 /// Every front ends and starts again, two of a zone at a time; `back` sets each up anew before it starts.
-fn roll(fleet: &mut Fleet, hands_over: bool, back: impl Fn(&mut Fleet, usize)) {
+fn roll(fleet: &mut Fleet, leads_transferable_shard: bool, back: impl Fn(&mut Fleet, usize)) {
     let mut order: Vec<usize> = (0..FRONTS).collect();
     order.sort_by_key(|n| n % 3);
     for out in order.chunks(2) {
-        if hands_over {
+        if leads_transferable_shard {
             out.iter().for_each(|n| fleet.begin_shutdown(*n));
         }
-        load(fleet, SECOND / 2, if hands_over { &[] } else { out });
+        load(
+            fleet,
+            SECOND / 2,
+            if leads_transferable_shard { &[] } else { out },
+        );
         load(fleet, SECOND / 2, out);
         out.iter().for_each(|n| fleet.kill(*n));
         load(fleet, SECOND, out);
@@ -94,7 +98,7 @@
         .fronts
         .iter()
         .filter_map(|front| front.ledger.as_ref());
-    let of = |ledger: &Ledger, why| ledger.counters().refused.get(why).copied().unwrap_or(0);
+    let of = |ledger: &Ledger, why| ledger.counters().rejected.get(why).copied().unwrap_or(0);
     ledgers
         .map(|ledger| of(ledger, "form") + of(ledger, "version"))
         .sum()
@@ -104,14 +108,15 @@
 fn a_rolling_restart_refuses_nothing_and_delays_asks_within_their_timeout() {
     let mut longest = [0; 2];
     for seed in 1..=2 {
-        for hands_over in [true, false] {
+        for leads_transferable_shard in [true, false] {
             let mut fleet = begun(|_| hallmux_ledger::FORMAT, seed);
             let since = fleet.now;
-            roll(&mut fleet, hands_over, |_, _| {});
+            roll(&mut fleet, leads_transferable_shard, |_, _| {});
             let (wait, unreachable) = waits(&fleet, since);
-            println!("seed {seed}, handed over: {hands_over}: longest {wait} ms, {unreachable} unreachable");
-            longest[usize::from(hands_over)] = longest[usize::from(hands_over)].max(wait);
-            assert!(!hands_over || unreachable == 0);
+            println!("seed {seed}, handed over: {leads_transferable_shard}: longest {wait} ms, {unreachable} unreachable");
+            longest[usize::from(leads_transferable_shard)] =
+                longest[usize::from(leads_transferable_shard)].max(wait);
+            assert!(!leads_transferable_shard || unreachable == 0);
             sound(&fleet);
         }
     }
@@ -128,7 +133,7 @@
             .iter()
             .filter_map(|front| front.ledger.as_ref());
         ledgers
-            .map(|ledger: &Ledger| ledger.counters().taken_over)
+            .map(|ledger: &Ledger| ledger.counters().accepted_leaderships)
             .sum()
     };
     // Up, then all the way back, under load.
@@ -205,7 +210,7 @@
     sound(&fleet);
     fleet.kill(7);
     let setup = Setup {
-        own: id(7),
+        local_front: id(7),
         disk: fleet.fronts[7].disk_id,
         format: 2,
         ..fleet.setup.clone()
--- a/crates/ledger/tests/shutdown.rs
+++ b/crates/ledger/tests/shutdown.rs
@@ -31,7 +31,7 @@
         fleet.run(fleet.now + 10_000);
         for (n, back) in two.into_iter().zip(&mut back) {
             let (at, ran) = (fleet.at(n), fleet.now - since);
-            let needed = |ledger: &Ledger| waits && ledger.is_needed(at) && ran < MOST;
+            let needed = |ledger: &Ledger| waits && ledger.is_needed_for_quorum(at) && ran < MOST;
             let ends = ran >= DOOR
                 && fleet.fronts[n]
                     .ledger
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -8,8 +8,8 @@
 
 use check::{Op, Record};
 use hallmux_ledger::{
-    FrontId, Key, Kind, Ledger, LedgerRequest, Member, Micros, Moment, Operation, OutgoingPacket,
-    Output, Save, Saved, Setup,
+    ClockReading, FrontId, Key, Kind, Ledger, LedgerRequest, Member, Micros, Operation,
+    OutgoingPacket, Output, Save, Saved, Setup,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -62,9 +62,10 @@
 }
 
 impl Fleet {
-    pub fn new(fronts: usize, copies: usize, shards: u16, seed: u64) -> Fleet {
+    pub fn new(fronts: usize, replication_factor: usize, shards: u16, seed: u64) -> Fleet {
         let mut setup = Setup::new("tests", 0, 0, 0, Fleet::members(fronts));
-        (setup.copies, setup.shards, setup.repair_after) = (copies, shards, 5 * SECOND);
+        (setup.replication_factor, setup.shards, setup.repair_after) =
+            (replication_factor, shards, 5 * SECOND);
         let mut fleet = Fleet {
             fronts: Vec::new(),
             setup,
@@ -138,12 +139,14 @@
     /// Shards that move now.
     pub fn moving(&self) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-        ledgers.map(|ledger| ledger.counters().moving).sum()
+        ledgers
+            .map(|ledger| ledger.counters().moving_replicas)
+            .sum()
     }
 
-    pub fn at(&self, n: usize) -> Moment {
+    pub fn at(&self, n: usize) -> ClockReading {
         let wall = WALL as i64 + self.now / 1_000 + self.fronts[n].ahead;
-        Moment {
+        ClockReading {
             steady: self.now + n as Micros * 1_000 * SECOND,
             wall_ms: wall as u64,
         }
@@ -155,7 +158,7 @@
         let mut setup = self.setup.clone();
         let front = &mut self.fronts[n];
         front.incarnation = at.wall_ms;
-        (setup.own, setup.incarnation, setup.disk) = (id(n), at.wall_ms, front.disk_id);
+        (setup.local_front, setup.incarnation, setup.disk) = (id(n), at.wall_ms, front.disk_id);
         setup.format = front.format;
         let saved = Saved(front.disk.clone().into_iter().collect());
         let saved = (!saved.0.is_empty()).then_some(saved);
@@ -248,7 +251,7 @@
     pub fn repeat(&mut self, n: usize, ask: LedgerRequest) {
         let at = self.at(n);
         if let Some(ledger) = &mut self.fronts[n].ledger {
-            ledger.ask(at, ask);
+            ledger.submit(at, ask);
         }
         self.drain(n);
     }
@@ -260,9 +263,9 @@
         let Output {
             packets,
             saves,
-            done,
+            answers,
         } = ledger.take_output();
-        for done in done {
+        for done in answers {
             self.record
                 .answered(n, self.fronts[n].incarnation, done, self.now);
         }
@@ -292,7 +295,7 @@
                 .as_mut()
                 .map(Ledger::take_output)
                 .unwrap_or_default();
-            more.done.into_iter().for_each(|done| {
+            more.answers.into_iter().for_each(|done| {
                 self.record
                     .answered(n, self.fronts[n].incarnation, done, self.now);
             });
--- a/crates/ledger/tests/sim/queries.rs
+++ b/crates/ledger/tests/sim/queries.rs
@@ -31,7 +31,7 @@
     }
 
     /// Replicas of a shard in its latest configuration.
-    pub fn copies(&self, shard: u16) -> usize {
+    pub fn replica_count(&self, shard: u16) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
         let configs: Vec<u32> = ledgers
             .flat_map(|ledger| {
@@ -56,7 +56,9 @@
                 .flat_map(Ledger::replicas)
                 .any(|of| of.shard == shard && of.is_leader)
         };
-        (0..self.setup.shards).all(|shard| self.copies(shard) == self.setup.copies && is_led(shard))
+        (0..self.setup.shards).all(|shard| {
+            self.replica_count(shard) == self.setup.replication_factor && is_led(shard)
+        })
     }
 
     /// The front that leads a key's shard.
