--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -1,7 +1,7 @@
-//! Anti-entropy: replicas are compared in the background. The leader sends the hashes of its
-//! entries, leaf by leaf, as of one entry of the log, and members that have applied just as much
-//! answer with theirs. A replica that differs from the majority has lost a write or read a bit
-//! wrong: it is sent the majority's state, at the rate for rebuilding replicas.
+//! Anti-entropy: the background comparison of the replicas of a shard. The leader sends the hashes
+//! of its entries, one per leaf, as of one index of the log; members that have applied exactly that
+//! index answer with theirs. A replica that differs from the majority has lost a write or read a
+//! corrupted bit; it is sent the majority's state, at the rate for rebuilding replicas.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,16 @@
 use crate::state::State;
 use crate::{ClockReading, FrontId, Micros};
 
-const INTERVAL: Micros = 60_000_000; // microseconds between comparisons of a shard
-/// Microseconds until a shard is compared again whose replicas differed.
+/// Microseconds between comparisons of a shard.
+const INTERVAL: Micros = 60_000_000;
+/// Microseconds until the next comparison of a shard whose replicas differed.
 const RECHECK: Micros = 2_000_000;
-const ANSWER_TIMEOUT: Micros = 1_000_000; // microseconds that answers are waited for
+/// Microseconds that the leader waits for the members' hashes.
+const ANSWER_TIMEOUT: Micros = 1_000_000;
 
 impl Ledger {
-    /// Begins a comparison of a shard that this front leads where one is due, and ends the one
-    /// before.
+    /// Concludes the previous comparison of a shard that this front leads, and starts the next one
+    /// if it is due.
     pub(crate) fn compare_replicas(&mut self, at: ClockReading, shard: u16) {
         self.conclude_comparison(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
@@ -34,7 +36,7 @@
             return;
         }
         if view.comparison.next == 0 {
-            // Shards are not compared all at once.
+            // Spreads the first comparisons of the shards over the interval.
             view.comparison.next = at.steady + INTERVAL / 16 * Micros::from(shard % 16 + 1);
             return;
         }
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Ends a comparison once its answers were waited for, and repairs what differs.
+    /// Concludes a comparison once the time for answers is over, and repairs the replicas that
+    /// differ from the majority.
     fn conclude_comparison(&mut self, at: ClockReading, shard: u16) {
         let own = self.own.front;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
@@ -92,7 +95,8 @@
         self.counters.differing += wrong.len() as u64;
         let config = replica.config;
         if wrong.contains(&own) {
-            // One of the majority leads the shard from now on, and repairs this front's replica.
+            // This front's replica is wrong: a member of the majority takes over the shard and
+            // repairs it.
             let candidate = hashes.iter().find(|(_, of)| **of == right);
             if let Some((candidate, _)) = candidate {
                 let message = LedgerMessage::TransferLeadership { shard, config };
@@ -113,7 +117,7 @@
         }
     }
 
-    /// The hashes of another member: of the leader, or of one that answers it.
+    /// Handles hashes from another member: the leader's, or a member's answer to this leader.
     pub(crate) fn receive_hashes(
         &mut self,
         at: ClockReading,
@@ -139,7 +143,8 @@
         }
     }
 
-    /// Answers the leader's hashes once this replica has applied as much, and no more.
+    /// Answers the leader's hashes once this replica has applied the same index. If it is already
+    /// beyond that index, the request is dropped without an answer.
     pub(crate) fn answer_hashes(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -164,7 +169,7 @@
         }
     }
 
-    /// The leader has found this replica to differ.
+    /// Replaces the state of this replica after the leader found it to differ from the majority.
     pub(crate) fn receive_repair(
         &mut self,
         from: ReplicaId,
@@ -185,8 +190,8 @@
         }
     }
 
-    /// The shard of a message of its comparison, if the sender and this front are members in the
-    /// same configuration.
+    /// The shard that a comparison message refers to, if the sender is a member and this front
+    /// holds a replica in the same configuration.
     fn view_for(
         &mut self,
         from: ReplicaId,
--- a/crates/ledger/src/away.rs
+++ b/crates/ledger/src/away.rs
@@ -1,4 +1,5 @@
-//! Which fronts are away, and how long each is waited for.
+//! Tracks which fronts are away and how long the ledger waits for each before it replaces its
+//! replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +9,10 @@
 #[derive(Default)]
 pub(crate) struct Away {
     pub since: BTreeMap<FrontId, Micros>,
-    /// When a zone that was away as a whole began to come back.
+    /// When the first front came back, for each zone that was entirely away.
     returned_at: BTreeMap<String, Micros>,
     pub gone: BTreeSet<FrontId>,
-    /// Members have changed since they were last placed.
+    /// The member list has changed since the last placement.
     pub stale: bool,
 }
 
@@ -26,7 +27,7 @@
         all && there.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
     }
 
-    /// A front is up (again).
+    /// Records that a front is up (again).
     pub fn returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
         if !self.is_away(front) {
             return;
@@ -41,7 +42,7 @@
         self.since.remove(&front);
     }
 
-    /// Until when a front that was last heard then is waited for.
+    /// Until when to wait for a front that was last heard from at `since`.
     pub fn wait_until(&self, setup: &Setup, front: FrontId, since: Micros) -> Micros {
         let zone = setup
             .members
--- a/crates/ledger/src/balance.rs
+++ b/crates/ledger/src/balance.rs
@@ -1,7 +1,7 @@
-//! On which fronts the replicas of all shards are placed: rendezvous hashing with bounded loads
-//! (after Mirrokni, Thorup and Zadimoghaddam's consistent hashing with bounded loads). Follows from
-//! the list of members alone, in whatever order it is given: all that have the same list come to
-//! the same.
+//! Decides which fronts hold the replicas of each shard: rendezvous hashing with bounded loads
+//! (after Mirrokni, Thorup and Zadimoghaddam's consistent hashing with bounded loads). The
+//! placement depends on the set of members only, not on the order of the list, so all fronts with
+//! the same list compute the same placement.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,17 +9,18 @@
 use crate::placement::hash;
 use crate::{FrontId, Member};
 
-/// Hundredths of a front's fair part that it holds at most, where that is a whole replica more than
-/// the part.
+/// Maximum load of a front in percent of its fair share, where that is at least a whole replica
+/// more than the share.
 const MAX_SHARE_PERCENT: u64 = 125;
-const LEVEL_STEPS: u64 = 1 << 20; // parts of a replica that levels are found to
+/// Fractions of a replica to which levels are resolved.
+const LEVEL_STEPS: u64 = 1 << 20;
 
 /// The zones of the members.
 struct Zones<'a> {
     names: Vec<&'a str>,
-    /// Fronts in each zone.
+    /// Number of fronts in each zone.
     fronts: Vec<u64>,
-    /// Replicas of a shard that a zone may hold at most.
+    /// Maximum number of replicas of one shard in a zone.
     most: u64,
 }
 
@@ -40,8 +41,8 @@
     }
 }
 
-/// How many replicas each zone is to hold: as even for its fronts as different zones for a shard's
-/// replicas permit.
+/// The number of replicas that each zone is to hold: as even per front as the spread of a shard's
+/// replicas over different zones permits.
 fn parts(zones: &Zones, replication_factor: u64, shards: u64) -> Vec<u64> {
     let base: Vec<u64> = zones
         .fronts
@@ -74,20 +75,20 @@
         .collect()
 }
 
-/// A placement under way.
+/// A placement in progress.
 struct Placing<'a> {
     members: &'a [Member],
-    /// The zone of each member, and how many more replicas it may hold.
+    /// The zone of each member.
     zone: Vec<usize>,
     room: Vec<u64>,
     /// The members that hold each shard.
     held: Vec<Vec<usize>>,
-    /// Replicas of a shard that a zone may hold for now.
+    /// Current maximum number of replicas of a shard in one zone.
     level: usize,
 }
 
 impl Placing<'_> {
-    /// Whether a member may hold a replica of the shard, were `without`'s not there.
+    /// Whether member `n` may hold a replica of the shard if the replica of `excluded` is ignored.
     fn fits(&self, shard: usize, without: Option<usize>, n: usize) -> bool {
         let of = self.held[shard]
             .iter()
@@ -100,8 +101,8 @@
         !same && there < self.level
     }
 
-    /// For a shard whose remaining zones have no room: moves another shard's replica from there to
-    /// where there is room.
+    /// Makes room for a shard that no zone with free capacity can take: moves a replica of another
+    /// shard to a member with free capacity and gives its place to this shard.
     fn swap(&mut self, shard: usize) -> bool {
         let roomy: Vec<usize> = (0..self.members.len())
             .filter(|n| self.room[*n] > 0)
@@ -122,8 +123,8 @@
         false
     }
 
-    /// Places replicas, in the order of the pairs, until each shard has `wanted`: within the bounds
-    /// as far as that goes.
+    /// Places replicas, in the order of the pairs, until each shard has `target` of them. The load
+    /// bounds are exceeded only for shards that can't be placed otherwise.
     fn fill(&mut self, pairs: &[Pair], wanted: usize) {
         for bounded in [true, false] {
             for Pair { shard, member, .. } in pairs {
@@ -143,7 +144,7 @@
     }
 }
 
-/// The rendezvous weight of a front for a shard: the least is the best.
+/// The rendezvous weight of a front for a shard; the smallest is preferred.
 type Weight = (Reverse<u64>, FrontId);
 
 fn weight(shard: usize, front: FrontId) -> Weight {
@@ -166,7 +167,7 @@
     member: usize,
 }
 
-/// All shards with all members, the best pair first.
+/// All pairs of a shard and a member, the most preferred first.
 fn ordered_pairs(members: &[Member], shards: u16) -> Vec<Pair> {
     let pair = |shard, member: usize| Pair {
         weight: weight(shard, members[member].front),
@@ -181,7 +182,8 @@
     pairs
 }
 
-/// The fronts that are to hold each shard, the most preferred first; fewer where there are fewer.
+/// The fronts that are to hold each shard, the most preferred first; fewer than
+/// `replication_factor` if there are fewer members.
 pub(crate) fn placed(
     members: &[Member],
     replication_factor: usize,
@@ -200,7 +202,7 @@
             .unwrap_or_default()
     };
     let zone: Vec<usize> = members.iter().map(zone_of).collect();
-    // A front's part is that of its zone, shared; whole replicas lie on it.
+    // A front's share is its zone's quota divided by the zone's fronts, at least one whole replica.
     let most = |zone: &usize| {
         let (part, fronts) = (parts[*zone], zones.fronts[*zone]);
         (part * MAX_SHARE_PERCENT / (100 * fronts)).max(part.div_ceil(fronts))
@@ -216,7 +218,7 @@
     };
     for level in 1..=zones.most {
         placing.level = level as usize;
-        // Another replica in a zone only once each zone that can has as many.
+        // A zone gets another replica of a shard only once each zone that can has as many.
         let wanted = zones
             .fronts
             .iter()
--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -1,4 +1,4 @@
-//! What a shard's log consists of: commands, and the batches of them that a round decides.
+//! The content of a shard's log: commands, and the batches of commands that a round decides.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,13 +6,14 @@
 use crate::tail::Tail;
 use crate::{Key, Operation, Owner};
 
-const COMMAND_OVERHEAD: usize = 48; // bytes that a request counts beside its name and value
+/// Bytes that a request counts for in addition to its name and value.
+const COMMAND_OVERHEAD: usize = 48;
 
-/// What tells a request from all others.
+/// Identifies a request among all requests of all fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct CommandId {
     pub owner: Owner,
-    /// Of the request, in its owner's incarnation.
+    /// The request's number, unique within its owner's incarnation.
     pub number: u64,
 }
 
@@ -21,19 +22,19 @@
 pub(crate) struct Command {
     pub owner: Owner,
     pub number: u64,
-    /// When it was first asked, on the requester's Unix clock.
+    /// When the request was first made, on the requester's Unix clock.
     pub asked_ms: u64,
     pub key: Key,
     pub operation: Operation,
 }
 
-/// One entry of the log: all that was asked while the entry before was being decided.
+/// One entry of the log: all requests that arrived while the previous entry was being decided.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Batch {
     pub wall_ms: u64,
     pub commands: Vec<Command>,
-    /// The members of the next configuration, if the batch changes them: nothing that follows in
-    /// this log counts. Behind the batch's format, if it names one.
+    /// The members of the next configuration, if the batch changes them; later entries of this log
+    /// have no effect then. Preceded by the batch's format, if the batch names one.
     pub tail: Tail,
 }
 
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Bytes that the request counts where requests are bounded.
+    /// The bytes that the request counts for against the limits of a round and of a request.
     pub fn size(&self) -> usize {
         let value = match &self.operation {
             Operation::Claim { value, .. } | Operation::Put { value, .. } => value.len(),
@@ -56,7 +57,7 @@
 }
 
 impl Batch {
-    /// One that changes the members.
+    /// A batch that changes the members.
     pub fn change(format: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
         Batch {
             wall_ms,
--- a/crates/ledger/src/bootstrap.rs
+++ b/crates/ledger/src/bootstrap.rs
@@ -1,6 +1,6 @@
-//! How a shard is created: it starts once each front that it is placed on has durably agreed to
-//! start it with the same replicas. A front whose shard has started never agrees to others, and the
-//! disk of a later incarnation replaces the one before and never the other way round: so no two
+//! Creation of a shard: it starts once each front that it is placed on has durably agreed to start
+//! it with the same replicas. A front whose shard has started never agrees to other replicas, and
+//! the disk of a later incarnation replaces that of an earlier one but never the reverse. So no two
 //! fronts start a shard with different members.
 
 use std::collections::BTreeMap;
@@ -8,30 +8,30 @@
 use crate::members::{ReplicaId, ReplicaIncarnation};
 use crate::FrontId;
 
-/// What another front has said about starting the shard.
+/// The latest offer of another front to start the shard.
 struct Offer {
     from: ReplicaIncarnation,
-    /// With whom it has agreed to start.
+    /// The replicas with which that front has agreed to start; empty if it has not agreed yet.
     agreed: Vec<ReplicaId>,
 }
 
-/// A shard that this front is placed on and that has yet to start.
+/// A shard that is placed on this front and has not started yet.
 #[derive(Default)]
 pub(crate) struct Bootstrap {
     offers: BTreeMap<FrontId, Offer>,
-    /// With whom this front has agreed to start.
+    /// The replicas with which this front has agreed to start; empty if it has not agreed yet.
     agreed: Vec<ReplicaIncarnation>,
-    /// Another front says that the shard has started already.
+    /// Another front reported that the shard has already started.
     started: bool,
 }
 
-/// What a front has to do next for a shard that has yet to start.
+/// The next step of a front for a shard that has not started yet.
 pub(crate) enum Step {
-    /// Nothing, until more is heard.
+    /// Wait for further messages.
     Wait,
-    /// Agree to start with these: durably, before others are told.
+    /// Agree to start with these replicas, and make that durable before announcing it.
     Agree(Vec<ReplicaIncarnation>),
-    /// Start with these members.
+    /// Start the shard with these members.
     Start(Vec<ReplicaId>),
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Bootstrap {
-    /// Goes on from what this front has agreed to in an earlier incarnation.
+    /// Continues from what this front agreed to in an earlier incarnation; empty if nothing.
     pub fn new(agreed: Vec<ReplicaIncarnation>) -> Bootstrap {
         Bootstrap {
             agreed,
@@ -52,8 +52,8 @@
         &self.agreed
     }
 
-    /// Another front says with whom it has agreed to start; passed over if it is of an earlier
-    /// incarnation than is known.
+    /// Records the replicas with which another front has agreed to start. An offer from an earlier
+    /// incarnation than the latest known one is ignored.
     pub fn record_offer(&mut self, from: ReplicaIncarnation, agreed: &[ReplicaIncarnation]) {
         let front = from.id.front;
         let own = self.agreed.iter().find(|before| before.id.front == front);
@@ -69,15 +69,15 @@
         }
     }
 
-    /// A member holds the shard already: a front that has yet to start it is taken in as a new
-    /// member instead.
+    /// Records that the shard has already started elsewhere: this front does not start it, but can
+    /// be added as a new member.
     pub fn set_started(&mut self) {
         self.started = true;
     }
 
-    /// Of all fronts that may hold shards, those that have said nothing of this one yet. A front
-    /// that joins the list later may be placed only with others like it: so each has to say that it
-    /// knows of no start.
+    /// The fronts among `members` that have not made an offer for this shard yet. Fronts that join
+    /// the list later could be placed only with each other, so every front that may hold shards has
+    /// to state that it knows of no started shard.
     pub fn unheard(&self, own: FrontId, members: &[FrontId]) -> Vec<FrontId> {
         let others = members
             .iter()
@@ -85,8 +85,8 @@
         others.copied().collect()
     }
 
-    /// What to do now for a shard that is placed on the fronts `placed`, of all `members` that may
-    /// hold shards.
+    /// The next step for a shard that is placed on the fronts `placed`, out of all `members` that
+    /// may hold shards.
     pub fn next_step(
         &mut self,
         own: ReplicaIncarnation,
--- a/crates/ledger/src/comparison.rs
+++ b/crates/ledger/src/comparison.rs
@@ -6,41 +6,42 @@
 use crate::state::State;
 use crate::{FrontId, Micros};
 
-pub(crate) const LEAVES: usize = 16; // of the tree; one more for what is no entry
+/// Leaves into which entries are hashed; one more hash covers the rest of the state.
+pub(crate) const LEAVES: usize = 16;
 
-/// A comparison under way, and when the next is due.
+/// The comparison in progress, if any, and when the next one is due.
 #[derive(Default)]
 pub(crate) struct Comparison {
-    /// When the next comparison is due; 0: none was planned yet.
+    /// When the next comparison is due; 0 if none was scheduled yet.
     pub next: Micros,
-    /// The entry that the hashes are as of.
+    /// The log index that the hashes refer to.
     pub index: u64,
-    /// By the members that have answered; empty: none is under way.
+    /// The hashes of the members that have answered; empty if no comparison is in progress.
     pub hashes: BTreeMap<FrontId, Vec<u64>>,
-    /// On a member: the hashes that it has yet to send.
+    /// On a member: the leader's request that is still to be answered.
     pub pending_answer: Option<PendingHashes>,
 }
 
-/// The hashes of a replica as of an entry of the log.
+/// The hashes of a replica as of an index of the log.
 pub(crate) struct StateHashes {
     pub index: u64,
     pub hashes: Vec<u64>,
 }
 
-/// Hashes that a leader waits for, and the entry that they are to be as of.
+/// A leader that waits for this replica's hashes, and the log index that they must refer to.
 #[derive(Clone, Copy)]
 pub(crate) struct PendingHashes {
     pub leader: FrontId,
     pub index: u64,
 }
 
-/// The hashes that more than half of all replicas have, if any.
+/// The hashes shared by more than half of all replicas, if any.
 pub(crate) fn majority(hashes: &BTreeMap<FrontId, Vec<u64>>, replicas: usize) -> Option<Vec<u64>> {
     let count = |of: &Vec<u64>| hashes.values().filter(|hashes| *hashes == of).count();
     hashes.values().find(|of| 2 * count(of) > replicas).cloned()
 }
 
-/// The hashes of a state by leaves.
+/// The hashes of a state: one per leaf, and one of everything but the entries.
 pub(crate) fn hashes(state: &State) -> Vec<u64> {
     let mut hashes = vec![0_u64; LEAVES];
     for entry in state.encoded_entries() {
--- a/crates/ledger/src/counters.rs
+++ b/crates/ledger/src/counters.rs
@@ -2,64 +2,64 @@
 
 use crate::ledger::Ledger;
 
-/// A replica that a front holds.
+/// A replica that this front holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// The shard.
+    /// The number of the shard.
     pub shard: u16,
-    /// The number of the shard's configuration: grows with each change of its members.
+    /// The number of the shard's configuration, which grows with each change of its members.
     pub config: u32,
-    /// This front leads the shard.
+    /// Whether this front leads the shard.
     pub is_leader: bool,
 }
 
-/// Replicas that differed from the majority of their shard when they were compared, so far.
+/// Counts of replicas that differed from the majority of their shard in a comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Differences {
-    /// Found by this front.
+    /// Differing replicas that this front found as a leader.
     pub found: u64,
-    /// Replicas of this front that were repaired.
+    /// Replicas of this front that were repaired after a comparison.
     pub repaired_here: u64,
 }
 
-/// The ledger's counters and its present state on this front.
+/// The ledger's counters since the start, and its current state on this front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Messages, records and requests that were refused, by reason.
+    /// Rejected messages and requests, by reason.
     pub rejected: std::collections::BTreeMap<&'static str, u64>,
     /// Shards of which this front holds a replica.
     pub replicas: usize,
-    /// Shards that it leads now.
+    /// Shards that this front leads now.
     pub led_shards: usize,
-    /// Of the shards it leads: replicas that are missing, by members that are silent or have yet to
-    /// catch up.
+    /// Missing replicas of the shards that this front leads: of members that are silent or have not
+    /// caught up.
     pub missing_replicas: usize,
-    /// Entries in its replicas.
+    /// Entries in this front's replicas.
     pub entries: usize,
     /// Bytes of those entries.
     pub bytes: usize,
-    /// Requests answered.
+    /// Answered requests of this front.
     pub answered: u64,
-    /// Rounds of the log that the answers took.
+    /// Rounds of the log that this front proposed as a leader.
     pub rounds: u64,
-    /// Replicas rebuilt.
+    /// Replicas added to shards that this front led, rebuilt or moved.
     pub rebuilt: u64,
-    /// Of them, those that moved though none was missing.
+    /// Those of the `rebuilt` replicas that were moved for balance, with no replica missing.
     pub rebalanced: u64,
-    /// Moves under way now.
+    /// Moves for balance in progress.
     pub moving_replicas: usize,
     /// Replicas that differed from the majority when this front compared them.
     pub differing: u64,
     /// Replicas of this front that were repaired after such a comparison.
     pub repaired_after_comparison: u64,
-    /// Shards that other leaders transferred to it.
+    /// Shards whose leadership this front accepted from another leader.
     pub accepted_leaderships: u64,
-    /// A save has failed: this front holds no replicas until it starts again.
+    /// A save has failed: this front holds no replicas until the ledger is reset.
     pub failed: bool,
 }
 
 impl Ledger {
-    /// The counters, and the present state of this front's replicas.
+    /// The counters, and the current state of this front's replicas.
     pub fn counters(&self) -> Counters {
         let mut counters = self.counters.clone();
         for view in &self.shards {
@@ -80,7 +80,7 @@
         counters
     }
 
-    /// Replicas that were found to differ from their majority, so far.
+    /// The counts of replicas that differed from their majority since the start.
     pub fn differences(&self) -> Differences {
         Differences {
             found: self.counters.differing,
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -1,5 +1,5 @@
-//! Durability before communication: what goes out waits for the saves that it depends on, so that
-//! no message or answer leaves before what it promises is durable.
+//! Durability before communication: messages and answers wait for the saves that they depend on, so
+//! that nothing is sent before the state that it relies on is durable.
 
 use crate::formats::OLDEST_FORMAT;
 use crate::ledger::{Ledger, UnsavedAnswers};
@@ -8,7 +8,8 @@
 use crate::{ClockReading, LedgerAnswer, Outcome, OutgoingPacket, Record, Save};
 
 impl Ledger {
-    /// Takes in what has happened, and gathers what is to go out.
+    /// Processes the shards that have changed, and collects the messages, saves and answers that
+    /// result.
     pub(crate) fn settle(&mut self, at: ClockReading) {
         while let Some(shard) = self.touched.pop_first() {
             self.settle_shard(at, shard);
@@ -30,7 +31,8 @@
                 format = format.max(replica.save_changes(&mut records));
             }
             if format > self.latest_saved_format {
-                // With the first of them, so that a build that can't read them finds that said.
+                // The header is saved with the first record of a later format, so that a build that
+                // can't read that record finds the format in the header.
                 self.latest_saved_format = format;
                 records.push(records::header(format, self.transport.fleet, self.own.disk));
             }
@@ -63,7 +65,7 @@
         });
     }
 
-    /// A save is durable, with those before it, or has failed.
+    /// Handles the outcome of a save: it and all earlier saves are durable, or it has failed.
     pub fn saved(&mut self, at: ClockReading, number: u64, ok: bool) {
         if !ok {
             self.fail();
@@ -78,8 +80,8 @@
         self.settle(at);
     }
 
-    /// Nothing can be kept any more: this front is a member of nothing until it starts again, and
-    /// says so.
+    /// Drops all replicas, as nothing can be saved any more: this front is a member of no shard
+    /// until [`Ledger::reset`], and its packets name no disk.
     pub(crate) fn fail(&mut self) {
         self.counters.failed = true;
         self.transport.disk = 0;
@@ -89,7 +91,7 @@
             (view.barred, view.leader_since, view.repair) = (u32::MAX, None, None);
         }
         self.records.clear();
-        // What rests on a save that failed may stand or not.
+        // A request whose save failed may or may not have taken effect.
         for unsaved in std::mem::take(&mut self.unsaved) {
             let unreachable = unsaved.answers.into_iter().map(|answer| LedgerAnswer {
                 outcome: Outcome::Unreachable,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Begins anew with another disk, or with none but memory: as a front that remembers nothing.
+    /// Restarts the ledger on another disk, or in memory only, as a front without any saved state.
     pub fn reset(&mut self, at: ClockReading, disk: u64) {
         self.fail();
         self.counters.failed = false;
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -4,35 +4,35 @@
 
 use crate::FrontId;
 
-/// What an entry is about.
+/// What an entry describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// An execution that is out under an order key.
+    /// An execution in flight under an order key.
     Order,
-    /// An execution that is out under a dedup key.
+    /// An execution in flight under a dedup key.
     Dedup,
-    /// A non-idempotent statement that was begun.
+    /// A non-idempotent statement that has been started.
     Begun,
-    /// Further executions spent in the budget's window.
+    /// Further executions charged to the retry budget within its window.
     Budget,
-    /// A drain or a start that was announced.
+    /// An announced drain or start.
     Drain,
     /// Access rules: the set in force and leases on it.
     Rules,
-    /// Hits of rules.
+    /// Hits of access rules.
     Hits,
     /// A load of data that summaries do not cover yet.
     Mark,
-    /// Shares that fronts hold of a rule's limit.
+    /// The shares of a rule's limit that fronts hold.
     Shares,
 }
 
-/// An entry's key; its shard follows from the whole of it.
+/// An entry's key. Both kind and name determine the entry's shard.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// What the entry is about.
+    /// What the entry describes.
     pub kind: Kind,
-    /// Its name among the entries of that kind.
+    /// The name, unique among the entries of that kind.
     pub name: String,
 }
 
@@ -41,86 +41,89 @@
 pub struct Owner {
     /// The front.
     pub front: FrontId,
-    /// When it started, in Unix milliseconds, as in gossip.
+    /// When the front started, in Unix milliseconds; the same number as in gossip.
     pub incarnation: u64,
 }
 
 /// One entry of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its key.
+    /// The entry's key.
     pub key: Key,
-    /// Who made it.
+    /// The front that made the entry.
     pub owner: Owner,
-    /// Grows with every change of a key; a key that comes back after its end goes on from a higher
-    /// one.
+    /// Grows with every change of a key; a key that is created again after its end continues with a
+    /// higher version.
     pub version: u64,
-    /// Unix milliseconds from which it counts for nothing; 0: never.
+    /// Unix milliseconds at which the entry expires; 0: never.
     pub ends_ms: u64,
-    /// What it says, as its owner has encoded it.
+    /// The content, as encoded by the owner.
     pub value: Vec<u8>,
 }
 
-/// What a request does with a key.
+/// The operation of a request on a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
-    /// Makes the entry if the key is free, its entry has ended or is the requester's own; else
-    /// [`Outcome::Held`].
+    /// Creates the entry if the key is free, its entry has expired or belongs to the requester;
+    /// otherwise [`Outcome::Held`].
     Claim {
-        /// Unix milliseconds at which the entry ends.
+        /// Unix milliseconds at which the entry expires; 0: never.
         ends_ms: u64,
         /// The entry's value.
         value: Vec<u8>,
     },
-    /// Compare and swap on the version; else [`Outcome::Held`], or [`Outcome::Absent`] where there
-    /// is no entry.
+    /// Compare-and-swap on the version; otherwise [`Outcome::Held`], or [`Outcome::Absent`] if
+    /// there is no entry.
     Put {
-        /// The version to be replaced: 0 where there is none, None for whatever is there.
+        /// The version to replace: 0 if there must be no entry, None for any version.
         expects: Option<u64>,
-        /// Unix milliseconds at which the entry ends.
+        /// Unix milliseconds at which the entry expires; 0: never.
         ends_ms: u64,
         /// The entry's value.
         value: Vec<u8>,
     },
-    /// Removes the requester's own entry: [`Outcome::Absent`]; another's is [`Outcome::Held`].
+    /// Removes the requester's entry, answered by [`Outcome::Absent`]; an entry of another owner is
+    /// answered by [`Outcome::Held`].
     Free,
-    /// Reads the entry, as of some moment between the request and its answer.
+    /// Reads the entry, as of some time between the request and its answer.
     Read,
 }
 
-/// A request of the ledger.
+/// A request to the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerRequest {
-    /// Chosen by the caller, unique in its incarnation and growing: a request made twice counts
-    /// once, and a claim or a free that comes late undoes none with a higher number.
+    /// Chosen by the caller, unique within its incarnation and increasing. A request with a
+    /// repeated number is applied once, and a claim or free that arrives late does not undo a
+    /// request with a higher number.
     pub number: u64,
-    /// The key that it is about.
+    /// The key that the request reads or changes.
     pub key: Key,
-    /// What it does.
+    /// The operation on the key.
     pub operation: Operation,
 }
 
-/// The answer to a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The entry as a quorum of the replicas has it: as the act made it, or as it was read.
+    /// The entry as held by a quorum of the replicas: as the request set it, or as it was read.
     Stands(Entry),
-    /// Another owner has the key, or the entry has another version than expected.
+    /// Another owner holds the key, or the entry has another version than expected.
     Held(Entry),
-    /// There is no such entry (any more).
+    /// There is no such entry, or it no longer exists.
     Absent,
-    /// No quorum answered in time: the act may take effect or not. The same number may be used
-    /// again.
+    /// No quorum answered in time, so the request may or may not take effect. It may be repeated
+    /// under the same number.
     Unreachable,
-    /// The shard holds as many entries or bytes as it may; nothing was changed.
+    /// The shard has reached its limit of entries or bytes, or the request is too long; nothing was
+    /// changed.
     Full,
 }
 
-/// An answered ask.
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerAnswer {
-    /// Of the request.
+    /// The number of the request.
     pub number: u64,
-    /// The answer.
+    /// The outcome of the request.
     pub outcome: Outcome,
 }
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -5,25 +5,25 @@
 /// Why a front can't take part in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The list of members is empty.
+    /// The member list is empty.
     #[error(
         "ledger: no members are named; name the fronts that keep copies, or leave the ledger out"
     )]
     NoMembers,
-    /// The list of members names this front twice.
+    /// The member list names a front twice.
     #[error("ledger: front {0:016x} is named twice among the members; name each front once")]
     DuplicateMember(FrontId),
-    /// There can't be so many replicas of a shard.
+    /// The number of replicas per shard is 0 or larger than the number of members.
     #[error(
         "ledger: {replication_factor} copies of {members} members; give 1 to {members} copies, or name more members"
     )]
     ReplicationFactor {
-        /// Replicas wanted of a shard.
+        /// The configured number of replicas per shard.
         replication_factor: usize,
-        /// Members in the list.
+        /// The number of members in the list.
         members: usize,
     },
-    /// There can't be so many shards.
+    /// The number of shards is out of range.
     #[error("ledger: {0} shards; give 1 to 1024, the same on every front")]
     Shards(u16),
     /// A saved record does not match its checksum, or can't be decoded.
@@ -32,23 +32,23 @@
         /// The record's name, as text.
         record: String,
     },
-    /// The records are in a later format than this build reads.
+    /// The records have a later format than this build reads.
     #[error("ledger: what was saved is of version {found}, this build reads {reads}; start the build that wrote it, or move the directory away")]
     Version {
         /// The format of the records.
         found: u8,
-        /// The latest that this build reads.
+        /// The latest format that this build reads.
         reads: u8,
     },
-    /// The records are of another fleet, or of another number of shards.
+    /// The records belong to another fleet, or were saved with another number of shards.
     #[error("ledger: what was saved is of another fleet, or was saved with other shards; give the front the directory of its own fleet")]
     Fleet,
-    /// The records are of another disk than the directory.
+    /// The records were saved under another disk identity than the directory's.
     #[error("ledger: what was saved is of disk {found:016x}, the directory is {given:016x}; give the directory back as it was, or an empty one")]
     Disk {
-        /// The disk that the records name.
+        /// The disk identity in the records.
         found: u64,
-        /// The disk that was given.
+        /// The disk identity of the directory.
         given: u64,
     },
 }
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Takes in packets of other fronts, and passes each message on to the part that it is for.
+//! Receives packets from other fronts, and dispatches each message to the code that handles it.
 
 use omnipaxos::messages::Message;
 
@@ -18,15 +18,15 @@
 use crate::state::{State, StateAt};
 use crate::{ClockReading, FrontId, Owner};
 
-/// A message of the consensus library, and its number in its sender's order; 0: it need not come in
-/// order.
+/// A message of the consensus library, and its number in its sender's order; 0 if the order does
+/// not matter.
 struct NumberedMessage {
     number: u64,
     message: Message<Batch>,
 }
 
 impl Ledger {
-    /// A packet of a front has come, whose signature holds.
+    /// Handles a packet from another front. The caller has verified its signature.
     pub fn receive(&mut self, at: ClockReading, from: FrontId, bytes: &[u8]) {
         if from == self.own.front {
             return self.reject(Rejection::OwnPacket);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Requests for entries, and what answers them.
+    /// Handles requests for entries and the answers to them.
     fn handle_request(&mut self, at: ClockReading, from: FrontId, message: LedgerMessage) {
         match message {
             LedgerMessage::Request { shard, command } => {
@@ -129,11 +129,11 @@
                 };
                 self.key_is_free(CommandId { owner, number });
             }
-            _ => {} // answers to an earlier incarnation of this front
+            _ => {} // an answer to an earlier incarnation of this front
         }
     }
 
-    /// The comparison of replicas.
+    /// Handles messages of the comparison of replicas.
     fn handle_comparison(&mut self, at: ClockReading, sender: ReplicaId, message: LedgerMessage) {
         match message {
             LedgerMessage::Hashes {
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Who the members of a shard are, who can become one, and what a new one starts from.
+    /// Handles messages about a shard's members, candidates, and the state that a new member starts
+    /// from.
     fn handle_membership(
         &mut self,
         at: ClockReading,
@@ -198,7 +199,7 @@
         }
     }
 
-    /// The leader says that messages of its log may have been lost.
+    /// Handles the leader's notice that messages of its log may have been lost.
     fn receive_resync(&mut self, sender: ReplicaId, configuration: ConfigurationId) {
         let ConfigurationId { shard, config } = configuration;
         let view = self.shards.get_mut(usize::from(shard));
@@ -211,7 +212,7 @@
         }
     }
 
-    /// A snapshot for a front that is to become a member: kept until it does.
+    /// Stores a snapshot for a front that is about to become a member, until it does.
     fn receive_snapshot(
         &mut self,
         at: ClockReading,
@@ -242,7 +243,8 @@
         self.transport.send(at, from, &message, Pace::Fast);
     }
 
-    /// The new member of a change of members that this front leads has taken in the snapshot.
+    /// Records that the new member, in a membership change led by this front, has received the
+    /// snapshot.
     fn record_caught_up(&mut self, sender: ReplicaId, configuration: ConfigurationId, index: u64) {
         let view = self.shards.get_mut(usize::from(configuration.shard));
         let repair = view.and_then(|view| view.repair.as_mut());
@@ -253,8 +255,8 @@
         }
     }
 
-    /// A message of the log: for the configuration that this front is in, an earlier one or a later
-    /// one.
+    /// Handles a message of the log, which may belong to this replica's configuration, an earlier
+    /// or a later one.
     fn receive_log_message(
         &mut self,
         at: ClockReading,
@@ -270,7 +272,8 @@
             .get(usize::from(shard))
             .and_then(|view| view.replica.as_ref());
         if replica.is_some_and(behind) && self.touched.contains(&shard) {
-            // What came with it may have decided on the members that it is from.
+            // Earlier messages of the same packet may have decided the configuration that this one
+            // belongs to.
             self.settle_shard(at, shard);
         }
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
@@ -278,7 +281,7 @@
         };
         match &mut view.replica {
             Some(replica) if replica.config == config => {
-                // One that came back with another disk does not speak for the member that it was.
+                // A front that came back with another disk is not the member that it was before.
                 if !replica.members.contains(&sender.id) {
                     return self.reject(Rejection::NotMember);
                 }
@@ -294,7 +297,7 @@
             }
             Some(replica) if replica.config > config => self.send_membership(at, sender.id, shard),
             _ => {
-                // Members speak of it: it has begun.
+                // A member sends messages of the shard's log, so the shard has started.
                 view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
                 self.announce(at, sender.id.front, shard);
             }
--- a/crates/ledger/src/key_queues.rs
+++ b/crates/ledger/src/key_queues.rs
@@ -1,23 +1,27 @@
-//! Queues of fronts that wait for a key that another front has, held by the shard's leader: in the
-//! order in which they came. The first one is told once the key is free, and for a while the key is
-//! reserved for it. Nothing depends on a queue: it is lost with its leader, and the fronts in it
-//! ask again by themselves.
+//! Queues of fronts that wait for a key held by another front, kept by the shard's leader in order
+//! of arrival. The first front is notified when the key is free, and the key stays reserved for it
+//! for a while. Queues are an optimisation and not replicated: they are lost with the leader, and
+//! the waiting fronts repeat their requests anyway.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::batch::{Command, CommandId};
 use crate::{Key, Kind, Micros, Operation, Outcome, Owner};
 
-/// Microseconds without a request until a front leaves a queue.
+/// Microseconds without a request after which a front is removed from a queue.
 const WAITER_TIMEOUT: Micros = 1_000_000;
-const RESERVED_FOR: Micros = 100_000; // microseconds for which a free key is reserved for the first
-const MAX_DEFERRAL: Micros = 200_000; // microseconds that a request is deferred at most
-const MAX_KEYS: usize = 1_024; // keys with a queue, of a shard
-const MAX_WAITING: usize = 64; // fronts in a queue; others ask again by themselves
+/// Microseconds for which a free key stays reserved for the first front in its queue.
+const RESERVED_FOR: Micros = 100_000;
+/// Maximum time in microseconds that a request is deferred because of a reservation.
+const MAX_DEFERRAL: Micros = 200_000;
+/// Maximum number of keys with a queue, per shard.
+const MAX_KEYS: usize = 1_024;
+/// Maximum number of fronts in a queue; further fronts are not notified and retry on their own.
+const MAX_WAITING: usize = 64;
 
 struct Waiting {
     owner: Owner,
-    /// Of its latest request.
+    /// The number of the front's latest request.
     number: u64,
     ends: Micros,
 }
@@ -25,7 +29,8 @@
 #[derive(Default)]
 struct KeyQueue {
     waiting: VecDeque<Waiting>,
-    /// Until when the key is reserved for the first of them, which has been told that it is free.
+    /// Until when the key is reserved for the first waiter, which has been notified that it is
+    /// free.
     reserved_until: Option<Micros>,
 }
 
@@ -33,7 +38,7 @@
 #[derive(Default)]
 pub(crate) struct KeyQueues(BTreeMap<Key, KeyQueue>);
 
-/// Whether it asks for a key that only one front can have at a time.
+/// Whether the command requests a key that only one front can hold at a time.
 fn claims(command: &Command) -> bool {
     let kind = matches!(command.key.kind, Kind::Order | Kind::Dedup);
     kind && matches!(
@@ -51,7 +56,7 @@
         self.0.clear();
     }
 
-    /// Takes in the outcome of a request, of a front that can be told when the key is free.
+    /// Updates the queue of a key after a request from a front that can be notified of free keys.
     pub fn record(&mut self, now: Micros, command: &Command, outcome: &Outcome) {
         if !claims(command) {
             return;
@@ -88,7 +93,7 @@
                     ends,
                 };
                 if position == 0 {
-                    queue.reserved_until = None; // another was before it after all
+                    queue.reserved_until = None; // the key is held by another front after all
                 }
             }
             None if queue.waiting.len() < MAX_WAITING => {
@@ -102,7 +107,8 @@
         }
     }
 
-    /// Whether a request that came then is put off, as the key is reserved for another front.
+    /// Whether to defer a request received at `received_at`, as the key is reserved for another
+    /// front.
     pub fn is_reserved_for_another(&self, now: Micros, command: &Command, came: Micros) -> bool {
         let queue = self
             .0
@@ -114,7 +120,7 @@
             && now - came < MAX_DEFERRAL
     }
 
-    /// The latest requests of the fronts that are to be told that a key is free.
+    /// The latest requests of the fronts to be notified that a key is free.
     pub fn freed_keys(&mut self, now: Micros, is_free: impl Fn(&Key) -> bool) -> Vec<CommandId> {
         let mut freed = Vec::new();
         self.0.retain(|key, queue| {
@@ -125,7 +131,7 @@
                 .is_some()
                 && queue.waiting.len() > 1
             {
-                queue.waiting.swap(0, 1); // it has not come: the next goes before it, once
+                queue.waiting.swap(0, 1); // the notified front has not claimed the key: the next one goes before it, once
             }
             queue.waiting.retain(|waiting| waiting.ends > now);
             let Some(next) = queue.waiting.front() else {
--- a/crates/ledger/src/leader_placement.rs
+++ b/crates/ledger/src/leader_placement.rs
@@ -1,30 +1,30 @@
-//! Which of its members is to lead each shard: spread so that no front leads over 1.25 times its
-//! fair part, where that is a whole shard more than the part. Follows from the placement alone,
-//! which is the same on all fronts.
+//! Decides which member is to lead each shard, such that no front leads more than 1.25 times its
+//! fair share, where that is at least a whole shard more than the share. The result depends on the
+//! placement only, which is the same on all fronts.
 
 use std::collections::BTreeMap;
 
 use crate::FrontId;
 
-/// Hundredths of a front's fair part that it leads at most.
+/// Maximum number of led shards in percent of a front's fair share.
 const MAX_SHARE_PERCENT: usize = 125;
 
-/// An assignment of leaders under way: a bipartite matching of shards to fronts with bounded loads,
-/// by augmenting paths.
+/// An assignment of leaders in progress: a bipartite matching of shards to fronts with bounded
+/// loads, by augmenting paths.
 struct Assignment<'a> {
     /// The fronts that hold each shard.
     placed: &'a [Vec<FrontId>],
-    /// The leader of each shard, so far.
+    /// The leader of each shard, as far as assigned.
     leaders: Vec<Option<FrontId>>,
-    /// The shards that each front leads, so far.
+    /// The shards that each front leads, as far as assigned.
     led: BTreeMap<FrontId, Vec<usize>>,
-    /// Shards that a front may lead at most.
+    /// Maximum number of shards that a front may lead.
     bound: usize,
 }
 
 impl Assignment<'_> {
-    /// Finds a leader for the shard; a front that leads as many as it may (those asked so far)
-    /// passes one of its shards on to another of that shard's members.
+    /// Finds a leader for the shard. A front at its limit passes one of its shards on to another
+    /// member of that shard; `visited` are the fronts already tried.
     fn find_leader(&mut self, shard: usize, asked: &mut Vec<FrontId>) -> bool {
         let placed = self.placed;
         let members = &placed[shard];
@@ -66,7 +66,8 @@
     }
 }
 
-/// Who is to lead each shard, of the fronts that hold it; `fronts` hold shards in all.
+/// The preferred leader of each shard among the fronts that hold it; None for a shard without any.
+/// `fronts` is the number of fronts that hold shards.
 pub(crate) fn preferred_leaders(placed: &[Vec<FrontId>], fronts: usize) -> Vec<Option<FrontId>> {
     let (shards, fronts) = (placed.len(), fronts.max(1));
     let bound = (shards * MAX_SHARE_PERCENT / 100 / fronts).max(shards.div_ceil(fronts));
@@ -77,7 +78,7 @@
         bound,
     };
     for (shard, members) in placed.iter().enumerate() {
-        // Where too few fronts hold them, some lead more.
+        // If too few fronts hold the shards, some lead more than the limit.
         while !members.is_empty() && !assignment.find_leader(shard, &mut Vec::new()) {
             assignment.bound += 1;
         }
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -1,7 +1,7 @@
 //! Leader transfer: a front that shuts down asks another member of each shard that it leads to take
-//! over, which does so at once with a ballot of its own, without waiting for an election timeout.
-//! Asks that wait here are asked again there. A leader also yields a shard to the member that is
-//! preferred for it, so that leaders stay spread.
+//! over. That member starts a ballot at once, without waiting for an election timeout, and requests
+//! that were queued here are repeated there. A leader also yields a shard to the shard's preferred
+//! leader, which keeps the leaders spread.
 
 use std::collections::BTreeSet;
 
@@ -15,23 +15,25 @@
 use crate::shard_view::ShardView;
 use crate::{ClockReading, FrontId, Micros};
 
-/// Microseconds until another candidate is asked: some round trips and a sync.
+/// Microseconds until another candidate is asked: enough for some round trips and a sync.
 const RETRY: Micros = 150_000;
-/// Microseconds since a candidate was heard at most: three heartbeats.
+/// Maximum microseconds since the last packet of a candidate: three heartbeats.
 const HEARD_WITHIN: Micros = 1_000_000;
-/// Microseconds that a front runs, and a shard has one leader, before that yields.
+/// Microseconds for which a front has run, and a leader has led, before a shard is yielded.
 const SETTLED_AFTER: u64 = 2_000_000;
-const YIELD_INTERVAL: Micros = 500_000; // microseconds between shards that a front yields
+/// Minimum microseconds between two shards that a front yields.
+const YIELD_INTERVAL: Micros = 500_000;
 
 impl Peer {
-    /// It has run for a while, by its Unix clock and this one's.
+    /// Whether the peer has run for the settling time, by its Unix clock and this front's.
     fn is_settled(&self, at: ClockReading) -> bool {
         at.wall_ms.saturating_sub(self.incarnation) >= SETTLED_AFTER / 1_000
     }
 }
 
 impl Ledger {
-    /// This front is shutting down: from now on it leads nothing that another front can lead.
+    /// Starts to shut down: from now on this front hands over every shard that another front can
+    /// lead.
     pub fn begin_shutdown(&mut self, at: ClockReading) {
         if self.shutdown.is_none() {
             self.shutdown = Some(Shutdown {
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Whether it still leads a shard that another front could lead.
+    /// Whether this front still leads a shard that has other members.
     pub fn leads_transferable_shard(&self) -> bool {
         let others = self.shards.iter().filter(|view| view.members().len() > 1);
         others
@@ -51,8 +53,8 @@
             .any(Replica::is_leader)
     }
 
-    /// Asks candidates to take over the shards that this front leads, where that is due, and tells
-    /// all members that it is shutting down.
+    /// Asks candidates to take over the shards that this front leads, if that is due, and announces
+    /// the shutdown to all members.
     pub(crate) fn transfer_leadership(&mut self, at: ClockReading) {
         let now = at.steady;
         let Some(shutdown) = self
@@ -82,8 +84,8 @@
         self.announce_shutdown(at);
     }
 
-    /// The members that can lead a shard instead of this front, the best first; the next one is
-    /// asked where one does not take it, as it may be shutting down itself.
+    /// The members that can take over a shard, the best first. Successive attempts ask different
+    /// candidates, as one that does not take over may be shutting down itself.
     fn transfer_candidates(
         &self,
         at: ClockReading,
@@ -101,7 +103,7 @@
         let members = replica.members.iter().map(|member| member.front);
         let mut candidates: Vec<FrontId> = members.filter(is_candidate).collect();
         let rank = |front: &FrontId| view.wanted.iter().position(|wanted| wanted == front);
-        // One that has just started may not know yet who leads the shard.
+        // A front that has just started may not know the shard's leader yet.
         let unsettled = |front: &FrontId| {
             self.peers
                 .get(front)
@@ -117,7 +119,7 @@
         candidates
     }
 
-    /// Tells the other members of all shards held here that this front is shutting down.
+    /// Announces to the other members of all shards held here that this front is shutting down.
     fn announce_shutdown(&mut self, at: ClockReading) {
         let replicas = self.shards.iter().filter_map(|view| view.replica.as_ref());
         let members =
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Another front has said in its present incarnation that it is shutting down.
+    /// Whether another front has announced in its current incarnation that it is shutting down.
     fn is_shutting_down(&self, front: FrontId) -> bool {
         let peer = self.peers.get(&front).map(|peer| peer.incarnation);
         self.shutting_down
@@ -139,8 +141,8 @@
             .is_some_and(|incarnation| Some(*incarnation) == peer)
     }
 
-    /// Transfers a shard to the member that is preferred as its leader, once that one has run for a
-    /// while: a front that was restarted gets its part again.
+    /// Transfers a shard to its preferred leader once that front has run for the settling time, so
+    /// that a restarted front leads its share again.
     pub(crate) fn yield_leadership(&mut self, at: ClockReading, shard: u16) {
         let (now, own) = (at.steady, self.own.front);
         let Some(view) = self.shards.get(usize::from(shard)) else {
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Whether a shard that this front keeps would have no majority without it, as others of its
-    /// members are away: an end had better wait for them. Of two that leave at once the one with
+    /// Whether a shard held here would have no quorum without this front because other members are
+    /// away; a shutdown should wait for them. Of two fronts that shut down at once, the one with
     /// the lower id does not wait for the other.
     pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
         let here = |member: &ReplicaId| {
@@ -207,7 +209,7 @@
             .any(needed)
     }
 
-    /// The leader of a shard asks this front to take it over.
+    /// Handles the leader's request to take over a shard.
     pub(crate) fn accept_leadership(&mut self, from: FrontId, shard: u16, config: u32) {
         if self.shutdown.is_some() {
             return;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,5 +1,5 @@
-//! A front's part in the ledger: its own requests, the replicas that it holds, and the messages
-//! between them.
+//! A front's node of the ledger: its requests, the replicas that it holds, and the messages between
+//! them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -22,22 +22,23 @@
     Setup,
 };
 
-pub(crate) const TICK: Micros = 50_000; // microseconds between turns of the logs' clocks
+/// Microseconds between ticks of the logs' clocks.
+pub(crate) const TICK: Micros = 50_000;
 
-/// What a front that is shutting down has done to transfer its shards.
+/// The progress of a shutting-down front in handing over its shards.
 pub(crate) struct Shutdown {
     pub retry_at: Micros,
     pub attempts: usize,
 }
 
-/// Answers that are given once a save is durable.
+/// Answers that are withheld until a save is durable.
 pub(crate) struct UnsavedAnswers {
-    /// Of the save.
+    /// The number of the save.
     pub number: u64,
     pub answers: Vec<LedgerAnswer>,
 }
 
-/// A front's part in the ledger: its own requests, and the replicas that it holds.
+/// A front's node of the ledger: its requests, and the replicas that it holds.
 pub struct Ledger {
     pub(crate) setup: Setup,
     pub(crate) own: ReplicaId,
@@ -45,22 +46,22 @@
     pub(crate) peers: BTreeMap<FrontId, Peer>,
     pub(crate) away: Away,
     pub(crate) shutdown: Option<Shutdown>,
-    /// Others that are to end, with their incarnations.
+    /// Other fronts that have announced a shutdown, with the incarnation that announced it.
     pub(crate) shutting_down: BTreeMap<FrontId, u64>,
-    /// When this front may next leave a shard to the one that is to own it.
+    /// When this front may next yield a shard to its preferred leader.
     pub(crate) yield_at: Micros,
     pub(crate) pending: PendingRequests,
     pub(crate) transport: Transport,
-    /// What must be durable before anything more is sent, beside the logs.
+    /// Records, in addition to the logs, that must be durable before anything more is sent.
     pub(crate) records: Vec<Record>,
     pub(crate) next_save: u64,
-    /// Answers that wait for a save, in order of its number.
+    /// Answers that wait for a save, ordered by the number of the save.
     pub(crate) unsaved: VecDeque<UnsavedAnswers>,
     pub(crate) done: Vec<LedgerAnswer>,
     pub(crate) out: Output,
     pub(crate) tick_at: Micros,
     pub(crate) maintain_at: Micros,
-    /// Shards in which something may have happened.
+    /// Shards that may have changed since they were last processed.
     pub(crate) touched: BTreeSet<u16>,
     pub(crate) counters: Counters,
     /// The latest format of any saved record.
@@ -70,8 +71,8 @@
 }
 
 impl Ledger {
-    /// `saved` is what an earlier incarnation on the same disk gave out to be saved; None only
-    /// where there was none.
+    /// Creates the node. `saved` is what an earlier incarnation on the same disk saved; None only
+    /// if it saved nothing. Fails if the setup or the saved records can't be used.
     pub fn new(at: ClockReading, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
         setup.check()?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
@@ -124,7 +125,7 @@
         Ok(ledger)
     }
 
-    /// Goes on with a shard from what was saved of it.
+    /// Restores a shard from its saved records.
     fn reopen(&mut self, shard: u16, saved: SavedShard) -> Result<(), Error> {
         let own = self.own;
         let view = self
@@ -156,7 +157,8 @@
         Ok(())
     }
 
-    /// Does what is due.
+    /// Runs everything that is due: timeouts and retries of requests, the clocks of the logs,
+    /// maintenance and leader transfer.
     pub fn tick(&mut self, at: ClockReading) {
         let due = self.pending.due_now(at);
         let unreachable = due.expired.into_iter().map(|number| LedgerAnswer {
@@ -168,7 +170,8 @@
             self.send_request(at, number);
         }
         if self.tick_at <= at.steady {
-            // One that stood still does not catch up: the logs' clocks count turns they had.
+            // After a stall, missed ticks are not made up for: the logs' clocks count only ticks
+            // that ran.
             self.tick_at = at.steady + TICK;
             self.tick_logs(at);
             self.maintain(at);
@@ -177,7 +180,8 @@
         self.settle(at);
     }
 
-    /// One tick of the clock of each log; asks members to resync that may have missed messages.
+    /// Advances the clock of each log by one tick, and asks members that may have missed messages
+    /// to resync.
     fn tick_logs(&mut self, at: ClockReading) {
         for (shard, view) in (0..).zip(&mut self.shards) {
             let Some(replica) = &mut view.replica else {
@@ -193,7 +197,7 @@
         }
     }
 
-    /// When `tick` is next due, on the steady clock.
+    /// When `tick` is next due, on the monotonic clock; [`Micros::MAX`] if never.
     pub fn due(&self) -> Micros {
         let keeps = self
             .shards
@@ -205,7 +209,7 @@
             .min(self.transfer_due())
     }
 
-    /// Takes what is to be sent, saved and answered since the last call.
+    /// Removes and returns the messages, saves and answers since the last call.
     pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,32 +1,40 @@
-//! The replicated ledger: entries that fronts rely on, which outlive the machine that made them. Entries belong to
-//! shards by key. Each shard is a replicated log (OmniPaxos) on a few fronts, in different zones where there are any.
-//! Free of sockets, clocks, files and randomness: the caller passes in messages, the time and the saved records, and
-//! sends and saves what comes out.
+//! The replicated ledger: entries that fronts rely on and that outlive the machine that made them.
+//! Entries belong to shards by key. Each shard is a replicated log (OmniPaxos) on a few fronts, in
+//! different zones if there are several. The crate uses no sockets, clocks, files or randomness:
+//! the caller passes in messages, the time and the saved records, and sends and saves the output.
 //!
 //! # What is lost with a disk
 //!
 //! A request is answered once a quorum of the shard's replicas has made its effect durable. So:
 //!
-//! - One disk lost: no entry is lost. The front comes back with a new [`DiskId`], as a replica that has promised nothing;
-//!   the shard's leader replaces the old replica by the new one, or by another front after [`Setup::repair_after`].
-//! - A quorum of a shard's disks lost before they are replaced (two of three): entries of that shard can be lost.
+//! - One disk lost: no entry is lost. The front comes back with a new [`DiskId`], as a replica
+//!   without any Paxos promises; the shard's leader replaces the old replica by the new one, or by
+//!   another front after [`Setup::repair_after`].
+//! - A quorum of a shard's disks lost before they are replaced (two of three): entries of that
+//!   shard can be lost.
 //! - A front that is down with its disk intact loses nothing: it reads its records and catches up.
-//! - A front that keeps its replicas in memory only loses them with the process, as if the disk were lost.
-//! - In memory alone, and lost with every process: requests under way, queues of fronts that wait for a key, counters.
+//! - A front that keeps its replicas in memory only loses them with the process, as if the disk
+//!   were lost.
+//! - Only in memory, and lost with every process: requests in progress, queues of fronts that wait
+//!   for a key, counters.
 //!
 //! # Requests
 //!
-//! A request made twice counts once (a repeated claim is answered by the entry as it is then): it is known by its front,
-//! the front's incarnation and its number. The number may be repeated for [`REMEMBERED_MS`] after it was first used;
-//! later it is answered [`Outcome::Unreachable`].
+//! A request is identified by its front, the front's incarnation and its number, and is applied
+//! once even if it is repeated (a repeated claim is answered with the current entry). The number
+//! may be repeated for [`ANSWER_RETENTION_MS`] after it was first used; later it is answered with
+//! [`Outcome::Unreachable`].
 //!
 //! # Where to look
 //!
-//! - A request: `requests` (this front's and others'), `pending_requests` (retries), `rounds` (commit and answer),
-//!   `state` (what an operation does), `key_queues` (who is next for a key).
-//! - Durability: `durability` (nothing leaves before its save), `records` (what is saved), `replica`, `log`.
-//! - Members: `bootstrap` (a shard's start), `maintenance` and `repair` (replaced replicas), `membership` (the next
-//!   configuration), `rebalance`, `balance` and `placement` (where replicas are placed), `away` (who is waited for).
+//! - Requests: `requests` (from this front and others), `pending_requests` (retries), `rounds`
+//!   (commit and answer), `state` (what an operation does), `key_queues` (which front is next for a
+//!   key).
+//! - Durability: `durability` (nothing is sent before its save), `records` (what is saved),
+//!   `replica`, `log`.
+//! - Members: `bootstrap` (a shard's start), `maintenance` and `repair` (replacing replicas),
+//!   `membership` (the next configuration), `rebalance`, `balance` and `placement` (where replicas
+//!   are placed), `away` (absent fronts).
 //! - Leaders: `leader_transfer` (shutdown and yielding), `leader_placement`.
 //! - Anti-entropy: `anti_entropy`, `comparison`.
 //! - Messages: `incoming`, `messages`, `transport`, `formats`, `peer_formats`, `rejection`.
@@ -88,65 +96,68 @@
 
 /// A time on a monotonic clock, or a duration, in microseconds.
 pub type Micros = i64;
-/// A front: the first eight bytes of its public key.
+/// The identity of a front: the first eight bytes of its public key.
 pub type FrontId = u64;
-/// A directory's identity, drawn when it is made: a front with another one holds none of its replicas.
+/// The identity of a disk directory, drawn at random when the directory is created. A front that
+/// comes back with another one holds none of its replicas.
 pub type DiskId = u64;
 
-/// Milliseconds for which the answer to a request is remembered, so that a repeat counts once.
+/// Milliseconds for which the answer to a request is retained, so that a repeat is applied once.
 pub const ANSWER_RETENTION_MS: u64 = 10_000;
 
-/// One moment on a front's clocks.
+/// A reading of a front's clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// Microseconds on a monotonic clock that runs evenly.
+    /// Microseconds on a monotonic clock that is never stepped.
     pub steady: Micros,
-    /// Unix time in milliseconds: entries end by it.
+    /// Unix time in milliseconds, by which entries expire.
     pub wall_ms: u64,
 }
 
-/// One record to be saved, by its name.
+/// One record to save, identified by its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Replaces the record saved under the same name.
+    /// The name; the record replaces the one saved under the same name.
     pub name: Vec<u8>,
-    /// Its content; None: it is to be removed.
+    /// The content; None removes the record.
     pub bytes: Option<Vec<u8>>,
 }
 
-/// An encoded message to another front, for one datagram.
+/// An encoded packet to another front, for one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingPacket {
     /// The receiver.
     pub to: FrontId,
-    /// The message, to be sealed and sent as it is.
+    /// The packet, to be sealed and sent unchanged.
     pub bytes: Vec<u8>,
 }
 
-/// Records that must be durable, as a whole, before the messages beside them leave; in order of numbers. Without records
-/// its messages only wait for the saves before it.
+/// Records that must be durable, all of them, before the packets of the same save are sent. Saves
+/// complete in the order of their numbers. A save without records makes its packets wait for the
+/// earlier saves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Save {
-    /// By which [`Ledger::saved`] is told of the outcome.
+    /// The number that identifies the save in [`Ledger::saved`].
     pub number: u64,
-    /// To be written in this order.
+    /// The records, to be written in this order.
     pub records: Vec<Record>,
-    /// They may leave once the records are durable.
+    /// The packets to send once the records are durable.
     pub packets: Vec<OutgoingPacket>,
 }
 
-/// All records, by name, as they were saved last.
+/// All records, by name, as last saved.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Saved(pub Vec<(Vec<u8>, Vec<u8>)>);
 
-/// What is to be sent, saved and answered.
+/// Messages to send, records to save, and answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// They may leave at once.
+    /// Packets to send at once.
     pub packets: Vec<OutgoingPacket>,
-    /// In order of their numbers.
+    /// Saves, in order of their numbers.
     pub saves: Vec<Save>,
-    /// Answers to this front's own requests; each gets one. One for an order or dedup key that was `Held` may get
-    /// `Absent` later: the key is free now, and this front is next.
+    /// Answers to this front's requests, one for each. A request for an order or dedup key that was
+    /// answered `Held` may get a second answer `Absent`: the key is free now, and this front is
+    /// next.
     pub answers: Vec<LedgerAnswer>,
 }
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -1,4 +1,5 @@
-//! A shard's log: replicated with the other members by OmniPaxos, or this front's own where it is the only member.
+//! A shard's log: replicated among the members by OmniPaxos, or local if this front is the only
+//! member.
 
 use hallmux_replica::{LogState, LogStore};
 use omnipaxos::messages::Message;
@@ -12,24 +13,28 @@
 use crate::state::State;
 use crate::FrontId;
 
-const ELECTION_TICKS: u64 = 6; // 300 ms without a heartbeat of a leader
-const RESEND_TICKS: u64 = 4; // 200 ms until a message counts as lost
-const COMPACT_AFTER: usize = 64; // decided entries until the log is compacted: a follower further behind gets a snapshot
+/// Ticks without a heartbeat of a leader until an election: 300 ms.
+const ELECTION_TICKS: u64 = 6;
+/// Ticks until a message counts as lost: 200 ms.
+const RESEND_TICKS: u64 = 4;
+/// Decided entries after which the log is compacted. A follower that is further behind gets a
+/// snapshot.
+const COMPACT_AFTER: usize = 64;
 
 enum Consensus {
     Replicated(Box<OmniPaxos<Batch, LogStore<Batch>>>),
     Single,
 }
 
-/// What became of a message that was received.
+/// The result of receiving a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Received {
     Accepted,
-    /// A later message of its sender has come before.
+    /// A later message from the same sender was received before.
     OutOfOrder,
-    /// Its sender is no member, or speaks for another.
+    /// The sender is not a member, or claims to be another member.
     NotMember,
-    /// It contradicts what is decided: one side has lost what it had promised.
+    /// The message contradicts decided entries: the sender or this front has lost Paxos promises.
     Contradiction,
 }
 
@@ -42,38 +47,39 @@
     stall: Stall,
 }
 
-/// The commit index, and for how many ticks it has not moved though more was proposed.
+/// The commit index, and for how many ticks it has not moved while entries are undecided.
 #[derive(Clone, Copy, Default)]
 struct Stall {
     decided: usize,
     ticks: u64,
 }
 
-/// The leader of a shard as far as a member knows.
+/// A shard's leader, as known to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Leader {
     pub front: FrontId,
-    /// It takes proposals.
+    /// Whether the leader accepts proposals.
     pub is_ready: bool,
 }
 
-/// A message of the log, and who it is for.
+/// A message of the log, and its receiver.
 pub(crate) struct LogMessage {
     pub to: FrontId,
     pub message: Message<Batch>,
 }
 
-/// What is decided from some entry on.
+/// The decided content of the log from some index on.
 #[derive(Default)]
 pub(crate) struct DecidedSuffix {
-    /// The state to start from, where the log was compacted beyond that entry.
+    /// The state to start from, if the log was compacted beyond that index.
     pub state: Option<State>,
-    /// The batches after it.
+    /// The batches from that index on, or those after the state.
     pub batches: Vec<Batch>,
 }
 
 impl Log {
-    /// `preferred` leads where nobody does yet. None where this front is not among the members.
+    /// Creates the log. The `preferred` front wins the first election if there is no leader yet.
+    /// None if this front is not among the members.
     pub fn new(
         config: u32,
         members: &[ReplicaId],
@@ -117,7 +123,7 @@
         self.members.get(position).map(|member| member.front)
     }
 
-    /// Who leads the shard as far as this member knows, and whether that one is ready for asks.
+    /// The shard's leader as known to this member, and whether it is ready for requests.
     pub fn leader(&self) -> Option<Leader> {
         match &self.consensus {
             Consensus::Single => Some(Leader {
@@ -137,7 +143,8 @@
             .is_some_and(|leader| leader.front == self.own && leader.is_ready)
     }
 
-    /// One tick of the log's clock; whether other members should ask for what they may have missed.
+    /// Advances the log's clock by one tick; true if the other members should ask for messages that
+    /// they may have missed.
     pub fn tick(&mut self) -> bool {
         let under_way = self.is_leader() && self.has_pending();
         let Consensus::Replicated(log) = &mut self.consensus else {
@@ -149,13 +156,13 @@
             self.stall = Stall { decided, ticks: 0 };
             return false;
         }
-        // The library sends a proposal once, and notices its loss only by the next: with one under way at a time there
-        // is none.
+        // The library sends a proposal once and notices its loss only from the next proposal. There
+        // is no next one while proposals are made one at a time.
         self.stall.ticks += 1;
         self.stall.ticks.is_multiple_of(RESEND_TICKS)
     }
 
-    /// Asks the leader for what was missed, as if the connection to it were new.
+    /// Asks the leader for missed messages, as if the connection to it were new.
     pub fn resync(&mut self, leader: FrontId) {
         let position = self
             .members
@@ -166,14 +173,14 @@
         }
     }
 
-    /// Tries to lead the shard now, rather than once a leader is missed.
+    /// Tries to become leader now, without waiting for an election timeout.
     pub fn campaign(&mut self) {
         if let Consensus::Replicated(log) = &mut self.consensus {
             log.try_become_leader();
         }
     }
 
-    /// A message of a member.
+    /// Handles a message from a member.
     pub fn receive(&mut self, from: FrontId, message: Message<Batch>) -> Received {
         let known = self.front(message.get_sender()) == Some(from)
             && self.front(message.get_receiver()) == Some(self.own);
@@ -183,7 +190,8 @@
         if !known || from == self.own {
             return Received::NotMember;
         }
-        // The library panics on what no member that keeps to the rules can say: that must not end the front.
+        // The library panics on messages that no correct member can send. The panic is caught so
+        // that it does not end the process.
         let taken = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             log.handle_incoming(message)
         }));
@@ -194,7 +202,7 @@
         }
     }
 
-    /// Takes the messages that are to be sent to other members.
+    /// Removes and returns the messages to be sent to other members.
     pub fn take_messages(&mut self) -> Vec<LogMessage> {
         let mut messages = Vec::new();
         if let Consensus::Replicated(log) = &mut self.consensus {
@@ -207,7 +215,7 @@
         messages.into_iter().filter_map(addressed).collect()
     }
 
-    /// Whether something that was proposed is not decided yet.
+    /// Whether a proposal is not decided yet.
     pub fn has_pending(&self) -> bool {
         match &self.consensus {
             Consensus::Replicated(log) => log.get_accepted_idx() > log.get_decided_idx(),
@@ -215,7 +223,7 @@
         }
     }
 
-    /// Proposes a batch; false if that can't be now.
+    /// Proposes a batch; false if the log can't accept proposals now.
     pub fn append(&mut self, batch: Batch) -> bool {
         match &mut self.consensus {
             Consensus::Replicated(log) => log.append(batch).is_ok(),
@@ -227,7 +235,7 @@
         }
     }
 
-    /// The commit index: the number of entries that are decided.
+    /// The commit index: the number of decided entries.
     pub fn decided(&self) -> usize {
         match &self.consensus {
             Consensus::Replicated(log) => log.get_decided_idx(),
@@ -240,7 +248,7 @@
         self.store.read(|held| held.compacted)
     }
 
-    /// What is decided from this entry on.
+    /// The decided content of the log from index `from` on.
     pub fn decided_since(&self, from: usize) -> DecidedSuffix {
         let Consensus::Replicated(log) = &self.consensus else {
             return self.store.read(|held| {
@@ -268,7 +276,7 @@
         decided
     }
 
-    /// Compacts what is decided into a snapshot, once there is enough of it.
+    /// Compacts the decided entries into a snapshot once there are [`COMPACT_AFTER`] of them.
     pub fn compact(&mut self) {
         let decided = self.decided();
         if decided.saturating_sub(self.compacted()) >= COMPACT_AFTER {
@@ -276,11 +284,11 @@
         }
     }
 
-    /// Compacts all that is decided into a snapshot.
+    /// Compacts all decided entries into a snapshot.
     pub fn compact_all(&mut self) {
         let decided = self.decided();
         match &mut self.consensus {
-            // What can't be compacted now is compacted next time.
+            // Entries that can't be compacted now are compacted next time.
             Consensus::Replicated(log) => _ = log.snapshot(Some(decided), true),
             Consensus::Single => {
                 let (snapshot, entries) = self
--- a/crates/ledger/src/long_message.rs
+++ b/crates/ledger/src/long_message.rs
@@ -1,19 +1,22 @@
-//! A message that is longer than a packet, on the side of its sender: which fragments have yet to be sent.
+//! The sender's side of a message that is longer than a packet: which fragments are still to be
+//! sent.
 
 use crate::messages::Payload;
 use crate::packet_limits::FRAGMENT_BYTES;
 use crate::{FrontId, Micros};
 
-const ACK_TIMEOUT: Micros = 250_000; // microseconds without a sign until its receiver is sent the last fragment again
+/// Microseconds without activity after which the receiver is sent the last fragment again.
+const ACK_TIMEOUT: Micros = 250_000;
 
-/// How soon a long message has to be there.
+/// The rate and order in which a long message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Pace {
     /// At the rate of the log.
     Fast,
-    /// The same, for the log of this shard: one message at a time, as the log relies on their order.
+    /// At the rate of the log, for messages of the log of this shard: one at a time, as the log
+    /// relies on their order.
     Log(u16),
-    /// At the rate that the operator gives to rebuilding replicas.
+    /// At the operator's rate for rebuilding replicas.
     Repair,
 }
 
@@ -22,16 +25,16 @@
     pub to: FrontId,
     pub pace: Pace,
     pub bytes: Vec<u8>,
-    /// Fragments that are to be sent, the next last.
+    /// Fragments still to be sent, in reverse order.
     pub to_send: Vec<u16>,
-    /// When a fragment of it was sent or asked for last.
+    /// When a fragment was last sent or requested.
     pub touched: Micros,
-    /// When its receiver was sent the last fragment again.
+    /// When the receiver was last sent the last fragment again.
     pub reminded: Micros,
 }
 
 impl LongMessage {
-    /// Fragments of it in all.
+    /// The number of fragments of the message.
     pub fn count(&self) -> u16 {
         self.bytes.len().div_ceil(FRAGMENT_BYTES) as u16
     }
@@ -40,7 +43,7 @@
         self.bytes.chunks(FRAGMENT_BYTES).nth(index.into())
     }
 
-    /// A fragment of it as it is sent; `id` is its number here.
+    /// The payload of a fragment; `id` is the number of the message at its sender.
     pub fn fragment(&self, id: u64, index: u16) -> Option<Payload> {
         let bytes = self.slice(index)?.to_vec();
         Some(Payload::Fragment {
@@ -51,7 +54,7 @@
         })
     }
 
-    /// Its receiver lacks these fragments.
+    /// Queues the fragments that the receiver is missing.
     pub fn resend(&mut self, now: Micros, missing: Vec<u16>) {
         let count = self.count();
         let new = missing
@@ -63,7 +66,8 @@
         self.touched = now;
     }
 
-    /// When its receiver is to be reminded.
+    /// When the receiver is to be sent the last fragment again; [`Micros::MAX`] while fragments are
+    /// still to be sent.
     pub fn ack_due(&self) -> Micros {
         if self.to_send.is_empty() {
             self.touched.max(self.reminded) + ACK_TIMEOUT
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is due at intervals: shards that have yet to start are bootstrapped, and missing replicas are replaced.
+//! Periodic work: bootstraps shards that have not started, and replaces missing replicas.
 
 use crate::bootstrap::{Bootstrap, Step};
 use crate::encoding::encode;
@@ -14,13 +14,14 @@
 use crate::state::{Limits, State, StateAt};
 use crate::{ClockReading, FrontId, Micros};
 
-/// Microseconds between two runs of `maintain`, and between announcements of a front to another.
+/// Microseconds between two runs of `maintain`, and between announcements to the same front.
 pub(crate) const MAINTENANCE_INTERVAL: Micros = 250_000;
-const PROBES_AT_ONCE: usize = 8; // fronts that are asked at once whether a shard has started
+/// Fronts that are asked in one run whether a shard has started.
+const PROBES_AT_ONCE: usize = 8;
 
 impl Ledger {
-    /// Begins to bootstrap the shards that are placed on this front and that it knows nothing of: they have yet to start,
-    /// or it has lost its disk.
+    /// Starts to bootstrap the shards that are placed on this front and that it knows nothing of:
+    /// either they have not started, or this front has lost its disk.
     pub(crate) fn start_bootstraps(&mut self) {
         let (own, replication_factor) = (self.own.front, self.setup.replication_factor);
         for view in &mut self.shards {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Takes the next step of a shard that has yet to start.
+    /// Takes the next step of a shard that has not started yet.
     pub(crate) fn advance_bootstrap(&mut self, at: ClockReading, shard: u16) {
         let own = ReplicaIncarnation {
             id: self.own,
@@ -65,7 +66,8 @@
                 }
             }
             Step::Start(members) => {
-                // The others start once they hear that this one has agreed, which it tells once more.
+                // The other fronts start once they learn that this front has agreed, so that is
+                // sent once more.
                 let agreed = bootstrap.agreed().to_vec();
                 self.send_agreed(at, shard, &placed, &agreed);
                 let state = State::new(Limits::of(&self.setup));
@@ -82,7 +84,8 @@
         }
     }
 
-    /// Tells the fronts that a shard is placed on with whom this one has agreed to start it.
+    /// Sends the replicas with which this front has agreed to start a shard to the fronts that it
+    /// is placed on.
     fn send_agreed(
         &mut self,
         at: ClockReading,
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Asks and tells the fronts that a shard that has yet to start depends on.
+    /// Exchanges messages with the fronts that the start of a shard depends on.
     fn drive_bootstrap(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
@@ -128,14 +131,15 @@
         self.advance_bootstrap(at, shard);
     }
 
-    /// Does what is due at intervals.
+    /// Runs the periodic work if it is due.
     pub(crate) fn maintain(&mut self, at: ClockReading) {
         if at.steady < self.maintain_at {
             return;
         }
         self.maintain_at = at.steady + MAINTENANCE_INTERVAL;
         self.update_placement(at.steady);
-        // Whoever is on the list may have to read what is saved, and may be a build back by then.
+        // Any front on the list may have to read the saved data, and may run the previous build by
+        // then.
         let others = self
             .setup
             .members
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Replaces a missing replica of a shard that this front leads, or moves one.
+    /// Replaces a missing replica of a shard that this front leads, or moves one for balance.
     fn replace_missing(&mut self, at: ClockReading, shard: u16) {
         let now = at.steady;
         let Some(view) = self.shards.get(usize::from(shard)) else {
@@ -191,7 +195,8 @@
         }
     }
 
-    /// Goes on with a replacement: gives it up, or proposes the members once the new one has caught up.
+    /// Continues a replacement: aborts it, or proposes the new members once the new one has caught
+    /// up.
     fn advance_repair(&mut self, now: Micros, shard: u16, repair: Repair) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -208,7 +213,7 @@
         }
     }
 
-    /// The front that is to hold a shard in place of a missing member.
+    /// The front that is to replace a missing member, if a suitable one is up.
     fn spare_for(&self, now: Micros, shard: u16) -> Option<ReplicaId> {
         let view = self.shards.get(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
@@ -217,7 +222,7 @@
         spare_front(now, &order, &replica.members, peer)
     }
 
-    /// Asks fronts that hold no replica of a shard whether they can, two at a time.
+    /// Asks fronts without a replica of the shard whether they can hold one, two per run.
     fn probe_spares(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
@@ -237,13 +242,14 @@
         }
     }
 
-    /// Asks a front whether it can hold a replica.
+    /// Asks a front whether it can hold a replica of the shard.
     pub(crate) fn probe(&mut self, at: ClockReading, to: FrontId, shard: u16) {
         self.transport
             .send(at, to, &LedgerMessage::Probe { shard }, Pace::Fast);
     }
 
-    /// Sends the state to the replica that is to replace another; `moves`: until when, where none is missing.
+    /// Sends the state to the replica that is to replace another. `move_deadline` is set for a move
+    /// for balance, and None if a replica is missing.
     fn start_replacement(
         &mut self,
         at: ClockReading,
@@ -282,8 +288,8 @@
         );
     }
 
-    /// The time that goes with a round: the median of the members' Unix clocks, so that one that is far off ends no entry
-    /// of others.
+    /// The Unix time of a round: the median of the members' clocks, so that a member whose clock is
+    /// far off does not expire entries of others.
     pub(crate) fn wall_ms(&self, at: ClockReading, shard: u16) -> u64 {
         let members = self
             .shards
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -1,4 +1,5 @@
-//! Membership of shards: what fronts tell each other of it, and how a shard goes on under the next configuration.
+//! Membership of shards: the messages about it between fronts, and the change to the next
+//! configuration.
 
 use crate::bootstrap::Bootstrap;
 use crate::encoding::{decode, encode};
@@ -14,10 +15,12 @@
 use crate::state::StateAt;
 use crate::{ClockReading, FrontId, Micros};
 
-const MEMBERSHIP_INTERVAL: Micros = 500_000; // microseconds until a front that is behind is sent the members again
+/// Minimum microseconds between two membership messages to a front that is behind.
+const MEMBERSHIP_INTERVAL: Micros = 500_000;
 
 impl Ledger {
-    /// Tells a front that this one can hold a replica of the shard, what it knows of it, and on which disk.
+    /// Announces to a front that this one can hold a replica of the shard: its configuration, its
+    /// offer to start the shard, and its disk.
     pub(crate) fn announce(&mut self, at: ClockReading, to: FrontId, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -45,7 +48,8 @@
         );
     }
 
-    /// Another front can hold a replica of the shard: it is heard as one to start the shard with, or is brought up to date.
+    /// Handles another front's announcement that it can hold a replica: its offer to start the
+    /// shard is recorded, or it is brought up to date.
     pub(crate) fn receive_availability(
         &mut self,
         at: ClockReading,
@@ -68,7 +72,8 @@
         }
     }
 
-    /// Tells a front that is behind who the members are, and the state to start from where it is one of them.
+    /// Sends a front that is behind the current members, and also the state to start from if it is
+    /// one of them.
     pub(crate) fn send_membership(&mut self, at: ClockReading, sender: ReplicaId, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -110,7 +115,7 @@
         self.transport.send(at, sender.front, &message, Pace::Fast);
     }
 
-    /// Another front tells the members of a later configuration.
+    /// Handles the members of a later configuration, as reported by another front.
     pub(crate) fn receive_membership(
         &mut self,
         at: ClockReading,
@@ -136,7 +141,8 @@
         }
     }
 
-    /// This front is no member any more, whatever it hears later of earlier configurations.
+    /// Drops this front's replica, as it is no longer a member. The record of that keeps it from
+    /// joining earlier configurations, whatever arrives later.
     fn drop_replica(&mut self, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -158,7 +164,7 @@
         self.records.push(records::no_snapshot(shard));
     }
 
-    /// This front is a member of a configuration, and is given what to start from.
+    /// Joins a configuration as a member, from the given base.
     pub(crate) fn join(
         &mut self,
         at: ClockReading,
@@ -176,12 +182,13 @@
         }
         let Some(base) = base_state(base, view.learned.take(), config) else {
             view.known = Some(Configuration { config, members });
-            return; // it announces itself, and is sent the complete state
+            return; // this front announces itself, and is sent the complete state
         };
         self.open_replica(at, shard, Configuration { config, members }, base);
     }
 
-    /// Starts a replica of a configuration from what its members agree on; it is durable before anything is sent of it.
+    /// Starts a replica of a configuration from the state that its members agree on. The replica is
+    /// durable before any of its messages are sent.
     pub(crate) fn open_replica(
         &mut self,
         at: ClockReading,
@@ -214,7 +221,7 @@
         self.touched.insert(shard);
     }
 
-    /// Goes on under the next configuration, once the log has decided on its members.
+    /// Changes to the next configuration once the log has decided its members.
     pub(crate) fn adopt_next_members(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -243,14 +250,16 @@
         };
         self.open_replica(at, shard, next, base);
         if is_leader {
-            // Until the preferred leader takes over: asks wait for a round trip, and no election is needed.
+            // The previous leader leads until the preferred leader takes over: requests wait for
+            // one round trip, and no election timeout is needed.
             let view = self.shards.get_mut(usize::from(shard));
             let replica = view.and_then(|view| view.replica.as_mut());
             replica.into_iter().for_each(Replica::campaign);
         }
     }
 
-    /// Sends new members what they start from, and tells those that are no members any more.
+    /// Sends new members the base that they start from, and informs the fronts that are not members
+    /// any more.
     fn announce_next_members(&mut self, at: ClockReading, shard: u16, next: &Configuration) {
         let Configuration { config, members } = next;
         let Some(view) = self.shards.get(usize::from(shard)) else {
@@ -292,7 +301,7 @@
     }
 }
 
-/// The record of a shard of which this front is no member.
+/// The record of a shard that this front is not a member of.
 fn no_member(config: u32, members: Vec<ReplicaId>) -> Meta {
     Meta {
         config,
@@ -306,7 +315,8 @@
     }
 }
 
-/// The state that a base stands for; none where it continues a state that this front has not been sent.
+/// The state that a base represents; None if it continues a snapshot that this front has not
+/// received.
 fn base_state(base: &Base, learned: Option<Learned>, config: u32) -> Option<StateAt> {
     match base {
         Base::Snapshot { index, state } => Some(StateAt {
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages of the ledger between fronts, and how they are encoded: postcard, so a variant's position is its tag
-//! on the wire. New variants go to the end.
+//! The ledger's messages between fronts and their encoding: postcard, in which a variant's position
+//! is its tag on the wire. New variants go to the end.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,91 +14,98 @@
     Log {
         shard: u16,
         config: u32,
-        /// Grows with the messages of the sender's replica that must be taken in order; 0: the order does not matter.
+        /// Grows with the messages of the sender's replica that must be processed in order; 0 if
+        /// the order does not matter.
         number: u64,
         message: Box<omnipaxos::messages::Message<Batch>>,
     },
-    /// From the shard's leader: a proposal of it stays undecided, so messages may have been lost; the receiver asks for
-    /// what it has missed.
+    /// From the shard's leader: one of its proposals stays undecided, so messages may have been
+    /// lost, and the receiver is to ask for those that it has missed.
     Resync { shard: u16, config: u32 },
-    /// A request, to the shard's leader or to a front that may know it.
+    /// A request, to the shard's leader or to a front that may know the leader.
     Request { shard: u16, command: Command },
-    /// The answer to a request, known by its requester's incarnation and number.
+    /// The answer to a request, identified by the requester's incarnation and the request's number.
     Reply {
         incarnation: u64,
         number: u64,
         outcome: Outcome,
     },
-    /// The answer to a request for a shard that the sender does not lead; the front that leads it, if it is known.
+    /// The answer to a request for a shard that the sender does not lead, with the leader, if
+    /// known.
     NotLeader {
         shard: u16,
         incarnation: u64,
         number: u64,
         leader: Option<FrontId>,
     },
-    /// The sender can hold a replica of the shard: the configuration it last knew (0: none), and the members with which
-    /// it has agreed to start the shard.
+    /// The sender can hold a replica of the shard: the configuration of its replica (0 if it has
+    /// none), and the replicas with which it has agreed to start the shard.
     Available {
         shard: u16,
         config: u32,
         agreed: Vec<ReplicaIncarnation>,
     },
-    /// The shard's present configuration and its members.
+    /// The shard's current configuration and its members.
     Membership {
         shard: u16,
         config: u32,
         members: Vec<ReplicaId>,
     },
-    /// Asks whether the receiver can hold a replica of the shard; it answers with `Available`.
+    /// Asks whether the receiver can hold a replica of the shard; answered by `Available`.
     Probe { shard: u16 },
-    /// The shard's state as of an entry of the log, for a front that is to become a member; it answers with `CaughtUp`.
+    /// The shard's state as of an index of the log, for a front that is about to become a member;
+    /// answered by `CaughtUp`.
     Snapshot {
         shard: u16,
         config: u32,
         index: u64,
         state: Vec<u8>,
     },
-    /// The sender has taken in the snapshot up to this entry.
+    /// The sender has received the snapshot as of this index.
     CaughtUp { shard: u16, config: u32, index: u64 },
-    /// The receiver is a member of this configuration, and starts from what the members before it have decided.
+    /// The receiver is a member of this configuration, and starts from what the previous members
+    /// have decided.
     Join {
         shard: u16,
         config: u32,
         members: Vec<ReplicaId>,
         base: Base,
     },
-    /// The leader asks the receiver to take over the shard. Of format 2.
+    /// The leader asks the receiver to take over the shard. Since format 2.
     TransferLeadership { shard: u16, config: u32 },
-    /// The hashes of a replica as of an entry: the leader sends its own, and members answer with theirs. Of format 2.
+    /// The hashes of a replica as of an index: the leader sends its own, and members answer with
+    /// theirs. Since format 2.
     Hashes {
         shard: u16,
         config: u32,
         index: u64,
         hashes: Vec<u64>,
     },
-    /// The majority's state as of an entry, for a replica whose hashes differ. Of format 2.
+    /// The majority's state as of an index, for a replica whose hashes differ. Since format 2.
     RepairReplica {
         shard: u16,
         config: u32,
         index: u64,
         state: Vec<u8>,
     },
-    /// The sender is shutting down. Of format 3.
+    /// The sender is shutting down. Since format 3.
     ShuttingDown,
-    /// The key that the receiver asked for by this number is free, and the receiver is the first in its queue. Of format 3.
+    /// The key that the receiver requested under this number is free, and the receiver is the first
+    /// in its queue. Since format 3.
     KeyFree { incarnation: u64, number: u64 },
 }
 
 /// What a new member of a shard starts from.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Base {
-    /// The state after so many entries of this log.
+    /// The state after `index` entries of the log.
     Snapshot { index: u64, state: Vec<u8> },
-    /// The entries of the log before that the snapshot sent earlier lacks: the first is entry `index`.
+    /// The entries of the previous configuration's log that follow the snapshot sent earlier; the
+    /// first of them has the number `index`.
     Suffix { index: u64, batches: Vec<Batch> },
 }
 
-/// A datagram's content.
+/// The content of a datagram.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Packet {
     pub format: u8,
@@ -109,31 +116,31 @@
     pub payload: Payload,
 }
 
-/// What a packet carries.
+/// The payload of a packet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Payload {
     /// Small messages, each encoded.
     Messages(Vec<Vec<u8>>),
-    /// A part of a message that is longer than a datagram.
+    /// A fragment of a message that is longer than a datagram.
     Fragment {
         id: u64,
         index: u16,
         count: u16,
         bytes: Vec<u8>,
     },
-    /// Fragments that the receiver lacks.
+    /// The fragments that the receiver is missing.
     Resend { id: u64, missing: Vec<u16> },
-    /// All fragments have come.
+    /// All fragments have been received.
     Received { id: u64 },
 }
 
-/// The payload of a packet, and who it is for.
+/// The payload of a packet, and its receiver.
 pub(crate) struct OutgoingPayload {
     pub to: FrontId,
     pub payload: Payload,
 }
 
-/// The fleet's fingerprint: its name, and into how many shards keys are parted.
+/// The fleet's fingerprint, from its name and its number of shards.
 pub(crate) fn fingerprint(name: &str, shards: u16) -> u64 {
     hash(name.bytes().chain([0]).chain(shards.to_be_bytes()))
 }
--- a/crates/ledger/src/pacer.rs
+++ b/crates/ledger/src/pacer.rs
@@ -1,18 +1,19 @@
-//! Paces long messages by bytes a second.
+//! Limits the rate of long messages in bytes per second.
 //!
-//! Not gossip's `TokenBucket`, though both count tokens: that one starts full, holds a second's worth and refuses what it
-//! can't cover. This one starts empty, holds a tenth of a second's worth, and says when the next packet may leave, so
-//! that long messages go out evenly.
+//! Unlike gossip's `TokenBucket`, which starts full, holds a second's worth and rejects what it
+//! can't cover, this one starts empty, holds a tenth of a second's worth, and tells when the next
+//! packet may be sent, so that long messages are sent evenly.
 
 use crate::packet_limits::PACKET_BYTES;
 use crate::Micros;
 
-const SAVED_SHARE: f64 = 10.0; // what is saved up at most: so many parts of a second's worth
+/// The burst is a second's worth divided by this.
+const SAVED_SHARE: f64 = 10.0;
 
-/// An allowance of bytes that grows evenly: up to a tenth of a second's worth, and a packet at least.
+/// A token bucket of bytes, which holds up to a tenth of a second's worth, and at least a packet.
 #[derive(Debug)]
 pub(crate) struct Pacer {
-    /// Bytes a second.
+    /// Bytes per second.
     rate: f64,
     left: f64,
     at: Micros,
@@ -27,24 +28,24 @@
         }
     }
 
-    /// Adds what has accrued since the last call.
+    /// Adds the bytes that have accrued since the last call.
     pub fn refill(&mut self, now: Micros) {
         let gained = (now - self.at).max(0) as f64 / 1e6 * self.rate;
         self.left = (self.left + gained).min((self.rate / SAVED_SHARE).max(PACKET_BYTES as f64));
         self.at = now;
     }
 
-    /// Whether a whole packet may leave now.
+    /// Whether a full packet may be sent now.
     pub fn has_packet(&self) -> bool {
         self.left >= PACKET_BYTES as f64
     }
 
-    /// Takes the bytes of a packet that leaves.
+    /// Deducts the bytes of a packet that is sent.
     pub fn spend(&mut self, bytes: usize) {
         self.left -= bytes as f64;
     }
 
-    /// When the next packet may leave.
+    /// When the next packet may be sent.
     pub fn due(&self) -> Micros {
         self.at
             + ((PACKET_BYTES as f64 - self.left).max(0.0) / self.rate.max(1.0) * 1e6) as Micros
--- a/crates/ledger/src/peer.rs
+++ b/crates/ledger/src/peer.rs
@@ -1,16 +1,16 @@
-//! What a front knows of another one.
+//! What this front knows about another front.
 
 use crate::{DiskId, Micros};
 
-/// What is known of another front.
+/// What is known about another front.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
-    /// When its latest packet came.
+    /// When its latest packet was received.
     pub heard_at: Micros,
-    /// When it started, in Unix milliseconds.
+    /// When the front started, in Unix milliseconds.
     pub incarnation: u64,
-    /// 0: it holds no replicas.
+    /// The disk that holds the front's replicas; 0 if it holds none.
     pub disk: DiskId,
-    /// Unix milliseconds on its clock when it sent that packet.
+    /// The front's Unix clock, in milliseconds, when it sent its latest packet.
     pub wall_ms: u64,
 }
--- a/crates/ledger/src/peer_formats.rs
+++ b/crates/ledger/src/peer_formats.rs
@@ -1,4 +1,5 @@
-//! The formats that other fronts read, how they learn this front's, and which format each message needs.
+//! The formats that other fronts read, how they learn this front's, and which format each message
+//! needs.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +7,14 @@
 use crate::messages::LedgerMessage;
 use crate::{FrontId, Micros};
 
-/// No shard: a front that offers to hold it tells its format by that. The first build ignores it.
+/// Not a shard: an `Available` message for this number carries the sender's format instead. Builds
+/// of the first format ignore it.
 const NO_SHARD: u16 = u16::MAX;
-/// Microseconds until it says so again to a front that has not shown its own.
+/// Microseconds until this front's format is sent again to a front that has not shown its own.
 pub(crate) const INTRODUCTION_INTERVAL: Micros = 10_000_000;
 
-/// The latest format that a front has shown to read, and in which incarnation: a front that comes back may be of an
-/// earlier build.
+/// The latest format that a front has shown to read, and in which incarnation. A front that comes
+/// back may run an earlier build.
 #[derive(Clone, Copy)]
 struct ShownFormat {
     incarnation: u64,
@@ -23,24 +25,25 @@
 #[derive(Default)]
 pub(crate) struct PeerFormats {
     known: BTreeMap<FrontId, ShownFormat>,
-    /// When each front was last sent this one's format.
+    /// When each front was last sent this front's format.
     introduced_at: BTreeMap<FrontId, Micros>,
 }
 
 impl PeerFormats {
-    /// The latest format that both read, as far as is known.
+    /// The latest format that both fronts are known to read.
     pub fn of(&self, own: u8, front: FrontId) -> u8 {
         self.known
             .get(&front)
             .map_or(OLDEST_FORMAT, |known| own.min(known.format))
     }
 
-    /// The latest format that all of them read, in which entries and records may be saved.
+    /// The latest format that all of the fronts are known to read, in which entries and records may
+    /// be saved.
     pub fn of_all(&self, own: u8, fronts: impl Iterator<Item = FrontId>) -> u8 {
         fronts.map(|front| self.of(own, front)).min().unwrap_or(own)
     }
 
-    /// A packet has come in a format, of an incarnation of its front.
+    /// Records the format of a packet from an incarnation of a front.
     pub fn heard(&mut self, front: FrontId, incarnation: u64, format: u8) {
         let shown = ShownFormat {
             incarnation,
@@ -57,7 +60,7 @@
         }
     }
 
-    /// What is to be sent first to a front that may not know this one's format.
+    /// The message to send first to a front that may not know this front's format, if it is due.
     pub fn introduction(&mut self, now: Micros, own: u8, front: FrontId) -> Option<LedgerMessage> {
         let introduced_at = self
             .introduced_at
@@ -80,7 +83,7 @@
 }
 
 impl LedgerMessage {
-    /// The earliest format that has it.
+    /// The earliest format that has this message.
     pub fn format(&self) -> u8 {
         match self {
             LedgerMessage::ShuttingDown => FIRST_EXPLICIT_FORMAT,
@@ -92,7 +95,7 @@
         }
     }
 
-    /// The format that its sender says it reads.
+    /// The format that the sender reads, if the message is an introduction.
     pub fn introduced_format(&self) -> Option<u8> {
         match self {
             LedgerMessage::Available {
--- a/crates/ledger/src/pending_requests.rs
+++ b/crates/ledger/src/pending_requests.rs
@@ -1,14 +1,16 @@
-//! This front's own requests that wait for an answer.
+//! Requests of this front that wait for an answer.
 
 use std::collections::BTreeMap;
 
 use crate::batch::Command;
 use crate::{ClockReading, FrontId, Micros, ANSWER_RETENTION_MS};
 
-const RETRY_INTERVAL: Micros = 100_000; // microseconds until a request is sent again, elsewhere
-const MAX_WAITING: usize = 16_384; // requests that wait at once
+/// Microseconds until a request is sent again, to another front.
+const RETRY_INTERVAL: Micros = 100_000;
+/// Maximum number of requests that wait at the same time.
+const MAX_WAITING: usize = 16_384;
 
-/// A request that has no answer yet.
+/// A request without an answer so far.
 pub(crate) struct Waiting {
     pub command: Command,
     pub shard: u16,
@@ -17,31 +19,31 @@
     attempts: usize,
 }
 
-/// An attempt of a request.
+/// An attempt to send a request.
 pub(crate) struct Attempt<'a> {
     pub ask: &'a Waiting,
-    /// The number of attempts before.
+    /// The number of attempts before this one.
     pub earlier: usize,
 }
 
-/// The numbers of requests for which something is due.
+/// The numbers of requests that are due for a retry or have timed out.
 pub(crate) struct DueRequests {
-    /// To be sent again.
+    /// Requests to be sent again.
     pub retry: Vec<u64>,
-    /// That nobody has answered in time.
+    /// Requests that were not answered in time.
     pub expired: Vec<u64>,
 }
 
-/// This front's requests that have no answer yet.
+/// This front's requests without an answer so far.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     waiting: BTreeMap<u64, Waiting>,
-    /// When each was first asked, on the Unix clock: a retry says the same.
+    /// When each request was first made, on the Unix clock; retries carry the same time.
     first: BTreeMap<u64, u64>,
 }
 
 impl PendingRequests {
-    /// When this number was first asked.
+    /// When the request with this number was first made, in Unix milliseconds.
     pub fn first(&mut self, number: u64, wall_ms: u64) -> u64 {
         *self.first.entry(number).or_insert(wall_ms)
     }
@@ -50,7 +52,7 @@
         self.waiting.contains_key(&number)
     }
 
-    /// False where too many wait.
+    /// Adds a request; false if too many are waiting.
     pub fn wait(&mut self, command: Command, shard: u16, ends: Micros) -> bool {
         if self.waiting.len() >= MAX_WAITING {
             return false;
@@ -68,7 +70,7 @@
         true
     }
 
-    /// Counts another attempt of a request.
+    /// Counts another attempt of a request; None if it is not waiting.
     pub fn next_attempt(&mut self, now: Micros, number: u64) -> Option<Attempt<'_>> {
         let ask = self.waiting.get_mut(&number)?;
         let earlier = ask.attempts;
@@ -81,12 +83,12 @@
         self.waiting.get(&number).map(|waiting| waiting.shard)
     }
 
-    /// An answer has come; the shard, where it was waited for.
+    /// Removes an answered request; its shard, if the request was waiting.
     pub fn answered(&mut self, number: u64) -> Option<u16> {
         self.waiting.remove(&number).map(|waiting| waiting.shard)
     }
 
-    /// Ends the requests that nobody has answered in time, and finds those that are to be sent again.
+    /// Removes the requests that were not answered in time, and finds those to be sent again.
     pub fn due_now(&mut self, at: ClockReading) -> DueRequests {
         let is_expired = |waiting: &Waiting| waiting.ends <= at.steady;
         let expired = self.numbers(is_expired);
@@ -97,7 +99,7 @@
         DueRequests { retry, expired }
     }
 
-    /// The numbers of the requests that wait and meet a condition.
+    /// The numbers of the waiting requests that satisfy a condition.
     fn numbers(&self, condition: impl Fn(&Waiting) -> bool) -> Vec<u64> {
         let meeting = self
             .waiting
@@ -106,7 +108,7 @@
         meeting.map(|(number, _)| *number).collect()
     }
 
-    /// When a request is next to be repeated, or ends.
+    /// When a request is next to be sent again or times out; [`Micros::MAX`] if none is waiting.
     pub fn due(&self) -> Micros {
         self.waiting
             .values()
@@ -116,19 +118,19 @@
     }
 }
 
-/// The front to ask next: the one that is said to lead the shard, else its members and then all fronts that could be,
-/// one after the other.
+/// The front to send a request to: the presumed leader, otherwise the members and then all other
+/// fronts that may hold the shard, in rotation.
 pub(crate) fn next_receiver(
     leader: Option<FrontId>,
     others: &[FrontId],
     own: FrontId,
     earlier: usize,
 ) -> Option<FrontId> {
-    // One that is silent is not asked every time.
+    // A leader that does not answer is tried only at every other attempt.
     if let Some(leader) = leader.filter(|leader| *leader != own && earlier.is_multiple_of(2)) {
         return Some(leader);
     }
-    // Whoever should know better is another than the one that did not answer.
+    // The other attempts go to fronts that may know a newer leader.
     let others: Vec<FrontId> = others
         .iter()
         .copied()
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -1,10 +1,12 @@
-//! Which shard a key belongs to, and in which order fronts are preferred for a shard's replicas.
+//! Which shard a key belongs to, and the order in which fronts are preferred for a shard's
+//! replicas.
 
 use hallmux_hash::fnv1a;
 
 use crate::{FrontId, Key, Member};
 
-/// The same in every build. FNV-1a finished by a mixer, as its high bits are poor.
+/// A hash that must be the same in every build: FNV-1a followed by a finalizing mixer, as FNV-1a's
+/// high bits are poorly distributed.
 pub(crate) fn hash(bytes: impl Iterator<Item = u8>) -> u64 {
     let fnv = fnv1a(bytes);
     let mixed = (fnv ^ (fnv >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -17,8 +19,9 @@
     (hash(bytes) % u64::from(shards.max(1))) as u16
 }
 
-/// All members in the order in which they are preferred for a shard (rendezvous hashing): of those in zones that are not
-/// there yet the one with the highest hash, zones beginning anew once each is there.
+/// All members in the order in which they are preferred for a shard (rendezvous hashing):
+/// repeatedly the member with the highest hash among the zones not represented yet. Once every zone
+/// is represented, all zones are considered again.
 pub(crate) fn ranked(members: &[Member], shard: u16) -> Vec<FrontId> {
     let weight = |front: FrontId| hash(front.to_be_bytes().into_iter().chain(shard.to_be_bytes()));
     let mut rest: Vec<&Member> = members.iter().collect();
--- a/crates/ledger/src/reassembly.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -1,5 +1,6 @@
-//! Puts long messages together again from their fragments: bounded in number and bytes, with missing fragments asked for
-//! again, and finished messages remembered so that a repeated fragment is only acknowledged.
+//! Reassembles long messages from their fragments. Their number and bytes are bounded, missing
+//! fragments are requested again, and completed messages are remembered so that a repeated fragment
+//! is only acknowledged.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +9,21 @@
 use crate::rejection::Rejection;
 use crate::{FrontId, Micros};
 
-const MAX_REASSEMBLIES: usize = 64; // messages of one front that are being put together
-const MAX_BUFFERED: usize = 32 * 1_024 * 1_024; // bytes of fragments that wait for others
-const GAP_TIMEOUT: Micros = 60_000; // microseconds without a fragment until gaps are asked for
-const TAIL_TIMEOUT: Micros = 400_000; // microseconds until fragments count as lost that may yet have to be sent
-const MAX_FINISHED: usize = 4_096; // messages that are complete and remembered as such
-const MAX_RESEND: usize = 256; // fragments asked for at once
+/// Maximum number of incomplete messages per sender.
+const MAX_REASSEMBLIES: usize = 64;
+/// Maximum bytes of buffered fragments.
+const MAX_BUFFERED: usize = 32 * 1_024 * 1_024;
+/// Microseconds without a fragment after which gaps are requested.
+const GAP_TIMEOUT: Micros = 60_000;
+/// Microseconds without a fragment after which fragments behind the last received one count as
+/// lost; until then they may not have been sent yet.
+const TAIL_TIMEOUT: Micros = 400_000;
+/// Maximum number of completed messages that are remembered.
+const MAX_FINISHED: usize = 4_096;
+/// Maximum number of fragments requested at once.
+const MAX_RESEND: usize = 256;
 
-/// A long message: its sender, and the number that the sender has given it.
+/// A long message, identified by its sender and the number that the sender gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageId {
     pub from: FrontId,
@@ -25,18 +33,18 @@
 /// One fragment of a long message.
 pub(crate) struct Fragment {
     pub index: u16,
-    /// Fragments of the message in all.
+    /// The number of fragments of the message.
     pub count: u16,
     pub bytes: Vec<u8>,
 }
 
-/// What a fragment has led to.
+/// The result of adding a fragment.
 pub(crate) enum Added {
-    /// Others of its message are missing.
+    /// Other fragments of the message are missing.
     Incomplete,
-    /// Its message was complete before: the sender has missed the acknowledgement.
+    /// The message was complete before: the sender has missed the acknowledgement.
     Repeated,
-    /// Its message is complete now.
+    /// The message is complete now.
     Complete(Vec<u8>),
 }
 
@@ -48,9 +56,9 @@
 }
 
 impl Partial {
-    /// Missing fragments that count as lost, and are not only waiting to be sent.
+    /// The missing fragments that count as lost, as opposed to not sent yet.
     fn lost(&self, now: Micros) -> Vec<u16> {
-        // What follows the last that has come may only be waiting for its turn.
+        // Fragments behind the last received one may not have been sent yet.
         let last = self
             .fragments
             .iter()
@@ -71,18 +79,18 @@
     }
 }
 
-/// The long messages of all fronts that are being put together.
+/// The incomplete long messages of all senders.
 #[derive(Default)]
 pub(crate) struct Reassembly {
     partial: BTreeMap<MessageId, Partial>,
-    /// Messages that became complete, and when.
+    /// The completed messages, and when each was completed.
     finished: BTreeMap<MessageId, Micros>,
-    /// Bytes of all fragments that wait for others.
+    /// Bytes of all buffered fragments.
     buffered: usize,
 }
 
 impl Reassembly {
-    /// Takes in a fragment.
+    /// Adds a fragment. Fails if it is malformed or exceeds the limits.
     pub fn add(
         &mut self,
         now: Micros,
@@ -137,7 +145,7 @@
         ))
     }
 
-    /// The number of long messages of a front that are incomplete.
+    /// The number of incomplete messages from a front.
     fn incomplete_of(&self, from: FrontId) -> usize {
         let first = MessageId { from, number: 0 };
         let last = MessageId {
@@ -147,7 +155,8 @@
         self.partial.range(first..=last).count()
     }
 
-    /// Forgets what its sender has abandoned; requests for fragments that count as lost, which their senders have to send again.
+    /// Drops messages that their senders have abandoned, and requests the fragments that count as
+    /// lost.
     pub fn request_missing(&mut self, now: Micros) -> Vec<OutgoingPayload> {
         self.finished.retain(|_, at| now - *at < 2 * ABANDON_AFTER);
         let buffered = &mut self.buffered;
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -1,7 +1,8 @@
-//! Moves replicas as fronts join and are lost, to the fronts that all members, by the same list, prefer for each shard. A move
-//! is a change of a shard's members like any other: the shard answers on. Shards move in turns, so that only a stated
-//! share of them is under way at once, and at the rate for rebuilding replicas. A zone that is away as a whole is waited
-//! for longer, as it may come back at once.
+//! Moves replicas as fronts join and are lost, to the fronts that all members prefer for each shard
+//! according to the same list. A move is an ordinary membership change, so the shard keeps
+//! answering. Shards move in groups by time window, so that only the configured share of them moves
+//! at once, and at the rate for rebuilding replicas. A zone that is entirely away is waited for
+//! longer, as its fronts may all come back at once.
 
 use std::collections::BTreeSet;
 
@@ -24,16 +25,16 @@
 pub(crate) struct Move {
     pub out: ReplicaId,
     pub into: ReplicaId,
-    /// When it is given up.
+    /// When the move is aborted.
     pub ends: Micros,
 }
 
-/// The next change towards the fronts that are wanted.
+/// The next change towards the target fronts.
 fn next_change(wanted: &[FrontId], members: &[ReplicaId], own: FrontId) -> Option<MemberChange> {
     let into = wanted
         .iter()
         .find(|front| members.iter().all(|member| member.front != **front))?;
-    // The leader goes last: it is the one that sees to the others.
+    // The leader moves last, as it drives the other changes.
     let mut out: Vec<&ReplicaId> = members
         .iter()
         .filter(|member| !wanted.contains(&member.front))
@@ -45,24 +46,26 @@
     })
 }
 
-/// How long a shard may still move, by the Unix clock; none where it is the turn of others.
+/// The microseconds for which a shard may still move, by the Unix clock; None outside of its
+/// group's window.
 fn move_window(setup: &Setup, shard: u16, wall_ms: u64) -> Option<Micros> {
     let groups = 100_u64.div_ceil(u64::from(setup.max_moving_percent.clamp(1, 100)));
     let length = (window_length(setup) / 1_000).max(1) as u64;
     let (number, into) = (wall_ms / length, wall_ms % length);
-    // Clocks are apart by so much: the turns of two groups do not meet.
+    // Windows keep a margin of the clock skew, so that those of two groups do not overlap.
     let on = number % groups == u64::from(shard) % groups && into >= setup.clock_skew_ms;
     on.then(|| (length - into).saturating_sub(setup.clock_skew_ms) as Micros * 1_000)
 }
 
-/// Microseconds of a turn: for the largest shard to be copied.
+/// The length of a window in microseconds: enough to copy the largest shard.
 fn window_length(setup: &Setup) -> Micros {
     let apart = 2_000 * setup.clock_skew_ms as Micros;
     apart + REPLACEMENT_TIMEOUT + Repair::duration(setup.max_shard_bytes, setup.repair_bytes_per_s)
 }
 
 impl Ledger {
-    /// The operator's list has changed. A front that has yet to start its shards goes on with the earlier list.
+    /// Applies a changed member list of the operator. A front that has not started its shards yet
+    /// also uses the new list. Fails without any change if the list can't be used.
     pub fn set_members(&mut self, at: ClockReading, members: Vec<Member>) -> Result<(), Error> {
         let setup = Setup {
             members,
@@ -81,7 +84,8 @@
         Ok(())
     }
 
-    /// Who is up and who is not, as far as the caller knows; of others nothing is said.
+    /// Applies the health of fronts, as far as the caller knows it; fronts in neither list keep
+    /// their state.
     pub fn set_health(&mut self, at: ClockReading, up: &[FrontId], away: &[FrontId]) {
         up.iter()
             .for_each(|front| self.away.returned(at.steady, &self.setup.members, *front));
@@ -89,7 +93,8 @@
             .for_each(|front| _ = self.away.since.entry(*front).or_insert(at.steady));
     }
 
-    /// Places all shards anew where that has to be: on all that are there or waited for.
+    /// Recomputes the placement of all shards if necessary, on all fronts that are present or still
+    /// waited for.
     pub(crate) fn update_placement(&mut self, now: Micros) {
         let moves = self.setup.max_moving_percent > 0;
         let due = |front: &FrontId, since: &Micros| {
@@ -134,14 +139,16 @@
         self.update_placement(now);
     }
 
-    /// A member is silent for longer than it is waited for: it counts as gone, whatever gossip says.
+    /// Treats a member that was silent for longer than the wait limit as gone, whatever gossip
+    /// reports.
     pub(crate) fn declare_gone(&mut self, now: Micros, front: FrontId) {
         let ago = self.setup.zone_repair_after.max(self.setup.repair_after);
         self.away.since.insert(front, now.saturating_sub(ago));
         self.update_placement(now);
     }
 
-    /// The move of a replica of a shard that this front leads, and of which none is missing, once it is the shard's turn.
+    /// The next move of a replica, for a shard that this front leads and that has no missing
+    /// replica, if the shard's window is open.
     pub(crate) fn next_move(&mut self, at: ClockReading, shard: u16) -> Option<Move> {
         let now = at.steady;
         let view = self.shards.get(usize::from(shard))?;
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -1,4 +1,4 @@
-//! What is saved of shards: records with a checksum each, so that a damaged one is refused and not believed.
+//! The saved records of shards. Each has a checksum, so that a damaged record is rejected.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,14 @@
 use crate::snapshot::LogSnapshot;
 use crate::{Error, Record, Saved, Setup};
 
-/// Goes into the checksum of records that name their format: those of the first format name none.
+/// Mixed into the checksum of records that name their format; records of the first format name
+/// none.
 const FORMAT_FLAG: u32 = 0x464f_524d;
-const CHECKSUM_BYTES: usize = 4; // bytes of the checksum before a record
+/// Bytes of the checksum before a record.
+const CHECKSUM_BYTES: usize = 4;
 
-/// The record that names the fleet and the disk of all records, and the latest format of any of them. It is itself of the
-/// first format.
+/// The record that names the fleet and the disk of all records, and the latest format of any of
+/// them. The header itself has the first format.
 #[derive(Serialize, Deserialize)]
 struct Header {
     format: u8,
@@ -26,19 +28,19 @@
     disk: u64,
 }
 
-/// What a member saves of a shard beside its log and its snapshot.
+/// What a member saves of a shard in addition to its log and its snapshot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Meta {
     pub config: u32,
     pub members: Vec<ReplicaId>,
-    /// This front is one of them; otherwise the record is kept so that the front never joins this configuration or an
-    /// earlier one.
+    /// Whether this front is one of the members. If not, the record is kept so that the front never
+    /// joins this configuration or an earlier one.
     pub is_member: bool,
     pub promise: Option<Ballot>,
     pub accepted_round: Option<Ballot>,
     pub decided: usize,
     pub compacted: usize,
-    /// The number of the entry that comes next.
+    /// The index of the next entry.
     pub end: usize,
 }
 
@@ -53,7 +55,7 @@
     [&[kind], &shard.to_be_bytes()[..], rest].concat()
 }
 
-/// A record in a format.
+/// Encodes a record in a format.
 fn record<T: Serialize>(format: u8, name: Vec<u8>, value: &T) -> Record {
     let mut body = encode(value);
     let mut flag = 0;
@@ -81,7 +83,7 @@
     }
 }
 
-/// What a record holds, if it is what was written under its name.
+/// The body of a record, if its checksum matches its name and content and its format is known.
 fn checked<'a>(name: &[u8], bytes: &'a [u8]) -> Result<&'a [u8], Error> {
     let (given, body) = bytes
         .split_at_checked(CHECKSUM_BYTES)
@@ -160,7 +162,7 @@
     }
 }
 
-/// What was saved of one shard.
+/// The saved state of one shard.
 #[derive(Default)]
 pub(crate) struct SavedShard {
     pub meta: Option<Meta>,
@@ -168,7 +170,7 @@
     pub bootstrap: Vec<ReplicaIncarnation>,
 }
 
-/// What was saved in an earlier incarnation.
+/// The state saved by an earlier incarnation.
 pub(crate) struct SavedShards {
     /// The latest format of any record.
     pub format: u8,
@@ -176,7 +178,7 @@
 }
 
 impl SavedShards {
-    /// Nothing was saved.
+    /// The state if nothing was saved.
     pub fn none() -> SavedShards {
         SavedShards {
             format: OLDEST_FORMAT,
@@ -185,7 +187,8 @@
     }
 }
 
-/// Reads what was saved in an earlier incarnation of a front of this fleet on this disk.
+/// Reads the records that an earlier incarnation of this front saved. Fails if they are damaged, of
+/// another fleet or disk, or of an unknown format.
 pub(crate) fn read(setup: &Setup, fleet: u64, saved: &Saved) -> Result<SavedShards, Error> {
     let records: BTreeMap<&[u8], &[u8]> = saved
         .0
@@ -226,12 +229,14 @@
     Ok(SavedShards { format, shards })
 }
 
-/// Entries of a log by their numbers.
+/// Entries of a log by index.
 type SavedLog = BTreeMap<u64, Batch>;
 
-/// Checks that all records are of this fleet and disk, and of a format that this build reads; the latest format.
+/// Checks that all records belong to this fleet and disk and have a format that this build reads;
+/// returns the latest format.
 fn check_header(setup: &Setup, fleet: u64, bytes: &[u8]) -> Result<u8, Error> {
-    // The format goes first in every version: an unknown one may have anything behind it.
+    // The format is the first field in every version; the fields after an unknown format are
+    // unknown.
     let body = checked(&[HEADER], bytes)?;
     let format = body.first().copied().unwrap_or_default();
     if !(OLDEST_FORMAT..=setup.format).contains(&format) {
@@ -253,7 +258,7 @@
     Ok(format)
 }
 
-/// The name of a shard's record.
+/// The parsed name of a shard's record.
 struct RecordName<'a> {
     kind: u8,
     shard: u16,
@@ -273,7 +278,7 @@
 }
 
 impl SavedShard {
-    /// Puts the log together, where this front is a member of the shard; an error where entries are missing.
+    /// Restores the log if this front is a member of the shard; fails if entries are missing.
     fn restore_log(&mut self, number: u16, log: SavedLog) -> Result<(), Error> {
         let Some(meta) = self.meta.as_ref().filter(|meta| meta.is_member) else {
             return Ok(());
--- a/crates/ledger/src/rejection.rs
+++ b/crates/ledger/src/rejection.rs
@@ -1,36 +1,37 @@
-//! Why a message, a packet or a request was rejected, as it is counted.
+//! Reasons for which messages, packets and requests are rejected.
 
-/// The reason of a rejection; [`crate::Counters::refused`] counts them by their labels.
+/// The reason for a rejection; [`crate::Counters::rejected`] counts rejections by label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Rejection {
-    /// A packet claims to come from this front itself.
+    /// The packet claims to come from this front.
     OwnPacket,
-    /// It can't be decoded, or exceeds a bound of its encoding.
+    /// The packet or message can't be decoded, or exceeds a limit of its encoding.
     Malformed,
-    /// It is in a format that this build does not read.
+    /// The packet has a format that this build does not read.
     UnknownFormat,
-    /// It is of another fleet, or of one with another number of shards.
+    /// The packet belongs to another fleet, or to one with another number of shards.
     OtherFleet,
-    /// Too many fragments wait for others.
+    /// Too many fragments are buffered.
     TooManyFragments,
-    /// It comes from an earlier incarnation of its front than is known.
+    /// The packet comes from an earlier incarnation of its front than the known one.
     EarlierIncarnation,
-    /// Its sender is no member of the shard, or speaks for another.
+    /// The sender is not a member of the shard, or claims to be another member.
     NotMember,
-    /// A later message of the same sender has come before.
+    /// A later message from the same sender was received before.
     Overtaken,
-    /// It contradicts what is decided: one side has lost what it had promised.
+    /// The message contradicts decided entries: the sender or this front has lost Paxos promises.
     Contradiction,
-    /// A request's name or value is too long.
+    /// The name or value of a request is too long.
     TooLong,
-    /// A request of another front than its sender, for another shard than its key's, or too long.
+    /// The request names another front than its sender, belongs to another shard than its key's, or
+    /// is too long.
     ForeignRequest,
-    /// Too many asks wait for a round of the shard's log.
+    /// Too many requests wait for a round of the shard's log.
     QueueFull,
 }
 
 impl Rejection {
-    /// The label under which it is counted.
+    /// The label under which the rejection is counted.
     pub fn label(self) -> &'static str {
         match self {
             Rejection::OwnPacket => "own",
--- a/crates/ledger/src/repair.rs
+++ b/crates/ledger/src/repair.rs
@@ -1,23 +1,25 @@
-//! Replacing members of a shard: one that lost its disk, or that was not heard for long, is replaced by a membership
-//! change, once the new member has caught up.
+//! Replacement of members of a shard: a member that lost its disk, or that was silent for too long,
+//! is replaced by a membership change once the new member has caught up.
 
 use crate::members::ReplicaId;
 use crate::peer::Peer;
 use crate::{FrontId, Micros};
 
-/// Microseconds that a replacement may take beside the time that its snapshot takes at the given rate.
+/// Microseconds that a replacement may take in addition to the time for its snapshot at the given
+/// rate.
 pub(crate) const REPLACEMENT_TIMEOUT: Micros = 10_000_000;
-pub(crate) const HEARD_WITHIN: Micros = 3_000_000; // microseconds since a front was heard at most for it to become a member
+/// Maximum microseconds since the last packet of a front for it to become a member.
+pub(crate) const HEARD_WITHIN: Micros = 3_000_000;
 
-/// A replacement of a member that is under way.
+/// A replacement of a member in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Repair {
     pub out: ReplicaId,
     pub into: ReplicaId,
     pub config: u32,
-    /// The index of the snapshot that the new member has taken in.
+    /// The log index of the snapshot that the new member has received.
     pub caught_up: Option<u64>,
-    /// No replica is missing: one moves for balance.
+    /// Whether the replica is moved for balance, with no replica missing.
     pub moves: bool,
     pub ends: Micros,
 }
@@ -42,18 +44,20 @@
         }
     }
 
-    /// Microseconds within which so many bytes are sent at the given rate, lost packets included.
+    /// Microseconds allowed for sending so many bytes at the given rate: twice the time without any
+    /// loss.
     pub fn duration(bytes: usize, rate: u32) -> Micros {
         bytes as Micros * 2_000_000 / Micros::from(rate.max(1))
     }
 
-    /// Whether it has to be given up: it took too long, or the shard or the new member has changed.
+    /// Whether to abort the replacement: it took too long, or the shard's configuration or the new
+    /// member has changed.
     pub fn is_over(&self, now: Micros, config: u32, into: Option<&Peer>) -> bool {
         let here = into.is_some_and(|peer| peer.disk == self.into.disk);
         self.ends <= now || self.config != config || !here
     }
 
-    /// The members after it.
+    /// The members after the replacement.
     pub fn next(&self, members: &[ReplicaId]) -> Vec<ReplicaId> {
         let mut next: Vec<ReplicaId> = members
             .iter()
@@ -69,12 +73,13 @@
 /// A member that has to be replaced.
 pub(crate) struct MissingMember {
     pub out: ReplicaId,
-    /// By the same front with another disk, where that is up.
+    /// The same front with its new disk, if it is up: it becomes the new member.
     pub back: Option<ReplicaId>,
 }
 
-/// The member that has to be replaced next: one whose front came back with another disk before one that is silent.
-/// `since` is when this front began to lead the shard, `waits` until when a front that was last heard then is waited for.
+/// The member to replace next: one whose front came back with another disk before one that is
+/// silent. `since` is when this front became the shard's leader; `wait_until` gives the time until
+/// which a front last seen at the given time is waited for.
 pub(crate) fn missing_member(
     now: Micros,
     since: Micros,
@@ -87,7 +92,8 @@
     for member in members.iter().filter(|member| member.front != own) {
         let heard = peer(member.front);
         if let Some(peer) = heard.filter(|peer| peer.disk != member.disk) {
-            // It has forgotten its promises, and becomes a new member. Without a disk: another does.
+            // The front has lost its Paxos promises, so it joins as a new member. If it has no
+            // disk, another front does.
             let back = ReplicaId {
                 front: member.front,
                 disk: peer.disk,
@@ -109,7 +115,7 @@
     silent
 }
 
-/// The most preferred front of those that are up and hold no replica yet.
+/// The most preferred front that is up and holds no replica yet.
 pub(crate) fn spare_front(
     now: Micros,
     ranked: &[FrontId],
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -1,5 +1,5 @@
-//! A replica of a shard: the entries as far as they are decided, and, where it leads the shard, what
-//! was asked and waits for the next round.
+//! A replica of a shard: the state as far as entries are decided, and, on the shard's leader, the
+//! requests that wait for the next round.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -22,17 +22,21 @@
 
 mod saving;
 
-const MAX_QUEUED: usize = 4_096; // requests that wait for a round
-const BATCH_BYTES: usize = 8_192; // bytes of requests in a round: some datagrams to each member
-const CHANGE_WAITS: Micros = 250_000; // microseconds for which a change of members goes before the next round
+/// Maximum number of requests that wait for a round.
+const MAX_QUEUED: usize = 4_096;
+/// Bytes of requests in a round: some datagrams to each member.
+const BATCH_BYTES: usize = 8_192;
+/// Microseconds for which a membership change has priority over the next round.
+const CHANGE_WAITS: Micros = 250_000;
 
-/// Entries that the log starts with: the state that was handed over stands for one.
+/// The first index of a log after its base: the state that a configuration starts from counts as
+/// one entry.
 pub(crate) const FIRST: u64 = 1;
 
 struct Waiting {
     command: Command,
     came: Micros,
-    /// Microseconds on this clock from which its requester no longer waits.
+    /// The time on this front's clock after which the requester no longer waits.
     ends: Micros,
 }
 
@@ -46,31 +50,31 @@
     pub state: State,
     applied: usize,
     queue: Vec<Waiting>,
-    /// The requests that wait or are proposed here.
+    /// The requests that are queued or proposed here.
     known: BTreeSet<CommandId>,
-    /// The fronts that wait for keys that others have, where this front leads the shard.
+    /// The fronts that wait for keys held by others, if this front leads the shard.
     pub key_queues: KeyQueues,
     changes: Changes,
     dirty: bool,
-    /// The numbers of the log records that are saved.
+    /// The indices of the saved log records.
     saved: Range<usize>,
-    /// By which messages that come out of order count as lost.
+    /// Detects messages that arrive out of order; they count as lost.
     order: MessageOrder,
-    /// Members are to change: nothing more is proposed here.
+    /// A membership change is proposed: nothing more is proposed in this configuration.
     changing: bool,
-    /// The format of what it proposes.
+    /// The format of proposed batches.
     pub format: u8,
     pending_change: Option<PendingChange>,
 }
 
-/// The members to propose once the round under way has ended.
+/// The members to propose once the round in progress has ended.
 struct PendingChange {
     members: Vec<ReplicaId>,
-    /// Until when that goes before the next round.
+    /// Until when the change has priority over the next round.
     ends: Micros,
 }
 
-/// A request that was decided, with its outcome.
+/// A decided request and its outcome.
 pub(crate) struct DecidedCommand {
     pub command: Command,
     pub outcome: Outcome,
@@ -80,7 +84,7 @@
 pub(crate) struct MemberMessage {
     pub to: FrontId,
     pub message: LedgerMessage,
-    /// It has to be taken in the order in which it was sent.
+    /// Whether the message must be processed in the order in which it was sent.
     pub is_ordered: bool,
 }
 
@@ -92,7 +96,8 @@
 }
 
 impl Replica {
-    /// Starts a configuration from the state that its members agree on; it becomes durable with the next save.
+    /// Creates the replica of a configuration from the state that its members agree on; it becomes
+    /// durable with the next save.
     pub fn begin(
         shard: u16,
         configuration: &Configuration,
@@ -117,7 +122,7 @@
         Some(replica)
     }
 
-    /// Goes on from what was saved.
+    /// Restores the replica from its saved state.
     pub fn open(
         shard: u16,
         configuration: &Configuration,
@@ -152,7 +157,8 @@
         Some(replica)
     }
 
-    /// One tick of the log's clock; the members that are to ask for what they may have missed.
+    /// Advances the log's clock by one tick; returns the members that are to ask for messages that
+    /// they may have missed.
     pub fn tick(&mut self) -> Vec<FrontId> {
         let resync = self.log.tick();
         let others = self.members.iter().map(|member| member.front);
@@ -166,7 +172,7 @@
         }
     }
 
-    /// The leader says that something may have been missed.
+    /// Handles the leader's notice that messages may have been missed.
     pub fn resync(&mut self, leader: FrontId) {
         if self.leader() == Some(leader) {
             self.log.resync(leader);
@@ -181,12 +187,12 @@
         self.log.leader().map(|leader| leader.front)
     }
 
-    /// The applied index: the number of entries that it has applied.
+    /// The applied index: the number of applied entries.
     pub fn applied(&self) -> u64 {
         self.applied as u64
     }
 
-    /// A message of a member, with its number in the sender's order.
+    /// Handles a message from a member, with its number in the sender's order.
     pub fn receive(
         &mut self,
         sender: ReplicaIncarnation,
@@ -200,7 +206,7 @@
         self.log.receive(from, message)
     }
 
-    /// A request of the leader; false where it can't wait here.
+    /// Queues a request on the leader; false if the queue is full.
     pub fn ask(&mut self, command: Command, came: Micros, ends: Micros) -> bool {
         if self.queue.len() >= MAX_QUEUED {
             return false;
@@ -215,7 +221,8 @@
         true
     }
 
-    /// Proposes other members, after the round that is under way: rounds back to back would keep it waiting for good.
+    /// Proposes other members after the round in progress. The change takes priority over the next
+    /// round, as successive rounds would otherwise delay it forever.
     pub fn propose_members(&mut self, now: Micros, next: Vec<ReplicaId>) {
         if !self.changing && self.is_leader() {
             self.pending_change = Some(PendingChange {
@@ -236,14 +243,14 @@
         }
     }
 
-    /// Proposes what waits, once the round before has ended; takes in what is decided.
+    /// Applies decided entries, and proposes the queued requests once the previous round has ended.
     pub fn settle(&mut self, now: Micros, wall_ms: u64) -> Settled {
         let mut settled = Settled {
             answers: self.apply(),
             rounds: 0,
         };
         if !self.is_leader() {
-            // Whoever leads it now is asked again.
+            // The requesters send their requests to the new leader.
             self.queue.clear();
             self.known.clear();
             self.key_queues.clear();
@@ -259,7 +266,7 @@
         settled
     }
 
-    /// Proposes the requests that wait, as far as a round holds them; false where none is proposed.
+    /// Proposes the queued requests, as many as fit in a round; false if none is proposed.
     fn propose_batch(&mut self, now: Micros, wall_ms: u64) -> bool {
         let (mut commands, mut bytes) = (Vec::new(), 0);
         for waiting in std::mem::take(&mut self.queue) {
@@ -285,13 +292,13 @@
             })
     }
 
-    /// The latest requests of the fronts that are to be told that a key is free.
+    /// The latest requests of the fronts to be notified that a key is free.
     pub fn freed_keys(&mut self, now: Micros, wall_ms: u64) -> Vec<CommandId> {
         self.key_queues
             .freed_keys(now, |key| self.state.is_free(key, wall_ms))
     }
 
-    /// Applies what was decided; the answers, where this front leads the shard.
+    /// Applies decided entries; returns the answers if this front leads the shard.
     fn apply(&mut self) -> Vec<DecidedCommand> {
         let decided = self.log.decided();
         let mut answers = Vec::new();
@@ -319,7 +326,7 @@
         answers
     }
 
-    /// Takes the messages that are to be sent to other members.
+    /// Removes and returns the messages to be sent to other members.
     pub fn take_messages(&mut self) -> Vec<MemberMessage> {
         let (shard, config) = (self.shard, self.config);
         let order = &mut self.order;
@@ -340,7 +347,8 @@
         self.log.take_messages().into_iter().map(numbered).collect()
     }
 
-    /// What a new member starts the next configuration from that has this log's entries up to this index.
+    /// The base from which a new member starts the next configuration if it has this log's entries
+    /// up to the given index.
     pub fn base_after(&self, index: u64) -> Base {
         let from = usize::try_from(index).unwrap_or_default();
         let DecidedSuffix { state, batches } = self.log.decided_since(from);
@@ -353,7 +361,8 @@
         }
     }
 
-    /// Replaces the state as of an entry by another, and applies what its own log has since; false where that can't be.
+    /// Replaces the state as of an index, and applies the local log's later entries to it. False if
+    /// the log no longer has those entries, or has undecided or unapplied ones.
     pub fn replace_state(&mut self, index: u64, mut state: State) -> bool {
         let from = usize::try_from(index).unwrap_or(usize::MAX);
         if from < self.log.compacted() || from > self.applied || self.log.decided() != self.applied
--- a/crates/ledger/src/replica/saving.rs
+++ b/crates/ledger/src/replica/saving.rs
@@ -1,4 +1,4 @@
-//! What a replica saves: the records of its log, its snapshot and its promises, as far as they have changed.
+//! Saves the changes of a replica: the records of its log, its snapshot and its Paxos promises.
 
 use hallmux_replica::LogState;
 
@@ -8,7 +8,7 @@
 use crate::Record;
 
 impl Replica {
-    /// Whether something must be durable before anything that follows from it is sent.
+    /// Whether changes must be durable before any message that depends on them is sent.
     pub fn must_save(&mut self) -> bool {
         if let Some(changes) = self.store.take_changes() {
             self.changes.must_persist |= changes.must_persist;
@@ -24,7 +24,7 @@
         self.changes.must_persist
     }
 
-    /// Adds what has changed since it was last saved to the records; the latest format that they are of.
+    /// Adds the changes since the last save to the records; returns the latest format among them.
     pub fn save_changes(&mut self, records: &mut Vec<Record>) -> u8 {
         let mut format = self.state.format();
         if !std::mem::take(&mut self.dirty) {
@@ -55,7 +55,7 @@
         format
     }
 
-    /// What is saved beside the log and the snapshot.
+    /// The record that is saved in addition to the log and the snapshot.
     fn meta(&self, log_state: &LogState<Batch>) -> Meta {
         Meta {
             config: self.config,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds records that remove its log from what is saved.
+    /// Adds records that remove the saved log.
     pub fn remove_saved_log(&self, records: &mut Vec<Record>) {
         let saved = self.saved.clone();
         records.extend(saved.map(|index| records::no_entry(self.shard, index)));
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -1,4 +1,5 @@
-//! Requests for entries: this front's own, passed on to whoever leads the shard, and those of other fronts.
+//! Requests for entries: those of this front, forwarded to the shard's leader, and those of other
+//! fronts.
 
 use crate::batch::Command;
 use crate::ledger::Ledger;
@@ -11,11 +12,14 @@
     shard_of, ClockReading, FrontId, Key, LedgerAnswer, LedgerRequest, Operation, Outcome, Owner,
 };
 
-const LONGEST_NAME: usize = 1_024; // bytes of a key's name
-const LONGEST_VALUE: usize = 32 * 1_024; // bytes of a value
+/// Maximum bytes of a key's name.
+const LONGEST_NAME: usize = 1_024;
+/// Maximum bytes of a value.
+const LONGEST_VALUE: usize = 32 * 1_024;
 
 impl Ledger {
-    /// Asks for an act; one answer follows.
+    /// Submits a request; exactly one answer follows. A request whose number is already waiting is
+    /// ignored.
     pub fn submit(&mut self, at: ClockReading, request: LedgerRequest) {
         let LedgerRequest {
             number,
@@ -26,7 +30,8 @@
             return;
         }
         if self.counters.failed {
-            // Only what needs no promise goes on here, until it starts over.
+            // Without a working disk, every request is answered as unreachable until the ledger is
+            // reset.
             return self.answer_at_once(number, Outcome::Unreachable);
         }
         if is_too_long(&key, &operation) {
@@ -52,12 +57,12 @@
         self.settle(at);
     }
 
-    /// Answers a request that depends on nothing that has yet to be saved.
+    /// Answers a request without waiting for any save.
     fn answer_at_once(&mut self, number: u64, outcome: Outcome) {
         self.out.answers.push(LedgerAnswer { number, outcome });
     }
 
-    /// Passes a request on to the shard's leader, as far as that is known.
+    /// Sends a request to the shard's leader, or to a front that may know the leader.
     pub(crate) fn send_request(&mut self, at: ClockReading, number: u64) {
         let Some(attempt) = self.pending.next_attempt(at.steady, number) else {
             return;
@@ -95,7 +100,8 @@
         }
     }
 
-    /// Another front does not lead the shard of a request, and says which one does.
+    /// Handles another front's answer that it does not lead the shard, and the leader that it
+    /// names.
     pub(crate) fn redirect(
         &mut self,
         at: ClockReading,
@@ -117,7 +123,8 @@
         }
     }
 
-    /// The answer to a request of this front, to be given once what it rests on is durable here.
+    /// Records the answer to a request of this front, to be returned once the state that it depends
+    /// on is durable here.
     pub(crate) fn record_answer(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
         let Some(shard) = self.pending.answered(number) else {
             return;
@@ -129,7 +136,7 @@
         self.done.push(LedgerAnswer { number, outcome });
     }
 
-    /// A request of another front has come.
+    /// Handles a request from another front.
     pub(crate) fn receive_request(
         &mut self,
         at: ClockReading,
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -1,4 +1,4 @@
-//! Takes in what the log of a shard has decided, and answers what was asked.
+//! Applies what the log of a shard has decided, and answers the requests.
 
 use crate::batch::CommandId;
 use crate::formats::KEY_QUEUE_FORMAT;
@@ -9,7 +9,7 @@
 use crate::{ClockReading, LedgerAnswer, Micros, Outcome};
 
 impl Ledger {
-    /// Takes in what a shard's log has decided, answers the requests, and sends the log's messages.
+    /// Applies what a shard's log has decided, answers the requests, and sends the log's messages.
     pub(crate) fn settle_shard(&mut self, at: ClockReading, shard: u16) {
         let wall_ms = self.wall_ms(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
@@ -45,7 +45,8 @@
         self.adopt_next_members(at, shard);
     }
 
-    /// Keeps since when this front leads the shard; one that does not lead it changes no members.
+    /// Updates the time since which this front leads the shard; a front that does not lead it drops
+    /// its replacement in progress.
     fn update_leadership(&mut self, now: Micros, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Sends a message of a shard's log. What would overtake a long one counts as lost instead: it is sent again once that
-    /// has come.
+    /// Sends a message of a shard's log. A message that would overtake a long one to the same
+    /// member is dropped and counts as lost: the log sends it again later.
     fn send_to_member(&mut self, at: ClockReading, shard: u16, message: &MemberMessage) {
         let pace = if message.is_ordered {
             Pace::Log(shard)
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Tells the first front in a key's queue that the key is free.
+    /// Notifies the first front in a key's queue that the key is free.
     fn announce_free_key(&mut self, at: ClockReading, command: CommandId) {
         let CommandId { owner, number } = command;
         if owner.front == self.own.front {
@@ -105,7 +106,7 @@
         self.transport.send(at, owner.front, &message, Pace::Fast);
     }
 
-    /// A key that this front asked for is free, and this front is the first in its queue.
+    /// Handles the notification that a key is free and this front is the first in its queue.
     pub(crate) fn key_is_free(&mut self, command: CommandId) {
         let CommandId { owner, number } = command;
         if owner.incarnation == self.setup.incarnation && !self.pending.is_waiting(number) {
--- a/crates/ledger/src/setup.rs
+++ b/crates/ledger/src/setup.rs
@@ -1,60 +1,65 @@
-//! How a front takes part in the ledger.
+//! The setup of a front's node of the ledger.
 
 use std::collections::BTreeSet;
 
 use crate::formats::{FORMAT, SAVED_FORMAT};
 use crate::{DiskId, Error, FrontId, Micros};
 
-/// A front that holds replicas.
+/// A front that may hold replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The front.
     pub front: FrontId,
-    /// Where it is; the replicas of a shard are in different zones where there are.
+    /// The front's zone; the replicas of a shard are in different zones if there are several.
     pub zone: String,
 }
 
-/// How a front takes part.
+/// The setup of a front's node of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Setup {
-    /// The fleet's name: messages and records of another are refused.
+    /// The fleet's name; messages and records of another fleet are rejected.
     pub fleet: String,
-    /// This front.
+    /// The front that runs this node.
     pub local_front: FrontId,
-    /// When this front started, in Unix milliseconds; has to grow with each start.
+    /// When this front started, in Unix milliseconds; must grow with each start.
     pub incarnation: u64,
-    /// Drawn anew whenever the directory is made new, and at every start without one; never 0.
+    /// The identity of the disk: drawn at random whenever the directory is created, and at every
+    /// start without one. Never 0.
     pub disk: DiskId,
-    /// All fronts that hold replicas, the same list on every front; this front need not be one.
+    /// All fronts that may hold replicas, the same list on every front; this front need not be one.
     pub members: Vec<Member>,
-    /// Replicas of a shard in all.
+    /// Number of replicas of a shard.
     pub replication_factor: usize,
-    /// Number of shards; the same on every front, and never changed.
+    /// Number of shards, the same on every front; never changes.
     pub shards: u16,
-    /// Most entries of a shard.
+    /// Maximum number of entries of a shard.
     pub max_shard_entries: usize,
-    /// Most bytes of a shard's entries.
+    /// Maximum bytes of a shard's entries.
     pub max_shard_bytes: usize,
     /// Microseconds until a request that no quorum has answered is [`crate::Outcome::Unreachable`].
     pub request_timeout: Micros,
-    /// Microseconds without a sign of a member until its replicas are rebuilt elsewhere.
+    /// Microseconds without any packet from a member until its replicas are rebuilt elsewhere.
     pub repair_after: Micros,
-    /// Bytes a second that rebuilding replicas may take.
+    /// Maximum rate of rebuilding replicas, in bytes per second.
     pub repair_bytes_per_s: u32,
-    /// Hundredths of the shards that may move at once for balance, or as members change; 0: none moves.
+    /// Maximum percentage of the shards that may move at once for balance, or as members change; 0:
+    /// none moves.
     pub max_moving_percent: u8,
-    /// Microseconds that a zone is waited for that is away as a whole; never less than `repair_after`.
+    /// Microseconds to wait for a zone that is entirely away; never less than `repair_after`.
     pub zone_repair_after: Micros,
-    /// The latest message format that it reads and writes, see [`FORMAT`]; an earlier one is for tests of mixed fleets.
+    /// The latest message format that this front reads and writes, see [`FORMAT`]; an earlier one
+    /// is for tests of mixed fleets.
     pub format: u8,
-    /// The latest format in which it saves entries and records, once all members read it, see [`SAVED_FORMAT`].
+    /// The latest format in which this front saves entries and records, once all members read it,
+    /// see [`SAVED_FORMAT`].
     pub saved_format: u8,
-    /// Most milliseconds that fronts' Unix clocks differ by: an ended entry is withheld from others for so much longer.
+    /// Maximum difference between fronts' Unix clocks in milliseconds: an expired entry stays
+    /// withheld from other fronts for that much longer.
     pub clock_skew_ms: u64,
 }
 
 impl Setup {
-    /// The operator file's defaults.
+    /// The defaults of the operator's configuration file.
     pub fn new(
         fleet: &str,
         own: FrontId,
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Whether a ledger can be built on it.
+    /// Checks the setup.
     pub(crate) fn check(&self) -> Result<(), Error> {
         let mut seen = BTreeSet::new();
         if self.members.is_empty() {
--- a/crates/ledger/src/shard_view.rs
+++ b/crates/ledger/src/shard_view.rs
@@ -1,4 +1,4 @@
-//! What a front knows of one shard, whether it holds a replica of it or not.
+//! What a front knows about one shard, whether it holds a replica of it or not.
 
 use std::collections::BTreeMap;
 
@@ -10,50 +10,52 @@
 use crate::state::StateAt;
 use crate::{FrontId, Micros};
 
-/// What a front has learned of a shard before it becomes a member: a state of the log of this configuration.
+/// A snapshot received before this front becomes a member: a state of the log of this
+/// configuration.
 pub(crate) struct Learned {
     pub config: u32,
     pub at: StateAt,
 }
 
-/// What a front knows of one shard.
+/// What a front knows about one shard.
 #[derive(Default)]
 pub(crate) struct ShardView {
-    /// All fronts that could hold it, in the order in which they are preferred.
+    /// All fronts that could hold the shard, the most preferred first.
     pub ranked: Vec<FrontId>,
-    /// The fronts that are to hold it, in the order in which they are preferred; empty where shards do not move.
+    /// The fronts that are to hold the shard, the most preferred first; empty if shards do not
+    /// move.
     pub wanted: Vec<FrontId>,
-    /// Which of them is to lead it.
+    /// The target front that is to lead the shard.
     pub preferred_leader: Option<FrontId>,
-    /// This front's replica of it.
+    /// This front's replica of the shard.
     pub replica: Option<Replica>,
-    /// Its latest configuration that was heard of.
+    /// The latest known configuration of the shard.
     pub known: Option<Configuration>,
     /// This disk never joins a configuration with this number or a lower one (again).
     pub barred: u32,
-    /// What this front does to start it, where it has yet to start.
+    /// The start of the shard on this front, if it has not started yet.
     pub bootstrap: Option<Bootstrap>,
-    /// A state that was sent to this front before it became a member.
+    /// The snapshot that was sent to this front before it became a member.
     pub learned: Option<Learned>,
-    /// The change of members that is under way, where this front leads it.
+    /// The replacement of a member in progress, if this front leads the shard.
     pub repair: Option<Repair>,
-    /// The comparison of its replicas.
+    /// The comparison of the shard's replicas.
     pub comparison: Comparison,
-    /// Since when this front leads it.
+    /// Since when this front leads the shard.
     pub leader_since: Option<Micros>,
-    /// The front that leads it, as was heard last.
+    /// The shard's leader according to the latest answer or redirection.
     pub leader_hint: Option<FrontId>,
-    /// When this front was last announced to each other one, or sent it the members.
+    /// When this front last sent each other front an announcement or the members.
     pub announced: BTreeMap<FrontId, Micros>,
 }
 
 impl ShardView {
-    /// Its members, as far as is known.
+    /// The members of the shard, as far as known.
     pub fn members(&self) -> &[ReplicaId] {
         self.known.as_ref().map_or(&[], |known| &known.members)
     }
 
-    /// Which of these members is to lead it.
+    /// The preferred leader among these members.
     pub fn preferred_among(&self, members: &[ReplicaId]) -> Option<FrontId> {
         let mut order = self
             .preferred_leader
@@ -65,7 +67,7 @@
             .copied()
     }
 
-    /// The number of its latest configuration; 0: none is known.
+    /// The number of the latest known configuration; 0 if none is known.
     pub fn config(&self) -> u32 {
         self.known.as_ref().map_or(0, |known| known.config)
     }
--- a/crates/ledger/src/snapshot.rs
+++ b/crates/ledger/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of a shard's log, as the consensus library makes and merges them.
+//! Snapshots of a shard's log, as the consensus library creates and merges them.
 
 use omnipaxos::storage::{Entry as Logged, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -6,8 +6,9 @@
 use crate::batch::Batch;
 use crate::state::State;
 
-/// A snapshot of the log: the state up to some entry, and the batches since that have yet to be applied to it. The
-/// consensus library makes one of some entries alone, and then merges it into the one before.
+/// A snapshot of the log: the state up to some index, and later batches that are not applied to it
+/// yet. The consensus library creates a snapshot from entries alone, and then merges it into the
+/// previous one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct LogSnapshot {
     base: State,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// The latest format of what it holds.
+    /// The latest format of the state and the batches.
     pub fn format(&self) -> u8 {
         self.since
             .iter()
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -1,5 +1,6 @@
-//! The state machine of a shard: every replica that applies the same batches comes to the same state. Its time is that of
-//! the batches, which is their proposer's Unix clock, and never runs back.
+//! The state machine of a shard: every replica that applies the same batches reaches the same
+//! state. Its clock is that of the batches, set from the members' Unix clocks by the proposer, and
+//! never runs back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +13,19 @@
 use crate::tail::Tail;
 use crate::{Entry, Key, Operation, Outcome, Setup, ANSWER_RETENTION_MS};
 
-const ENTRY_OVERHEAD: usize = 64; // bytes that an entry counts beside its name and value
-const MAX_ANSWERS: usize = 8_192; // answers remembered: some 30 bytes each in a snapshot
+/// Bytes that an entry counts for in addition to its name and value.
+const ENTRY_OVERHEAD: usize = 64;
+/// Maximum number of retained answers: some 30 bytes each in a snapshot.
+const MAX_ANSWERS: usize = 8_192;
 
-/// An entry's key, and the entry as bytes.
+/// An entry's key, and the encoded entry.
 pub(crate) struct EncodedEntry<'a> {
     pub key: &'a Key,
     pub bytes: Vec<u8>,
 }
 
-/// What a shard may hold, and how long it keeps what has ended: part of the state, so that all replicas go by the same.
+/// The limits of a shard, and how long expired entries are kept. They are part of the state, so
+/// that all replicas apply the same limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Limits {
     pub entries: usize,
@@ -39,19 +43,20 @@
     }
 }
 
-/// A shard's entries.
+/// The replicated state of a shard: its entries, and the answers that are retained.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct State {
     limits: Limits,
     now_ms: u64,
-    /// The version given last, of any key.
+    /// The version assigned last, to any key.
     last: u64,
     entries: BTreeMap<Key, StoredEntry>,
     bytes: usize,
     answers: BTreeMap<CommandId, StoredAnswer>,
-    /// The members of the next configuration, once they are decided, behind the latest format of the batches.
+    /// The members of the next configuration, once decided, preceded by the latest format of the
+    /// batches.
     tail: Tail,
-    /// What ends and is forgotten when; rebuilt from the rest where it is missing.
+    /// Entries and answers by expiry; rebuilt from the other fields if missing.
     #[serde(skip)]
     index: Option<Index>,
 }
@@ -63,7 +68,7 @@
     number: u64,
 }
 
-/// Entries and answers in the order in which they are removed.
+/// Entries and answers in the order in which they expire.
 #[derive(Clone, Debug, Default)]
 struct Index {
     ends: BTreeSet<EntryEnd>,
@@ -82,7 +87,7 @@
     id: CommandId,
 }
 
-/// A command carried out: its outcome, and what is remembered of that.
+/// The result of a command: its outcome, and the part of it that is retained.
 struct CarriedOut {
     outcome: Outcome,
     stored: StoredOutcome,
@@ -140,7 +145,7 @@
         self.bytes
     }
 
-    /// Each entry as bytes, for the comparison of replicas.
+    /// Each entry, encoded, for the comparison of replicas.
     pub fn encoded_entries(&self) -> impl Iterator<Item = EncodedEntry<'_>> {
         self.entries.iter().map(|(key, stored)| EncodedEntry {
             key,
@@ -148,7 +153,7 @@
         })
     }
 
-    /// All that replicas agree on beside the entries, as bytes.
+    /// Everything but the entries that replicas agree on, encoded.
     pub fn encoded_rest(&self) -> Vec<u8> {
         let State {
             limits,
@@ -162,12 +167,12 @@
         encode(&(limits, now_ms, last, bytes, answers, tail))
     }
 
-    /// The entry of a key.
+    /// The entry of a key, if any.
     fn of(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key).map(|stored| &stored.entry)
     }
 
-    /// Whether nobody has it any more, at that time.
+    /// Whether no front holds the key at that time, clock skew included.
     pub fn is_free(&self, key: &Key, wall_ms: u64) -> bool {
         let ends = |entry: &Entry| entry.ends_ms.saturating_add(self.limits.clock_skew_ms);
         self.of(key)
@@ -178,12 +183,12 @@
         self.tail.next()
     }
 
-    /// The latest format of the batches that it came from.
+    /// The latest format of the applied batches.
     pub fn format(&self) -> u8 {
         self.tail.format()
     }
 
-    /// The state that the next configuration starts from: the same entries.
+    /// The state that the next configuration starts from, with the same entries.
     pub fn for_next_configuration(&self) -> State {
         State {
             tail: Tail::of(self.format(), None),
@@ -191,8 +196,8 @@
         }
     }
 
-    /// Applies a batch; the outcome of each of its commands. Empty once the members have changed: what follows in this
-    /// log does not count, and nobody may be answered by it.
+    /// Applies a batch and returns the outcome of each command. Empty once the members have
+    /// changed: later entries of this log have no effect, and no request may be answered from them.
     pub fn apply(&mut self, batch: &Batch) -> Vec<Outcome> {
         if self.next().is_some() {
             return Vec::new();
@@ -220,7 +225,8 @@
         if let Some(before) = self.answers.get(&id) {
             return command.repeat_answer(&before.stored, self.of(&command.key));
         }
-        // An answer to one asked as long ago, or in the future, could be forgotten before a copy of it comes.
+        // The answer to a request made that long ago, or in the future, could be dropped before a
+        // duplicate of the request arrives.
         let age = self.now_ms.abs_diff(command.asked_ms);
         if age >= ANSWER_RETENTION_MS || self.answers.len() >= MAX_ANSWERS {
             return Outcome::Unreachable;
@@ -232,7 +238,7 @@
         outcome
     }
 
-    /// Carries out a command that changes entries and has not been answered before.
+    /// Executes a command that changes entries and has not been answered before.
     fn carry_out(&mut self, command: &Command) -> CarriedOut {
         let current = self.of(&command.key).cloned();
         let own = current
@@ -267,7 +273,8 @@
         }
     }
 
-    /// Whether the same front has set the entry by a later ask: one that comes late undoes nothing.
+    /// Whether the same front has set the entry by a later request, which a request that arrives
+    /// late must not undo.
     fn is_late(&self, command: &Command) -> bool {
         self.entries
             .get(&command.key)
@@ -324,7 +331,8 @@
         }
     }
 
-    /// Removes what has ended on every front's clock, and forgets answers that nobody can ask for any more.
+    /// Removes entries that have expired on every front's clock, and answers that are no longer
+    /// retained.
     fn expire(&mut self) {
         let (now, skew) = (self.now_ms, self.limits.clock_skew_ms);
         while let Some(first) = self.index().ends.first().cloned() {
@@ -370,7 +378,7 @@
     }
 }
 
-/// A state of a shard, after so many entries of the log.
+/// The state of a shard as of an index of the log.
 pub(crate) struct StateAt {
     pub index: u64,
     pub state: State,
--- a/crates/ledger/src/stored_answers.rs
+++ b/crates/ledger/src/stored_answers.rs
@@ -1,11 +1,11 @@
-//! Answers that are remembered, so that a request made twice counts once.
+//! Retained answers, so that a repeated request is applied once.
 
 use serde::{Deserialize, Serialize};
 
 use crate::batch::Command;
 use crate::{Entry, Operation, Outcome, Owner};
 
-/// An outcome that is remembered, without what the request itself says.
+/// The retained outcome of a request, without what the request itself contains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum StoredOutcome {
     Stands {
@@ -20,7 +20,8 @@
     Full,
 }
 
-/// The outcome of a request, and when it was first asked, in Unix milliseconds of its front.
+/// The outcome of a request, and when the request was first made, in Unix milliseconds of its
+/// front's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredAnswer {
     pub asked_ms: u64,
@@ -28,7 +29,8 @@
 }
 
 impl Command {
-    /// The answer to a repeat. A claim that was granted and is gone since is not answered as if it stood.
+    /// The answer to a repeated request. A granted claim whose entry is gone by now is not answered
+    /// as if it still held the key.
     pub fn repeat_answer(&self, stored: &StoredOutcome, current: Option<&Entry>) -> Outcome {
         let entry = |owner, version, ends_ms, value| Entry {
             key: self.key.clone(),
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -1,5 +1,6 @@
-//! What ends a batch and a state: who keeps the shard from there on, and from the third format on their own format before
-//! it. postcard writes the first two as it writes an option, so the first format's bytes are what they were.
+//! The last field of a batch and of a state: the members of the next configuration, preceded by the
+//! format from the third format on. postcard encodes the first two variants like an option, so the
+//! bytes of the first format are unchanged.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -19,7 +20,7 @@
     },
 }
 
-/// A later format may have anything behind it.
+/// Deserializes a format and rejects unknown ones, as the layout behind a later format is unknown.
 fn known<'de, D: Deserializer<'de>>(reader: D) -> Result<u8, D::Error> {
     match u8::deserialize(reader)? {
         format @ FIRST_EXPLICIT_FORMAT..=FORMAT => Ok(format),
@@ -30,7 +31,8 @@
 }
 
 impl Tail {
-    /// In the format, or in the first where that has no place for it.
+    /// The members in the given format, or in the first format if the given one does not name
+    /// itself.
     pub fn of(format: u8, next: Option<Vec<ReplicaId>>) -> Tail {
         match next {
             next if format >= FIRST_EXPLICIT_FORMAT => Tail::Explicit { format, next },
--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -1,5 +1,6 @@
-//! Sends and receives messages between fronts as packets, each for one datagram: small messages share a packet, long ones
-//! are cut into fragments that are sent at a stated pace, and sent again where they are lost.
+//! Sends and receives messages between fronts as packets, each for one datagram. Small messages
+//! share a packet; long ones are split into fragments that are sent at a limited rate, and sent
+//! again if they are lost.
 
 use std::collections::BTreeMap;
 
@@ -14,11 +15,14 @@
 use crate::rejection::Rejection;
 use crate::{ClockReading, DiskId, FrontId, Micros, OutgoingPacket, Setup};
 
-const LOG_RATE: f64 = 2_000_000.0; // bytes a second of long messages of the log: a follower waits for them
+/// Bytes per second of long messages of the log, which followers wait for.
+const LOG_RATE: f64 = 2_000_000.0;
 
-const LENGTH_BYTES: usize = 3; // bytes that a message's length takes before it at most
+/// Maximum bytes of the length prefix of a message.
+const LENGTH_BYTES: usize = 3;
 
-/// A packet of another front: who speaks, and the messages that are complete by it.
+/// A packet from another front: its sender's disk and incarnation, and the messages that it
+/// completes.
 #[derive(Debug)]
 pub(crate) struct ReceivedPacket {
     pub disk: DiskId,
@@ -37,13 +41,13 @@
     formats: PeerFormats,
     /// Encoded messages that share packets, by receiver.
     small: BTreeMap<FrontId, Vec<Vec<u8>>>,
-    /// By the number that this front has given them.
+    /// Long messages in progress, by the number that this front gave them.
     long: BTreeMap<u64, LongMessage>,
     next_long: u64,
     reassembly: Reassembly,
     log_pacer: Pacer,
     repair_pacer: Pacer,
-    /// Requests and acknowledgements of fragments that leave next.
+    /// Requests for fragments and acknowledgements to be sent next.
     payloads: Vec<OutgoingPayload>,
 }
 
@@ -58,7 +62,7 @@
             formats: PeerFormats::default(),
             small: BTreeMap::new(),
             long: BTreeMap::new(),
-            next_long: incarnation << 20, // an earlier incarnation's are not this one's
+            next_long: incarnation << 20, // numbers differ from those of earlier incarnations
             reassembly: Reassembly::default(),
             log_pacer: Pacer::new(LOG_RATE),
             repair_pacer: Pacer::new(f64::from(setup.repair_bytes_per_s)),
@@ -66,17 +70,17 @@
         }
     }
 
-    /// The latest format that a front and this one read.
+    /// The latest format that both this front and the given one read.
     pub fn common_format(&self, front: FrontId) -> u8 {
         self.formats.of(self.format, front)
     }
 
-    /// The latest format that all of them and this one read.
+    /// The latest format that all of the fronts and this one read.
     pub fn common_format_of_all(&self, fronts: impl Iterator<Item = FrontId>) -> u8 {
         self.formats.of_all(self.format, fronts)
     }
 
-    /// Puts a message into the next packets to this front.
+    /// Queues a message to a front.
     pub fn send(&mut self, at: ClockReading, to: FrontId, message: &LedgerMessage, pace: Pace) {
         let bytes = encode(message);
         if bytes.len() + LENGTH_BYTES <= FRAGMENT_BYTES {
@@ -85,7 +89,7 @@
         }
         let count = bytes.len().div_ceil(FRAGMENT_BYTES);
         if count > MAX_FRAGMENTS {
-            return; // bounds of a shard keep it below
+            return; // the limits of a shard keep messages below this size
         }
         let to_send = (0..count as u16).rev().collect();
         let (touched, reminded) = (at.steady, at.steady);
@@ -103,14 +107,14 @@
         self.next_long += 1;
     }
 
-    /// Whether a long message to this front is under way at this pace.
+    /// Whether a long message to this front is in progress at this pace.
     pub fn is_busy(&self, to: FrontId, pace: Pace) -> bool {
         self.long
             .values()
             .any(|long| long.to == to && long.pace == pace)
     }
 
-    /// Takes in a packet.
+    /// Handles a packet. Fails if it is malformed, of another fleet or of an unknown format.
     pub fn receive(
         &mut self,
         at: ClockReading,
@@ -143,7 +147,7 @@
         })
     }
 
-    /// Takes in a packet's payload; the encoded messages that are complete by it.
+    /// Handles a packet's payload; returns the encoded messages that it completes.
     fn receive_payload(
         &mut self,
         now: Micros,
@@ -179,7 +183,7 @@
         Ok(Vec::new())
     }
 
-    /// Takes in a fragment, and acknowledges its message once that is complete.
+    /// Adds a fragment, and acknowledges its message once that is complete.
     fn receive_fragment(
         &mut self,
         now: Micros,
@@ -198,7 +202,7 @@
         Ok(complete)
     }
 
-    /// Decodes messages, none of a later format than this build's.
+    /// Decodes messages; fails if one is malformed or of a later format than this front's.
     fn decode_messages(&self, encoded: &[Vec<u8>]) -> Result<Vec<LedgerMessage>, Rejection> {
         let decoded = encoded.iter().map(|bytes| decode::<LedgerMessage>(bytes));
         let messages: Option<Vec<LedgerMessage>> = decoded.collect();
@@ -211,7 +215,7 @@
             .ok_or(Rejection::Malformed)
     }
 
-    /// When `packets` is next due though nothing is sent or received.
+    /// When `packets` is next due even if nothing is sent or received.
     pub fn due(&self) -> Micros {
         let paced = |repair: bool, pacer: &Pacer| {
             let mut waits = self.long.values().filter(|long| !long.to_send.is_empty());
@@ -233,7 +237,7 @@
             .min(fragments)
     }
 
-    /// The packets that may leave now.
+    /// Removes and returns the packets that may be sent now.
     pub fn packets(&mut self, at: ClockReading) -> Vec<OutgoingPacket> {
         self.payloads
             .extend(self.reassembly.request_missing(at.steady));
@@ -264,7 +268,7 @@
         }
     }
 
-    /// Puts the small messages that wait into payloads, as many as fit in each.
+    /// Packs the queued small messages into payloads, as many as fit in each.
     fn gather_small(&mut self, now: Micros, payloads: &mut Vec<OutgoingPayload>) {
         for (to, mut messages) in std::mem::take(&mut self.small) {
             if let Some(introduction) = self.formats.introduction(now, self.format, to) {
@@ -286,7 +290,7 @@
         }
     }
 
-    /// Adds the fragments of long messages that may leave at their pace.
+    /// Adds the fragments of long messages that may be sent at their rate.
     fn send_fragments(&mut self, now: Micros, payloads: &mut Vec<OutgoingPayload>) {
         self.log_pacer.refill(now);
         self.repair_pacer.refill(now);
@@ -311,8 +315,8 @@
         }
     }
 
-    /// Sends the last fragment of a message again that is sent and not acknowledged: until it is, nothing else of the same
-    /// log goes to its receiver.
+    /// Sends the last fragment again for messages that are sent but not acknowledged: until then,
+    /// no other message of the same log is sent to the receiver.
     fn remind_receivers(&mut self, now: Micros) {
         self.long
             .retain(|_, long| now - long.touched < ABANDON_AFTER);
