--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -7,15 +7,15 @@
 pub enum Error {
     /// The member list is empty.
     #[error(
-        "ledger: no members are named; name the fronts that keep copies, or leave the ledger out"
+        "ledger: the member list is empty; list the fronts that hold replicas, or remove the ledger settings"
     )]
     NoMembers,
     /// The member list names a front twice.
-    #[error("ledger: front {0:016x} is named twice among the members; name each front once")]
+    #[error("ledger: front {0:016x} is listed twice among the members; list each front once")]
     DuplicateMember(FrontId),
     /// The number of replicas per shard is 0 or larger than the number of members.
     #[error(
-        "ledger: {replication_factor} copies of {members} members; give 1 to {members} copies, or name more members"
+        "ledger: {replication_factor} copies configured for {members} members; set copies to 1 to {members}, or list more members"
     )]
     ReplicationFactor {
         /// The configured number of replicas per shard.
@@ -24,16 +24,16 @@
         members: usize,
     },
     /// The number of shards is out of range.
-    #[error("ledger: {0} shards; give 1 to 1024, the same on every front")]
+    #[error("ledger: {0} shards configured; set shards to 1 to 1024, the same on every front")]
     Shards(u16),
     /// A saved record does not match its checksum, or can't be decoded.
-    #[error("ledger: record {record} is cut short or altered; move the directory away: the front comes back as one that lost its disk")]
+    #[error("ledger: saved record {record} is truncated or corrupted; move the ledger directory away, and the front starts like one that lost its disk")]
     Damaged {
         /// The record's name, as text.
         record: String,
     },
     /// The records have a later format than this build reads.
-    #[error("ledger: what was saved is of version {found}, this build reads {reads}; start the build that wrote it, or move the directory away")]
+    #[error("ledger: the saved records have format version {found}, but this build reads up to {reads}; start the build that wrote them, or move the ledger directory away")]
     Version {
         /// The format of the records.
         found: u8,
@@ -41,10 +41,10 @@
         reads: u8,
     },
     /// The records belong to another fleet, or were saved with another number of shards.
-    #[error("ledger: what was saved is of another fleet, or was saved with other shards; give the front the directory of its own fleet")]
+    #[error("ledger: the saved records belong to another fleet, or to another number of shards; give this front the ledger directory of its own fleet")]
     Fleet,
     /// The records were saved under another disk identity than the directory's.
-    #[error("ledger: what was saved is of disk {found:016x}, the directory is {given:016x}; give the directory back as it was, or an empty one")]
+    #[error("ledger: the saved records belong to disk {found:016x}, but the directory is disk {given:016x}; restore the directory as it was, or use an empty one")]
     Disk {
         /// The disk identity in the records.
         found: u64,
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -25,7 +25,7 @@
     match u8::deserialize(reader)? {
         format @ FIRST_EXPLICIT_FORMAT..=FORMAT => Ok(format),
         format => Err(D::Error::custom(format!(
-            "of form {format}, this build reads {FORMAT}"
+            "unknown format {format}; this build reads up to format {FORMAT}"
         ))),
     }
 }
