--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -17,9 +17,9 @@
 use crate::{ClockReading, FrontId, Micros};
 
 /// Microseconds between comparisons of a shard.
-const INTERVAL: Micros = 60_000_000;
+const COMPARISON_INTERVAL: Micros = 60_000_000;
 /// Microseconds until the next comparison of a shard whose replicas differed.
-const RECHECK: Micros = 2_000_000;
+const RECHECK_INTERVAL: Micros = 2_000_000;
 /// Microseconds that the leader waits for the members' hashes.
 const ANSWER_TIMEOUT: Micros = 1_000_000;
 
@@ -32,31 +32,35 @@
             return;
         };
         let Some(replica) = &view.replica else { return };
-        if at.steady < view.comparison.next || replica.members.len() < 2 || view.repair.is_some() {
+        if at.steady < view.comparison.next_due
+            || replica.members.len() < 2
+            || view.repair.is_some()
+        {
             return;
         }
-        if view.comparison.next == 0 {
+        if view.comparison.next_due == 0 {
             // Spreads the first comparisons of the shards over the interval.
-            view.comparison.next = at.steady + INTERVAL / 16 * Micros::from(shard % 16 + 1);
+            view.comparison.next_due =
+                at.steady + COMPARISON_INTERVAL / 16 * Micros::from(shard % 16 + 1);
             return;
         }
-        view.comparison.next = at.steady + ANSWER_TIMEOUT;
+        view.comparison.next_due = at.steady + ANSWER_TIMEOUT;
         view.comparison.index = replica.applied();
         let hashes = hashes(&replica.state);
-        view.comparison.hashes = BTreeMap::from([(self.own.front, hashes.clone())]);
+        view.comparison.hashes = BTreeMap::from([(self.local.front, hashes.clone())]);
         let (config, index) = (replica.config, replica.applied());
-        let others = replica.members.iter().map(|member| member.front);
+        let other_fronts = replica.members.iter().map(|member| member.front);
         let reads_hashes = |front: &FrontId| {
-            *front != self.own.front && self.transport.common_format(*front) >= TRANSFER_FORMAT
+            *front != self.local.front && self.transport.common_format(*front) >= TRANSFER_FORMAT
         };
-        let others: Vec<FrontId> = others.filter(reads_hashes).collect();
+        let other_fronts: Vec<FrontId> = other_fronts.filter(reads_hashes).collect();
         let message = LedgerMessage::Hashes {
             shard,
             config,
             index,
             hashes,
         };
-        for to in others {
+        for to in other_fronts {
             self.transport.send(at, to, &message, Pace::Fast);
         }
     }
@@ -64,14 +68,14 @@
     /// Concludes a comparison once the time for answers is over, and repairs the replicas that
     /// differ from the majority.
     fn conclude_comparison(&mut self, at: ClockReading, shard: u16) {
-        let own = self.own.front;
+        let local = self.local.front;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         let Some(replica) = view
             .replica
             .as_ref()
-            .filter(|_| at.steady >= view.comparison.next)
+            .filter(|_| at.steady >= view.comparison.next_due)
         else {
             return;
         };
@@ -79,25 +83,25 @@
         if hashes.is_empty() {
             return;
         }
-        view.comparison.next = at.steady + INTERVAL;
-        let Some(right) = majority(&hashes, replica.members.len()) else {
+        view.comparison.next_due = at.steady + COMPARISON_INTERVAL;
+        let Some(majority_hashes) = majority(&hashes, replica.members.len()) else {
             return;
         };
-        let wrong: Vec<FrontId> = hashes
+        let differing: Vec<FrontId> = hashes
             .iter()
-            .filter(|(_, of)| **of != right)
+            .filter(|(_, of)| **of != majority_hashes)
             .map(|(f, _)| *f)
             .collect();
-        if wrong.is_empty() {
+        if differing.is_empty() {
             return;
         }
-        view.comparison.next = at.steady + RECHECK;
-        self.counters.differing += wrong.len() as u64;
+        view.comparison.next_due = at.steady + RECHECK_INTERVAL;
+        self.counters.differing += differing.len() as u64;
         let config = replica.config;
-        if wrong.contains(&own) {
+        if differing.contains(&local) {
             // This front's replica is wrong: a member of the majority takes over the shard and
             // repairs it.
-            let candidate = hashes.iter().find(|(_, of)| **of == right);
+            let candidate = hashes.iter().find(|(_, of)| **of == majority_hashes);
             if let Some((candidate, _)) = candidate {
                 let message = LedgerMessage::TransferLeadership { shard, config };
                 self.transport.send(at, *candidate, &message, Pace::Fast);
@@ -110,7 +114,7 @@
             index: replica.applied(),
             state: encode(&replica.state),
         };
-        for to in wrong {
+        for to in differing {
             if !self.transport.is_busy(to, Pace::Repair) {
                 self.transport.send(at, to, &message, Pace::Repair);
             }
@@ -186,7 +190,7 @@
         };
         if replica.leader() == Some(from.front) && replica.replace_state(index, state) {
             self.counters.repaired_after_comparison += 1;
-            self.touched.insert(configuration.shard);
+            self.changed_shards.insert(configuration.shard);
         }
     }
 
--- a/crates/ledger/src/away.rs
+++ b/crates/ledger/src/away.rs
@@ -10,10 +10,10 @@
 pub(crate) struct Away {
     pub since: BTreeMap<FrontId, Micros>,
     /// When the first front came back, for each zone that was entirely away.
-    returned_at: BTreeMap<String, Micros>,
-    pub gone: BTreeSet<FrontId>,
+    zone_returned_at: BTreeMap<String, Micros>,
+    pub declared_gone: BTreeSet<FrontId>,
     /// The member list has changed since the last placement.
-    pub stale: bool,
+    pub placement_outdated: bool,
 }
 
 impl Away {
@@ -22,13 +22,15 @@
     }
 
     fn is_zone_away(&self, members: &[Member], zone: &str) -> bool {
-        let mut there = members.iter().filter(|member| member.zone == zone);
-        let all = there.clone().all(|member| self.is_away(member.front));
-        all && there.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
+        let mut zone_members = members.iter().filter(|member| member.zone == zone);
+        let all = zone_members
+            .clone()
+            .all(|member| self.is_away(member.front));
+        all && zone_members.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
     }
 
     /// Records that a front is up (again).
-    pub fn returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
+    pub fn mark_returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
         if !self.is_away(front) {
             return;
         }
@@ -37,7 +39,7 @@
             .find(|member| member.front == front)
             .map(|member| member.zone.clone());
         if let Some(zone) = zone.filter(|zone| self.is_zone_away(members, zone)) {
-            self.returned_at.insert(zone, now);
+            self.zone_returned_at.insert(zone, now);
         }
         self.since.remove(&front);
     }
@@ -54,9 +56,9 @@
                 since + setup.zone_repair_after.max(setup.repair_after)
             }
             Some(zone) => {
-                self.returned_at
+                self.zone_returned_at
                     .get(zone)
-                    .map_or(since, |returned_at| since.max(*returned_at))
+                    .map_or(since, |zone_returned_at| since.max(*zone_returned_at))
                     + setup.repair_after
             }
             None => since + setup.repair_after,
--- a/crates/ledger/src/away_tests.rs
+++ b/crates/ledger/src/away_tests.rs
@@ -18,7 +18,7 @@
         (away.wait_until(&setup, 0, 5), away.wait_until(&setup, 1, 5)),
         (105, 15)
     );
-    away.returned(80, &setup.members, 3);
+    away.mark_returned(80, &setup.members, 3);
     assert_eq!(
         (away.wait_until(&setup, 0, 5), away.is_away(3)),
         (90, false)
--- a/crates/ledger/src/balance.rs
+++ b/crates/ledger/src/balance.rs
@@ -21,7 +21,7 @@
     /// Number of fronts in each zone.
     fronts: Vec<u64>,
     /// Maximum number of replicas of one shard in a zone.
-    most: u64,
+    max_per_zone: u64,
 }
 
 fn zones(members: &[Member], replication_factor: u64) -> Zones<'_> {
@@ -30,92 +30,108 @@
         .iter()
         .for_each(|member| *counts.entry(member.zone.as_str()).or_default() += 1);
     let fronts: Vec<u64> = counts.values().copied().collect();
-    let room = |most: u64| fronts.iter().map(|fronts| (*fronts).min(most)).sum::<u64>();
-    let most = (1..=replication_factor)
-        .find(|most| room(*most) >= replication_factor)
+    let capacity = |max_per_zone: u64| {
+        fronts
+            .iter()
+            .map(|fronts| (*fronts).min(max_per_zone))
+            .sum::<u64>()
+    };
+    let max_per_zone = (1..=replication_factor)
+        .find(|max_per_zone| capacity(*max_per_zone) >= replication_factor)
         .unwrap_or(replication_factor);
     Zones {
         names: counts.into_keys().collect(),
         fronts,
-        most,
+        max_per_zone,
     }
 }
 
 /// The number of replicas that each zone is to hold: as even per front as the spread of a shard's
 /// replicas over different zones permits.
-fn parts(zones: &Zones, replication_factor: u64, shards: u64) -> Vec<u64> {
-    let base: Vec<u64> = zones
+fn zone_quotas(zones: &Zones, replication_factor: u64, shards: u64) -> Vec<u64> {
+    let base_quotas: Vec<u64> = zones
         .fronts
         .iter()
-        .map(|fronts| shards * (*fronts).min(zones.most - 1))
+        .map(|fronts| shards * (*fronts).min(zones.max_per_zone - 1))
         .collect();
-    let left = (shards * replication_factor).saturating_sub(base.iter().sum());
-    let at = |level: u64| -> Vec<u64> {
-        let part = |(fronts, base): (&u64, &u64)| {
-            let room = if *fronts >= zones.most { shards } else { 0 };
+    let remaining = (shards * replication_factor).saturating_sub(base_quotas.iter().sum());
+    let quotas_at = |level: u64| -> Vec<u64> {
+        let quota = |(fronts, base_quotas): (&u64, &u64)| {
+            let capacity = if *fronts >= zones.max_per_zone {
+                shards
+            } else {
+                0
+            };
             (level * fronts / LEVEL_STEPS)
-                .saturating_sub(*base)
-                .min(room)
+                .saturating_sub(*base_quotas)
+                .min(capacity)
         };
-        zones.fronts.iter().zip(&base).map(part).collect()
+        zones.fronts.iter().zip(&base_quotas).map(quota).collect()
     };
     let (mut low, mut high) = (0, (shards * replication_factor + 1) * LEVEL_STEPS);
     while low < high {
         let middle = (low + high) / 2;
-        if at(middle).iter().sum::<u64>() >= left {
+        if quotas_at(middle).iter().sum::<u64>() >= remaining {
             high = middle;
         } else {
             low = middle + 1;
         }
     }
-    at(low)
+    quotas_at(low)
         .iter()
-        .zip(&base)
-        .map(|(part, base)| part + base)
+        .zip(&base_quotas)
+        .map(|(quota, base_quota)| quota + base_quota)
         .collect()
 }
 
 /// A placement in progress.
-struct Placing<'a> {
+struct Placement<'a> {
     members: &'a [Member],
     /// The zone of each member.
     zone: Vec<usize>,
-    room: Vec<u64>,
+    /// The number of further replicas that each member may hold.
+    capacity: Vec<u64>,
     /// The members that hold each shard.
     held: Vec<Vec<usize>>,
     /// Current maximum number of replicas of a shard in one zone.
     level: usize,
 }
 
-impl Placing<'_> {
-    /// Whether member `n` may hold a replica of the shard if the replica of `excluded` is ignored.
-    fn fits(&self, shard: usize, without: Option<usize>, n: usize) -> bool {
+impl Placement<'_> {
+    /// Whether the member may hold a replica of the shard if the replica of `excluded` is ignored.
+    fn fits(&self, shard: usize, excluded: Option<usize>, candidate: usize) -> bool {
         let of = self.held[shard]
             .iter()
-            .filter(|held| Some(**held) != without);
-        let (mut there, mut same) = (0, false);
+            .filter(|held| Some(**held) != excluded);
+        let (mut in_zone, mut is_holder) = (0, false);
         for held in of {
-            there += usize::from(self.zone[*held] == self.zone[n]);
-            same |= *held == n;
+            in_zone += usize::from(self.zone[*held] == self.zone[candidate]);
+            is_holder |= *held == candidate;
         }
-        !same && there < self.level
+        !is_holder && in_zone < self.level
     }
 
     /// Makes room for a shard that no zone with free capacity can take: moves a replica of another
     /// shard to a member with free capacity and gives its place to this shard.
     fn swap(&mut self, shard: usize) -> bool {
-        let roomy: Vec<usize> = (0..self.members.len())
-            .filter(|n| self.room[*n] > 0)
+        let members_with_capacity: Vec<usize> = (0..self.members.len())
+            .filter(|candidate| self.capacity[*candidate] > 0)
             .collect();
-        for n in (0..self.members.len()).filter(|n| self.fits(shard, None, *n)) {
+        for candidate in
+            (0..self.members.len()).filter(|candidate| self.fits(shard, None, *candidate))
+        {
             for other in 0..self.held.len() {
-                let Some(place) = self.held[other].iter().position(|held| *held == n) else {
+                let Some(position) = self.held[other].iter().position(|held| *held == candidate)
+                else {
                     continue;
                 };
-                if let Some(to) = roomy.iter().find(|to| self.fits(other, Some(n), **to)) {
-                    self.held[other][place] = *to;
-                    self.room[*to] -= 1;
-                    self.held[shard].push(n);
+                if let Some(to) = members_with_capacity
+                    .iter()
+                    .find(|to| self.fits(other, Some(candidate), **to))
+                {
+                    self.held[other][position] = *to;
+                    self.capacity[*to] -= 1;
+                    self.held[shard].push(candidate);
                     return true;
                 }
             }
@@ -125,19 +141,19 @@
 
     /// Places replicas, in the order of the pairs, until each shard has `target` of them. The load
     /// bounds are exceeded only for shards that can't be placed otherwise.
-    fn fill(&mut self, pairs: &[Pair], wanted: usize) {
+    fn fill(&mut self, pairs: &[Pair], target: usize) {
         for bounded in [true, false] {
             for Pair { shard, member, .. } in pairs {
-                let has_room = self.room[*member] > 0 || !bounded;
-                if has_room && self.held[*shard].len() < wanted && self.fits(*shard, None, *member)
+                let has_room = self.capacity[*member] > 0 || !bounded;
+                if has_room && self.held[*shard].len() < target && self.fits(*shard, None, *member)
                 {
                     self.held[*shard].push(*member);
-                    self.room[*member] = self.room[*member].saturating_sub(1);
+                    self.capacity[*member] = self.capacity[*member].saturating_sub(1);
                 }
             }
             if bounded {
                 for shard in 0..self.held.len() {
-                    while self.held[shard].len() < wanted && self.swap(shard) {}
+                    while self.held[shard].len() < target && self.swap(shard) {}
                 }
             }
         }
@@ -194,7 +210,7 @@
         return vec![Vec::new(); usize::from(shards)];
     }
     let zones = zones(members, count as u64);
-    let parts = parts(&zones, count as u64, all);
+    let zone_quotas = zone_quotas(&zones, count as u64, all);
     let zone_of = |member: &Member| {
         zones
             .names
@@ -203,28 +219,28 @@
     };
     let zone: Vec<usize> = members.iter().map(zone_of).collect();
     // A front's share is its zone's quota divided by the zone's fronts, at least one whole replica.
-    let most = |zone: &usize| {
-        let (part, fronts) = (parts[*zone], zones.fronts[*zone]);
-        (part * MAX_SHARE_PERCENT / (100 * fronts)).max(part.div_ceil(fronts))
+    let max_replicas = |zone: &usize| {
+        let (quota, fronts) = (zone_quotas[*zone], zones.fronts[*zone]);
+        (quota * MAX_SHARE_PERCENT / (100 * fronts)).max(quota.div_ceil(fronts))
     };
-    let room = zone.iter().map(most).collect();
+    let capacity = zone.iter().map(max_replicas).collect();
     let pairs = ordered_pairs(members, shards);
-    let mut placing = Placing {
+    let mut placement = Placement {
         members,
         zone,
-        room,
+        capacity,
         held: vec![Vec::new(); usize::from(shards)],
         level: 0,
     };
-    for level in 1..=zones.most {
-        placing.level = level as usize;
+    for level in 1..=zones.max_per_zone {
+        placement.level = level as usize;
         // A zone gets another replica of a shard only once each zone that can has as many.
-        let wanted = zones
+        let target = zones
             .fronts
             .iter()
             .map(|fronts| (*fronts).min(level))
             .sum::<u64>() as usize;
-        placing.fill(&pairs, wanted.min(count));
+        placement.fill(&pairs, target.min(count));
     }
     let ordered = |(shard, mut held): (usize, Vec<usize>)| {
         held.sort_by_key(|member| weight(shard, members[*member].front));
@@ -232,7 +248,12 @@
             .map(|member| members[member].front)
             .collect()
     };
-    placing.held.into_iter().enumerate().map(ordered).collect()
+    placement
+        .held
+        .into_iter()
+        .enumerate()
+        .map(ordered)
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/ledger/src/bootstrap.rs
+++ b/crates/ledger/src/bootstrap.rs
@@ -56,8 +56,12 @@
     /// incarnation than the latest known one is ignored.
     pub fn record_offer(&mut self, from: ReplicaIncarnation, agreed: &[ReplicaIncarnation]) {
         let front = from.id.front;
-        let own = self.agreed.iter().find(|before| before.id.front == front);
-        let before = self.offers.get(&front).map(|offer| &offer.from).or(own);
+        let agreed_with = self.agreed.iter().find(|before| before.id.front == front);
+        let before = self
+            .offers
+            .get(&front)
+            .map(|offer| &offer.from)
+            .or(agreed_with);
         if before.is_none_or(|before| before.incarnation <= from.incarnation) {
             self.offers.insert(
                 front,
@@ -78,10 +82,10 @@
     /// The fronts among `members` that have not made an offer for this shard yet. Fronts that join
     /// the list later could be placed only with each other, so every front that may hold shards has
     /// to state that it knows of no started shard.
-    pub fn unheard(&self, own: FrontId, members: &[FrontId]) -> Vec<FrontId> {
+    pub fn without_offer(&self, local: FrontId, members: &[FrontId]) -> Vec<FrontId> {
         let others = members
             .iter()
-            .filter(|front| **front != own && !self.offers.contains_key(front));
+            .filter(|front| **front != local && !self.offers.contains_key(front));
         others.copied().collect()
     }
 
@@ -89,16 +93,16 @@
     /// may hold shards.
     pub fn next_step(
         &mut self,
-        own: ReplicaIncarnation,
+        local: ReplicaIncarnation,
         placed: &[FrontId],
         members: &[FrontId],
     ) -> Step {
-        if self.started || !self.unheard(own.id.front, members).is_empty() {
+        if self.started || !self.without_offer(local.id.front, members).is_empty() {
             return Step::Wait;
         }
         let replica = |front: &FrontId| {
-            if *front == own.id.front {
-                return Some(own);
+            if *front == local.id.front {
+                return Some(local);
             }
             self.offers.get(front).map(|offer| offer.from)
         };
@@ -111,7 +115,7 @@
             self.agreed.clone_from(&replicas);
             return Step::Agree(replicas);
         }
-        let mut others = placed.iter().filter(|front| **front != own.id.front);
+        let mut others = placed.iter().filter(|front| **front != local.id.front);
         let all = others.all(|front| {
             self.offers
                 .get(front)
--- a/crates/ledger/src/bootstrap_tests.rs
+++ b/crates/ledger/src/bootstrap_tests.rs
@@ -18,7 +18,7 @@
         bootstrap.next_step(own, &placed, &members),
         Step::Wait
     ));
-    assert_eq!(bootstrap.unheard(6, &members), [1]);
+    assert_eq!(bootstrap.without_offer(6, &members), [1]);
     bootstrap.record_offer(replica(1, 10, 5), &[]);
     assert!(matches!(
         bootstrap.next_step(own, &placed, &members),
--- a/crates/ledger/src/comparison.rs
+++ b/crates/ledger/src/comparison.rs
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(crate) struct Comparison {
     /// When the next comparison is due; 0 if none was scheduled yet.
-    pub next: Micros,
+    pub next_due: Micros,
     /// The log index that the hashes refer to.
     pub index: u64,
     /// The hashes of the members that have answered; empty if no comparison is in progress.
@@ -48,6 +48,6 @@
         let leaf = hash(entry.key.name.bytes()) % LEAVES as u64;
         hashes[leaf as usize] ^= hash(entry.bytes.into_iter());
     }
-    hashes.push(hash(state.encoded_rest().into_iter()));
+    hashes.push(hash(state.encoded_remainder().into_iter()));
     hashes
 }
--- a/crates/ledger/src/counters.rs
+++ b/crates/ledger/src/counters.rs
@@ -72,9 +72,9 @@
             if view.leader_since.is_some() {
                 counters.led_shards += 1;
                 counters.missing_replicas +=
-                    usize::from(view.repair.is_some_and(|repair| !repair.moves));
+                    usize::from(view.repair.is_some_and(|repair| !repair.is_move));
                 counters.moving_replicas +=
-                    usize::from(view.repair.is_some_and(|repair| repair.moves));
+                    usize::from(view.repair.is_some_and(|repair| repair.is_move));
             }
         }
         counters
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -10,17 +10,17 @@
 impl Ledger {
     /// Processes the shards that have changed, and collects the messages, saves and answers that
     /// result.
-    pub(crate) fn settle(&mut self, at: ClockReading) {
-        while let Some(shard) = self.touched.pop_first() {
-            self.settle_shard(at, shard);
+    pub(crate) fn process_changes(&mut self, at: ClockReading) {
+        while let Some(shard) = self.changed_shards.pop_first() {
+            self.process_shard(at, shard);
         }
         let packets = self.transport.packets(at);
-        let mut must = !self.records.is_empty();
+        let mut must_save = !self.records.is_empty();
         for view in &mut self.shards {
-            must |= view.replica.as_mut().is_some_and(Replica::must_save);
+            must_save |= view.replica.as_mut().is_some_and(Replica::must_save);
         }
-        let done = std::mem::take(&mut self.done);
-        if must {
+        let answers = std::mem::take(&mut self.pending_answers);
+        if must_save {
             let (mut records, mut format) =
                 (std::mem::take(&mut self.records), self.latest_saved_format);
             for replica in self
@@ -34,15 +34,19 @@
                 // The header is saved with the first record of a later format, so that a build that
                 // can't read that record finds the format in the header.
                 self.latest_saved_format = format;
-                records.push(records::header(format, self.transport.fleet, self.own.disk));
+                records.push(records::header(
+                    format,
+                    self.transport.fleet,
+                    self.local.disk,
+                ));
             }
-            return self.save(records, packets, done);
+            return self.save(records, packets, answers);
         }
-        if self.unsaved.is_empty() {
-            self.out.packets.extend(packets);
-            self.out.answers.extend(done);
-        } else if !packets.is_empty() || !done.is_empty() {
-            self.save(Vec::new(), packets, done);
+        if self.unsaved_answers.is_empty() {
+            self.output.packets.extend(packets);
+            self.output.answers.extend(answers);
+        } else if !packets.is_empty() || !answers.is_empty() {
+            self.save(Vec::new(), packets, answers);
         }
     }
 
@@ -50,15 +54,13 @@
         &mut self,
         records: Vec<Record>,
         packets: Vec<OutgoingPacket>,
-        done: Vec<LedgerAnswer>,
+        answers: Vec<LedgerAnswer>,
     ) {
         let number = self.next_save;
         self.next_save += 1;
-        self.unsaved.push_back(UnsavedAnswers {
-            number,
-            answers: done,
-        });
-        self.out.saves.push(Save {
+        self.unsaved_answers
+            .push_back(UnsavedAnswers { number, answers });
+        self.output.saves.push(Save {
             number,
             records,
             packets,
@@ -70,14 +72,14 @@
         if !ok {
             self.fail();
         }
-        while let Some(first) = self.unsaved.front_mut() {
+        while let Some(first) = self.unsaved_answers.front_mut() {
             if first.number > number {
                 break;
             }
-            self.out.answers.append(&mut first.answers);
-            self.unsaved.pop_front();
+            self.output.answers.append(&mut first.answers);
+            self.unsaved_answers.pop_front();
         }
-        self.settle(at);
+        self.process_changes(at);
     }
 
     /// Drops all replicas, as nothing can be saved any more: this front is a member of no shard
@@ -85,19 +87,22 @@
     pub(crate) fn fail(&mut self) {
         self.counters.failed = true;
         self.transport.disk = 0;
-        self.own.disk = 0;
+        self.local.disk = 0;
         for view in &mut self.shards {
-            (view.replica, view.bootstrap, view.learned) = (None, None, None);
-            (view.barred, view.leader_since, view.repair) = (u32::MAX, None, None);
+            (view.replica, view.bootstrap, view.received_snapshot) = (None, None, None);
+            (view.barred_config, view.leader_since, view.repair) = (u32::MAX, None, None);
         }
         self.records.clear();
         // A request whose save failed may or may not have taken effect.
-        for unsaved in std::mem::take(&mut self.unsaved) {
-            let unreachable = unsaved.answers.into_iter().map(|answer| LedgerAnswer {
-                outcome: Outcome::Unreachable,
-                ..answer
-            });
-            self.out.answers.extend(unreachable);
+        for unsaved_answers in std::mem::take(&mut self.unsaved_answers) {
+            let unreachable = unsaved_answers
+                .answers
+                .into_iter()
+                .map(|answer| LedgerAnswer {
+                    outcome: Outcome::Unreachable,
+                    ..answer
+                });
+            self.output.answers.extend(unreachable);
         }
     }
 
@@ -106,14 +111,16 @@
         self.fail();
         self.counters.failed = false;
         self.setup.disk = disk;
-        self.own.disk = disk;
+        self.local.disk = disk;
         self.transport.disk = disk;
         self.transport.incarnation = at.wall_ms.max(self.transport.incarnation + 1);
         self.latest_saved_format = OLDEST_FORMAT;
         self.records
             .push(records::header(OLDEST_FORMAT, self.transport.fleet, disk));
-        self.shards.iter_mut().for_each(|view| view.barred = 0);
+        self.shards
+            .iter_mut()
+            .for_each(|view| view.barred_config = 0);
         self.start_bootstraps();
-        self.settle(at);
+        self.process_changes(at);
     }
 }
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -219,30 +219,30 @@
 #[test]
 fn a_later_format_is_used_once_its_reader_has_shown_it_and_not_to_its_next_incarnation() {
     let mut formats = PeerFormats::default();
-    assert_eq!(formats.of(2, 7), 1);
+    assert_eq!(formats.common_format(2, 7), 1);
     let message = formats.introduction(0, 2, 7).unwrap();
     assert!(message.introduced_format() == Some(2) && formats.introduction(1, 2, 7).is_none());
-    formats.heard(7, 5, 1);
-    assert_eq!(formats.of(2, 7), 1);
-    formats.heard(7, 5, 2);
+    formats.record_format(7, 5, 1);
+    assert_eq!(formats.common_format(2, 7), 1);
+    formats.record_format(7, 5, 2);
     assert!(
-        formats.of(2, 7) == 2
+        formats.common_format(2, 7) == 2
             && formats
                 .introduction(2 * INTRODUCTION_INTERVAL, 2, 7)
                 .is_none()
     );
     // A packet of it that was under way changes nothing; a life of an earlier build does.
-    formats.heard(7, 5, 1);
-    assert_eq!(formats.of(2, 7), 2);
-    formats.heard(7, 6, 1);
+    formats.record_format(7, 5, 1);
+    assert_eq!(formats.common_format(2, 7), 2);
+    formats.record_format(7, 6, 1);
     assert!(
-        formats.of(2, 7) == 1
+        formats.common_format(2, 7) == 1
             && formats
                 .introduction(2 * INTRODUCTION_INTERVAL, 2, 7)
                 .is_some()
     );
-    formats.heard(7, 5, 2);
-    assert_eq!(formats.of(2, 7), 1);
+    formats.record_format(7, 5, 2);
+    assert_eq!(formats.common_format(2, 7), 1);
 }
 
 /// What the third format says: the same, each with its format before it.
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -14,7 +14,7 @@
 use crate::peer::Peer;
 use crate::rejection::Rejection;
 use crate::replica::Replica;
-use crate::shard_view::Learned;
+use crate::shard_view::ReceivedSnapshot;
 use crate::state::{State, StateAt};
 use crate::{ClockReading, FrontId, Owner};
 
@@ -28,21 +28,22 @@
 impl Ledger {
     /// Handles a packet from another front. The caller has verified its signature.
     pub fn receive(&mut self, at: ClockReading, from: FrontId, bytes: &[u8]) {
-        if from == self.own.front {
+        if from == self.local.front {
             return self.reject(Rejection::OwnPacket);
         }
         let packet = match self.transport.receive(at, from, bytes) {
             Ok(packet) => packet,
-            Err(why) => return self.reject(why),
+            Err(reason) => return self.reject(reason),
         };
-        let silent = |peer: &Peer| at.steady - peer.heard_at >= self.setup.repair_after;
+        let silent = |peer: &Peer| at.steady - peer.last_seen >= self.setup.repair_after;
         let before = self.peers.get(&from).filter(|peer| !silent(peer));
         if before.is_some_and(|peer| peer.incarnation > packet.incarnation) {
             return self.reject(Rejection::EarlierIncarnation);
         }
-        self.away.returned(at.steady, &self.setup.members, from);
+        self.away
+            .mark_returned(at.steady, &self.setup.members, from);
         let peer = Peer {
-            heard_at: at.steady,
+            last_seen: at.steady,
             incarnation: packet.incarnation,
             disk: packet.disk,
             wall_ms: packet.wall_ms,
@@ -58,7 +59,7 @@
         for message in packet.messages {
             self.handle(at, sender, message);
         }
-        self.settle(at);
+        self.process_changes(at);
     }
 
     fn handle(&mut self, at: ClockReading, sender: ReplicaIncarnation, message: LedgerMessage) {
@@ -101,7 +102,7 @@
     fn handle_request(&mut self, at: ClockReading, from: FrontId, message: LedgerMessage) {
         match message {
             LedgerMessage::Request { shard, command } => {
-                self.touched.insert(shard);
+                self.changed_shards.insert(shard);
                 self.receive_request(at, from, shard, command);
             }
             LedgerMessage::Reply {
@@ -124,10 +125,10 @@
                 number,
             } => {
                 let owner = Owner {
-                    front: self.own.front,
+                    front: self.local.front,
                     incarnation,
                 };
-                self.key_is_free(CommandId { owner, number });
+                self.on_key_free(CommandId { owner, number });
             }
             _ => {} // an answer to an earlier incarnation of this front
         }
@@ -208,7 +209,7 @@
         };
         if replica.config == config && replica.members.contains(&sender) {
             replica.resync(sender.front);
-            self.touched.insert(shard);
+            self.changed_shards.insert(shard);
         }
     }
 
@@ -228,10 +229,10 @@
         let Some(state) = decode::<State>(state) else {
             return self.reject(Rejection::Malformed);
         };
-        if view.replica.is_some() || self.own.disk == 0 {
+        if view.replica.is_some() || self.local.disk == 0 {
             return;
         }
-        view.learned = Some(Learned {
+        view.received_snapshot = Some(ReceivedSnapshot {
             config,
             at: StateAt { index, state },
         });
@@ -248,10 +249,10 @@
     fn record_caught_up(&mut self, sender: ReplicaId, configuration: ConfigurationId, index: u64) {
         let view = self.shards.get_mut(usize::from(configuration.shard));
         let repair = view.and_then(|view| view.repair.as_mut());
-        let expected =
-            repair.filter(|repair| repair.into == sender && repair.config == configuration.config);
+        let expected = repair
+            .filter(|repair| repair.joining == sender && repair.config == configuration.config);
         if let Some(repair) = expected {
-            repair.caught_up = Some(index);
+            repair.caught_up_index = Some(index);
         }
     }
 
@@ -271,10 +272,10 @@
             .shards
             .get(usize::from(shard))
             .and_then(|view| view.replica.as_ref());
-        if replica.is_some_and(behind) && self.touched.contains(&shard) {
+        if replica.is_some_and(behind) && self.changed_shards.contains(&shard) {
             // Earlier messages of the same packet may have decided the configuration that this one
             // belongs to.
-            self.settle_shard(at, shard);
+            self.process_shard(at, shard);
         }
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -286,7 +287,7 @@
                     return self.reject(Rejection::NotMember);
                 }
                 match replica.receive(sender, number, message) {
-                    Received::Accepted => _ = self.touched.insert(shard),
+                    Received::Accepted => _ = self.changed_shards.insert(shard),
                     Received::OutOfOrder => self.reject(Rejection::Overtaken),
                     Received::NotMember => self.reject(Rejection::NotMember),
                     Received::Contradiction => {
--- a/crates/ledger/src/key_queues.rs
+++ b/crates/ledger/src/key_queues.rs
@@ -11,24 +11,24 @@
 /// Microseconds without a request after which a front is removed from a queue.
 const WAITER_TIMEOUT: Micros = 1_000_000;
 /// Microseconds for which a free key stays reserved for the first front in its queue.
-const RESERVED_FOR: Micros = 100_000;
+const RESERVATION_TIME: Micros = 100_000;
 /// Maximum time in microseconds that a request is deferred because of a reservation.
 const MAX_DEFERRAL: Micros = 200_000;
 /// Maximum number of keys with a queue, per shard.
 const MAX_KEYS: usize = 1_024;
 /// Maximum number of fronts in a queue; further fronts are not notified and retry on their own.
-const MAX_WAITING: usize = 64;
+const MAX_WAITERS: usize = 64;
 
-struct Waiting {
+struct Waiter {
     owner: Owner,
     /// The number of the front's latest request.
     number: u64,
-    ends: Micros,
+    expires_at: Micros,
 }
 
 #[derive(Default)]
 struct KeyQueue {
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<Waiter>,
     /// Until when the key is reserved for the first waiter, which has been notified that it is
     /// free.
     reserved_until: Option<Micros>,
@@ -39,7 +39,7 @@
 pub(crate) struct KeyQueues(BTreeMap<Key, KeyQueue>);
 
 /// Whether the command requests a key that only one front can hold at a time.
-fn claims(command: &Command) -> bool {
+fn is_exclusive_claim(command: &Command) -> bool {
     let kind = matches!(command.key.kind, Kind::Order | Kind::Dedup);
     kind && matches!(
         command.operation,
@@ -58,7 +58,7 @@
 
     /// Updates the queue of a key after a request from a front that can be notified of free keys.
     pub fn record(&mut self, now: Micros, command: &Command, outcome: &Outcome) {
-        if !claims(command) {
+        if !is_exclusive_claim(command) {
             return;
         }
         match outcome {
@@ -80,27 +80,27 @@
             return;
         }
         let queue = self.0.entry(command.key.clone()).or_default();
-        let (owner, number, ends) = (command.owner, command.number, now + WAITER_TIMEOUT);
+        let (owner, number, expires_at) = (command.owner, command.number, now + WAITER_TIMEOUT);
         match queue
             .waiting
             .iter()
             .position(|waiting| waiting.owner == owner)
         {
             Some(position) => {
-                queue.waiting[position] = Waiting {
+                queue.waiting[position] = Waiter {
                     owner,
                     number,
-                    ends,
+                    expires_at,
                 };
                 if position == 0 {
                     queue.reserved_until = None; // the key is held by another front after all
                 }
             }
-            None if queue.waiting.len() < MAX_WAITING => {
-                queue.waiting.push_back(Waiting {
+            None if queue.waiting.len() < MAX_WAITERS => {
+                queue.waiting.push_back(Waiter {
                     owner,
                     number,
-                    ends,
+                    expires_at,
                 });
             }
             None => {}
@@ -109,20 +109,29 @@
 
     /// Whether to defer a request received at `received_at`, as the key is reserved for another
     /// front.
-    pub fn is_reserved_for_another(&self, now: Micros, command: &Command, came: Micros) -> bool {
+    pub fn is_reserved_for_another(
+        &self,
+        now: Micros,
+        command: &Command,
+        received_at: Micros,
+    ) -> bool {
         let queue = self
             .0
             .get(&command.key)
             .filter(|queue| queue.reserved_until.is_some_and(|until| now < until));
         let first = queue.and_then(|queue| queue.waiting.front());
         first.is_some_and(|first| first.owner != command.owner)
-            && claims(command)
-            && now - came < MAX_DEFERRAL
+            && is_exclusive_claim(command)
+            && now - received_at < MAX_DEFERRAL
     }
 
     /// The latest requests of the fronts to be notified that a key is free.
-    pub fn freed_keys(&mut self, now: Micros, is_free: impl Fn(&Key) -> bool) -> Vec<CommandId> {
-        let mut freed = Vec::new();
+    pub fn waiters_to_notify(
+        &mut self,
+        now: Micros,
+        is_free: impl Fn(&Key) -> bool,
+    ) -> Vec<CommandId> {
+        let mut notified = Vec::new();
         self.0.retain(|key, queue| {
             let first = queue.waiting.front().map(|first| first.owner);
             if queue
@@ -131,9 +140,10 @@
                 .is_some()
                 && queue.waiting.len() > 1
             {
-                queue.waiting.swap(0, 1); // the notified front has not claimed the key: the next one goes before it, once
+                // The notified front has not claimed the key: the next one goes before it, once.
+                queue.waiting.swap(0, 1);
             }
-            queue.waiting.retain(|waiting| waiting.ends > now);
+            queue.waiting.retain(|waiting| waiting.expires_at > now);
             let Some(next) = queue.waiting.front() else {
                 return false;
             };
@@ -141,15 +151,15 @@
                 queue.reserved_until = None;
             }
             if queue.reserved_until.is_none() && is_free(key) {
-                queue.reserved_until = Some(now + RESERVED_FOR);
-                freed.push(CommandId {
+                queue.reserved_until = Some(now + RESERVATION_TIME);
+                notified.push(CommandId {
                     owner: next.owner,
                     number: next.number,
                 });
             }
             true
         });
-        freed
+        notified
     }
 }
 
--- a/crates/ledger/src/key_queues_tests.rs
+++ b/crates/ledger/src/key_queues_tests.rs
@@ -46,10 +46,10 @@
     for (front, number) in [(2, 10), (3, 20), (2, 11)] {
         queues.record(0, &ask(front, number), &held);
     }
-    assert_eq!(fronts(queues.freed_keys(1, |_| false)), []);
+    assert_eq!(fronts(queues.waiters_to_notify(1, |_| false)), []);
     assert!(!queues.is_reserved_for_another(1, &ask(4, 30), 0));
-    assert_eq!(fronts(queues.freed_keys(2, |_| true)), [(2, 11)]);
-    assert_eq!(fronts(queues.freed_keys(3, |_| true)), []);
+    assert_eq!(fronts(queues.waiters_to_notify(2, |_| true)), [(2, 11)]);
+    assert_eq!(fronts(queues.waiters_to_notify(3, |_| true)), []);
     // Whoever comes now is behind it, but never for long.
     assert!(
         queues.is_reserved_for_another(4, &ask(4, 30), 4)
@@ -59,20 +59,20 @@
     assert!(!queues.is_reserved_for_another(4, &ask(4, 30), 4 - MAX_DEFERRAL));
     queues.record(5, &ask(2, 12), &Outcome::Stands(entry(2)));
     assert!(!queues.is_reserved_for_another(5, &ask(4, 30), 4));
-    assert_eq!(fronts(queues.freed_keys(6, |_| true)), [(3, 20)]);
+    assert_eq!(fronts(queues.waiters_to_notify(6, |_| true)), [(3, 20)]);
     // One that does not come lets the next go before, and one that no longer asks loses its place.
     queues.record(7, &ask(4, 30), &held);
     assert_eq!(
-        fronts(queues.freed_keys(6 + RESERVED_FOR, |_| true)),
+        fronts(queues.waiters_to_notify(6 + RESERVATION_TIME, |_| true)),
         [(4, 30)]
     );
-    queues.record(8 + RESERVED_FOR, &ask(5, 40), &held);
+    queues.record(8 + RESERVATION_TIME, &ask(5, 40), &held);
     assert_eq!(
-        fronts(queues.freed_keys(7 + WAITER_TIMEOUT, |_| true)),
+        fronts(queues.waiters_to_notify(7 + WAITER_TIMEOUT, |_| true)),
         [(5, 40)]
     );
     assert_eq!(
-        fronts(queues.freed_keys(8 + RESERVED_FOR + WAITER_TIMEOUT, |_| true)),
+        fronts(queues.waiters_to_notify(8 + RESERVATION_TIME + WAITER_TIMEOUT, |_| true)),
         []
     );
     assert!(queues.0.is_empty());
@@ -92,6 +92,6 @@
             && queues
                 .0
                 .values()
-                .all(|queue| queue.waiting.len() <= MAX_WAITING)
+                .all(|queue| queue.waiting.len() <= MAX_WAITERS)
     );
 }
--- a/crates/ledger/src/leader_placement.rs
+++ b/crates/ledger/src/leader_placement.rs
@@ -19,31 +19,31 @@
     /// The shards that each front leads, as far as assigned.
     led: BTreeMap<FrontId, Vec<usize>>,
     /// Maximum number of shards that a front may lead.
-    bound: usize,
+    max_led: usize,
 }
 
 impl Assignment<'_> {
     /// Finds a leader for the shard. A front at its limit passes one of its shards on to another
     /// member of that shard; `visited` are the fronts already tried.
-    fn find_leader(&mut self, shard: usize, asked: &mut Vec<FrontId>) -> bool {
+    fn find_leader(&mut self, shard: usize, visited: &mut Vec<FrontId>) -> bool {
         let placed = self.placed;
         let members = &placed[shard];
-        let has_room = |front: &&FrontId| self.led.get(*front).map_or(0, Vec::len) < self.bound;
+        let has_room = |front: &&FrontId| self.led.get(*front).map_or(0, Vec::len) < self.max_led;
         let free = members
             .iter()
-            .find(|front| has_room(front) && !asked.contains(front));
+            .find(|front| has_room(front) && !visited.contains(front));
         if let Some(front) = free {
             self.assign(*front, shard);
             return true;
         }
         for front in members {
-            if asked.contains(front) {
+            if visited.contains(front) {
                 continue;
             }
-            asked.push(*front);
+            visited.push(*front);
             for other in self.led.get(front).cloned().unwrap_or_default() {
                 self.unassign(*front, other);
-                if self.find_leader(other, asked) {
+                if self.find_leader(other, visited) {
                     self.assign(*front, shard);
                     return true;
                 }
@@ -70,17 +70,17 @@
 /// `fronts` is the number of fronts that hold shards.
 pub(crate) fn preferred_leaders(placed: &[Vec<FrontId>], fronts: usize) -> Vec<Option<FrontId>> {
     let (shards, fronts) = (placed.len(), fronts.max(1));
-    let bound = (shards * MAX_SHARE_PERCENT / 100 / fronts).max(shards.div_ceil(fronts));
+    let max_led = (shards * MAX_SHARE_PERCENT / 100 / fronts).max(shards.div_ceil(fronts));
     let mut assignment = Assignment {
         placed,
         leaders: vec![None; shards],
         led: BTreeMap::new(),
-        bound,
+        max_led,
     };
     for (shard, members) in placed.iter().enumerate() {
         // If too few fronts hold the shards, some lead more than the limit.
         while !members.is_empty() && !assignment.find_leader(shard, &mut Vec::new()) {
-            assignment.bound += 1;
+            assignment.max_led += 1;
         }
     }
     assignment.leaders
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -16,18 +16,18 @@
 use crate::{ClockReading, FrontId, Micros};
 
 /// Microseconds until another candidate is asked: enough for some round trips and a sync.
-const RETRY: Micros = 150_000;
+const RETRY_INTERVAL: Micros = 150_000;
 /// Maximum microseconds since the last packet of a candidate: three heartbeats.
-const HEARD_WITHIN: Micros = 1_000_000;
+const MAX_SILENCE: Micros = 1_000_000;
 /// Microseconds for which a front has run, and a leader has led, before a shard is yielded.
-const SETTLED_AFTER: u64 = 2_000_000;
+const SETTLING_TIME: u64 = 2_000_000;
 /// Minimum microseconds between two shards that a front yields.
 const YIELD_INTERVAL: Micros = 500_000;
 
 impl Peer {
     /// Whether the peer has run for the settling time, by its Unix clock and this front's.
     fn is_settled(&self, at: ClockReading) -> bool {
-        at.wall_ms.saturating_sub(self.incarnation) >= SETTLED_AFTER / 1_000
+        at.wall_ms.saturating_sub(self.incarnation) >= SETTLING_TIME / 1_000
     }
 }
 
@@ -41,7 +41,7 @@
                 attempts: 0,
             });
             self.transfer_leadership(at);
-            self.settle(at);
+            self.process_changes(at);
         }
     }
 
@@ -64,7 +64,7 @@
         else {
             return;
         };
-        shutdown.retry_at = now + RETRY;
+        shutdown.retry_at = now + RETRY_INTERVAL;
         let attempt = shutdown.attempts;
         shutdown.attempts += 1;
         for view in &self.shards {
@@ -92,17 +92,18 @@
         view: &ShardView,
         replica: &Replica,
     ) -> Vec<FrontId> {
-        let heard_lately = |peer: &Peer| peer.disk != 0 && at.steady - peer.heard_at < HEARD_WITHIN;
+        let is_recently_seen =
+            |peer: &Peer| peer.disk != 0 && at.steady - peer.last_seen < MAX_SILENCE;
         let is_candidate = |front: &FrontId| {
-            *front != self.own.front
-                && self.peers.get(front).is_some_and(heard_lately)
+            *front != self.local.front
+                && self.peers.get(front).is_some_and(is_recently_seen)
                 && !self.away.is_away(*front)
                 && !self.is_shutting_down(*front)
                 && self.transport.common_format(*front) >= TRANSFER_FORMAT
         };
         let members = replica.members.iter().map(|member| member.front);
         let mut candidates: Vec<FrontId> = members.filter(is_candidate).collect();
-        let rank = |front: &FrontId| view.wanted.iter().position(|wanted| wanted == front);
+        let rank = |front: &FrontId| view.target_fronts.iter().position(|target| target == front);
         // A front that has just started may not know the shard's leader yet.
         let unsettled = |front: &FrontId| {
             self.peers
@@ -124,7 +125,8 @@
         let replicas = self.shards.iter().filter_map(|view| view.replica.as_ref());
         let members =
             replicas.flat_map(|replica| replica.members.iter().map(|member| member.front));
-        let others: BTreeSet<FrontId> = members.filter(|front| *front != self.own.front).collect();
+        let others: BTreeSet<FrontId> =
+            members.filter(|front| *front != self.local.front).collect();
         for to in others {
             if self.transport.common_format(to) >= FIRST_EXPLICIT_FORMAT {
                 self.transport
@@ -144,17 +146,17 @@
     /// Transfers a shard to its preferred leader once that front has run for the settling time, so
     /// that a restarted front leads its share again.
     pub(crate) fn yield_leadership(&mut self, at: ClockReading, shard: u16) {
-        let (now, own) = (at.steady, self.own.front);
+        let (now, local) = (at.steady, self.local.front);
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
         };
         let Some((replica, since)) = view.replica.as_ref().zip(view.leader_since) else {
             return;
         };
-        let busy = view.repair.is_some() || self.shutdown.is_some() || now < self.yield_at;
+        let busy = view.repair.is_some() || self.shutdown.is_some() || now < self.next_yield;
         let Some(to) = view
             .preferred_among(&replica.members)
-            .filter(|to| *to != own && !busy)
+            .filter(|to| *to != local && !busy)
         else {
             return;
         };
@@ -164,17 +166,17 @@
                 disk: peer.disk,
             };
             peer.is_settled(at)
-                && now - peer.heard_at < HEARD_WITHIN
+                && now - peer.last_seen < MAX_SILENCE
                 && replica.members.contains(&member)
         };
         let available = self.peers.get(&to).is_some_and(available)
             && !self.away.is_away(to)
             && !self.is_shutting_down(to);
         if available
-            && now - since >= SETTLED_AFTER as Micros
+            && now - since >= SETTLING_TIME as Micros
             && self.transport.common_format(to) >= TRANSFER_FORMAT
         {
-            self.yield_at = now + YIELD_INTERVAL;
+            self.next_yield = now + YIELD_INTERVAL;
             let message = LedgerMessage::TransferLeadership {
                 shard,
                 config: replica.config,
@@ -187,20 +189,22 @@
     /// away; a shutdown should wait for them. Of two fronts that shut down at once, the one with
     /// the lower id does not wait for the other.
     pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
-        let here = |member: &ReplicaId| {
+        let is_available = |member: &ReplicaId| {
             let peer = self
                 .peers
                 .get(&member.front)
                 .filter(|peer| peer.disk == member.disk);
-            let heard_lately = peer.is_some_and(|peer| at.steady - peer.heard_at < HEARD_WITHIN);
-            heard_lately && (!self.is_shutting_down(member.front) || member.front > self.own.front)
+            let is_recently_seen =
+                peer.is_some_and(|peer| at.steady - peer.last_seen < MAX_SILENCE);
+            is_recently_seen
+                && (!self.is_shutting_down(member.front) || member.front > self.local.front)
         };
         let needed = |replica: &Replica| {
             let (majority, others) = (replica.members.len() / 2 + 1, replica.members.len() - 1);
             let available = replica
                 .members
                 .iter()
-                .filter(|member| member.front != self.own.front && here(member));
+                .filter(|member| member.front != self.local.front && is_available(member));
             majority <= others && available.count() < majority
         };
         self.shards
@@ -219,7 +223,7 @@
         if let Some(replica) = replica.filter(|r| r.config == config && r.leader() == Some(from)) {
             replica.campaign();
             self.counters.accepted_leaderships += 1;
-            self.touched.insert(shard);
+            self.changed_shards.insert(shard);
         }
     }
 
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -41,7 +41,7 @@
 /// A front's node of the ledger: its requests, and the replicas that it holds.
 pub struct Ledger {
     pub(crate) setup: Setup,
-    pub(crate) own: ReplicaId,
+    pub(crate) local: ReplicaId,
     pub(crate) shards: Vec<ShardView>,
     pub(crate) peers: BTreeMap<FrontId, Peer>,
     pub(crate) away: Away,
@@ -49,25 +49,25 @@
     /// Other fronts that have announced a shutdown, with the incarnation that announced it.
     pub(crate) shutting_down: BTreeMap<FrontId, u64>,
     /// When this front may next yield a shard to its preferred leader.
-    pub(crate) yield_at: Micros,
+    pub(crate) next_yield: Micros,
     pub(crate) pending: PendingRequests,
     pub(crate) transport: Transport,
     /// Records, in addition to the logs, that must be durable before anything more is sent.
     pub(crate) records: Vec<Record>,
     pub(crate) next_save: u64,
     /// Answers that wait for a save, ordered by the number of the save.
-    pub(crate) unsaved: VecDeque<UnsavedAnswers>,
-    pub(crate) done: Vec<LedgerAnswer>,
-    pub(crate) out: Output,
-    pub(crate) tick_at: Micros,
-    pub(crate) maintain_at: Micros,
+    pub(crate) unsaved_answers: VecDeque<UnsavedAnswers>,
+    pub(crate) pending_answers: Vec<LedgerAnswer>,
+    pub(crate) output: Output,
+    pub(crate) next_tick: Micros,
+    pub(crate) next_maintenance: Micros,
     /// Shards that may have changed since they were last processed.
-    pub(crate) touched: BTreeSet<u16>,
+    pub(crate) changed_shards: BTreeSet<u16>,
     pub(crate) counters: Counters,
     /// The latest format of any saved record.
     pub(crate) latest_saved_format: u8,
     /// The format in which batches are proposed.
-    pub(crate) format: u8,
+    pub(crate) proposal_format: u8,
 }
 
 impl Ledger {
@@ -76,58 +76,58 @@
     pub fn new(at: ClockReading, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
         setup.check()?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
-        let own = ReplicaId {
+        let local = ReplicaId {
             front: setup.local_front,
             disk: setup.disk,
         };
         let saved = match &saved {
             Some(saved) => records::read(&setup, fleet, saved)?,
-            None => SavedShards::none(),
+            None => SavedShards::empty(),
         };
         let new_view = |shard| ShardView {
             ranked: ranked(&setup.members, shard),
             ..ShardView::default()
         };
         let mut ledger = Ledger {
-            own,
+            local,
             shards: (0..setup.shards).map(new_view).collect(),
             peers: BTreeMap::new(),
             away: Away::default(),
             shutdown: None,
             shutting_down: BTreeMap::new(),
-            yield_at: at.steady,
+            next_yield: at.steady,
             pending: PendingRequests::default(),
             transport: Transport::new(&setup, fleet),
             records: Vec::new(),
             next_save: 1,
-            unsaved: VecDeque::new(),
-            done: Vec::new(),
-            out: Output::default(),
-            tick_at: at.steady,
-            maintain_at: at.steady,
-            touched: BTreeSet::new(),
+            unsaved_answers: VecDeque::new(),
+            pending_answers: Vec::new(),
+            output: Output::default(),
+            next_tick: at.steady,
+            next_maintenance: at.steady,
+            changed_shards: BTreeSet::new(),
             counters: Counters::default(),
             latest_saved_format: saved.format,
-            format: OLDEST_FORMAT,
+            proposal_format: OLDEST_FORMAT,
             setup,
         };
         if saved.shards.is_empty() {
             ledger
                 .records
-                .push(records::header(OLDEST_FORMAT, fleet, own.disk));
+                .push(records::header(OLDEST_FORMAT, fleet, local.disk));
         }
         ledger.place_initially(at.steady);
         for (shard, saved) in saved.shards {
             ledger.reopen(shard, saved)?;
         }
         ledger.start_bootstraps();
-        ledger.settle(at);
+        ledger.process_changes(at);
         Ok(ledger)
     }
 
     /// Restores a shard from its saved records.
     fn reopen(&mut self, shard: u16, saved: SavedShard) -> Result<(), Error> {
-        let own = self.own;
+        let local = self.local;
         let view = self
             .shards
             .get_mut(usize::from(shard))
@@ -143,41 +143,41 @@
             return Ok(());
         };
         view.bootstrap = None;
-        view.barred = config;
+        view.barred_config = config;
         let configuration = Configuration { config, members };
         if is_member {
-            let preferred = view.preferred_among(&configuration.members) == Some(own.front);
-            let replica = Replica::open(shard, &configuration, own, preferred, saved.log_state);
+            let preferred = view.preferred_among(&configuration.members) == Some(local.front);
+            let replica = Replica::open(shard, &configuration, local, preferred, saved.log_state);
             let damaged = || Error::Damaged {
                 record: format!("members of shard {shard}"),
             };
             view.replica = Some(replica.ok_or_else(damaged)?);
         }
-        view.known = Some(configuration);
+        view.latest_configuration = Some(configuration);
         Ok(())
     }
 
     /// Runs everything that is due: timeouts and retries of requests, the clocks of the logs,
     /// maintenance and leader transfer.
     pub fn tick(&mut self, at: ClockReading) {
-        let due = self.pending.due_now(at);
+        let due = self.pending.take_due(at);
         let unreachable = due.expired.into_iter().map(|number| LedgerAnswer {
             number,
             outcome: Outcome::Unreachable,
         });
-        self.out.answers.extend(unreachable);
+        self.output.answers.extend(unreachable);
         for number in due.retry {
             self.send_request(at, number);
         }
-        if self.tick_at <= at.steady {
+        if self.next_tick <= at.steady {
             // After a stall, missed ticks are not made up for: the logs' clocks count only ticks
             // that ran.
-            self.tick_at = at.steady + TICK;
+            self.next_tick = at.steady + TICK;
             self.tick_logs(at);
             self.maintain(at);
         }
         self.transfer_leadership(at);
-        self.settle(at);
+        self.process_changes(at);
     }
 
     /// Advances the clock of each log by one tick, and asks members that may have missed messages
@@ -189,21 +189,25 @@
             };
             let config = replica.config;
             let message = LedgerMessage::Resync { shard, config };
-            let own = self.own.front;
-            for to in replica.tick().into_iter().filter(|to| *to != own) {
+            let local = self.local.front;
+            for to in replica.tick().into_iter().filter(|to| *to != local) {
                 self.transport.send(at, to, &message, Pace::Fast);
             }
-            self.touched.insert(shard);
+            self.changed_shards.insert(shard);
         }
     }
 
     /// When `tick` is next due, on the monotonic clock; [`Micros::MAX`] if never.
     pub fn due(&self) -> Micros {
-        let keeps = self
+        let has_shards = self
             .shards
             .iter()
             .any(|view| view.replica.is_some() || view.bootstrap.is_some());
-        let tick = if keeps { self.tick_at } else { Micros::MAX };
+        let tick = if has_shards {
+            self.next_tick
+        } else {
+            Micros::MAX
+        };
         tick.min(self.pending.due())
             .min(self.transport.due())
             .min(self.transfer_due())
@@ -211,10 +215,10 @@
 
     /// Removes and returns the messages, saves and answers since the last call.
     pub fn take_output(&mut self) -> Output {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.output)
     }
 
-    pub(crate) fn reject(&mut self, why: Rejection) {
-        *self.counters.rejected.entry(why.label()).or_default() += 1;
+    pub(crate) fn reject(&mut self, reason: Rejection) {
+        *self.counters.rejected.entry(reason.label()).or_default() += 1;
     }
 }
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -43,7 +43,7 @@
     consensus: Consensus,
     store: LogStore<Batch>,
     members: Vec<ReplicaId>,
-    own: FrontId,
+    local: FrontId,
     stall: Stall,
 }
 
@@ -83,11 +83,11 @@
     pub fn new(
         config: u32,
         members: &[ReplicaId],
-        own: ReplicaId,
+        local: ReplicaId,
         preferred: bool,
         store: LogStore<Batch>,
     ) -> Option<Log> {
-        let position = members.iter().position(|member| *member == own)?;
+        let position = members.iter().position(|member| *member == local)?;
         let consensus = if members.len() == 1 {
             Consensus::Single
         } else {
@@ -113,7 +113,7 @@
             consensus,
             store,
             members: members.to_vec(),
-            own: own.front,
+            local: local.front,
             stall: Stall::default(),
         })
     }
@@ -127,7 +127,7 @@
     pub fn leader(&self) -> Option<Leader> {
         match &self.consensus {
             Consensus::Single => Some(Leader {
-                front: self.own,
+                front: self.local,
                 is_ready: true,
             }),
             Consensus::Replicated(log) => {
@@ -140,19 +140,19 @@
 
     pub fn is_leader(&self) -> bool {
         self.leader()
-            .is_some_and(|leader| leader.front == self.own && leader.is_ready)
+            .is_some_and(|leader| leader.front == self.local && leader.is_ready)
     }
 
     /// Advances the log's clock by one tick; true if the other members should ask for messages that
     /// they may have missed.
     pub fn tick(&mut self) -> bool {
-        let under_way = self.is_leader() && self.has_pending();
+        let has_undecided = self.is_leader() && self.has_pending();
         let Consensus::Replicated(log) = &mut self.consensus else {
             return false;
         };
         log.tick();
         let decided = log.get_decided_idx();
-        if !under_way || decided != self.stall.decided {
+        if !has_undecided || decided != self.stall.decided {
             self.stall = Stall { decided, ticks: 0 };
             return false;
         }
@@ -182,20 +182,20 @@
 
     /// Handles a message from a member.
     pub fn receive(&mut self, from: FrontId, message: Message<Batch>) -> Received {
-        let known = self.front(message.get_sender()) == Some(from)
-            && self.front(message.get_receiver()) == Some(self.own);
+        let is_valid_sender = self.front(message.get_sender()) == Some(from)
+            && self.front(message.get_receiver()) == Some(self.local);
         let Consensus::Replicated(log) = &mut self.consensus else {
             return Received::NotMember;
         };
-        if !known || from == self.own {
+        if !is_valid_sender || from == self.local {
             return Received::NotMember;
         }
         // The library panics on messages that no correct member can send. The panic is caught so
         // that it does not end the process.
-        let taken = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             log.handle_incoming(message)
         }));
-        if taken.is_ok() {
+        if result.is_ok() {
             Received::Accepted
         } else {
             Received::Contradiction
@@ -210,7 +210,7 @@
         }
         let addressed = |message: Message<Batch>| {
             let to = self.front(message.get_receiver())?;
-            (to != self.own).then_some(LogMessage { to, message })
+            (to != self.local).then_some(LogMessage { to, message })
         };
         messages.into_iter().filter_map(addressed).collect()
     }
@@ -228,9 +228,9 @@
         match &mut self.consensus {
             Consensus::Replicated(log) => log.append(batch).is_ok(),
             Consensus::Single => {
-                let kept = self.store.append_entry(batch).is_ok();
+                let is_stored = self.store.append_entry(batch).is_ok();
                 let end = self.store.read(LogState::end);
-                kept && self.store.set_decided_idx(end).is_ok()
+                is_stored && self.store.set_decided_idx(end).is_ok()
             }
         }
     }
@@ -239,24 +239,29 @@
     pub fn decided(&self) -> usize {
         match &self.consensus {
             Consensus::Replicated(log) => log.get_decided_idx(),
-            Consensus::Single => self.store.read(|held| held.decided),
+            Consensus::Single => self.store.read(|log_state| log_state.decided),
         }
     }
 
     /// The number of entries that are compacted into the snapshot.
     pub fn compacted(&self) -> usize {
-        self.store.read(|held| held.compacted)
+        self.store.read(|log_state| log_state.compacted)
     }
 
     /// The decided content of the log from index `from` on.
     pub fn decided_since(&self, from: usize) -> DecidedSuffix {
         let Consensus::Replicated(log) = &self.consensus else {
-            return self.store.read(|held| {
-                let snapshot = held.snapshot.as_ref().filter(|_| from < held.compacted);
-                let at = from.saturating_sub(held.compacted).min(held.log.len());
+            return self.store.read(|log_state| {
+                let snapshot = log_state
+                    .snapshot
+                    .as_ref()
+                    .filter(|_| from < log_state.compacted);
+                let at = from
+                    .saturating_sub(log_state.compacted)
+                    .min(log_state.log.len());
                 DecidedSuffix {
                     state: snapshot.map(LogSnapshot::state),
-                    batches: held.log[at..].to_vec(),
+                    batches: log_state.log[at..].to_vec(),
                 }
             });
         };
@@ -293,7 +298,7 @@
             Consensus::Single => {
                 let (snapshot, entries) = self
                     .store
-                    .read(|held| (held.snapshot.clone(), held.log.clone()));
+                    .read(|log_state| (log_state.snapshot.clone(), log_state.log.clone()));
                 let mut snapshot = snapshot.unwrap_or_default();
                 snapshot.merge(LogSnapshot::create(&entries));
                 let _ = self.store.set_snapshot(Some(snapshot));
--- a/crates/ledger/src/long_message.rs
+++ b/crates/ledger/src/long_message.rs
@@ -26,11 +26,11 @@
     pub pace: Pace,
     pub bytes: Vec<u8>,
     /// Fragments still to be sent, in reverse order.
-    pub to_send: Vec<u16>,
+    pub unsent: Vec<u16>,
     /// When a fragment was last sent or requested.
-    pub touched: Micros,
+    pub last_activity: Micros,
     /// When the receiver was last sent the last fragment again.
-    pub reminded: Micros,
+    pub last_reminder: Micros,
 }
 
 impl LongMessage {
@@ -60,17 +60,17 @@
         let new = missing
             .into_iter()
             .rev()
-            .filter(|n| *n < count && !self.to_send.contains(n));
+            .filter(|n| *n < count && !self.unsent.contains(n));
         let new: Vec<u16> = new.collect();
-        self.to_send.extend(new);
-        self.touched = now;
+        self.unsent.extend(new);
+        self.last_activity = now;
     }
 
     /// When the receiver is to be sent the last fragment again; [`Micros::MAX`] while fragments are
     /// still to be sent.
     pub fn ack_due(&self) -> Micros {
-        if self.to_send.is_empty() {
-            self.touched.max(self.reminded) + ACK_TIMEOUT
+        if self.unsent.is_empty() {
+            self.last_activity.max(self.last_reminder) + ACK_TIMEOUT
         } else {
             Micros::MAX
         }
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -10,7 +10,7 @@
 use crate::rebalance::Move;
 use crate::records;
 use crate::repair::{missing_member, spare_front, MissingMember, Repair};
-use crate::replica::{Replica, FIRST};
+use crate::replica::{Replica, FIRST_INDEX};
 use crate::state::{Limits, State, StateAt};
 use crate::{ClockReading, FrontId, Micros};
 
@@ -23,14 +23,18 @@
     /// Starts to bootstrap the shards that are placed on this front and that it knows nothing of:
     /// either they have not started, or this front has lost its disk.
     pub(crate) fn start_bootstraps(&mut self) {
-        let (own, replication_factor) = (self.own.front, self.setup.replication_factor);
+        let (local, replication_factor) = (self.local.front, self.setup.replication_factor);
         for view in &mut self.shards {
             let placed = view
                 .ranked
                 .iter()
                 .take(replication_factor)
-                .any(|front| *front == own);
-            if placed && view.replica.is_none() && view.barred == 0 && view.bootstrap.is_none() {
+                .any(|front| *front == local);
+            if placed
+                && view.replica.is_none()
+                && view.barred_config == 0
+                && view.bootstrap.is_none()
+            {
                 view.bootstrap = Some(Bootstrap::default());
             }
         }
@@ -38,8 +42,8 @@
 
     /// Takes the next step of a shard that has not started yet.
     pub(crate) fn advance_bootstrap(&mut self, at: ClockReading, shard: u16) {
-        let own = ReplicaIncarnation {
-            id: self.own,
+        let local = ReplicaIncarnation {
+            id: self.local,
             incarnation: self.transport.incarnation,
         };
         let replication_factor = self.setup.replication_factor;
@@ -55,11 +59,11 @@
         let Some(bootstrap) = &mut view.bootstrap else {
             return;
         };
-        match bootstrap.next_step(own, &placed, &view.ranked) {
+        match bootstrap.next_step(local, &placed, &view.ranked) {
             Step::Wait => {}
             Step::Agree(agreed) => {
                 self.records.push(records::bootstrap(shard, &agreed));
-                view.announced.clear();
+                view.last_announced.clear();
                 self.send_agreed(at, shard, &placed, &agreed);
                 if placed.len() == 1 {
                     self.advance_bootstrap(at, shard);
@@ -76,7 +80,7 @@
                     shard,
                     Configuration { config: 1, members },
                     StateAt {
-                        index: FIRST,
+                        index: FIRST_INDEX,
                         state,
                     },
                 );
@@ -93,7 +97,7 @@
         placed: &[FrontId],
         agreed: &[ReplicaIncarnation],
     ) {
-        for to in placed.iter().filter(|front| **front != self.own.front) {
+        for to in placed.iter().filter(|front| **front != self.local.front) {
             let message = LedgerMessage::Available {
                 shard,
                 config: 0,
@@ -114,18 +118,19 @@
             .take(self.setup.replication_factor)
             .copied();
         let members = view.members().iter().map(|member| member.front);
-        let others: Vec<FrontId> = placed
+        let other_fronts: Vec<FrontId> = placed
             .chain(members)
-            .filter(|to| *to != self.own.front)
+            .filter(|to| *to != self.local.front)
             .collect();
-        let unheard = view.bootstrap.as_ref().filter(|_| view.config() == 0);
-        let unheard = unheard.map(|bootstrap| bootstrap.unheard(self.own.front, &view.ranked));
-        let turn = (at.steady / MAINTENANCE_INTERVAL) as usize * PROBES_AT_ONCE;
-        let unheard = unheard.unwrap_or_default();
-        for n in 0..unheard.len().min(PROBES_AT_ONCE) {
-            self.probe(at, unheard[(turn + n) % unheard.len()], shard);
+        let without_offer = view.bootstrap.as_ref().filter(|_| view.config() == 0);
+        let without_offer =
+            without_offer.map(|bootstrap| bootstrap.without_offer(self.local.front, &view.ranked));
+        let offset = (at.steady / MAINTENANCE_INTERVAL) as usize * PROBES_AT_ONCE;
+        let without_offer = without_offer.unwrap_or_default();
+        for n in 0..without_offer.len().min(PROBES_AT_ONCE) {
+            self.probe(at, without_offer[(offset + n) % without_offer.len()], shard);
         }
-        others
+        other_fronts
             .into_iter()
             .for_each(|to| self.announce(at, to, shard));
         self.advance_bootstrap(at, shard);
@@ -133,23 +138,23 @@
 
     /// Runs the periodic work if it is due.
     pub(crate) fn maintain(&mut self, at: ClockReading) {
-        if at.steady < self.maintain_at {
+        if at.steady < self.next_maintenance {
             return;
         }
-        self.maintain_at = at.steady + MAINTENANCE_INTERVAL;
+        self.next_maintenance = at.steady + MAINTENANCE_INTERVAL;
         self.update_placement(at.steady);
         // Any front on the list may have to read the saved data, and may run the previous build by
         // then.
-        let others = self
+        let other_fronts = self
             .setup
             .members
             .iter()
             .map(|member| member.front)
-            .filter(|f| *f != self.own.front);
-        self.format = self
+            .filter(|f| *f != self.local.front);
+        self.proposal_format = self
             .setup
             .saved_format
-            .min(self.transport.common_format_of_all(others));
+            .min(self.transport.common_format_of_all(other_fronts));
         for shard in 0..self.setup.shards {
             let Some(view) = self.shards.get(usize::from(shard)) else {
                 continue;
@@ -177,20 +182,25 @@
             return self.advance_repair(now, shard, repair);
         }
         let peer = |front: FrontId| self.peers.get(&front).copied();
-        let waits = |front, since| self.away.wait_until(&self.setup, front, since);
-        let own = self.own.front;
-        let missing = missing_member(now, since, waits, &replica.members, own, peer);
-        let Some(MissingMember { out, back }) = missing else {
-            if let Some(Move { out, into, ends }) = self.next_move(at, shard) {
-                self.start_replacement(at, shard, out, into, Some(ends));
+        let wait_until = |front, since| self.away.wait_until(&self.setup, front, since);
+        let local = self.local.front;
+        let missing = missing_member(now, since, wait_until, &replica.members, local, peer);
+        let Some(MissingMember { leaving, returned }) = missing else {
+            if let Some(Move {
+                leaving,
+                joining,
+                deadline,
+            }) = self.next_move(at, shard)
+            {
+                self.start_replacement(at, shard, leaving, joining, Some(deadline));
             }
             return;
         };
-        if back.is_none() {
-            self.declare_gone(now, out.front);
+        if returned.is_none() {
+            self.declare_gone(now, leaving.front);
         }
-        match back.or_else(|| self.spare_for(now, shard)) {
-            Some(into) => self.start_replacement(at, shard, out, into, None),
+        match returned.or_else(|| self.spare_for(now, shard)) {
+            Some(joining) => self.start_replacement(at, shard, leaving, joining, None),
             None => self.probe_spares(at, shard),
         }
     }
@@ -204,12 +214,12 @@
         let Some(replica) = &mut view.replica else {
             return;
         };
-        let into = self.peers.get(&repair.into.front);
-        if repair.is_over(now, replica.config, into) {
+        let joining = self.peers.get(&repair.joining.front);
+        if repair.must_abort(now, replica.config, joining) {
             view.repair = None;
-        } else if repair.caught_up.is_some() {
+        } else if repair.caught_up_index.is_some() {
             replica.propose_members(now, repair.next(&replica.members));
-            self.touched.insert(shard);
+            self.changed_shards.insert(shard);
         }
     }
 
@@ -218,7 +228,12 @@
         let view = self.shards.get(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
         let peer = |front: FrontId| self.peers.get(&front).copied();
-        let order: Vec<FrontId> = view.wanted.iter().chain(&view.ranked).copied().collect();
+        let order: Vec<FrontId> = view
+            .target_fronts
+            .iter()
+            .chain(&view.ranked)
+            .copied()
+            .collect();
         spare_front(now, &order, &replica.members, peer)
     }
 
@@ -236,8 +251,8 @@
             .filter(|front| !is_member(front))
             .copied()
             .collect();
-        let turn = (at.steady / MAINTENANCE_INTERVAL) as usize;
-        for to in (0..free.len().min(2)).filter_map(|n| free.get((turn * 2 + n) % free.len())) {
+        let offset = (at.steady / MAINTENANCE_INTERVAL) as usize;
+        for to in (0..free.len().min(2)).filter_map(|n| free.get((offset * 2 + n) % free.len())) {
             self.probe(at, *to, shard);
         }
     }
@@ -254,9 +269,9 @@
         &mut self,
         at: ClockReading,
         shard: u16,
-        out: ReplicaId,
-        into: ReplicaId,
-        moves: Option<Micros>,
+        leaving: ReplicaId,
+        joining: ReplicaId,
+        move_deadline: Option<Micros>,
     ) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -267,17 +282,20 @@
         let state = encode(&replica.state);
         let mut repair = Repair::new(
             at.steady,
-            out,
-            into,
+            leaving,
+            joining,
             config,
             bytes,
             self.setup.repair_bytes_per_s,
         );
-        (repair.moves, repair.ends) = (moves.is_some(), moves.unwrap_or(repair.ends));
+        (repair.is_move, repair.deadline) = (
+            move_deadline.is_some(),
+            move_deadline.unwrap_or(repair.deadline),
+        );
         view.repair = Some(repair);
         self.transport.send(
             at,
-            into.front,
+            joining.front,
             &LedgerMessage::Snapshot {
                 shard,
                 config,
@@ -295,11 +313,11 @@
             .shards
             .get(usize::from(shard))
             .map_or(&[][..], |view| view.members());
-        let others = members
+        let other_fronts = members
             .iter()
-            .filter(|member| member.front != self.own.front);
-        let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.heard_at).max(0) / 1_000) as u64;
-        let mut walls: Vec<u64> = others
+            .filter(|member| member.front != self.local.front);
+        let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.last_seen).max(0) / 1_000) as u64;
+        let mut walls: Vec<u64> = other_fronts
             .filter_map(|k| self.peers.get(&k.front))
             .map(now)
             .collect();
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -10,8 +10,8 @@
 use crate::members::{Configuration, ReplicaId, ReplicaIncarnation};
 use crate::messages::{Base, LedgerMessage};
 use crate::records::{self, Meta};
-use crate::replica::{Replica, FIRST};
-use crate::shard_view::Learned;
+use crate::replica::{Replica, FIRST_INDEX};
+use crate::shard_view::ReceivedSnapshot;
 use crate::state::StateAt;
 use crate::{ClockReading, FrontId, Micros};
 
@@ -25,11 +25,11 @@
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
-        let last = view.announced.get(&to).copied().unwrap_or(Micros::MIN);
-        if self.own.disk == 0 || at.steady.saturating_sub(last) < MAINTENANCE_INTERVAL {
+        let last = view.last_announced.get(&to).copied().unwrap_or(Micros::MIN);
+        if self.local.disk == 0 || at.steady.saturating_sub(last) < MAINTENANCE_INTERVAL {
             return;
         }
-        view.announced.insert(to, at.steady);
+        view.last_announced.insert(to, at.steady);
         let agreed = view
             .bootstrap
             .as_ref()
@@ -79,15 +79,15 @@
             return;
         };
         let last = view
-            .announced
+            .last_announced
             .get(&sender.front)
             .copied()
             .unwrap_or(Micros::MIN);
         if at.steady.saturating_sub(last) < MEMBERSHIP_INTERVAL {
             return;
         }
-        view.announced.insert(sender.front, at.steady);
-        let Some(Configuration { config, members }) = view.known.clone() else {
+        view.last_announced.insert(sender.front, at.steady);
+        let Some(Configuration { config, members }) = view.latest_configuration.clone() else {
             return;
         };
         let message = match &view.replica {
@@ -124,17 +124,17 @@
         config: u32,
         members: Vec<ReplicaId>,
     ) {
-        let own = self.own;
+        let local = self.local;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         if config <= view.config() {
             return;
         }
-        let mine = members.contains(&own);
-        view.known = Some(Configuration { config, members });
+        let is_member = members.contains(&local);
+        view.latest_configuration = Some(Configuration { config, members });
         view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
-        if mine {
+        if is_member {
             self.announce(at, from, shard);
         } else {
             self.drop_replica(shard);
@@ -150,10 +150,10 @@
         let Some(replica) = view.replica.take() else {
             return;
         };
-        let Some(Configuration { config, members }) = view.known.clone() else {
+        let Some(Configuration { config, members }) = view.latest_configuration.clone() else {
             return;
         };
-        view.barred = config;
+        view.barred_config = config;
         (view.leader_since, view.repair) = (None, None);
         replica.remove_saved_log(&mut self.records);
         self.records.push(records::meta(
@@ -161,7 +161,7 @@
             shard,
             &no_member(config, members),
         ));
-        self.records.push(records::no_snapshot(shard));
+        self.records.push(records::remove_snapshot(shard));
     }
 
     /// Joins a configuration as a member, from the given base.
@@ -173,15 +173,15 @@
         members: Vec<ReplicaId>,
         base: &Base,
     ) {
-        let own = self.own;
+        let local = self.local;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
-        if config <= view.barred || config < view.config() || !members.contains(&own) {
+        if config <= view.barred_config || config < view.config() || !members.contains(&local) {
             return;
         }
-        let Some(base) = base_state(base, view.learned.take(), config) else {
-            view.known = Some(Configuration { config, members });
+        let Some(base) = base_state(base, view.received_snapshot.take(), config) else {
+            view.latest_configuration = Some(Configuration { config, members });
             return; // this front announces itself, and is sent the complete state
         };
         self.open_replica(at, shard, Configuration { config, members }, base);
@@ -196,29 +196,31 @@
         configuration: Configuration,
         base: StateAt,
     ) {
-        let own = self.own;
+        let local = self.local;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
-        let preferred = view.preferred_among(&configuration.members) == Some(own.front);
-        let Some(mut replica) = Replica::begin(shard, &configuration, own, preferred, base) else {
+        let preferred = view.preferred_among(&configuration.members) == Some(local.front);
+        let Some(mut replica) = Replica::create(shard, &configuration, local, preferred, base)
+        else {
             return;
         };
         if let Some(before) = view.replica.take() {
             before.remove_saved_log(&mut self.records);
         }
         if view.bootstrap.take().is_some() {
-            self.records.push(records::no_bootstrap(shard));
+            self.records.push(records::remove_bootstrap(shard));
         }
         if preferred {
             replica.campaign();
         }
         replica.must_save();
         view.replica = Some(replica);
-        (view.barred, view.known) = (configuration.config, Some(configuration));
-        (view.leader_since, view.repair, view.learned) = (None, None, None);
-        self.tick_at = self.tick_at.min(at.steady + crate::ledger::TICK);
-        self.touched.insert(shard);
+        (view.barred_config, view.latest_configuration) =
+            (configuration.config, Some(configuration));
+        (view.leader_since, view.repair, view.received_snapshot) = (None, None, None);
+        self.next_tick = self.next_tick.min(at.steady + crate::ledger::TICK);
+        self.changed_shards.insert(shard);
     }
 
     /// Changes to the next configuration once the log has decided its members.
@@ -237,15 +239,15 @@
         if is_leader {
             self.announce_next_members(at, shard, &next);
         }
-        let is_member = next.members.contains(&self.own);
+        let is_member = next.members.contains(&self.local);
         if let Some(view) = self.shards.get_mut(usize::from(shard)) {
-            view.known = Some(next.clone());
+            view.latest_configuration = Some(next.clone());
         }
         if !is_member {
             return self.drop_replica(shard);
         }
         let base = StateAt {
-            index: FIRST,
+            index: FIRST_INDEX,
             state,
         };
         self.open_replica(at, shard, next, base);
@@ -266,21 +268,23 @@
             return;
         };
         let Some(replica) = &view.replica else { return };
-        let moves = view.repair.is_some_and(|repair| repair.moves);
+        let is_move = view.repair.is_some_and(|repair| repair.is_move);
         let is_new =
-            |member: &&ReplicaId| **member != self.own && !replica.members.contains(member);
+            |member: &&ReplicaId| **member != self.local && !replica.members.contains(member);
         for to in members.iter().filter(is_new) {
-            let repair = view.repair.filter(|repair| repair.into == *to);
-            let caught_up = repair.and_then(|repair| repair.caught_up).unwrap_or(0);
+            let repair = view.repair.filter(|repair| repair.joining == *to);
+            let caught_up_index = repair
+                .and_then(|repair| repair.caught_up_index)
+                .unwrap_or(0);
             let message = LedgerMessage::Join {
                 shard,
                 config: *config,
                 members: members.clone(),
-                base: replica.base_after(caught_up),
+                base: replica.base_after(caught_up_index),
             };
             self.transport.send(at, to.front, &message, Pace::Fast);
             self.counters.rebuilt += 1;
-            self.counters.rebalanced += u64::from(moves);
+            self.counters.rebalanced += u64::from(is_move);
         }
         let placed = view
             .ranked
@@ -288,14 +292,14 @@
             .take(self.setup.replication_factor)
             .copied();
         let before = replica.members.iter().map(|member| member.front);
-        let stays = |front: &FrontId| members.iter().any(|member| member.front == *front);
-        let others = placed.chain(before).filter(|front| !stays(front));
+        let is_member = |front: &FrontId| members.iter().any(|member| member.front == *front);
+        let other_fronts = placed.chain(before).filter(|front| !is_member(front));
         let message = LedgerMessage::Membership {
             shard,
             config: *config,
             members: members.clone(),
         };
-        for to in others.filter(|to| *to != self.own.front) {
+        for to in other_fronts.filter(|to| *to != self.local.front) {
             self.transport.send(at, to, &message, Pace::Fast);
         }
     }
@@ -317,27 +321,31 @@
 
 /// The state that a base represents; None if it continues a snapshot that this front has not
 /// received.
-fn base_state(base: &Base, learned: Option<Learned>, config: u32) -> Option<StateAt> {
+fn base_state(
+    base: &Base,
+    received_snapshot: Option<ReceivedSnapshot>,
+    config: u32,
+) -> Option<StateAt> {
     match base {
         Base::Snapshot { index, state } => Some(StateAt {
             index: *index,
             state: decode(state)?,
         }),
         Base::Suffix { index, batches } => {
-            let Learned {
+            let ReceivedSnapshot {
                 config: before,
                 at:
                     StateAt {
                         index: at,
                         mut state,
                     },
-            } = learned?;
+            } = received_snapshot?;
             if (before.checked_add(1), at) != (Some(config), *index) {
                 return None;
             }
             batches.iter().for_each(|batch| _ = state.apply(batch));
             state.next().is_some().then(|| StateAt {
-                index: FIRST,
+                index: FIRST_INDEX,
                 state: state.for_next_configuration(),
             })
         }
--- a/crates/ledger/src/peer.rs
+++ b/crates/ledger/src/peer.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer {
     /// When its latest packet was received.
-    pub heard_at: Micros,
+    pub last_seen: Micros,
     /// When the front started, in Unix milliseconds.
     pub incarnation: u64,
     /// The disk that holds the front's replicas; 0 if it holds none.
--- a/crates/ledger/src/peer_formats.rs
+++ b/crates/ledger/src/peer_formats.rs
@@ -24,51 +24,63 @@
 /// The formats that other fronts read.
 #[derive(Default)]
 pub(crate) struct PeerFormats {
-    known: BTreeMap<FrontId, ShownFormat>,
+    shown: BTreeMap<FrontId, ShownFormat>,
     /// When each front was last sent this front's format.
     introduced_at: BTreeMap<FrontId, Micros>,
 }
 
 impl PeerFormats {
     /// The latest format that both fronts are known to read.
-    pub fn of(&self, own: u8, front: FrontId) -> u8 {
-        self.known
+    pub fn common_format(&self, local_format: u8, front: FrontId) -> u8 {
+        self.shown
             .get(&front)
-            .map_or(OLDEST_FORMAT, |known| own.min(known.format))
+            .map_or(OLDEST_FORMAT, |shown| local_format.min(shown.format))
     }
 
     /// The latest format that all of the fronts are known to read, in which entries and records may
     /// be saved.
-    pub fn of_all(&self, own: u8, fronts: impl Iterator<Item = FrontId>) -> u8 {
-        fronts.map(|front| self.of(own, front)).min().unwrap_or(own)
+    pub fn common_format_of_all(
+        &self,
+        local_format: u8,
+        fronts: impl Iterator<Item = FrontId>,
+    ) -> u8 {
+        fronts
+            .map(|front| self.common_format(local_format, front))
+            .min()
+            .unwrap_or(local_format)
     }
 
     /// Records the format of a packet from an incarnation of a front.
-    pub fn heard(&mut self, front: FrontId, incarnation: u64, format: u8) {
+    pub fn record_format(&mut self, front: FrontId, incarnation: u64, format: u8) {
         let shown = ShownFormat {
             incarnation,
             format,
         };
-        let known = self.known.entry(front).or_insert(shown);
-        let is_new_incarnation = incarnation > known.incarnation;
-        let is_later_format = incarnation == known.incarnation && format > known.format;
+        let latest = self.shown.entry(front).or_insert(shown);
+        let is_new_incarnation = incarnation > latest.incarnation;
+        let is_later_format = incarnation == latest.incarnation && format > latest.format;
         if is_new_incarnation {
             self.introduced_at.remove(&front);
         }
         if is_new_incarnation || is_later_format {
-            *known = shown;
+            *latest = shown;
         }
     }
 
     /// The message to send first to a front that may not know this front's format, if it is due.
-    pub fn introduction(&mut self, now: Micros, own: u8, front: FrontId) -> Option<LedgerMessage> {
+    pub fn introduction(
+        &mut self,
+        now: Micros,
+        local_format: u8,
+        front: FrontId,
+    ) -> Option<LedgerMessage> {
         let introduced_at = self
             .introduced_at
             .get(&front)
             .copied()
             .unwrap_or(Micros::MIN);
-        if own == OLDEST_FORMAT
-            || self.of(own, front) == own
+        if local_format == OLDEST_FORMAT
+            || self.common_format(local_format, front) == local_format
             || now.saturating_sub(introduced_at) < INTRODUCTION_INTERVAL
         {
             return None;
@@ -76,7 +88,7 @@
         self.introduced_at.insert(front, now);
         Some(LedgerMessage::Available {
             shard: NO_SHARD,
-            config: own.into(),
+            config: local_format.into(),
             agreed: Vec::new(),
         })
     }
--- a/crates/ledger/src/pending_requests.rs
+++ b/crates/ledger/src/pending_requests.rs
@@ -11,19 +11,19 @@
 const MAX_WAITING: usize = 16_384;
 
 /// A request without an answer so far.
-pub(crate) struct Waiting {
+pub(crate) struct PendingRequest {
     pub command: Command,
     pub shard: u16,
-    pub ends: Micros,
+    pub deadline: Micros,
     retry_at: Micros,
     attempts: usize,
 }
 
 /// An attempt to send a request.
 pub(crate) struct Attempt<'a> {
-    pub ask: &'a Waiting,
+    pub request: &'a PendingRequest,
     /// The number of attempts before this one.
-    pub earlier: usize,
+    pub previous_attempts: usize,
 }
 
 /// The numbers of requests that are due for a retry or have timed out.
@@ -37,32 +37,32 @@
 /// This front's requests without an answer so far.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
-    waiting: BTreeMap<u64, Waiting>,
+    waiting: BTreeMap<u64, PendingRequest>,
     /// When each request was first made, on the Unix clock; retries carry the same time.
-    first: BTreeMap<u64, u64>,
+    first_requested: BTreeMap<u64, u64>,
 }
 
 impl PendingRequests {
     /// When the request with this number was first made, in Unix milliseconds.
-    pub fn first(&mut self, number: u64, wall_ms: u64) -> u64 {
-        *self.first.entry(number).or_insert(wall_ms)
+    pub fn first_requested_ms(&mut self, number: u64, wall_ms: u64) -> u64 {
+        *self.first_requested.entry(number).or_insert(wall_ms)
     }
 
-    pub fn is_waiting(&self, number: u64) -> bool {
+    pub fn is_pending(&self, number: u64) -> bool {
         self.waiting.contains_key(&number)
     }
 
     /// Adds a request; false if too many are waiting.
-    pub fn wait(&mut self, command: Command, shard: u16, ends: Micros) -> bool {
+    pub fn add(&mut self, command: Command, shard: u16, deadline: Micros) -> bool {
         if self.waiting.len() >= MAX_WAITING {
             return false;
         }
         self.waiting.insert(
             command.number,
-            Waiting {
+            PendingRequest {
                 command,
                 shard,
-                ends,
+                deadline,
                 retry_at: 0,
                 attempts: 0,
             },
@@ -72,11 +72,14 @@
 
     /// Counts another attempt of a request; None if it is not waiting.
     pub fn next_attempt(&mut self, now: Micros, number: u64) -> Option<Attempt<'_>> {
-        let ask = self.waiting.get_mut(&number)?;
-        let earlier = ask.attempts;
-        ask.attempts += 1;
-        ask.retry_at = now + RETRY_INTERVAL;
-        Some(Attempt { ask, earlier })
+        let request = self.waiting.get_mut(&number)?;
+        let previous_attempts = request.attempts;
+        request.attempts += 1;
+        request.retry_at = now + RETRY_INTERVAL;
+        Some(Attempt {
+            request,
+            previous_attempts,
+        })
     }
 
     pub fn shard(&self, number: u64) -> Option<u16> {
@@ -84,23 +87,23 @@
     }
 
     /// Removes an answered request; its shard, if the request was waiting.
-    pub fn answered(&mut self, number: u64) -> Option<u16> {
+    pub fn remove(&mut self, number: u64) -> Option<u16> {
         self.waiting.remove(&number).map(|waiting| waiting.shard)
     }
 
     /// Removes the requests that were not answered in time, and finds those to be sent again.
-    pub fn due_now(&mut self, at: ClockReading) -> DueRequests {
-        let is_expired = |waiting: &Waiting| waiting.ends <= at.steady;
+    pub fn take_due(&mut self, at: ClockReading) -> DueRequests {
+        let is_expired = |waiting: &PendingRequest| waiting.deadline <= at.steady;
         let expired = self.numbers(is_expired);
         self.waiting.retain(|_, waiting| !is_expired(waiting));
         let retry = self.numbers(|waiting| waiting.retry_at <= at.steady);
-        self.first
+        self.first_requested
             .retain(|_, first| first.saturating_add(2 * ANSWER_RETENTION_MS) > at.wall_ms);
         DueRequests { retry, expired }
     }
 
     /// The numbers of the waiting requests that satisfy a condition.
-    fn numbers(&self, condition: impl Fn(&Waiting) -> bool) -> Vec<u64> {
+    fn numbers(&self, condition: impl Fn(&PendingRequest) -> bool) -> Vec<u64> {
         let meeting = self
             .waiting
             .iter()
@@ -112,7 +115,7 @@
     pub fn due(&self) -> Micros {
         self.waiting
             .values()
-            .map(|waiting| waiting.ends.min(waiting.retry_at))
+            .map(|waiting| waiting.deadline.min(waiting.retry_at))
             .min()
             .unwrap_or(Micros::MAX)
     }
@@ -122,24 +125,28 @@
 /// fronts that may hold the shard, in rotation.
 pub(crate) fn next_receiver(
     leader: Option<FrontId>,
-    others: &[FrontId],
-    own: FrontId,
-    earlier: usize,
+    other_fronts: &[FrontId],
+    local: FrontId,
+    previous_attempts: usize,
 ) -> Option<FrontId> {
     // A leader that does not answer is tried only at every other attempt.
-    if let Some(leader) = leader.filter(|leader| *leader != own && earlier.is_multiple_of(2)) {
+    if let Some(leader) =
+        leader.filter(|leader| *leader != local && previous_attempts.is_multiple_of(2))
+    {
         return Some(leader);
     }
     // The other attempts go to fronts that may know a newer leader.
-    let others: Vec<FrontId> = others
+    let other_fronts: Vec<FrontId> = other_fronts
         .iter()
         .copied()
-        .filter(|front| *front != own && Some(*front) != leader)
+        .filter(|front| *front != local && Some(*front) != leader)
         .collect();
-    let turn = if leader.is_some() {
-        earlier / 2
+    let rotation = if leader.is_some() {
+        previous_attempts / 2
     } else {
-        earlier
+        previous_attempts
     };
-    others.get(turn % others.len().max(1)).copied()
+    other_fronts
+        .get(rotation % other_fronts.len().max(1))
+        .copied()
 }
--- a/crates/ledger/src/reassembly.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -39,7 +39,7 @@
 }
 
 /// The result of adding a fragment.
-pub(crate) enum Added {
+pub(crate) enum FragmentOutcome {
     /// Other fragments of the message are missing.
     Incomplete,
     /// The message was complete before: the sender has missed the acknowledgement.
@@ -51,20 +51,20 @@
 struct Partial {
     fragments: Vec<Option<Vec<u8>>>,
     buffered: usize,
-    touched: Micros,
-    asked: Micros,
+    last_activity: Micros,
+    last_request: Micros,
 }
 
 impl Partial {
     /// The missing fragments that count as lost, as opposed to not sent yet.
-    fn lost(&self, now: Micros) -> Vec<u16> {
+    fn lost_fragments(&self, now: Micros) -> Vec<u16> {
         // Fragments behind the last received one may not have been sent yet.
         let last = self
             .fragments
             .iter()
             .rposition(Option::is_some)
             .unwrap_or(0);
-        let sure = if now - self.touched >= TAIL_TIMEOUT {
+        let expected = if now - self.last_activity >= TAIL_TIMEOUT {
             self.fragments.len()
         } else {
             last
@@ -72,7 +72,7 @@
         let missing = self
             .fragments
             .iter()
-            .take(sure)
+            .take(expected)
             .enumerate()
             .filter(|(_, fragment)| fragment.is_none());
         missing.map(|(n, _)| n as u16).take(MAX_RESEND).collect()
@@ -96,9 +96,9 @@
         now: Micros,
         id: MessageId,
         fragment: Fragment,
-    ) -> Result<Added, Rejection> {
+    ) -> Result<FragmentOutcome, Rejection> {
         if self.finished.contains_key(&id) {
-            return Ok(Added::Repeated);
+            return Ok(FragmentOutcome::Repeated);
         }
         let Fragment {
             index,
@@ -115,32 +115,32 @@
         if self.buffered + bytes.len() > MAX_BUFFERED {
             return Err(Rejection::TooManyFragments);
         }
-        let none = || Partial {
+        let empty = || Partial {
             fragments: vec![None; count.into()],
             buffered: 0,
-            touched: now,
-            asked: now,
+            last_activity: now,
+            last_request: now,
         };
-        let partial = self.partial.entry(id).or_insert_with(none);
+        let partial = self.partial.entry(id).or_insert_with(empty);
         let slot = partial
             .fragments
             .get_mut(usize::from(index))
             .ok_or(Rejection::Malformed)?;
-        partial.touched = now;
+        partial.last_activity = now;
         if slot.is_none() {
             partial.buffered += bytes.len();
             self.buffered += bytes.len();
             *slot = Some(bytes);
         }
         if partial.fragments.iter().any(Option::is_none) {
-            return Ok(Added::Incomplete);
+            return Ok(FragmentOutcome::Incomplete);
         }
         let partial = self.partial.remove(&id).ok_or(Rejection::Malformed)?;
         self.buffered -= partial.buffered;
         if self.finished.len() < MAX_FINISHED {
             self.finished.insert(id, now);
         }
-        Ok(Added::Complete(
+        Ok(FragmentOutcome::Complete(
             partial.fragments.into_iter().flatten().flatten().collect(),
         ))
     }
@@ -161,17 +161,17 @@
         self.finished.retain(|_, at| now - *at < 2 * ABANDON_AFTER);
         let buffered = &mut self.buffered;
         self.partial.retain(|_, partial| {
-            let stays = now - partial.touched < ABANDON_AFTER;
-            *buffered -= if stays { 0 } else { partial.buffered };
-            stays
+            let is_active = now - partial.last_activity < ABANDON_AFTER;
+            *buffered -= if is_active { 0 } else { partial.buffered };
+            is_active
         });
         let mut requests = Vec::new();
         for (id, partial) in &mut self.partial {
-            if now - partial.touched.max(partial.asked) < GAP_TIMEOUT {
+            if now - partial.last_activity.max(partial.last_request) < GAP_TIMEOUT {
                 continue;
             }
-            partial.asked = now;
-            let missing = partial.lost(now);
+            partial.last_request = now;
+            let missing = partial.lost_fragments(now);
             if !missing.is_empty() {
                 let payload = Payload::Resend {
                     id: id.number,
@@ -191,7 +191,7 @@
         let due = self
             .partial
             .values()
-            .map(|partial| partial.touched.max(partial.asked) + GAP_TIMEOUT);
+            .map(|partial| partial.last_activity.max(partial.last_request) + GAP_TIMEOUT);
         due.min().unwrap_or(Micros::MAX)
     }
 }
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -51,8 +51,8 @@
 const SNAPSHOT: u8 = b'n';
 const BOOTSTRAP: u8 = b'b';
 
-fn name(kind: u8, shard: u16, rest: &[u8]) -> Vec<u8> {
-    [&[kind], &shard.to_be_bytes()[..], rest].concat()
+fn record_name(kind: u8, shard: u16, suffix: &[u8]) -> Vec<u8> {
+    [&[kind], &shard.to_be_bytes()[..], suffix].concat()
 }
 
 /// Encodes a record in a format.
@@ -84,7 +84,7 @@
 }
 
 /// The body of a record, if its checksum matches its name and content and its format is known.
-fn checked<'a>(name: &[u8], bytes: &'a [u8]) -> Result<&'a [u8], Error> {
+fn verified_body<'a>(name: &[u8], bytes: &'a [u8]) -> Result<&'a [u8], Error> {
     let (given, body) = bytes
         .split_at_checked(CHECKSUM_BYTES)
         .ok_or_else(|| damaged(name))?;
@@ -106,7 +106,7 @@
 }
 
 fn open<'a, T: Deserialize<'a>>(name: &[u8], bytes: &'a [u8]) -> Result<T, Error> {
-    decode(checked(name, bytes)?).ok_or_else(|| damaged(name))
+    decode(verified_body(name, bytes)?).ok_or_else(|| damaged(name))
 }
 
 pub(crate) fn header(format: u8, fleet: u64, disk: u64) -> Record {
@@ -122,42 +122,50 @@
 }
 
 pub(crate) fn meta(format: u8, shard: u16, meta: &Meta) -> Record {
-    record(format, name(META, shard, &[]), meta)
+    record(format, record_name(META, shard, &[]), meta)
 }
 
 pub(crate) fn entry(shard: u16, index: usize, batch: &Batch) -> Record {
     record(
         batch.tail.format(),
-        name(LOG, shard, &(index as u64).to_be_bytes()),
+        record_name(LOG, shard, &(index as u64).to_be_bytes()),
         batch,
     )
 }
 
-pub(crate) fn no_entry(shard: u16, index: usize) -> Record {
+pub(crate) fn remove_entry(shard: u16, index: usize) -> Record {
     Record {
-        name: name(LOG, shard, &(index as u64).to_be_bytes()),
+        name: record_name(LOG, shard, &(index as u64).to_be_bytes()),
         bytes: None,
     }
 }
 
 pub(crate) fn snapshot(shard: u16, snapshot: &LogSnapshot) -> Record {
-    record(snapshot.format(), name(SNAPSHOT, shard, &[]), snapshot)
+    record(
+        snapshot.format(),
+        record_name(SNAPSHOT, shard, &[]),
+        snapshot,
+    )
 }
 
-pub(crate) fn no_snapshot(shard: u16) -> Record {
+pub(crate) fn remove_snapshot(shard: u16) -> Record {
     Record {
-        name: name(SNAPSHOT, shard, &[]),
+        name: record_name(SNAPSHOT, shard, &[]),
         bytes: None,
     }
 }
 
 pub(crate) fn bootstrap(shard: u16, agreed: &[ReplicaIncarnation]) -> Record {
-    record(OLDEST_FORMAT, name(BOOTSTRAP, shard, &[]), &agreed.to_vec())
+    record(
+        OLDEST_FORMAT,
+        record_name(BOOTSTRAP, shard, &[]),
+        &agreed.to_vec(),
+    )
 }
 
-pub(crate) fn no_bootstrap(shard: u16) -> Record {
+pub(crate) fn remove_bootstrap(shard: u16) -> Record {
     Record {
-        name: name(BOOTSTRAP, shard, &[]),
+        name: record_name(BOOTSTRAP, shard, &[]),
         bytes: None,
     }
 }
@@ -179,7 +187,7 @@
 
 impl SavedShards {
     /// The state if nothing was saved.
-    pub fn none() -> SavedShards {
+    pub fn empty() -> SavedShards {
         SavedShards {
             format: OLDEST_FORMAT,
             shards: BTreeMap::new(),
@@ -198,7 +206,7 @@
     let Some(header) = records.get(&[HEADER][..]) else {
         return match records.keys().next() {
             Some(name) => Err(damaged(name)),
-            None => Ok(SavedShards::none()),
+            None => Ok(SavedShards::empty()),
         };
     };
     let format = check_header(setup, fleet, header)?;
@@ -210,7 +218,7 @@
         }
         let parsed = RecordName::parse(name)?;
         let shard = shards.entry(parsed.shard).or_default();
-        match (parsed.kind, parsed.rest) {
+        match (parsed.kind, parsed.suffix) {
             (META, []) => shard.meta = Some(open(name, bytes)?),
             (SNAPSHOT, []) => shard.log_state.snapshot = Some(open(name, bytes)?),
             (BOOTSTRAP, []) => shard.bootstrap = open(name, bytes)?,
@@ -237,7 +245,7 @@
 fn check_header(setup: &Setup, fleet: u64, bytes: &[u8]) -> Result<u8, Error> {
     // The format is the first field in every version; the fields after an unknown format are
     // unknown.
-    let body = checked(&[HEADER], bytes)?;
+    let body = verified_body(&[HEADER], bytes)?;
     let format = body.first().copied().unwrap_or_default();
     if !(OLDEST_FORMAT..=setup.format).contains(&format) {
         return Err(Error::Version {
@@ -262,17 +270,17 @@
 struct RecordName<'a> {
     kind: u8,
     shard: u16,
-    rest: &'a [u8],
+    suffix: &'a [u8],
 }
 
 impl RecordName<'_> {
     fn parse(name: &[u8]) -> Result<RecordName<'_>, Error> {
-        let (kind, rest) = name.split_first().ok_or_else(|| damaged(name))?;
-        let (shard, rest) = rest.split_first_chunk().ok_or_else(|| damaged(name))?;
+        let (kind, suffix) = name.split_first().ok_or_else(|| damaged(name))?;
+        let (shard, suffix) = suffix.split_first_chunk().ok_or_else(|| damaged(name))?;
         Ok(RecordName {
             kind: *kind,
             shard: u16::from_be_bytes(*shard),
-            rest,
+            suffix,
         })
     }
 }
--- a/crates/ledger/src/repair.rs
+++ b/crates/ledger/src/repair.rs
@@ -9,38 +9,38 @@
 /// rate.
 pub(crate) const REPLACEMENT_TIMEOUT: Micros = 10_000_000;
 /// Maximum microseconds since the last packet of a front for it to become a member.
-pub(crate) const HEARD_WITHIN: Micros = 3_000_000;
+pub(crate) const MAX_SILENCE: Micros = 3_000_000;
 
 /// A replacement of a member in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Repair {
-    pub out: ReplicaId,
-    pub into: ReplicaId,
+    pub leaving: ReplicaId,
+    pub joining: ReplicaId,
     pub config: u32,
     /// The log index of the snapshot that the new member has received.
-    pub caught_up: Option<u64>,
+    pub caught_up_index: Option<u64>,
     /// Whether the replica is moved for balance, with no replica missing.
-    pub moves: bool,
-    pub ends: Micros,
+    pub is_move: bool,
+    pub deadline: Micros,
 }
 
 impl Repair {
     pub fn new(
         now: Micros,
-        out: ReplicaId,
-        into: ReplicaId,
+        leaving: ReplicaId,
+        joining: ReplicaId,
         config: u32,
         bytes: usize,
         rate: u32,
     ) -> Repair {
-        let ends = now + REPLACEMENT_TIMEOUT + Repair::duration(bytes, rate);
+        let deadline = now + REPLACEMENT_TIMEOUT + Repair::duration(bytes, rate);
         Repair {
-            out,
-            into,
+            leaving,
+            joining,
             config,
-            caught_up: None,
-            moves: false,
-            ends,
+            caught_up_index: None,
+            is_move: false,
+            deadline,
         }
     }
 
@@ -52,9 +52,9 @@
 
     /// Whether to abort the replacement: it took too long, or the shard's configuration or the new
     /// member has changed.
-    pub fn is_over(&self, now: Micros, config: u32, into: Option<&Peer>) -> bool {
-        let here = into.is_some_and(|peer| peer.disk == self.into.disk);
-        self.ends <= now || self.config != config || !here
+    pub fn must_abort(&self, now: Micros, config: u32, joining: Option<&Peer>) -> bool {
+        let has_same_disk = joining.is_some_and(|peer| peer.disk == self.joining.disk);
+        self.deadline <= now || self.config != config || !has_same_disk
     }
 
     /// The members after the replacement.
@@ -62,9 +62,9 @@
         let mut next: Vec<ReplicaId> = members
             .iter()
             .copied()
-            .filter(|member| *member != self.out)
+            .filter(|member| *member != self.leaving)
             .collect();
-        next.push(self.into);
+        next.push(self.joining);
         next.sort_unstable();
         next
     }
@@ -72,9 +72,9 @@
 
 /// A member that has to be replaced.
 pub(crate) struct MissingMember {
-    pub out: ReplicaId,
+    pub leaving: ReplicaId,
     /// The same front with its new disk, if it is up: it becomes the new member.
-    pub back: Option<ReplicaId>,
+    pub returned: Option<ReplicaId>,
 }
 
 /// The member to replace next: one whose front came back with another disk before one that is
@@ -83,32 +83,32 @@
 pub(crate) fn missing_member(
     now: Micros,
     since: Micros,
-    waits: impl Fn(FrontId, Micros) -> Micros,
+    wait_until: impl Fn(FrontId, Micros) -> Micros,
     members: &[ReplicaId],
-    own: FrontId,
+    local: FrontId,
     peer: impl Fn(FrontId) -> Option<Peer>,
 ) -> Option<MissingMember> {
     let mut silent = None;
-    for member in members.iter().filter(|member| member.front != own) {
-        let heard = peer(member.front);
-        if let Some(peer) = heard.filter(|peer| peer.disk != member.disk) {
+    for member in members.iter().filter(|member| member.front != local) {
+        let known_peer = peer(member.front);
+        if let Some(peer) = known_peer.filter(|peer| peer.disk != member.disk) {
             // The front has lost its Paxos promises, so it joins as a new member. If it has no
             // disk, another front does.
-            let back = ReplicaId {
+            let returned = ReplicaId {
                 front: member.front,
                 disk: peer.disk,
             };
-            let is_up = peer.disk != 0 && now - peer.heard_at < HEARD_WITHIN;
+            let is_up = peer.disk != 0 && now - peer.last_seen < MAX_SILENCE;
             return Some(MissingMember {
-                out: *member,
-                back: is_up.then_some(back),
+                leaving: *member,
+                returned: is_up.then_some(returned),
             });
         }
-        let last = heard.map_or(since, |peer| peer.heard_at.max(since));
-        if silent.is_none() && waits(member.front, last) <= now {
+        let last = known_peer.map_or(since, |peer| peer.last_seen.max(since));
+        if silent.is_none() && wait_until(member.front, last) <= now {
             silent = Some(MissingMember {
-                out: *member,
-                back: None,
+                leaving: *member,
+                returned: None,
             });
         }
     }
@@ -127,7 +127,7 @@
         .filter(|front| members.iter().all(|member| member.front != **front));
     free.find_map(|front| {
         let peer =
-            peer(*front).filter(|peer| peer.disk != 0 && now - peer.heard_at < HEARD_WITHIN)?;
+            peer(*front).filter(|peer| peer.disk != 0 && now - peer.last_seen < MAX_SILENCE)?;
         Some(ReplicaId {
             front: *front,
             disk: peer.disk,
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -27,17 +27,17 @@
 /// Bytes of requests in a round: some datagrams to each member.
 const BATCH_BYTES: usize = 8_192;
 /// Microseconds for which a membership change has priority over the next round.
-const CHANGE_WAITS: Micros = 250_000;
+const MEMBER_CHANGE_TIMEOUT: Micros = 250_000;
 
 /// The first index of a log after its base: the state that a configuration starts from counts as
 /// one entry.
-pub(crate) const FIRST: u64 = 1;
+pub(crate) const FIRST_INDEX: u64 = 1;
 
-struct Waiting {
+struct QueuedRequest {
     command: Command,
-    came: Micros,
+    received_at: Micros,
     /// The time on this front's clock after which the requester no longer waits.
-    ends: Micros,
+    deadline: Micros,
 }
 
 /// A replica of a shard in one configuration.
@@ -49,19 +49,19 @@
     store: LogStore<Batch>,
     pub state: State,
     applied: usize,
-    queue: Vec<Waiting>,
+    queue: Vec<QueuedRequest>,
     /// The requests that are queued or proposed here.
-    known: BTreeSet<CommandId>,
+    known_commands: BTreeSet<CommandId>,
     /// The fronts that wait for keys held by others, if this front leads the shard.
     pub key_queues: KeyQueues,
     changes: Changes,
     dirty: bool,
     /// The indices of the saved log records.
-    saved: Range<usize>,
+    saved_indices: Range<usize>,
     /// Detects messages that arrive out of order; they count as lost.
-    order: MessageOrder,
+    message_order: MessageOrder,
     /// A membership change is proposed: nothing more is proposed in this configuration.
-    changing: bool,
+    is_changing_members: bool,
     /// The format of proposed batches.
     pub format: u8,
     pending_change: Option<PendingChange>,
@@ -71,7 +71,7 @@
 struct PendingChange {
     members: Vec<ReplicaId>,
     /// Until when the change has priority over the next round.
-    ends: Micros,
+    deadline: Micros,
 }
 
 /// A decided request and its outcome.
@@ -90,7 +90,7 @@
 
 /// The requests that were decided, and the rounds that were proposed, since the last call.
 #[derive(Default)]
-pub(crate) struct Settled {
+pub(crate) struct AdvanceResult {
     pub answers: Vec<DecidedCommand>,
     pub rounds: u64,
 }
@@ -98,10 +98,10 @@
 impl Replica {
     /// Creates the replica of a configuration from the state that its members agree on; it becomes
     /// durable with the next save.
-    pub fn begin(
+    pub fn create(
         shard: u16,
         configuration: &Configuration,
-        own: ReplicaId,
+        local: ReplicaId,
         preferred: bool,
         base: StateAt,
     ) -> Option<Replica> {
@@ -112,7 +112,7 @@
             snapshot: Some(LogSnapshot::of(base.state)),
             ..LogState::default()
         };
-        let mut replica = Replica::open(shard, configuration, own, preferred, log_state)?;
+        let mut replica = Replica::open(shard, configuration, local, preferred, log_state)?;
         replica.changes = Changes {
             must_persist: true,
             log_from: None,
@@ -126,14 +126,14 @@
     pub fn open(
         shard: u16,
         configuration: &Configuration,
-        own: ReplicaId,
+        local: ReplicaId,
         preferred: bool,
         log_state: LogState<Batch>,
     ) -> Option<Replica> {
         let Configuration { config, members } = configuration;
         let saved = log_state.compacted..log_state.end();
         let store = LogStore::new(log_state);
-        let log = Log::new(*config, members, own, preferred, store.clone())?;
+        let log = Log::new(*config, members, local, preferred, store.clone())?;
         let mut replica = Replica {
             shard,
             config: *config,
@@ -143,13 +143,13 @@
             state: State::default(),
             applied: 0,
             queue: Vec::new(),
-            known: BTreeSet::new(),
+            known_commands: BTreeSet::new(),
             key_queues: KeyQueues::default(),
             changes: Changes::default(),
             dirty: false,
-            saved,
-            order: MessageOrder::default(),
-            changing: false,
+            saved_indices: saved,
+            message_order: MessageOrder::default(),
+            is_changing_members: false,
             format: OLDEST_FORMAT,
             pending_change: None,
         };
@@ -161,8 +161,8 @@
     /// they may have missed.
     pub fn tick(&mut self) -> Vec<FrontId> {
         let resync = self.log.tick();
-        let others = self.members.iter().map(|member| member.front);
-        others.filter(|_| resync).collect()
+        let other_fronts = self.members.iter().map(|member| member.front);
+        other_fronts.filter(|_| resync).collect()
     }
 
     /// Tries to become the leader.
@@ -200,22 +200,22 @@
         message: Message<Batch>,
     ) -> Received {
         let from = sender.id.front;
-        if !self.order.accepts(from, sender.incarnation, number) {
+        if !self.message_order.accepts(from, sender.incarnation, number) {
             return Received::OutOfOrder;
         }
         self.log.receive(from, message)
     }
 
     /// Queues a request on the leader; false if the queue is full.
-    pub fn ask(&mut self, command: Command, came: Micros, ends: Micros) -> bool {
+    pub fn enqueue(&mut self, command: Command, received_at: Micros, deadline: Micros) -> bool {
         if self.queue.len() >= MAX_QUEUED {
             return false;
         }
-        if self.known.insert(command.id()) {
-            self.queue.push(Waiting {
+        if self.known_commands.insert(command.id()) {
+            self.queue.push(QueuedRequest {
                 command,
-                came,
-                ends,
+                received_at,
+                deadline,
             });
         }
         true
@@ -224,10 +224,10 @@
     /// Proposes other members after the round in progress. The change takes priority over the next
     /// round, as successive rounds would otherwise delay it forever.
     pub fn propose_members(&mut self, now: Micros, next: Vec<ReplicaId>) {
-        if !self.changing && self.is_leader() {
+        if !self.is_changing_members && self.is_leader() {
             self.pending_change = Some(PendingChange {
                 members: next,
-                ends: now + CHANGE_WAITS,
+                deadline: now + MEMBER_CHANGE_TIMEOUT,
             });
         }
     }
@@ -237,33 +237,33 @@
             return;
         }
         let pending = self.pending_change.take();
-        if let Some(change) = pending.filter(|change| now < change.ends) {
+        if let Some(change) = pending.filter(|change| now < change.deadline) {
             let batch = Batch::change(self.format, wall_ms, change.members);
-            self.changing = self.log.append(batch);
+            self.is_changing_members = self.log.append(batch);
         }
     }
 
     /// Applies decided entries, and proposes the queued requests once the previous round has ended.
-    pub fn settle(&mut self, now: Micros, wall_ms: u64) -> Settled {
-        let mut settled = Settled {
+    pub fn advance(&mut self, now: Micros, wall_ms: u64) -> AdvanceResult {
+        let mut advanced = AdvanceResult {
             answers: self.apply(),
             rounds: 0,
         };
         if !self.is_leader() {
             // The requesters send their requests to the new leader.
             self.queue.clear();
-            self.known.clear();
+            self.known_commands.clear();
             self.key_queues.clear();
-            (self.changing, self.pending_change) = (false, None);
-            return settled;
+            (self.is_changing_members, self.pending_change) = (false, None);
+            return advanced;
         }
         self.propose_change(now, wall_ms);
-        if !self.queue.is_empty() && !self.log.has_pending() && !self.changing {
-            settled.rounds = u64::from(self.propose_batch(now, wall_ms));
-            settled.answers.extend(self.apply());
+        if !self.queue.is_empty() && !self.log.has_pending() && !self.is_changing_members {
+            advanced.rounds = u64::from(self.propose_batch(now, wall_ms));
+            advanced.answers.extend(self.apply());
         }
         self.log.compact();
-        settled
+        advanced
     }
 
     /// Proposes the queued requests, as many as fit in a round; false if none is proposed.
@@ -271,12 +271,12 @@
         let (mut commands, mut bytes) = (Vec::new(), 0);
         for waiting in std::mem::take(&mut self.queue) {
             let command = &waiting.command;
-            if waiting.ends <= now {
-                self.known.remove(&command.id());
+            if waiting.deadline <= now {
+                self.known_commands.remove(&command.id());
             } else if bytes < BATCH_BYTES
                 && !self
                     .key_queues
-                    .is_reserved_for_another(now, command, waiting.came)
+                    .is_reserved_for_another(now, command, waiting.received_at)
             {
                 bytes += command.size();
                 commands.push(waiting.command);
@@ -293,9 +293,9 @@
     }
 
     /// The latest requests of the fronts to be notified that a key is free.
-    pub fn freed_keys(&mut self, now: Micros, wall_ms: u64) -> Vec<CommandId> {
+    pub fn waiters_to_notify(&mut self, now: Micros, wall_ms: u64) -> Vec<CommandId> {
         self.key_queues
-            .freed_keys(now, |key| self.state.is_free(key, wall_ms))
+            .waiters_to_notify(now, |key| self.state.is_free(key, wall_ms))
     }
 
     /// Applies decided entries; returns the answers if this front leads the shard.
@@ -313,7 +313,7 @@
         for batch in batches {
             let outcomes = self.state.apply(&batch);
             for (command, outcome) in batch.commands.into_iter().zip(outcomes) {
-                self.known.remove(&command.id());
+                self.known_commands.remove(&command.id());
                 if is_leader {
                     answers.push(DecidedCommand { command, outcome });
                 }
@@ -329,9 +329,9 @@
     /// Removes and returns the messages to be sent to other members.
     pub fn take_messages(&mut self) -> Vec<MemberMessage> {
         let (shard, config) = (self.shard, self.config);
-        let order = &mut self.order;
+        let message_order = &mut self.message_order;
         let numbered = |LogMessage { to, message }| {
-            let number = order.next_number(&message);
+            let number = message_order.next_number(&message);
             let message = LedgerMessage::Log {
                 shard,
                 config,
@@ -356,7 +356,7 @@
             return Base::Suffix { index, batches };
         }
         Base::Snapshot {
-            index: FIRST,
+            index: FIRST_INDEX,
             state: encode(&self.state.for_next_configuration()),
         }
     }
--- a/crates/ledger/src/replica/saving.rs
+++ b/crates/ledger/src/replica/saving.rs
@@ -32,8 +32,8 @@
         }
         let changes = std::mem::take(&mut self.changes);
         let shard = self.shard;
-        let before = self.saved.clone();
-        self.saved = self.store.read(|log_state| {
+        let before = self.saved_indices.clone();
+        self.saved_indices = self.store.read(|log_state| {
             records.push(records::meta(format, shard, &self.meta(log_state)));
             if let Some(snapshot) = log_state.snapshot.as_ref().filter(|_| changes.snapshot) {
                 format = format.max(snapshot.format());
@@ -48,8 +48,8 @@
             }
             let compacted_away = before.start..compacted.min(before.end);
             let cut_off = end.max(before.start)..before.end;
-            let gone = compacted_away.chain(cut_off);
-            records.extend(gone.map(|index| records::no_entry(shard, index)));
+            let removed = compacted_away.chain(cut_off);
+            records.extend(removed.map(|index| records::remove_entry(shard, index)));
             compacted..end
         });
         format
@@ -71,7 +71,7 @@
 
     /// Adds records that remove the saved log.
     pub fn remove_saved_log(&self, records: &mut Vec<Record>) {
-        let saved = self.saved.clone();
-        records.extend(saved.map(|index| records::no_entry(self.shard, index)));
+        let saved = self.saved_indices.clone();
+        records.extend(saved.map(|index| records::remove_entry(self.shard, index)));
     }
 }
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -13,9 +13,9 @@
 };
 
 /// Maximum bytes of a key's name.
-const LONGEST_NAME: usize = 1_024;
+const MAX_NAME_BYTES: usize = 1_024;
 /// Maximum bytes of a value.
-const LONGEST_VALUE: usize = 32 * 1_024;
+const MAX_VALUE_BYTES: usize = 32 * 1_024;
 
 impl Ledger {
     /// Submits a request; exactly one answer follows. A request whose number is already waiting is
@@ -26,7 +26,7 @@
             key,
             operation,
         } = request;
-        if self.pending.is_waiting(number) {
+        if self.pending.is_pending(number) {
             return;
         }
         if self.counters.failed {
@@ -41,25 +41,25 @@
         let shard = shard_of(&key, self.setup.shards);
         let command = Command {
             owner: Owner {
-                front: self.own.front,
+                front: self.local.front,
                 incarnation: self.setup.incarnation,
             },
             number,
-            asked_ms: self.pending.first(number, at.wall_ms),
+            asked_ms: self.pending.first_requested_ms(number, at.wall_ms),
             key,
             operation,
         };
-        let ends = at.steady + self.setup.request_timeout;
-        if !self.pending.wait(command, shard, ends) {
+        let deadline = at.steady + self.setup.request_timeout;
+        if !self.pending.add(command, shard, deadline) {
             return self.answer_at_once(number, Outcome::Unreachable);
         }
         self.send_request(at, number);
-        self.settle(at);
+        self.process_changes(at);
     }
 
     /// Answers a request without waiting for any save.
     fn answer_at_once(&mut self, number: u64, outcome: Outcome) {
-        self.out.answers.push(LedgerAnswer { number, outcome });
+        self.output.answers.push(LedgerAnswer { number, outcome });
     }
 
     /// Sends a request to the shard's leader, or to a front that may know the leader.
@@ -67,14 +67,14 @@
         let Some(attempt) = self.pending.next_attempt(at.steady, number) else {
             return;
         };
-        let waiting = attempt.ask;
+        let waiting = attempt.request;
         let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else {
             return;
         };
         let shard = waiting.shard;
         if let Some(replica) = view.replica.as_mut().filter(|replica| replica.is_leader()) {
-            replica.ask(waiting.command.clone(), at.steady, waiting.ends);
-            self.touched.insert(shard);
+            replica.enqueue(waiting.command.clone(), at.steady, waiting.deadline);
+            self.changed_shards.insert(shard);
             return;
         }
         let leader = view
@@ -83,15 +83,18 @@
             .and_then(Replica::leader)
             .or(view.leader_hint);
         let members: Vec<FrontId> = view.members().iter().map(|member| member.front).collect();
-        let rest = view
+        let non_members = view
             .ranked
             .iter()
             .filter(|front| !members.contains(front))
             .copied();
-        let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
-        if let Some(to) =
-            pending_requests::next_receiver(leader, &others, self.own.front, attempt.earlier)
-        {
+        let other_fronts: Vec<FrontId> = members.iter().copied().chain(non_members).collect();
+        if let Some(to) = pending_requests::next_receiver(
+            leader,
+            &other_fronts,
+            self.local.front,
+            attempt.previous_attempts,
+        ) {
             let message = LedgerMessage::Request {
                 shard,
                 command: waiting.command.clone(),
@@ -116,9 +119,9 @@
             return;
         };
         let leader = leader.filter(|leader| *leader != from);
-        let new = leader.is_some() && leader != view.leader_hint;
+        let is_new_leader = leader.is_some() && leader != view.leader_hint;
         view.leader_hint = leader.or(view.leader_hint.filter(|hint| *hint != from));
-        if new {
+        if is_new_leader {
             self.send_request(at, number);
         }
     }
@@ -126,14 +129,14 @@
     /// Records the answer to a request of this front, to be returned once the state that it depends
     /// on is durable here.
     pub(crate) fn record_answer(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
-        let Some(shard) = self.pending.answered(number) else {
+        let Some(shard) = self.pending.remove(number) else {
             return;
         };
         if let Some(view) = self.shards.get_mut(usize::from(shard)) {
             view.leader_hint = leader.or(view.leader_hint);
         }
         self.counters.answered += 1;
-        self.done.push(LedgerAnswer { number, outcome });
+        self.pending_answers.push(LedgerAnswer { number, outcome });
     }
 
     /// Handles a request from another front.
@@ -144,19 +147,19 @@
         shard: u16,
         command: Command,
     ) {
-        let fits =
+        let is_valid =
             command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
-        if !fits || command.size() > LONGEST_NAME + LONGEST_VALUE {
+        if !is_valid || command.size() > MAX_NAME_BYTES + MAX_VALUE_BYTES {
             return self.reject(Rejection::ForeignRequest);
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
-        let ends = at.steady + self.setup.request_timeout;
+        let deadline = at.steady + self.setup.request_timeout;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         let leader = match &mut view.replica {
             Some(replica) if replica.is_leader() => {
-                if !replica.ask(command, at.steady, ends) {
+                if !replica.enqueue(command, at.steady, deadline) {
                     self.reject(Rejection::QueueFull);
                 }
                 return;
@@ -188,5 +191,5 @@
         Operation::Claim { value, .. } | Operation::Put { value, .. } => value.len(),
         Operation::Free | Operation::Read => 0,
     };
-    key.name.len() > LONGEST_NAME || value_bytes > LONGEST_VALUE
+    key.name.len() > MAX_NAME_BYTES || value_bytes > MAX_VALUE_BYTES
 }
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -10,7 +10,7 @@
 
 impl Ledger {
     /// Applies what a shard's log has decided, answers the requests, and sends the log's messages.
-    pub(crate) fn settle_shard(&mut self, at: ClockReading, shard: u16) {
+    pub(crate) fn process_shard(&mut self, at: ClockReading, shard: u16) {
         let wall_ms = self.wall_ms(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -18,28 +18,28 @@
         let Some(replica) = &mut view.replica else {
             return;
         };
-        replica.format = self.format;
-        let settled = replica.settle(at.steady, wall_ms);
-        for DecidedCommand { command, outcome } in &settled.answers {
+        replica.format = self.proposal_format;
+        let advanced = replica.advance(at.steady, wall_ms);
+        for DecidedCommand { command, outcome } in &advanced.answers {
             let front = command.owner.front;
-            let learns_of_free_keys =
-                front == self.own.front || self.transport.common_format(front) >= KEY_QUEUE_FORMAT;
-            if learns_of_free_keys {
+            let can_be_notified = front == self.local.front
+                || self.transport.common_format(front) >= KEY_QUEUE_FORMAT;
+            if can_be_notified {
                 replica.key_queues.record(at.steady, command, outcome);
             }
         }
-        let freed = replica.freed_keys(at.steady, wall_ms);
+        let notified = replica.waiters_to_notify(at.steady, wall_ms);
         let messages = replica.take_messages();
         self.update_leadership(at.steady, shard);
-        self.counters.rounds += settled.rounds;
+        self.counters.rounds += advanced.rounds;
         for message in messages {
             self.send_to_member(at, shard, &message);
         }
-        for answer in settled.answers {
+        for answer in advanced.answers {
             self.answer(at, answer);
         }
-        for command in freed {
-            self.announce_free_key(at, command);
+        for command in notified {
+            self.notify_key_free(at, command);
         }
         self.answer_hashes(at, shard);
         self.adopt_next_members(at, shard);
@@ -81,7 +81,7 @@
     fn answer(&mut self, at: ClockReading, answer: DecidedCommand) {
         let DecidedCommand { command, outcome } = answer;
         let CommandId { owner, number } = command.id();
-        if owner.front != self.own.front {
+        if owner.front != self.local.front {
             let message = LedgerMessage::Reply {
                 incarnation: owner.incarnation,
                 number,
@@ -94,10 +94,10 @@
     }
 
     /// Notifies the first front in a key's queue that the key is free.
-    fn announce_free_key(&mut self, at: ClockReading, command: CommandId) {
+    fn notify_key_free(&mut self, at: ClockReading, command: CommandId) {
         let CommandId { owner, number } = command;
-        if owner.front == self.own.front {
-            return self.key_is_free(command);
+        if owner.front == self.local.front {
+            return self.on_key_free(command);
         }
         let message = LedgerMessage::KeyFree {
             incarnation: owner.incarnation,
@@ -107,10 +107,10 @@
     }
 
     /// Handles the notification that a key is free and this front is the first in its queue.
-    pub(crate) fn key_is_free(&mut self, command: CommandId) {
+    pub(crate) fn on_key_free(&mut self, command: CommandId) {
         let CommandId { owner, number } = command;
-        if owner.incarnation == self.setup.incarnation && !self.pending.is_waiting(number) {
-            self.done.push(LedgerAnswer {
+        if owner.incarnation == self.setup.incarnation && !self.pending.is_pending(number) {
+            self.pending_answers.push(LedgerAnswer {
                 number,
                 outcome: Outcome::Absent,
             });
--- a/crates/ledger/src/setup.rs
+++ b/crates/ledger/src/setup.rs
@@ -62,14 +62,14 @@
     /// The defaults of the operator's configuration file.
     pub fn new(
         fleet: &str,
-        own: FrontId,
+        local: FrontId,
         incarnation: u64,
         disk: DiskId,
         members: Vec<Member>,
     ) -> Setup {
         Setup {
             fleet: fleet.to_string(),
-            local_front: own,
+            local_front: local,
             incarnation,
             disk,
             members,
--- a/crates/ledger/src/shard_view.rs
+++ b/crates/ledger/src/shard_view.rs
@@ -12,7 +12,7 @@
 
 /// A snapshot received before this front becomes a member: a state of the log of this
 /// configuration.
-pub(crate) struct Learned {
+pub(crate) struct ReceivedSnapshot {
     pub config: u32,
     pub at: StateAt,
 }
@@ -24,19 +24,19 @@
     pub ranked: Vec<FrontId>,
     /// The fronts that are to hold the shard, the most preferred first; empty if shards do not
     /// move.
-    pub wanted: Vec<FrontId>,
+    pub target_fronts: Vec<FrontId>,
     /// The target front that is to lead the shard.
     pub preferred_leader: Option<FrontId>,
     /// This front's replica of the shard.
     pub replica: Option<Replica>,
     /// The latest known configuration of the shard.
-    pub known: Option<Configuration>,
+    pub latest_configuration: Option<Configuration>,
     /// This disk never joins a configuration with this number or a lower one (again).
-    pub barred: u32,
+    pub barred_config: u32,
     /// The start of the shard on this front, if it has not started yet.
     pub bootstrap: Option<Bootstrap>,
     /// The snapshot that was sent to this front before it became a member.
-    pub learned: Option<Learned>,
+    pub received_snapshot: Option<ReceivedSnapshot>,
     /// The replacement of a member in progress, if this front leads the shard.
     pub repair: Option<Repair>,
     /// The comparison of the shard's replicas.
@@ -46,13 +46,15 @@
     /// The shard's leader according to the latest answer or redirection.
     pub leader_hint: Option<FrontId>,
     /// When this front last sent each other front an announcement or the members.
-    pub announced: BTreeMap<FrontId, Micros>,
+    pub last_announced: BTreeMap<FrontId, Micros>,
 }
 
 impl ShardView {
     /// The members of the shard, as far as known.
     pub fn members(&self) -> &[ReplicaId] {
-        self.known.as_ref().map_or(&[], |known| &known.members)
+        self.latest_configuration
+            .as_ref()
+            .map_or(&[], |configuration| &configuration.members)
     }
 
     /// The preferred leader among these members.
@@ -60,7 +62,7 @@
         let mut order = self
             .preferred_leader
             .iter()
-            .chain(&self.wanted)
+            .chain(&self.target_fronts)
             .chain(&self.ranked);
         order
             .find(|front| members.iter().any(|member| member.front == **front))
@@ -69,6 +71,8 @@
 
     /// The number of the latest known configuration; 0 if none is known.
     pub fn config(&self) -> u32 {
-        self.known.as_ref().map_or(0, |known| known.config)
+        self.latest_configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.config)
     }
 }
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -49,7 +49,7 @@
     limits: Limits,
     now_ms: u64,
     /// The version assigned last, to any key.
-    last: u64,
+    last_version: u64,
     entries: BTreeMap<Key, StoredEntry>,
     bytes: usize,
     answers: BTreeMap<CommandId, StoredAnswer>,
@@ -71,38 +71,38 @@
 /// Entries and answers in the order in which they expire.
 #[derive(Clone, Debug, Default)]
 struct Index {
-    ends: BTreeSet<EntryEnd>,
-    forgotten: BTreeSet<AnswerEnd>,
+    expiring_entries: BTreeSet<EntryExpiry>,
+    expiring_answers: BTreeSet<AnswerExpiry>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct EntryEnd {
+struct EntryExpiry {
     ends_ms: u64,
     key: Key,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct AnswerEnd {
+struct AnswerExpiry {
     asked_ms: u64,
     id: CommandId,
 }
 
 /// The result of a command: its outcome, and the part of it that is retained.
-struct CarriedOut {
+struct ExecutionResult {
     outcome: Outcome,
     stored: StoredOutcome,
 }
 
-impl CarriedOut {
-    fn absent() -> CarriedOut {
-        CarriedOut {
+impl ExecutionResult {
+    fn absent() -> ExecutionResult {
+        ExecutionResult {
             outcome: Outcome::Absent,
             stored: StoredOutcome::Absent,
         }
     }
 
-    fn stands(entry: Entry) -> CarriedOut {
-        CarriedOut {
+    fn stands(entry: Entry) -> ExecutionResult {
+        ExecutionResult {
             stored: StoredOutcome::Stands {
                 version: entry.version,
             },
@@ -110,8 +110,8 @@
         }
     }
 
-    fn held(entry: Entry) -> CarriedOut {
-        CarriedOut {
+    fn held(entry: Entry) -> ExecutionResult {
+        ExecutionResult {
             stored: StoredOutcome::Held {
                 owner: entry.owner,
                 version: entry.version,
@@ -121,8 +121,8 @@
         }
     }
 
-    fn full() -> CarriedOut {
-        CarriedOut {
+    fn full() -> ExecutionResult {
+        ExecutionResult {
             outcome: Outcome::Full,
             stored: StoredOutcome::Full,
         }
@@ -154,29 +154,29 @@
     }
 
     /// Everything but the entries that replicas agree on, encoded.
-    pub fn encoded_rest(&self) -> Vec<u8> {
+    pub fn encoded_remainder(&self) -> Vec<u8> {
         let State {
             limits,
             now_ms,
-            last,
+            last_version,
             bytes,
             answers,
             tail,
             ..
         } = self;
-        encode(&(limits, now_ms, last, bytes, answers, tail))
+        encode(&(limits, now_ms, last_version, bytes, answers, tail))
     }
 
     /// The entry of a key, if any.
-    fn of(&self, key: &Key) -> Option<&Entry> {
+    fn entry(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key).map(|stored| &stored.entry)
     }
 
     /// Whether no front holds the key at that time, clock skew included.
     pub fn is_free(&self, key: &Key, wall_ms: u64) -> bool {
-        let ends = |entry: &Entry| entry.ends_ms.saturating_add(self.limits.clock_skew_ms);
-        self.of(key)
-            .is_none_or(|entry| entry.ends_ms > 0 && ends(entry) <= wall_ms)
+        let expires_ms = |entry: &Entry| entry.ends_ms.saturating_add(self.limits.clock_skew_ms);
+        self.entry(key)
+            .is_none_or(|entry| entry.ends_ms > 0 && expires_ms(entry) <= wall_ms)
     }
 
     pub fn next(&self) -> Option<&[ReplicaId]> {
@@ -207,23 +207,23 @@
         let outcomes = batch
             .commands
             .iter()
-            .map(|command| self.command(command))
+            .map(|command| self.execute(command))
             .collect();
         let next = batch.tail.next().map(<[ReplicaId]>::to_vec);
         self.tail = Tail::of(self.format().max(batch.tail.format()), next);
         outcomes
     }
 
-    fn command(&mut self, command: &Command) -> Outcome {
+    fn execute(&mut self, command: &Command) -> Outcome {
         if command.operation == Operation::Read {
             return self
-                .of(&command.key)
+                .entry(&command.key)
                 .cloned()
                 .map_or(Outcome::Absent, Outcome::Stands);
         }
         let id = command.id();
-        if let Some(before) = self.answers.get(&id) {
-            return command.repeat_answer(&before.stored, self.of(&command.key));
+        if let Some(previous_answer) = self.answers.get(&id) {
+            return command.repeat_answer(&previous_answer.stored, self.entry(&command.key));
         }
         // The answer to a request made that long ago, or in the future, could be dropped before a
         // duplicate of the request arrives.
@@ -231,23 +231,27 @@
         if age >= ANSWER_RETENTION_MS || self.answers.len() >= MAX_ANSWERS {
             return Outcome::Unreachable;
         }
-        let CarriedOut { outcome, stored } = self.carry_out(command);
+        let ExecutionResult { outcome, stored } = self.execute_new(command);
         let asked_ms = command.asked_ms;
         self.answers.insert(id, StoredAnswer { asked_ms, stored });
-        self.index().forgotten.insert(AnswerEnd { asked_ms, id });
+        self.index()
+            .expiring_answers
+            .insert(AnswerExpiry { asked_ms, id });
         outcome
     }
 
     /// Executes a command that changes entries and has not been answered before.
-    fn carry_out(&mut self, command: &Command) -> CarriedOut {
-        let current = self.of(&command.key).cloned();
-        let own = current
+    fn execute_new(&mut self, command: &Command) -> ExecutionResult {
+        let current = self.entry(&command.key).cloned();
+        let is_available = current
             .as_ref()
             .is_none_or(|entry| entry.owner == command.owner);
         match &command.operation {
             Operation::Claim { ends_ms, value } => match current {
-                Some(entry) if own && self.is_late(command) => CarriedOut::stands(entry),
-                Some(entry) if !own => CarriedOut::held(entry),
+                Some(entry) if is_available && self.is_superseded(command) => {
+                    ExecutionResult::stands(entry)
+                }
+                Some(entry) if !is_available => ExecutionResult::held(entry),
                 current => self.write(command, current, *ends_ms, value),
             },
             Operation::Put {
@@ -259,15 +263,15 @@
                 if expects.is_none_or(|expected| expected == version) {
                     return self.write(command, current, *ends_ms, value);
                 }
-                current.map_or_else(CarriedOut::absent, CarriedOut::held)
+                current.map_or_else(ExecutionResult::absent, ExecutionResult::held)
             }
             Operation::Free | Operation::Read => match current {
-                Some(entry) if !own => CarriedOut::held(entry),
+                Some(entry) if !is_available => ExecutionResult::held(entry),
                 _ => {
-                    if !self.is_late(command) {
+                    if !self.is_superseded(command) {
                         self.remove(&command.key);
                     }
-                    CarriedOut::absent()
+                    ExecutionResult::absent()
                 }
             },
         }
@@ -275,7 +279,7 @@
 
     /// Whether the same front has set the entry by a later request, which a request that arrives
     /// late must not undo.
-    fn is_late(&self, command: &Command) -> bool {
+    fn is_superseded(&self, command: &Command) -> bool {
         self.entries
             .get(&command.key)
             .is_some_and(|stored| stored.number > command.number)
@@ -288,43 +292,45 @@
         current: Option<Entry>,
         ends_ms: u64,
         value: &[u8],
-    ) -> CarriedOut {
+    ) -> ExecutionResult {
         let size = |value: &[u8]| command.key.name.len() + value.len() + ENTRY_OVERHEAD;
-        let before = current.as_ref().map_or(0, |entry| size(&entry.value));
-        let more = usize::from(current.is_none());
-        let grows = size(value) > before;
-        if self.entries.len() + more > self.limits.entries
-            || grows && self.bytes - before + size(value) > self.limits.bytes
+        let old_size = current.as_ref().map_or(0, |entry| size(&entry.value));
+        let added_entries = usize::from(current.is_none());
+        let grows = size(value) > old_size;
+        if self.entries.len() + added_entries > self.limits.entries
+            || grows && self.bytes - old_size + size(value) > self.limits.bytes
         {
-            return CarriedOut::full();
+            return ExecutionResult::full();
         }
         self.remove(&command.key);
-        self.last += 1;
+        self.last_version += 1;
         let (key, value) = (command.key.clone(), value.to_vec());
         let entry = Entry {
             key,
             owner: command.owner,
-            version: self.last,
+            version: self.last_version,
             ends_ms,
             value,
         };
         self.bytes += size(&entry.value);
         if ends_ms > 0 {
             let key = entry.key.clone();
-            self.index().ends.insert(EntryEnd { ends_ms, key });
+            self.index()
+                .expiring_entries
+                .insert(EntryExpiry { ends_ms, key });
         }
         let stored = StoredEntry {
             entry: entry.clone(),
             number: command.number,
         };
         self.entries.insert(entry.key.clone(), stored);
-        CarriedOut::stands(entry)
+        ExecutionResult::stands(entry)
     }
 
     fn remove(&mut self, key: &Key) {
         if let Some(StoredEntry { entry, .. }) = self.entries.remove(key) {
             self.bytes -= (key.name.len() + entry.value.len() + ENTRY_OVERHEAD).min(self.bytes);
-            self.index().ends.remove(&EntryEnd {
+            self.index().expiring_entries.remove(&EntryExpiry {
                 ends_ms: entry.ends_ms,
                 key: entry.key,
             });
@@ -335,17 +341,17 @@
     /// retained.
     fn expire(&mut self) {
         let (now, skew) = (self.now_ms, self.limits.clock_skew_ms);
-        while let Some(first) = self.index().ends.first().cloned() {
+        while let Some(first) = self.index().expiring_entries.first().cloned() {
             if first.ends_ms.saturating_add(skew) > now {
                 break;
             }
             self.remove(&first.key);
         }
-        while let Some(first) = self.index().forgotten.first().copied() {
+        while let Some(first) = self.index().expiring_answers.first().copied() {
             if first.asked_ms.saturating_add(ANSWER_RETENTION_MS) > now {
                 break;
             }
-            self.index().forgotten.remove(&first);
+            self.index().expiring_answers.remove(&first);
             self.answers.remove(&first.id);
         }
     }
@@ -358,18 +364,18 @@
             ..
         } = self;
         index.get_or_insert_with(|| Index {
-            ends: entries
+            expiring_entries: entries
                 .values()
                 .map(|stored| &stored.entry)
                 .filter(|entry| entry.ends_ms > 0)
-                .map(|entry| EntryEnd {
+                .map(|entry| EntryExpiry {
                     ends_ms: entry.ends_ms,
                     key: entry.key.clone(),
                 })
                 .collect(),
-            forgotten: answers
+            expiring_answers: answers
                 .iter()
-                .map(|(id, answer)| AnswerEnd {
+                .map(|(id, answer)| AnswerExpiry {
                     asked_ms: answer.asked_ms,
                     id: *id,
                 })
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -14,14 +14,14 @@
     None,
     Next(Vec<ReplicaId>),
     Explicit {
-        #[serde(deserialize_with = "known")]
+        #[serde(deserialize_with = "deserialize_known_format")]
         format: u8,
         next: Option<Vec<ReplicaId>>,
     },
 }
 
 /// Deserializes a format and rejects unknown ones, as the layout behind a later format is unknown.
-fn known<'de, D: Deserializer<'de>>(reader: D) -> Result<u8, D::Error> {
+fn deserialize_known_format<'de, D: Deserializer<'de>>(reader: D) -> Result<u8, D::Error> {
     match u8::deserialize(reader)? {
         format @ FIRST_EXPLICIT_FORMAT..=FORMAT => Ok(format),
         format => Err(D::Error::custom(format!(
--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -11,7 +11,7 @@
 use crate::pacer::Pacer;
 use crate::packet_limits::{ABANDON_AFTER, FRAGMENT_BYTES, HEADER_BYTES, MAX_FRAGMENTS};
 use crate::peer_formats::PeerFormats;
-use crate::reassembly::{Added, Fragment, MessageId, Reassembly};
+use crate::reassembly::{Fragment, FragmentOutcome, MessageId, Reassembly};
 use crate::rejection::Rejection;
 use crate::{ClockReading, DiskId, FrontId, Micros, OutgoingPacket, Setup};
 
@@ -40,15 +40,15 @@
     format: u8,
     formats: PeerFormats,
     /// Encoded messages that share packets, by receiver.
-    small: BTreeMap<FrontId, Vec<Vec<u8>>>,
+    small_messages: BTreeMap<FrontId, Vec<Vec<u8>>>,
     /// Long messages in progress, by the number that this front gave them.
-    long: BTreeMap<u64, LongMessage>,
-    next_long: u64,
+    long_messages: BTreeMap<u64, LongMessage>,
+    next_message_number: u64,
     reassembly: Reassembly,
     log_pacer: Pacer,
     repair_pacer: Pacer,
     /// Requests for fragments and acknowledgements to be sent next.
-    payloads: Vec<OutgoingPayload>,
+    pending_payloads: Vec<OutgoingPayload>,
 }
 
 impl Transport {
@@ -60,56 +60,56 @@
             incarnation,
             format: setup.format,
             formats: PeerFormats::default(),
-            small: BTreeMap::new(),
-            long: BTreeMap::new(),
-            next_long: incarnation << 20, // numbers differ from those of earlier incarnations
+            small_messages: BTreeMap::new(),
+            long_messages: BTreeMap::new(),
+            next_message_number: incarnation << 20, // numbers differ from those of earlier incarnations
             reassembly: Reassembly::default(),
             log_pacer: Pacer::new(LOG_RATE),
             repair_pacer: Pacer::new(f64::from(setup.repair_bytes_per_s)),
-            payloads: Vec::new(),
+            pending_payloads: Vec::new(),
         }
     }
 
     /// The latest format that both this front and the given one read.
     pub fn common_format(&self, front: FrontId) -> u8 {
-        self.formats.of(self.format, front)
+        self.formats.common_format(self.format, front)
     }
 
     /// The latest format that all of the fronts and this one read.
     pub fn common_format_of_all(&self, fronts: impl Iterator<Item = FrontId>) -> u8 {
-        self.formats.of_all(self.format, fronts)
+        self.formats.common_format_of_all(self.format, fronts)
     }
 
     /// Queues a message to a front.
     pub fn send(&mut self, at: ClockReading, to: FrontId, message: &LedgerMessage, pace: Pace) {
         let bytes = encode(message);
         if bytes.len() + LENGTH_BYTES <= FRAGMENT_BYTES {
-            self.small.entry(to).or_default().push(bytes);
+            self.small_messages.entry(to).or_default().push(bytes);
             return;
         }
         let count = bytes.len().div_ceil(FRAGMENT_BYTES);
         if count > MAX_FRAGMENTS {
             return; // the limits of a shard keep messages below this size
         }
-        let to_send = (0..count as u16).rev().collect();
-        let (touched, reminded) = (at.steady, at.steady);
-        self.long.insert(
-            self.next_long,
+        let unsent = (0..count as u16).rev().collect();
+        let (last_activity, last_reminder) = (at.steady, at.steady);
+        self.long_messages.insert(
+            self.next_message_number,
             LongMessage {
                 to,
                 pace,
                 bytes,
-                to_send,
-                touched,
-                reminded,
+                unsent,
+                last_activity,
+                last_reminder,
             },
         );
-        self.next_long += 1;
+        self.next_message_number += 1;
     }
 
     /// Whether a long message to this front is in progress at this pace.
     pub fn is_busy(&self, to: FrontId, pace: Pace) -> bool {
-        self.long
+        self.long_messages
             .values()
             .any(|long| long.to == to && long.pace == pace)
     }
@@ -129,14 +129,14 @@
             return Err(Rejection::OtherFleet);
         }
         let incarnation = packet.incarnation;
-        let complete = self.receive_payload(at.steady, from, packet.payload)?;
-        self.formats.heard(from, incarnation, packet.format);
-        let mut messages = self.decode_messages(&complete)?;
+        let completed = self.receive_payload(at.steady, from, packet.payload)?;
+        self.formats.record_format(from, incarnation, packet.format);
+        let mut messages = self.decode_messages(&completed)?;
         messages.retain(|message| {
             let Some(format) = message.introduced_format() else {
                 return true;
             };
-            self.formats.heard(from, incarnation, format);
+            self.formats.record_format(from, incarnation, format);
             false
         });
         Ok(ReceivedPacket {
@@ -170,13 +170,21 @@
                 return self.receive_fragment(now, MessageId { from, number: id }, fragment);
             }
             Payload::Resend { id, missing } => {
-                if let Some(long) = self.long.get_mut(&id).filter(|long| long.to == from) {
+                if let Some(long) = self
+                    .long_messages
+                    .get_mut(&id)
+                    .filter(|long| long.to == from)
+                {
                     long.resend(now, missing);
                 }
             }
             Payload::Received { id } => {
-                if self.long.get(&id).is_some_and(|long| long.to == from) {
-                    self.long.remove(&id);
+                if self
+                    .long_messages
+                    .get(&id)
+                    .is_some_and(|long| long.to == from)
+                {
+                    self.long_messages.remove(&id);
                 }
             }
         }
@@ -190,16 +198,16 @@
         id: MessageId,
         fragment: Fragment,
     ) -> Result<Vec<Vec<u8>>, Rejection> {
-        let complete = match self.reassembly.add(now, id, fragment)? {
-            Added::Incomplete => return Ok(Vec::new()),
-            Added::Repeated => Vec::new(),
-            Added::Complete(message) => vec![message],
+        let completed = match self.reassembly.add(now, id, fragment)? {
+            FragmentOutcome::Incomplete => return Ok(Vec::new()),
+            FragmentOutcome::Repeated => Vec::new(),
+            FragmentOutcome::Complete(message) => vec![message],
         };
-        self.payloads.push(OutgoingPayload {
+        self.pending_payloads.push(OutgoingPayload {
             to: id.from,
             payload: Payload::Received { id: id.number },
         });
-        Ok(complete)
+        Ok(completed)
     }
 
     /// Decodes messages; fails if one is malformed or of a later format than this front's.
@@ -218,18 +226,21 @@
     /// When `packets` is next due even if nothing is sent or received.
     pub fn due(&self) -> Micros {
         let paced = |repair: bool, pacer: &Pacer| {
-            let mut waits = self.long.values().filter(|long| !long.to_send.is_empty());
-            let waits = waits.any(|long| (long.pace == Pace::Repair) == repair);
-            if waits {
+            let mut waiting = self
+                .long_messages
+                .values()
+                .filter(|long| !long.unsent.is_empty());
+            let is_waiting = waiting.any(|long| (long.pace == Pace::Repair) == repair);
+            if is_waiting {
                 pacer.due()
             } else {
                 Micros::MAX
             }
         };
         let long = self
-            .long
+            .long_messages
             .values()
-            .map(|long| long.ack_due().min(long.touched + ABANDON_AFTER));
+            .map(|long| long.ack_due().min(long.last_activity + ABANDON_AFTER));
         let fragments = paced(false, &self.log_pacer).min(paced(true, &self.repair_pacer));
         long.min()
             .unwrap_or(Micros::MAX)
@@ -239,11 +250,11 @@
 
     /// Removes and returns the packets that may be sent now.
     pub fn packets(&mut self, at: ClockReading) -> Vec<OutgoingPacket> {
-        self.payloads
+        self.pending_payloads
             .extend(self.reassembly.request_missing(at.steady));
         self.remind_receivers(at.steady);
-        let mut payloads = std::mem::take(&mut self.payloads);
-        self.gather_small(at.steady, &mut payloads);
+        let mut payloads = std::mem::take(&mut self.pending_payloads);
+        self.pack_small_messages(at.steady, &mut payloads);
         self.send_fragments(at.steady, &mut payloads);
         payloads
             .into_iter()
@@ -269,23 +280,23 @@
     }
 
     /// Packs the queued small messages into payloads, as many as fit in each.
-    fn gather_small(&mut self, now: Micros, payloads: &mut Vec<OutgoingPayload>) {
-        for (to, mut messages) in std::mem::take(&mut self.small) {
+    fn pack_small_messages(&mut self, now: Micros, payloads: &mut Vec<OutgoingPayload>) {
+        for (to, mut messages) in std::mem::take(&mut self.small_messages) {
             if let Some(introduction) = self.formats.introduction(now, self.format, to) {
                 messages.insert(0, encode(&introduction));
             }
-            let (mut together, mut used) = (Vec::new(), 0);
+            let (mut packed, mut packed_bytes) = (Vec::new(), 0);
             for message in messages {
                 let bytes = message.len() + LENGTH_BYTES;
-                if used + bytes > FRAGMENT_BYTES {
-                    let payload = Payload::Messages(std::mem::take(&mut together));
+                if packed_bytes + bytes > FRAGMENT_BYTES {
+                    let payload = Payload::Messages(std::mem::take(&mut packed));
                     payloads.push(OutgoingPayload { to, payload });
-                    used = 0;
+                    packed_bytes = 0;
                 }
-                used += bytes;
-                together.push(message);
+                packed_bytes += bytes;
+                packed.push(message);
             }
-            let payload = Payload::Messages(together);
+            let payload = Payload::Messages(packed);
             payloads.push(OutgoingPayload { to, payload });
         }
     }
@@ -294,21 +305,21 @@
     fn send_fragments(&mut self, now: Micros, payloads: &mut Vec<OutgoingPayload>) {
         self.log_pacer.refill(now);
         self.repair_pacer.refill(now);
-        for (id, long) in &mut self.long {
+        for (id, long) in &mut self.long_messages {
             let pacer = if long.pace == Pace::Repair {
                 &mut self.repair_pacer
             } else {
                 &mut self.log_pacer
             };
             while pacer.has_packet() {
-                let Some(index) = long.to_send.pop() else {
+                let Some(index) = long.unsent.pop() else {
                     break;
                 };
                 let Some(payload) = long.fragment(*id, index) else {
                     continue;
                 };
                 pacer.spend(long.slice(index).map_or(0, <[u8]>::len) + HEADER_BYTES);
-                long.touched = now;
+                long.last_activity = now;
                 let to = long.to;
                 payloads.push(OutgoingPayload { to, payload });
             }
@@ -318,17 +329,17 @@
     /// Sends the last fragment again for messages that are sent but not acknowledged: until then,
     /// no other message of the same log is sent to the receiver.
     fn remind_receivers(&mut self, now: Micros) {
-        self.long
-            .retain(|_, long| now - long.touched < ABANDON_AFTER);
+        self.long_messages
+            .retain(|_, long| now - long.last_activity < ABANDON_AFTER);
         for (id, long) in self
-            .long
+            .long_messages
             .iter_mut()
             .filter(|(_, long)| long.ack_due() <= now)
         {
-            long.reminded = now;
+            long.last_reminder = now;
             let to = long.to;
             let last = long.fragment(*id, long.count() - 1);
-            self.payloads
+            self.pending_payloads
                 .extend(last.map(|payload| OutgoingPayload { to, payload }));
         }
     }
