--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -1,7 +1,7 @@
 //! A model of a shard: owners with ballots, copies, a disk that is lost, a change of members, checked exhaustively to a
 //! stated depth. Every message that was ever sent may arrive at any later time, any number of times, or never. The
 //! model tells the rules of `crates/ledger` and of its log's library anew, in small; the code itself is played in
-//! `drawn.rs`. A copy takes a message in, makes that lasting and answers in one step: what is not lasting is never seen.
+//! `random_faults.rs`. A copy takes a message in, makes that lasting and answers in one step: what is not lasting is never seen.
 
 use std::collections::{BTreeMap, BTreeSet};
 
