--- a/crates/ledger/src/away_tests.rs
+++ b/crates/ledger/src/away_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_zone_that_is_away_as_a_whole_is_waited_for_longer_and_anew_once_it_comes_back() {
+fn a_zone_that_is_entirely_away_has_a_longer_wait_limit_which_restarts_at_its_return() {
     let member = |front| Member {
         front,
         zone: format!("z{}", front % 3),
--- a/crates/ledger/src/balance_tests.rs
+++ b/crates/ledger/src/balance_tests.rs
@@ -32,26 +32,29 @@
 
 /// The worst load over the fair part, where zones are alike, and of copies whose shard has another
 /// in their zone.
-fn worst(members: &[Member], placed: &[Vec<FrontId>], shards: usize) -> (f64, usize) {
+fn worst_load(members: &[Member], placed: &[Vec<FrontId>], shards: usize) -> (f64, usize) {
     let fair = (shards * 3) as f64 / members.len() as f64;
-    let most = loads(members, placed)
+    let max_load = loads(members, placed)
         .into_values()
         .max()
         .unwrap_or_default();
     let zone: BTreeMap<FrontId, &str> =
         members.iter().map(|m| (m.front, m.zone.as_str())).collect();
-    let together = |of: &Vec<FrontId>| {
-        3 - of
+    let in_same_zone = |fronts: &Vec<FrontId>| {
+        3 - fronts
             .iter()
             .map(|front| zone[front])
             .collect::<BTreeSet<_>>()
             .len()
     };
-    (most as f64 / fair, placed.iter().map(together).sum())
+    (
+        max_load as f64 / fair,
+        placed.iter().map(in_same_zone).sum(),
+    )
 }
 
 #[test]
-fn no_front_holds_over_its_bound_and_little_more_moves_than_has_to() {
+fn no_front_exceeds_its_bound_and_few_extra_replicas_move() {
     println!("| members | shards | worst load | joins: moved / least | leaves: moved / least |");
     for (n, shards) in [
         (5, 64),
@@ -63,7 +66,7 @@
     ] {
         let all = members(n, 4);
         let placed_all = placed(&all, 3, shards);
-        let (load, together) = worst(&all, &placed_all, shards.into());
+        let (load, in_same_zone) = worst_load(&all, &placed_all, shards.into());
         let fair = f64::from(shards) * 3.0 / n as f64;
         // Of whole copies; a zone that is a front larger than another leaves its fronts a little
         // less.
@@ -71,36 +74,36 @@
             load <= 1.25 || (load * fair).round() <= fair.ceil() + 1.0,
             "{n}: {load}"
         );
-        assert_eq!(together, 0, "{n} members");
+        assert_eq!(in_same_zone, 0, "{n} members");
         assert!(placed_all
             .iter()
-            .all(|of| of.iter().collect::<BTreeSet<_>>().len() == 3));
+            .all(|fronts| fronts.iter().collect::<BTreeSet<_>>().len() == 3));
         // Each of some joins and, the other way round, leaves.
-        let (mut joined, mut left, mut least) = (0, 0, 0);
-        for out in all.iter().take(8) {
+        let (mut joined, mut left, mut min_moves) = (0, 0, 0);
+        for changed_member in all.iter().take(8) {
             let fewer: Vec<Member> = all
                 .iter()
-                .filter(|m| m.front != out.front)
+                .filter(|m| m.front != changed_member.front)
                 .cloned()
                 .collect();
             let placed_fewer = placed(&fewer, 3, shards);
             joined += moved(&placed_fewer, &placed_all);
             left += moved(&placed_all, &placed_fewer);
-            least += loads(&all, &placed_all)[&out.front];
+            min_moves += loads(&all, &placed_all)[&changed_member.front];
         }
-        println!("| {n} | {shards} | {load:.2} | {joined} / {least} | {left} / {least} |");
+        println!("| {n} | {shards} | {load:.2} | {joined} / {min_moves} | {left} / {min_moves} |");
         assert!(
-            joined < 3 * least && left < 3 * least,
-            "{n}: {joined}, {left} of {least}"
+            joined < 3 * min_moves && left < 3 * min_moves,
+            "{n}: {joined}, {left} of {min_moves}"
         );
     }
 }
 
 #[test]
-fn the_order_of_the_list_changes_nothing_and_zones_of_any_size_are_placed() {
+fn placement_ignores_the_list_order_and_handles_zones_of_any_size() {
     let all = members(30, 3);
-    let turned: Vec<Member> = all.iter().rev().cloned().collect();
-    assert_eq!(placed(&all, 3, 128), placed(&turned, 3, 128));
+    let reversed: Vec<Member> = all.iter().rev().cloned().collect();
+    assert_eq!(placed(&all, 3, 128), placed(&reversed, 3, 128));
     for sizes in [
         &[1, 1, 10][..],
         &[1, 9],
@@ -120,30 +123,33 @@
         let all: Vec<Member> = sizes.iter().enumerate().flat_map(zone).collect();
         for copies in 1..=5.min(all.len()) {
             let placed = placed(&all, copies, 64);
-            let in_zones =
-                |of: &Vec<FrontId>| of.iter().map(|f| f >> 8).collect::<BTreeSet<_>>().len();
+            let in_zones = |fronts: &Vec<FrontId>| {
+                fronts.iter().map(|f| f >> 8).collect::<BTreeSet<_>>().len()
+            };
             assert!(
-                placed.iter().all(|of| of.len() == copies),
+                placed.iter().all(|fronts| fronts.len() == copies),
                 "{sizes:?} {copies}"
             );
-            let apart = copies.min(sizes.len());
+            let distinct_zones = copies.min(sizes.len());
             assert!(
-                placed.iter().all(|of| in_zones(of) == apart),
+                placed
+                    .iter()
+                    .all(|fronts| in_zones(fronts) == distinct_zones),
                 "{sizes:?} {copies}"
             );
             // Within a zone the load is even.
             let loads = loads(&all, &placed);
             for z in 1..=sizes.len() as u64 {
-                let of: Vec<usize> = loads
+                let fronts: Vec<usize> = loads
                     .iter()
                     .filter(|(f, _)| **f >> 8 == z)
                     .map(|(_, n)| *n)
                     .collect();
-                let fair = of.iter().sum::<usize>() as f64 / of.len() as f64;
-                let most = *of.iter().max().unwrap_or(&0) as f64;
+                let fair = fronts.iter().sum::<usize>() as f64 / fronts.len() as f64;
+                let max_load = *fronts.iter().max().unwrap_or(&0) as f64;
                 assert!(
-                    most <= (fair * 1.25).max(fair.ceil() + 1.0),
-                    "{sizes:?} {copies}: {of:?}"
+                    max_load <= (fair * 1.25).max(fair.ceil() + 1.0),
+                    "{sizes:?} {copies}: {fronts:?}"
                 );
             }
         }
--- a/crates/ledger/src/bootstrap_tests.rs
+++ b/crates/ledger/src/bootstrap_tests.rs
@@ -10,23 +10,23 @@
 }
 
 #[test]
-fn a_front_that_joins_later_starts_no_shard_that_fronts_it_is_not_placed_with_have_started() {
+fn a_joining_front_waits_for_all_fronts_before_it_starts_a_shard() {
     let mut bootstrap = Bootstrap::default();
-    let (own, placed, members) = (replica(6, 60, 5), [6, 7], [1, 6, 7]);
+    let (local, placed, members) = (replica(6, 60, 5), [6, 7], [1, 6, 7]);
     bootstrap.record_offer(replica(7, 70, 5), &[replica(6, 60, 5), replica(7, 70, 5)]);
     assert!(matches!(
-        bootstrap.next_step(own, &placed, &members),
+        bootstrap.next_step(local, &placed, &members),
         Step::Wait
     ));
     assert_eq!(bootstrap.without_offer(6, &members), [1]);
     bootstrap.record_offer(replica(1, 10, 5), &[]);
     assert!(matches!(
-        bootstrap.next_step(own, &placed, &members),
+        bootstrap.next_step(local, &placed, &members),
         Step::Agree(_)
     ));
     bootstrap.set_started();
     assert!(matches!(
-        bootstrap.next_step(own, &placed, &members),
+        bootstrap.next_step(local, &placed, &members),
         Step::Wait
     ));
 }
@@ -34,39 +34,42 @@
 #[test]
 fn all_placed_fronts_must_agree_and_an_earlier_disk_is_never_accepted_again() {
     let mut bootstrap = Bootstrap::default();
-    let (own, placed) = (replica(1, 10, 5), [1, 2, 3]);
+    let (local, placed) = (replica(1, 10, 5), [1, 2, 3]);
     assert!(matches!(
-        bootstrap.next_step(own, &placed, &placed),
+        bootstrap.next_step(local, &placed, &placed),
         Step::Wait
     ));
     bootstrap.record_offer(replica(2, 20, 5), &[]);
     bootstrap.record_offer(replica(3, 30, 5), &[]);
-    let Step::Agree(agreed) = bootstrap.next_step(own, &placed, &placed) else {
+    let Step::Agree(agreed) = bootstrap.next_step(local, &placed, &placed) else {
         panic!()
     };
     bootstrap.record_offer(replica(2, 20, 5), &agreed);
     assert!(matches!(
-        bootstrap.next_step(own, &placed, &placed),
+        bootstrap.next_step(local, &placed, &placed),
         Step::Wait
     ));
     // The third has lost its disk meanwhile: what was agreed with the first disk no longer counts.
     bootstrap.record_offer(replica(3, 31, 6), &[]);
-    let Step::Agree(later) = bootstrap.next_step(own, &placed, &placed) else {
+    let Step::Agree(later) = bootstrap.next_step(local, &placed, &placed) else {
         panic!()
     };
     bootstrap.record_offer(replica(3, 30, 5), &agreed);
     bootstrap.record_offer(replica(2, 20, 5), &later);
     assert!(matches!(
-        bootstrap.next_step(own, &placed, &placed),
+        bootstrap.next_step(local, &placed, &placed),
         Step::Wait
     ));
     bootstrap.record_offer(replica(3, 31, 6), &later);
     assert!(
-        matches!(bootstrap.next_step(own, &placed, &placed), Step::Start(members) if members.len() == 3)
+        matches!(bootstrap.next_step(local, &placed, &placed), Step::Start(members) if members.len() == 3)
     );
     // Come back itself, with what it agreed to: the earlier disk counts for nothing.
-    let mut again = Bootstrap::new(later.clone());
-    again.record_offer(replica(2, 20, 5), &later);
-    again.record_offer(replica(3, 30, 5), &agreed);
-    assert!(matches!(again.next_step(own, &placed, &placed), Step::Wait));
+    let mut restarted = Bootstrap::new(later.clone());
+    restarted.record_offer(replica(2, 20, 5), &later);
+    restarted.record_offer(replica(3, 30, 5), &agreed);
+    assert!(matches!(
+        restarted.next_step(local, &placed, &placed),
+        Step::Wait
+    ));
 }
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -80,12 +80,12 @@
         value: vec![8],
     };
     let members = vec![member()];
-    let told = |outcome| LedgerMessage::Reply {
+    let reply = |outcome| LedgerMessage::Reply {
         incarnation: 1,
         number: 2,
         outcome,
     };
-    let (whole, after) = (
+    let (snapshot_base, suffix_base) = (
         Base::Snapshot {
             index: 1,
             state: vec![7],
@@ -95,7 +95,7 @@
             batches: vec![batch()],
         },
     );
-    let of = vec![
+    let messages = vec![
         LedgerMessage::Resync {
             shard: 1,
             config: 2,
@@ -104,11 +104,11 @@
             shard: 1,
             command: batch().commands[0].clone(),
         },
-        told(Outcome::Stands(entry.clone())),
-        told(Outcome::Held(entry)),
-        told(Outcome::Absent),
-        told(Outcome::Unreachable),
-        told(Outcome::Full),
+        reply(Outcome::Stands(entry.clone())),
+        reply(Outcome::Held(entry)),
+        reply(Outcome::Absent),
+        reply(Outcome::Unreachable),
+        reply(Outcome::Full),
         LedgerMessage::NotLeader {
             shard: 1,
             incarnation: 2,
@@ -141,13 +141,13 @@
             shard: 1,
             config: 2,
             members: members.clone(),
-            base: whole,
+            base: snapshot_base,
         },
         LedgerMessage::Join {
             shard: 1,
             config: 2,
             members,
-            base: after,
+            base: suffix_base,
         },
     ];
     let packet = |payload| Packet {
@@ -182,42 +182,44 @@
         ..batch()
     });
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
-    let mut all: Vec<(&'static str, Vec<u8>)> =
-        of.iter().map(|message| ("word", encode(message))).collect();
-    all.extend(packets.iter().map(|packet| ("letter", encode(packet))));
+    let mut all: Vec<(&'static str, Vec<u8>)> = messages
+        .iter()
+        .map(|message| ("message", encode(message)))
+        .collect();
+    all.extend(packets.iter().map(|packet| ("packet", encode(packet))));
     all.push(("batch", encode(&batch())));
     all.push(("state", encode(&state)));
-    all.push(("mark", record(records::header(1, 7, 8))));
+    all.push(("header", record(records::header(1, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &batch()))));
     all
 }
 
 #[test]
 fn the_encoding_of_the_first_format_is_unchanged() {
-    let golden: Vec<&str> = include_str!("format1.txt").lines().collect();
+    let recorded: Vec<&str> = include_str!("format1.txt").lines().collect();
     let now: Vec<String> = first_format()
         .iter()
-        .map(|(what, bytes)| format!("{what} {}", hex(bytes)))
+        .map(|(label, bytes)| format!("{label} {}", hex(bytes)))
         .collect();
     if std::env::var_os("PRINT").is_some() {
         println!("{}", now.join("\n"));
     }
-    assert_eq!(now, golden);
+    assert_eq!(now, recorded);
     // And is read again as what it was.
-    for (what, bytes) in first_format() {
-        let again = match what {
-            "word" => decode::<LedgerMessage>(&bytes).map(|message| encode(&message)),
-            "letter" => decode::<Packet>(&bytes).map(|packet| encode(&packet)),
+    for (label, bytes) in first_format() {
+        let reencoded = match label {
+            "message" => decode::<LedgerMessage>(&bytes).map(|message| encode(&message)),
+            "packet" => decode::<Packet>(&bytes).map(|packet| encode(&packet)),
             "batch" => decode::<Batch>(&bytes).map(|batch| encode(&batch)),
             "state" => decode::<State>(&bytes).map(|state| encode(&state)),
             _ => continue,
         };
-        assert_eq!(again, Some(bytes), "{what}");
+        assert_eq!(reencoded, Some(bytes), "{label}");
     }
 }
 
 #[test]
-fn a_later_format_is_used_once_its_reader_has_shown_it_and_not_to_its_next_incarnation() {
+fn a_later_format_is_used_only_towards_an_incarnation_that_has_shown_it() {
     let mut formats = PeerFormats::default();
     assert_eq!(formats.common_format(2, 7), 1);
     let message = formats.introduction(0, 2, 7).unwrap();
@@ -280,29 +282,29 @@
     ];
     let mut all: Vec<_> = messages
         .iter()
-        .map(|message| ("word", encode(message)))
+        .map(|message| ("message", encode(message)))
         .collect();
     all.push(("batch", encode(&explicit(3, Some(vec![member()])))));
     all.push(("state", encode(&state)));
-    all.push(("mark", record(records::header(3, 7, 8))));
+    all.push(("header", record(records::header(3, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &explicit(3, None)))));
     all.push(("snapshot", record(records::snapshot(3, &snapshot))));
     all
 }
 
 #[test]
-fn the_encoding_of_later_formats_is_unchanged_and_unknown_formats_are_refused_by_number() {
-    let golden: Vec<&str> = include_str!("format3.txt").lines().collect();
+fn the_encoding_of_later_formats_is_unchanged_and_unknown_formats_are_rejected() {
+    let recorded: Vec<&str> = include_str!("format3.txt").lines().collect();
     let now: Vec<String> = third_format()
         .iter()
-        .map(|(what, bytes)| format!("{what} {}", hex(bytes)))
+        .map(|(label, bytes)| format!("{label} {}", hex(bytes)))
         .collect();
     if std::env::var_os("PRINT").is_some() {
         println!("{}", now.join("\n"));
     }
-    assert_eq!(now, golden);
-    for (what, mut bytes) in third_format() {
-        let later = match what {
+    assert_eq!(now, recorded);
+    for (label, mut bytes) in third_format() {
+        let is_as_expected = match label {
             "batch" => {
                 assert_eq!(
                     decode::<Batch>(&bytes).map(|batch| encode(&batch)),
@@ -322,12 +324,12 @@
                 bytes[at] = FORMAT + 1;
                 decode::<State>(&bytes).is_none()
             }
-            "word" => {
+            "message" => {
                 decode::<LedgerMessage>(&bytes).map(|message| encode(&message)) == Some(bytes)
             }
             _ => continue,
         };
-        assert!(later, "{what}");
+        assert!(is_as_expected, "{label}");
     }
     let setup = crate::Setup::new("f", 300, 1, 8, Vec::new());
     let found = |format: u8, records: Vec<crate::Record>| {
--- a/crates/ledger/src/key_queues_tests.rs
+++ b/crates/ledger/src/key_queues_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn ask(front: u64, number: u64) -> Command {
+fn claim(front: u64, number: u64) -> Command {
     let owner = Owner {
         front,
         incarnation: 1,
@@ -22,7 +22,7 @@
 }
 
 fn entry(front: u64) -> crate::Entry {
-    let command = ask(front, 1);
+    let command = claim(front, 1);
     crate::Entry {
         key: command.key,
         owner: command.owner,
@@ -40,33 +40,33 @@
 }
 
 #[test]
-fn a_free_key_is_reserved_for_the_first_in_its_queue_and_others_are_put_off_for_a_while() {
+fn a_free_key_is_reserved_for_the_first_waiter_and_other_requests_are_deferred() {
     let mut queues = KeyQueues::default();
     let held = Outcome::Held(entry(1));
     for (front, number) in [(2, 10), (3, 20), (2, 11)] {
-        queues.record(0, &ask(front, number), &held);
+        queues.record(0, &claim(front, number), &held);
     }
     assert_eq!(fronts(queues.waiters_to_notify(1, |_| false)), []);
-    assert!(!queues.is_reserved_for_another(1, &ask(4, 30), 0));
+    assert!(!queues.is_reserved_for_another(1, &claim(4, 30), 0));
     assert_eq!(fronts(queues.waiters_to_notify(2, |_| true)), [(2, 11)]);
     assert_eq!(fronts(queues.waiters_to_notify(3, |_| true)), []);
     // Whoever comes now is behind it, but never for long.
     assert!(
-        queues.is_reserved_for_another(4, &ask(4, 30), 4)
-            && queues.is_reserved_for_another(4, &ask(3, 21), 4)
-            && !queues.is_reserved_for_another(4, &ask(2, 12), 4)
+        queues.is_reserved_for_another(4, &claim(4, 30), 4)
+            && queues.is_reserved_for_another(4, &claim(3, 21), 4)
+            && !queues.is_reserved_for_another(4, &claim(2, 12), 4)
     );
-    assert!(!queues.is_reserved_for_another(4, &ask(4, 30), 4 - MAX_DEFERRAL));
-    queues.record(5, &ask(2, 12), &Outcome::Stands(entry(2)));
-    assert!(!queues.is_reserved_for_another(5, &ask(4, 30), 4));
+    assert!(!queues.is_reserved_for_another(4, &claim(4, 30), 4 - MAX_DEFERRAL));
+    queues.record(5, &claim(2, 12), &Outcome::Stands(entry(2)));
+    assert!(!queues.is_reserved_for_another(5, &claim(4, 30), 4));
     assert_eq!(fronts(queues.waiters_to_notify(6, |_| true)), [(3, 20)]);
     // One that does not come lets the next go before, and one that no longer asks loses its place.
-    queues.record(7, &ask(4, 30), &held);
+    queues.record(7, &claim(4, 30), &held);
     assert_eq!(
         fronts(queues.waiters_to_notify(6 + RESERVATION_TIME, |_| true)),
         [(4, 30)]
     );
-    queues.record(8 + RESERVATION_TIME, &ask(5, 40), &held);
+    queues.record(8 + RESERVATION_TIME, &claim(5, 40), &held);
     assert_eq!(
         fronts(queues.waiters_to_notify(7 + WAITER_TIMEOUT, |_| true)),
         [(5, 40)]
@@ -82,10 +82,10 @@
 fn key_queues_are_bounded() {
     let mut queues = KeyQueues::default();
     for n in 0..2 * MAX_KEYS as u64 {
-        let mut one = ask(n % 100, n);
+        let mut one = claim(n % 100, n);
         one.key.name = format!("{}", n / 2);
         queues.record(0, &one, &Outcome::Held(entry(1)));
-        queues.record(0, &ask(n, n), &Outcome::Held(entry(1)));
+        queues.record(0, &claim(n, n), &Outcome::Held(entry(1)));
     }
     assert!(
         queues.0.len() <= MAX_KEYS
--- a/crates/ledger/src/leader_placement_tests.rs
+++ b/crates/ledger/src/leader_placement_tests.rs
@@ -6,7 +6,7 @@
 use crate::Member;
 
 #[test]
-fn no_front_leads_over_its_part_and_a_quarter_however_replicas_are_placed() {
+fn no_front_leads_more_than_125_percent_of_its_share_for_any_placement() {
     for (fronts, shards) in [
         (3, 16),
         (5, 16),
@@ -33,20 +33,20 @@
                 assert!(of.contains(&leader));
                 *led.entry(leader).or_default() += 1;
             }
-            let most = led.values().max().copied().unwrap_or(0);
+            let max_led = led.values().max().copied().unwrap_or(0);
             let shards = usize::from(shards);
             let bound = (shards * MAX_SHARE_PERCENT / 100 / fronts).max(shards.div_ceil(fronts));
-            println!("{fronts} fronts, {shards} shards: at most {most}, bound {bound}");
+            println!("{fronts} fronts, {shards} shards: at most {max_led}, bound {bound}");
             assert!(
-                most <= bound,
-                "{fronts} fronts, {shards} shards: {most} over {bound}"
+                max_led <= bound,
+                "{fronts} fronts, {shards} shards: {max_led} over {bound}"
             );
         }
     }
 }
 
 #[test]
-fn where_one_front_holds_all_shards_it_leads_all() {
+fn the_only_holder_of_all_shards_leads_them_all() {
     assert_eq!(
         preferred_leaders(&[vec![7], vec![7], vec![]], 3),
         [Some(7), Some(7), None]
--- a/crates/ledger/src/placement_tests.rs
+++ b/crates/ledger/src/placement_tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn replicas_lie_in_different_zones_and_shards_are_spread() {
+fn replicas_are_in_different_zones_and_shards_are_spread() {
     let members = members(40, 4);
     let mut held = std::collections::BTreeMap::new();
     for shard in 0..256 {
@@ -37,8 +37,8 @@
     let all = members(12, 1);
     for shard in 0..64 {
         let before = ranked(&all, shard);
-        let fewer: Vec<Member> = all.iter().filter(|m| m.front != 5).cloned().collect();
-        let after = ranked(&fewer, shard);
+        let remaining: Vec<Member> = all.iter().filter(|m| m.front != 5).cloned().collect();
+        let after = ranked(&remaining, shard);
         let without: Vec<FrontId> = before.into_iter().filter(|front| *front != 5).collect();
         assert_eq!(after, without, "shard {shard}");
     }
--- a/crates/ledger/tests/anti_entropy.rs
+++ b/crates/ledger/tests/anti_entropy.rs
@@ -23,35 +23,40 @@
     (name.clone(), bytes.clone())
 }
 
-fn told(fleet: &Fleet) -> (u64, u64) {
+fn comparison_counts(fleet: &Fleet) -> (u64, u64) {
     let ledgers = fleet
         .fronts
         .iter()
         .filter_map(|front| front.ledger.as_ref());
-    ledgers.map(|l| l.counters()).fold((0, 0), |all, t| {
-        (all.0 + t.differing, all.1 + t.repaired_after_comparison)
-    })
+    ledgers
+        .map(|ledger| ledger.counters())
+        .fold((0, 0), |total, counters| {
+            (
+                total.0 + counters.differing,
+                total.1 + counters.repaired_after_comparison,
+            )
+        })
 }
 
 #[test]
-fn a_replica_that_lost_a_write_is_found_and_repaired_whoever_leads_and_all_others_are_left_alone() {
-    for of_owner in [false, true] {
+fn only_the_replica_that_lost_a_write_is_repaired_whether_it_leads_or_not() {
+    for on_leader in [false, true] {
         let mut fleet = Fleet::new(3, 3, 1, 5);
-        assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
+        assert!(fleet.run_until(10 * SECOND, Fleet::is_fully_replicated));
         for k in 0..100 {
-            fleet.get_until_answered(k % 3, &format!("r{}", k % 10), put(k as u64));
+            fleet.request_until_answered(k % 3, &format!("r{}", k % 10), put(k as u64));
         }
         fleet.run(fleet.now + 200 * SECOND);
         assert_eq!(
-            told(&fleet),
+            comparison_counts(&fleet),
             (0, 0),
-            "copies that are alike were found to differ"
+            "identical replicas were found to differ"
         );
-        let owner = fleet.leader("r0").unwrap();
-        let n = if of_owner { owner } else { (owner + 1) % 3 };
+        let leader = fleet.leader("r0").unwrap();
+        let n = if on_leader { leader } else { (leader + 1) % 3 };
         let before = snapshot(&fleet, n);
         for k in 100..300 {
-            fleet.get_until_answered(k % 3, &format!("r{}", k % 10), put(k as u64));
+            fleet.request_until_answered(k % 3, &format!("r{}", k % 10), put(k as u64));
         }
         fleet.run(fleet.now + SECOND);
         assert_ne!(snapshot(&fleet, n), before);
@@ -59,10 +64,10 @@
         fleet.kill(n);
         fleet.fronts[n].disk.insert(before.0, before.1);
         fleet.start(n);
-        if of_owner {
+        if on_leader {
             // It owns the shard again before anybody has compared.
             let others: Vec<usize> = (0..3).filter(|k| *k != n).collect();
-            assert!(fleet.run_until(5 * SECOND, Fleet::is_whole));
+            assert!(fleet.run_until(5 * SECOND, Fleet::is_fully_replicated));
             others.iter().for_each(|k| fleet.begin_shutdown(*k));
             assert!(fleet.run_until(5 * SECOND, |fleet| fleet.leader("r0") == Some(n)));
             for k in others {
@@ -73,14 +78,14 @@
             assert_eq!(fleet.leader("r0"), Some(n));
         }
         assert!(
-            fleet.run_until(120 * SECOND, |fleet| told(fleet).1 > 0),
+            fleet.run_until(120 * SECOND, |fleet| comparison_counts(fleet).1 > 0),
             "{:?}",
-            told(&fleet)
+            comparison_counts(&fleet)
         );
         fleet.run(fleet.now + 200 * SECOND);
-        let (differed, mended) = told(&fleet);
-        println!("of the owner: {of_owner}: differed {differed}, mended {mended}");
-        assert!(differed >= 1 && mended == 1, "{differed} {mended}");
+        let (differing, repaired) = comparison_counts(&fleet);
+        println!("on the leader: {on_leader}: {differing} differing, {repaired} repaired");
+        assert!(differing >= 1 && repaired == 1, "{differing} {repaired}");
         // It is lasting: the mended copy tells the same after a restart, as the only one that is left beside another.
         fleet.kill(n);
         fleet.start(n);
@@ -88,13 +93,13 @@
         fleet.kill((n + 1) % 3);
         for k in 0..10 {
             let Outcome::Stands(entry) =
-                fleet.get_until_answered(n, &format!("r{k}"), Operation::Read)
+                fleet.request_until_answered(n, &format!("r{k}"), Operation::Read)
             else {
                 panic!("r{k}")
             };
             assert_eq!(entry.value, (290 + k as u64).to_be_bytes());
         }
-        let faults = fleet.record.faults();
-        assert!(faults.is_empty(), "{faults:#?}");
+        let violations = fleet.history.violations();
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
--- a/crates/ledger/tests/key_queues.rs
+++ b/crates/ledger/tests/key_queues.rs
@@ -7,36 +7,36 @@
 
 const WALL: i64 = 1_800_000_000_000;
 const MS: Micros = 1_000;
-const WORK: Micros = 30 * MS; // microseconds for which each has it
-const AGAIN: Micros = 40 * MS; // as the gate asks again
-const AGAIN_MOST: Micros = 320 * MS;
+const HOLD_TIME: Micros = 30 * MS; // microseconds for which each has it
+const MIN_RETRY_INTERVAL: Micros = 40 * MS; // as the gate asks again
+const MAX_RETRY_INTERVAL: Micros = 320 * MS;
 
-enum Now {
-    Asks(u64),
-    Waits(u64, Micros),
-    Has(Micros),
-    Frees(u64),
+enum Phase {
+    Claiming(u64),
+    Waiting(u64, Micros),
+    Holding(Micros),
+    Freeing(u64),
 }
 
 struct Front {
-    now: Now,
-    since: Micros,
-    tries: u32,
+    now: Phase,
+    claimed_since: Micros,
+    retries: u32,
     waits: Vec<Micros>,
 }
 
 /// How long each of five fronts waited for the key, each time; `format` 2 knows no word that it is free.
-fn play(format: u8, seconds: i64) -> Vec<Vec<Micros>> {
+fn run_contending_fronts(format: u8, seconds: i64) -> Vec<Vec<Micros>> {
     let mut fleet = Fleet::new(5, 3, 1, 7);
     fleet
         .fronts
         .iter_mut()
         .for_each(|front| front.format = format);
-    fleet.start_anew(5);
-    assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
+    fleet.restart_with_empty_disks(5);
+    assert!(fleet.run_until(10 * SECOND, Fleet::is_fully_replicated));
     let claim = |fleet: &mut Fleet, n: usize| {
         let ends_ms = (WALL + fleet.now / 1_000 + 4_000) as u64;
-        fleet.ask(
+        fleet.submit(
             n,
             "k",
             Operation::Claim {
@@ -47,11 +47,11 @@
     };
     let mut fronts: Vec<Front> = Vec::new();
     for n in 0..5 {
-        let now = Now::Asks(claim(&mut fleet, n));
+        let now = Phase::Claiming(claim(&mut fleet, n));
         fronts.push(Front {
             now,
-            since: fleet.now,
-            tries: 0,
+            claimed_since: fleet.now,
+            retries: 0,
             waits: Vec::new(),
         });
     }
@@ -61,41 +61,44 @@
         let now = fleet.now;
         for (n, front) in fronts.iter_mut().enumerate() {
             match front.now {
-                Now::Asks(number) => match fleet.outcome(n, number) {
+                Phase::Claiming(number) => match fleet.outcome(n, number) {
                     Some(Outcome::Stands(_)) => {
-                        front.waits.push(now - front.since);
-                        front.now = Now::Has(now + WORK);
+                        front.waits.push(now - front.claimed_since);
+                        front.now = Phase::Holding(now + HOLD_TIME);
                     }
                     Some(Outcome::Held(_)) => {
-                        front.now =
-                            Now::Waits(number, now + AGAIN_MOST.min(AGAIN << front.tries.min(4)));
-                        front.tries += 1;
+                        front.now = Phase::Waiting(
+                            number,
+                            now + MAX_RETRY_INTERVAL
+                                .min(MIN_RETRY_INTERVAL << front.retries.min(4)),
+                        );
+                        front.retries += 1;
                     }
                     Some(other) => panic!("{other:?}"),
                     None => {}
                 },
-                Now::Waits(number, again)
-                    if again <= now || fleet.record.turns.contains(&(n, number)) =>
+                Phase::Waiting(number, retry_at)
+                    if retry_at <= now || fleet.history.freed_keys.contains(&(n, number)) =>
                 {
-                    front.now = Now::Asks(claim(&mut fleet, n));
+                    front.now = Phase::Claiming(claim(&mut fleet, n));
                 }
-                Now::Has(until) if until <= now => {
-                    front.now = Now::Frees(fleet.ask(n, "k", Operation::Free))
+                Phase::Holding(until) if until <= now => {
+                    front.now = Phase::Freeing(fleet.submit(n, "k", Operation::Free))
                 }
-                Now::Frees(number) if fleet.outcome(n, number).is_some() => {
-                    (front.since, front.tries) = (now, 0);
-                    front.now = Now::Asks(claim(&mut fleet, n));
+                Phase::Freeing(number) if fleet.outcome(n, number).is_some() => {
+                    (front.claimed_since, front.retries) = (now, 0);
+                    front.now = Phase::Claiming(claim(&mut fleet, n));
                 }
-                Now::Waits(..) | Now::Has(_) | Now::Frees(_) => {}
+                Phase::Waiting(..) | Phase::Holding(_) | Phase::Freeing(_) => {}
             }
         }
     }
-    assert_eq!(fleet.record.faults(), Vec::<String>::new());
+    assert_eq!(fleet.history.violations(), Vec::<String>::new());
     fronts.into_iter().map(|front| front.waits).collect()
 }
 
 /// Times that the key was had, the middle wait, the longest, and the fewest and most times of any front.
-fn tally(waits: &[Vec<Micros>]) -> (usize, Micros, Micros, usize, usize) {
+fn summarize(waits: &[Vec<Micros>]) -> (usize, Micros, Micros, usize, usize) {
     let mut all: Vec<Micros> = waits.iter().flatten().copied().collect();
     all.sort_unstable();
     let each = || waits.iter().map(Vec::len);
@@ -110,21 +113,21 @@
 
 #[test]
 fn fronts_that_wait_for_a_key_get_it_in_order_of_arrival_and_none_starves() {
-    let (polled, told) = (
-        tally(&play(2, 30)),
-        tally(&play(hallmux_ledger::FORMAT, 30)),
+    let (polling, notified) = (
+        summarize(&run_contending_fronts(2, 30)),
+        summarize(&run_contending_fronts(hallmux_ledger::FORMAT, 30)),
     );
     println!(
-        "asking again: {polled:?}, told: {told:?} (times, middle and longest wait in us, least and most)"
+        "polling: {polling:?}, notified: {notified:?} (grants, median and longest wait in us, fewest and most grants of a front)"
     );
-    let (times, middle, longest, least, most) = told;
+    let (grants, median, longest, fewest, most_grants) = notified;
     // Four others go before, each with its work and two rounds.
     assert!(
-        longest < 4 * middle && most < 2 * least && times > 200,
-        "{told:?}"
+        longest < 4 * median && most_grants < 2 * fewest && grants > 200,
+        "{notified:?}"
     );
     assert!(
-        longest * 2 < polled.2 && polled.4 > 3 * polled.3,
-        "{polled:?} {told:?}"
+        longest * 2 < polling.2 && polling.4 > 3 * polling.3,
+        "{polling:?} {notified:?}"
     );
 }
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -14,75 +14,81 @@
     }
 }
 
-fn whole(fronts: usize, replication_factor: usize, shards: u16, seed: u64) -> Fleet {
+fn replicated_fleet(fronts: usize, replication_factor: usize, shards: u16, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(fronts, replication_factor, shards, seed);
     assert!(
-        fleet.run_until(10 * SECOND, Fleet::is_whole),
-        "no copies of all shards after {}",
+        fleet.run_until(10 * SECOND, Fleet::is_fully_replicated),
+        "shards without all replicas at {}",
         fleet.now
     );
     fleet
 }
 
-fn sound(fleet: &Fleet) {
-    let faults = fleet.record.faults();
-    assert!(faults.is_empty(), "{faults:#?}");
+fn assert_no_violations(fleet: &Fleet) {
+    let violations = fleet.history.violations();
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 #[test]
-fn a_fleet_starts_and_any_front_is_answered() {
+fn a_fleet_starts_and_every_front_gets_answers() {
     for (fronts, replication_factor) in [(1, 1), (3, 1), (3, 3), (2, 2), (5, 5), (7, 3)] {
-        let mut fleet = whole(fronts, replication_factor, 4, 1);
+        let mut fleet = replicated_fleet(fronts, replication_factor, 4, 1);
         for n in 0..fronts {
             let key = format!("r{n}");
             assert!(
                 matches!(
-                    fleet.get_until_answered(n, &key, put(7)),
+                    fleet.request_until_answered(n, &key, put(7)),
                     Outcome::Stands(_)
                 ),
                 "{fronts} {replication_factor} {n}"
             );
             let other = (n + 1) % fronts;
             assert!(matches!(
-                fleet.get_until_answered(other, &key, Operation::Read),
+                fleet.request_until_answered(other, &key, Operation::Read),
                 Outcome::Stands(_)
             ));
         }
-        sound(&fleet);
+        assert_no_violations(&fleet);
     }
 }
 
 #[test]
-fn a_front_that_lost_its_disk_is_taken_in_as_a_new_member() {
-    let mut fleet = whole(4, 3, 4, 2);
+fn a_front_that_lost_its_disk_joins_as_a_new_member() {
+    let mut fleet = replicated_fleet(4, 3, 4, 2);
     for n in 0..40 {
-        fleet.get_until_answered(n % 4, &format!("r{n}"), put(n as u64));
+        fleet.request_until_answered(n % 4, &format!("r{n}"), put(n as u64));
     }
     for n in 0..4 {
-        fleet.lose(n);
+        fleet.lose_disk(n);
         fleet.run(fleet.now + SECOND);
         fleet.start(n);
-        let began = fleet.now;
-        assert!(fleet.run_until(20 * SECOND, Fleet::is_whole), "front {n}");
-        println!("front {n}: whole after {} ms", (fleet.now - began) / 1_000);
+        let started_at = fleet.now;
+        assert!(
+            fleet.run_until(20 * SECOND, Fleet::is_fully_replicated),
+            "front {n}"
+        );
+        println!(
+            "front {n}: all replicas after {} ms",
+            (fleet.now - started_at) / 1_000
+        );
         for k in 0..40 {
-            let outcome = fleet.get_until_answered(k % 4, &format!("r{k}"), Operation::Read);
+            let outcome = fleet.request_until_answered(k % 4, &format!("r{k}"), Operation::Read);
             assert!(matches!(&outcome, Outcome::Stands(_)), "{outcome:?}");
         }
     }
-    sound(&fleet);
+    assert_no_violations(&fleet);
 }
 
 /// All lose their power at once, with whatever was not lasting: of disks that take 2 s.
-fn power_lost(answers_before_saves: bool) -> Vec<String> {
-    let mut fleet = whole(3, 3, 1, 3);
+fn violations_after_power_loss(answers_before_saves: bool) -> Vec<String> {
+    let mut fleet = replicated_fleet(3, 3, 1, 3);
     fleet.answers_before_saves = answers_before_saves;
     fleet
         .fronts
         .iter_mut()
-        .for_each(|front| front.slow = 2 * SECOND);
+        .for_each(|front| front.max_save_time = 2 * SECOND);
     for value in 0..20 {
-        let number = fleet.ask(value % 3, "r", put(value as u64));
+        let number = fleet.submit(value % 3, "r", put(value as u64));
         fleet.run(fleet.now + SECOND / 5);
         let _ = fleet.outcome(value % 3, number);
     }
@@ -90,59 +96,63 @@
         fleet.kill(n);
     }
     for n in 0..3 {
-        fleet.fronts[n].slow = 4_000;
+        fleet.fronts[n].max_save_time = 4_000;
         fleet.start(n);
     }
-    assert!(fleet.run_until(20 * SECOND, Fleet::is_whole));
-    fleet.get_until_answered(0, "r", Operation::Read);
-    fleet.record.faults()
+    assert!(fleet.run_until(20 * SECOND, Fleet::is_fully_replicated));
+    fleet.request_until_answered(0, "r", Operation::Read);
+    fleet.history.violations()
 }
 
 #[test]
-fn answers_survive_a_power_loss_of_all_fronts_and_those_given_before_the_save_do_not() {
-    assert!(power_lost(false).is_empty());
-    assert!(!power_lost(true).is_empty());
+fn answers_survive_a_power_loss_of_all_fronts_only_if_they_wait_for_saves() {
+    assert!(violations_after_power_loss(false).is_empty());
+    assert!(!violations_after_power_loss(true).is_empty());
 }
 
 #[test]
-fn a_leader_that_was_suspended_serves_nothing_stale() {
-    let mut fleet = whole(3, 3, 1, 4);
-    fleet.get_until_answered(0, "r", put(1));
-    let owner = fleet.leader("r").unwrap();
-    let others: Vec<usize> = (0..3).filter(|n| *n != owner).collect();
-    fleet.fronts[owner].stopped = true;
-    fleet.get_until_answered(others[0], "r", put(2));
+fn a_leader_resumed_after_a_stall_serves_no_stale_read() {
+    let mut fleet = replicated_fleet(3, 3, 1, 4);
+    fleet.request_until_answered(0, "r", put(1));
+    let leader = fleet.leader("r").unwrap();
+    let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
+    fleet.fronts[leader].is_stalled = true;
+    fleet.request_until_answered(others[0], "r", put(2));
     // It wakes and is asked at once, before it has heard of anything.
-    fleet.fronts[owner].stopped = false;
-    let Outcome::Stands(entry) = fleet.get_until_answered(owner, "r", Operation::Read) else {
+    fleet.fronts[leader].is_stalled = false;
+    let Outcome::Stands(entry) = fleet.request_until_answered(leader, "r", Operation::Read) else {
         panic!()
     };
     assert_eq!(entry.value, 2u64.to_be_bytes());
-    sound(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[test]
-fn without_a_quorum_the_answer_is_unreachable_in_time_and_a_repeat_counts_once() {
-    let mut fleet = whole(3, 3, 1, 5);
-    let cut: Vec<usize> = (0..3).filter(|n| Some(*n) != fleet.leader("r")).collect();
-    fleet.cut_off(&cut[..1]);
+fn without_a_quorum_requests_time_out_and_a_repeat_is_applied_once() {
+    let mut fleet = replicated_fleet(3, 3, 1, 5);
+    let cut_fronts: Vec<usize> = (0..3).filter(|n| Some(*n) != fleet.leader("r")).collect();
+    fleet.cut_off(&cut_fronts[..1]);
     fleet.run(fleet.now + SECOND);
-    let asked = fleet.now;
-    let number = fleet.ask(cut[0], "r", put(1));
+    let submitted_at = fleet.now;
+    let number = fleet.submit(cut_fronts[0], "r", put(1));
     assert!(
-        fleet.run_until(SECOND, |fleet| fleet.outcome(cut[0], number)
+        fleet.run_until(SECOND, |fleet| fleet.outcome(cut_fronts[0], number)
             == Some(&Outcome::Unreachable))
     );
-    assert!(fleet.now - asked <= 510_000, "{}", fleet.now - asked);
+    assert!(
+        fleet.now - submitted_at <= 510_000,
+        "{}",
+        fleet.now - submitted_at
+    );
     // The other side goes on; the ask asked again after the cut stands once, and the later write after it.
-    fleet.get_until_answered(cut[1], "r", put(2));
-    fleet.cut.clear();
+    fleet.request_until_answered(cut_fronts[1], "r", put(2));
+    fleet.cut_links.clear();
     let key = hallmux_ledger::Key {
         kind: hallmux_ledger::Kind::Order,
         name: "r".to_string(),
     };
-    fleet.repeat(
-        cut[0],
+    fleet.resubmit(
+        cut_fronts[0],
         hallmux_ledger::LedgerRequest {
             number,
             key,
@@ -151,66 +161,66 @@
     );
     fleet.run(fleet.now + SECOND);
     assert!(matches!(
-        fleet.outcome(cut[0], number),
+        fleet.outcome(cut_fronts[0], number),
         Some(Outcome::Stands(_))
     ));
-    sound(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[test]
 fn a_lost_member_is_replaced_after_the_repair_delay_and_its_return_changes_nothing() {
-    let mut fleet = whole(5, 3, 2, 6);
+    let mut fleet = replicated_fleet(5, 3, 2, 6);
     for n in 0..30 {
-        fleet.get_until_answered(n % 5, &format!("r{n}"), put(n as u64));
+        fleet.request_until_answered(n % 5, &format!("r{n}"), put(n as u64));
     }
-    let gone = fleet.leader("r1").unwrap();
-    fleet.kill(gone);
-    let since = fleet.now;
-    assert!(fleet.run_until(30 * SECOND, Fleet::is_whole));
-    let took = fleet.now - since;
+    let killed = fleet.leader("r1").unwrap();
+    fleet.kill(killed);
+    let started_at = fleet.now;
+    assert!(fleet.run_until(30 * SECOND, Fleet::is_fully_replicated));
+    let elapsed = fleet.now - started_at;
     assert!(
-        took >= fleet.setup.repair_after && took < 20 * SECOND,
-        "{took}"
+        elapsed >= fleet.setup.repair_after && elapsed < 20 * SECOND,
+        "{elapsed}"
     );
-    fleet.start(gone);
+    fleet.start(killed);
     fleet.run(fleet.now + 5 * SECOND);
     for n in 0..30 {
         assert!(matches!(
-            fleet.get_until_answered(gone, &format!("r{n}"), Operation::Read),
+            fleet.request_until_answered(killed, &format!("r{n}"), Operation::Read),
             Outcome::Stands(_)
         ));
     }
-    sound(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[test]
-fn asks_that_arrive_together_share_rounds() {
-    let mut fleet = whole(3, 3, 1, 7);
-    let owner = fleet.leader("r").unwrap();
-    let before = fleet.fronts[owner].ledger.as_ref().unwrap().counters();
+fn requests_that_arrive_together_share_rounds() {
+    let mut fleet = replicated_fleet(3, 3, 1, 7);
+    let leader = fleet.leader("r").unwrap();
+    let before = fleet.fronts[leader].ledger.as_ref().unwrap().counters();
     for n in 0..200 {
-        fleet.ask(n % 3, &format!("r{n}"), put(n as u64));
+        fleet.submit(n % 3, &format!("r{n}"), put(n as u64));
     }
     fleet.run(fleet.now + SECOND);
-    let after = fleet.fronts[owner].ledger.as_ref().unwrap().counters();
+    let after = fleet.fronts[leader].ledger.as_ref().unwrap().counters();
     assert_eq!(after.entries, 200);
     assert!(
         after.rounds - before.rounds <= 20,
         "{} rounds",
         after.rounds - before.rounds
     );
-    sound(&fleet);
+    assert_no_violations(&fleet);
 }
 
 #[test]
-fn a_large_shard_is_rebuilt_at_its_rate_though_packets_are_lost() {
+fn a_large_shard_is_rebuilt_at_the_configured_rate_despite_packet_loss() {
     let mut fleet = Fleet::new(3, 3, 1, 8);
     fleet.setup.repair_bytes_per_s = 65_536;
     (0..3).for_each(|n| fleet.start(n));
-    assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
+    assert!(fleet.run_until(10 * SECOND, Fleet::is_fully_replicated));
     for n in 0..250u64 {
         let value = n.to_be_bytes().repeat(128);
-        fleet.get_until_answered(
+        fleet.request_until_answered(
             n as usize % 3,
             &format!("r{n}"),
             Operation::Put {
@@ -221,104 +231,104 @@
         );
     }
     let lost = (0..3).find(|n| Some(*n) != fleet.leader("r0")).unwrap();
-    fleet.lose(lost);
+    fleet.lose_disk(lost);
     fleet.run(fleet.now + SECOND);
-    (fleet.lost, fleet.doubled) = (0.05, 0.05);
+    (fleet.loss_rate, fleet.duplication_rate) = (0.05, 0.05);
     fleet.start(lost);
-    let since = fleet.now;
-    assert!(fleet.run_until(60 * SECOND, Fleet::is_whole));
+    let started_at = fleet.now;
+    assert!(fleet.run_until(60 * SECOND, Fleet::is_fully_replicated));
     // 270 KB at 64 KB a second.
-    let took = fleet.now - since;
-    assert!((3 * SECOND..12 * SECOND).contains(&took), "{took}");
+    let elapsed = fleet.now - started_at;
+    assert!((3 * SECOND..12 * SECOND).contains(&elapsed), "{elapsed}");
     // Cut off for long, a member is brought on by its log alone.
     fleet.cut_off(&[lost]);
     for n in 0..150u64 {
-        fleet.get_until_answered((lost + 1) % 3, &format!("r{n}"), put(n));
+        fleet.request_until_answered((lost + 1) % 3, &format!("r{n}"), put(n));
     }
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     fleet.run(fleet.now + 3 * SECOND);
     for n in 0..250 {
         assert!(matches!(
-            fleet.get_until_answered(lost, &format!("r{n}"), Operation::Read),
+            fleet.request_until_answered(lost, &format!("r{n}"), Operation::Read),
             Outcome::Stands(_)
         ));
     }
-    sound(&fleet);
+    assert_no_violations(&fleet);
 }
 
 /// How long asks took while members changed, in milliseconds, longest last.
-fn asks_during_changes(late: f64) -> Vec<i64> {
-    let mut longest = Vec::new();
+fn request_times_during_changes(delay_rate: f64) -> Vec<i64> {
+    let mut times_ms = Vec::new();
     for seed in 20..60 {
-        let mut fleet = whole(4, 3, 1, seed);
-        fleet.late = late;
-        let owner = fleet.leader("r").unwrap();
-        let others: Vec<usize> = (0..4).filter(|n| *n != owner).collect();
+        let mut fleet = replicated_fleet(4, 3, 1, seed);
+        fleet.delay_rate = delay_rate;
+        let leader = fleet.leader("r").unwrap();
+        let others: Vec<usize> = (0..4).filter(|n| *n != leader).collect();
         for n in &others {
-            fleet.lose(*n);
+            fleet.lose_disk(*n);
             fleet.run(fleet.now + SECOND);
             fleet.start(*n);
-            while !fleet.is_whole() {
-                let asked = fleet.now;
-                let outcome = fleet.get(owner, "r", put(asked as u64));
+            while !fleet.is_fully_replicated() {
+                let submitted_at = fleet.now;
+                let outcome = fleet.request(leader, "r", put(submitted_at as u64));
                 assert!(
                     matches!(outcome, Outcome::Stands(_)),
                     "seed {seed}, front {n}: {outcome:?}"
                 );
-                longest.push((fleet.now - asked) / 1_000);
+                times_ms.push((fleet.now - submitted_at) / 1_000);
             }
         }
-        sound(&fleet);
+        assert_no_violations(&fleet);
     }
-    longest.sort_unstable();
-    longest
+    times_ms.sort_unstable();
+    times_ms
 }
 
 #[test]
-fn a_membership_change_delays_no_ask_by_an_election() {
+fn a_membership_change_delays_no_request_by_an_election() {
     // An election takes 300 ms without a word of an owner and some round trips.
-    let longest = asks_during_changes(0.0);
+    let times_ms = request_times_during_changes(0.0);
     assert!(
-        longest.last().is_some_and(|ms| *ms < 150),
+        times_ms.last().is_some_and(|ms| *ms < 150),
         "{:?}",
-        longest.iter().rev().take(9).collect::<Vec<_>>()
+        times_ms.iter().rev().take(9).collect::<Vec<_>>()
     );
     // One packet in fifty comes up to 200 ms late: an ask that meets two of them takes as long without any.
-    let longest = asks_during_changes(0.02);
-    let over = longest.iter().filter(|ms| **ms >= 300).count();
+    let times_ms = request_times_during_changes(0.02);
+    let slow_requests = times_ms.iter().filter(|ms| **ms >= 300).count();
     assert!(
-        over <= 1,
+        slow_requests <= 1,
         "{:?}",
-        longest.iter().rev().take(9).collect::<Vec<_>>()
+        times_ms.iter().rev().take(9).collect::<Vec<_>>()
     );
 }
 
 #[test]
-fn a_missing_replica_is_rebuilt_among_rounds_back_to_back() {
+fn a_missing_replica_is_rebuilt_under_continuous_rounds() {
     let mut fleet = Fleet::new(4, 3, 1, 3);
-    assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
-    let owner = fleet.leader("k").expect("one owns the only shard");
-    let keeps = |fleet: &Fleet, n: usize| {
+    assert!(fleet.run_until(10 * SECOND, Fleet::is_fully_replicated));
+    let leader = fleet.leader("k").expect("the only shard has a leader");
+    let holds_replica = |fleet: &Fleet, n: usize| {
         fleet.fronts[n]
             .ledger
             .as_ref()
-            .is_some_and(|l| l.replicas().count() > 0)
+            .is_some_and(|ledger| ledger.replicas().count() > 0)
     };
     let lost = (0..4)
-        .find(|n| *n != owner && keeps(&fleet, *n))
-        .expect("others keep copies");
-    fleet.lose(lost);
+        .find(|n| *n != leader && holds_replica(&fleet, *n))
+        .expect("other fronts hold replicas");
+    fleet.lose_disk(lost);
     fleet.start(lost);
     // Somebody always asks: no round ends without the next one waiting.
-    let (mut waits, end) = (Vec::new(), fleet.now + 8 * SECOND);
-    while !fleet.is_whole() || waits.is_empty() {
-        assert!(fleet.now < end, "the copy is caught up and never taken in");
+    let (mut pending_requests, end) = (Vec::new(), fleet.now + 8 * SECOND);
+    while !fleet.is_fully_replicated() || pending_requests.is_empty() {
+        assert!(fleet.now < end, "the new replica has not become a member");
         fleet.run(fleet.now + sim::STEP);
-        waits.retain(|(n, number)| fleet.outcome(*n, *number).is_none());
-        while waits.len() < 12 {
-            let n = [0, 1, 2, 3][waits.len() % 4];
-            let number = fleet.ask(n, "k", Operation::Read);
-            waits.push((n, number));
+        pending_requests.retain(|(n, number)| fleet.outcome(*n, *number).is_none());
+        while pending_requests.len() < 12 {
+            let n = [0, 1, 2, 3][pending_requests.len() % 4];
+            let number = fleet.submit(n, "k", Operation::Read);
+            pending_requests.push((n, number));
         }
     }
 }
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -9,13 +9,13 @@
 
 const FRONTS: usize = 4; // three copies, and one that takes the place of front 2
 const CHANGE: u8 = 9; // the entry that says so; nothing follows it in its log
-const MOST_VALUES: u8 = 2;
+const MAX_VALUES: u8 = 2;
 const DEPTH: usize = 9; // steps, with all faults at once
-const DEPTH_OF_ONE: usize = 14; // with one kind of fault beside lost, doubled and late messages
+const SINGLE_FAULT_DEPTH: usize = 14; // with one kind of fault beside lost, doubled and late messages
 
 /// What a front keeps.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Kept {
+struct ReplicaState {
     /// Of the members that it is one of; 0: of none.
     config: u8,
     promise: u8,
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Word {
+enum Message {
     Prepare,
     Promise { accepted: u8, log: Vec<u8> },
     Accept { log: Vec<u8> },
@@ -39,12 +39,12 @@
     disk: u8,
     config: u8,
     ballot: u8,
-    word: Word,
+    message: Message,
 }
 
 /// An owner, or one that would be.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Leads {
+struct LeaderState {
     ballot: u8,
     promises: BTreeMap<usize, (u8, Vec<u8>)>,
     log: Option<Vec<u8>>,
@@ -53,19 +53,19 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    kept: Vec<Kept>,
+    replicas: Vec<ReplicaState>,
     /// What is on the disks; only where answers go before it is there does it differ.
-    lasting: Vec<Kept>,
+    durable: Vec<ReplicaState>,
     disks: [u8; FRONTS],
-    leads: Vec<Option<Leads>>,
-    way: BTreeSet<Packet>,
+    leaders: Vec<Option<LeaderState>>,
+    in_transit: BTreeSet<Packet>,
     campaigns: usize,
     values: u8,
-    killed: bool,
-    lost: bool,
+    has_killed: bool,
+    has_lost_disk: bool,
     /// What was acknowledged.
-    acked: Vec<u8>,
-    broken: bool,
+    acknowledged: Vec<u8>,
+    violated: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -75,16 +75,16 @@
     Save(usize),
     Kill(usize),
     LoseDisk(usize),
-    Arrives(usize, Packet),
+    Receive(usize, Packet),
 }
 
 /// The rules, each of which can be taken out.
 #[derive(Clone, Copy)]
 struct Rules {
     disk_identity: bool,
-    token_check: bool,
+    ballot_check: bool,
     catch_up: bool,
-    write_first: bool,
+    save_first: bool,
     /// What is played beside lost, doubled and late messages, and how many fronts would be owners.
     kills: bool,
     losses: bool,
@@ -92,11 +92,11 @@
     campaigns: usize,
 }
 
-const ALL: Rules = Rules {
+const ALL_FAULTS: Rules = Rules {
     disk_identity: true,
-    token_check: true,
+    ballot_check: true,
     catch_up: true,
-    write_first: true,
+    save_first: true,
     kills: true,
     losses: true,
     changes: true,
@@ -104,12 +104,12 @@
 };
 
 /// One fault at a time, to a greater depth.
-const ONE: Rules = Rules {
+const SINGLE_FAULT: Rules = Rules {
     kills: false,
     losses: false,
     changes: false,
     campaigns: 1,
-    ..ALL
+    ..ALL_FAULTS
 };
 
 fn members(config: u8) -> &'static [usize] {
@@ -125,54 +125,57 @@
         members(config).contains(&front)
     }
 
-    fn say(&mut self, from: usize, config: u8, ballot: u8, word: Word) {
-        self.way.insert(Packet {
+    fn send(&mut self, from: usize, config: u8, ballot: u8, message: Message) {
+        self.in_transit.insert(Packet {
             from,
             disk: self.disks[from],
             config,
             ballot,
-            word,
+            message,
         });
     }
 
-    fn keep(&mut self, front: usize, rules: Rules, kept: Kept) {
-        if rules.write_first {
-            self.lasting[front].clone_from(&kept);
+    fn store(&mut self, front: usize, rules: Rules, replica: ReplicaState) {
+        if rules.save_first {
+            self.durable[front].clone_from(&replica);
         }
-        self.kept[front] = kept;
+        self.replicas[front] = replica;
     }
 
     /// A majority has accepted so much under this ballot.
     fn decide(&mut self, front: usize, rules: Rules) {
-        let Some(leads) = &self.leads[front] else {
+        let Some(leader) = &self.leaders[front] else {
             return;
         };
-        let Some(log) = leads.log.clone() else { return };
-        let has = |length: &usize| leads.accepted.values().filter(|n| *n >= length).count() >= 2;
-        let Some(length) = (1..=log.len()).rev().find(has) else {
+        let Some(log) = leader.log.clone() else {
+            return;
+        };
+        let is_accepted_by_majority =
+            |length: &usize| leader.accepted.values().filter(|n| *n >= length).count() >= 2;
+        let Some(length) = (1..=log.len()).rev().find(is_accepted_by_majority) else {
             return;
         };
         let decided = &log[..length];
-        let common = decided.len().min(self.acked.len());
-        self.broken |= decided[..common] != self.acked[..common];
-        if length > self.acked.len() {
-            self.acked = decided.to_vec();
+        let common = decided.len().min(self.acknowledged.len());
+        self.violated |= decided[..common] != self.acknowledged[..common];
+        if length > self.acknowledged.len() {
+            self.acknowledged = decided.to_vec();
         }
-        if decided.last() == Some(&CHANGE) && self.kept[front].config == 1 {
-            self.leads[front] = None;
+        if decided.last() == Some(&CHANGE) && self.replicas[front].config == 1 {
+            self.leaders[front] = None;
             let log = decided.to_vec();
-            self.say(front, 2, 0, Word::Begin { log: log.clone() });
-            self.begins(front, rules, log);
+            self.send(front, 2, 0, Message::Begin { log: log.clone() });
+            self.start_configuration(front, rules, log);
         }
     }
 
-    fn begins(&mut self, front: usize, rules: Rules, log: Vec<u8>) {
+    fn start_configuration(&mut self, front: usize, rules: Rules, log: Vec<u8>) {
         let config = if self.is_member(front, 2) { 2 } else { 0 };
-        self.leads[front] = None;
-        self.keep(
+        self.leaders[front] = None;
+        self.store(
             front,
             rules,
-            Kept {
+            ReplicaState {
                 config,
                 promise: 0,
                 accepted: 0,
@@ -181,69 +184,74 @@
         );
     }
 
-    fn arrives(&mut self, to: usize, packet: Packet, rules: Rules) -> Option<()> {
+    fn receive(&mut self, to: usize, packet: Packet, rules: Rules) -> Option<()> {
         let Packet {
             from,
             disk,
             config,
             ballot,
-            word,
+            message,
         } = packet;
         // A member is a front with its disk: all had the first as they became one.
         if !self.is_member(to, config) || disk != 0 || self.disks[to] != 0 {
             return None;
         }
-        if self.kept[to].config < config {
-            match &word {
-                Word::Begin { log } if rules.catch_up => self.begins(to, rules, log.clone()),
+        if self.replicas[to].config < config {
+            match &message {
+                Message::Begin { log } if rules.catch_up => {
+                    self.start_configuration(to, rules, log.clone())
+                }
                 _ if rules.catch_up => return None,
                 _ => {
-                    let log = self.kept[to].log.clone();
-                    self.begins(to, rules, log);
+                    let log = self.replicas[to].log.clone();
+                    self.start_configuration(to, rules, log);
                 }
             }
         }
-        let mut kept = self.kept[to].clone();
-        if kept.config != config {
+        let mut replica = self.replicas[to].clone();
+        if replica.config != config {
             return None;
         }
-        match word {
-            Word::Prepare if ballot > kept.promise => {
-                kept.promise = ballot;
-                let (accepted, log) = (kept.accepted, kept.log.clone());
-                self.keep(to, rules, kept);
-                self.leads[to] = self.leads[to].take().filter(|leads| leads.ballot >= ballot);
-                self.say(to, config, ballot, Word::Promise { accepted, log });
+        match message {
+            Message::Prepare if ballot > replica.promise => {
+                replica.promise = ballot;
+                let (accepted, log) = (replica.accepted, replica.log.clone());
+                self.store(to, rules, replica);
+                self.leaders[to] = self.leaders[to]
+                    .take()
+                    .filter(|leader| leader.ballot >= ballot);
+                self.send(to, config, ballot, Message::Promise { accepted, log });
             }
-            Word::Promise { accepted, log } => {
-                let leads = self.leads[to]
+            Message::Promise { accepted, log } => {
+                let leader = self.leaders[to]
                     .as_mut()
                     .filter(|l| l.ballot == ballot && l.log.is_none())?;
-                leads.promises.insert(from, (accepted, log));
-                if leads.promises.len() >= 2 {
-                    let best = leads
+                leader.promises.insert(from, (accepted, log));
+                if leader.promises.len() >= 2 {
+                    let best = leader
                         .promises
                         .values()
                         .max_by_key(|(accepted, log)| (*accepted, log.len()));
-                    leads.log = best.map(|(_, log)| log.clone());
+                    leader.log = best.map(|(_, log)| log.clone());
                 }
             }
-            Word::Accept { log } if ballot >= kept.promise || !rules.token_check => {
+            Message::Accept { log } if ballot >= replica.promise || !rules.ballot_check => {
                 // Under the same ballot a shorter log was overtaken.
-                if ballot == kept.accepted && log.len() <= kept.log.len() {
+                if ballot == replica.accepted && log.len() <= replica.log.len() {
                     return None;
                 }
                 let length = log.len();
-                (kept.promise, kept.accepted, kept.log) = (kept.promise.max(ballot), ballot, log);
-                self.keep(to, rules, kept);
-                self.say(to, config, ballot, Word::Accepted { length });
+                (replica.promise, replica.accepted, replica.log) =
+                    (replica.promise.max(ballot), ballot, log);
+                self.store(to, rules, replica);
+                self.send(to, config, ballot, Message::Accepted { length });
             }
-            Word::Accepted { length } => {
-                let leads = self.leads[to]
+            Message::Accepted { length } => {
+                let leader = self.leaders[to]
                     .as_mut()
-                    .filter(|leads| leads.ballot == ballot)?;
-                let most = leads.accepted.entry(from).or_default();
-                *most = length.max(*most);
+                    .filter(|leader| leader.ballot == ballot)?;
+                let max_length = leader.accepted.entry(from).or_default();
+                *max_length = length.max(*max_length);
                 self.decide(to, rules);
             }
             _ => {}
@@ -258,136 +266,141 @@
 
     /// Front 0 owns the shard, and all have promised it so.
     fn init_states(&self) -> Vec<State> {
-        let kept = |config| Kept {
+        let replica = |config| ReplicaState {
             config,
             promise: u8::from(config > 0),
             accepted: 0,
             log: Vec::new(),
         };
-        let kept: Vec<Kept> = [1, 1, 1, 0].map(kept).to_vec();
+        let replicas: Vec<ReplicaState> = [1, 1, 1, 0].map(replica).to_vec();
         let none = || (0, Vec::new());
         let promises = BTreeMap::from([(0, none()), (1, none())]);
-        let owner = Leads {
+        let leader = LeaderState {
             ballot: 1,
             promises,
             log: Some(Vec::new()),
             accepted: BTreeMap::new(),
         };
         vec![State {
-            lasting: kept.clone(),
-            kept,
+            durable: replicas.clone(),
+            replicas,
             disks: [0; FRONTS],
-            leads: vec![Some(owner), None, None, None],
-            way: BTreeSet::new(),
+            leaders: vec![Some(leader), None, None, None],
+            in_transit: BTreeSet::new(),
             campaigns: 0,
             values: 0,
-            killed: false,
-            lost: false,
-            acked: Vec::new(),
-            broken: false,
+            has_killed: false,
+            has_lost_disk: false,
+            acknowledged: Vec::new(),
+            violated: false,
         }]
     }
 
-    fn actions(&self, s: &State, steps: &mut Vec<Step>) {
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         for n in 0..FRONTS {
-            if s.campaigns < self.campaigns && s.kept[n].config > 0 && s.leads[n].is_none() {
+            if state.campaigns < self.campaigns
+                && state.replicas[n].config > 0
+                && state.leaders[n].is_none()
+            {
                 steps.push(Step::Campaign(n));
             }
-            let log = s.leads[n].as_ref().and_then(|leads| leads.log.as_ref());
+            let log = state.leaders[n]
+                .as_ref()
+                .and_then(|leader| leader.log.as_ref());
             if log.is_some_and(|log| log.last() != Some(&CHANGE)) {
-                if s.values < MOST_VALUES {
-                    steps.push(Step::Propose(n, s.values + 1));
+                if state.values < MAX_VALUES {
+                    steps.push(Step::Propose(n, state.values + 1));
                 }
-                if self.changes && s.kept[n].config == 1 {
+                if self.changes && state.replicas[n].config == 1 {
                     steps.push(Step::Propose(n, CHANGE));
                 }
             }
-            if s.kept[n] != s.lasting[n] {
+            if state.replicas[n] != state.durable[n] {
                 steps.push(Step::Save(n));
             }
-            if self.kills && !s.killed {
+            if self.kills && !state.has_killed {
                 steps.push(Step::Kill(n));
             }
-            if self.losses && !s.lost {
+            if self.losses && !state.has_lost_disk {
                 steps.push(Step::LoseDisk(n));
             }
         }
-        let packets = s
-            .way
+        let packets = state
+            .in_transit
             .iter()
             .flat_map(|packet| (0..FRONTS).map(move |to| (to, packet)));
         let others = packets.filter(|(to, packet)| *to != packet.from);
-        steps.extend(others.map(|(to, packet)| Step::Arrives(to, packet.clone())));
+        steps.extend(others.map(|(to, packet)| Step::Receive(to, packet.clone())));
     }
 
-    fn next_state(&self, last: &State, step: Step) -> Option<State> {
-        let mut s = last.clone();
+    fn next_state(&self, previous_state: &State, step: Step) -> Option<State> {
+        let mut state = previous_state.clone();
         match step {
             Step::Campaign(n) => {
-                s.campaigns += 1;
-                let mut kept = s.kept[n].clone();
-                let (config, ballot) = (kept.config, (kept.promise / 4 + 1) * 4 + n as u8);
-                let promises = BTreeMap::from([(n, (kept.accepted, kept.log.clone()))]);
-                kept.promise = ballot;
-                s.keep(n, *self, kept);
-                s.leads[n] = Some(Leads {
+                state.campaigns += 1;
+                let mut replica = state.replicas[n].clone();
+                let (config, ballot) = (replica.config, (replica.promise / 4 + 1) * 4 + n as u8);
+                let promises = BTreeMap::from([(n, (replica.accepted, replica.log.clone()))]);
+                replica.promise = ballot;
+                state.store(n, *self, replica);
+                state.leaders[n] = Some(LeaderState {
                     ballot,
                     promises,
                     log: None,
                     accepted: BTreeMap::new(),
                 });
-                s.say(n, config, ballot, Word::Prepare);
+                state.send(n, config, ballot, Message::Prepare);
             }
             Step::Propose(n, value) => {
-                s.values += u8::from(value != CHANGE);
-                let leads = s.leads[n].as_mut()?;
-                let ballot = leads.ballot;
-                let log = leads.log.as_mut()?;
+                state.values += u8::from(value != CHANGE);
+                let leader = state.leaders[n].as_mut()?;
+                let ballot = leader.ballot;
+                let log = leader.log.as_mut()?;
                 log.push(value);
                 let log = log.clone();
-                leads.accepted.insert(n, log.len());
-                let kept = Kept {
+                leader.accepted.insert(n, log.len());
+                let replica = ReplicaState {
                     accepted: ballot,
                     log: log.clone(),
-                    ..s.kept[n].clone()
+                    ..state.replicas[n].clone()
                 };
-                let config = kept.config;
-                s.keep(n, *self, kept);
-                s.say(n, config, ballot, Word::Accept { log });
+                let config = replica.config;
+                state.store(n, *self, replica);
+                state.send(n, config, ballot, Message::Accept { log });
             }
-            Step::Save(n) => s.lasting[n] = s.kept[n].clone(),
+            Step::Save(n) => state.durable[n] = state.replicas[n].clone(),
             Step::Kill(n) => {
-                s.killed = true;
-                s.kept[n] = s.lasting[n].clone();
-                s.leads[n] = None;
+                state.has_killed = true;
+                state.replicas[n] = state.durable[n].clone();
+                state.leaders[n] = None;
             }
             Step::LoseDisk(n) => {
-                s.lost = true;
+                state.has_lost_disk = true;
                 // Under its old identity it would be the member that it was, with nothing in it.
                 let config = if self.disk_identity {
                     0
                 } else {
-                    s.kept[n].config
+                    state.replicas[n].config
                 };
-                s.disks[n] += u8::from(self.disk_identity);
-                s.kept[n] = Kept {
+                state.disks[n] += u8::from(self.disk_identity);
+                state.replicas[n] = ReplicaState {
                     config,
                     promise: 0,
                     accepted: 0,
                     log: Vec::new(),
                 };
-                s.lasting[n] = s.kept[n].clone();
-                s.leads[n] = None;
+                state.durable[n] = state.replicas[n].clone();
+                state.leaders[n] = None;
             }
-            Step::Arrives(to, packet) => s.arrives(to, packet, *self)?,
+            Step::Receive(to, packet) => state.receive(to, packet, *self)?,
         }
-        (s != *last).then_some(s)
+        (state != *previous_state).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
-            "what was acknowledged stays",
-            |_, s: &State| !s.broken,
+            "acknowledged entries are kept",
+            |_, state: &State| !state.violated,
         )]
     }
 }
@@ -400,24 +413,27 @@
         .finish_when(HasDiscoveries::Any);
     let checker = checker.spawn_bfs().join();
     (
-        checker.discovery("what was acknowledged stays").is_some(),
+        checker.discovery("acknowledged entries are kept").is_some(),
         checker.unique_state_count(),
     )
 }
 
 /// Each rule, the fault that needs it, and what is played without it.
-fn plays() -> [(&'static str, Rules, Rules); 4] {
+fn rules_and_faults() -> [(&'static str, Rules, Rules); 4] {
     let (losses, changes) = (
         Rules {
             losses: true,
-            ..ONE
+            ..SINGLE_FAULT
         },
         Rules {
             changes: true,
-            ..ONE
+            ..SINGLE_FAULT
         },
     );
-    let kills = Rules { kills: true, ..ONE };
+    let kills = Rules {
+        kills: true,
+        ..SINGLE_FAULT
+    };
     [
         (
             "the disk identity",
@@ -428,15 +444,15 @@
             },
         ),
         (
-            "the token check",
-            ONE,
+            "the ballot check",
+            SINGLE_FAULT,
             Rules {
-                token_check: false,
-                ..ONE
+                ballot_check: false,
+                ..SINGLE_FAULT
             },
         ),
         (
-            "the catch-up before a vote",
+            "catching up before voting",
             changes,
             Rules {
                 catch_up: false,
@@ -444,10 +460,10 @@
             },
         ),
         (
-            "the write before the act",
+            "saving before answering",
             kills,
             Rules {
-                write_first: false,
+                save_first: false,
                 ..kills
             },
         ),
@@ -455,22 +471,22 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_to_the_stated_depth() {
-    let (broken, states) = check(ALL, DEPTH);
+fn no_acknowledged_entry_is_lost_up_to_the_checked_depth() {
+    let (violated, states) = check(ALL_FAULTS, DEPTH);
     println!("all faults at once: {states} states to depth {DEPTH}");
-    assert!(!broken && states > 10_000, "{states}");
-    for (what, with, _) in plays() {
-        let (broken, states) = check(with, DEPTH_OF_ONE);
-        println!("with {what}: {states} states to depth {DEPTH_OF_ONE}");
-        assert!(!broken && states > 1_000, "{what}: {states}");
+    assert!(!violated && states > 10_000, "{states}");
+    for (rule, with, _) in rules_and_faults() {
+        let (violated, states) = check(with, SINGLE_FAULT_DEPTH);
+        println!("with {rule}: {states} states to depth {SINGLE_FAULT_DEPTH}");
+        assert!(!violated && states > 1_000, "{rule}: {states}");
     }
 }
 
 #[test]
-fn each_rule_taken_out_loses_something() {
-    for (what, _, without) in plays() {
-        let (broken, states) = check(without, DEPTH_OF_ONE);
-        println!("without {what}: broken {broken} after {states} states");
-        assert!(broken, "without {what}");
+fn without_any_one_rule_an_acknowledged_entry_is_lost() {
+    for (rule, _, without) in rules_and_faults() {
+        let (violated, states) = check(without, SINGLE_FAULT_DEPTH);
+        println!("without {rule}: violated {violated} after {states} states");
+        assert!(violated, "without {rule}");
     }
 }
--- a/crates/ledger/tests/random_faults.rs
+++ b/crates/ledger/tests/random_faults.rs
@@ -10,11 +10,11 @@
 const WALL: u64 = 1_800_000_000_000;
 
 /// An ask that was made and not answered yet, or only as unreachable.
-struct Unanswered {
+struct UnansweredRequest {
     front: usize,
     incarnation: u64,
-    ask: LedgerRequest,
-    asked: Micros,
+    request: LedgerRequest,
+    submitted_at: Micros,
 }
 
 /// What was drawn, and what came of it.
@@ -36,20 +36,20 @@
     fleet: Fleet,
     totals: Totals,
     /// The value written last: each is another.
-    unique: u64,
-    unanswered: Vec<Unanswered>,
+    last_value: u64,
+    unanswered: Vec<UnansweredRequest>,
     next_fault: Micros,
     /// The front that has lost its disk, until all replicas stand again.
-    lost: Option<usize>,
+    front_without_disk: Option<usize>,
     replication_factor: usize,
 }
 
 impl Run {
-    fn new(seed: u64, same_disk: bool) -> Run {
+    fn new(seed: u64, reuse_disk_identity: bool) -> Run {
         let (fronts, replication_factor, shards) =
             [(3, 3, 1), (4, 3, 2), (5, 3, 3), (5, 5, 1)][seed as usize % 4];
         let mut fleet = Fleet::new(fronts, replication_factor, shards, seed);
-        fleet.same_disk = same_disk;
+        fleet.reuse_disk_identity = reuse_disk_identity;
         fleet.setup.repair_after = 4 * SECOND;
         // Replicas move for balance too, all at once.
         (
@@ -57,38 +57,35 @@
             fleet.setup.zone_repair_after,
         ) = (100, 8 * SECOND);
         (fleet.setup.max_shard_bytes, fleet.setup.repair_bytes_per_s) = (8_192, 65_536);
-        fleet.start_anew(fronts);
-        fleet.run_until(10 * SECOND, Fleet::is_whole);
+        fleet.restart_with_empty_disks(fronts);
+        fleet.run_until(10 * SECOND, Fleet::is_fully_replicated);
         let next_fault = fleet.now;
         let (totals, unanswered) = (Totals::default(), Vec::new());
         Run {
             fleet,
             totals,
-            unique: 0,
+            last_value: 0,
             unanswered,
             next_fault,
-            lost: None,
+            front_without_disk: None,
             replication_factor,
         }
     }
 
     /// A client at a drawn front claims, frees, reads or writes.
-    fn ask(&mut self) {
+    fn submit_random_request(&mut self) {
         let fleet = &mut self.fleet;
-        let n = fleet.chance.random_range(0..fleet.fronts.len());
+        let n = fleet.rng.random_range(0..fleet.fronts.len());
         if !fleet.is_up(n) {
             return;
         }
-        let (key, register) = (
-            fleet.chance.random_range(0..4),
-            fleet.chance.random_range(0..4),
-        );
-        let wall = (WALL as i64 + fleet.now / 1_000 + fleet.fronts[n].ahead) as u64;
-        self.unique += 1;
-        let value = self.unique.to_be_bytes().to_vec();
-        let (name, operation) = match fleet.chance.random_range(0..6) {
+        let (key, register) = (fleet.rng.random_range(0..4), fleet.rng.random_range(0..4));
+        let wall_ms = (WALL as i64 + fleet.now / 1_000 + fleet.fronts[n].clock_ahead_ms) as u64;
+        self.last_value += 1;
+        let value = self.last_value.to_be_bytes().to_vec();
+        let (name, operation) = match fleet.rng.random_range(0..6) {
             0 | 1 => {
-                let ends_ms = wall + fleet.chance.random_range(200..3_000);
+                let ends_ms = wall_ms + fleet.rng.random_range(200..3_000);
                 (format!("claim {key}"), Operation::Claim { ends_ms, value })
             }
             2 => (format!("claim {key}"), Operation::Free),
@@ -103,12 +100,13 @@
             _ => (format!("r{register}"), Operation::Read),
         };
         // A front asks one thing of a key at a time.
-        let same = |other: &Unanswered| other.front == n && other.ask.key.name == name;
-        if operation != Operation::Read && self.unanswered.iter().any(same) {
+        let is_same_key =
+            |other: &UnansweredRequest| other.front == n && other.request.key.name == name;
+        if operation != Operation::Read && self.unanswered.iter().any(is_same_key) {
             return;
         }
-        let number = fleet.ask(n, &name, operation.clone());
-        let ask = LedgerRequest {
+        let number = fleet.submit(n, &name, operation.clone());
+        let request = LedgerRequest {
             number,
             key: Key {
                 kind: Kind::Order,
@@ -117,11 +115,11 @@
             operation,
         };
         let incarnation = fleet.fronts[n].incarnation;
-        self.unanswered.push(Unanswered {
+        self.unanswered.push(UnansweredRequest {
             front: n,
             incarnation,
-            ask,
-            asked: fleet.now,
+            request,
+            submitted_at: fleet.now,
         });
     }
 
@@ -129,42 +127,48 @@
     fn repeat_unreachable(&mut self) {
         let fleet = &mut self.fleet;
         for waiting in std::mem::take(&mut self.unanswered) {
-            let Unanswered {
+            let UnansweredRequest {
                 front,
                 incarnation,
-                ref ask,
-                asked,
+                ref request,
+                submitted_at,
             } = waiting;
-            let same = fleet.is_up(front) && fleet.fronts[front].incarnation == incarnation;
-            match fleet.record.outcome(front, incarnation, ask.number) {
-                Some(Outcome::Unreachable) if same && fleet.now - asked < 8 * SECOND => {
-                    fleet.repeat(front, ask.clone());
+            let is_same_incarnation =
+                fleet.is_up(front) && fleet.fronts[front].incarnation == incarnation;
+            match fleet.history.outcome(front, incarnation, request.number) {
+                Some(Outcome::Unreachable)
+                    if is_same_incarnation && fleet.now - submitted_at < 8 * SECOND =>
+                {
+                    fleet.resubmit(front, request.clone());
                     self.unanswered.push(waiting);
                 }
-                None if same => self.unanswered.push(waiting),
+                None if is_same_incarnation => self.unanswered.push(waiting),
                 _ => {}
             }
         }
     }
 
     /// A while with asks, and with a fault where one is due.
-    fn step(&mut self) {
+    fn run_step(&mut self) {
         self.fleet.run(self.fleet.now + 20_000);
-        for _ in 0..self.fleet.chance.random_range(0..3) {
-            self.ask();
+        for _ in 0..self.fleet.rng.random_range(0..3) {
+            self.submit_random_request();
         }
-        if self.fleet.chance.random_bool(0.1) {
+        if self.fleet.rng.random_bool(0.1) {
             self.repeat_unreachable();
         }
         // A change under way may yet take in the disk that was lost.
         let fleet = &self.fleet;
-        let settled = fleet.cut.is_empty() && fleet.moving() == 0 && fleet.is_whole();
-        let all_up = || (0..fleet.fronts.len()).all(|n| fleet.is_up(n) && !fleet.fronts[n].fails);
-        if self.lost.is_some() && settled && all_up() {
-            self.lost = None;
+        let settled = fleet.cut_links.is_empty()
+            && fleet.moving_replicas() == 0
+            && fleet.is_fully_replicated();
+        let all_up =
+            || (0..fleet.fronts.len()).all(|n| fleet.is_up(n) && !fleet.fronts[n].saves_fail);
+        if self.front_without_disk.is_some() && settled && all_up() {
+            self.front_without_disk = None;
         }
         if self.fleet.now >= self.next_fault {
-            self.next_fault = self.fleet.now + self.fleet.chance.random_range(200_000..2 * SECOND);
+            self.next_fault = self.fleet.now + self.fleet.rng.random_range(200_000..2 * SECOND);
             self.inject_fault();
         }
     }
@@ -173,24 +177,24 @@
         let Run {
             fleet,
             totals,
-            lost,
+            front_without_disk,
             replication_factor,
             ..
         } = self;
         let fronts = fleet.fronts.len();
-        let n = fleet.chance.random_range(0..fronts);
-        match fleet.chance.random_range(0..12) {
+        let n = fleet.rng.random_range(0..fronts);
+        match fleet.rng.random_range(0..12) {
             0 if fleet.fronts[n].ledger.is_some() => {
                 fleet.kill(n);
                 totals.killed += 1;
             }
             // One disk at a time: the replicas are rebuilt before the next.
-            1 | 2 if lost.is_none() => {
-                fleet.lose(n);
-                (*lost, totals.lost_disks) = (Some(n), totals.lost_disks + 1);
+            1 | 2 if front_without_disk.is_none() => {
+                fleet.lose_disk(n);
+                (*front_without_disk, totals.lost_disks) = (Some(n), totals.lost_disks + 1);
             }
             3 if fleet.is_up(n) => {
-                fleet.fronts[n].stopped = true;
+                fleet.fronts[n].is_stalled = true;
                 totals.stopped += 1;
             }
             4 => {
@@ -199,18 +203,18 @@
             }
             5 => {
                 let other = (n + 1) % fronts;
-                fleet.cut.push((n, other)); // one way only
+                fleet.cut_links.push((n, other)); // one way only
                 totals.cut += 1;
             }
-            6 => fleet.fronts[n].slow = 2 * SECOND,
-            7 if lost.is_none() && fleet.is_up(n) => {
-                fleet.fronts[n].fails = true;
+            6 => fleet.fronts[n].max_save_time = 2 * SECOND,
+            7 if front_without_disk.is_none() && fleet.is_up(n) => {
+                fleet.fronts[n].saves_fail = true;
                 // It saves nothing any more: as good as lost, until it comes back.
-                (*lost, totals.failed) = (Some(n), totals.failed + 1);
+                (*front_without_disk, totals.failed) = (Some(n), totals.failed + 1);
             }
             // The operator's list loses a front, or has it again; one that is out of it still holds what it has to.
-            8 if lost.is_none() && fronts > *replication_factor => {
-                change_list(fleet, *replication_factor);
+            8 if front_without_disk.is_none() && fronts > *replication_factor => {
+                change_member_list(fleet, *replication_factor);
                 totals.listed += 1;
             }
             // What gossip says, right or wrong.
@@ -220,9 +224,9 @@
                 fleet.set_health(&up, &away);
             }
             _ => {
-                fleet.cut.clear();
-                fleet.lost = fleet.chance.random_range(0.0..0.1);
-                fleet.doubled = fleet.chance.random_range(0.0..0.1);
+                fleet.cut_links.clear();
+                fleet.loss_rate = fleet.rng.random_range(0.0..0.1);
+                fleet.duplication_rate = fleet.rng.random_range(0.0..0.1);
                 heal_fronts(fleet);
             }
         }
@@ -235,15 +239,15 @@
             mut totals,
             ..
         } = self;
-        (fleet.cut, fleet.lost, fleet.doubled) = (Vec::new(), 0.0, 0.0);
+        (fleet.cut_links, fleet.loss_rate, fleet.duplication_rate) = (Vec::new(), 0.0, 0.0);
         heal_fronts(&mut fleet);
         let ledgers = fleet
             .fronts
             .iter()
             .filter_map(|front| front.ledger.as_ref());
         totals.moved = ledgers.map(|ledger| ledger.counters().rebalanced).sum();
-        for op in &fleet.record.ops {
-            match op.done {
+        for request in &fleet.history.requests {
+            match request.answer {
                 Some((_, Outcome::Unreachable)) => totals.unreachable += 1,
                 Some((_, Outcome::Stands(_))) => totals.stood += 1,
                 _ => {}
@@ -256,20 +260,20 @@
 /// Cuts some fronts off from the others, and now and then one more from both sides.
 fn partition(fleet: &mut Fleet, first: usize) {
     let fronts = fleet.fronts.len();
-    let many = fleet.chance.random_range(1..fronts);
-    let side: Vec<usize> = (0..many).map(|k| (first + k) % fronts).collect();
+    let count = fleet.rng.random_range(1..fronts);
+    let side: Vec<usize> = (0..count).map(|k| (first + k) % fronts).collect();
     fleet.cut_off(&side);
-    if fleet.chance.random_bool(0.3) {
-        fleet.cut_off(&[(first + many) % fronts]); // in three
+    if fleet.rng.random_bool(0.3) {
+        fleet.cut_off(&[(first + count) % fronts]); // in three
     }
 }
 
 /// All fronts run again at their usual speed; one whose disk fails gets another.
 fn heal_fronts(fleet: &mut Fleet) {
     for n in 0..fleet.fronts.len() {
-        (fleet.fronts[n].slow, fleet.fronts[n].stopped) = (4_000, false);
-        if fleet.fronts[n].fails {
-            fleet.lose(n);
+        (fleet.fronts[n].max_save_time, fleet.fronts[n].is_stalled) = (4_000, false);
+        if fleet.fronts[n].saves_fail {
+            fleet.lose_disk(n);
         }
         if fleet.fronts[n].ledger.is_none() {
             fleet.start(n);
@@ -277,26 +281,26 @@
     }
 }
 
-fn run(seed: u64, seconds: i64, same_disk: bool) -> (Fleet, Totals) {
-    let mut run = Run::new(seed, same_disk);
+fn run(seed: u64, seconds: i64, reuse_disk_identity: bool) -> (Fleet, Totals) {
+    let mut run = Run::new(seed, reuse_disk_identity);
     let end = run.fleet.now + seconds * SECOND;
     while run.fleet.now < end {
-        run.step();
+        run.run_step();
     }
     run.finish()
 }
 
 /// Changes the list for all that run; others read it as they start.
-fn change_list(fleet: &mut Fleet, replication_factor: usize) {
+fn change_member_list(fleet: &mut Fleet, replication_factor: usize) {
     let mut members = Fleet::members(fleet.fronts.len());
     if fleet.setup.members.len() == members.len() && members.len() > replication_factor {
-        members.remove(fleet.chance.random_range(0..members.len()));
+        members.remove(fleet.rng.random_range(0..members.len()));
     }
     fleet.set_members(members);
 }
 
 #[test]
-fn drawn_faults_lose_nothing_and_give_nothing_twice() {
+fn random_faults_lose_no_acknowledged_entry_and_grant_no_key_twice() {
     let first: u64 = std::env::var("SEED")
         .ok()
         .and_then(|seed| seed.parse().ok())
@@ -308,20 +312,27 @@
     let mut all = Totals::default();
     for seed in first..first + seeds {
         let (mut fleet, totals) = run(seed, 40, false);
-        let whole = fleet.run_until(60 * SECOND, Fleet::is_whole);
+        let is_replicated = fleet.run_until(60 * SECOND, Fleet::is_fully_replicated);
         for r in 0..4 {
-            if whole {
-                fleet.get_until_answered(r % fleet.fronts.len(), &format!("r{r}"), Operation::Read);
+            if is_replicated {
+                fleet.request_until_answered(
+                    r % fleet.fronts.len(),
+                    &format!("r{r}"),
+                    Operation::Read,
+                );
             }
         }
-        let faults = fleet.record.faults();
+        let violations = fleet.history.violations();
+        assert!(
+            violations.is_empty(),
+            "seed {seed}: {} violations: {:#?}",
+            violations.len(),
+            &violations[..violations.len().min(3)]
+        );
         assert!(
-            faults.is_empty(),
-            "seed {seed}: {} faults: {:#?}",
-            faults.len(),
-            &faults[..faults.len().min(3)]
+            is_replicated,
+            "seed {seed}: not all replicas were rebuilt: {totals:?}"
         );
-        assert!(whole, "seed {seed}: not all copies stand again: {totals:?}");
         assert!(totals.stood > 100, "seed {seed}: {totals:?}");
         all.lost_disks += totals.lost_disks;
         all.killed += totals.killed;
@@ -334,19 +345,19 @@
         all.unreachable += totals.unreachable;
     }
     println!("{seeds} seeds: {all:?}");
-    let least = seeds as usize;
+    let min_count = seeds as usize;
     assert!(
-        all.lost_disks >= least
-            && all.killed >= least
-            && all.stopped >= least / 2
-            && all.cut >= least,
+        all.lost_disks >= min_count
+            && all.killed >= min_count
+            && all.stopped >= min_count / 2
+            && all.cut >= min_count,
         "{all:?}"
     );
 }
 
 /// Without a safety rule the same faults do harm: at least one of so many seeds shows it.
 #[test]
-fn a_disk_that_comes_back_empty_under_its_old_identity_does_harm() {
-    let harmed = |seed| !run(seed, 40, true).0.record.faults().is_empty();
-    assert!((1..=24).any(harmed));
+fn an_empty_disk_that_keeps_its_identity_violates_consistency() {
+    let is_violated = |seed| !run(seed, 40, true).0.history.violations().is_empty();
+    assert!((1..=24).any(is_violated));
 }
--- a/crates/ledger/tests/rebalance.rs
+++ b/crates/ledger/tests/rebalance.rs
@@ -16,36 +16,41 @@
 }
 
 /// The members of each shard by the latest that any front knows, of those that are up.
-fn keepers(fleet: &Fleet) -> BTreeMap<u16, BTreeSet<usize>> {
+fn holders(fleet: &Fleet) -> BTreeMap<u16, BTreeSet<usize>> {
     let mut latest: BTreeMap<u16, (u32, BTreeSet<usize>)> = BTreeMap::new();
     for n in (0..fleet.fronts.len()).filter(|n| fleet.is_up(*n)) {
         for ReplicaStatus { shard, config, .. } in
             fleet.fronts[n].ledger.iter().flat_map(Ledger::replicas)
         {
-            let of = latest.entry(shard).or_default();
-            if of.0 < config {
-                *of = (config, BTreeSet::new());
+            let fronts = latest.entry(shard).or_default();
+            if fronts.0 < config {
+                *fronts = (config, BTreeSet::new());
             }
-            if of.0 == config {
-                of.1.insert(n);
+            if fronts.0 == config {
+                fronts.1.insert(n);
             }
         }
     }
     latest
         .into_iter()
-        .map(|(shard, (_, of))| (shard, of))
+        .map(|(shard, (_, fronts))| (shard, fronts))
         .collect()
 }
 
-fn most(fleet: &Fleet) -> usize {
-    let held = keepers(fleet);
+fn max_load(fleet: &Fleet) -> usize {
+    let holders_now = holders(fleet);
     (0..fleet.fronts.len())
-        .map(|n| held.values().filter(|of| of.contains(&n)).count())
+        .map(|n| {
+            holders_now
+                .values()
+                .filter(|fronts| fronts.contains(&n))
+                .count()
+        })
         .max()
         .unwrap_or(0)
 }
 
-fn begun(fronts: usize, members: usize, shards: u16, seed: u64) -> Fleet {
+fn start_fleet(fronts: usize, members: usize, shards: u16, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(fronts, 3, shards, seed);
     fleet.setup.members.truncate(members);
     (
@@ -54,22 +59,26 @@
     ) = (50, 40 * SECOND);
     (fleet.setup.repair_bytes_per_s, fleet.setup.max_shard_bytes) = (65_536, 32_768);
     fleet.setup.clock_skew_ms = 200;
-    fleet.start_anew(members);
-    assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
+    fleet.restart_with_empty_disks(members);
+    assert!(fleet.run_until(10 * SECOND, Fleet::is_fully_replicated));
     fleet
 }
 
 /// What gossip would say to each front.
-fn health(fleet: &mut Fleet) {
+fn report_health(fleet: &mut Fleet) {
     let (up, away): (Vec<usize>, Vec<usize>) =
         (0..fleet.fronts.len()).partition(|n| fleet.is_up(*n));
     fleet.set_health(&up, &away);
 }
 
 /// Writes and reads all the time; the count of asks that nobody answered.
-fn busy(fleet: &mut Fleet, seconds: i64, mut each: impl FnMut(&mut Fleet)) -> (usize, usize) {
+fn run_under_load(
+    fleet: &mut Fleet,
+    seconds: i64,
+    mut each: impl FnMut(&mut Fleet),
+) -> (usize, usize) {
     let until = fleet.now + seconds * SECOND;
-    let (mut k, mut asked) = (0, Vec::new());
+    let (mut k, mut submitted) = (0, Vec::new());
     while fleet.now < until {
         k += 1;
         let n = k % fleet.fronts.len();
@@ -77,102 +86,112 @@
             // Values tell their put.
             let (key, value) = (
                 format!("r{}", k % 40),
-                1_000 + fleet.record.ops.len() as u64,
+                1_000 + fleet.history.requests.len() as u64,
             );
-            asked.push((
+            submitted.push((
                 n,
                 fleet.fronts[n].incarnation,
-                fleet.ask(n, &key, put(value)),
+                fleet.submit(n, &key, put(value)),
             ));
         }
         fleet.run(fleet.now + 50_000);
-        health(fleet);
+        report_health(fleet);
         each(fleet);
     }
     fleet.run(fleet.now + SECOND);
-    let lost = |(n, life, number): &&(usize, u64, u64)| {
-        fleet.record.outcome(*n, *life, *number) == Some(&Outcome::Unreachable)
+    let is_unreachable = |(n, incarnation, number): &&(usize, u64, u64)| {
+        fleet.history.outcome(*n, *incarnation, *number) == Some(&Outcome::Unreachable)
     };
-    (asked.iter().filter(lost).count(), asked.len())
+    (
+        submitted.iter().filter(is_unreachable).count(),
+        submitted.len(),
+    )
 }
 
-fn sound(fleet: &mut Fleet) {
+fn assert_no_violations(fleet: &mut Fleet) {
     for k in 0..40 {
         let n = (0..fleet.fronts.len()).find(|n| fleet.is_up(*n)).unwrap();
-        fleet.get_until_answered(n, &format!("r{k}"), Operation::Read);
+        fleet.request_until_answered(n, &format!("r{k}"), Operation::Read);
     }
-    let faults = fleet.record.faults();
-    assert!(faults.is_empty(), "{faults:#?}");
+    let violations = fleet.history.violations();
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 #[test]
-fn fronts_that_join_take_their_part_while_asks_are_answered_and_no_shard_is_started_twice() {
-    let mut fleet = begun(9, 4, 16, 1);
+fn joining_fronts_take_their_share_without_unanswered_requests_or_a_second_start_of_a_shard() {
+    let mut fleet = start_fleet(9, 4, 16, 1);
     for k in 0..40 {
-        fleet.get_until_answered(0, &format!("r{k}"), put(k));
+        fleet.request_until_answered(0, &format!("r{k}"), put(k));
     }
     // The list names five more; each front hears so in its own time, the new ones first.
     fleet.setup.members = Fleet::members(9);
     (4..9).for_each(|n| fleet.start(n));
     fleet.run(fleet.now + 5 * SECOND);
-    assert!(keepers(&fleet).values().all(|of| of.iter().all(|n| *n < 4)));
+    assert!(holders(&fleet)
+        .values()
+        .all(|fronts| fronts.iter().all(|n| *n < 4)));
     fleet.set_members(Fleet::members(9));
-    let mut at_once = 0;
-    let (unreachable, asked) = busy(&mut fleet, 150, |fleet| {
-        at_once = at_once.max(fleet.moving());
+    let mut max_moving = 0;
+    let (unreachable, submitted) = run_under_load(&mut fleet, 150, |fleet| {
+        max_moving = max_moving.max(fleet.moving_replicas());
     });
-    let (held, most) = (keepers(&fleet), most(&fleet));
+    let (holders_now, max_load) = (holders(&fleet), max_load(&fleet));
     println!(
-        "most {most} of fair {:.1}, {at_once} moved at once, {unreachable} of {asked}",
+        "max load {max_load} of fair share {:.1}, {max_moving} moved at once, {unreachable} of {submitted} unreachable",
         48.0 / 9.0
     );
     assert!(
-        held.values()
-            .all(|of| of.iter().map(|n| n % 3).collect::<BTreeSet<_>>().len() == 3),
-        "{held:?}"
+        holders_now.values().all(|fronts| fronts
+            .iter()
+            .map(|n| n % 3)
+            .collect::<BTreeSet<_>>()
+            .len()
+            == 3),
+        "{holders_now:?}"
     );
     assert!(
-        most <= 6 && (1..=8).contains(&at_once),
-        "{most} {at_once} {held:?}"
+        max_load <= 6 && (1..=8).contains(&max_moving),
+        "{max_load} {max_moving} {holders_now:?}"
     );
-    assert_eq!(unreachable, 0, "of {asked}");
-    sound(&mut fleet);
+    assert_eq!(unreachable, 0, "of {submitted}");
+    assert_no_violations(&mut fleet);
 }
 
 #[test]
-fn a_zone_that_returns_costs_no_rebuild_and_one_that_stays_away_is_replaced_after_its_delay() {
-    let mut fleet = begun(8, 8, 12, 2);
-    busy(&mut fleet, 80, |_| {});
-    let settled = keepers(&fleet);
+fn a_returning_zone_causes_no_rebuild_and_an_absent_one_is_replaced_after_its_delay() {
+    let mut fleet = start_fleet(8, 8, 12, 2);
+    run_under_load(&mut fleet, 80, |_| {});
+    let settled = holders(&fleet);
     let zone: Vec<usize> = (0..8).filter(|n| n % 3 == 1).collect();
-    for stays in [false, true] {
+    for stays_away in [false, true] {
         zone.iter().for_each(|n| fleet.kill(*n));
         // Over `repair_after` (5 s), short of `zone_after` (40 s).
-        busy(&mut fleet, 30, |_| {});
+        run_under_load(&mut fleet, 30, |_| {});
         let without: BTreeMap<u16, BTreeSet<usize>> = settled
             .iter()
-            .map(|(s, of)| (*s, of.iter().filter(|n| *n % 3 != 1).copied().collect()))
+            .map(|(s, fronts)| (*s, fronts.iter().filter(|n| *n % 3 != 1).copied().collect()))
             .collect();
         assert_eq!(
-            keepers(&fleet),
+            holders(&fleet),
             without,
-            "copies were made again though the zone may come back"
+            "replicas were rebuilt although the zone may come back"
         );
-        if !stays {
+        if !stays_away {
             // One after the other comes back; nobody is replaced meanwhile.
             for n in &zone {
                 fleet.start(*n);
-                busy(&mut fleet, 1, |_| {});
+                run_under_load(&mut fleet, 1, |_| {});
             }
-            assert_eq!(keepers(&fleet), settled);
+            assert_eq!(holders(&fleet), settled);
         }
     }
-    busy(&mut fleet, 60, |_| {});
-    let held = keepers(&fleet);
+    run_under_load(&mut fleet, 60, |_| {});
+    let holders_now = holders(&fleet);
     assert!(
-        held.values()
-            .all(|of| of.len() == 3 && of.iter().all(|n| n % 3 != 1)),
-        "{held:?}"
+        holders_now
+            .values()
+            .all(|fronts| fronts.len() == 3 && fronts.iter().all(|n| n % 3 != 1)),
+        "{holders_now:?}"
     );
-    sound(&mut fleet);
+    assert_no_violations(&mut fleet);
 }
--- a/crates/ledger/tests/shutdown.rs
+++ b/crates/ledger/tests/shutdown.rs
@@ -5,8 +5,8 @@
 use hallmux_ledger::{Ledger, Operation, Outcome};
 use sim::{Fleet, SECOND};
 
-const MOST: i64 = 10 * SECOND; // that an end waits, as the front does
-const DOOR: i64 = 800_000; // microseconds that a front runs on at least
+const MAX_SHUTDOWN_TIME: i64 = 10 * SECOND; // that an end waits, as the front does
+const MIN_SHUTDOWN_TIME: i64 = 800_000; // microseconds that a front runs on at least
 
 fn put(value: u64) -> Operation {
     Operation::Put {
@@ -18,72 +18,79 @@
 
 /// Two fronts are told to end at once, all the while asked; each comes back a second after its end. Asks that
 /// nobody answered, and how long the later end took.
-fn two_end(fleet: &mut Fleet, two: [usize; 2], waits: bool) -> (usize, i64) {
-    let (since, first) = (fleet.now, fleet.record.ops.len());
-    two.iter().for_each(|n| fleet.begin_shutdown(*n));
-    let (mut back, mut took) = ([i64::MAX; 2], 0);
-    while back.iter().any(|at| *at > fleet.now) {
-        let value = fleet.record.ops.len() as u64;
+fn shut_down_two(fleet: &mut Fleet, fronts: [usize; 2], waits_for_quorum: bool) -> (usize, i64) {
+    let (since, first) = (fleet.now, fleet.history.requests.len());
+    fronts.iter().for_each(|n| fleet.begin_shutdown(*n));
+    let (mut restart_at, mut elapsed) = ([i64::MAX; 2], 0);
+    while restart_at.iter().any(|at| *at > fleet.now) {
+        let value = fleet.history.requests.len() as u64;
         let n = value as usize % fleet.fronts.len();
         if fleet.is_up(n) {
-            fleet.ask(n, &format!("e{}", value % 64), put(value));
+            fleet.submit(n, &format!("e{}", value % 64), put(value));
         }
         fleet.run(fleet.now + 10_000);
-        for (n, back) in two.into_iter().zip(&mut back) {
-            let (at, ran) = (fleet.at(n), fleet.now - since);
-            let needed = |ledger: &Ledger| waits && ledger.is_needed_for_quorum(at) && ran < MOST;
-            let ends = ran >= DOOR
+        for (n, restart_at) in fronts.into_iter().zip(&mut restart_at) {
+            let (at, running_time) = (fleet.clock(n), fleet.now - since);
+            let needed = |ledger: &Ledger| {
+                waits_for_quorum
+                    && ledger.is_needed_for_quorum(at)
+                    && running_time < MAX_SHUTDOWN_TIME
+            };
+            let may_stop = running_time >= MIN_SHUTDOWN_TIME
                 && fleet.fronts[n]
                     .ledger
                     .as_ref()
                     .is_some_and(|ledger| !needed(ledger));
-            if *back == i64::MAX && ends {
-                (*back, took) = (fleet.now + SECOND, ran);
+            if *restart_at == i64::MAX && may_stop {
+                (*restart_at, elapsed) = (fleet.now + SECOND, running_time);
                 fleet.kill(n);
             }
-            if *back <= fleet.now && fleet.fronts[n].ledger.is_none() {
+            if *restart_at <= fleet.now && fleet.fronts[n].ledger.is_none() {
                 fleet.start(n);
             }
         }
     }
     fleet.run(fleet.now + 2 * SECOND);
-    let refused = fleet.record.ops[first..]
+    let unreachable_counts = fleet.history.requests[first..]
         .iter()
-        .filter_map(|op| op.done.as_ref());
+        .filter_map(|op| op.answer.as_ref());
     (
-        refused
+        unreachable_counts
             .filter(|(_, outcome)| *outcome == Outcome::Unreachable)
             .count(),
-        took,
+        elapsed,
     )
 }
 
 #[test]
 fn a_shutdown_waits_while_a_shard_would_have_no_quorum_without_it() {
-    let mut refused = [0; 2];
+    let mut unreachable_counts = [0; 2];
     for seed in 1..=3 {
-        for waits in [false, true] {
+        for waits_for_quorum in [false, true] {
             let mut fleet = Fleet::new(6, 3, 16, seed);
             fleet.setup.repair_after = 30 * SECOND;
-            fleet.start_anew(6);
-            assert!(fleet.run_until(20 * SECOND, Fleet::is_whole));
+            fleet.restart_with_empty_disks(6);
+            assert!(fleet.run_until(20 * SECOND, Fleet::is_fully_replicated));
             // Of two zones: they keep shards together.
-            let (unreachable, took) = two_end(&mut fleet, [1, 2], waits);
+            let (unreachable, elapsed) = shut_down_two(&mut fleet, [1, 2], waits_for_quorum);
             println!(
-                "seed {seed}, waits: {waits}: {unreachable} unreachable, the later end took {} ms",
-                took / 1_000
+                "seed {seed}, waits for the quorum: {waits_for_quorum}: {unreachable} unreachable, the later shutdown took {} ms",
+                elapsed / 1_000
             );
-            refused[usize::from(waits)] += unreachable;
-            assert!(took < 4 * SECOND, "{took}");
-            assert!(fleet.record.faults().is_empty());
+            unreachable_counts[usize::from(waits_for_quorum)] += unreachable;
+            assert!(elapsed < 4 * SECOND, "{elapsed}");
+            assert!(fleet.history.violations().is_empty());
         }
     }
-    assert!(refused[0] > 0 && refused[1] == 0, "{refused:?}");
+    assert!(
+        unreachable_counts[0] > 0 && unreachable_counts[1] == 0,
+        "{unreachable_counts:?}"
+    );
 }
 
 /// Shards that each front owns.
-fn owned(fleet: &Fleet) -> Vec<usize> {
-    let owned = |ledger: &Ledger| {
+fn led_shards(fleet: &Fleet) -> Vec<usize> {
+    let led_shards = |ledger: &Ledger| {
         ledger
             .replicas()
             .filter(|replica| replica.is_leader)
@@ -92,16 +99,16 @@
     fleet
         .fronts
         .iter()
-        .map(|front| front.ledger.as_ref().map_or(0, owned))
+        .map(|front| front.ledger.as_ref().map_or(0, led_shards))
         .collect()
 }
 
-fn spread(fronts: usize, shards: u16, ended: usize) {
+fn check_leader_spread(fronts: usize, shards: u16, restarted: usize) {
     let mut fleet = Fleet::new(fronts, 3, shards, 9);
     fleet.setup.repair_after = 60 * SECOND;
-    fleet.start_anew(fronts);
-    assert!(fleet.run_until(20 * SECOND, Fleet::is_whole));
-    for n in 0..ended {
+    fleet.restart_with_empty_disks(fronts);
+    assert!(fleet.run_until(20 * SECOND, Fleet::is_fully_replicated));
+    for n in 0..restarted {
         fleet.begin_shutdown(n);
         fleet.run(fleet.now + SECOND);
         fleet.kill(n);
@@ -109,26 +116,26 @@
         fleet.start(n);
         fleet.run(fleet.now + SECOND);
     }
-    let most = |fleet: &Fleet| owned(fleet).into_iter().max().unwrap_or(0);
-    let (after, since) = (most(&fleet), fleet.now);
+    let max_led = |fleet: &Fleet| led_shards(fleet).into_iter().max().unwrap_or(0);
+    let (after, since) = (max_led(&fleet), fleet.now);
     // A quarter over the fair part, or the part in whole shards.
     let bound = (usize::from(shards) * 5 / 4 / fronts).max(usize::from(shards).div_ceil(fronts));
-    let whole = fleet.run_until(60 * SECOND, |fleet| {
-        fleet.is_whole() && most(fleet) <= bound
+    let is_balanced = fleet.run_until(60 * SECOND, |fleet| {
+        fleet.is_fully_replicated() && max_led(fleet) <= bound
     });
     println!(
-        "{fronts} fronts, {shards} shards, {ended} ended: at most {after} owned, then {} of {bound}, after {} ms",
-        most(&fleet),
+        "{fronts} fronts, {shards} shards, {restarted} restarted: at most {after} led, then {} of {bound}, after {} ms",
+        max_led(&fleet),
         (fleet.now - since) / 1_000
     );
-    assert!(whole, "{:?}", owned(&fleet));
+    assert!(is_balanced, "{:?}", led_shards(&fleet));
     fleet.run(fleet.now + 5 * SECOND);
-    assert!(most(&fleet) <= bound, "{:?}", owned(&fleet));
+    assert!(max_led(&fleet) <= bound, "{:?}", led_shards(&fleet));
 }
 
 #[test]
-fn no_front_leads_over_its_fair_part_and_a_quarter_once_restarted_fronts_are_back() {
-    spread(5, 16, 5);
-    spread(5, 64, 5);
-    spread(40, 128, 8);
+fn no_front_leads_more_than_125_percent_of_its_share_after_restarts() {
+    check_leader_spread(5, 16, 5);
+    check_leader_spread(5, 64, 5);
+    check_leader_spread(40, 128, 8);
 }
--- a/crates/ledger/tests/sim/check.rs
+++ b/crates/ledger/tests/sim/check.rs
@@ -6,102 +6,114 @@
 
 /// One ask of a front, in true time.
 #[derive(Clone, Debug)]
-pub struct Op {
+pub struct RequestRecord {
     pub front: usize,
     pub incarnation: u64,
     pub number: u64,
     pub key: Key,
     pub operation: Operation,
-    pub asked: Micros,
+    pub submitted_at: Micros,
     /// Milliseconds that its front's Unix clock is ahead.
-    pub ahead: i64,
-    pub done: Option<(Micros, Outcome)>,
+    pub clock_ahead_ms: i64,
+    pub answer: Option<(Micros, Outcome)>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Record {
-    pub ops: Vec<Op>,
+pub struct History {
+    pub requests: Vec<RequestRecord>,
     /// When a front's life ended: it holds nothing any more.
-    pub died: BTreeMap<(usize, u64), Micros>,
+    pub ended_at: BTreeMap<(usize, u64), Micros>,
     /// Asks that were `Held` and told later that the key is free.
-    pub turns: BTreeSet<(usize, u64)>,
+    pub freed_keys: BTreeSet<(usize, u64)>,
 }
 
 const WALL: i64 = 1_800_000_000_000;
 
-impl Record {
-    pub fn died(&mut self, front: usize, incarnation: u64, at: Micros) {
-        self.died.insert((front, incarnation), at);
+impl History {
+    pub fn record_end(&mut self, front: usize, incarnation: u64, at: Micros) {
+        self.ended_at.insert((front, incarnation), at);
     }
 
-    pub fn answered(&mut self, front: usize, incarnation: u64, done: LedgerAnswer, at: Micros) {
-        let mut ops = self.ops.iter_mut().rev();
-        let op = ops
-            .find(|op| (op.front, op.incarnation, op.number) == (front, incarnation, done.number));
+    pub fn record_answer(
+        &mut self,
+        front: usize,
+        incarnation: u64,
+        answer: LedgerAnswer,
+        at: Micros,
+    ) {
+        let mut requests = self.requests.iter_mut().rev();
+        let op = requests.find(|op| {
+            (op.front, op.incarnation, op.number) == (front, incarnation, answer.number)
+        });
         if let Some(op) = op {
             // An ask that was unreachable and is asked again has its latest answer.
             if op
-                .done
+                .answer
                 .as_ref()
                 .is_none_or(|(_, before)| *before == Outcome::Unreachable)
             {
-                op.done = Some((at, done.outcome));
+                op.answer = Some((at, answer.outcome));
             } else {
-                self.turns.insert((front, done.number));
+                self.freed_keys.insert((front, answer.number));
             }
         }
     }
 
     pub fn outcome(&self, front: usize, incarnation: u64, number: u64) -> Option<&Outcome> {
-        let mut ops = self.ops.iter().rev();
-        let op =
-            ops.find(|op| (op.front, op.incarnation, op.number) == (front, incarnation, number));
-        op.and_then(|op| op.done.as_ref())
+        let mut requests = self.requests.iter().rev();
+        let op = requests
+            .find(|op| (op.front, op.incarnation, op.number) == (front, incarnation, number));
+        op.and_then(|op| op.answer.as_ref())
             .map(|(_, outcome)| outcome)
     }
 
     /// Everything that is wrong with it.
-    pub fn faults(&self) -> Vec<String> {
-        let mut faults = self.held_twice();
-        faults.extend(self.gone_back());
-        faults.extend(self.counted_twice());
-        faults
+    pub fn violations(&self) -> Vec<String> {
+        let mut violations = self.double_holds();
+        violations.extend(self.lost_or_stale());
+        violations.extend(self.applied_twice());
+        violations
     }
 
     /// Two fronts hold a key at a time. One holds it from its answer until it asks to free it, its end on its own
     /// clock, or its own end.
-    fn held_twice(&self) -> Vec<String> {
+    fn double_holds(&self) -> Vec<String> {
         let mut holds: BTreeMap<&Key, Vec<(Micros, Micros, usize)>> = BTreeMap::new();
-        for op in &self.ops {
+        for op in &self.requests {
             let (Operation::Claim { ends_ms, .. }, Some((from, Outcome::Stands(_)))) =
-                (&op.operation, &op.done)
+                (&op.operation, &op.answer)
             else {
                 continue;
             };
-            let mine = |other: &&Op| (other.front, other.incarnation) == (op.front, op.incarnation);
+            let is_same_incarnation = |other: &&RequestRecord| {
+                (other.front, other.incarnation) == (op.front, op.incarnation)
+            };
             // A later claim of its own goes before, whatever becomes of it.
-            let later = |o: &&Op| match o.operation {
-                Operation::Free => o.asked >= op.asked,
-                Operation::Claim { .. } => o.asked > op.asked,
+            let ends_the_hold = |o: &&RequestRecord| match o.operation {
+                Operation::Free => o.submitted_at >= op.submitted_at,
+                Operation::Claim { .. } => o.submitted_at > op.submitted_at,
                 _ => false,
             };
-            let frees = self
-                .ops
+            let later_requests = self
+                .requests
                 .iter()
-                .filter(mine)
+                .filter(is_same_incarnation)
                 .filter(|o| o.key == op.key)
-                .filter(later);
-            let freed = frees.map(|o| o.asked).min().unwrap_or(Micros::MAX);
+                .filter(ends_the_hold);
+            let freed_at = later_requests
+                .map(|o| o.submitted_at)
+                .min()
+                .unwrap_or(Micros::MAX);
             let ends = match ends_ms {
                 0 => Micros::MAX,
-                ends => (*ends as i64 - WALL - op.ahead) * 1_000,
+                ends => (*ends as i64 - WALL - op.clock_ahead_ms) * 1_000,
             };
-            let died = self
-                .died
+            let ended_at = self
+                .ended_at
                 .get(&(op.front, op.incarnation))
                 .copied()
                 .unwrap_or(Micros::MAX);
-            let until = freed.min(ends).min(died);
+            let until = freed_at.min(ends).min(ended_at);
             if *from < until {
                 holds
                     .entry(&op.key)
@@ -109,13 +121,13 @@
                     .push((*from, until, op.front));
             }
         }
-        let mut faults = Vec::new();
+        let mut violations = Vec::new();
         for (key, mut holds) in holds {
             holds.sort_unstable();
             for (n, a) in holds.iter().enumerate() {
                 for b in holds[n + 1..].iter().take_while(|b| b.0 < a.1) {
                     if a.2 != b.2 {
-                        faults.push(format!(
+                        violations.push(format!(
                             "{} is held by {} and {} at {}",
                             key.name, a.2, b.2, b.0
                         ));
@@ -123,16 +135,16 @@
                 }
             }
         }
-        faults
+        violations
     }
 
     /// What was acknowledged is lost, or something older is told later. Keys with names in `r` never end.
-    fn gone_back(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let done: Vec<(&Op, Micros, u64)> = self
-            .ops
+    fn lost_or_stale(&self) -> Vec<String> {
+        let mut violations = Vec::new();
+        let answer: Vec<(&RequestRecord, Micros, u64)> = self
+            .requests
             .iter()
-            .filter_map(|op| match &op.done {
+            .filter_map(|op| match &op.answer {
                 Some((at, Outcome::Stands(entry) | Outcome::Held(entry))) => {
                     Some((op, *at, entry.version))
                 }
@@ -140,45 +152,46 @@
             })
             .collect();
         let mut highest: BTreeMap<&Key, Vec<(Micros, u64)>> = BTreeMap::new();
-        for (op, at, version) in &done {
+        for (op, at, version) in &answer {
             highest.entry(&op.key).or_default().push((*at, *version));
         }
         let before = |key: &Key, at: Micros| {
-            highest.get(key).and_then(|told| {
-                told.iter()
-                    .filter(|(done, _)| *done < at)
+            highest.get(key).and_then(|versions| {
+                versions
+                    .iter()
+                    .filter(|(answer, _)| *answer < at)
                     .map(|(_, v)| *v)
                     .max()
             })
         };
-        for op in &self.ops {
-            let Some((_, outcome)) = &op.done else {
+        for op in &self.requests {
+            let Some((_, outcome)) = &op.answer else {
                 continue;
             };
-            let Some(known) = before(&op.key, op.asked) else {
+            let Some(known) = before(&op.key, op.submitted_at) else {
                 continue;
             };
             match outcome {
                 Outcome::Stands(entry) | Outcome::Held(entry) if entry.version < known => {
-                    faults.push(format!(
+                    violations.push(format!(
                         "{} is at {} after {known}: {op:?}",
                         op.key.name, entry.version
                     ));
                 }
                 Outcome::Absent if op.key.name.starts_with('r') => {
-                    faults.push(format!("{} is lost after {known}: {op:?}", op.key.name));
+                    violations.push(format!("{} is lost after {known}: {op:?}", op.key.name));
                 }
                 _ => {}
             }
         }
-        faults
+        violations
     }
 
     /// One put, by its value, was applied under two versions. Values tell their put.
-    fn counted_twice(&self) -> Vec<String> {
+    fn applied_twice(&self) -> Vec<String> {
         let mut versions: BTreeMap<(&Key, &[u8]), BTreeSet<u64>> = BTreeMap::new();
-        for op in &self.ops {
-            if let Some((_, Outcome::Stands(entry))) = &op.done {
+        for op in &self.requests {
+            if let Some((_, Outcome::Stands(entry))) = &op.answer {
                 if entry.key.name.starts_with('r') {
                     versions
                         .entry((&op.key, &entry.value))
@@ -187,10 +200,10 @@
                 }
             }
         }
-        let twice = versions
+        let applied_more_than_once = versions
             .into_iter()
             .filter(|(_, versions)| versions.len() > 1);
-        twice
+        applied_more_than_once
             .map(|((key, value), versions)| {
                 format!("{} {value:?} counts as {versions:?}", key.name)
             })
@@ -209,7 +222,7 @@
         }
     }
 
-    fn stands(name: &str, front: u64, version: u64, value: u8) -> Outcome {
+    fn standing(name: &str, front: u64, version: u64, value: u8) -> Outcome {
         let owner = Owner {
             front,
             incarnation: 1,
@@ -223,18 +236,24 @@
         })
     }
 
-    fn op(front: usize, name: &str, operation: Operation, asked: Micros, done: Outcome) -> Op {
-        let number = asked as u64;
-        let done = Some((asked + 10, done));
-        Op {
+    fn op(
+        front: usize,
+        name: &str,
+        operation: Operation,
+        submitted_at: Micros,
+        answer: Outcome,
+    ) -> RequestRecord {
+        let number = submitted_at as u64;
+        let answer = Some((submitted_at + 10, answer));
+        RequestRecord {
             front,
             incarnation: 1,
             number,
             key: key(name),
             operation,
-            asked,
-            ahead: 0,
-            done,
+            submitted_at,
+            clock_ahead_ms: 0,
+            answer,
         }
     }
 
@@ -253,34 +272,35 @@
         }
     }
 
-    fn faults(ops: Vec<Op>) -> Vec<String> {
-        Record {
-            ops,
-            died: BTreeMap::new(),
-            turns: BTreeSet::new(),
+    fn violations(requests: Vec<RequestRecord>) -> Vec<String> {
+        History {
+            requests,
+            ended_at: BTreeMap::new(),
+            freed_keys: BTreeSet::new(),
         }
-        .faults()
+        .violations()
     }
 
     #[test]
     fn a_key_held_twice_is_flagged_and_one_after_the_other_is_not() {
-        let first = op(1, "a", claim(WALL as u64 + 1), 0, stands("a", 1, 1, 0));
-        let second = |asked| op(2, "a", claim(0), asked, stands("a", 2, 2, 0));
-        assert!(faults(vec![first.clone(), second(1_000)]).is_empty());
-        assert!(faults(vec![first.clone(), second(500)])[0].contains("is held by 1 and 2"));
+        let first = op(1, "a", claim(WALL as u64 + 1), 0, standing("a", 1, 1, 0));
+        let second = |submitted_at| op(2, "a", claim(0), submitted_at, standing("a", 2, 2, 0));
+        assert!(violations(vec![first.clone(), second(1_000)]).is_empty());
+        assert!(violations(vec![first.clone(), second(500)])[0].contains("is held by 1 and 2"));
         let free = op(1, "a", Operation::Free, 300, Outcome::Absent);
-        assert!(faults(vec![first, free, second(500)]).is_empty());
+        assert!(violations(vec![first, free, second(500)]).is_empty());
     }
 
     #[test]
     fn a_lost_entry_a_version_gone_back_and_a_put_that_counts_twice_are_flagged() {
-        let wrote = op(1, "r", put(), 0, stands("r", 1, 5, 1));
+        let wrote = op(1, "r", put(), 0, standing("r", 1, 5, 1));
         let read = |outcome| op(2, "r", Operation::Read, 100, outcome);
-        assert!(faults(vec![wrote.clone(), read(stands("r", 1, 5, 1))]).is_empty());
-        assert!(faults(vec![wrote.clone(), read(Outcome::Absent)])[0].contains("is lost"));
+        assert!(violations(vec![wrote.clone(), read(standing("r", 1, 5, 1))]).is_empty());
+        assert!(violations(vec![wrote.clone(), read(Outcome::Absent)])[0].contains("is lost"));
         assert!(
-            faults(vec![wrote.clone(), read(stands("r", 1, 4, 9))])[0].contains("is at 4 after 5")
+            violations(vec![wrote.clone(), read(standing("r", 1, 4, 9))])[0]
+                .contains("is at 4 after 5")
         );
-        assert!(faults(vec![wrote, read(stands("r", 1, 6, 1))])[0].contains("counts as"));
+        assert!(violations(vec![wrote, read(standing("r", 1, 6, 1))])[0].contains("counts as"));
     }
 }
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -6,7 +6,7 @@
 mod queries;
 use std::collections::{BTreeMap, VecDeque};
 
-use check::{Op, Record};
+use check::{History, RequestRecord};
 use hallmux_ledger::{
     ClockReading, FrontId, Key, Kind, Ledger, LedgerRequest, Member, Micros, Operation,
     OutgoingPacket, Output, Save, Saved, Setup,
@@ -24,14 +24,14 @@
     pub disk: BTreeMap<Vec<u8>, Vec<u8>>,
     pub disk_id: u64,
     saves: VecDeque<(Micros, Save)>,
-    pub stopped: bool,
+    pub is_stalled: bool,
     /// Milliseconds that its Unix clock is ahead.
-    pub ahead: i64,
+    pub clock_ahead_ms: i64,
     pub incarnation: u64,
-    next: u64,
+    next_number: u64,
     /// Saves take up to so long; one of so many fails.
-    pub slow: Micros,
-    pub fails: bool,
+    pub max_save_time: Micros,
+    pub saves_fail: bool,
     /// The format of packets of its build.
     pub format: u8,
 }
@@ -40,21 +40,21 @@
     pub fronts: Vec<Front>,
     pub setup: Setup,
     pub now: Micros,
-    pub chance: Pcg64Mcg,
-    mail: BTreeMap<(Micros, u64), (usize, usize, Vec<u8>)>,
-    posted: u64,
-    pub lost: f64,
-    pub doubled: f64,
-    pub late: f64,
+    pub rng: Pcg64Mcg,
+    in_transit: BTreeMap<(Micros, u64), (usize, usize, Vec<u8>)>,
+    packets_sent: u64,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
+    pub delay_rate: f64,
     /// Letters from the first to the second do not come.
-    pub cut: Vec<(usize, usize)>,
-    pub record: Record,
+    pub cut_links: Vec<(usize, usize)>,
+    pub history: History,
     pub bytes: u64,
     next_disk: u64,
     /// Takes a safety rule out: packets and answers leave before what they rest on is lasting.
     pub answers_before_saves: bool,
     /// Takes a safety rule out: an emptied disk keeps its identity.
-    pub same_disk: bool,
+    pub reuse_disk_identity: bool,
 }
 
 pub fn id(n: usize) -> FrontId {
@@ -70,32 +70,32 @@
             fronts: Vec::new(),
             setup,
             now: 0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            mail: BTreeMap::new(),
-            posted: 0,
-            lost: 0.0,
-            doubled: 0.0,
-            late: 0.02,
-            cut: Vec::new(),
-            record: Record::default(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            in_transit: BTreeMap::new(),
+            packets_sent: 0,
+            loss_rate: 0.0,
+            duplication_rate: 0.0,
+            delay_rate: 0.02,
+            cut_links: Vec::new(),
+            history: History::default(),
             bytes: 0,
             next_disk: 1,
             answers_before_saves: false,
-            same_disk: false,
+            reuse_disk_identity: false,
         };
         for n in 0..fronts {
-            let ahead = fleet.chance.random_range(-100..=100);
+            let clock_ahead_ms = fleet.rng.random_range(-100..=100);
             fleet.fronts.push(Front {
                 ledger: None,
                 disk: BTreeMap::new(),
                 disk_id: n as u64 + 1_000,
                 saves: VecDeque::new(),
-                stopped: false,
-                ahead,
+                is_stalled: false,
+                clock_ahead_ms,
                 incarnation: 0,
-                next: 1,
-                slow: 4_000,
-                fails: false,
+                next_number: 1,
+                max_save_time: 4_000,
+                saves_fail: false,
                 format: hallmux_ledger::FORMAT,
             });
             fleet.start(n);
@@ -116,36 +116,36 @@
     pub fn set_members(&mut self, members: Vec<Member>) {
         self.setup.members.clone_from(&members);
         for n in 0..self.fronts.len() {
-            let at = self.at(n);
+            let clock = self.clock(n);
             let ledger = self.fronts[n].ledger.as_mut();
             ledger
                 .into_iter()
-                .for_each(|ledger| ledger.set_members(at, members.clone()).unwrap());
+                .for_each(|ledger| ledger.set_members(clock, members.clone()).unwrap());
         }
     }
 
     /// What gossip says to each.
     pub fn set_health(&mut self, up: &[usize], away: &[usize]) {
-        let ids = |of: &[usize]| -> Vec<FrontId> { of.iter().map(|n| id(*n)).collect() };
+        let ids = |replica: &[usize]| -> Vec<FrontId> { replica.iter().map(|n| id(*n)).collect() };
         for n in 0..self.fronts.len() {
-            let at = self.at(n);
+            let clock = self.clock(n);
             let ledger = self.fronts[n].ledger.as_mut();
             ledger
                 .into_iter()
-                .for_each(|ledger| ledger.set_health(at, &ids(up), &ids(away)));
+                .for_each(|ledger| ledger.set_health(clock, &ids(up), &ids(away)));
         }
     }
 
     /// Shards that move now.
-    pub fn moving(&self) -> usize {
+    pub fn moving_replicas(&self) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
         ledgers
             .map(|ledger| ledger.counters().moving_replicas)
             .sum()
     }
 
-    pub fn at(&self, n: usize) -> ClockReading {
-        let wall = WALL as i64 + self.now / 1_000 + self.fronts[n].ahead;
+    pub fn clock(&self, n: usize) -> ClockReading {
+        let wall = WALL as i64 + self.now / 1_000 + self.fronts[n].clock_ahead_ms;
         ClockReading {
             steady: self.now + n as Micros * 1_000 * SECOND,
             wall_ms: wall as u64,
@@ -154,56 +154,57 @@
 
     /// Starts a front, anew where it ran before, with what is lasting on its disk.
     pub fn start(&mut self, n: usize) {
-        let at = self.at(n);
+        let clock = self.clock(n);
         let mut setup = self.setup.clone();
         let front = &mut self.fronts[n];
-        front.incarnation = at.wall_ms;
-        (setup.local_front, setup.incarnation, setup.disk) = (id(n), at.wall_ms, front.disk_id);
+        front.incarnation = clock.wall_ms;
+        (setup.local_front, setup.incarnation, setup.disk) = (id(n), clock.wall_ms, front.disk_id);
         setup.format = front.format;
         let saved = Saved(front.disk.clone().into_iter().collect());
         let saved = (!saved.0.is_empty()).then_some(saved);
-        front.ledger = Some(Ledger::new(at, setup, saved).expect("what was saved is whole"));
-        (front.stopped, front.fails) = (false, false);
-        self.drain(n);
+        front.ledger = Some(Ledger::new(clock, setup, saved).expect("what was saved is whole"));
+        (front.is_stalled, front.saves_fail) = (false, false);
+        self.collect_output(n);
     }
 
     /// The first of all fronts start with what is set up now, on empty disks, in a later life.
-    pub fn start_anew(&mut self, many: usize) {
-        (0..self.fronts.len()).for_each(|n| self.lose(n));
-        self.mail.clear();
+    pub fn restart_with_empty_disks(&mut self, many: usize) {
+        (0..self.fronts.len()).for_each(|n| self.lose_disk(n));
+        self.in_transit.clear();
         self.now += SECOND;
         (0..many).for_each(|n| self.start(n));
     }
 
     /// The front is told to end: it hands over what it owns.
     pub fn begin_shutdown(&mut self, n: usize) {
-        let at = self.at(n);
+        let clock = self.clock(n);
         self.fronts[n]
             .ledger
             .iter_mut()
-            .for_each(|ledger| ledger.begin_shutdown(at));
-        self.drain(n);
+            .for_each(|ledger| ledger.begin_shutdown(clock));
+        self.collect_output(n);
     }
 
     /// The front is gone with what is not lasting yet.
     pub fn kill(&mut self, n: usize) {
         self.fronts[n].ledger = None;
         self.fronts[n].saves.clear();
-        self.record.died(n, self.fronts[n].incarnation, self.now);
+        self.history
+            .record_end(n, self.fronts[n].incarnation, self.now);
     }
 
     /// It is gone with its disk.
-    pub fn lose(&mut self, n: usize) {
+    pub fn lose_disk(&mut self, n: usize) {
         self.kill(n);
         self.fronts[n].disk.clear();
-        if !self.same_disk {
+        if !self.reuse_disk_identity {
             self.next_disk += 1;
             self.fronts[n].disk_id = self.next_disk;
         }
     }
 
     pub fn is_up(&self, n: usize) -> bool {
-        self.fronts[n].ledger.is_some() && !self.fronts[n].stopped
+        self.fronts[n].ledger.is_some() && !self.fronts[n].is_stalled
     }
 
     /// Cuts the fronts of one side off from all others.
@@ -211,33 +212,34 @@
         for a in 0..self.fronts.len() {
             for b in 0..self.fronts.len() {
                 if side.contains(&a) != side.contains(&b) {
-                    self.cut.push((a, b));
+                    self.cut_links.push((a, b));
                 }
             }
         }
     }
 
     /// Asks; the number, to be asked again.
-    pub fn ask(&mut self, n: usize, key: &str, operation: Operation) -> u64 {
-        let number = self.fronts[n].next;
-        self.fronts[n].next += 1;
+    pub fn submit(&mut self, n: usize, key: &str, operation: Operation) -> u64 {
+        let number = self.fronts[n].next_number;
+        self.fronts[n].next_number += 1;
         let key = Key {
             kind: Kind::Order,
             name: key.to_string(),
         };
-        let (front, incarnation, ahead) = (n, self.fronts[n].incarnation, self.fronts[n].ahead);
-        let asked = self.now;
-        self.record.ops.push(Op {
+        let (front, incarnation, clock_ahead_ms) =
+            (n, self.fronts[n].incarnation, self.fronts[n].clock_ahead_ms);
+        let submitted_at = self.now;
+        self.history.requests.push(RequestRecord {
             front,
             incarnation,
             number,
             key: key.clone(),
             operation: operation.clone(),
-            asked,
-            ahead,
-            done: None,
+            submitted_at,
+            clock_ahead_ms,
+            answer: None,
         });
-        self.repeat(
+        self.resubmit(
             n,
             LedgerRequest {
                 number,
@@ -248,15 +250,15 @@
         number
     }
 
-    pub fn repeat(&mut self, n: usize, ask: LedgerRequest) {
-        let at = self.at(n);
+    pub fn resubmit(&mut self, n: usize, request: LedgerRequest) {
+        let clock = self.clock(n);
         if let Some(ledger) = &mut self.fronts[n].ledger {
-            ledger.submit(at, ask);
+            ledger.submit(clock, request);
         }
-        self.drain(n);
+        self.collect_output(n);
     }
 
-    fn drain(&mut self, n: usize) {
+    fn collect_output(&mut self, n: usize) {
         let Some(ledger) = &mut self.fronts[n].ledger else {
             return;
         };
@@ -266,24 +268,27 @@
             answers,
         } = ledger.take_output();
         for done in answers {
-            self.record
-                .answered(n, self.fronts[n].incarnation, done, self.now);
+            self.history
+                .record_answer(n, self.fronts[n].incarnation, done, self.now);
         }
-        self.deliver(n, packets);
+        self.transmit(n, packets);
         for mut save in saves {
             if self.answers_before_saves {
                 let packets = std::mem::take(&mut save.packets);
-                self.deliver(n, packets);
-                let at = self.at(n);
+                self.transmit(n, packets);
+                let clock = self.clock(n);
                 let number = save.number;
                 let ledger = self.fronts[n].ledger.as_mut();
                 ledger
                     .into_iter()
-                    .for_each(|ledger| ledger.saved(at, number, true));
+                    .for_each(|ledger| ledger.saved(clock, number, true));
             }
-            let slow = self.fronts[n].slow.max(1);
-            let takes = self.chance.random_range(0..slow);
-            let after = self.fronts[n].saves.back().map_or(self.now, |(at, _)| *at);
+            let max_save_time = self.fronts[n].max_save_time.max(1);
+            let takes = self.rng.random_range(0..max_save_time);
+            let after = self.fronts[n]
+                .saves
+                .back()
+                .map_or(self.now, |(done_at, _)| *done_at);
             // Saves that wait are made lasting together.
             self.fronts[n]
                 .saves
@@ -296,16 +301,19 @@
                 .map(Ledger::take_output)
                 .unwrap_or_default();
             more.answers.into_iter().for_each(|done| {
-                self.record
-                    .answered(n, self.fronts[n].incarnation, done, self.now);
+                self.history
+                    .record_answer(n, self.fronts[n].incarnation, done, self.now);
             });
-            self.deliver(n, more.packets);
+            self.transmit(n, more.packets);
             for save in more.saves {
-                self.deliver(n, save.packets.clone());
-                let after = self.fronts[n].saves.back().map_or(self.now, |(at, _)| *at);
-                let slow = self.fronts[n].slow;
+                self.transmit(n, save.packets.clone());
+                let after = self.fronts[n]
+                    .saves
+                    .back()
+                    .map_or(self.now, |(done_at, _)| *done_at);
+                let max_save_time = self.fronts[n].max_save_time;
                 self.fronts[n].saves.push_back((
-                    after.max(self.now + slow),
+                    after.max(self.now + max_save_time),
                     Save {
                         packets: Vec::new(),
                         ..save
@@ -315,43 +323,43 @@
         }
     }
 
-    fn deliver(&mut self, from: usize, packets: Vec<OutgoingPacket>) {
+    fn transmit(&mut self, from: usize, packets: Vec<OutgoingPacket>) {
         for OutgoingPacket { to, bytes } in packets {
             let to = (to - 100) as usize;
             assert!(bytes.len() <= 1_040);
             self.bytes += bytes.len() as u64;
-            for _ in 0..1 + usize::from(self.chance.random_bool(self.doubled)) {
-                if self.cut.contains(&(from, to)) || self.chance.random_bool(self.lost) {
+            for _ in 0..1 + usize::from(self.rng.random_bool(self.duplication_rate)) {
+                if self.cut_links.contains(&(from, to)) || self.rng.random_bool(self.loss_rate) {
                     continue;
                 }
-                let late = if self.chance.random_bool(self.late) {
+                let max_delay = if self.rng.random_bool(self.delay_rate) {
                     200_000
                 } else {
                     8_000
                 }; // out of order
-                self.posted += 1;
-                let at = self.now + self.chance.random_range(500..late);
-                self.mail
-                    .insert((at, self.posted), (from, to, bytes.clone()));
+                self.packets_sent += 1;
+                let arrival = self.now + self.rng.random_range(500..max_delay);
+                self.in_transit
+                    .insert((arrival, self.packets_sent), (from, to, bytes.clone()));
             }
         }
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        while let Some(((at, _), _)) = self.mail.first_key_value() {
-            if *at > self.now {
+        while let Some(((arrival, _), _)) = self.in_transit.first_key_value() {
+            if *arrival > self.now {
                 break;
             }
-            let Some((_, (from, to, bytes))) = self.mail.pop_first() else {
+            let Some((_, (from, to, bytes))) = self.in_transit.pop_first() else {
                 break;
             };
-            let moment = self.at(to);
+            let reading = self.clock(to);
             if self.is_up(to) {
                 if let Some(ledger) = &mut self.fronts[to].ledger {
-                    ledger.receive(moment, id(from), &bytes);
+                    ledger.receive(reading, id(from), &bytes);
                 }
-                self.drain(to);
+                self.collect_output(to);
             }
         }
         for n in 0..self.fronts.len() {
@@ -361,45 +369,45 @@
             while self.fronts[n]
                 .saves
                 .front()
-                .is_some_and(|(at, _)| *at <= self.now)
+                .is_some_and(|(done_at, _)| *done_at <= self.now)
             {
                 let Some((_, save)) = self.fronts[n].saves.pop_front() else {
                     break;
                 };
                 self.complete_save(n, save);
             }
-            let at = self.at(n);
+            let clock = self.clock(n);
             if let Some(ledger) = self.fronts[n]
                 .ledger
                 .as_mut()
-                .filter(|ledger| ledger.due() <= at.steady)
+                .filter(|ledger| ledger.due() <= clock.steady)
             {
-                ledger.tick(at);
+                ledger.tick(clock);
             }
-            self.drain(n);
+            self.collect_output(n);
         }
     }
 
     fn complete_save(&mut self, n: usize, save: Save) {
-        let ok = !self.fronts[n].fails;
+        let ok = !self.fronts[n].saves_fail;
         if ok {
-            for record in save.records {
-                match record.bytes {
-                    Some(bytes) => self.fronts[n].disk.insert(record.name, bytes),
-                    None => self.fronts[n].disk.remove(&record.name),
+            for history in save.records {
+                match history.bytes {
+                    Some(bytes) => self.fronts[n].disk.insert(history.name, bytes),
+                    None => self.fronts[n].disk.remove(&history.name),
                 };
             }
-            self.deliver(n, save.packets);
+            self.transmit(n, save.packets);
         }
-        let at = self.at(n);
+        let clock = self.clock(n);
         if let Some(ledger) = self.fronts[n]
             .ledger
             .as_mut()
             .filter(|_| !self.answers_before_saves)
         {
-            ledger.saved(at, save.number, ok);
+            ledger.saved(clock, save.number, ok);
         }
-        self.drain(n);
+        self.collect_output(n);
     }
 
     pub fn run(&mut self, until: Micros) {
@@ -409,11 +417,11 @@
     }
 
     /// Until it holds, or so long.
-    pub fn run_until(&mut self, most: Micros, holds: impl Fn(&Fleet) -> bool) -> bool {
-        let until = self.now + most;
-        while !holds(self) && self.now < until {
+    pub fn run_until(&mut self, max_duration: Micros, condition: impl Fn(&Fleet) -> bool) -> bool {
+        let until = self.now + max_duration;
+        while !condition(self) && self.now < until {
             self.step();
         }
-        holds(self)
+        condition(self)
     }
 }
--- a/crates/ledger/tests/sim/queries.rs
+++ b/crates/ledger/tests/sim/queries.rs
@@ -7,12 +7,12 @@
 impl Fleet {
     /// The answer to an ask of a front in its present incarnation.
     pub fn outcome(&self, n: usize, number: u64) -> Option<&Outcome> {
-        self.record.outcome(n, self.fronts[n].incarnation, number)
+        self.history.outcome(n, self.fronts[n].incarnation, number)
     }
 
     /// Asks and waits for the answer.
-    pub fn get(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
-        let number = self.ask(n, key, operation);
+    pub fn request(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
+        let number = self.submit(n, key, operation);
         self.run_until(2 * SECOND, |fleet| fleet.outcome(n, number).is_some());
         self.outcome(n, number)
             .cloned()
@@ -20,9 +20,9 @@
     }
 
     /// The same, asked under new numbers until a majority answers.
-    pub fn get_until_answered(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
+    pub fn request_until_answered(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
         for _ in 0..20 {
-            match self.get(n, key, operation.clone()) {
+            match self.request(n, key, operation.clone()) {
                 Outcome::Unreachable => {}
                 outcome => return outcome,
             }
@@ -37,8 +37,8 @@
             .flat_map(|ledger| {
                 ledger
                     .replicas()
-                    .filter(|of| of.shard == shard)
-                    .map(|of| of.config)
+                    .filter(|replica| replica.shard == shard)
+                    .map(|replica| replica.config)
             })
             .collect();
         let latest = configs.iter().max();
@@ -49,12 +49,12 @@
     }
 
     /// Whether each shard has all its replicas and a leader.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_replicated(&self) -> bool {
         let is_led = |shard| {
             let fronts = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
             fronts
                 .flat_map(Ledger::replicas)
-                .any(|of| of.shard == shard && of.is_leader)
+                .any(|replica| replica.shard == shard && replica.is_leader)
         };
         (0..self.setup.shards).all(|shard| {
             self.replica_count(shard) == self.setup.replication_factor && is_led(shard)
@@ -73,8 +73,8 @@
         let leads = |ledger: &Ledger| {
             ledger
                 .replicas()
-                .filter(|of| of.shard == shard && of.is_leader)
-                .map(|of| of.config)
+                .filter(|replica| replica.shard == shard && replica.is_leader)
+                .map(|replica| replica.config)
                 .max()
         };
         (0..self.fronts.len())
