--- a/crates/ledger/src/balance_tests.rs
+++ b/crates/ledger/src/balance_tests.rs
@@ -11,7 +11,7 @@
         .collect()
 }
 
-/// Copies of each front, none left out.
+/// The number of replicas on each front, 0 included.
 fn loads(members: &[Member], placed: &[Vec<FrontId>]) -> BTreeMap<FrontId, usize> {
     let mut loads: BTreeMap<FrontId, usize> =
         members.iter().map(|member| (member.front, 0)).collect();
@@ -22,7 +22,7 @@
     loads
 }
 
-/// Copies that lie elsewhere.
+/// The number of replicas that `after` places on other fronts than `before`.
 fn moved(before: &[Vec<FrontId>], after: &[Vec<FrontId>]) -> usize {
     let new = |(a, b): (&Vec<FrontId>, &Vec<FrontId>)| {
         b.iter().filter(|front| !a.contains(front)).count()
@@ -30,8 +30,8 @@
     before.iter().zip(after).map(new).sum()
 }
 
-/// The worst load over the fair part, where zones are alike, and of copies whose shard has another
-/// in their zone.
+/// The highest load relative to the fair share of zones of equal size, and the number of replicas
+/// that share a zone with another replica of their shard.
 fn worst_load(members: &[Member], placed: &[Vec<FrontId>], shards: usize) -> (f64, usize) {
     let fair = (shards * 3) as f64 / members.len() as f64;
     let max_load = loads(members, placed)
@@ -68,8 +68,8 @@
         let placed_all = placed(&all, 3, shards);
         let (load, in_same_zone) = worst_load(&all, &placed_all, shards.into());
         let fair = f64::from(shards) * 3.0 / n as f64;
-        // Of whole copies; a zone that is a front larger than another leaves its fronts a little
-        // less.
+        // Loads are whole replicas. Fronts of a zone that has one front more than the others hold
+        // slightly fewer.
         assert!(
             load <= 1.25 || (load * fair).round() <= fair.ceil() + 1.0,
             "{n}: {load}"
@@ -78,7 +78,7 @@
         assert!(placed_all
             .iter()
             .all(|fronts| fronts.iter().collect::<BTreeSet<_>>().len() == 3));
-        // Each of some joins and, the other way round, leaves.
+        // Each of these members is removed from the full list, and added to it again.
         let (mut joined, mut left, mut min_moves) = (0, 0, 0);
         for changed_member in all.iter().take(8) {
             let fewer: Vec<Member> = all
@@ -137,7 +137,7 @@
                     .all(|fronts| in_zones(fronts) == distinct_zones),
                 "{sizes:?} {copies}"
             );
-            // Within a zone the load is even.
+            // The load within a zone is even.
             let loads = loads(&all, &placed);
             for z in 1..=sizes.len() as u64 {
                 let fronts: Vec<usize> = loads
--- a/crates/ledger/src/bootstrap_tests.rs
+++ b/crates/ledger/src/bootstrap_tests.rs
@@ -49,7 +49,7 @@
         bootstrap.next_step(local, &placed, &placed),
         Step::Wait
     ));
-    // The third has lost its disk meanwhile: what was agreed with the first disk no longer counts.
+    // The third front has lost its disk: what was agreed with its first disk no longer counts.
     bootstrap.record_offer(replica(3, 31, 6), &[]);
     let Step::Agree(later) = bootstrap.next_step(local, &placed, &placed) else {
         panic!()
@@ -64,7 +64,7 @@
     assert!(
         matches!(bootstrap.next_step(local, &placed, &placed), Step::Start(members) if members.len() == 3)
     );
-    // Come back itself, with what it agreed to: the earlier disk counts for nothing.
+    // After a restart with its saved agreement, the front still ignores the earlier disk.
     let mut restarted = Bootstrap::new(later.clone());
     restarted.record_offer(replica(2, 20, 5), &later);
     restarted.record_offer(replica(3, 30, 5), &agreed);
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Every message of the first format, and what is kept, byte by byte as the first build writes it.
+/// Every message, packet and record of the first format, encoded as the first build writes them.
 fn first_format() -> Vec<(&'static str, Vec<u8>)> {
     let agreed = vec![ReplicaIncarnation {
         id: member(),
@@ -205,7 +205,7 @@
         println!("{}", now.join("\n"));
     }
     assert_eq!(now, recorded);
-    // And is read again as what it was.
+    // The recorded bytes are decoded to the same values.
     for (label, bytes) in first_format() {
         let reencoded = match label {
             "message" => decode::<LedgerMessage>(&bytes).map(|message| encode(&message)),
@@ -233,7 +233,7 @@
                 .introduction(2 * INTRODUCTION_INTERVAL, 2, 7)
                 .is_none()
     );
-    // A packet of it that was under way changes nothing; a life of an earlier build does.
+    // An old packet that arrives late changes nothing; an incarnation of an earlier build does.
     formats.record_format(7, 5, 1);
     assert_eq!(formats.common_format(2, 7), 2);
     formats.record_format(7, 6, 1);
@@ -247,7 +247,8 @@
     assert_eq!(formats.common_format(2, 7), 1);
 }
 
-/// What the third format says: the same, each with its format before it.
+/// The same kinds of data in the third format, which names the format, and the messages that later
+/// formats add.
 fn third_format() -> Vec<(&'static str, Vec<u8>)> {
     let explicit = |format, next| Batch {
         tail: Tail::Explicit { format, next },
@@ -310,7 +311,7 @@
                     decode::<Batch>(&bytes).map(|batch| encode(&batch)),
                     Some(bytes.clone())
                 );
-                // The format stands before the one member that comes next.
+                // The format precedes the single member of the next configuration.
                 let at = bytes.len() - 6;
                 bytes[at] = FORMAT + 1;
                 decode::<Batch>(&bytes).is_none()
@@ -357,7 +358,7 @@
     });
     assert_eq!(found(FORMAT + 1, vec![]), version);
     assert_eq!(found(3, vec![explicit(FORMAT + 1)]), version);
-    // A bit that has flipped is damage, whatever format it says.
+    // A flipped bit is reported as damage, whatever format the record names.
     let mut flipped = explicit(FORMAT + 1);
     flipped.bytes.iter_mut().for_each(|bytes| bytes[9] ^= 4);
     assert!(matches!(
--- a/crates/ledger/src/key_queues_tests.rs
+++ b/crates/ledger/src/key_queues_tests.rs
@@ -50,7 +50,7 @@
     assert!(!queues.is_reserved_for_another(1, &claim(4, 30), 0));
     assert_eq!(fronts(queues.waiters_to_notify(2, |_| true)), [(2, 11)]);
     assert_eq!(fronts(queues.waiters_to_notify(3, |_| true)), []);
-    // Whoever comes now is behind it, but never for long.
+    // Other requests are deferred now, for at most `MAX_DEFERRAL`.
     assert!(
         queues.is_reserved_for_another(4, &claim(4, 30), 4)
             && queues.is_reserved_for_another(4, &claim(3, 21), 4)
@@ -60,7 +60,8 @@
     queues.record(5, &claim(2, 12), &Outcome::Stands(entry(2)));
     assert!(!queues.is_reserved_for_another(5, &claim(4, 30), 4));
     assert_eq!(fronts(queues.waiters_to_notify(6, |_| true)), [(3, 20)]);
-    // One that does not come lets the next go before, and one that no longer asks loses its place.
+    // A notified front that does not claim the key is overtaken by the next one, and a front that
+    // stops requesting loses its place.
     queues.record(7, &claim(4, 30), &held);
     assert_eq!(
         fronts(queues.waiters_to_notify(6 + RESERVATION_TIME, |_| true)),
--- a/crates/ledger/src/pacer.rs
+++ b/crates/ledger/src/pacer.rs
@@ -1,7 +1,7 @@
 //! Limits the rate of long messages in bytes per second.
 //!
 //! Unlike gossip's `TokenBucket`, which starts full, holds a second's worth and rejects what it
-//! can't cover, this one starts empty, holds a tenth of a second's worth, and tells when the next
+//! can't cover, this one starts empty, holds a tenth of a second's worth, and reports when the next
 //! packet may be sent, so that long messages are sent evenly.
 
 use crate::packet_limits::PACKET_BYTES;
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -77,7 +77,7 @@
         panic!()
     };
     assert!(later.version > first.version && later.owner.front == 2);
-    // Time never runs back, whoever proposes.
+    // The state's clock never runs back, whoever proposes.
     assert_eq!(
         apply_one(&mut state, 1_000, command(1, 4, "a", Operation::Free)),
         Outcome::Held(later)
@@ -106,7 +106,8 @@
         apply_one(&mut state, 1_000, command(1, 2, "a", Operation::Free)),
         Outcome::Absent
     );
-    // A late copy of the first takes nothing again, and is not told as if it stood; of what was held neither.
+    // A late duplicate of the first claim does not claim the key again and is not answered as if it
+    // held it; the duplicate of the held claim neither.
     assert_eq!(
         apply_one(&mut state, 1_000, command(1, 1, "a", claim(0))),
         Outcome::Absent
@@ -119,7 +120,7 @@
         apply_one(&mut state, 1_000, command(1, 3, "a", Operation::Read)),
         Outcome::Absent
     );
-    // Once it may be forgotten, it counts for nothing.
+    // Once its answer is no longer retained, a repeated request has no effect.
     let end = 1_000 + ANSWER_RETENTION_MS;
     assert_eq!(
         apply_one(&mut state, end, command(1, 1, "a", claim(0))),
@@ -214,7 +215,7 @@
         apply_one(&mut state, 1_000, command(1, 13, "more", claim(0))),
         Outcome::Stands(_)
     ));
-    // What has ended leaves its room.
+    // Expired entries free their space.
     apply_one(&mut state, 2_000, command(1, 14, "x", Operation::Read));
     assert_eq!(
         (state.len(), state.bytes()),
--- a/crates/ledger/src/transport_tests.rs
+++ b/crates/ledger/src/transport_tests.rs
@@ -117,7 +117,8 @@
             "{fragments_lost}"
         );
     }
-    // One that never hears it is reminded for a while, then the message is forgotten.
+    // A receiver that never acknowledges is sent reminders for a while, then the message is
+    // abandoned.
     let mut sender = transport(1);
     sender.send(at(0), 2, &long(3_000), Pace::Log(3));
     let sent: usize = (0..1_200)
--- a/crates/ledger/tests/anti_entropy.rs
+++ b/crates/ledger/tests/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! A copy that has lost a write without a sign of it: found, told and mended, though its disk gives what it once took.
+//! A replica whose disk silently lost a write, so that an older record with a valid checksum comes
+//! back, is found by comparison and repaired.
 
 mod sim;
 
@@ -13,7 +14,7 @@
     }
 }
 
-/// What a shard's snapshot is kept as.
+/// The record of a shard's snapshot.
 fn snapshot(fleet: &Fleet, n: usize) -> (Vec<u8>, Vec<u8>) {
     let mut records = fleet.fronts[n]
         .disk
@@ -60,12 +61,13 @@
         }
         fleet.run(fleet.now + SECOND);
         assert_ne!(snapshot(&fleet, n), before);
-        // All that the record's write took is as if it had never been; its checksum is right.
+        // The disk holds the old snapshot record again, with a valid checksum, as if the later
+        // write had never happened.
         fleet.kill(n);
         fleet.fronts[n].disk.insert(before.0, before.1);
         fleet.start(n);
         if on_leader {
-            // It owns the shard again before anybody has compared.
+            // The front leads the shard again before any comparison has run.
             let others: Vec<usize> = (0..3).filter(|k| *k != n).collect();
             assert!(fleet.run_until(5 * SECOND, Fleet::is_fully_replicated));
             others.iter().for_each(|k| fleet.begin_shutdown(*k));
@@ -86,7 +88,8 @@
         let (differing, repaired) = comparison_counts(&fleet);
         println!("on the leader: {on_leader}: {differing} differing, {repaired} repaired");
         assert!(differing >= 1 && repaired == 1, "{differing} {repaired}");
-        // It is lasting: the mended copy tells the same after a restart, as the only one that is left beside another.
+        // The repair is durable: after a restart, and with one of the other replicas down, the
+        // repaired replica serves the latest values.
         fleet.kill(n);
         fleet.start(n);
         fleet.run(fleet.now + 2 * SECOND);
--- a/crates/ledger/tests/key_queues.rs
+++ b/crates/ledger/tests/key_queues.rs
@@ -1,4 +1,5 @@
-//! Fronts that want one key of each other all the time: with the word that it is free, and by asking again alone.
+//! Fronts that compete for one key all the time: with notifications that the key is free, and by
+//! polling only.
 
 mod sim;
 
@@ -7,8 +8,10 @@
 
 const WALL: i64 = 1_800_000_000_000;
 const MS: Micros = 1_000;
-const HOLD_TIME: Micros = 30 * MS; // microseconds for which each has it
-const MIN_RETRY_INTERVAL: Micros = 40 * MS; // as the gate asks again
+/// Microseconds for which a front holds the key.
+const HOLD_TIME: Micros = 30 * MS;
+/// Bounds in microseconds of the backoff between claims, as the ledger barrier uses them.
+const MIN_RETRY_INTERVAL: Micros = 40 * MS;
 const MAX_RETRY_INTERVAL: Micros = 320 * MS;
 
 enum Phase {
@@ -25,7 +28,8 @@
     waits: Vec<Micros>,
 }
 
-/// How long each of five fronts waited for the key, each time; `format` 2 knows no word that it is free.
+/// Lets five fronts compete for a key and returns each front's waits for it. With `format` 2 the
+/// fronts are not notified of the free key.
 fn run_contending_fronts(format: u8, seconds: i64) -> Vec<Vec<Micros>> {
     let mut fleet = Fleet::new(5, 3, 1, 7);
     fleet
@@ -97,7 +101,8 @@
     fronts.into_iter().map(|front| front.waits).collect()
 }
 
-/// Times that the key was had, the middle wait, the longest, and the fewest and most times of any front.
+/// The number of grants, the median and the longest wait, and the fewest and most grants of a
+/// front.
 fn summarize(waits: &[Vec<Micros>]) -> (usize, Micros, Micros, usize, usize) {
     let mut all: Vec<Micros> = waits.iter().flatten().copied().collect();
     all.sort_unstable();
@@ -121,7 +126,7 @@
         "polling: {polling:?}, notified: {notified:?} (grants, median and longest wait in us, fewest and most grants of a front)"
     );
     let (grants, median, longest, fewest, most_grants) = notified;
-    // Four others go before, each with its work and two rounds.
+    // Four other fronts go first, each with its hold time and two rounds.
     assert!(
         longest < 4 * median && most_grants < 2 * fewest && grants > 200,
         "{notified:?}"
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! Promises among fronts that are cut apart, stopped, killed and emptied, over a network that loses, doubles and
-//! reorders packets.
+//! Requests among fronts that are partitioned, stalled, killed or lose their disks, over a network
+//! that loses, duplicates and reorders packets.
 
 mod sim;
 
@@ -79,7 +79,8 @@
     assert_no_violations(&fleet);
 }
 
-/// All lose their power at once, with whatever was not lasting: of disks that take 2 s.
+/// All fronts lose power at once, and with it everything that is not durable, on disks that take up
+/// to 2 s per save.
 fn violations_after_power_loss(answers_before_saves: bool) -> Vec<String> {
     let mut fleet = replicated_fleet(3, 3, 1, 3);
     fleet.answers_before_saves = answers_before_saves;
@@ -118,7 +119,7 @@
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     fleet.fronts[leader].is_stalled = true;
     fleet.request_until_answered(others[0], "r", put(2));
-    // It wakes and is asked at once, before it has heard of anything.
+    // The resumed leader is asked at once, before it has received any packet.
     fleet.fronts[leader].is_stalled = false;
     let Outcome::Stands(entry) = fleet.request_until_answered(leader, "r", Operation::Read) else {
         panic!()
@@ -144,7 +145,8 @@
         "{}",
         fleet.now - submitted_at
     );
-    // The other side goes on; the ask asked again after the cut stands once, and the later write after it.
+    // The majority continues. The request repeated after the cut is applied once, and the later
+    // write after it.
     fleet.request_until_answered(cut_fronts[1], "r", put(2));
     fleet.cut_links.clear();
     let key = hallmux_ledger::Key {
@@ -237,10 +239,10 @@
     fleet.start(lost);
     let started_at = fleet.now;
     assert!(fleet.run_until(60 * SECOND, Fleet::is_fully_replicated));
-    // 270 KB at 64 KB a second.
+    // 270 KB at 64 KB per second.
     let elapsed = fleet.now - started_at;
     assert!((3 * SECOND..12 * SECOND).contains(&elapsed), "{elapsed}");
-    // Cut off for long, a member is brought on by its log alone.
+    // A member that was cut off for long catches up from the log.
     fleet.cut_off(&[lost]);
     for n in 0..150u64 {
         fleet.request_until_answered((lost + 1) % 3, &format!("r{n}"), put(n));
@@ -256,7 +258,7 @@
     assert_no_violations(&fleet);
 }
 
-/// How long asks took while members changed, in milliseconds, longest last.
+/// The times of requests during membership changes in milliseconds, the longest last.
 fn request_times_during_changes(delay_rate: f64) -> Vec<i64> {
     let mut times_ms = Vec::new();
     for seed in 20..60 {
@@ -286,14 +288,15 @@
 
 #[test]
 fn a_membership_change_delays_no_request_by_an_election() {
-    // An election takes 300 ms without a word of an owner and some round trips.
+    // An election takes 300 ms without a heartbeat of the leader and some round trips.
     let times_ms = request_times_during_changes(0.0);
     assert!(
         times_ms.last().is_some_and(|ms| *ms < 150),
         "{:?}",
         times_ms.iter().rev().take(9).collect::<Vec<_>>()
     );
-    // One packet in fifty comes up to 200 ms late: an ask that meets two of them takes as long without any.
+    // One packet in fifty arrives up to 200 ms late: a request that meets two of them takes as long
+    // without an election.
     let times_ms = request_times_during_changes(0.02);
     let slow_requests = times_ms.iter().filter(|ms| **ms >= 300).count();
     assert!(
@@ -319,7 +322,7 @@
         .expect("other fronts hold replicas");
     fleet.lose_disk(lost);
     fleet.start(lost);
-    // Somebody always asks: no round ends without the next one waiting.
+    // Requests are always waiting, so that each round is followed by the next at once.
     let (mut pending_requests, end) = (Vec::new(), fleet.now + 8 * SECOND);
     while !fleet.is_fully_replicated() || pending_requests.is_empty() {
         assert!(fleet.now < end, "the new replica has not become a member");
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -1,22 +1,25 @@
-//! A model of a shard: owners with ballots, copies, a disk that is lost, a change of members, checked exhaustively to a
-//! stated depth. Every message that was ever sent may arrive at any later time, any number of times, or never. The
-//! model tells the rules of `crates/ledger` and of its log's library anew, in small; the code itself is played in
-//! `random_faults.rs`. A copy takes a message in, makes that lasting and answers in one step: what is not lasting is never seen.
+//! A model of a shard, checked exhaustively to a given depth: leaders with ballots, replicas, a
+//! lost disk, and a change of members. Every message that was ever sent may arrive at any later
+//! time, any number of times, or never. The model restates the rules of `crates/ledger` and of its
+//! consensus library in a small form; the code itself is tested in `random_faults.rs`. A replica
+//! receives a message, makes its effect durable and answers in one step, so that state that is not
+//! durable is never seen.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const FRONTS: usize = 4; // three copies, and one that takes the place of front 2
-const CHANGE: u8 = 9; // the entry that says so; nothing follows it in its log
+const FRONTS: usize = 4; // three replicas, and a front that replaces front 2
+const CHANGE: u8 = 9; // the log entry that changes the members; no entry follows it in its log
 const MAX_VALUES: u8 = 2;
 const DEPTH: usize = 9; // steps, with all faults at once
-const SINGLE_FAULT_DEPTH: usize = 14; // with one kind of fault beside lost, doubled and late messages
+/// Steps with one kind of fault in addition to lost, duplicated and late messages.
+const SINGLE_FAULT_DEPTH: usize = 14;
 
-/// What a front keeps.
+/// The Paxos state of a front's replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct ReplicaState {
-    /// Of the members that it is one of; 0: of none.
+    /// The configuration that the front is a member of; 0 if none.
     config: u8,
     promise: u8,
     accepted: u8,
@@ -35,14 +38,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Packet {
     from: usize,
-    /// The disk of the front that sent it; an answer goes to whoever has its ballot.
+    /// The disk of the sending front. Answers go to the front that owns the ballot.
     disk: u8,
     config: u8,
     ballot: u8,
     message: Message,
 }
 
-/// An owner, or one that would be.
+/// The state of a leader or candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LeaderState {
     ballot: u8,
@@ -54,7 +57,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     replicas: Vec<ReplicaState>,
-    /// What is on the disks; only where answers go before it is there does it differ.
+    /// The state on the disks; differs from `replicas` only if answers are sent before the state is
+    /// saved.
     durable: Vec<ReplicaState>,
     disks: [u8; FRONTS],
     leaders: Vec<Option<LeaderState>>,
@@ -63,7 +67,7 @@
     values: u8,
     has_killed: bool,
     has_lost_disk: bool,
-    /// What was acknowledged.
+    /// The acknowledged entries.
     acknowledged: Vec<u8>,
     violated: bool,
 }
@@ -78,14 +82,15 @@
     Receive(usize, Packet),
 }
 
-/// The rules, each of which can be taken out.
+/// The safety rules, each of which can be switched off.
 #[derive(Clone, Copy)]
 struct Rules {
     disk_identity: bool,
     ballot_check: bool,
     catch_up: bool,
     save_first: bool,
-    /// What is played beside lost, doubled and late messages, and how many fronts would be owners.
+    /// The injected faults in addition to lost, duplicated and late messages, and the number of
+    /// campaigns.
     kills: bool,
     losses: bool,
     changes: bool,
@@ -103,7 +108,7 @@
     campaigns: 2,
 };
 
-/// One fault at a time, to a greater depth.
+/// One kind of fault at a time, to a greater depth.
 const SINGLE_FAULT: Rules = Rules {
     kills: false,
     losses: false,
@@ -142,7 +147,7 @@
         self.replicas[front] = replica;
     }
 
-    /// A majority has accepted so much under this ballot.
+    /// Decides the entries that a majority has accepted under this ballot.
     fn decide(&mut self, front: usize, rules: Rules) {
         let Some(leader) = &self.leaders[front] else {
             return;
@@ -192,7 +197,7 @@
             ballot,
             message,
         } = packet;
-        // A member is a front with its disk: all had the first as they became one.
+        // A member is a front with its disk, and all fronts had disk 0 when they became members.
         if !self.is_member(to, config) || disk != 0 || self.disks[to] != 0 {
             return None;
         }
@@ -236,7 +241,7 @@
                 }
             }
             Message::Accept { log } if ballot >= replica.promise || !rules.ballot_check => {
-                // Under the same ballot a shorter log was overtaken.
+                // Under the same ballot a shorter log is older.
                 if ballot == replica.accepted && log.len() <= replica.log.len() {
                     return None;
                 }
@@ -264,7 +269,7 @@
     type State = State;
     type Action = Step;
 
-    /// Front 0 owns the shard, and all have promised it so.
+    /// Front 0 leads the shard, and all members have promised its ballot.
     fn init_states(&self) -> Vec<State> {
         let replica = |config| ReplicaState {
             config,
@@ -376,7 +381,7 @@
             }
             Step::LoseDisk(n) => {
                 state.has_lost_disk = true;
-                // Under its old identity it would be the member that it was, with nothing in it.
+                // Under its old identity the disk would be the same member, without its state.
                 let config = if self.disk_identity {
                     0
                 } else {
@@ -418,7 +423,7 @@
     )
 }
 
-/// Each rule, the fault that needs it, and what is played without it.
+/// Each rule with the fault that requires it, and the same fault without the rule.
 fn rules_and_faults() -> [(&'static str, Rules, Rules); 4] {
     let (losses, changes) = (
         Rules {
--- a/crates/ledger/tests/random_faults.rs
+++ b/crates/ledger/tests/random_faults.rs
@@ -1,5 +1,6 @@
-//! Drawn faults: whatever comes together, nothing that was acknowledged is lost, no key is held twice, no version goes
-//! back and no ask counts twice, while a majority of each shard keeps its disks.
+//! Random faults: in any combination, no acknowledged entry is lost, no key is held twice, no
+//! version goes back and no request is applied twice, as long as a majority of each shard keeps its
+//! disks.
 
 mod sim;
 
@@ -9,7 +10,7 @@
 
 const WALL: u64 = 1_800_000_000_000;
 
-/// An ask that was made and not answered yet, or only as unreachable.
+/// A submitted request that is unanswered, or answered as unreachable only.
 struct UnansweredRequest {
     front: usize,
     incarnation: u64,
@@ -17,7 +18,7 @@
     submitted_at: Micros,
 }
 
-/// What was drawn, and what came of it.
+/// The injected faults, and the outcomes of the run.
 #[derive(Debug, Default)]
 struct Totals {
     lost_disks: usize,
@@ -31,15 +32,15 @@
     unreachable: usize,
 }
 
-/// A fleet under drawn asks and faults.
+/// A fleet under random requests and faults.
 struct Run {
     fleet: Fleet,
     totals: Totals,
-    /// The value written last: each is another.
+    /// The value written last; each write has another value.
     last_value: u64,
     unanswered: Vec<UnansweredRequest>,
     next_fault: Micros,
-    /// The front that has lost its disk, until all replicas stand again.
+    /// The front that has lost its disk, until all replicas are rebuilt.
     front_without_disk: Option<usize>,
     replication_factor: usize,
 }
@@ -51,7 +52,7 @@
         let mut fleet = Fleet::new(fronts, replication_factor, shards, seed);
         fleet.reuse_disk_identity = reuse_disk_identity;
         fleet.setup.repair_after = 4 * SECOND;
-        // Replicas move for balance too, all at once.
+        // Replicas also move for balance, all at once.
         (
             fleet.setup.max_moving_percent,
             fleet.setup.zone_repair_after,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// A client at a drawn front claims, frees, reads or writes.
+    /// A client at a random front claims, frees, reads or writes a key.
     fn submit_random_request(&mut self) {
         let fleet = &mut self.fleet;
         let n = fleet.rng.random_range(0..fleet.fronts.len());
@@ -99,7 +100,7 @@
             ),
             _ => (format!("r{register}"), Operation::Read),
         };
-        // A front asks one thing of a key at a time.
+        // A front has at most one request per key that changes it.
         let is_same_key =
             |other: &UnansweredRequest| other.front == n && other.request.key.name == name;
         if operation != Operation::Read && self.unanswered.iter().any(is_same_key) {
@@ -123,7 +124,8 @@
         });
     }
 
-    /// Asks again what nobody answered: under the same number, it counts once.
+    /// Repeats requests that were answered as unreachable, under the same number, which must apply
+    /// them once.
     fn repeat_unreachable(&mut self) {
         let fleet = &mut self.fleet;
         for waiting in std::mem::take(&mut self.unanswered) {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// A while with asks, and with a fault where one is due.
+    /// Advances time with random requests, and with a fault if one is due.
     fn run_step(&mut self) {
         self.fleet.run(self.fleet.now + 20_000);
         for _ in 0..self.fleet.rng.random_range(0..3) {
@@ -157,7 +159,7 @@
         if self.fleet.rng.random_bool(0.1) {
             self.repeat_unreachable();
         }
-        // A change under way may yet take in the disk that was lost.
+        // A membership change in progress may still add the disk that was lost.
         let fleet = &self.fleet;
         let settled = fleet.cut_links.is_empty()
             && fleet.moving_replicas() == 0
@@ -188,7 +190,7 @@
                 fleet.kill(n);
                 totals.killed += 1;
             }
-            // One disk at a time: the replicas are rebuilt before the next.
+            // One disk at a time: the replicas are rebuilt before the next disk is lost.
             1 | 2 if front_without_disk.is_none() => {
                 fleet.lose_disk(n);
                 (*front_without_disk, totals.lost_disks) = (Some(n), totals.lost_disks + 1);
@@ -209,15 +211,17 @@
             6 => fleet.fronts[n].max_save_time = 2 * SECOND,
             7 if front_without_disk.is_none() && fleet.is_up(n) => {
                 fleet.fronts[n].saves_fail = true;
-                // It saves nothing any more: as good as lost, until it comes back.
+                // The front saves nothing any more, which amounts to a lost disk until it is
+                // restarted.
                 (*front_without_disk, totals.failed) = (Some(n), totals.failed + 1);
             }
-            // The operator's list loses a front, or has it again; one that is out of it still holds what it has to.
+            // The operator removes a front from the member list, or adds it again; a removed front
+            // keeps its replicas until they are replaced.
             8 if front_without_disk.is_none() && fronts > *replication_factor => {
                 change_member_list(fleet, *replication_factor);
                 totals.listed += 1;
             }
-            // What gossip says, right or wrong.
+            // A health report from gossip that is wrong about one front.
             9 => {
                 let (up, away): (Vec<usize>, Vec<usize>) =
                     (0..fronts).partition(|k| fleet.is_up(*k) != (*k == n));
@@ -232,7 +236,7 @@
         }
     }
 
-    /// Heals everything; the fleet, and what came of the run.
+    /// Heals all faults; returns the fleet and the totals of the run.
     fn finish(self) -> (Fleet, Totals) {
         let Run {
             mut fleet,
@@ -257,18 +261,18 @@
     }
 }
 
-/// Cuts some fronts off from the others, and now and then one more from both sides.
+/// Cuts some fronts off from the others, and sometimes one more from both sides.
 fn partition(fleet: &mut Fleet, first: usize) {
     let fronts = fleet.fronts.len();
     let count = fleet.rng.random_range(1..fronts);
     let side: Vec<usize> = (0..count).map(|k| (first + k) % fronts).collect();
     fleet.cut_off(&side);
     if fleet.rng.random_bool(0.3) {
-        fleet.cut_off(&[(first + count) % fronts]); // in three
+        fleet.cut_off(&[(first + count) % fronts]); // into three parts
     }
 }
 
-/// All fronts run again at their usual speed; one whose disk fails gets another.
+/// Lets all fronts run at the usual disk speed again; a front whose saves fail gets a new disk.
 fn heal_fronts(fleet: &mut Fleet) {
     for n in 0..fleet.fronts.len() {
         (fleet.fronts[n].max_save_time, fleet.fronts[n].is_stalled) = (4_000, false);
@@ -290,7 +294,7 @@
     run.finish()
 }
 
-/// Changes the list for all that run; others read it as they start.
+/// Changes the member list of all running fronts; the others read it when they start.
 fn change_member_list(fleet: &mut Fleet, replication_factor: usize) {
     let mut members = Fleet::members(fleet.fronts.len());
     if fleet.setup.members.len() == members.len() && members.len() > replication_factor {
@@ -355,7 +359,8 @@
     );
 }
 
-/// Without a safety rule the same faults do harm: at least one of so many seeds shows it.
+/// Checks that the faults are strong enough: without the rule that a new disk has a new identity,
+/// at least one of the seeds shows a violation.
 #[test]
 fn an_empty_disk_that_keeps_its_identity_violates_consistency() {
     let is_violated = |seed| !run(seed, 40, true).0.history.violations().is_empty();
--- a/crates/ledger/tests/rebalance.rs
+++ b/crates/ledger/tests/rebalance.rs
@@ -1,4 +1,5 @@
-//! Shards follow the fleet: fronts join and are lost, zones go and come back, and what is asked meanwhile is answered.
+//! Shards follow the members: fronts join and are lost, zones go away and come back, and requests
+//! are answered meanwhile.
 
 mod sim;
 
@@ -15,7 +16,7 @@
     }
 }
 
-/// The members of each shard by the latest that any front knows, of those that are up.
+/// The holders of each shard in the latest configuration that any running front holds.
 fn holders(fleet: &Fleet) -> BTreeMap<u16, BTreeSet<usize>> {
     let mut latest: BTreeMap<u16, (u32, BTreeSet<usize>)> = BTreeMap::new();
     for n in (0..fleet.fronts.len()).filter(|n| fleet.is_up(*n)) {
@@ -64,14 +65,14 @@
     fleet
 }
 
-/// What gossip would say to each front.
+/// Reports the actual health of all fronts to each front, as gossip does.
 fn report_health(fleet: &mut Fleet) {
     let (up, away): (Vec<usize>, Vec<usize>) =
         (0..fleet.fronts.len()).partition(|n| fleet.is_up(*n));
     fleet.set_health(&up, &away);
 }
 
-/// Writes and reads all the time; the count of asks that nobody answered.
+/// Submits writes continuously; returns the numbers of unreachable and of all requests.
 fn run_under_load(
     fleet: &mut Fleet,
     seconds: i64,
@@ -83,7 +84,7 @@
         k += 1;
         let n = k % fleet.fronts.len();
         if fleet.is_up(n) {
-            // Values tell their put.
+            // The value identifies the request.
             let (key, value) = (
                 format!("r{}", k % 40),
                 1_000 + fleet.history.requests.len() as u64,
@@ -123,7 +124,7 @@
     for k in 0..40 {
         fleet.request_until_answered(0, &format!("r{k}"), put(k));
     }
-    // The list names five more; each front hears so in its own time, the new ones first.
+    // The list names five more fronts; the new fronts read it before the others.
     fleet.setup.members = Fleet::members(9);
     (4..9).for_each(|n| fleet.start(n));
     fleet.run(fleet.now + 5 * SECOND);
@@ -165,7 +166,7 @@
     let zone: Vec<usize> = (0..8).filter(|n| n % 3 == 1).collect();
     for stays_away in [false, true] {
         zone.iter().for_each(|n| fleet.kill(*n));
-        // Over `repair_after` (5 s), short of `zone_after` (40 s).
+        // Longer than `repair_after` (5 s), shorter than `zone_repair_after` (40 s).
         run_under_load(&mut fleet, 30, |_| {});
         let without: BTreeMap<u16, BTreeSet<usize>> = settled
             .iter()
@@ -177,7 +178,7 @@
             "replicas were rebuilt although the zone may come back"
         );
         if !stays_away {
-            // One after the other comes back; nobody is replaced meanwhile.
+            // The fronts come back one after the other, and none is replaced meanwhile.
             for n in &zone {
                 fleet.start(*n);
                 run_under_load(&mut fleet, 1, |_| {});
--- a/crates/ledger/tests/rolling_restart.rs
+++ b/crates/ledger/tests/rolling_restart.rs
@@ -1,4 +1,5 @@
-//! A roll of the whole fleet, some fronts of a zone at a time: owners hand over before they go. Fleets of two builds.
+//! A rolling restart of the whole fleet, some fronts of a zone at a time, in which leaders hand
+//! over their shards before they stop; also with fleets of two builds.
 
 mod sim;
 
@@ -26,7 +27,7 @@
     fleet
 }
 
-/// Asks from all that are not about to end, each some ten times a second.
+/// Submits requests at all fronts that are not restarting, each some ten times a second.
 fn run_load(fleet: &mut Fleet, micros: i64, restarting: &[usize]) {
     let until = fleet.now + micros;
     while fleet.now < until {
@@ -35,7 +36,7 @@
             let value = fleet.history.requests.len() as u64;
             fleet.submit(n, &format!("r{}", value % 64), put(value));
         } else {
-            // Its turn is another's.
+            // Another front takes the place of one that is restarting.
             let n = (0..FRONTS)
                 .find(|n| fleet.is_up(*n) && !restarting.contains(n))
                 .unwrap();
@@ -46,7 +47,8 @@
     }
 }
 
-/// Every front ends and starts again, two of a zone at a time; `back` sets each up anew before it starts.
+/// Restarts every front, two of a zone at a time; `before_start` changes each front before it
+/// starts.
 fn rolling_restart(
     fleet: &mut Fleet,
     transfers_leadership: bool,
@@ -79,7 +81,7 @@
     fleet.run(fleet.now + SECOND);
 }
 
-/// The longest wait in ms, and asks that nobody answered.
+/// The longest time of a request in milliseconds, and the number of unreachable requests.
 fn wait_stats(fleet: &Fleet, since: i64) -> (i64, usize) {
     let requests = fleet
         .history
@@ -105,7 +107,7 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// Letters that another build could not read.
+/// The packets that another build could not read.
 fn unreadable_packets(fleet: &Fleet) -> u64 {
     let ledgers = fleet
         .fronts
@@ -133,7 +135,7 @@
             assert_no_violations(&fleet);
         }
     }
-    // Within the patience; an election takes longer, and asks are refused for it.
+    // Within the request timeout; an election takes longer than that, and requests time out.
     assert!(longest[1] < 500 && longest[0] >= 500, "{longest:?}");
 }
 
@@ -149,7 +151,7 @@
             .map(|ledger: &Ledger| ledger.counters().accepted_leaderships)
             .sum()
     };
-    // Up, then all the way back, under load.
+    // An upgrade and a complete rollback, under load.
     for (format, transfers) in [(2, true), (1, false)] {
         rolling_restart(&mut fleet, true, |fleet, n| fleet.fronts[n].format = format);
         assert_no_violations(&fleet);
@@ -172,7 +174,8 @@
     assert_no_violations(&fleet);
 }
 
-/// The latest format of what any front keeps: behind the checksum of its mark.
+/// The latest format of the data saved on any front, which follows the checksum in the header
+/// record.
 fn latest_saved_format(fleet: &Fleet) -> u8 {
     let header_format = |disk: &std::collections::BTreeMap<Vec<u8>, Vec<u8>>| {
         disk.get(&b"m"[..]).map(|header_format| header_format[4])
@@ -187,7 +190,8 @@
 
 #[test]
 fn saved_records_use_a_later_format_only_with_the_next_build_and_a_rollback_loses_nothing() {
-    // The build before this one, this one, and the next: the format that each reads, and the one in which it keeps.
+    // The previous build, this one, and the next one: the format that each reads, and the one in
+    // which it saves.
     let builds = [
         (2, 1),
         (hallmux_ledger::FORMAT, hallmux_ledger::SAVED_FORMAT),
--- a/crates/ledger/tests/shutdown.rs
+++ b/crates/ledger/tests/shutdown.rs
@@ -1,12 +1,15 @@
-//! Ends that wait for others of a shard's members, and owners that are spread again after fronts have ended.
+//! Shutdowns that wait for other members of a shard, and leaders that are spread again after fronts
+//! were restarted.
 
 mod sim;
 
 use hallmux_ledger::{Ledger, Operation, Outcome};
 use sim::{Fleet, SECOND};
 
-const MAX_SHUTDOWN_TIME: i64 = 10 * SECOND; // that an end waits, as the front does
-const MIN_SHUTDOWN_TIME: i64 = 800_000; // microseconds that a front runs on at least
+/// Maximum microseconds that a shutdown waits, as in the front.
+const MAX_SHUTDOWN_TIME: i64 = 10 * SECOND;
+/// Minimum microseconds that a front keeps running after the start of its shutdown.
+const MIN_SHUTDOWN_TIME: i64 = 800_000;
 
 fn put(value: u64) -> Operation {
     Operation::Put {
@@ -16,8 +19,8 @@
     }
 }
 
-/// Two fronts are told to end at once, all the while asked; each comes back a second after its end. Asks that
-/// nobody answered, and how long the later end took.
+/// Shuts down two fronts at once under load; each restarts a second after it stopped. Returns the
+/// number of unreachable requests and how long the later shutdown took.
 fn shut_down_two(fleet: &mut Fleet, fronts: [usize; 2], waits_for_quorum: bool) -> (usize, i64) {
     let (since, first) = (fleet.now, fleet.history.requests.len());
     fronts.iter().for_each(|n| fleet.begin_shutdown(*n));
@@ -71,7 +74,7 @@
             fleet.setup.repair_after = 30 * SECOND;
             fleet.restart_with_empty_disks(6);
             assert!(fleet.run_until(20 * SECOND, Fleet::is_fully_replicated));
-            // Of two zones: they keep shards together.
+            // These fronts are in two zones, so they hold some shards together.
             let (unreachable, elapsed) = shut_down_two(&mut fleet, [1, 2], waits_for_quorum);
             println!(
                 "seed {seed}, waits for the quorum: {waits_for_quorum}: {unreachable} unreachable, the later shutdown took {} ms",
@@ -88,7 +91,7 @@
     );
 }
 
-/// Shards that each front owns.
+/// The number of shards that each front leads.
 fn led_shards(fleet: &Fleet) -> Vec<usize> {
     let led_shards = |ledger: &Ledger| {
         ledger
@@ -118,7 +121,7 @@
     }
     let max_led = |fleet: &Fleet| led_shards(fleet).into_iter().max().unwrap_or(0);
     let (after, since) = (max_led(&fleet), fleet.now);
-    // A quarter over the fair part, or the part in whole shards.
+    // A quarter more than the fair share, or the share rounded up to whole shards.
     let bound = (usize::from(shards) * 5 / 4 / fronts).max(usize::from(shards).div_ceil(fronts));
     let is_balanced = fleet.run_until(60 * SECOND, |fleet| {
         fleet.is_fully_replicated() && max_led(fleet) <= bound
--- a/crates/ledger/tests/sim/check.rs
+++ b/crates/ledger/tests/sim/check.rs
@@ -1,10 +1,10 @@
-//! What must hold of all that fronts asked and were answered, whatever happened meanwhile.
+//! Checks of the history of requests and answers that must hold whatever faults occurred.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_ledger::{Key, LedgerAnswer, Micros, Operation, Outcome};
 
-/// One ask of a front, in true time.
+/// One request of a front, in simulated time.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     pub front: usize,
@@ -13,7 +13,7 @@
     pub key: Key,
     pub operation: Operation,
     pub submitted_at: Micros,
-    /// Milliseconds that its front's Unix clock is ahead.
+    /// Milliseconds by which the front's Unix clock is ahead.
     pub clock_ahead_ms: i64,
     pub answer: Option<(Micros, Outcome)>,
 }
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     pub requests: Vec<RequestRecord>,
-    /// When a front's life ended: it holds nothing any more.
+    /// When a front's incarnation ended, and with it all its holds.
     pub ended_at: BTreeMap<(usize, u64), Micros>,
-    /// Asks that were `Held` and told later that the key is free.
+    /// Requests that were answered `Held` and later notified that the key is free.
     pub freed_keys: BTreeSet<(usize, u64)>,
 }
 
@@ -46,7 +46,7 @@
             (op.front, op.incarnation, op.number) == (front, incarnation, answer.number)
         });
         if let Some(op) = op {
-            // An ask that was unreachable and is asked again has its latest answer.
+            // A repeated request that was unreachable has its latest answer.
             if op
                 .answer
                 .as_ref()
@@ -67,7 +67,7 @@
             .map(|(_, outcome)| outcome)
     }
 
-    /// Everything that is wrong with it.
+    /// All violations in the history.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = self.double_holds();
         violations.extend(self.lost_or_stale());
@@ -75,8 +75,8 @@
         violations
     }
 
-    /// Two fronts hold a key at a time. One holds it from its answer until it asks to free it, its end on its own
-    /// clock, or its own end.
+    /// Finds keys held by two fronts at a time. A front holds a key from the answer to its claim
+    /// until it submits a free, the entry expires on its own clock, or its incarnation ends.
     fn double_holds(&self) -> Vec<String> {
         let mut holds: BTreeMap<&Key, Vec<(Micros, Micros, usize)>> = BTreeMap::new();
         for op in &self.requests {
@@ -88,7 +88,7 @@
             let is_same_incarnation = |other: &&RequestRecord| {
                 (other.front, other.incarnation) == (op.front, op.incarnation)
             };
-            // A later claim of its own goes before, whatever becomes of it.
+            // A later claim of the same front replaces this one, whatever its outcome.
             let ends_the_hold = |o: &&RequestRecord| match o.operation {
                 Operation::Free => o.submitted_at >= op.submitted_at,
                 Operation::Claim { .. } => o.submitted_at > op.submitted_at,
@@ -138,7 +138,8 @@
         violations
     }
 
-    /// What was acknowledged is lost, or something older is told later. Keys with names in `r` never end.
+    /// Finds acknowledged entries that were lost, and answers with an older version than an earlier
+    /// answer. Keys with names that start with `r` never expire.
     fn lost_or_stale(&self) -> Vec<String> {
         let mut violations = Vec::new();
         let answer: Vec<(&RequestRecord, Micros, u64)> = self
@@ -187,7 +188,7 @@
         violations
     }
 
-    /// One put, by its value, was applied under two versions. Values tell their put.
+    /// Finds writes that were applied under two versions. The value identifies the write.
     fn applied_twice(&self) -> Vec<String> {
         let mut versions: BTreeMap<(&Key, &[u8]), BTreeSet<u64>> = BTreeMap::new();
         for op in &self.requests {
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! Fronts with their ledgers over a simulated network and simulated disks: everything is drawn from a seed. Shared by
-//! the tests of this crate.
+//! Simulates fronts with their ledgers over a network and disks; everything random is drawn from a
+//! seed. Shared by the tests of this crate.
 #![allow(dead_code)]
 
 pub mod check;
@@ -15,24 +15,26 @@
 use rand_pcg::Pcg64Mcg;
 
 pub const SECOND: Micros = 1_000_000;
-pub const STEP: Micros = 5_000; // microseconds between looks
+/// Microseconds of simulated time per step.
+pub const STEP: Micros = 5_000;
 const WALL: u64 = 1_800_000_000_000;
 
 pub struct Front {
     pub ledger: Option<Ledger>,
-    /// What is lasting, under which identity.
+    /// The durable records, saved under the identity `disk_id`.
     pub disk: BTreeMap<Vec<u8>, Vec<u8>>,
     pub disk_id: u64,
     saves: VecDeque<(Micros, Save)>,
     pub is_stalled: bool,
-    /// Milliseconds that its Unix clock is ahead.
+    /// Milliseconds by which its Unix clock is ahead.
     pub clock_ahead_ms: i64,
     pub incarnation: u64,
     next_number: u64,
-    /// Saves take up to so long; one of so many fails.
+    /// The maximum time of a save in microseconds.
     pub max_save_time: Micros,
+    /// Whether every save fails.
     pub saves_fail: bool,
-    /// The format of packets of its build.
+    /// The message format of its build.
     pub format: u8,
 }
 
@@ -46,14 +48,15 @@
     pub loss_rate: f64,
     pub duplication_rate: f64,
     pub delay_rate: f64,
-    /// Letters from the first to the second do not come.
+    /// Links whose packets from the first to the second front are lost.
     pub cut_links: Vec<(usize, usize)>,
     pub history: History,
     pub bytes: u64,
     next_disk: u64,
-    /// Takes a safety rule out: packets and answers leave before what they rest on is lasting.
+    /// Switches a safety rule off: packets and answers are sent before the state that they depend
+    /// on is durable.
     pub answers_before_saves: bool,
-    /// Takes a safety rule out: an emptied disk keeps its identity.
+    /// Switches a safety rule off: a disk that lost its data keeps its identity.
     pub reuse_disk_identity: bool,
 }
 
@@ -112,7 +115,7 @@
             .collect()
     }
 
-    /// The operator's list, as all that run hear it now and others as they start.
+    /// Applies a member list of the operator: running fronts read it now, others when they start.
     pub fn set_members(&mut self, members: Vec<Member>) {
         self.setup.members.clone_from(&members);
         for n in 0..self.fronts.len() {
@@ -124,9 +127,9 @@
         }
     }
 
-    /// What gossip says to each.
+    /// Reports the health of fronts to each front, as gossip does.
     pub fn set_health(&mut self, up: &[usize], away: &[usize]) {
-        let ids = |replica: &[usize]| -> Vec<FrontId> { replica.iter().map(|n| id(*n)).collect() };
+        let ids = |fronts: &[usize]| -> Vec<FrontId> { fronts.iter().map(|n| id(*n)).collect() };
         for n in 0..self.fronts.len() {
             let clock = self.clock(n);
             let ledger = self.fronts[n].ledger.as_mut();
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Shards that move now.
+    /// The number of replicas in the course of a move.
     pub fn moving_replicas(&self) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
         ledgers
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Starts a front, anew where it ran before, with what is lasting on its disk.
+    /// Starts or restarts a front with the records on its disk.
     pub fn start(&mut self, n: usize) {
         let clock = self.clock(n);
         let mut setup = self.setup.clone();
@@ -167,7 +170,8 @@
         self.collect_output(n);
     }
 
-    /// The first of all fronts start with what is set up now, on empty disks, in a later life.
+    /// Restarts the first `many` fronts with the current setup, on empty disks and in a later
+    /// incarnation.
     pub fn restart_with_empty_disks(&mut self, many: usize) {
         (0..self.fronts.len()).for_each(|n| self.lose_disk(n));
         self.in_transit.clear();
@@ -175,7 +179,7 @@
         (0..many).for_each(|n| self.start(n));
     }
 
-    /// The front is told to end: it hands over what it owns.
+    /// Starts the shutdown of a front: it hands over the shards that it leads.
     pub fn begin_shutdown(&mut self, n: usize) {
         let clock = self.clock(n);
         self.fronts[n]
@@ -185,7 +189,7 @@
         self.collect_output(n);
     }
 
-    /// The front is gone with what is not lasting yet.
+    /// Kills the front, which loses everything that is not durable.
     pub fn kill(&mut self, n: usize) {
         self.fronts[n].ledger = None;
         self.fronts[n].saves.clear();
@@ -193,7 +197,7 @@
             .record_end(n, self.fronts[n].incarnation, self.now);
     }
 
-    /// It is gone with its disk.
+    /// Kills the front and erases its disk.
     pub fn lose_disk(&mut self, n: usize) {
         self.kill(n);
         self.fronts[n].disk.clear();
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Asks; the number, to be asked again.
+    /// Submits a request; returns its number, under which it can be repeated.
     pub fn submit(&mut self, n: usize, key: &str, operation: Operation) -> u64 {
         let number = self.fronts[n].next_number;
         self.fronts[n].next_number += 1;
@@ -289,7 +293,7 @@
                 .saves
                 .back()
                 .map_or(self.now, |(done_at, _)| *done_at);
-            // Saves that wait are made lasting together.
+            // Saves complete in order: each no earlier than the previous one.
             self.fronts[n]
                 .saves
                 .push_back((after.max(self.now + takes), save));
@@ -332,11 +336,12 @@
                 if self.cut_links.contains(&(from, to)) || self.rng.random_bool(self.loss_rate) {
                     continue;
                 }
+                // Delayed packets arrive out of order.
                 let max_delay = if self.rng.random_bool(self.delay_rate) {
                     200_000
                 } else {
                     8_000
-                }; // out of order
+                };
                 self.packets_sent += 1;
                 let arrival = self.now + self.rng.random_range(500..max_delay);
                 self.in_transit
@@ -416,7 +421,7 @@
         }
     }
 
-    /// Until it holds, or so long.
+    /// Runs until the condition holds, at most for `max_duration`; returns whether it holds.
     pub fn run_until(&mut self, max_duration: Micros, condition: impl Fn(&Fleet) -> bool) -> bool {
         let until = self.now + max_duration;
         while !condition(self) && self.now < until {
--- a/crates/ledger/tests/sim/queries.rs
+++ b/crates/ledger/tests/sim/queries.rs
@@ -1,16 +1,16 @@
-//! Questions to a simulated fleet: what was answered, which replicas there are, and who leads.
+//! Queries of a simulated fleet: answers, replicas and leaders.
 
 use hallmux_ledger::{shard_of, Key, Kind, Ledger, Operation, Outcome};
 
 use super::{Fleet, SECOND};
 
 impl Fleet {
-    /// The answer to an ask of a front in its present incarnation.
+    /// The answer to a request of a front in its current incarnation.
     pub fn outcome(&self, n: usize, number: u64) -> Option<&Outcome> {
         self.history.outcome(n, self.fronts[n].incarnation, number)
     }
 
-    /// Asks and waits for the answer.
+    /// Submits a request and waits for the answer.
     pub fn request(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
         let number = self.submit(n, key, operation);
         self.run_until(2 * SECOND, |fleet| fleet.outcome(n, number).is_some());
@@ -19,7 +19,7 @@
             .expect("every ask is answered")
     }
 
-    /// The same, asked under new numbers until a majority answers.
+    /// Submits a request under new numbers until it is answered otherwise than unreachable.
     pub fn request_until_answered(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
         for _ in 0..20 {
             match self.request(n, key, operation.clone()) {
@@ -30,7 +30,7 @@
         panic!("{key} stays unreachable at {}", self.now)
     }
 
-    /// Replicas of a shard in its latest configuration.
+    /// The number of replicas of a shard in its latest configuration.
     pub fn replica_count(&self, shard: u16) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
         let configs: Vec<u32> = ledgers
