--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -1,21 +1,21 @@
-//! The end of executions and statements; what nobody needs any more is let go.
+//! The end of executions and statements, and the removal of statements that are finished.
 
-use hallmux::interface::{Ended, Event, Micros, Report};
+use hallmux::interface::{Event, ExecutionEnded, LoadReport, Micros};
 
-use crate::promises::{PromiseEvent, StatementOver};
+use crate::ledger_events::{LedgerEvent, StatementFinished};
 use crate::{Deadline, Dispatcher, Ending, Ticket};
 
 impl Dispatcher {
-    /// Says how an execution ended, with the engine's load report and the statement's cost where the answer
-    /// carried them. True if this ends its statement: its answer now goes to the client. An execution that has
-    /// ended before is passed over.
-    pub fn report(
+    /// Records how an execution ended, with the engine's load report where the answer carried one.
+    /// Returns true if this ends the statement, so that its answer is sent to the client. An
+    /// execution that is not in flight is ignored.
+    pub fn execution_ended(
         &mut self,
         now: Micros,
         ticket: Ticket,
         execution: usize,
         ending: Ending,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> bool {
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return false;
@@ -27,11 +27,11 @@
         let took = now - ended.sent;
         self.engines[engine].execution_ended(now, ending, ended.held);
         ended.end(ending);
-        let ends_statement = statement.answered_by(ending);
-        statement.over |= ends_statement;
-        let settled = statement.over;
+        let ends_statement = statement.is_answered_by(ending);
+        statement.finished |= ends_statement;
+        let settled = statement.finished;
         let keeps_order_key = ends_statement && self.share_order_key(ticket, ending);
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::ExecutionEnded(ExecutionEnded {
             statement: ticket,
             execution,
             engine,
@@ -44,54 +44,58 @@
         if ends_statement {
             self.count_answer(now, ticket, took);
         }
-        self.forget(now, ticket);
+        self.remove_if_finished(now, ticket);
         ends_statement
     }
 
-    /// Where the transaction of a statement that is answered goes on, it keeps the order key: whether it does.
+    /// Lets the transaction of an answered statement retain the order key if the transaction
+    /// continues. Returns whether it continues.
     fn share_order_key(&mut self, ticket: Ticket, ending: Ending) -> bool {
         let Some(statement) = self.statements.get(&ticket) else {
             return false;
         };
-        if ending != Ending::Answered || !statement.transaction_goes_on {
+        if ending != Ending::Answered || !statement.transaction_continues {
             return false;
         }
         if let Some(name) = &statement.order_key {
             self.order_keys.share(name);
-            if statement.needs_promises {
-                let kept = PromiseEvent::KeyKept(name.clone());
-                self.promise_events.push(kept);
+            if statement.needs_ledger_entry {
+                let retained = LedgerEvent::KeyRetained(name.clone());
+                self.ledger_events.push(retained);
             }
         }
         true
     }
 
-    /// The client no longer waits.
+    /// Records that the client of a statement has disconnected or cancelled it. Ignored if the
+    /// statement is unknown or finished.
     pub fn client_left(&mut self, now: Micros, ticket: Ticket) {
-        let Some(statement) = self.statements.get_mut(&ticket).filter(|s| !s.over) else {
+        let Some(statement) = self.statements.get_mut(&ticket).filter(|s| !s.finished) else {
             return;
         };
-        statement.over = true;
-        // What was withdrawn before it was decided on counts for nothing: the module never hears of it.
-        let undecided = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
-        match self.events.iter().position(undecided) {
+        statement.finished = true;
+        // A statement withdrawn before any decision on it is dropped without notifying the
+        // scheduler.
+        let is_undecided = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
+        match self.events.iter().position(is_undecided) {
             Some(index) => _ = self.events.remove(index),
-            None => self.events.push(Event::ClientLeft(ticket)),
+            None => self.events.push(Event::StatementWithdrawn(ticket)),
         }
-        self.forget(now, ticket);
+        self.remove_if_finished(now, ticket);
     }
 
-    /// A transaction that kept an order key is over; the key pauses where the transaction may still run.
+    /// Releases the order key that a transaction retained. With `may_still_run` the scheduler also
+    /// lets the key pause, because the transaction may still run on its engine.
     pub fn release_order_key(&mut self, now: Micros, name: &str, may_still_run: bool) {
         let Some(key) = self.order_keys.id(name) else {
             return;
         };
-        self.events.push(Event::OrderKeyFreed {
+        self.events.push(Event::OrderKeyReleased {
             key,
             pauses: may_still_run,
         });
-        if self.watches_promises {
-            self.promise_events.push(PromiseEvent::KeyFreed {
+        if self.ledger_events_enabled {
+            self.ledger_events.push(LedgerEvent::KeyReleased {
                 key: name.to_string(),
                 may_still_run,
             });
@@ -99,20 +103,21 @@
         self.order_keys.release(now, name);
     }
 
-    /// A statement has its final answer.
+    /// Marks a statement as finished, since its final answer was decided.
     pub(crate) fn end_statement(&mut self, now: Micros, ticket: Ticket) {
         if let Some(statement) = self.statements.get_mut(&ticket) {
-            statement.over = true;
+            statement.finished = true;
         }
-        self.forget(now, ticket);
+        self.remove_if_finished(now, ticket);
     }
 
-    /// Lets go of a statement that is over with nothing in flight.
-    pub(crate) fn forget(&mut self, now: Micros, ticket: Ticket) {
+    /// Removes a statement that is finished and has no execution in flight, and releases its order
+    /// key.
+    pub(crate) fn remove_if_finished(&mut self, now: Micros, ticket: Ticket) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        if !statement.over || statement.in_flight().next().is_some() {
+        if !statement.finished || statement.in_flight().next().is_some() {
             return;
         }
         self.deadlines.remove(&Deadline {
@@ -122,9 +127,9 @@
         let Some(statement) = self.statements.remove(&ticket) else {
             return;
         };
-        if statement.needs_promises {
-            let over = StatementOver::new(ticket, &statement);
-            self.promise_events.push(PromiseEvent::Over(over));
+        if statement.needs_ledger_entry {
+            let finished = StatementFinished::new(ticket, &statement);
+            self.ledger_events.push(LedgerEvent::Finished(finished));
         }
         if statement.end_watched {
             self.watched_ends.push(ticket);
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -1,38 +1,40 @@
-//! A round of decisions: what has happened goes to the decision module, and what it decides becomes commands.
+//! One iteration of decisions: recorded events are passed to the scheduler, and its actions become
+//! commands.
 
 use hallmux::interface::{Action, Event, Micros};
 
 use crate::commands::Command;
 use crate::executions::{Execution, Terms};
 use crate::statements::repeat_window;
-use crate::{Dispatcher, Ending, Place, RejectCause, Ticket};
+use crate::{Dispatcher, Ending, EngineIndex, RejectCause, Ticket};
 
 impl Dispatcher {
-    /// The time at which [`Dispatcher::tick`] is next due, in microseconds; 0 where something waits to be decided
-    /// on.
+    /// The time at which [`Dispatcher::tick`] is next due, in microseconds; 0 if events are
+    /// pending.
     pub fn next_tick(&self) -> Micros {
         if !self.events.is_empty() {
             return 0;
         }
         let next_deadline = self.deadlines.first().map(|deadline| deadline.at);
-        next_deadline.map_or(self.wake, |at| self.wake.min(at))
+        next_deadline.map_or(self.next_wake, |at| self.next_wake.min(at))
     }
 
-    /// Decides on all that happened since the last call; the commands are to be carried out in this order.
+    /// Decides on all events since the last call. The commands must be carried out in the returned
+    /// order.
     pub fn tick(&mut self, now: Micros) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.cancel_overdue(now, &mut commands);
-        if self.events.is_empty() && now < self.wake {
+        self.cancel_expired(now, &mut commands);
+        if self.events.is_empty() && now < self.next_wake {
             return commands;
         }
-        if self.wake <= now {
+        if self.next_wake <= now {
             self.events.push(Event::Woken);
         }
         let mut events = std::mem::take(&mut self.events);
-        let first_new = self.refresh_time_left(now, &mut events);
+        let first_new_ticket = self.refresh_time_left(now, &mut events);
         for action in self.scheduler.decide(now, events) {
             if let Action::Reject { statement, .. } | Action::Abort { statement, .. } = &action {
-                self.count_shed(now, *statement, first_new);
+                self.count_shed(now, *statement, first_new_ticket);
             }
             self.carry_out(now, action, &mut commands);
         }
@@ -40,13 +42,13 @@
         commands
     }
 
-    /// Cancels what is in flight for statements whose clients wait no longer.
-    fn cancel_overdue(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    /// Cancels the executions in flight of statements whose deadlines have passed.
+    fn cancel_expired(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while self.deadlines.first().is_some_and(|first| first.at <= now) {
-            let Some(due) = self.deadlines.pop_first() else {
+            let Some(expired) = self.deadlines.pop_first() else {
                 return;
             };
-            let ticket = due.ticket;
+            let ticket = expired.ticket;
             let Some(statement) = self.statements.get(&ticket) else {
                 continue;
             };
@@ -58,25 +60,25 @@
         }
     }
 
-    /// Sets what each new statement has left now, and returns the first of them. Guards against a stop between taking
-    /// a statement and deciding: its time has run on.
+    /// Updates the remaining time of each new statement, which has shrunk if the process was
+    /// stalled between accepting it and deciding on it. Returns the first new statement.
     fn refresh_time_left(&self, now: Micros, events: &mut [Event]) -> Option<Ticket> {
-        let mut first_new = None;
+        let mut first_new_ticket = None;
         for event in events {
             let Event::Arrived(arrival) = event else {
                 continue;
             };
-            first_new.get_or_insert(arrival.statement);
+            first_new_ticket.get_or_insert(arrival.statement);
             let statement = self.statements.get(&arrival.statement);
             let deadline = statement.map_or(now, |s| s.terms.deadline);
             arrival.time_left = deadline - now;
         }
-        first_new
+        first_new_ticket
     }
 
     fn carry_out(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
         match action {
-            Action::Terms {
+            Action::SetResources {
                 statement,
                 grant_mb,
                 priority,
@@ -108,23 +110,24 @@
                 self.end_statement(now, statement);
             }
             Action::Probe { engine } => commands.push(Command::Probe {
-                place: engine,
+                engine,
                 for_fleet: false,
             }),
             Action::ProbeEvacuated { engine } => commands.push(Command::Probe {
-                place: engine,
+                engine,
                 for_fleet: true,
             }),
-            Action::Pace { connections } => {
+            Action::SetConnectionRate { connections } => {
                 commands.push(Command::SetConnectionRate { connections });
             }
-            Action::Wake { at } => self.wake = at,
-            // The coordinator is followed all the time, asked for or not.
+            Action::Wake { at } => self.next_wake = at,
+            // The front always subscribes to the coordinator's engine list.
             Action::Subscribe => {}
         }
     }
 
-    /// Sets the memory and priority of a statement's next executions, and the priority of those in flight.
+    /// Sets the memory and priority of a statement's next executions, and the priority of those in
+    /// flight.
     fn set_terms(
         &mut self,
         ticket: Ticket,
@@ -144,22 +147,28 @@
         }));
     }
 
-    fn execute(&mut self, now: Micros, ticket: Ticket, engine: Place, commands: &mut Vec<Command>) {
+    fn execute(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        engine: EngineIndex,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
         let window = repeat_window(&self.workloads[statement.workload]);
         let terms = Terms {
-            leave_by: statement.repeats_until(window),
+            send_by: statement.repeat_deadline(window),
             ..statement.terms
         };
         let execution = statement.executions.len();
-        statement.executions.push(Execution::sent(now, engine));
-        self.engines[engine].execution_begun(now);
+        statement.executions.push(Execution::commanded(now, engine));
+        self.engines[engine].execution_started(now);
         commands.push(Command::Send {
             ticket,
             execution,
-            place: engine,
+            engine,
             terms,
         });
     }
@@ -168,8 +177,9 @@
         let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        // What has begun to answer can't be retried elsewhere: it is only cancelled with its statement.
-        if statement.over || !statement.answer_begun {
+        // A statement whose answer has started can't be retried elsewhere: its execution is
+        // cancelled only once the statement is finished.
+        if statement.finished || !statement.answer_started {
             commands.push(Command::Cancel {
                 ticket,
                 execution,
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, DEMAND_SECONDS};
+use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, DEMAND_WINDOW_SECONDS};
 use hallmux_gossip::load_reports::{OfferedLoad, MAX_LOADS};
 use hallmux_gossip::node::Node;
 
@@ -56,13 +56,13 @@
         // Without any reports the dispatcher's merged load is reset once.
         if reports.is_empty() {
             if std::mem::take(&mut self.uses_merged_load) {
-                dispatcher.fleet_demand(FleetDemand::default());
+                dispatcher.set_fleet_demand(FleetDemand::default());
             }
             return;
         }
         self.uses_merged_load = true;
         let demand = fleet_demand(at.now, &reports, node, dispatcher);
-        dispatcher.fleet_demand(demand);
+        dispatcher.set_fleet_demand(demand);
     }
 }
 
@@ -95,7 +95,7 @@
         .map(|(name, demand)| match demand {
             Some(_) => {
                 let requested = capped_sum(reports, customer_hash(name), |load| load.requested);
-                requested * (fronts_per_report / DEMAND_SECONDS)
+                requested * (fronts_per_report / DEMAND_WINDOW_SECONDS)
             }
             None => 0.0,
         })
@@ -178,7 +178,7 @@
 fn relative_load(local_work: f64, workloads: &[Demand], fronts: usize) -> f64 {
     let total: f64 = workloads
         .iter()
-        .map(|demand| demand.work * demand.asked)
+        .map(|demand| demand.work * demand.arrived)
         .sum();
     let mean = total / fronts.max(1) as f64;
     if mean > 0.0 {
@@ -209,7 +209,7 @@
         .filter(|load| load.service_us > 0)
         .map(|load| f64::from(load.service_us));
     Demand {
-        asked: capped_sum(reports, hash, |load| load.requested),
+        arrived: capped_sum(reports, hash, |load| load.requested),
         ended: completed,
         timely: capped_sum(reports, hash, |load| load.on_time).min(completed),
         work: median(service_us.collect()),
--- a/crates/fleet/src/load_tests.rs
+++ b/crates/fleet/src/load_tests.rs
@@ -23,7 +23,7 @@
     let rows: Vec<_> = all
         .workloads
         .iter()
-        .map(|load| (load.asked, load.ended, load.timely, load.work))
+        .map(|load| (load.arrived, load.ended, load.timely, load.work))
         .collect();
     assert_eq!(
         rows,
@@ -81,7 +81,7 @@
         workloads,
     } = merge(&reports, &[1]);
     assert_eq!(
-        (late_share, workloads[0].asked, workloads[0].timely),
+        (late_share, workloads[0].arrived, workloads[0].timely),
         (0.0, 130.0, 90.0)
     );
     // A report with more statements on time than completed, and an unknown workload.
--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -1,4 +1,4 @@
-//! Statements over several sites (scatter and gather): admitted, their parts dispatched, their one answer given.
+//! Statements over several sites (scatter-gather): their admission, the dispatch of their parts, and their final answer.
 
 use hallmux_dispatcher::{Command, InvalidRequest, RejectCause, Ticket};
 use hallmux_gossip::channels::Channel;
@@ -7,7 +7,7 @@
 use hallmux_scatter::marker::Effect;
 use hallmux_scatter::sql::Query;
 
-use super::admission::JudgedRequest;
+use super::admission::CheckedRequest;
 use super::EventLoopState;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Ordered;
@@ -22,16 +22,16 @@
 const TOO_LONG: &str = "more bytes than scatter.answer_bytes: ask for fewer rows, or raise it";
 
 impl EventLoopState {
-    /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back where they
-    /// can't, or where it is not scattered.
-    pub(super) fn scatter(&mut self, mut request: JudgedRequest) -> Option<JudgedRequest> {
+    /// Starts a statement of a scattered workload if its answer can be composed from parts. Returns the statement if it
+    /// can't, or if its workload is not scattered.
+    pub(super) fn scatter(&mut self, mut request: CheckedRequest) -> Option<CheckedRequest> {
         let scatter = self.scatter.as_mut();
         let Some(scatter) = scatter.filter(|s| s.is_scattered(&request.call.workload)) else {
             return Some(request);
         };
         match scatter.read(&request.call) {
             Ok(Some(query)) => {
-                self.begin_scattered(request, query);
+                self.start_scattered(request, query);
                 None
             }
             Ok(None) => {
@@ -40,25 +40,25 @@
                 }
                 Some(request)
             }
-            Err(why) => {
-                self.refuse_scattered(&request, &why);
+            Err(reason) => {
+                self.refuse_scattered(&request, &reason);
                 None
             }
         }
     }
 
-    fn begin_scattered(&mut self, request: JudgedRequest, query: Query) {
+    fn start_scattered(&mut self, request: CheckedRequest, query: Query) {
         let now = self.clock.now;
         let ticket = self.dispatcher.new_ticket();
         self.clients
-            .open(request.client, request.number, ticket, request.call);
+            .open_statement(request.client, request.number, ticket, request.call);
         let Some(call) = self.clients.call(ticket) else {
             return;
         };
         if let Some(rules) = &self.rules {
             rules.borrow_mut().statement_picked(
                 &mut self.dispatcher,
-                &request.judged,
+                &request.decision,
                 Some(ticket),
             );
         }
@@ -73,22 +73,22 @@
         }
     }
 
-    fn refuse_scattered(&mut self, request: &JudgedRequest, why: &str) {
+    fn refuse_scattered(&mut self, request: &CheckedRequest, reason: &str) {
         log::debug!(
-            "client {}: statement {} of several sites: {why}",
+            "client {}: scattered statement {} is refused: {reason}",
             request.client,
             request.call.id
         );
-        let reply = Reply::Refused(&[("reason", why)]);
+        let reply = Reply::Refused(&[("reason", reason)]);
         self.clients.reply(request.client, request.number, &reply);
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(&mut self.dispatcher, &request.judged, None);
+                .statement_picked(&mut self.dispatcher, &request.decision, None);
         }
     }
 
-    /// Ends a part of a scattered statement; false if the ticket is no part.
+    /// Ends a part of a scattered statement. Returns false if the ticket is not that of a part.
     pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], PartFailure>) -> bool {
         let now = self.clock.now;
         let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else {
@@ -98,7 +98,8 @@
         true
     }
 
-    /// Does what is due of scatters: messages to other fronts, marks on loads, and the answers there are.
+    /// Runs the timers of scattered statements: exchanges messages with other fronts, applies load markers, and sends
+    /// the answers that are complete.
     pub(super) fn tick_scatter(&mut self) {
         let now = self.clock.now;
         let Some(scatter) = &mut self.scatter else {
@@ -118,13 +119,13 @@
         if let Some(loads) = &mut scatter.loads {
             loads.report_held(now, &mut self.dispatcher);
         }
-        self.apply_marks();
+        self.apply_load_markers();
         self.answer_scattered();
     }
 
-    /// Asks the ledger for marks and takes its answers: loads leave, scatters begin. Goes on until the ledger has no
-    /// more answers.
-    pub(super) fn apply_marks(&mut self) {
+    /// Requests load markers from the ledger and applies its answers: loads are sent, scattered statements start.
+    /// Repeats until the ledger has no more answers.
+    pub(super) fn apply_load_markers(&mut self) {
         loop {
             let now = self.clock.now;
             let Some((scatter, peers)) = self.scatter.as_mut().zip(self.peers.as_mut()) else {
@@ -168,13 +169,13 @@
                     place,
                     terms,
                 };
-                if self.may_leave(ordered) {
-                    self.send_marked(ordered, outgoing);
+                if self.recheck_access_rules(ordered) {
+                    self.send_with_load_marker(ordered, outgoing);
                 }
             }
             LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
                 let retry_after = self.dispatcher.reject(now, ticket);
-                self.carry_out(Command::Reject {
+                self.execute_command(Command::Reject {
                     ticket,
                     retry_after,
                     cause: RejectCause::LoadMark,
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Sends an execution whose load is marked.
-    fn send_marked(&mut self, ordered: Ordered, outgoing: Outgoing) {
+    /// Sends an execution whose load marker is replicated.
+    fn send_with_load_marker(&mut self, ordered: Ordered, outgoing: Outgoing) {
         let Ordered { place, terms, .. } = ordered;
         let now = self.clock.now;
         match (outgoing, &mut self.gateway) {
@@ -210,6 +211,7 @@
         }
     }
 
+    /// Sends the final answers of scattered statements that have ended.
     pub(super) fn answer_scattered(&mut self) {
         for (ticket, reply) in self
             .scatter
@@ -222,15 +224,15 @@
                 .for_each(|rules| rules.borrow_mut().statement_over(ticket));
             match reply {
                 FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
-                FinalReply::Invalid(unfit) => {
-                    let field = match unfit {
+                FinalReply::Invalid(invalid) => {
+                    let field = match invalid {
                         InvalidRequest::UnknownCustomer => statement::CUSTOMER,
                         InvalidRequest::MissingDedupKey => statement::DEDUP_KEY,
                         InvalidRequest::UnknownWorkload | InvalidRequest::NoAllowedLocation => {
                             statement::WORKLOAD
                         }
                     };
-                    self.clients.answer_taken_unusable(ticket, field);
+                    self.clients.answer_accepted_unusable(ticket, field);
                 }
             }
         }
@@ -244,12 +246,12 @@
                 barred,
             } => self.answer_rows(ticket, bytes, missing, barred),
             Answer::Rejected { retry_after, site } => {
-                log::debug!("a statement of several sites is rejected for its part at {site}");
+                log::debug!("statement {ticket}: scattered statement is rejected for its part at site {site}");
                 let retry_after_ms = retry_after.map(|time| time / 1000);
                 self.answer(ticket, &Reply::Rejected { retry_after_ms });
             }
             Answer::Aborted { site } => {
-                log::debug!("a statement of several sites is aborted for its part at {site}");
+                log::debug!("statement {ticket}: scattered statement is aborted for its part at site {site}");
                 self.answer(ticket, &Reply::Aborted);
             }
             Answer::Barred(sites) => {
@@ -257,7 +259,7 @@
                 self.answer(ticket, &Reply::Refused(&[("barred", &sites)]));
             }
             Answer::Estimate { distinct, error } => {
-                // Engines' rows have three columns.
+                // Rows have three columns, as those of engines.
                 let (row, error) = (format!("{distinct}\t\t\n"), format!("{error:.4}"));
                 let reply = Reply::Partial {
                     body: row.as_bytes(),
@@ -267,16 +269,16 @@
             }
             Answer::NotEstimated => self.refuse(ticket, NOT_ESTIMATED),
             Answer::Mismatch { site } => {
-                let why = format!(
+                let reason = format!(
                     "site '{site}' answers aggregates in another form: name a scatter.whole_site"
                 );
-                self.refuse(ticket, &why);
+                self.refuse(ticket, &reason);
             }
             Answer::TooLong => self.refuse(ticket, TOO_LONG),
         }
     }
 
-    /// Rows of all sites, or of those that are neither missing nor barred.
+    /// Answers with the rows of all sites, or with those of the sites that are neither missing nor barred.
     fn answer_rows(&mut self, ticket: Ticket, rows: &[u8], missing: &[String], barred: &[String]) {
         if missing.is_empty() && barred.is_empty() {
             return self.answer(ticket, &Reply::Completed(rows));
@@ -294,8 +296,8 @@
         self.answer(ticket, &reply);
     }
 
-    fn refuse(&mut self, ticket: Ticket, why: &str) {
-        self.answer(ticket, &Reply::Refused(&[("reason", why)]));
+    fn refuse(&mut self, ticket: Ticket, reason: &str) {
+        self.answer(ticket, &Reply::Refused(&[("reason", reason)]));
     }
 
     fn answer(&mut self, ticket: Ticket, reply: &Reply) {
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -1,4 +1,4 @@
-//! The start: the parts of a front are made from its configuration and joined.
+//! The start of a front: creates its components from the configuration and connects them.
 
 use std::net::TcpListener;
 
@@ -24,11 +24,11 @@
 use crate::start_error::StartError;
 
 impl EventLoopState {
-    /// Opens the sockets and files that the configuration names, and registers them with the event loop. `known` is
-    /// the engine list that the configuration brings along. What keeps the process from starting is the error.
+    /// Opens the sockets and files that the configuration names, and registers them with the event loop. `known_events`
+    /// is the engine list in the configuration. An error says what keeps the process from starting.
     pub fn new(
         config: &NodeConfig,
-        known: &EngineListEvents,
+        known_events: &EngineListEvents,
         listener: TcpListener,
         handle: LoopHandle<'static, LoopEvents>,
     ) -> Result<EventLoopState, StartError> {
@@ -40,20 +40,20 @@
         let scatter = start_scatter(config, clock.now, peers.as_ref())?;
         let listener = Listener::new(listener, &handle, SocketKind::Listener.id(0));
         let mut front = EventLoopState {
-            listener: listener.map_err(|why| StartError::part(&why))?,
+            listener: listener.map_err(|error| StartError::component(&error))?,
             dispatcher: Dispatcher::new(settings, config.seed),
             answer_slack: settings.network.answer_slack,
             max_statements: settings.network.most_held,
             max_bytes: 0,
             max_clients: 0,
-            memory_full: false,
+            is_memory_full: false,
             clients: Clients::new(
-                settings.agreement.longest_retry_after,
+                settings.agreement.max_retry_after,
                 longest_timeout(settings),
             ),
             engines: Engines::new(handle.clone(), settings.network.clone(), &settings.names),
             engine_starts: EngineStarts::default(),
-            coordinator: Coordinator::new(handle.clone(), config.coordinator, known.index),
+            coordinator: Coordinator::new(handle.clone(), config.coordinator, known_events.index),
             gateway,
             peers,
             rules,
@@ -62,18 +62,18 @@
             send_capacity: SendCapacity::default(),
             shutdown: Shutdown::default(),
             clock,
-            unfinished: Vec::new(),
+            unfinished_reads: Vec::new(),
             flush_deferred: false,
             handle,
         };
         front.share_dial_pacer(config);
         front.start_guard(config);
         front.apply_limits(&config.limits);
-        front.apply_list(known, 0);
+        front.apply_list(known_events, 0);
         Ok(front)
     }
 
-    /// Engines of both protocols keep to one budget of new connections.
+    /// Makes engines of both protocols share one budget of new connections.
     fn share_dial_pacer(&mut self, config: &NodeConfig) {
         self.engines.dials = dial_pacer::configured(config, self.clock.now);
         if let Some(gateway) = &mut self.gateway {
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Creates the guard that holds executions until their ledger entries are replicated, if the fronts keep a ledger.
     fn start_guard(&mut self, config: &NodeConfig) {
         let gossip = config.operator.gossip.as_ref();
         let Some(ledger) = gossip.and_then(|gossip| gossip.ledger.as_ref()) else {
@@ -94,7 +95,7 @@
 
 fn start_clock(config: &NodeConfig) -> Result<Clock, StartError> {
     let clock = Clock::new(config.operator.clock_offset, config.clock_file.as_deref());
-    let mut clock = clock.map_err(|why| StartError::part(&why))?;
+    let mut clock = clock.map_err(|error| StartError::component(&error))?;
     clock.refresh();
     Ok(clock)
 }
@@ -118,7 +119,7 @@
         return Ok(None);
     };
     let gateway = Gateway::new(postgres, &config.settings, handle.clone(), rules);
-    let mut gateway = gateway.map_err(|why| StartError::part(&why))?;
+    let mut gateway = gateway.map_err(|error| StartError::component(&error))?;
     let scatter = config.operator.scatter.as_ref();
     if let Some(scatter) = scatter.filter(|scatter| scatter.marked) {
         gateway.writes = scatter.writes.clone();
@@ -136,10 +137,12 @@
     };
     let spread_offset = peers.map_or(0, Peers::spread_offset);
     let scatter = ScatteredStatements::new(scatter, now, spread_offset, &config.settings);
-    Ok(Some(scatter.map_err(|why| StartError::part(&why))?))
+    Ok(Some(
+        scatter.map_err(|error| StartError::component(&error))?,
+    ))
 }
 
-/// The longest time that a client waits for an answer.
+/// The longest time that a client of any workload waits for an answer; 0 without workloads.
 fn longest_timeout(settings: &Settings) -> Micros {
     settings
         .agreement
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 use hallmux_access::{self as access, Access, Decision, FleetHits, Request, RulesCommand};
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
+use hallmux_dispatcher::{Dispatcher, Ending, EngineIndex, Micros, Terms, Ticket};
 use hallmux_ledger::{self as ledger, ClockReading, Ledger};
 use hallmux_native_codec::tables;
 
@@ -38,7 +38,7 @@
     pub judged: Ticket,
     pub ticket: Ticket,
     pub execution: usize,
-    pub place: Place,
+    pub place: EngineIndex,
     pub terms: Terms,
 }
 
@@ -225,7 +225,7 @@
             return true;
         };
         let at = self.moment(now);
-        let location = dispatcher.site(ordered.place).location;
+        let location = dispatcher.engine_site(ordered.place).location;
         let names = &self.access.known().locations;
         let location = names.get(location).cloned().unwrap_or_default();
         let may = self
@@ -246,7 +246,7 @@
             _ => "by the version that holds",
         };
         log::info!("statement {}: may not leave for {location} {why}", s.ticket);
-        dispatcher.report(
+        dispatcher.execution_ended(
             now,
             ordered.ticket,
             ordered.execution,
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -11,7 +11,7 @@
 
 use calloop::LoopHandle;
 use hallmux_config::{Postgres, Settings};
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Ticket};
+use hallmux_dispatcher::{Dispatcher, Ending, EngineIndex, Micros, Ticket};
 use hallmux_postgres::session::Transaction;
 
 use super::admission_state::AdmissionState;
@@ -80,10 +80,7 @@
             timeouts: workloads
                 .map(|(name, w)| (name.clone(), w.statement_timeout))
                 .collect(),
-            retry_after_ms: settings
-                .agreement
-                .longest_retry_after
-                .map(|time| time / 1000),
+            retry_after_ms: settings.agreement.max_retry_after.map(|time| time / 1000),
             shut: None,
             rules,
             writes: Vec::new(),
@@ -176,7 +173,7 @@
 
     fn ready(&mut self, now: Micros, socket: SocketId) -> bool {
         match socket.kind {
-            SocketKind::SessionListener => self.listener.readable(),
+            SocketKind::SessionListener => self.listener.mark_readable(),
             SocketKind::Session => return self.sessions.read(now, socket.number),
             SocketKind::Server => return self.servers.read(now, socket.number),
             SocketKind::Cancel => self.servers.read_cancel(socket.number),
@@ -266,7 +263,7 @@
         &mut self,
         now: Micros,
         execution_id: ExecutionId,
-        place: Place,
+        place: EngineIndex,
         text: Option<Vec<u8>>,
     ) {
         let Some((session, open_session)) = self.sessions.by_ticket(execution_id.ticket) else {
@@ -371,7 +368,7 @@
     ) {
         self.shut.get_or_insert(now);
         // Whoever has connected by now is told of the end: closing the listener resets what waits there.
-        self.listener.readable();
+        self.listener.mark_readable();
         self.accept(now, sessions_left);
         self.listener.close();
         self.sessions.close_idle(now);
--- a/crates/front/src/postgres/gateway/server_events.rs
+++ b/crates/front/src/postgres/gateway/server_events.rs
@@ -1,6 +1,6 @@
 //! What engines have answered, and how executions have ended, for sessions and the dispatcher.
 
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Ticket};
+use hallmux_dispatcher::{Dispatcher, Ending, Micros, ProgressReport, Ticket};
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine::UnitOutcome;
 
@@ -43,13 +43,13 @@
 
     fn handle_server_event(&mut self, now: Micros, dispatcher: &mut Dispatcher, event: Event) {
         match event {
-            Event::Irrevocable(execution_id) => dispatcher.answer_begun(execution_id.ticket),
+            Event::Irrevocable(execution_id) => dispatcher.answer_started(execution_id.ticket),
             Event::PartialAnswer {
                 execution_id,
                 bytes,
                 whole,
             } => {
-                dispatcher.answer_begun(execution_id.ticket);
+                dispatcher.answer_started(execution_id.ticket);
                 if self.sessions.pass(execution_id.ticket, &bytes, whole) {
                     self.servers.pause(execution_id);
                 }
@@ -78,7 +78,7 @@
                 ending,
             } => self.execution_ended(now, dispatcher, execution_id, ending),
             Event::Alive(ExecutionId { ticket, number }) => {
-                dispatcher.note(ticket, number, Note::Alive)
+                dispatcher.note(ticket, number, ProgressReport::Alive)
             }
             Event::TransactionLost { session } => self.sessions.transaction_lost(session),
         }
@@ -94,7 +94,7 @@
         } = part;
         let opens_transaction = done.status != b'I';
         let keeps_key = opens_transaction && dispatcher.keep_order_key(ticket);
-        if !dispatcher.report(now, ticket, number, Ending::Answered, None) {
+        if !dispatcher.execution_ended(now, ticket, number, Ending::Answered, None) {
             // It had its answer before; a transaction that it opened is nobody's.
             if let Some(server) = held {
                 self.servers.release(now, server);
@@ -125,8 +125,8 @@
         error: &[u8],
     ) {
         let ExecutionId { ticket, number } = execution_id;
-        dispatcher.answer_begun(ticket);
-        if dispatcher.report(now, ticket, number, Ending::Stale, None) {
+        dispatcher.answer_started(ticket);
+        if dispatcher.execution_ended(now, ticket, number, Ending::Stale, None) {
             self.sessions
                 .fail(now, ticket, &ClientError::ResultLost, Some(error));
         }
@@ -141,7 +141,7 @@
     ) {
         let ExecutionId { ticket, number } = execution_id;
         let is_cancelled = self.note_ending(ticket, ending);
-        let is_over = dispatcher.report(now, ticket, number, ending, None);
+        let is_over = dispatcher.execution_ended(now, ticket, number, ending, None);
         if is_over || is_cancelled {
             // One whose client has asked for its end is not tried again.
             self.refuse(now, ticket, Refusal::Aborted);
--- a/crates/lease/src/voter/log.rs
+++ b/crates/lease/src/voter/log.rs
@@ -1,4 +1,4 @@
-//! A voter's part of the replicated log: its messages, its leader, and what it has decided.
+//! A voter's replica of the log: sending its messages, its leader, and applying decided entries.
 
 use hallmux_replica::LogStore;
 use omnipaxos::messages::Message as LogMessage;
@@ -6,74 +6,76 @@
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
 use super::Voter;
-use crate::disk::StateError;
 use crate::leases::Change;
+use crate::state::StateError;
 use crate::{FrontId, LeaseMessage, Micros};
 
-/// Ticks without a message of the leader until an election.
+/// Ticks without a message from the leader until an election starts.
 const ELECTION_TICKS: u64 = 6;
-/// Ticks until a message counts as lost.
+/// Ticks until a message counts as lost and is sent again.
 const RESEND_TICKS: u64 = 4;
-/// Decided entries until the log is compacted into a snapshot.
-const SNAPSHOT_AFTER: usize = 16;
-/// A voter's place among the voters, counted from 1: its number in the log.
-type LogNumber = u64;
+/// Number of decided entries after which the log is compacted into a snapshot.
+const SNAPSHOT_INTERVAL_ENTRIES: usize = 16;
+/// A voter's number in the log: its position among the sorted voters, counted from 1.
+type VoterNumber = u64;
 
 impl Voter {
-    /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
-    pub(super) fn is_from(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
-        self.voter(message.get_sender()) == Some(from)
-            && self.voter(message.get_receiver()) == Some(self.own)
+    /// Whether a log message names its actual sender and this voter as receiver. The library uses
+    /// the numbers as indexes without checking them.
+    pub(super) fn matches_endpoints(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
+        self.voter_id(message.get_sender()) == Some(from)
+            && self.voter_id(message.get_receiver()) == Some(self.local_id)
     }
 
-    /// The voter of a number in the log.
-    pub(super) fn voter(&self, number: LogNumber) -> Option<FrontId> {
-        let place = number.checked_sub(1)?;
-        self.voters.get(place as usize).copied()
+    /// The id of the voter with this number in the log; None if there is no such voter.
+    pub(super) fn voter_id(&self, number: VoterNumber) -> Option<FrontId> {
+        let index = number.checked_sub(1)?;
+        self.voters.get(index as usize).copied()
     }
 
     pub(super) fn leader(&self) -> Option<FrontId> {
         let (number, _) = self.log.get_current_leader()?;
-        self.voter(number)
+        self.voter_id(number)
     }
 
-    /// Whether this voter leads and may propose.
-    pub(super) fn leads(&self) -> bool {
+    /// Whether this voter is the leader and may propose entries.
+    pub(super) fn is_ready_leader(&self) -> bool {
         let leader = self.log.get_current_leader();
-        leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.own)
+        leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.local_id)
     }
 
-    /// Takes the log library's messages, and numbers those that must come in order.
+    /// Queues the log library's outgoing messages, and numbers those that must arrive in order.
     pub(super) fn send_log_messages(&mut self) {
         let mut messages = Vec::new();
         self.log.take_outgoing_messages(&mut messages);
         for message in messages {
-            let receiver = self.voter(message.get_receiver());
-            let Some(to) = receiver.filter(|to| *to != self.own) else {
+            let receiver = self.voter_id(message.get_receiver());
+            let Some(to) = receiver.filter(|to| *to != self.local_id) else {
                 continue;
             };
             let message = LeaseMessage::Log {
-                incarnation: self.disk.incarnation,
-                number: self.order.next_number(&message),
+                incarnation: self.state.incarnation,
+                number: self.message_order.next_number(&message),
                 message: Box::new(message),
             };
             self.send(to, message);
         }
     }
 
-    /// Applies what the log has decided since the last call.
+    /// Applies the entries decided since the last call, and compacts the log when enough are
+    /// decided.
     pub(super) fn apply(&mut self, now: Micros) {
         let decided = self.log.get_decided_idx();
-        if decided <= self.applied {
+        if decided <= self.applied_entries {
             return;
         }
-        let entries = self.log.read_decided_suffix(self.applied);
+        let entries = self.log.read_decided_suffix(self.applied_entries);
         for entry in entries.unwrap_or_default() {
             self.apply_entry(now, entry);
         }
-        self.applied = decided;
-        if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_AFTER {
-            // If it can't be compacted now, it is the next time.
+        self.applied_entries = decided;
+        if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_INTERVAL_ENTRIES {
+            // A failed compaction is retried when further entries are decided.
             let _ = self.log.snapshot(Some(decided), true);
         }
     }
@@ -83,12 +85,12 @@
             LogEntry::Decided(change) => {
                 self.leases.apply(&change);
                 let (Change::Grant { task, .. } | Change::Renew { task, .. }) = change;
-                self.confirmed.insert(task, now);
+                self.last_confirmed.insert(task, now);
             }
             LogEntry::Snapshotted(snapshotted) => {
                 self.leases = snapshotted.snapshot.leases();
-                for (task, _) in self.leases.all() {
-                    self.confirmed.insert(task, now);
+                for (task, _) in self.leases.iter() {
+                    self.last_confirmed.insert(task, now);
                 }
             }
             LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::StopSign(..) => {}
@@ -96,17 +98,18 @@
     }
 }
 
-/// Opens this voter's part of the log. An error says that it is no voter, or that there are too few.
+/// Opens this voter's replica of the log. Fails if the front is not a voter or the library rejects
+/// the cluster, such as one with too few voters.
 pub(super) fn open_log(
-    own: FrontId,
+    local_id: FrontId,
     voters: &[FrontId],
     store: LogStore<Change>,
 ) -> Result<OmniPaxos<Change, LogStore<Change>>, StateError> {
-    let place = voters.iter().position(|voter| *voter == own);
-    let number = place.ok_or(StateError::Voters)? as LogNumber + 1;
+    let index = voters.iter().position(|voter| *voter == local_id);
+    let number = index.ok_or(StateError::Voters)? as VoterNumber + 1;
     let cluster_config = ClusterConfig {
         configuration_id: 1,
-        nodes: (1..=voters.len() as LogNumber).collect(),
+        nodes: (1..=voters.len() as VoterNumber).collect(),
         ..ClusterConfig::default()
     };
     let server_config = ServerConfig {
--- a/crates/simulator-adapter/src/simulated_front.rs
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -1,9 +1,11 @@
-//! One simulated front: its indices for the simulator's names, what has happened since its last decisions, and these.
+//! One simulated front: its scheduler, the indices that it gives to the simulator's names, and its
+//! pending events.
 
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux::interface::{
-    Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
+    Action, Agreement, Arrival, EngineEntry, Event, ExecutionEnded, Micros, Mode, Outcome,
+    ProgressReport,
 };
 use hallmux::Scheduler;
 
@@ -12,13 +14,14 @@
 use crate::reply::{self, ReplyNames};
 use crate::wire_names::{field, input, value};
 
-/// An engine as a list has it, before a front has given it an index.
+/// An engine of a list, before a front has given it an index.
 pub struct ListedEngine {
     id: String,
     entry: EngineEntry,
 }
 
 impl ListedEngine {
+    /// Reads an entry of an engine list.
     pub fn read(line: &Line) -> Result<Self, LineError> {
         let started = line.number_or(field::STARTED, 0.0)?;
         let entry = EngineEntry {
@@ -43,7 +46,7 @@
         value::READY => Ok(Mode::Ready),
         value::DRAINING => Ok(Mode::Draining),
         value::GONE => Ok(Mode::Gone),
-        other => Err(unknown_word(field::MODE, other)),
+        other => Err(unknown_value(field::MODE, other)),
     }
 }
 
@@ -57,48 +60,51 @@
         value::RESET => Ok(Outcome::Reset),
         value::CANCELLED => Ok(Outcome::Cancelled),
         value::NOT_SENT => Ok(Outcome::NotSent),
-        other => Err(unknown_word(field::OUTCOME, other)),
+        other => Err(unknown_value(field::OUTCOME, other)),
     }
 }
 
-/// What a note says; None where it is of a kind that is not known.
-fn note(line: &Line) -> Result<Option<Note>, LineError> {
+/// Reads a progress report; None if its kind is unknown.
+fn note(line: &Line) -> Result<Option<ProgressReport>, LineError> {
     let figure = line.number_or(field::NOTE_FIGURE, 0.0)?;
     let note = match line.field::<u32>(field::NOTE_KIND)? {
-        value::SHARE_DONE => Note::ShareDone(figure),
-        value::SPILLS_MB => Note::SpillsMb(figure),
-        value::WAITS if figure == 1.0 => Note::WaitsForMemory,
-        value::WAITS => Note::WaitsForData,
+        value::SHARE_DONE => ProgressReport::ShareDone(figure),
+        value::SPILLS_MB => ProgressReport::SpillsMb(figure),
+        value::WAITS if figure == 1.0 => ProgressReport::WaitsForMemory,
+        value::WAITS => ProgressReport::WaitsForData,
         _ => return Ok(None),
     };
     Ok(Some(note))
 }
 
-fn unknown_word(field: &'static str, word: &str) -> LineError {
-    LineError::UnknownWord {
+fn unknown_value(field: &'static str, value: &str) -> LineError {
+    LineError::UnknownValue {
         field,
-        word: word.to_string(),
+        value: value.to_string(),
     }
 }
 
-/// One front of the simulation and its indices for the simulator's names.
+/// A front of the simulation, with its indices for the simulator's names.
 pub struct SimulatedFront {
     scheduler: Scheduler,
-    /// How many workloads the settings have.
+    /// The number of workloads in the settings.
     workloads: usize,
-    /// The ids of engines by index, and the other way round.
+    /// The ids of the engines by index.
     engines: Vec<String>,
+    /// The indices of the engines by id.
     engine_indices: HashMap<String, usize>,
-    /// The indices of order keys.
+    /// The indices of order keys by name.
     keys: HashMap<String, u32>,
-    /// The numbers of statements by index, and the other way round.
+    /// The numbers of the statements by index.
     statements: Vec<u32>,
+    /// The indices of the statements by number.
     statement_indices: HashMap<u32, u32>,
-    /// What has happened since the last decisions.
+    /// Events since the last decisions.
     events: Vec<Event>,
 }
 
 impl SimulatedFront {
+    /// Creates a front with these settings; the seed drives the random draws of its scheduler.
     pub fn new(agreement: Agreement, seed: u64) -> Self {
         SimulatedFront {
             workloads: agreement.workloads.len(),
@@ -112,8 +118,8 @@
         }
     }
 
-    /// The index of an engine; one that is met for the first time gets the next.
-    fn engine(&mut self, id: &str) -> usize {
+    /// The index of an engine. An unknown engine gets the next free index.
+    fn engine_index(&mut self, id: &str) -> usize {
         if let Some(&index) = self.engine_indices.get(id) {
             return index;
         }
@@ -123,25 +129,25 @@
         index
     }
 
-    fn engine_of(&mut self, line: &Line) -> Result<usize, LineError> {
+    fn line_engine_index(&mut self, line: &Line) -> Result<usize, LineError> {
         let id: String = line.field(field::ENGINE)?;
-        Ok(self.engine(&id))
+        Ok(self.engine_index(&id))
     }
 
-    /// The index of an order key; one that is met for the first time gets the next.
-    fn order_key(&mut self, name: String) -> u32 {
+    /// The index of an order key. An unknown key gets the next free index.
+    fn order_key_index(&mut self, name: String) -> u32 {
         let next = self.keys.len() as u32;
         *self.keys.entry(name).or_insert(next)
     }
 
-    /// The statement that a line names, if this front has ever received it.
-    fn statement(&self, line: &Line) -> Result<Option<u32>, LineError> {
+    /// The index of the statement that a line names; None if this front never received it.
+    fn statement_index(&self, line: &Line) -> Result<Option<u32>, LineError> {
         let number = line.field(field::STATEMENT)?;
         Ok(self.statement_indices.get(&number).copied())
     }
 
-    /// Takes one line for this front; `lists` are the engine lists sent so far, by number.
-    pub fn take(
+    /// Handles a line for this front; `lists` holds the engine lists received so far, by number.
+    pub fn handle_line(
         &mut self,
         line: &Line,
         lists: &BTreeMap<u32, Vec<ListedEngine>>,
@@ -150,7 +156,7 @@
             input::ARRIVAL => Some(self.arrived(line)?),
             input::EXECUTION_ENDED => self.ended(line)?,
             input::NOTE => self.noted(line)?,
-            input::CLIENT_LEFT => self.statement(line)?.map(Event::ClientLeft),
+            input::CLIENT_LEFT => self.statement_index(line)?.map(Event::StatementWithdrawn),
             input::WAKE => Some(Event::Woken),
             input::ENGINE_LIST => Some(self.listed(line, lists)?),
             input::PROBE_ENDED => Some(self.probed(line)?),
@@ -163,7 +169,7 @@
 
     fn probed(&mut self, line: &Line) -> Result<Event, LineError> {
         Ok(Event::Probed {
-            engine: self.engine_of(line)?,
+            engine: self.line_engine_index(line)?,
             alive: line.field::<String>(field::OUTCOME)? == value::COMPLETED,
             report: line.load_report()?,
         })
@@ -174,22 +180,22 @@
         line: &Line,
         lists: &BTreeMap<u32, Vec<ListedEngine>>,
     ) -> Result<Event, LineError> {
-        let whole = match line.field::<String>(field::LIST_FORM)?.as_str() {
+        let complete = match line.field::<String>(field::LIST_FORM)?.as_str() {
             value::CHANGES => false,
             value::FULL | value::CACHED => true,
-            value::FAILED => return Ok(Event::ListFailed),
-            other => return Err(unknown_word(field::LIST_FORM, other)),
+            value::FAILED => return Ok(Event::EngineListFailed),
+            other => return Err(unknown_value(field::LIST_FORM, other)),
         };
         let number: u32 = line.field(field::LIST)?;
         let list = lists.get(&number).ok_or(LineError::UnknownList(number))?;
         let mut entries = Vec::new();
         for listed in list {
             entries.push(EngineEntry {
-                engine: self.engine(&listed.id),
+                engine: self.engine_index(&listed.id),
                 ..listed.entry.clone()
             });
         }
-        Ok(Event::Engines { whole, entries })
+        Ok(Event::EngineList { complete, entries })
     }
 
     fn arrived(&mut self, line: &Line) -> Result<Event, LineError> {
@@ -204,7 +210,7 @@
             statement: self.statements.len() as u32,
             workload,
             customer: line.optional(field::CUSTOMER)?.unwrap_or(0),
-            order_key: key.map(|name| self.order_key(name)),
+            order_key: key.map(|name| self.order_key_index(name)),
             time_left,
             work: line.number_or(field::WORK, 0.0)? * 1000.0,
             memory_mb: line.number_or(field::MEMORY_MB, 0.0)?,
@@ -218,17 +224,17 @@
         Ok(Event::Arrived(arrival))
     }
 
-    /// The end of an execution; None where its statement is not known.
+    /// Reads the end of an execution; None if its statement is unknown.
     fn ended(&mut self, line: &Line) -> Result<Option<Event>, LineError> {
-        let Some(statement) = self.statement(line)? else {
+        let Some(statement) = self.statement_index(line)? else {
             return Ok(None);
         };
         let outcome = outcome(line)?;
         line.optional::<u64>(field::COST)?;
-        Ok(Some(Event::Ended(Ended {
+        Ok(Some(Event::ExecutionEnded(ExecutionEnded {
             statement,
             execution: line.field(field::EXECUTION)?,
-            engine: self.engine_of(line)?,
+            engine: self.line_engine_index(line)?,
             outcome,
             took: line.time(field::TOOK)?,
             settled: line.flag(field::SETTLED)?,
@@ -237,23 +243,24 @@
         })))
     }
 
-    /// A note on an execution; None where its statement or the note's kind is not known.
+    /// Reads a progress report on an execution; None if its statement or the kind of the report is
+    /// unknown.
     fn noted(&mut self, line: &Line) -> Result<Option<Event>, LineError> {
-        let Some(statement) = self.statement(line)? else {
+        let Some(statement) = self.statement_index(line)? else {
             return Ok(None);
         };
-        let Some(note) = note(line)? else {
+        let Some(progress) = note(line)? else {
             return Ok(None);
         };
-        Ok(Some(Event::Noted {
+        Ok(Some(Event::Progress {
             statement,
             execution: line.field(field::EXECUTION)?,
-            engine: self.engine_of(line)?,
-            note,
+            engine: self.line_engine_index(line)?,
+            progress,
         }))
     }
 
-    /// Decides on what has happened since the last call and appends the decisions to the reply.
+    /// Decides on all events since the last call and appends the decisions to the reply.
     pub fn decide(&mut self, now: Micros, number: i64, reply: &mut String) {
         if self.events.is_empty() {
             return;
--- a/src/policy/order_key_tests.rs
+++ b/src/policy/order_key_tests.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is among the statements of one order key.
+//! Tests of the order among the statements of one key.
 
 use super::OrderQueues;
 
@@ -13,16 +13,19 @@
 }
 
 #[test]
-fn statements_of_a_key_have_their_turn_in_the_order_of_arrival() {
+fn statements_of_a_key_run_in_order_of_arrival() {
     let mut queues = queue(&[1, 2]);
     assert!(queues.is_first(KEY, 1, false, 0) && !queues.is_first(KEY, 2, false, 0));
     queues.remove(KEY, 1, 0);
     assert!(queues.is_first(KEY, 2, false, 0));
-    assert!(queues.is_first(None, 9, false, 0), "without a key always");
+    assert!(
+        queues.is_first(None, 9, false, 0),
+        "a statement without a key is always first"
+    );
 }
 
 #[test]
-fn what_may_still_run_holds_the_key() {
+fn an_execution_that_may_still_run_holds_the_key() {
     let mut queues = queue(&[1, 2]);
     queues.remove(KEY, 1, 1);
     assert!(!queues.is_first(KEY, 2, false, 0));
@@ -31,9 +34,9 @@
 }
 
 #[test]
-fn a_transaction_that_goes_on_holds_the_key() {
+fn an_open_transaction_holds_the_key() {
     let mut queues = queue(&[1, 2]);
-    queues.keep(KEY);
+    queues.hold(KEY);
     queues.remove(KEY, 1, 0);
     assert!(!queues.is_first(KEY, 2, false, 0));
     queues.resolve(KEY, true, None);
@@ -41,7 +44,7 @@
 }
 
 #[test]
-fn a_pause_holds_first_attempts_alone() {
+fn a_paused_key_delays_first_attempts_only() {
     let mut queues = queue(&[1]);
     queues.resolve(KEY, false, Some(100));
     assert_eq!(queues.paused_until(KEY), 100);
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn a_key_is_shared_while_several_are_not_over() {
+fn a_key_is_shared_while_it_has_several_unfinished_statements() {
     let mut queues = queue(&[1, 2]);
     assert!(queues.is_shared(KEY));
     queues.remove(KEY, 2, 0);
--- a/src/policy/retry_tests.rs
+++ b/src/policy/retry_tests.rs
@@ -1,4 +1,4 @@
-//! When a statement may be attempted again.
+//! Tests of attempt limits and the retry budget.
 
 use crate::interface::{Agreement, RejectReason, RetryAllowance};
 
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn what_is_spent_comes_back_after_the_window() {
+fn a_spent_retry_is_available_again_after_the_window() {
     let mut budget = budget(1.0, 0.0);
     assert_eq!(budget.check(after(1), 0), RetryOutcome::Allowed);
-    budget.retried(0);
+    budget.record_retry(0);
     assert_eq!(budget.check(after(1), 0), RetryOutcome::BudgetSpent);
     assert_eq!(budget.check(after(1), WINDOW), RetryOutcome::BudgetSpent);
     assert_eq!(budget.check(after(1), WINDOW + 1), RetryOutcome::Allowed);
@@ -39,15 +39,15 @@
 fn the_budget_grows_with_the_statements_admitted() {
     let mut budget = budget(0.0, 0.1);
     for _ in 0..9 {
-        budget.admitted(1);
+        budget.record_admission(1);
     }
     assert_eq!(budget.check(after(1), 1), RetryOutcome::BudgetSpent);
-    budget.admitted(1);
+    budget.record_admission(1);
     assert_eq!(budget.check(after(1), 1), RetryOutcome::Allowed);
 }
 
 #[test]
-fn a_statement_has_so_many_attempts_and_a_sticky_one_has_one() {
+fn attempts_are_limited_and_a_sticky_statement_is_never_retried() {
     let budget = budget(9.0, 0.0);
     assert_eq!(budget.check(after(2), 0), RetryOutcome::Allowed);
     assert_eq!(budget.check(after(3), 0), RetryOutcome::AttemptsExhausted);
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn without_a_budget_only_the_attempts_count() {
+fn without_a_budget_only_the_attempt_limit_applies() {
     let mut budget = RetryBudget::new(&Agreement {
         max_attempts: 3,
         ..Agreement::default()
     });
     for _ in 0..100 {
-        budget.retried(0);
+        budget.record_retry(0);
     }
     assert_eq!(budget.check(after(2), 0), RetryOutcome::Allowed);
 }
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -1,25 +1,26 @@
-//! What is looked at from time to time: silent attempts, probes, the pace of connections.
+//! Periodic work: silent attempts, health checks and the rate of new connections.
 
 use crate::engine_table::AttemptId;
 use crate::interface::{Action, EngineId};
-use crate::policy::fleet_budget::share_of;
+use crate::policy::fleet_budget::budget_share;
 use crate::policy::health_checks::HealthChecks;
 use crate::policy::outliers::Charge;
 use crate::policy::stuck_attempts::{check_silence, InFlightAttempt, SilenceOutcome};
 
 use super::{Scheduler, SWEEP_INTERVAL};
 
-/// Sweeps between looks at silent engines, which walk all attempts in flight.
+/// Sweeps between two checks for silent attempts, which visit all attempts in flight.
 const SWEEPS_PER_ENGINE_CHECK: u32 = 4;
 
-/// A silent attempt.
+/// An attempt that has been silent for too long, and the charge against its engine.
 struct StuckAttempt {
     attempt: AttemptId,
     charge: Charge,
 }
 
 impl Scheduler {
-    /// Probes engines at each sweep, looks for silent attempts at some.
+    /// Runs health checks at every sweep and looks for silent attempts at every
+    /// `SWEEPS_PER_ENGINE_CHECK`th.
     pub(super) fn sweep(&mut self) {
         if !self.clock.sweep_is_due() {
             return;
@@ -32,25 +33,26 @@
             self.load_reports
                 .decay(|engine| (engines.kind(engine), engines.size[engine].threads));
             for engine in 0..self.engines.open.len() {
-                self.cancel_silent(engine);
+                self.handle_silent_attempts(engine);
             }
         }
     }
 
-    /// Probes the engines that are due.
+    /// Sends the health checks that are due.
     fn probe_for_load(&mut self) {
-        let budget = self.agreed.budgets.map(|budgets| budgets.probes);
-        let each = budget.map_or(f64::INFINITY, |probes| self.fleet_share(probes));
+        let budget = self.agreement.budgets.map(|budgets| budgets.probes);
+        let probe_rate = budget.map_or(f64::INFINITY, |probes| self.fleet_share(probes));
         let (open, actions) = (&self.engines.open, &mut self.actions);
         let probe = |engine| actions.push(Action::Probe { engine });
         self.health_checks
-            .probe_due(open, each, self.clock.now, probe);
+            .probe_due(open, probe_rate, self.clock.now, probe);
     }
 
-    /// All fronts together probe evacuated zones: each draws at its share of the rate. Where probes are not
-    /// allowed the engine counts as healthy without proof, and gets a statement or two as one that is warming up.
+    /// Probes a suspect of an evacuated zone at random. All fronts share the rate, so each draws
+    /// with its part of it. If probes are not allowed, the engine counts as healthy without proof.
+    /// As it is warming up, it then gets only a statement or two.
     fn probe_evacuated(&mut self) {
-        let rate = HealthChecks::fleet_probes_per(SWEEP_INTERVAL);
+        let rate = HealthChecks::fleet_probes_in(SWEEP_INTERVAL);
         let drawn =
             self.peer_evidence.has_evacuated() && self.random.next() * self.fleet.probers < rate;
         if !drawn {
@@ -58,15 +60,15 @@
         }
         let draw = self.random.next();
         match self.pick_suspect(draw) {
-            Some(engine) if self.agreed.probes => {
+            Some(engine) if self.agreement.probes => {
                 self.actions.push(Action::ProbeEvacuated { engine });
             }
-            Some(engine) => self.found_healthy(engine),
+            Some(engine) => self.mark_healthy(engine),
             None => {}
         }
     }
 
-    /// What is known of an attempt in flight at an engine.
+    /// The inputs of the silence rule for an attempt in flight on an engine.
     pub(super) fn in_flight_attempt(
         &self,
         attempt: AttemptId,
@@ -74,21 +76,22 @@
     ) -> InFlightAttempt {
         let statement = &self.statements[&attempt.statement];
         let known = &statement.attempts[attempt.number];
-        let sends_progress = self.engines.listed[engine]
+        let sends_progress = self.engines.entries[engine]
             .as_ref()
             .is_some_and(|entry| entry.sends_progress);
-        let agreed = Some(self.agreed.progress_every).filter(|every| *every != 0);
+        let interval = Some(self.agreement.progress_interval).filter(|every| *every != 0);
         InFlightAttempt {
             sent_at: known.sent_at,
-            heard_at: known.heard_at,
-            engine_heard_at: self.engines.heard_at[engine],
-            progress_every: agreed.filter(|_| sends_progress),
+            last_seen: known.last_seen,
+            engine_last_seen: self.engines.last_seen[engine],
+            progress_interval: interval.filter(|_| sends_progress),
             expected_run: self.expected_run(statement),
         }
     }
 
-    /// Cancels the attempts at an engine that have been silent for too long.
-    fn cancel_silent(&mut self, engine: EngineId) {
+    /// Charges an engine for attempts that have been silent for too long, and cancels those that
+    /// may be retried.
+    fn handle_silent_attempts(&mut self, engine: EngineId) {
         let in_flight = self.engines.in_flight[engine].iter();
         let stuck: Vec<StuckAttempt> = in_flight
             .filter_map(|attempt| self.stuck_attempt(*attempt, engine))
@@ -102,7 +105,7 @@
         }
     }
 
-    /// An attempt that has been silent for too long, the first time that it is found so.
+    /// The attempt as a stuck one if it has been silent for too long. Reported once per attempt.
     fn stuck_attempt(&self, attempt: AttemptId, engine: EngineId) -> Option<StuckAttempt> {
         if self.statements[&attempt.statement].attempts[attempt.number].silent {
             return None;
@@ -110,24 +113,24 @@
         let known = self.in_flight_attempt(attempt, engine);
         match check_silence(&known, self.clock.running_since, self.clock.now) {
             SilenceOutcome::Silent(charge) => Some(StuckAttempt { attempt, charge }),
-            SilenceOutcome::Heard => None,
+            SilenceOutcome::Active => None,
         }
     }
 
-    /// This front's share of the fleet's budget for connections, where it has changed.
-    pub(super) fn pace_connections(&mut self) {
-        let budget = self.agreed.budgets.map(|budgets| budgets.connections);
-        let pace = budget.map(|connections| self.fleet_share(connections));
-        if self.connection_pace == pace {
+    /// Sets the rate of new connections if this front's share of the fleet's budget has changed.
+    pub(super) fn update_connection_rate(&mut self) {
+        let budget = self.agreement.budgets.map(|budgets| budgets.connections);
+        let rate = budget.map(|connections| self.fleet_share(connections));
+        if self.connection_rate == rate {
             return;
         }
-        self.connection_pace = pace;
-        if let Some(connections) = pace {
-            self.actions.push(Action::Pace { connections });
+        self.connection_rate = rate;
+        if let Some(connections) = rate {
+            self.actions.push(Action::SetConnectionRate { connections });
         }
     }
 
     fn fleet_share(&self, budget: f64) -> f64 {
-        share_of(budget, self.fleet.relative_demand, self.fleet.known)
+        budget_share(budget, self.fleet.relative_demand, self.fleet.known)
     }
 }
