--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -89,7 +89,7 @@
         };
         let differing: Vec<FrontId> = hashes
             .iter()
-            .filter(|(_, of)| **of != majority_hashes)
+            .filter(|(_, member_hashes)| **member_hashes != majority_hashes)
             .map(|(f, _)| *f)
             .collect();
         if differing.is_empty() {
@@ -101,7 +101,9 @@
         if differing.contains(&local) {
             // This front's replica is wrong: a member of the majority takes over the shard and
             // repairs it.
-            let candidate = hashes.iter().find(|(_, of)| **of == majority_hashes);
+            let candidate = hashes
+                .iter()
+                .find(|(_, member_hashes)| **member_hashes == majority_hashes);
             if let Some((candidate, _)) = candidate {
                 let message = LedgerMessage::TransferLeadership { shard, config };
                 self.transport.send(at, *candidate, &message, Pace::Fast);
--- a/crates/ledger/src/balance.rs
+++ b/crates/ledger/src/balance.rs
@@ -92,7 +92,7 @@
     /// The number of further replicas that each member may hold.
     capacity: Vec<u64>,
     /// The members that hold each shard.
-    held: Vec<Vec<usize>>,
+    holders: Vec<Vec<usize>>,
     /// Current maximum number of replicas of a shard in one zone.
     level: usize,
 }
@@ -100,13 +100,13 @@
 impl Placement<'_> {
     /// Whether the member may hold a replica of the shard if the replica of `excluded` is ignored.
     fn fits(&self, shard: usize, excluded: Option<usize>, candidate: usize) -> bool {
-        let of = self.held[shard]
+        let other_holders = self.holders[shard]
             .iter()
-            .filter(|held| Some(**held) != excluded);
+            .filter(|holder| Some(**holder) != excluded);
         let (mut in_zone, mut is_holder) = (0, false);
-        for held in of {
-            in_zone += usize::from(self.zone[*held] == self.zone[candidate]);
-            is_holder |= *held == candidate;
+        for holder in other_holders {
+            in_zone += usize::from(self.zone[*holder] == self.zone[candidate]);
+            is_holder |= *holder == candidate;
         }
         !is_holder && in_zone < self.level
     }
@@ -120,8 +120,10 @@
         for candidate in
             (0..self.members.len()).filter(|candidate| self.fits(shard, None, *candidate))
         {
-            for other in 0..self.held.len() {
-                let Some(position) = self.held[other].iter().position(|held| *held == candidate)
+            for other in 0..self.holders.len() {
+                let Some(position) = self.holders[other]
+                    .iter()
+                    .position(|holder| *holder == candidate)
                 else {
                     continue;
                 };
@@ -129,9 +131,9 @@
                     .iter()
                     .find(|to| self.fits(other, Some(candidate), **to))
                 {
-                    self.held[other][position] = *to;
+                    self.holders[other][position] = *to;
                     self.capacity[*to] -= 1;
-                    self.held[shard].push(candidate);
+                    self.holders[shard].push(candidate);
                     return true;
                 }
             }
@@ -145,15 +147,17 @@
         for bounded in [true, false] {
             for Pair { shard, member, .. } in pairs {
                 let has_room = self.capacity[*member] > 0 || !bounded;
-                if has_room && self.held[*shard].len() < target && self.fits(*shard, None, *member)
+                if has_room
+                    && self.holders[*shard].len() < target
+                    && self.fits(*shard, None, *member)
                 {
-                    self.held[*shard].push(*member);
+                    self.holders[*shard].push(*member);
                     self.capacity[*member] = self.capacity[*member].saturating_sub(1);
                 }
             }
             if bounded {
-                for shard in 0..self.held.len() {
-                    while self.held[shard].len() < target && self.swap(shard) {}
+                for shard in 0..self.holders.len() {
+                    while self.holders[shard].len() < target && self.swap(shard) {}
                 }
             }
         }
@@ -229,7 +233,7 @@
         members,
         zone,
         capacity,
-        held: vec![Vec::new(); usize::from(shards)],
+        holders: vec![Vec::new(); usize::from(shards)],
         level: 0,
     };
     for level in 1..=zones.max_per_zone {
@@ -242,9 +246,10 @@
             .sum::<u64>() as usize;
         placement.fill(&pairs, target.min(count));
     }
-    let ordered = |(shard, mut held): (usize, Vec<usize>)| {
-        held.sort_by_key(|member| weight(shard, members[*member].front));
-        held.into_iter()
+    let ordered = |(shard, mut holders): (usize, Vec<usize>)| {
+        holders.sort_by_key(|member| weight(shard, members[*member].front));
+        holders
+            .into_iter()
             .map(|member| members[member].front)
             .collect()
     };
--- a/crates/ledger/src/bootstrap.rs
+++ b/crates/ledger/src/bootstrap.rs
@@ -56,13 +56,13 @@
     /// incarnation than the latest known one is ignored.
     pub fn record_offer(&mut self, from: ReplicaIncarnation, agreed: &[ReplicaIncarnation]) {
         let front = from.id.front;
-        let agreed_with = self.agreed.iter().find(|before| before.id.front == front);
-        let before = self
+        let agreed_with = self.agreed.iter().find(|replica| replica.id.front == front);
+        let latest = self
             .offers
             .get(&front)
             .map(|offer| &offer.from)
             .or(agreed_with);
-        if before.is_none_or(|before| before.incarnation <= from.incarnation) {
+        if latest.is_none_or(|latest| latest.incarnation <= from.incarnation) {
             self.offers.insert(
                 front,
                 Offer {
@@ -83,10 +83,10 @@
     /// the list later could be placed only with each other, so every front that may hold shards has
     /// to state that it knows of no started shard.
     pub fn without_offer(&self, local: FrontId, members: &[FrontId]) -> Vec<FrontId> {
-        let others = members
+        let other_fronts = members
             .iter()
             .filter(|front| **front != local && !self.offers.contains_key(front));
-        others.copied().collect()
+        other_fronts.copied().collect()
     }
 
     /// The next step for a shard that is placed on the fronts `placed`, out of all `members` that
@@ -115,8 +115,8 @@
             self.agreed.clone_from(&replicas);
             return Step::Agree(replicas);
         }
-        let mut others = placed.iter().filter(|front| **front != local.id.front);
-        let all = others.all(|front| {
+        let mut other_fronts = placed.iter().filter(|front| **front != local.id.front);
+        let all = other_fronts.all(|front| {
             self.offers
                 .get(front)
                 .is_some_and(|offer| offer.agreed == wanted)
--- a/crates/ledger/src/comparison.rs
+++ b/crates/ledger/src/comparison.rs
@@ -37,8 +37,16 @@
 
 /// The hashes shared by more than half of all replicas, if any.
 pub(crate) fn majority(hashes: &BTreeMap<FrontId, Vec<u64>>, replicas: usize) -> Option<Vec<u64>> {
-    let count = |of: &Vec<u64>| hashes.values().filter(|hashes| *hashes == of).count();
-    hashes.values().find(|of| 2 * count(of) > replicas).cloned()
+    let count = |candidate: &Vec<u64>| {
+        hashes
+            .values()
+            .filter(|hashes| *hashes == candidate)
+            .count()
+    };
+    hashes
+        .values()
+        .find(|candidate| 2 * count(candidate) > replicas)
+        .cloned()
 }
 
 /// The hashes of a state: one per leaf, and one of everything but the entries.
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -36,8 +36,8 @@
             Err(reason) => return self.reject(reason),
         };
         let silent = |peer: &Peer| at.steady - peer.last_seen >= self.setup.repair_after;
-        let before = self.peers.get(&from).filter(|peer| !silent(peer));
-        if before.is_some_and(|peer| peer.incarnation > packet.incarnation) {
+        let known_peer = self.peers.get(&from).filter(|peer| !silent(peer));
+        if known_peer.is_some_and(|peer| peer.incarnation > packet.incarnation) {
             return self.reject(Rejection::EarlierIncarnation);
         }
         self.away
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -47,8 +47,8 @@
 
     /// Whether this front still leads a shard that has other members.
     pub fn leads_transferable_shard(&self) -> bool {
-        let others = self.shards.iter().filter(|view| view.members().len() > 1);
-        others
+        let shared_shards = self.shards.iter().filter(|view| view.members().len() > 1);
+        shared_shards
             .filter_map(|view| view.replica.as_ref())
             .any(Replica::is_leader)
     }
@@ -125,9 +125,9 @@
         let replicas = self.shards.iter().filter_map(|view| view.replica.as_ref());
         let members =
             replicas.flat_map(|replica| replica.members.iter().map(|member| member.front));
-        let others: BTreeSet<FrontId> =
+        let other_fronts: BTreeSet<FrontId> =
             members.filter(|front| *front != self.local.front).collect();
-        for to in others {
+        for to in other_fronts {
             if self.transport.common_format(to) >= FIRST_EXPLICIT_FORMAT {
                 self.transport
                     .send(at, to, &LedgerMessage::ShuttingDown, Pace::Fast);
@@ -200,12 +200,13 @@
                 && (!self.is_shutting_down(member.front) || member.front > self.local.front)
         };
         let needed = |replica: &Replica| {
-            let (majority, others) = (replica.members.len() / 2 + 1, replica.members.len() - 1);
+            let (majority, other_members) =
+                (replica.members.len() / 2 + 1, replica.members.len() - 1);
             let available = replica
                 .members
                 .iter()
                 .filter(|member| member.front != self.local.front && is_available(member));
-            majority <= others && available.count() < majority
+            majority <= other_members && available.count() < majority
         };
         self.shards
             .iter()
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -205,8 +205,8 @@
         else {
             return;
         };
-        if let Some(before) = view.replica.take() {
-            before.remove_saved_log(&mut self.records);
+        if let Some(previous) = view.replica.take() {
+            previous.remove_saved_log(&mut self.records);
         }
         if view.bootstrap.take().is_some() {
             self.records.push(records::remove_bootstrap(shard));
@@ -291,9 +291,11 @@
             .iter()
             .take(self.setup.replication_factor)
             .copied();
-        let before = replica.members.iter().map(|member| member.front);
+        let previous_members = replica.members.iter().map(|member| member.front);
         let is_member = |front: &FrontId| members.iter().any(|member| member.front == *front);
-        let other_fronts = placed.chain(before).filter(|front| !is_member(front));
+        let other_fronts = placed
+            .chain(previous_members)
+            .filter(|front| !is_member(front));
         let message = LedgerMessage::Membership {
             shard,
             config: *config,
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -24,16 +24,16 @@
 /// is represented, all zones are considered again.
 pub(crate) fn ranked(members: &[Member], shard: u16) -> Vec<FrontId> {
     let weight = |front: FrontId| hash(front.to_be_bytes().into_iter().chain(shard.to_be_bytes()));
-    let mut rest: Vec<&Member> = members.iter().collect();
-    rest.sort_by_key(|member| (std::cmp::Reverse(weight(member.front)), member.front));
+    let mut remaining: Vec<&Member> = members.iter().collect();
+    remaining.sort_by_key(|member| (std::cmp::Reverse(weight(member.front)), member.front));
     let (mut ranked, mut zones) = (Vec::new(), Vec::new());
-    while !rest.is_empty() {
-        let place = rest
+    while !remaining.is_empty() {
+        let position = remaining
             .iter()
             .position(|member| !zones.contains(&member.zone.as_str()));
-        match place {
-            Some(place) => {
-                let member = rest.remove(place);
+        match position {
+            Some(position) => {
+                let member = remaining.remove(position);
                 zones.push(member.zone.as_str());
                 ranked.push(member.front);
             }
--- a/crates/ledger/src/placement_tests.rs
+++ b/crates/ledger/src/placement_tests.rs
@@ -36,11 +36,11 @@
 fn removing_a_front_moves_only_its_own_replicas() {
     let all = members(12, 1);
     for shard in 0..64 {
-        let before = ranked(&all, shard);
+        let original = ranked(&all, shard);
         let remaining: Vec<Member> = all.iter().filter(|m| m.front != 5).cloned().collect();
-        let after = ranked(&remaining, shard);
-        let without: Vec<FrontId> = before.into_iter().filter(|front| *front != 5).collect();
-        assert_eq!(after, without, "shard {shard}");
+        let reduced = ranked(&remaining, shard);
+        let without: Vec<FrontId> = original.into_iter().filter(|front| *front != 5).collect();
+        assert_eq!(reduced, without, "shard {shard}");
     }
 }
 
--- a/crates/ledger/src/replica/saving.rs
+++ b/crates/ledger/src/replica/saving.rs
@@ -32,7 +32,7 @@
         }
         let changes = std::mem::take(&mut self.changes);
         let shard = self.shard;
-        let before = self.saved_indices.clone();
+        let previously_saved = self.saved_indices.clone();
         self.saved_indices = self.store.read(|log_state| {
             records.push(records::meta(format, shard, &self.meta(log_state)));
             if let Some(snapshot) = log_state.snapshot.as_ref().filter(|_| changes.snapshot) {
@@ -46,8 +46,8 @@
                 format = format.max(batch.tail.format());
                 records.push(records::entry(shard, index, batch));
             }
-            let compacted_away = before.start..compacted.min(before.end);
-            let cut_off = end.max(before.start)..before.end;
+            let compacted_away = previously_saved.start..compacted.min(previously_saved.end);
+            let cut_off = end.max(previously_saved.start)..previously_saved.end;
             let removed = compacted_away.chain(cut_off);
             records.extend(removed.map(|index| records::remove_entry(shard, index)));
             compacted..end
