--- a/crates/ledger/src/balance.rs
+++ b/crates/ledger/src/balance.rs
@@ -254,7 +254,7 @@
             .collect()
     };
     placement
-        .held
+        .holders
         .into_iter()
         .enumerate()
         .map(ordered)
