--- a/crates/ledger/src/away.rs
+++ b/crates/ledger/src/away.rs
@@ -1,4 +1,5 @@
-//! Which fronts are away, and how long each is waited for.
+//! Tracks which fronts are away and how long the ledger waits for each before it replaces its
+//! replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,11 +9,11 @@
 #[derive(Default)]
 pub(crate) struct Away {
     pub since: BTreeMap<FrontId, Micros>,
-    /// When a zone that was away as a whole began to come back.
-    returned_at: BTreeMap<String, Micros>,
-    pub gone: BTreeSet<FrontId>,
-    /// Members have changed since they were last placed.
-    pub stale: bool,
+    /// When the first front came back, for each zone that was entirely away.
+    zone_returned_at: BTreeMap<String, Micros>,
+    pub declared_gone: BTreeSet<FrontId>,
+    /// The member list has changed since the last placement.
+    pub placement_outdated: bool,
 }
 
 impl Away {
@@ -21,13 +22,15 @@
     }
 
     fn is_zone_away(&self, members: &[Member], zone: &str) -> bool {
-        let mut there = members.iter().filter(|member| member.zone == zone);
-        let all = there.clone().all(|member| self.is_away(member.front));
-        all && there.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
+        let mut zone_members = members.iter().filter(|member| member.zone == zone);
+        let all = zone_members
+            .clone()
+            .all(|member| self.is_away(member.front));
+        all && zone_members.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
     }
 
-    /// A front is up (again).
-    pub fn returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
+    /// Records that a front is up (again).
+    pub fn mark_returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
         if !self.is_away(front) {
             return;
         }
@@ -36,12 +39,12 @@
             .find(|member| member.front == front)
             .map(|member| member.zone.clone());
         if let Some(zone) = zone.filter(|zone| self.is_zone_away(members, zone)) {
-            self.returned_at.insert(zone, now);
+            self.zone_returned_at.insert(zone, now);
         }
         self.since.remove(&front);
     }
 
-    /// Until when a front that was last heard then is waited for.
+    /// Until when to wait for a front that was last heard from at `since`.
     pub fn wait_until(&self, setup: &Setup, front: FrontId, since: Micros) -> Micros {
         let zone = setup
             .members
@@ -50,12 +53,12 @@
             .map(|m| m.zone.as_str());
         match zone {
             Some(zone) if self.is_zone_away(&setup.members, zone) => {
-                since + setup.zone_after.max(setup.repair_after)
+                since + setup.zone_repair_after.max(setup.repair_after)
             }
             Some(zone) => {
-                self.returned_at
+                self.zone_returned_at
                     .get(zone)
-                    .map_or(since, |returned_at| since.max(*returned_at))
+                    .map_or(since, |zone_returned_at| since.max(*zone_returned_at))
                     + setup.repair_after
             }
             None => since + setup.repair_after,
--- a/crates/ledger/src/counters.rs
+++ b/crates/ledger/src/counters.rs
@@ -2,87 +2,89 @@
 
 use crate::ledger::Ledger;
 
-/// A replica that a front holds.
+/// A replica that this front holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// The shard.
+    /// The number of the shard.
     pub shard: u16,
-    /// The number of the shard's configuration: grows with each change of its members.
+    /// The number of the shard's configuration, which grows with each change of its members.
     pub config: u32,
-    /// This front leads the shard.
+    /// Whether this front leads the shard.
     pub is_leader: bool,
 }
 
-/// Replicas that differed from the majority of their shard when they were compared, so far.
+/// Counts of replicas that differed from the majority of their shard in a comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Differences {
-    /// Found by this front.
+    /// Differing replicas that this front found as a leader.
     pub found: u64,
-    /// Replicas of this front that were repaired.
+    /// Replicas of this front that were repaired after a comparison.
     pub repaired_here: u64,
 }
 
-/// The ledger's counters and its present state on this front.
+/// The ledger's counters since the start, and its current state on this front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Messages, records and requests that were refused, by reason.
-    pub refused: std::collections::BTreeMap<&'static str, u64>,
+    /// Rejected messages and requests, by reason.
+    pub rejected: std::collections::BTreeMap<&'static str, u64>,
     /// Shards of which this front holds a replica.
-    pub copies: usize,
-    /// Shards that it leads now.
-    pub led: usize,
-    /// Of the shards it leads: replicas that are missing, by members that are silent or have yet to
-    /// catch up.
-    pub missing: usize,
-    /// Entries in its replicas.
+    pub replicas: usize,
+    /// Shards that this front leads now.
+    pub led_shards: usize,
+    /// Missing replicas of the shards that this front leads: of members that are silent or have not
+    /// caught up.
+    pub missing_replicas: usize,
+    /// Entries in this front's replicas.
     pub entries: usize,
     /// Bytes of those entries.
     pub bytes: usize,
-    /// Requests answered.
+    /// Answered requests of this front.
     pub answered: u64,
-    /// Rounds of the log that the answers took.
+    /// Rounds of the log that this front proposed as a leader.
     pub rounds: u64,
-    /// Replicas rebuilt.
-    pub repaired: u64,
-    /// Of them, those that moved though none was missing.
-    pub moved: u64,
-    /// Moves under way now.
-    pub moving: usize,
+    /// Replicas added to shards that this front led, rebuilt or moved.
+    pub rebuilt: u64,
+    /// Those of the `rebuilt` replicas that were moved for balance, with no replica missing.
+    pub rebalanced: u64,
+    /// Moves for balance in progress.
+    pub moving_replicas: usize,
     /// Replicas that differed from the majority when this front compared them.
-    pub differed: u64,
+    pub differing: u64,
     /// Replicas of this front that were repaired after such a comparison.
-    pub mended: u64,
-    /// Shards that other leaders transferred to it.
-    pub taken_over: u64,
-    /// A save has failed: this front holds no replicas until it starts again.
+    pub repaired_after_comparison: u64,
+    /// Shards whose leadership this front accepted from another leader.
+    pub accepted_leaderships: u64,
+    /// A save has failed: this front holds no replicas until the ledger is reset.
     pub failed: bool,
 }
 
 impl Ledger {
-    /// The counters, and the present state of this front's replicas.
+    /// The counters, and the current state of this front's replicas.
     pub fn counters(&self) -> Counters {
         let mut counters = self.counters.clone();
         for view in &self.shards {
             let Some(replica) = &view.replica else {
                 continue;
             };
-            counters.copies += 1;
+            counters.replicas += 1;
             counters.entries += replica.state.len();
             counters.bytes += replica.state.bytes();
             if view.leader_since.is_some() {
-                counters.led += 1;
-                counters.missing += usize::from(view.repair.is_some_and(|repair| !repair.moves));
-                counters.moving += usize::from(view.repair.is_some_and(|repair| repair.moves));
+                counters.led_shards += 1;
+                counters.missing_replicas +=
+                    usize::from(view.repair.is_some_and(|repair| !repair.is_move));
+                counters.moving_replicas +=
+                    usize::from(view.repair.is_some_and(|repair| repair.is_move));
             }
         }
         counters
     }
 
-    /// Replicas that were found to differ from their majority, so far.
+    /// The counts of replicas that differed from their majority since the start.
     pub fn differences(&self) -> Differences {
         Differences {
-            found: self.counters.differed,
-            repaired_here: self.counters.mended,
+            found: self.counters.differing,
+            repaired_here: self.counters.repaired_after_comparison,
         }
     }
 
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -1,4 +1,4 @@
-//! What is saved of shards: records with a checksum each, so that a damaged one is refused and not believed.
+//! The saved records of shards. Each has a checksum, so that a damaged record is rejected.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,14 @@
 use crate::snapshot::LogSnapshot;
 use crate::{Error, Record, Saved, Setup};
 
-/// Goes into the checksum of records that name their format: those of the first format name none.
+/// Mixed into the checksum of records that name their format; records of the first format name
+/// none.
 const FORMAT_FLAG: u32 = 0x464f_524d;
-const CHECKSUM_BYTES: usize = 4; // bytes of the checksum before a record
+/// Bytes of the checksum before a record.
+const CHECKSUM_BYTES: usize = 4;
 
-/// The record that names the fleet and the disk of all records, and the latest format of any of them. It is itself of the
-/// first format.
+/// The record that names the fleet and the disk of all records, and the latest format of any of
+/// them. The header itself has the first format.
 #[derive(Serialize, Deserialize)]
 struct Header {
     format: u8,
@@ -26,19 +28,19 @@
     disk: u64,
 }
 
-/// What a member saves of a shard beside its log and its snapshot.
+/// What a member saves of a shard in addition to its log and its snapshot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Meta {
     pub config: u32,
     pub members: Vec<ReplicaId>,
-    /// This front is one of them; otherwise the record is kept so that the front never joins this configuration or an
-    /// earlier one.
+    /// Whether this front is one of the members. If not, the record is kept so that the front never
+    /// joins this configuration or an earlier one.
     pub is_member: bool,
     pub promise: Option<Ballot>,
     pub accepted_round: Option<Ballot>,
     pub decided: usize,
     pub compacted: usize,
-    /// The number of the entry that comes next.
+    /// The index of the next entry.
     pub end: usize,
 }
 
@@ -49,11 +51,11 @@
 const SNAPSHOT: u8 = b'n';
 const BOOTSTRAP: u8 = b'b';
 
-fn name(kind: u8, shard: u16, rest: &[u8]) -> Vec<u8> {
-    [&[kind], &shard.to_be_bytes()[..], rest].concat()
+fn record_name(kind: u8, shard: u16, suffix: &[u8]) -> Vec<u8> {
+    [&[kind], &shard.to_be_bytes()[..], suffix].concat()
 }
 
-/// A record in a format.
+/// Encodes a record in a format.
 fn record<T: Serialize>(format: u8, name: Vec<u8>, value: &T) -> Record {
     let mut body = encode(value);
     let mut flag = 0;
@@ -81,8 +83,8 @@
     }
 }
 
-/// What a record holds, if it is what was written under its name.
-fn checked<'a>(name: &[u8], bytes: &'a [u8]) -> Result<&'a [u8], Error> {
+/// The body of a record, if its checksum matches its name and content and its format is known.
+fn verified_body<'a>(name: &[u8], bytes: &'a [u8]) -> Result<&'a [u8], Error> {
     let (given, body) = bytes
         .split_at_checked(CHECKSUM_BYTES)
         .ok_or_else(|| damaged(name))?;
@@ -104,7 +106,7 @@
 }
 
 fn open<'a, T: Deserialize<'a>>(name: &[u8], bytes: &'a [u8]) -> Result<T, Error> {
-    decode(checked(name, bytes)?).ok_or_else(|| damaged(name))
+    decode(verified_body(name, bytes)?).ok_or_else(|| damaged(name))
 }
 
 pub(crate) fn header(format: u8, fleet: u64, disk: u64) -> Record {
@@ -120,47 +122,55 @@
 }
 
 pub(crate) fn meta(format: u8, shard: u16, meta: &Meta) -> Record {
-    record(format, name(META, shard, &[]), meta)
+    record(format, record_name(META, shard, &[]), meta)
 }
 
 pub(crate) fn entry(shard: u16, index: usize, batch: &Batch) -> Record {
     record(
         batch.tail.format(),
-        name(LOG, shard, &(index as u64).to_be_bytes()),
+        record_name(LOG, shard, &(index as u64).to_be_bytes()),
         batch,
     )
 }
 
-pub(crate) fn no_entry(shard: u16, index: usize) -> Record {
+pub(crate) fn remove_entry(shard: u16, index: usize) -> Record {
     Record {
-        name: name(LOG, shard, &(index as u64).to_be_bytes()),
+        name: record_name(LOG, shard, &(index as u64).to_be_bytes()),
         bytes: None,
     }
 }
 
 pub(crate) fn snapshot(shard: u16, snapshot: &LogSnapshot) -> Record {
-    record(snapshot.format(), name(SNAPSHOT, shard, &[]), snapshot)
+    record(
+        snapshot.format(),
+        record_name(SNAPSHOT, shard, &[]),
+        snapshot,
+    )
 }
 
-pub(crate) fn no_snapshot(shard: u16) -> Record {
+pub(crate) fn remove_snapshot(shard: u16) -> Record {
     Record {
-        name: name(SNAPSHOT, shard, &[]),
+        name: record_name(SNAPSHOT, shard, &[]),
         bytes: None,
     }
 }
 
 pub(crate) fn bootstrap(shard: u16, agreed: &[ReplicaIncarnation]) -> Record {
-    record(OLDEST_FORMAT, name(BOOTSTRAP, shard, &[]), &agreed.to_vec())
+    record(
+        OLDEST_FORMAT,
+        record_name(BOOTSTRAP, shard, &[]),
+        &agreed.to_vec(),
+    )
 }
 
-pub(crate) fn no_bootstrap(shard: u16) -> Record {
+pub(crate) fn remove_bootstrap(shard: u16) -> Record {
     Record {
-        name: name(BOOTSTRAP, shard, &[]),
+        name: record_name(BOOTSTRAP, shard, &[]),
         bytes: None,
     }
 }
 
-/// What was saved of one shard.
+/// The saved state of one shard.
 #[derive(Default)]
 pub(crate) struct SavedShard {
     pub meta: Option<Meta>,
@@ -168,7 +178,7 @@
     pub bootstrap: Vec<ReplicaIncarnation>,
 }
 
-/// What was saved in an earlier incarnation.
+/// The state saved by an earlier incarnation.
 pub(crate) struct SavedShards {
     /// The latest format of any record.
     pub format: u8,
@@ -176,8 +186,8 @@
 }
 
 impl SavedShards {
-    /// Nothing was saved.
-    pub fn none() -> SavedShards {
+    /// The state if nothing was saved.
+    pub fn empty() -> SavedShards {
         SavedShards {
             format: OLDEST_FORMAT,
             shards: BTreeMap::new(),
@@ -185,7 +195,8 @@
     }
 }
 
-/// Reads what was saved in an earlier incarnation of a front of this fleet on this disk.
+/// Reads the records that an earlier incarnation of this front saved. Fails if they are damaged, of
+/// another fleet or disk, or of an unknown format.
 pub(crate) fn read(setup: &Setup, fleet: u64, saved: &Saved) -> Result<SavedShards, Error> {
     let records: BTreeMap<&[u8], &[u8]> = saved
         .0
@@ -195,7 +206,7 @@
     let Some(header) = records.get(&[HEADER][..]) else {
         return match records.keys().next() {
             Some(name) => Err(damaged(name)),
-            None => Ok(SavedShards::none()),
+            None => Ok(SavedShards::empty()),
         };
     };
     let format = check_header(setup, fleet, header)?;
@@ -207,7 +218,7 @@
         }
         let parsed = RecordName::parse(name)?;
         let shard = shards.entry(parsed.shard).or_default();
-        match (parsed.kind, parsed.rest) {
+        match (parsed.kind, parsed.suffix) {
             (META, []) => shard.meta = Some(open(name, bytes)?),
             (SNAPSHOT, []) => shard.log_state.snapshot = Some(open(name, bytes)?),
             (BOOTSTRAP, []) => shard.bootstrap = open(name, bytes)?,
@@ -226,13 +237,15 @@
     Ok(SavedShards { format, shards })
 }
 
-/// Entries of a log by their numbers.
+/// Entries of a log by index.
 type SavedLog = BTreeMap<u64, Batch>;
 
-/// Checks that all records are of this fleet and disk, and of a format that this build reads; the latest format.
+/// Checks that all records belong to this fleet and disk and have a format that this build reads;
+/// returns the latest format.
 fn check_header(setup: &Setup, fleet: u64, bytes: &[u8]) -> Result<u8, Error> {
-    // The format goes first in every version: an unknown one may have anything behind it.
-    let body = checked(&[HEADER], bytes)?;
+    // The format is the first field in every version; the fields after an unknown format are
+    // unknown.
+    let body = verified_body(&[HEADER], bytes)?;
     let format = body.first().copied().unwrap_or_default();
     if !(OLDEST_FORMAT..=setup.format).contains(&format) {
         return Err(Error::Version {
@@ -253,27 +266,27 @@
     Ok(format)
 }
 
-/// The name of a shard's record.
+/// The parsed name of a shard's record.
 struct RecordName<'a> {
     kind: u8,
     shard: u16,
-    rest: &'a [u8],
+    suffix: &'a [u8],
 }
 
 impl RecordName<'_> {
     fn parse(name: &[u8]) -> Result<RecordName<'_>, Error> {
-        let (kind, rest) = name.split_first().ok_or_else(|| damaged(name))?;
-        let (shard, rest) = rest.split_first_chunk().ok_or_else(|| damaged(name))?;
+        let (kind, suffix) = name.split_first().ok_or_else(|| damaged(name))?;
+        let (shard, suffix) = suffix.split_first_chunk().ok_or_else(|| damaged(name))?;
         Ok(RecordName {
             kind: *kind,
             shard: u16::from_be_bytes(*shard),
-            rest,
+            suffix,
         })
     }
 }
 
 impl SavedShard {
-    /// Puts the log together, where this front is a member of the shard; an error where entries are missing.
+    /// Restores the log if this front is a member of the shard; fails if entries are missing.
     fn restore_log(&mut self, number: u16, log: SavedLog) -> Result<(), Error> {
         let Some(meta) = self.meta.as_ref().filter(|meta| meta.is_member) else {
             return Ok(());
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -1,4 +1,5 @@
-//! Requests for entries: this front's own, passed on to whoever leads the shard, and those of other fronts.
+//! Requests for entries: those of this front, forwarded to the shard's leader, and those of other
+//! fronts.
 
 use crate::batch::Command;
 use crate::ledger::Ledger;
@@ -8,25 +9,29 @@
 use crate::rejection::Rejection;
 use crate::replica::Replica;
 use crate::{
-    shard_of, FrontId, Key, LedgerAnswer, LedgerRequest, Moment, Operation, Outcome, Owner,
+    shard_of, ClockReading, FrontId, Key, LedgerAnswer, LedgerRequest, Operation, Outcome, Owner,
 };
 
-const LONGEST_NAME: usize = 1_024; // bytes of a key's name
-const LONGEST_VALUE: usize = 32 * 1_024; // bytes of a value
+/// Maximum bytes of a key's name.
+const MAX_NAME_BYTES: usize = 1_024;
+/// Maximum bytes of a value.
+const MAX_VALUE_BYTES: usize = 32 * 1_024;
 
 impl Ledger {
-    /// Asks for an act; one answer follows.
-    pub fn ask(&mut self, at: Moment, ask: LedgerRequest) {
+    /// Submits a request; exactly one answer follows. A request whose number is already waiting is
+    /// ignored.
+    pub fn submit(&mut self, at: ClockReading, request: LedgerRequest) {
         let LedgerRequest {
             number,
             key,
             operation,
-        } = ask;
-        if self.pending.is_waiting(number) {
+        } = request;
+        if self.pending.is_pending(number) {
             return;
         }
         if self.counters.failed {
-            // Only what needs no promise goes on here, until it starts over.
+            // Without a working disk, every request is answered as unreachable until the ledger is
+            // reset.
             return self.answer_at_once(number, Outcome::Unreachable);
         }
         if is_too_long(&key, &operation) {
@@ -36,40 +41,40 @@
         let shard = shard_of(&key, self.setup.shards);
         let command = Command {
             owner: Owner {
-                front: self.own.front,
+                front: self.local.front,
                 incarnation: self.setup.incarnation,
             },
             number,
-            asked_ms: self.pending.first(number, at.wall_ms),
+            asked_ms: self.pending.first_requested_ms(number, at.wall_ms),
             key,
             operation,
         };
-        let ends = at.steady + self.setup.ask_timeout;
-        if !self.pending.wait(command, shard, ends) {
+        let deadline = at.steady + self.setup.request_timeout;
+        if !self.pending.add(command, shard, deadline) {
             return self.answer_at_once(number, Outcome::Unreachable);
         }
         self.send_request(at, number);
-        self.settle(at);
+        self.process_changes(at);
     }
 
-    /// Answers a request that depends on nothing that has yet to be saved.
+    /// Answers a request without waiting for any save.
     fn answer_at_once(&mut self, number: u64, outcome: Outcome) {
-        self.out.done.push(LedgerAnswer { number, outcome });
+        self.output.answers.push(LedgerAnswer { number, outcome });
     }
 
-    /// Passes a request on to the shard's leader, as far as that is known.
-    pub(crate) fn send_request(&mut self, at: Moment, number: u64) {
+    /// Sends a request to the shard's leader, or to a front that may know the leader.
+    pub(crate) fn send_request(&mut self, at: ClockReading, number: u64) {
         let Some(attempt) = self.pending.next_attempt(at.steady, number) else {
             return;
         };
-        let waiting = attempt.ask;
+        let waiting = attempt.request;
         let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else {
             return;
         };
         let shard = waiting.shard;
         if let Some(replica) = view.replica.as_mut().filter(|replica| replica.is_leader()) {
-            replica.ask(waiting.command.clone(), at.steady, waiting.ends);
-            self.touched.insert(shard);
+            replica.enqueue(waiting.command.clone(), at.steady, waiting.deadline);
+            self.changed_shards.insert(shard);
             return;
         }
         let leader = view
@@ -78,15 +83,18 @@
             .and_then(Replica::leader)
             .or(view.leader_hint);
         let members: Vec<FrontId> = view.members().iter().map(|member| member.front).collect();
-        let rest = view
+        let non_members = view
             .ranked
             .iter()
             .filter(|front| !members.contains(front))
             .copied();
-        let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
-        if let Some(to) =
-            pending_requests::next_receiver(leader, &others, self.own.front, attempt.earlier)
-        {
+        let other_fronts: Vec<FrontId> = members.iter().copied().chain(non_members).collect();
+        if let Some(to) = pending_requests::next_receiver(
+            leader,
+            &other_fronts,
+            self.local.front,
+            attempt.previous_attempts,
+        ) {
             let message = LedgerMessage::Request {
                 shard,
                 command: waiting.command.clone(),
@@ -95,10 +103,11 @@
         }
     }
 
-    /// Another front does not lead the shard of a request, and says which one does.
+    /// Handles another front's answer that it does not lead the shard, and the leader that it
+    /// names.
     pub(crate) fn redirect(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: FrontId,
         number: u64,
         leader: Option<FrontId>,
@@ -110,46 +119,47 @@
             return;
         };
         let leader = leader.filter(|leader| *leader != from);
-        let new = leader.is_some() && leader != view.leader_hint;
+        let is_new_leader = leader.is_some() && leader != view.leader_hint;
         view.leader_hint = leader.or(view.leader_hint.filter(|hint| *hint != from));
-        if new {
+        if is_new_leader {
             self.send_request(at, number);
         }
     }
 
-    /// The answer to a request of this front, to be given once what it rests on is durable here.
+    /// Records the answer to a request of this front, to be returned once the state that it depends
+    /// on is durable here.
     pub(crate) fn record_answer(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
-        let Some(shard) = self.pending.answered(number) else {
+        let Some(shard) = self.pending.remove(number) else {
             return;
         };
         if let Some(view) = self.shards.get_mut(usize::from(shard)) {
             view.leader_hint = leader.or(view.leader_hint);
         }
         self.counters.answered += 1;
-        self.done.push(LedgerAnswer { number, outcome });
+        self.pending_answers.push(LedgerAnswer { number, outcome });
     }
 
-    /// A request of another front has come.
+    /// Handles a request from another front.
     pub(crate) fn receive_request(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: FrontId,
         shard: u16,
         command: Command,
     ) {
-        let fits =
+        let is_valid =
             command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
-        if !fits || command.size() > LONGEST_NAME + LONGEST_VALUE {
+        if !is_valid || command.size() > MAX_NAME_BYTES + MAX_VALUE_BYTES {
             return self.reject(Rejection::ForeignRequest);
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
-        let ends = at.steady + self.setup.ask_timeout;
+        let deadline = at.steady + self.setup.request_timeout;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         let leader = match &mut view.replica {
             Some(replica) if replica.is_leader() => {
-                if !replica.ask(command, at.steady, ends) {
+                if !replica.enqueue(command, at.steady, deadline) {
                     self.reject(Rejection::QueueFull);
                 }
                 return;
@@ -181,5 +191,5 @@
         Operation::Claim { value, .. } | Operation::Put { value, .. } => value.len(),
         Operation::Free | Operation::Read => 0,
     };
-    key.name.len() > LONGEST_NAME || value_bytes > LONGEST_VALUE
+    key.name.len() > MAX_NAME_BYTES || value_bytes > MAX_VALUE_BYTES
 }
--- a/crates/ledger/tests/sim/queries.rs
+++ b/crates/ledger/tests/sim/queries.rs
@@ -1,28 +1,28 @@
-//! Questions to a simulated fleet: what was answered, which replicas there are, and who leads.
+//! Queries of a simulated fleet: answers, replicas and leaders.
 
 use hallmux_ledger::{shard_of, Key, Kind, Ledger, Operation, Outcome};
 
 use super::{Fleet, SECOND};
 
 impl Fleet {
-    /// The answer to an ask of a front in its present incarnation.
+    /// The answer to a request of a front in its current incarnation.
     pub fn outcome(&self, n: usize, number: u64) -> Option<&Outcome> {
-        self.record.outcome(n, self.fronts[n].incarnation, number)
+        self.history.outcome(n, self.fronts[n].incarnation, number)
     }
 
-    /// Asks and waits for the answer.
-    pub fn get(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
-        let number = self.ask(n, key, operation);
+    /// Submits a request and waits for the answer.
+    pub fn request(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
+        let number = self.submit(n, key, operation);
         self.run_until(2 * SECOND, |fleet| fleet.outcome(n, number).is_some());
         self.outcome(n, number)
             .cloned()
             .expect("every ask is answered")
     }
 
-    /// The same, asked under new numbers until a majority answers.
-    pub fn get_until_answered(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
+    /// Submits a request under new numbers until it is answered otherwise than unreachable.
+    pub fn request_until_answered(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
         for _ in 0..20 {
-            match self.get(n, key, operation.clone()) {
+            match self.request(n, key, operation.clone()) {
                 Outcome::Unreachable => {}
                 outcome => return outcome,
             }
@@ -30,15 +30,15 @@
         panic!("{key} stays unreachable at {}", self.now)
     }
 
-    /// Replicas of a shard in its latest configuration.
-    pub fn copies(&self, shard: u16) -> usize {
+    /// The number of replicas of a shard in its latest configuration.
+    pub fn replica_count(&self, shard: u16) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
         let configs: Vec<u32> = ledgers
             .flat_map(|ledger| {
                 ledger
                     .replicas()
-                    .filter(|of| of.shard == shard)
-                    .map(|of| of.config)
+                    .filter(|replica| replica.shard == shard)
+                    .map(|replica| replica.config)
             })
             .collect();
         let latest = configs.iter().max();
@@ -49,14 +49,16 @@
     }
 
     /// Whether each shard has all its replicas and a leader.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_replicated(&self) -> bool {
         let is_led = |shard| {
             let fronts = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
             fronts
                 .flat_map(Ledger::replicas)
-                .any(|of| of.shard == shard && of.is_leader)
+                .any(|replica| replica.shard == shard && replica.is_leader)
         };
-        (0..self.setup.shards).all(|shard| self.copies(shard) == self.setup.copies && is_led(shard))
+        (0..self.setup.shards).all(|shard| {
+            self.replica_count(shard) == self.setup.replication_factor && is_led(shard)
+        })
     }
 
     /// The front that leads a key's shard.
@@ -71,8 +73,8 @@
         let leads = |ledger: &Ledger| {
             ledger
                 .replicas()
-                .filter(|of| of.shard == shard && of.is_leader)
-                .map(|of| of.config)
+                .filter(|replica| replica.shard == shard && replica.is_leader)
+                .map(|replica| replica.config)
                 .max()
         };
         (0..self.fronts.len())
