--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -7,10 +7,10 @@
 use crate::index::Index;
 use crate::known::{KnownNames, WorkloadLocations};
 use crate::lines::LineLookup;
-use crate::rule::{DefaultEffect, Height, Rule, RuleEffect, RuleSet, TableRange};
+use crate::rule::{DefaultEffect, Precedence, Rule, RuleEffect, RuleSet, TableRange};
 
 /// Rules that could each decide the same statement: alike in customer, workload and front, and at one height.
-type Level<'a> = ([Option<&'a str>; 3], Height);
+type Level<'a> = ([Option<&'a str>; 3], Precedence);
 
 /// All that is wrong with a set.
 pub(crate) fn check(set: &RuleSet, known: &KnownNames, lines: LineLookup) -> Vec<LocatedProblem> {
@@ -119,7 +119,7 @@
         .filter(|rule| matches!(rule.effect, RuleEffect::Allow { .. }));
     for rule in allowing {
         let fields = [&rule.customer, &rule.workload, &rule.front].map(|name| name.as_deref());
-        let level = (fields, rule.height());
+        let level = (fields, rule.precedence());
         levels.entry(level).or_default().push(rule);
     }
     levels
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -45,7 +45,7 @@
 pub use read::{read, RulesCommand};
 pub use record::{ChangedDecision, Permission, WhatIfReport};
 pub use rule::{
-    Attributes, DefaultEffect, Height, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet,
+    Attributes, DefaultEffect, MatchedRules, Precedence, RateLimit, Rule, RuleEffect, RuleSet,
     TableRange,
 };
 pub use shares::{Limit, Shares};
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -88,7 +88,7 @@
 
 /// How high a rule stands: the least goes first. Priority, then the more specific.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Height {
+pub struct Precedence {
     /// A higher one goes first.
     pub priority: Reverse<i32>,
     /// The rule that names more fields goes first.
@@ -188,9 +188,9 @@
     }
 
     /// How high it stands.
-    pub fn height(&self) -> Height {
+    pub fn precedence(&self) -> Precedence {
         let mask = self.mask();
-        Height {
+        Precedence {
             priority: Reverse(self.priority),
             named_fields: Reverse(mask.count_ones()),
             mask: Reverse(mask),
@@ -241,7 +241,7 @@
     /// time from which they hold and by name.
     pub fn new(version: u64, default: DefaultEffect, mut rules: Vec<Rule>) -> RuleSet {
         rules.sort_by(|a, b| {
-            let key = |r: &Rule| (r.height(), r.effect.severity(), r.from_ms);
+            let key = |r: &Rule| (r.precedence(), r.effect.severity(), r.from_ms);
             key(a).cmp(&key(b)).then_with(|| a.name.cmp(&b.name))
         });
         RuleSet {
