--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -138,7 +138,7 @@
             .take_while(|other| tables(other).first <= tables(rule).last);
         let contradicts = |other: &&&Rule| {
             let together = rule.from_ms < other.until_ms && other.from_ms < rule.until_ms;
-            together && !other.agrees(rule)
+            together && !other.has_same_effect(rule)
         };
         let Some(other) = meeting.find(contradicts) else {
             continue;
@@ -179,7 +179,7 @@
         let for_everybody = rule.customer.is_none()
             && rule.tables.is_none()
             && rule.front.is_none()
-            && rule.always();
+            && rule.is_always_active();
         match &rule.effect {
             RuleEffect::Allow { .. } => return None,
             RuleEffect::Deny { .. } if for_everybody => {
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -100,7 +100,7 @@
                     .take_while(|at| least.is_none_or(|least| **at < least))
                     .find(|at| {
                         let rule = self.set.rules.get(**at as usize);
-                        rule.is_some_and(|rule| rule.holds(attributes, wall_ms))
+                        rule.is_some_and(|rule| rule.applies_at(attributes, wall_ms))
                     });
                 least = found.copied().or(least);
             }
--- a/crates/access/src/index/shadow.rs
+++ b/crates/access/src/index/shadow.rs
@@ -53,7 +53,12 @@
 
     /// A rule of a list that goes before rule `at` and holds whenever that does.
     fn covering(&self, list: &[u32], at: usize, rule: &Rule) -> Option<usize> {
-        let spans = |by: &usize| self.set.rules.get(*by).is_some_and(|by| by.spans(rule));
+        let spans = |by: &usize| {
+            self.set
+                .rules
+                .get(*by)
+                .is_some_and(|by| by.covers_period_of(rule))
+        };
         let before = list.iter().map(|by| *by as usize);
         before.take_while(|by| *by < at).find(spans)
     }
--- a/crates/access/src/index/table.rs
+++ b/crates/access/src/index/table.rs
@@ -73,7 +73,7 @@
                 begins: false,
                 rule: *number,
             }));
-            if rule.narrows() {
+            if rule.is_restrictive() {
                 cell.narrowing.push(*number);
             }
         }
@@ -139,7 +139,7 @@
     for number in rules {
         list.push(number);
         let rule = set.rules.get(number as usize);
-        if rule.is_none_or(Rule::always) {
+        if rule.is_none_or(Rule::is_always_active) {
             break;
         }
     }
--- a/crates/access/src/read/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -39,7 +39,7 @@
             },
             from_ms,
             until_ms,
-            moves: true,
+            is_move_phase: true,
             ..rule.clone()
         };
         vec![
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -52,7 +52,7 @@
             priority,
             from_ms,
             until_ms,
-            moves: false,
+            is_move_phase: false,
             place,
         };
         let rules = match moved {
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -15,7 +15,7 @@
 
 impl TableRange {
     /// Whether the range includes a group.
-    pub fn holds(&self, group: u32) -> bool {
+    pub fn contains(&self, group: u32) -> bool {
         (self.first..=self.last).contains(&group)
     }
 
@@ -42,7 +42,7 @@
 }
 
 impl RuleEffect {
-    fn narrows(&self) -> bool {
+    fn is_restrictive(&self) -> bool {
         !matches!(self, RuleEffect::Allow { places: None } | RuleEffect::Count)
     }
 
@@ -81,7 +81,7 @@
     /// When it ends, exclusive; `u64::MAX`: never.
     pub until_ms: u64,
     /// A time of a move: a statement goes by the time at which it was judged first, at every try.
-    pub moves: bool,
+    pub is_move_phase: bool,
     /// Its index in the file, for errors.
     pub place: usize,
 }
@@ -136,32 +136,32 @@
 
 impl Rule {
     /// Whether it holds for a statement now.
-    pub fn holds(&self, attributes: &Attributes, wall_ms: u64) -> bool {
-        self.active(
+    pub fn applies_at(&self, attributes: &Attributes, wall_ms: u64) -> bool {
+        self.is_active(
             attributes
                 .first_judged_ms
-                .filter(|_| self.moves)
+                .filter(|_| self.is_move_phase)
                 .unwrap_or(wall_ms),
         )
     }
 
     /// Whether it holds at a time.
-    pub fn active(&self, wall_ms: u64) -> bool {
+    pub fn is_active(&self, wall_ms: u64) -> bool {
         self.from_ms <= wall_ms && wall_ms < self.until_ms
     }
 
     /// It has neither beginning nor end.
-    pub fn always(&self) -> bool {
+    pub fn is_always_active(&self) -> bool {
         self.from_ms == 0 && self.until_ms == u64::MAX
     }
 
     /// Whether it lets less through than if it were not there.
-    pub fn narrows(&self) -> bool {
-        self.effect.narrows() || self.limit.is_some()
+    pub fn is_restrictive(&self) -> bool {
+        self.effect.is_restrictive() || self.limit.is_some()
     }
 
     /// Whether it holds whenever the other does.
-    pub fn spans(&self, other: &Rule) -> bool {
+    pub fn covers_period_of(&self, other: &Rule) -> bool {
         self.from_ms <= other.from_ms && other.until_ms <= self.until_ms
     }
 
@@ -174,13 +174,13 @@
             && named(&self.workload, attributes.workload)
             && named(&self.front, attributes.front)
             && self.tables.is_none_or(|t| match attributes.group {
-                Some(group) => t.holds(group),
-                None => !attributes.tables_known && self.narrows(),
+                Some(group) => t.contains(group),
+                None => !attributes.tables_known && self.is_restrictive(),
             })
     }
 
     /// Which of its fields are named; the weight of each tells which goes first where as many are named.
-    pub fn mask(&self) -> u8 {
+    pub fn field_mask(&self) -> u8 {
         u8::from(self.customer.is_some()) << 3
             | u8::from(self.tables.is_some()) << 2
             | u8::from(self.workload.is_some()) << 1
@@ -189,7 +189,7 @@
 
     /// How high it stands.
     pub fn precedence(&self) -> Precedence {
-        let mask = self.mask();
+        let mask = self.field_mask();
         Precedence {
             priority: Reverse(self.priority),
             named_fields: Reverse(mask.count_ones()),
@@ -199,7 +199,7 @@
     }
 
     /// Whether both say the same of what they match.
-    pub fn agrees(&self, other: &Rule) -> bool {
+    pub fn has_same_effect(&self, other: &Rule) -> bool {
         match (&self.effect, &other.effect) {
             (RuleEffect::Deny { .. }, RuleEffect::Deny { .. }) => true,
             (ours, theirs) => ours == theirs && self.limit == other.limit,
@@ -252,11 +252,11 @@
     }
 
     /// The rules about a statement, by going through all in order: what the index must equal.
-    pub fn walk(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
+    pub fn find_linear(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
         let first = |counts: bool| {
             let fits = |r: &Rule| {
                 (r.effect == RuleEffect::Count) == counts
-                    && r.holds(attributes, wall_ms)
+                    && r.applies_at(attributes, wall_ms)
                     && r.matches(attributes)
             };
             self.rules.iter().position(fits)
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -377,7 +377,7 @@
                 priority,
                 from_ms,
                 until_ms,
-                moves: false,
+                is_move_phase: false,
                 place: 0,
             }
         },
@@ -399,7 +399,7 @@
     ) {
         let set = RuleSet::new(1, DefaultEffect::Allow, rules);
         let attributes = Attributes { customer, workload, group, tables_known, front, first_judged_ms: None };
-        let walked = set.walk(&attributes, now);
+        let walked = set.find_linear(&attributes, now);
         prop_assert_eq!(Index::new(set).find(&attributes, now), walked);
     }
 
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -146,7 +146,7 @@
         priority: (n % 3) as i32,
         from_ms: 0,
         until_ms: u64::MAX,
-        moves: false,
+        is_move_phase: false,
         place: n,
     };
     RuleSet::new(1, DefaultEffect::Allow, (0..count).map(rule).collect())
@@ -185,7 +185,7 @@
                 _ = std::hint::black_box(index.find(&one(n), 1))
             });
             let slow = per((DECIDED * 10 / count).clamp(50, DECIDED), &|n| {
-                _ = std::hint::black_box(walk.walk(&one(n), 1))
+                _ = std::hint::black_box(walk.find_linear(&one(n), 1))
             });
             indexed.push(fast);
             walked.push(slow);
