--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -128,8 +128,8 @@
 
     /// The locations that a verdict lets a statement be read at; None: all.
     pub fn locations(&self, verdict: &Verdict) -> Option<Vec<String>> {
-        let places = verdict.allowed.as_ref()?;
-        Some(self.known().location_names(places))
+        let locations = verdict.allowed.as_ref()?;
+        Some(self.known().location_names(locations))
     }
 
     /// The limits that a verdict of the version held lets a statement through within.
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -78,7 +78,7 @@
     /// Whether an execution may leave for a location now: by the version that the statement was judged by, by the one
     /// that holds, and under a lease. One that may not never will; its statement is to end.
     pub fn may_send(&mut self, at: Moment, statement: u64, execution: u64, location: &str) -> bool {
-        let place = self.known().place(location);
+        let location_index = self.known().location_index(location);
         let Some(index) = self.versions.lease(at.steady) else {
             return false;
         };
@@ -86,13 +86,15 @@
             return false;
         };
         let is_allowed_now = open.verdict.version == index.set.version
-            || open.judge_again(index, &self.region, at).allows(place);
+            || open
+                .judge_again(index, &self.region, at)
+                .allows(location_index);
         let may = is_allowed_now
             && !open.ending
-            && open.verdict.allows(place)
+            && open.verdict.allows(location_index)
             && self.shares.begins(at.steady, statement);
         if may {
-            open.executions.insert(execution, place);
+            open.executions.insert(execution, location_index);
         }
         may
     }
@@ -109,7 +111,11 @@
                 continue;
             }
             let verdict = open.judge_again(index, &self.region, at);
-            if !open.executions.values().all(|place| verdict.allows(*place)) {
+            if !open
+                .executions
+                .values()
+                .all(|location_index| verdict.allows(*location_index))
+            {
                 open.ending = true;
                 self.revoked_count += 1;
                 self.revoked.push(*statement);
--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -21,7 +21,7 @@
             let what = Problem::Shadowed {
                 rule: rule.name.clone(),
                 by: by.name.clone(),
-                line: line(lines, by.place),
+                line: line(lines, by.file_index),
             };
             errors.push(at_rule(rule, what));
         }
@@ -37,7 +37,7 @@
 }
 
 fn path(rule: &Rule) -> String {
-    format!("rules[{}]", rule.place)
+    format!("rules[{}]", rule.file_index)
 }
 
 fn at_rule(rule: &Rule, what: Problem) -> LocatedProblem {
@@ -47,20 +47,20 @@
     }
 }
 
-fn line(lines: LineLookup, place: usize) -> usize {
-    lines(&format!("rules[{place}]")).unwrap_or(0)
+fn line(lines: LineLookup, file_index: usize) -> usize {
+    lines(&format!("rules[{file_index}]")).unwrap_or(0)
 }
 
 /// Rules with the name of an earlier one.
 fn repeated_names(set: &RuleSet, lines: LineLookup) -> Vec<LocatedProblem> {
     let mut rules: Vec<&Rule> = set.rules.iter().collect();
-    rules.sort_by_key(|rule| rule.place);
-    let mut first_places: HashMap<&str, usize> = HashMap::new();
+    rules.sort_by_key(|rule| rule.file_index);
+    let mut first_indices: HashMap<&str, usize> = HashMap::new();
     let mut errors = Vec::new();
     for rule in rules {
-        let first = *first_places.entry(&rule.name).or_insert(rule.place);
+        let first = *first_indices.entry(&rule.name).or_insert(rule.file_index);
         // A rule that moves is read as three.
-        if first != rule.place {
+        if first != rule.file_index {
             let what = Problem::Twice {
                 rule: rule.name.clone(),
                 line: line(lines, first),
@@ -77,21 +77,21 @@
 /// A rule that allows a workload nowhere that it may run.
 fn barred_everywhere(rule: &Rule, known: &KnownNames) -> Option<LocatedProblem> {
     let RuleEffect::Allow {
-        places: Some(places),
+        locations: Some(locations),
     } = &rule.effect
     else {
         return None;
     };
     let is_barred = |workload: &&WorkloadLocations| {
         let bound = known.bound(workload);
-        !bound.is_empty() && !bound.iter().any(|place| places.contains(place))
+        !bound.is_empty() && !bound.iter().any(|location| locations.contains(location))
     };
     let workload = known
         .workloads
         .iter()
         .filter(|workload| is_about(rule, workload))
         .find(is_barred)?;
-    let location = |place: u16| known.locations.get(place as usize).cloned();
+    let location = |index: u16| known.locations.get(index as usize).cloned();
     let bound: Vec<String> = known
         .bound(workload)
         .into_iter()
@@ -129,7 +129,7 @@
 }
 
 fn contradictions_of_level(mut level: Vec<&Rule>, lines: LineLookup) -> Vec<LocatedProblem> {
-    level.sort_by_key(|rule| (tables(rule), rule.place));
+    level.sort_by_key(|rule| (tables(rule), rule.file_index));
     let mut errors = Vec::new();
     for (at, rule) in level.iter().enumerate() {
         let mut meeting = level
@@ -143,7 +143,7 @@
         let Some(other) = meeting.find(contradicts) else {
             continue;
         };
-        let (rule, other) = if other.place < rule.place {
+        let (rule, other) = if other.file_index < rule.file_index {
             (*rule, *other)
         } else {
             (*other, *rule)
@@ -151,7 +151,7 @@
         let what = Problem::Contradicts {
             rule: rule.name.clone(),
             other: other.name.clone(),
-            line: line(lines, other.place),
+            line: line(lines, other.file_index),
         };
         errors.push(at_rule(rule, what));
     }
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -152,7 +152,7 @@
         match &rule.effect {
             _ if groups_unknown => verdict.denied = Some(GROUPS_UNKNOWN.to_string()),
             RuleEffect::Deny { reason } => verdict.denied = Some(reason.clone()),
-            RuleEffect::Allow { places } => verdict.allowed.clone_from(places),
+            RuleEffect::Allow { locations } => verdict.allowed.clone_from(locations),
             RuleEffect::Count => {}
         }
         verdict
--- a/crates/access/src/index/compare.rs
+++ b/crates/access/src/index/compare.rs
@@ -18,7 +18,7 @@
 /// What a set permits to a kind of statements.
 struct Permitted {
     /// Where they may be read, ascending.
-    places: Vec<u16>,
+    locations: Vec<u16>,
     limits: Vec<Limit>,
 }
 
@@ -125,8 +125,8 @@
             let new = self.permitted(&kind, &all);
             let old = before.permitted(&kind, &all);
             let is_limited = new.limits.iter().any(|limit| !old.limits.contains(limit));
-            let mut places = old.places.iter();
-            is_limited || places.any(|place| new.places.binary_search(place).is_err())
+            let mut locations = old.locations.iter();
+            is_limited || locations.any(|location| new.locations.binary_search(location).is_err())
         };
         let mut kinds = kinds.all();
         kinds.any(tightens)
@@ -136,10 +136,10 @@
     fn permitted(&self, kind: &Kind, all: &[u16]) -> Permitted {
         let verdict = self.judge_one(&kind.attributes, kind.at_ms);
         let limits = self.limits(&verdict);
-        let places = match verdict.denied {
+        let locations = match verdict.denied {
             Some(_) => Vec::new(),
             None => verdict.allowed.unwrap_or_else(|| all.to_vec()),
         };
-        Permitted { places, limits }
+        Permitted { locations, limits }
     }
 }
--- a/crates/access/src/index/verdict.rs
+++ b/crates/access/src/index/verdict.rs
@@ -23,8 +23,9 @@
 impl Verdict {
     /// Whether the statement may be read at a location. `None` stands for a location that is not known, which is
     /// allowed only where all are.
-    pub fn allows(&self, place: Option<u16>) -> bool {
-        let named = |all: &Vec<u16>| place.is_some_and(|place| all.binary_search(&place).is_ok());
+    pub fn allows(&self, location: Option<u16>) -> bool {
+        let named =
+            |all: &Vec<u16>| location.is_some_and(|location| all.binary_search(&location).is_ok());
         self.denied.is_none() && self.allowed.as_ref().is_none_or(named)
     }
 }
@@ -48,9 +49,9 @@
             return verdict;
         }
         verdict.allowed = match (verdict.allowed, other.allowed) {
-            (Some(mut places), Some(others)) => {
-                places.retain(|place| others.contains(place));
-                Some(places)
+            (Some(mut locations), Some(others)) => {
+                locations.retain(|location| others.contains(location));
+                Some(locations)
             }
             (one, other) => one.or(other),
         };
--- a/crates/access/src/known.rs
+++ b/crates/access/src/known.rs
@@ -36,26 +36,28 @@
     }
 
     /// The places of a region, by its name or a location's.
-    pub fn places(&self, region: &str) -> Option<Vec<u16>> {
+    pub fn region_locations(&self, region: &str) -> Option<Vec<u16>> {
         match self.regions.get(region) {
             Some(locations) => {
-                let places = locations.iter().filter_map(|name| self.place(name));
-                Some(places.collect())
+                let indices = locations
+                    .iter()
+                    .filter_map(|name| self.location_index(name));
+                Some(indices.collect())
             }
-            None => self.place(region).map(|place| vec![place]),
+            None => self.location_index(region).map(|index| vec![index]),
         }
     }
 
     /// The place of a location: its index in `locations`.
-    pub fn place(&self, location: &str) -> Option<u16> {
-        let place = self.locations.iter().position(|name| name == location)?;
-        Some(place as u16)
+    pub fn location_index(&self, location: &str) -> Option<u16> {
+        let index = self.locations.iter().position(|name| name == location)?;
+        Some(index as u16)
     }
 
     /// The names of some places.
-    pub fn location_names(&self, places: &[u16]) -> Vec<String> {
-        let name = |place: &u16| self.locations.get(*place as usize).cloned();
-        places.iter().filter_map(name).collect()
+    pub fn location_names(&self, locations: &[u16]) -> Vec<String> {
+        let name = |index: &u16| self.locations.get(*index as usize).cloned();
+        locations.iter().filter_map(name).collect()
     }
 
     /// All names that a rule may give a region.
@@ -81,7 +83,7 @@
             .iter()
             .enumerate()
             .filter(|(_, name)| bound.is_none_or(|bound| bound.contains(name)))
-            .map(|(place, _)| place as u16)
+            .map(|(index, _)| index as u16)
             .collect()
     }
 }
--- a/crates/access/src/read/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -33,9 +33,9 @@
         both.sort_unstable();
         both.dedup();
         let ends = self.at_ms.saturating_add(self.overlap_ms);
-        let phase = |places: &[u16], from_ms, until_ms| Rule {
+        let phase = |locations: &[u16], from_ms, until_ms| Rule {
             effect: RuleEffect::Allow {
-                places: Some(places.to_vec()),
+                locations: Some(locations.to_vec()),
             },
             from_ms,
             until_ms,
@@ -97,11 +97,11 @@
 
     fn region(&mut self, path: &str, moves: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
         let name = self.text(path, moves, key)?;
-        let Some(mut places) = self.known.places(&name) else {
+        let Some(mut locations) = self.known.region_locations(&name) else {
             let what = self.unknown_region(&name);
             return self.problem(&format!("{path}.{key}"), what);
         };
-        places.sort_unstable();
-        Some(places)
+        locations.sort_unstable();
+        Some(locations)
     }
 }
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -19,8 +19,8 @@
 
 impl Reader<'_> {
     /// The rules that an entry of the list stands for: one, or three for one that moves. `None` where it is faulty.
-    pub(super) fn rule(&mut self, place: usize, value: &Value) -> Option<Vec<Rule>> {
-        let path = &format!("rules[{place}]");
+    pub(super) fn rule(&mut self, file_index: usize, value: &Value) -> Option<Vec<Rule>> {
+        let path = &format!("rules[{file_index}]");
         let Value::Object(r) = value else {
             return self.problem(path, Problem::Kind { needs: "rule" });
         };
@@ -37,7 +37,7 @@
         let (from_ms, until_ms) = self.period(path, r, &name);
         let moved = r.contains_key("moves").then(|| self.moves(path, r, &name));
         let effect = match &moved {
-            Some(_) => Some(RuleEffect::Allow { places: None }),
+            Some(_) => Some(RuleEffect::Allow { locations: None }),
             None => self.effect(path, r, &name),
         };
         let limit = self.limit_of(path, r, &name, effect.as_ref());
@@ -53,7 +53,7 @@
             from_ms,
             until_ms,
             is_move_phase: false,
-            place,
+            file_index,
         };
         let rules = match moved {
             Some(moved) => moved?.phases(&rule),
@@ -228,15 +228,15 @@
         regions: Option<Vec<u16>>,
         barred: Option<Vec<u16>>,
     ) -> Option<RuleEffect> {
-        let mut places = None;
+        let mut locations = None;
         if r.contains_key("regions") {
-            places = Some(regions?);
+            locations = Some(regions?);
         } else if r.contains_key("barred") {
             let barred = barred?;
             let all = 0..self.known.locations.len() as u16;
-            places = Some(all.filter(|place| !barred.contains(place)).collect());
+            locations = Some(all.filter(|location| !barred.contains(location)).collect());
         }
-        Some(RuleEffect::Allow { places })
+        Some(RuleEffect::Allow { locations })
     }
 
     /// The places of a list of regions, ascending.
@@ -245,21 +245,21 @@
             let needs = "list of regions";
             return self.problem(&format!("{path}.{key}"), Problem::Kind { needs });
         };
-        let mut places = Vec::new();
+        let mut locations = Vec::new();
         for (at, name) in names.iter().enumerate() {
             let path = format!("{path}.{key}[{at}]");
             let name = name.as_str().unwrap_or_default();
-            match self.known.places(name) {
-                Some(named) => places.extend(named),
+            match self.known.region_locations(name) {
+                Some(named) => locations.extend(named),
                 None => {
                     let what = self.unknown_region(name);
                     self.report(path, what);
                 }
             }
         }
-        places.sort_unstable();
-        places.dedup();
-        Some(places)
+        locations.sort_unstable();
+        locations.dedup();
+        Some(locations)
     }
 
     /// The error for a region that is not known.
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -89,11 +89,11 @@
             (part - self.at).clamp(0, PARTS as Micros)
         };
         for gone in 0..passed {
-            let place = (part - gone).rem_euclid(PARTS as Micros) as usize;
+            let slot = (part - gone).rem_euclid(PARTS as Micros) as usize;
             for counts in self.kinds.values_mut() {
-                counts[place] = 0;
+                counts[slot] = 0;
             }
-            self.unknown[place] = 0;
+            self.unknown[slot] = 0;
         }
         if passed > 0 {
             self.kinds
@@ -109,16 +109,16 @@
         if self.part <= 0 {
             return;
         }
-        let place = self.advance(now);
+        let slot = self.advance(now);
         if !self.kinds.contains_key(request) {
             if self.kinds.len() >= MAX_KINDS {
-                self.unknown[place] += 1;
+                self.unknown[slot] += 1;
                 return;
             }
             self.kinds.insert(request.clone(), [0; PARTS]);
         }
         if let Some(counts) = self.kinds.get_mut(request) {
-            counts[place] = counts[place].saturating_add(1);
+            counts[slot] = counts[slot].saturating_add(1);
         }
     }
 
@@ -176,9 +176,9 @@
     if verdict.denied.is_some() {
         return Permission::Denied;
     }
-    let places = verdict.allowed.as_ref();
+    let locations = verdict.allowed.as_ref();
     Permission::Allowed {
-        locations: places.map(|places| known.location_names(places)),
+        locations: locations.map(|locations| known.location_names(locations)),
         limits: index.limits(&verdict),
     }
 }
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -35,7 +35,7 @@
     /// Places (indices of `KnownNames::locations`) where it may be read, ascending; None: anywhere.
     Allow {
         /// Indices of `KnownNames::locations` where it may be read, ascending; `None`: anywhere.
-        places: Option<Vec<u16>>,
+        locations: Option<Vec<u16>>,
     },
     /// Counted beside whatever decides.
     Count,
@@ -43,15 +43,18 @@
 
 impl RuleEffect {
     fn is_restrictive(&self) -> bool {
-        !matches!(self, RuleEffect::Allow { places: None } | RuleEffect::Count)
+        !matches!(
+            self,
+            RuleEffect::Allow { locations: None } | RuleEffect::Count
+        )
     }
 
     /// Of two rules at the same height, the one that lets less through goes first.
     fn severity(&self) -> u8 {
         match self {
             RuleEffect::Deny { .. } => 0,
-            RuleEffect::Allow { places: Some(_) } => 1,
-            RuleEffect::Allow { places: None } => 2,
+            RuleEffect::Allow { locations: Some(_) } => 1,
+            RuleEffect::Allow { locations: None } => 2,
             RuleEffect::Count => 3,
         }
     }
@@ -83,7 +86,7 @@
     /// A time of a move: a statement goes by the time at which it was judged first, at every try.
     pub is_move_phase: bool,
     /// Its index in the file, for errors.
-    pub place: usize,
+    pub file_index: usize,
 }
 
 /// How high a rule stands: the least goes first. Priority, then the more specific.
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -350,10 +350,10 @@
         Just(RuleEffect::Deny {
             reason: "x".to_string()
         }),
-        Just(RuleEffect::Allow { places: None }),
+        Just(RuleEffect::Allow { locations: None }),
         Just(RuleEffect::Count),
         prop::collection::btree_set(0u16..3, 1..3).prop_map(|p| RuleEffect::Allow {
-            places: Some(p.into_iter().collect())
+            locations: Some(p.into_iter().collect())
         }),
     ];
     let time = prop_oneof![3 => Just((0, u64::MAX)), 1 => (0u64..4, 4u64..8)];
@@ -378,7 +378,7 @@
                 from_ms,
                 until_ms,
                 is_move_phase: false,
-                place: 0,
+                file_index: 0,
             }
         },
     )
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -139,7 +139,7 @@
                 reason: "barred".into(),
             },
             _ => RuleEffect::Allow {
-                places: Some(vec![(n % 3) as u16]),
+                locations: Some(vec![(n % 3) as u16]),
             },
         },
         limit: None,
@@ -147,7 +147,7 @@
         from_ms: 0,
         until_ms: u64::MAX,
         is_move_phase: false,
-        place: n,
+        file_index: n,
     };
     RuleSet::new(1, DefaultEffect::Allow, (0..count).map(rule).collect())
 }
