--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -132,12 +132,12 @@
         workload: String,
     },
     /// More rules than a file may hold.
-    #[error("holds {count} rules, more than {most}; give fewer")]
+    #[error("holds {count} rules, more than {max}; give fewer")]
     TooMany {
         /// How many the file holds.
         count: usize,
         /// How many it may hold.
-        most: usize,
+        max: usize,
     },
 }
 
@@ -250,13 +250,13 @@
         kept: String,
     },
     /// A text that is too long for the ledger.
-    #[error("{file}: holds {bytes} bytes, more than {most}; give fewer rules or shorter ones")]
+    #[error("{file}: holds {bytes} bytes, more than {max}; give fewer rules or shorter ones")]
     TooLong {
         /// The file's name.
         file: String,
         /// The length of the text in bytes.
         bytes: usize,
         /// The length allowed, in bytes.
-        most: usize,
+        max: usize,
     },
 }
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -166,10 +166,13 @@
             .filter_map(|at| self.set.rules.get(*at));
         rules
             .filter_map(|rule| {
-                let RateLimit { most, window } = rule.limit?;
+                let RateLimit {
+                    max_statements,
+                    window,
+                } = rule.limit?;
                 Some(Limit {
                     rule: rule.name.clone(),
-                    most,
+                    max_statements,
                     window,
                 })
             })
--- a/crates/access/src/read/file.rs
+++ b/crates/access/src/read/file.rs
@@ -99,7 +99,7 @@
         if rules.len() > MAX_RULES {
             let what = Problem::TooMany {
                 count: rules.len(),
-                most: MAX_RULES,
+                max: MAX_RULES,
             };
             return self.problem("rules", what);
         }
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -149,13 +149,15 @@
     }
 
     fn limit(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RateLimit> {
-        let (most, window) = (r.get("at_most"), r.get("in_ms"));
-        if most.is_some() != window.is_some() {
+        let (max_statements, window) = (r.get("at_most"), r.get("in_ms"));
+        if max_statements.is_some() != window.is_some() {
             let why = "has one of `at_most` and `in_ms`";
             let remedy = "give both: so many statements, in a window of so many milliseconds";
             return self.problem(path, shape(name, why, remedy));
         }
-        let Some(most) = whole(most?).filter(|most| AT_MOST.contains(most)) else {
+        let Some(max_statements) =
+            whole(max_statements?).filter(|max_statements| AT_MOST.contains(max_statements))
+        else {
             let needs = "whole number from 1 to 100000";
             return self.problem(&format!("{path}.at_most"), Problem::Kind { needs });
         };
@@ -164,7 +166,7 @@
             return self.problem(&format!("{path}.in_ms"), Problem::Kind { needs });
         };
         Some(RateLimit {
-            most: most as u32,
+            max_statements: max_statements as u32,
             window: window_ms as Micros * 1000,
         })
     }
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -106,7 +106,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
     /// How many may begin in any window.
-    pub most: u32,
+    pub max_statements: u32,
     /// The length of a window in microseconds.
     pub window: Micros,
 }
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -178,7 +178,7 @@
 
     /// Tokens that it asks for beyond what it needs.
     fn batch(&self) -> u32 {
-        (self.limit.most / (4 * self.context.fronts.max(1) as u32)).max(1)
+        (self.limit.max_statements / (4 * self.context.fronts.max(1) as u32)).max(1)
     }
 
     /// How much it wants to have in all.
@@ -192,7 +192,7 @@
         (needs + needs / 4)
             .max(in_use)
             .saturating_add(self.batch())
-            .min(self.limit.most)
+            .min(self.limit.max_statements)
     }
 
     /// What it is to ask for, before it runs out.
@@ -204,7 +204,9 @@
         if goal <= held || !runs_out {
             return 0;
         }
-        (goal - held).max(held / 2).min(self.limit.most - held)
+        (goal - held)
+            .max(held / 2)
+            .min(self.limit.max_statements - held)
     }
 
     /// Whether a statement may take from it at once; else it waits, and is `ready` or `refused` later.
@@ -217,8 +219,9 @@
         }
         // All of it is spent here, and none of it comes back in time.
         let first = self.cooling.front().copied().unwrap_or(now);
-        let hopeless =
-            self.held() == self.limit.most && self.spare() == 0 && first > now + self.max_wait();
+        let hopeless = self.held() == self.limit.max_statements
+            && self.spare() == 0
+            && first > now + self.max_wait();
         if hopeless || self.waiting.len() >= MAX_WAITING {
             self.refused.push(statement);
         } else {
--- a/crates/access/src/shares/share/plan.rs
+++ b/crates/access/src/shares/share/plan.rs
@@ -97,7 +97,7 @@
             .iter()
             .filter(|row| row.held > 0 || row.wants > 0)
             .count();
-        let fair = (self.limit.most / sharing.max(1) as u32).max(1);
+        let fair = (self.limit.max_statements / sharing.max(1) as u32).max(1);
         let wanted = next.wanted_of(own).saturating_sub(next.free);
         self.owes = held.saturating_sub(goal.min(fair)).min(wanted);
         let unused = held.saturating_sub(self.in_use());
--- a/crates/access/src/shares/table.rs
+++ b/crates/access/src/shares/table.rs
@@ -15,7 +15,7 @@
     /// The name of the rule that sets the limit.
     pub rule: String,
     /// How many statements may begin in a window.
-    pub most: u32,
+    pub max_statements: u32,
     /// The length of the window in microseconds.
     pub window: Micros,
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
     format: u8,
-    most: u32,
+    max_statements: u32,
     /// Tokens that no front holds.
     pub free: u32,
     /// The fronts that hold or want tokens.
@@ -63,7 +63,7 @@
     pub fn key(&self) -> Key {
         Key {
             kind: Kind::Shares,
-            name: format!("{} in {} {}", self.most, self.window, self.rule),
+            name: format!("{} in {} {}", self.max_statements, self.window, self.rule),
         }
     }
 }
@@ -71,11 +71,11 @@
 impl Table {
     /// A table of which everything is free.
     pub fn new(limit: &Limit) -> Table {
-        let most = limit.most;
+        let max_statements = limit.max_statements;
         Table {
             format: FORMAT,
-            most,
-            free: most,
+            max_statements,
+            free: max_statements,
             rows: Vec::new(),
             resting: Vec::new(),
             round: 0,
@@ -99,8 +99,10 @@
             .chain(table.resting.iter().map(|r| u64::from(r.held)))
             .sum::<u64>()
             + u64::from(table.free);
-        (table.format == FORMAT && table.most == limit.most && all == u64::from(limit.most))
-            .then_some(table)
+        (table.format == FORMAT
+            && table.max_statements == limit.max_statements
+            && all == u64::from(limit.max_statements))
+        .then_some(table)
     }
 
     /// A front's row, if it has one.
--- a/crates/access/src/shares/table_tests.rs
+++ b/crates/access/src/shares/table_tests.rs
@@ -6,7 +6,7 @@
 fn what_is_damaged_or_of_another_limit_lets_nothing_through() {
     let limit = Limit {
         rule: "a".to_string(),
-        most: 10,
+        max_statements: 10,
         window: 1_000_000,
     };
     let (one, other) = ([1, 2].map(|front| Owner {
@@ -34,7 +34,13 @@
         None
     );
     assert_eq!(
-        Table::read(&table.bytes(), &Limit { most: 11, ..limit }),
+        Table::read(
+            &table.bytes(),
+            &Limit {
+                max_statements: 11,
+                ..limit
+            }
+        ),
         None
     );
 }
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -23,7 +23,7 @@
             return self.events.push(Event::Refused(Refused::TooLong {
                 file: file.to_string(),
                 bytes: text.len(),
-                most: MAX_TEXT,
+                max: MAX_TEXT,
             }));
         }
         self.offer = Some(Offer {
--- a/crates/access/tests/shares.rs
+++ b/crates/access/tests/shares.rs
@@ -33,7 +33,7 @@
         let (most, at) = sim.most();
         let (limit, tallies) = (&sim.limit, &sim.tallies);
         assert!(
-            most <= limit.most as usize,
+            most <= limit.max_statements as usize,
             "seed {seed}: {most} from {at} on, of {limit:?}"
         );
         for (to, from) in [
@@ -62,7 +62,7 @@
     };
     let broken = (0..RUNS).filter(|seed| {
         let sim = drawn(*seed, Some((0, early)));
-        sim.most().0 > sim.limit.most as usize
+        sim.most().0 > sim.limit.max_statements as usize
     });
     assert!(broken.count() > 0);
 }
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -69,7 +69,7 @@
     pub fn new(
         seed: u64,
         fronts: usize,
-        most: u32,
+        max_statements: u32,
         window: i64,
         odd: Option<(usize, Terms)>,
     ) -> Sim {
@@ -80,7 +80,7 @@
             now: 0,
             limit: Limit {
                 rule: "a".to_string(),
-                most,
+                max_statements,
                 window,
             },
             odd,
@@ -176,7 +176,7 @@
                 self.tallies.restarts += 1;
             }
             Fault::None(9..15) => {
-                let most = f64::from(self.limit.most) / (self.limit.window as f64 / 1e6);
+                let most = f64::from(self.limit.max_statements) / (self.limit.window as f64 / 1e6);
                 let busy = self.rng.random_bool(0.4);
                 self.fronts[front].asked = if busy {
                     self.rng.random_range(0.0..2.0) * most
@@ -292,7 +292,7 @@
                 .take_while(|at| **at > since)
                 .count();
             self.tallies.refused += refused.len() as u64;
-            let room = began < self.limit.most as usize;
+            let room = began < self.limit.max_statements as usize;
             self.tallies.not_needed += if room { refused.len() as u64 } else { 0 };
         }
         for ask in asks {
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -98,8 +98,9 @@
     let at = locations
         .as_ref()
         .map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
-    let limit =
-        |l: &hallmux_access::Limit| format!(", at most {} in {} ms", l.most, l.window / 1000);
+    let limit = |l: &hallmux_access::Limit| {
+        format!(", at most {} in {} ms", l.max_statements, l.window / 1000)
+    };
     format!(
         "let through {at}{}",
         limits.iter().map(limit).collect::<String>()
