--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -199,18 +199,18 @@
 
 /// Why a set that is well in itself does not become the fleet's.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum ChangeError {
     /// The version stated is lower than the one in force.
     #[error(
-        "{file}: version {stated} is not above the fleet's {has}, which stays; state {next} to change it"
+        "{file}: version {stated} is not above the fleet's {current}, which stays; state {next} to change it"
     )]
-    Old {
+    VersionTooLow {
         /// The file's name.
         file: String,
         /// The version that the file states.
         stated: u64,
         /// The fleet's version.
-        has: u64,
+        current: u64,
         /// The version to state instead.
         next: u64,
     },
@@ -218,7 +218,7 @@
     #[error(
         "{file}: version {stated} is the fleet's already, with other contents, which stay; state {next} to change them"
     )]
-    Other {
+    VersionTaken {
         /// The file's name.
         file: String,
         /// The version that the file states.
@@ -231,7 +231,7 @@
         "{file}: version {stated} lost to another front's change in the same moment, which stays; read it, and state \
          {next}"
     )]
-    Lost {
+    ConcurrentChange {
         /// The file's name.
         file: String,
         /// The version that the file states.
@@ -241,7 +241,7 @@
     },
     /// A roll-back to a version that is kept no longer.
     #[error("{file}: `roll_back_to` names version {to}, which is not among the last ones kept ({kept}); name one of them")]
-    NotKept {
+    VersionNotKept {
         /// The file's name.
         file: String,
         /// The version to roll back to.
@@ -251,7 +251,7 @@
     },
     /// A text that is too long for the ledger.
     #[error("{file}: holds {bytes} bytes, more than {max}; give fewer rules or shorter ones")]
-    TooLong {
+    TextTooLong {
         /// The file's name.
         file: String,
         /// The length of the text in bytes.
--- a/crates/access/src/event.rs
+++ b/crates/access/src/event.rs
@@ -1,6 +1,6 @@
 //! What happens to the rules at one front, for its log.
 
-use crate::error::Refused;
+use crate::error::ChangeError;
 
 /// What an operator should know of; the caller logs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
         version: u64,
     },
     /// This front's file was not accepted, and why.
-    Refused(Refused),
+    ChangeRejected(ChangeError),
     /// This front cannot know what holds: statements of customers with rules are rejected.
     RulesUnknown,
     /// This front can judge by the rules again.
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -28,7 +28,7 @@
 
 pub use access::{Access, AccessConfig, HeldVersion};
 pub use decision::Decision;
-pub use error::{FileError, FileErrors, Problem, Refused};
+pub use error::{ChangeError, FileError, FileErrors, Problem};
 pub use event::Event;
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -3,7 +3,7 @@
 use hallmux_ledger::{Entry, Key, Operation};
 
 use super::{Offer, Pending, StoredHead, Versions};
-use crate::error::Refused;
+use crate::error::ChangeError;
 use crate::event::Event;
 use crate::head::{
     head_key, part_keys, parts, Head, NextHead, StoredVersion, DROPPED_PARTS_MS, MAX_TEXT,
@@ -20,11 +20,13 @@
             return; // a question changes nothing
         }
         if text.len() > MAX_TEXT {
-            return self.events.push(Event::Refused(Refused::TooLong {
-                file: file.to_string(),
-                bytes: text.len(),
-                max: MAX_TEXT,
-            }));
+            return self
+                .events
+                .push(Event::ChangeRejected(ChangeError::TextTooLong {
+                    file: file.to_string(),
+                    bytes: text.len(),
+                    max: MAX_TEXT,
+                }));
         }
         self.offer = Some(Offer {
             file: file.to_string(),
@@ -39,7 +41,7 @@
     }
 
     /// The kept version that an offer wants, or why not.
-    pub(super) fn wanted(&self, offer: &Offer) -> Result<StoredVersion, Refused> {
+    pub(super) fn wanted(&self, offer: &Offer) -> Result<StoredVersion, ChangeError> {
         let RulesCommand::RollBack { version, to } = offer.command else {
             return Ok(StoredVersion::of(offer.command.version(), &offer.text));
         };
@@ -52,7 +54,7 @@
             .flat_map(|head| &head.previous)
             .map(|kept| kept.version.to_string())
             .collect();
-        Err(Refused::NotKept {
+        Err(ChangeError::VersionNotKept {
             file: offer.file.clone(),
             to,
             kept: kept.join(", "),
@@ -64,25 +66,31 @@
         let Some(offer) = self.offer.as_ref() else {
             return;
         };
-        let Some(has) = self.head.as_ref().map(|stored| stored.head.current) else {
+        let Some(current) = self.head.as_ref().map(|stored| stored.head.current) else {
             return;
         };
-        let (file, stated, next) = (offer.file.clone(), offer.command.version(), has.version + 1);
-        if stated > has.version {
+        let (file, stated, next) = (
+            offer.file.clone(),
+            offer.command.version(),
+            current.version + 1,
+        );
+        if stated > current.version {
             return;
         }
-        let same =
-            offer.wanted == Some(has) || self.wanted(offer).is_ok_and(|wanted| wanted == has);
-        let event = match (stated == has.version, same) {
+        let same = offer.wanted == Some(current)
+            || self.wanted(offer).is_ok_and(|wanted| wanted == current);
+        let event = match (stated == current.version, same) {
             (true, true) => Event::Accepted { version: stated },
             (true, false) if offer.parts_stored > 0 => {
-                Event::Refused(Refused::Lost { file, stated, next })
+                Event::ChangeRejected(ChangeError::ConcurrentChange { file, stated, next })
             }
-            (true, false) => Event::Refused(Refused::Other { file, stated, next }),
-            (false, _) => Event::Refused(Refused::Old {
+            (true, false) => {
+                Event::ChangeRejected(ChangeError::VersionTaken { file, stated, next })
+            }
+            (false, _) => Event::ChangeRejected(ChangeError::VersionTooLow {
                 file,
                 stated,
-                has: has.version,
+                current: current.version,
                 next,
             }),
         };
@@ -108,7 +116,7 @@
             Ok(wanted) => wanted,
             Err(why) => {
                 self.offer = None;
-                return self.events.push(Event::Refused(why));
+                return self.events.push(Event::ChangeRejected(why));
             }
         };
         let is_set = matches!(offer.command, RulesCommand::Replace(_));
--- a/crates/access/tests/fleet.rs
+++ b/crates/access/tests/fleet.rs
@@ -189,7 +189,7 @@
         .collect::<Vec<_>>();
     assert!(
         said.iter()
-            .any(|s| s.contains("Old") && s.contains("stated: 1, has: 2, next: 3")),
+            .any(|s| s.contains("VersionTooLow") && s.contains("stated: 1, current: 2, next: 3")),
         "{said:#?}"
     );
     sim.offer_text(2, 3, "{ version: 3, roll_back_to: 1 }");
@@ -199,7 +199,7 @@
     sim.offer_text(2, 4, "{ version: 4, roll_back_to: 77 }");
     sim.run(2_000_000);
     let last = sim.events.iter().rev().find_map(|(_, _, said)| match said {
-        hallmux_access::Event::Refused(why) => Some(why.to_string()),
+        hallmux_access::Event::ChangeRejected(why) => Some(why.to_string()),
         _ => None,
     });
     let says = "rules.json5: `roll_back_to` names version 77, which is not among the last ones kept (2, 1); name one of them";
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -291,7 +291,7 @@
                     self.in_force.entry(*version).or_insert(self.now);
                     self.tallies.in_force += 1;
                 }
-                Event::Refused(why) => match why.to_string().contains("not above") {
+                Event::ChangeRejected(why) => match why.to_string().contains("not above") {
                     true => self.tallies.old += 1,
                     false => self.tallies.lost += 1,
                 },
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -118,7 +118,7 @@
         Event::Accepted { version } => {
             log::info!("this front's file is the fleet's: version {version} of the rules")
         }
-        Event::Refused(why) => log::error!("the rules are left as they were: {why}"),
+        Event::ChangeRejected(why) => log::error!("the rules are left as they were: {why}"),
         Event::RulesUnknown => {
             log::warn!("cannot know which rules hold; statements of customers that they can be about are rejected")
         }
