--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -61,7 +61,7 @@
         let first = *first_indices.entry(&rule.name).or_insert(rule.file_index);
         // A rule that moves is read as three.
         if first != rule.file_index {
-            let what = Problem::Twice {
+            let what = Problem::DuplicateName {
                 rule: rule.name.clone(),
                 line: line(lines, first),
             };
@@ -97,7 +97,7 @@
         .into_iter()
         .filter_map(location)
         .collect();
-    let what = Problem::NoEngine {
+    let what = Problem::NoLocation {
         rule: rule.name.clone(),
         workload: workload.name.clone(),
         bound: bound.join(", "),
@@ -183,7 +183,7 @@
         match &rule.effect {
             RuleEffect::Allow { .. } => return None,
             RuleEffect::Deny { .. } if for_everybody => {
-                let what = Problem::AllDenied {
+                let what = Problem::WorkloadDenied {
                     rule: rule.name.clone(),
                     workload: workload.name.clone(),
                 };
@@ -194,7 +194,7 @@
     }
     (set.default == DefaultEffect::Deny).then(|| LocatedProblem {
         path: "default".to_string(),
-        what: Problem::NothingAllowed {
+        what: Problem::WorkloadNotAllowed {
             workload: workload.name.clone(),
         },
     })
--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -12,10 +12,10 @@
 pub enum Problem {
     /// The file is not JSON5; holds the parser's message.
     #[error("{0}; write the file as JSON5")]
-    Form(String),
+    Syntax(String),
     /// An unknown key.
     #[error("is not known; the keys here are {known}")]
-    Key {
+    UnknownKey {
         /// The keys that are allowed at this path.
         known: &'static str,
     },
@@ -27,13 +27,13 @@
     },
     /// A value of the wrong type or out of range.
     #[error("is no {needs}; give one")]
-    Kind {
+    WrongType {
         /// The type and range that are expected.
         needs: &'static str,
     },
     /// A name that the settings or the operator's file do not list.
     #[error("'{name}' is not among the {list}: {known}; name one of them")]
-    Name {
+    UnknownName {
         /// The name as the file gives it.
         name: String,
         /// Which list it was looked for in.
@@ -46,7 +46,7 @@
         "rule `{rule}` is about customer '{customer}', which `rules.customers` of the operator's file does not name: a \
          front that is cut off would let it through; add it there at every front first"
     )]
-    NotCovered {
+    CustomerNotCovered {
         /// The rule's name.
         rule: String,
         /// The customer that the operator's file has to list first.
@@ -56,7 +56,7 @@
     #[error(
         "rule `{rule}` has the name of the rule on line {line}; give each rule a name of its own"
     )]
-    Twice {
+    DuplicateName {
         /// The name.
         rule: String,
         /// The line of the first rule with it.
@@ -64,7 +64,7 @@
     },
     /// Keys of one rule that do not go together.
     #[error("rule `{rule}` {why}; {remedy}")]
-    Shape {
+    ConflictingKeys {
         /// The rule's name.
         rule: String,
         /// What is wrong with the combination.
@@ -103,7 +103,7 @@
         "rule `{rule}` bars every region that workload `{workload}` is bound to; name one of {bound}, or give the \
          rule a workload"
     )]
-    NoEngine {
+    NoLocation {
         /// The rule's name.
         rule: String,
         /// The workload that could run nowhere.
@@ -116,7 +116,7 @@
         "rule `{rule}` leaves workload `{workload}` with no engine for anybody; give the rule a customer, tables or a \
          front, or add a rule before it that allows"
     )]
-    AllDenied {
+    WorkloadDenied {
         /// The rule's name.
         rule: String,
         /// The workload.
@@ -127,13 +127,13 @@
         "the default 'deny' leaves workload `{workload}` with no engine, as no rule allows it; add one that does, or \
          state the default 'allow'"
     )]
-    NothingAllowed {
+    WorkloadNotAllowed {
         /// The workload.
         workload: String,
     },
     /// More rules than a file may hold.
     #[error("holds {count} rules, more than {max}; give fewer")]
-    TooMany {
+    TooManyRules {
         /// How many the file holds.
         count: usize,
         /// How many it may hold.
--- a/crates/access/src/read/file.rs
+++ b/crates/access/src/read/file.rs
@@ -20,11 +20,11 @@
     pub fn file(&mut self, text: &str) -> Option<RulesCommand> {
         let value: Value = match json5::from_str(text) {
             Ok(value) => value,
-            Err(e) => return self.problem("", Problem::Form(e.to_string())),
+            Err(e) => return self.problem("", Problem::Syntax(e.to_string())),
         };
         let Value::Object(file) = value else {
             let needs = "object of version and rules";
-            return self.problem("", Problem::Kind { needs });
+            return self.problem("", Problem::WrongType { needs });
         };
         self.keys("", &file, KEYS);
         let version = self.version(&file);
@@ -51,7 +51,7 @@
         let needs = "whole number from 1";
         whole(value)
             .filter(|version| *version > 0)
-            .or_else(|| self.problem("version", Problem::Kind { needs }))
+            .or_else(|| self.problem("version", Problem::WrongType { needs }))
     }
 
     fn roll_back(
@@ -62,10 +62,11 @@
     ) -> Option<RulesCommand> {
         for key in SET_KEYS.into_iter().filter(|key| file.contains_key(*key)) {
             let known = ROLL_BACK_KEYS;
-            self.report(key.to_string(), Problem::Key { known });
+            self.report(key.to_string(), Problem::UnknownKey { known });
         }
         let needs = "version";
-        let to = whole(to).or_else(|| self.problem("roll_back_to", Problem::Kind { needs }))?;
+        let to =
+            whole(to).or_else(|| self.problem("roll_back_to", Problem::WrongType { needs }))?;
         Some(RulesCommand::RollBack {
             version: version?,
             to,
@@ -80,7 +81,7 @@
         match value.as_str() {
             Some("allow") => Some(DefaultEffect::Allow),
             Some("deny") => Some(DefaultEffect::Deny),
-            _ => self.problem("default", Problem::Kind { needs }),
+            _ => self.problem("default", Problem::WrongType { needs }),
         }
     }
 
@@ -93,11 +94,11 @@
             }
             _ => {
                 let needs = "list of rules";
-                return self.problem("rules", Problem::Kind { needs });
+                return self.problem("rules", Problem::WrongType { needs });
             }
         };
         if rules.len() > MAX_RULES {
-            let what = Problem::TooMany {
+            let what = Problem::TooManyRules {
                 count: rules.len(),
                 max: MAX_RULES,
             };
@@ -114,7 +115,7 @@
         let needs = "true or false";
         value
             .as_bool()
-            .or_else(|| self.problem("what_if", Problem::Kind { needs }))
+            .or_else(|| self.problem("what_if", Problem::WrongType { needs }))
     }
 
     /// The rules of the list; None where one is faulty. All are read, so that all errors are known.
--- a/crates/access/src/read/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -66,7 +66,7 @@
         let path = &format!("{path}.moves");
         let Some(Value::Object(moves)) = r.get("moves") else {
             let needs = "object of from, to, at and overlap_ms";
-            return self.problem(path, Problem::Kind { needs });
+            return self.problem(path, Problem::WrongType { needs });
         };
         self.keys(path, moves, KEYS);
         if let Some(missing) = KEYS.split(", ").find(|key| !moves.contains_key(*key)) {
@@ -80,12 +80,12 @@
         let overlap = moves.get("overlap_ms").and_then(whole);
         let Some(overlap_ms) = overlap.filter(|ms| OVERLAP_MS.contains(ms)) else {
             let needs = "whole number of milliseconds from 1 to 31622400000";
-            return self.problem(&format!("{path}.overlap_ms"), Problem::Kind { needs });
+            return self.problem(&format!("{path}.overlap_ms"), Problem::WrongType { needs });
         };
         let (from, to, at_ms) = (from?, to?, at_ms?);
         if at_ms == 0 {
             let needs = "time after 1970";
-            return self.problem(&format!("{path}.at"), Problem::Kind { needs });
+            return self.problem(&format!("{path}.at"), Problem::WrongType { needs });
         }
         Some(Move {
             from,
--- a/crates/access/src/read/reader.rs
+++ b/crates/access/src/read/reader.rs
@@ -34,7 +34,7 @@
             } else {
                 format!("{path}.{key}")
             };
-            self.report(path, Problem::Key { known });
+            self.report(path, Problem::UnknownKey { known });
         }
     }
 
@@ -42,7 +42,10 @@
     pub fn text(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<String> {
         match object.get(key)? {
             Value::String(text) if !text.is_empty() => Some(text.clone()),
-            _ => self.problem(&format!("{path}.{key}"), Problem::Kind { needs: "text" }),
+            _ => self.problem(
+                &format!("{path}.{key}"),
+                Problem::WrongType { needs: "text" },
+            ),
         }
     }
 
@@ -61,7 +64,7 @@
         }
         self.problem(
             &format!("{path}.{key}"),
-            Problem::Name {
+            Problem::UnknownName {
                 name,
                 list,
                 known: known.join(", "),
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -22,7 +22,7 @@
     pub(super) fn rule(&mut self, file_index: usize, value: &Value) -> Option<Vec<Rule>> {
         let path = &format!("rules[{file_index}]");
         let Value::Object(r) = value else {
-            return self.problem(path, Problem::Kind { needs: "rule" });
+            return self.problem(path, Problem::WrongType { needs: "rule" });
         };
         let before = self.errors.len();
         self.keys(path, r, RULE_KEYS);
@@ -81,7 +81,7 @@
             known.customers.clone(),
         );
         if let Some(customer) = customer.as_ref().filter(|customer| !known.covers(customer)) {
-            let what = Problem::NotCovered {
+            let what = Problem::CustomerNotCovered {
                 rule: rule.to_string(),
                 customer: customer.clone(),
             };
@@ -97,7 +97,7 @@
         let priority = number(value).and_then(|number| i32::try_from(number).ok());
         if priority.is_none() {
             let needs = "whole number";
-            self.report(format!("{path}.priority"), Problem::Kind { needs });
+            self.report(format!("{path}.priority"), Problem::WrongType { needs });
         }
         priority.unwrap_or_default()
     }
@@ -145,7 +145,7 @@
             one => group(one).and_then(|one| range(one, one)),
         };
         let needs = "number of a group of tables, nor [first, last]";
-        tables.or_else(|| self.problem(&format!("{path}.tables"), Problem::Kind { needs }))
+        tables.or_else(|| self.problem(&format!("{path}.tables"), Problem::WrongType { needs }))
     }
 
     fn limit(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RateLimit> {
@@ -159,11 +159,11 @@
             whole(max_statements?).filter(|max_statements| AT_MOST.contains(max_statements))
         else {
             let needs = "whole number from 1 to 100000";
-            return self.problem(&format!("{path}.at_most"), Problem::Kind { needs });
+            return self.problem(&format!("{path}.at_most"), Problem::WrongType { needs });
         };
         let Some(window_ms) = whole(window?).filter(|ms| WINDOW_MS.contains(ms)) else {
             let needs = "whole number of milliseconds from 1000 to 86400000";
-            return self.problem(&format!("{path}.in_ms"), Problem::Kind { needs });
+            return self.problem(&format!("{path}.in_ms"), Problem::WrongType { needs });
         };
         Some(RateLimit {
             max_statements: max_statements as u32,
@@ -179,7 +179,7 @@
             .ok()
             .and_then(|t| u64::try_from(t.as_millisecond()).ok());
         let needs = "time by RFC 3339, such as '2026-12-01T06:00:00Z'";
-        time.or_else(|| self.problem(&format!("{path}.{key}"), Problem::Kind { needs }))
+        time.or_else(|| self.problem(&format!("{path}.{key}"), Problem::WrongType { needs }))
     }
 
     fn effect(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RuleEffect> {
@@ -218,7 +218,7 @@
             "allow" => self.allow(r, regions, barred),
             _ => {
                 let needs = "'allow', 'deny' or 'count'";
-                self.problem(&format!("{path}.then"), Problem::Kind { needs })
+                self.problem(&format!("{path}.then"), Problem::WrongType { needs })
             }
         }
     }
@@ -245,7 +245,7 @@
     pub fn regions(&mut self, path: &str, r: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
         let Value::Array(names) = r.get(key)? else {
             let needs = "list of regions";
-            return self.problem(&format!("{path}.{key}"), Problem::Kind { needs });
+            return self.problem(&format!("{path}.{key}"), Problem::WrongType { needs });
         };
         let mut locations = Vec::new();
         for (at, name) in names.iter().enumerate() {
@@ -266,7 +266,7 @@
 
     /// The error for a region that is not known.
     pub fn unknown_region(&self, name: &str) -> Problem {
-        Problem::Name {
+        Problem::UnknownName {
             name: name.to_string(),
             list: "regions",
             known: self.known.region_names().join(", "),
@@ -276,7 +276,7 @@
 
 /// The error for keys that don't go together.
 pub(super) fn shape(rule: &str, why: &'static str, remedy: &'static str) -> Problem {
-    Problem::Shape {
+    Problem::ConflictingKeys {
         rule: rule.to_string(),
         why,
         remedy,
