--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -59,7 +59,7 @@
     }
 
     /// What is to be done since the last call. Each item is returned once.
-    pub fn take(&mut self) -> Output {
+    pub fn take_output(&mut self) -> Output {
         let mut ledger_requests = std::mem::take(&mut self.versions.asks);
         ledger_requests.append(&mut self.hits.asks);
         ledger_requests.append(&mut self.shares.asks);
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -97,7 +97,7 @@
             self.now = (self.now + 500_000).min(end);
             self.access.tick(self.at());
             loop {
-                let out = self.access.take();
+                let out = self.access.take_output();
                 self.counted.extend(out.counted);
                 self.events.extend(out.events);
                 self.fleet = out.fleet_hits.or(self.fleet.take());
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -65,7 +65,7 @@
             self.now += STEP;
             let at = self.moment(front);
             self.fronts[front].access.tick(at);
-            let out = self.fronts[front].access.take();
+            let out = self.fronts[front].access.take_output();
             let life = self.fronts[front].life;
             out.ledger_requests
                 .into_iter()
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -260,7 +260,7 @@
         }
         let f = &mut self.fronts[front];
         f.access.tick(at);
-        let out = f.access.take();
+        let out = f.access.take_output();
         for ask in out.ledger_requests {
             let (there, cut) = (
                 self.now + self.rng.random_range(500..15_000),
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -316,7 +316,7 @@
         }
         self.access.tick(at);
         loop {
-            let out = self.access.take();
+            let out = self.access.take_output();
             self.take(at, &out);
             let answers = self.ask_ledger(now, at, out.ledger_requests, peers.as_deref_mut());
             if answers.is_empty() {
