--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -143,8 +143,8 @@
     }
 
     /// A file was read: it is to be the fleet's.
-    pub fn offer(&mut self, file: &str, text: &str, command: RulesCommand) {
-        self.versions.offer(file, text, command);
+    pub fn propose(&mut self, file: &str, text: &str, command: RulesCommand) {
+        self.versions.propose(file, text, command);
     }
 
     /// What a set would decide otherwise of what was asked here, before it is put in force.
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -26,7 +26,7 @@
 const OTHERS_DELAY: Micros = 1_000_000;
 
 /// A file that this front wants to be the fleet's.
-struct Offer {
+struct Proposal {
     file: String,
     command: RulesCommand,
     text: String,
@@ -100,7 +100,7 @@
     was_open: bool,
     /// The text that is being fetched.
     fetch: Option<Fetch>,
-    offer: Option<Offer>,
+    proposal: Option<Proposal>,
     requests: HashMap<u64, Request>,
     next_number: u64,
     next_head_read: Micros,
@@ -129,7 +129,7 @@
             lease_once_adopted: None,
             was_open: false,
             fetch: None,
-            offer: None,
+            proposal: None,
             requests: HashMap::new(),
             next_number: first_number,
             next_head_read: Micros::MIN,
@@ -243,7 +243,7 @@
             return;
         }
         self.fetch(at);
-        self.propose(at);
+        self.advance_proposal(at);
         if self.awaits_confirmation() && at.steady >= self.in_force_at() {
             self.confirm_in_force(at);
         }
@@ -276,7 +276,7 @@
             _ => {}
         }
         if outcome == Outcome::Full && !matches!(pending, Pending::ExpirePart) {
-            self.offer = None;
+            self.proposal = None;
             self.events.push(Event::LedgerFull {
                 what: "a set of rules",
             });
@@ -299,8 +299,8 @@
                 self.retry_at = at.steady + RETRY_INTERVAL;
             }
             (Pending::PutPart, Some(_)) => {
-                if let Some(offer) = &mut self.offer {
-                    offer.parts_stored += 1;
+                if let Some(proposal) = &mut self.proposal {
+                    proposal.parts_stored += 1;
                 }
             }
             (Pending::PutPart, None) => self.stop_swapping(),
@@ -319,8 +319,8 @@
 
     /// The head that was to be changed is to be read first.
     fn stop_swapping(&mut self) {
-        if let Some(offer) = &mut self.offer {
-            offer.swapping = false;
+        if let Some(proposal) = &mut self.proposal {
+            proposal.swapping = false;
         }
     }
 
--- a/crates/access/src/versions/adopt.rs
+++ b/crates/access/src/versions/adopt.rs
@@ -33,7 +33,7 @@
         } else {
             self.lease_once_adopted = Some(asked_at);
         }
-        self.resolve_offer();
+        self.resolve_proposal();
     }
 
     /// Goes by a later head.
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -2,7 +2,7 @@
 
 use hallmux_ledger::{Entry, Key, Operation};
 
-use super::{Offer, Pending, StoredHead, Versions};
+use super::{Pending, Proposal, StoredHead, Versions};
 use crate::error::ChangeError;
 use crate::event::Event;
 use crate::head::{
@@ -14,8 +14,8 @@
 
 impl Versions {
     /// A file was read: it is to be the fleet's.
-    pub fn offer(&mut self, file: &str, text: &str, command: RulesCommand) {
-        self.offer = None;
+    pub fn propose(&mut self, file: &str, text: &str, command: RulesCommand) {
+        self.proposal = None;
         if matches!(command, RulesCommand::WhatIf(_)) {
             return; // a question changes nothing
         }
@@ -28,7 +28,7 @@
                     max: MAX_TEXT,
                 }));
         }
-        self.offer = Some(Offer {
+        self.proposal = Some(Proposal {
             file: file.to_string(),
             command,
             text: text.to_string(),
@@ -41,9 +41,12 @@
     }
 
     /// The kept version that an offer wants, or why not.
-    pub(super) fn wanted(&self, offer: &Offer) -> Result<StoredVersion, ChangeError> {
-        let RulesCommand::RollBack { version, to } = offer.command else {
-            return Ok(StoredVersion::of(offer.command.version(), &offer.text));
+    pub(super) fn wanted(&self, proposal: &Proposal) -> Result<StoredVersion, ChangeError> {
+        let RulesCommand::RollBack { version, to } = proposal.command else {
+            return Ok(StoredVersion::of(
+                proposal.command.version(),
+                &proposal.text,
+            ));
         };
         let head = self.head.as_ref().map(|stored| &stored.head);
         if let Some(kept) = head.and_then(|head| head.find(to)) {
@@ -55,33 +58,33 @@
             .map(|kept| kept.version.to_string())
             .collect();
         Err(ChangeError::VersionNotKept {
-            file: offer.file.clone(),
+            file: proposal.file.clone(),
             to,
             kept: kept.join(", "),
         })
     }
 
     /// What has become of an offer, by the head.
-    pub(super) fn resolve_offer(&mut self) {
-        let Some(offer) = self.offer.as_ref() else {
+    pub(super) fn resolve_proposal(&mut self) {
+        let Some(proposal) = self.proposal.as_ref() else {
             return;
         };
         let Some(current) = self.head.as_ref().map(|stored| stored.head.current) else {
             return;
         };
         let (file, stated, next) = (
-            offer.file.clone(),
-            offer.command.version(),
+            proposal.file.clone(),
+            proposal.command.version(),
             current.version + 1,
         );
         if stated > current.version {
             return;
         }
-        let same = offer.wanted == Some(current)
-            || self.wanted(offer).is_ok_and(|wanted| wanted == current);
+        let same = proposal.wanted == Some(current)
+            || self.wanted(proposal).is_ok_and(|wanted| wanted == current);
         let event = match (stated == current.version, same) {
             (true, true) => Event::Accepted { version: stated },
-            (true, false) if offer.parts_stored > 0 => {
+            (true, false) if proposal.parts_stored > 0 => {
                 Event::ChangeRejected(ChangeError::ConcurrentChange { file, stated, next })
             }
             (true, false) => {
@@ -94,48 +97,48 @@
                 next,
             }),
         };
-        self.offer = None;
+        self.proposal = None;
         self.events.push(event);
     }
 
     /// Brings an offer one step on: its parts, then the head.
-    pub(super) fn propose(&mut self, at: Moment) {
+    pub(super) fn advance_proposal(&mut self, at: Moment) {
         // One that is not above the head is never swapped in, however the head was read.
-        self.resolve_offer();
-        let Some(offer) = self
-            .offer
+        self.resolve_proposal();
+        let Some(proposal) = self
+            .proposal
             .as_ref()
-            .filter(|offer| self.ledger_has_answered && !offer.swapping)
+            .filter(|proposal| self.ledger_has_answered && !proposal.swapping)
         else {
             return;
         };
         if self.is_pending(|pending| matches!(pending, Pending::PutPart | Pending::Swap { .. })) {
             return;
         }
-        let wanted = match self.wanted(offer) {
+        let wanted = match self.wanted(proposal) {
             Ok(wanted) => wanted,
             Err(why) => {
-                self.offer = None;
+                self.proposal = None;
                 return self.events.push(Event::ChangeRejected(why));
             }
         };
-        let is_set = matches!(offer.command, RulesCommand::Replace(_));
+        let is_set = matches!(proposal.command, RulesCommand::Replace(_));
         let keys: Vec<Key> = if is_set {
             part_keys(wanted).collect()
         } else {
             Vec::new()
         };
-        if offer.parts_stored < keys.len() {
-            let parts = parts(&offer.text);
+        if proposal.parts_stored < keys.len() {
+            let parts = parts(&proposal.text);
             return self.put_parts(at, keys, parts);
         }
-        let in_force = self.holds_at_once(offer, at);
+        let in_force = self.holds_at_once(proposal, at);
         self.swap_head(at, wanted, in_force);
     }
 
     fn put_parts(&mut self, at: Moment, keys: Vec<Key>, parts: Vec<Vec<u8>>) {
-        if let Some(offer) = &mut self.offer {
-            offer.parts_stored = 0;
+        if let Some(proposal) = &mut self.proposal {
+            proposal.parts_stored = 0;
         }
         for (key, value) in keys.into_iter().zip(parts) {
             let operation = Operation::Put {
@@ -159,15 +162,15 @@
         };
         let to = wanted;
         self.ask(at, Pending::Swap { to, dropped }, head_key(), operation);
-        if let Some(offer) = &mut self.offer {
-            offer.swapping = true;
-            offer.wanted = Some(wanted);
+        if let Some(proposal) = &mut self.proposal {
+            proposal.swapping = true;
+            proposal.wanted = Some(wanted);
         }
     }
 
     /// Nothing is barred by it that the set in force lets through: it holds with its swap.
-    pub(super) fn holds_at_once(&self, offer: &Offer, at: Moment) -> bool {
-        let RulesCommand::Replace(set) = &offer.command else {
+    pub(super) fn holds_at_once(&self, proposal: &Proposal, at: Moment) -> bool {
+        let RulesCommand::Replace(set) = &proposal.command else {
             return false;
         };
         let from = self.head.as_ref().map(|stored| stored.head.current);
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -149,7 +149,7 @@
 
     /// Puts a set in force.
     fn holds(&mut self, text: &str) {
-        self.access.offer("rules.json5", text, command(text));
+        self.access.propose("rules.json5", text, command(text));
         self.advance(6_000);
         assert_eq!(
             self.access.version(self.now),
@@ -298,7 +298,7 @@
         let told = one.access.what_if(one.at(), set);
         assert_eq!((told.statements, told.unknown), (200, 0));
         // The question changes nothing, also where it is offered.
-        one.access.offer("rules.json5", &after, command(&after));
+        one.access.propose("rules.json5", &after, command(&after));
         one.advance(1_000);
         assert_eq!(
             one.access.version(one.now),
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -176,7 +176,7 @@
             .insert(StoredVersion::of(1, text).hash, text.to_string());
         self.fronts[front]
             .access
-            .offer("rules.json5", text, command);
+            .propose("rules.json5", text, command);
     }
 
     /// Asks and answers on their way.
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -94,7 +94,7 @@
                 let found = self.access.what_if(self.moment(now), set);
                 log_lines::what_if(&found);
             }
-            Ok((text, command)) => self.access.offer(&rules.file, &text, command),
+            Ok((text, command)) => self.access.propose(&rules.file, &text, command),
             Err(why) => log::error!("the rules are left as they were: {why}"),
         }
         self.logged_hits = None;
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -70,7 +70,7 @@
         };
         let alone = alone.then(|| own_ledger(own)).transpose()?;
         let mut access = Access::new(setup);
-        access.offer(&rules.file, &text, command);
+        access.propose(&rules.file, &text, command);
         log::info!(
             "rules of customers hold; this front stands in {}",
             rules.region
