--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -172,7 +172,7 @@
     }
 
     /// A statement has its final answer, or nobody waits for it.
-    pub fn statement_over(&mut self, statement: u64) {
+    pub fn statement_ended(&mut self, statement: u64) {
         self.open.remove(&statement);
         self.hits.forget(statement);
         self.shares.over(statement);
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -312,7 +312,7 @@
                 .for_each(|hit| *self.acked.entry(hit).or_default() += 1);
             if verdict.denied.is_some() {
                 self.tallies.denied += 1;
-                f.access.statement_over(statement);
+                f.access.statement_ended(statement);
             } else {
                 let wait = if self.rng.random_bool(0.2) {
                     8_000_000
@@ -330,12 +330,12 @@
         for statement in out.over_limit {
             self.tallies.limited += 1;
             f.waiting.remove(&statement);
-            f.access.statement_over(statement);
+            f.access.statement_ended(statement);
         }
         for statement in out.revoked {
             self.tallies.ended += 1;
             f.running.remove(&statement);
-            f.access.statement_over(statement);
+            f.access.statement_ended(statement);
         }
         self.send(front, at);
     }
@@ -409,7 +409,7 @@
                     self.now + self.rng.random_range(10_000..2_000_000),
                 );
             } else {
-                f.access.statement_over(statement);
+                f.access.statement_ended(statement);
             }
         }
         let over: Vec<u64> = f
@@ -421,7 +421,7 @@
         for statement in over {
             f.running.remove(&statement);
             f.access.execution_ended(statement, 0);
-            f.access.statement_over(statement);
+            f.access.statement_ended(statement);
         }
     }
 }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -181,7 +181,7 @@
 
     fn dropped(&mut self, judged: &Decision) {
         if let Decision::Decided { statement, .. } = judged {
-            self.access.statement_over(*statement);
+            self.access.statement_ended(*statement);
         }
     }
 
@@ -189,7 +189,7 @@
     pub fn statement_over(&mut self, ticket: Ticket) {
         if let Some(statement) = self.tickets.remove(&ticket) {
             self.statements.remove(&statement);
-            self.access.statement_over(statement);
+            self.access.statement_ended(statement);
         }
     }
 
