--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -105,12 +105,12 @@
     }
 
     /// The names that rules may use, as configured.
-    pub fn known(&self) -> &KnownNames {
+    pub fn known_names(&self) -> &KnownNames {
         self.versions.known()
     }
 
     /// The version held.
-    pub fn version(&self, steady: Micros) -> HeldVersion {
+    pub fn held_version(&self, steady: Micros) -> HeldVersion {
         HeldVersion {
             version: self.versions.held().set.version,
             may_judge: self.versions.lease(steady).is_some(),
@@ -118,7 +118,7 @@
     }
 
     /// The name of the rule that decided.
-    pub fn rule(&self, verdict: &Verdict) -> Option<&str> {
+    pub fn rule_name(&self, verdict: &Verdict) -> Option<&str> {
         let held = self.versions.held();
         verdict
             .rule
@@ -129,7 +129,7 @@
     /// The locations that a verdict lets a statement be read at; None: all.
     pub fn locations(&self, verdict: &Verdict) -> Option<Vec<String>> {
         let locations = verdict.allowed.as_ref()?;
-        Some(self.known().location_names(locations))
+        Some(self.known_names().location_names(locations))
     }
 
     /// The limits that a verdict of the version held lets a statement through within.
@@ -160,7 +160,7 @@
     }
 
     /// Statements refused by each rule's limit in this front's life.
-    pub fn limited(&self) -> &BTreeMap<String, u64> {
+    pub fn limit_rejections(&self) -> &BTreeMap<String, u64> {
         &self.shares.limited
     }
 
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -13,7 +13,7 @@
 impl Access {
     /// Judges a statement, once for all its attempts.
     pub fn judge(&mut self, at: Moment, request: Request) -> Decision {
-        if !self.known().covers(&request.customer) {
+        if !self.known_names().covers(&request.customer) {
             return Decision::Unrestricted;
         }
         let Some(index) = self.versions.lease(at.steady) else {
@@ -78,7 +78,7 @@
     /// Whether an execution may leave for a location now: by the version that the statement was judged by, by the one
     /// that holds, and under a lease. One that may not never will; its statement is to end.
     pub fn may_send(&mut self, at: Moment, statement: u64, execution: u64, location: &str) -> bool {
-        let location_index = self.known().location_index(location);
+        let location_index = self.known_names().location_index(location);
         let Some(index) = self.versions.lease(at.steady) else {
             return false;
         };
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -152,7 +152,7 @@
         self.access.propose("rules.json5", text, command(text));
         self.advance(6_000);
         assert_eq!(
-            self.access.version(self.now),
+            self.access.held_version(self.now),
             HeldVersion {
                 version: command(text).version(),
                 may_judge: true
@@ -301,7 +301,7 @@
         one.access.propose("rules.json5", &after, command(&after));
         one.advance(1_000);
         assert_eq!(
-            one.access.version(one.now),
+            one.access.held_version(one.now),
             HeldVersion {
                 version: 1,
                 may_judge: true
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -85,7 +85,7 @@
 
     pub fn versions(&self) -> Vec<(u64, bool)> {
         (0..FRONTS)
-            .map(|n| self.fronts[n].access.version(self.moment(n).steady))
+            .map(|n| self.fronts[n].access.held_version(self.moment(n).steady))
             .map(|held| (held.version, held.may_judge))
             .collect()
     }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -366,7 +366,7 @@
                         rule: Some(rule),
                         ..verdict.clone()
                     };
-                    f.access.rule(&v).unwrap_or_default().to_string()
+                    f.access.rule_name(&v).unwrap_or_default().to_string()
                 };
                 let rules: BTreeSet<usize> =
                     verdict.rule.into_iter().chain(verdict.counts).collect();
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -89,7 +89,7 @@
 impl Rules {
     /// SIGHUP: the file is read again. One that can't be used changes nothing.
     pub fn reload(&mut self, now: Micros, rules: &hallmux_config::Rules) {
-        match read(&rules.file, self.access.known()) {
+        match read(&rules.file, self.access.known_names()) {
             Ok((_, RulesCommand::WhatIf(set))) => {
                 let found = self.access.what_if(self.moment(now), set);
                 log_lines::what_if(&found);
@@ -120,7 +120,7 @@
         let judged = self.access.judge(self.moment(now), request);
         if let Decision::Decided { verdict, .. } = &judged {
             if let Some(why) = &verdict.denied {
-                let rule = self.access.rule(verdict).unwrap_or("the default");
+                let rule = self.access.rule_name(verdict).unwrap_or("the default");
                 log::info!(
                     "customer {customer}: {workload} is denied by {rule} of version {}: {why}",
                     verdict.version
@@ -226,12 +226,12 @@
         };
         let at = self.moment(now);
         let location = dispatcher.site(ordered.place).location;
-        let names = &self.access.known().locations;
+        let names = &self.access.known_names().locations;
         let location = names.get(location).cloned().unwrap_or_default();
         let may = self
             .access
             .may_send(at, number, place_of(ordered.id()), &location);
-        let closed = !self.access.version(at.steady).may_judge;
+        let closed = !self.access.held_version(at.steady).may_judge;
         let limited = self.access.is_limited(number);
         let Some(s) = self.statements.get_mut(&number) else {
             return true;
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -40,7 +40,7 @@
 
     /// What limits have turned away here, where that has changed.
     pub(super) fn log_limits(&mut self) {
-        let limited = self.access.limited().clone();
+        let limited = self.access.limit_rejections().clone();
         for (rule, count) in &limited {
             if self.logged_limits.get(rule) != Some(count) {
                 log::info!(
