--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -24,7 +24,7 @@
 /// How one front's part in the rules is configured.
 pub struct AccessConfig {
     /// This front, and the incarnation in which it runs.
-    pub own: Owner,
+    pub owner: Owner,
     /// All whose counts make the fleet's, this front too.
     pub fronts: Vec<FrontId>,
     /// Where this front stands, as rules may name it.
@@ -34,9 +34,9 @@
     /// How long a lease on the rules and on shares of limits lasts, and by how much clocks may drift.
     pub terms: Terms,
     /// How long what was asked is remembered, by kind; 0: not at all.
-    pub remembers: Micros,
+    pub record_window: Micros,
     /// The number behind which its asks to the ledger are numbered: other callers of this front keep away from them.
-    pub first_number: u64,
+    pub first_request_number: u64,
 }
 
 /// A version of the rules as a front holds it.
@@ -87,13 +87,13 @@
     /// A front that has not read the rules yet: until it has, it answers [`Decision::RulesUnknown`] for every
     /// customer that rules can be about.
     pub fn new(config: AccessConfig) -> Access {
-        let shares = Shares::new(config.own, config.terms, config.fronts.len());
+        let shares = Shares::new(config.owner, config.terms, config.fronts.len());
         Access {
             region: config.region,
             shares,
-            record: Record::new(config.remembers),
-            versions: Versions::new(config.known, config.terms, config.first_number),
-            hits: Hits::new(config.own, config.fronts),
+            record: Record::new(config.record_window),
+            versions: Versions::new(config.known, config.terms, config.first_request_number),
+            hits: Hits::new(config.owner, config.fronts),
             open: BTreeMap::new(),
             last_statement: 0,
             checked_version: 0,
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -46,7 +46,7 @@
 
 fn access(incarnation: u64) -> Access {
     Access::new(AccessConfig {
-        own: Owner {
+        owner: Owner {
             front: 1,
             incarnation,
         },
@@ -57,8 +57,8 @@
             length: 3_000_000,
             drift_ppm: 10_000,
         },
-        remembers: 6 * 3_600_000_000,
-        first_number: 1 << 40,
+        record_window: 6 * 3_600_000_000,
+        first_request_number: 1 << 40,
     })
 }
 
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -428,7 +428,7 @@
 
 fn access(front: usize, life: u64) -> Access {
     Access::new(AccessConfig {
-        own: Owner {
+        owner: Owner {
             front: front as u64 + 1,
             incarnation: life,
         },
@@ -439,7 +439,7 @@
             length: 3_000_000,
             drift_ppm: DRIFT_PPM,
         },
-        remembers: 0,
-        first_number: 1 << 40,
+        record_window: 0,
+        first_request_number: 1 << 40,
     })
 }
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -57,7 +57,7 @@
             return Err(RulesError::Question(rules.file.clone()));
         }
         let setup = AccessConfig {
-            own,
+            owner: own,
             fronts,
             region: rules.region.clone(),
             known,
@@ -65,8 +65,8 @@
                 length: rules.lease,
                 drift_ppm: rules.drift_ppm,
             },
-            remembers: rules.remembers,
-            first_number: ASK_NUMBERS,
+            record_window: rules.remembers,
+            first_request_number: ASK_NUMBERS,
         };
         let alone = alone.then(|| own_ledger(own)).transpose()?;
         let mut access = Access::new(setup);
