--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -29,7 +29,7 @@
         };
         self.last_statement += 1;
         let statement = self.last_statement;
-        let waits = !hits.is_empty();
+        let awaits_count = !hits.is_empty();
         let hits = self.count_within_limits(at.steady, statement, hits, limits);
         let open = OpenStatement {
             request,
@@ -43,7 +43,7 @@
         Decision::Decided {
             statement,
             verdict,
-            waits,
+            awaits_count,
         }
     }
 
--- a/crates/access/src/decision.rs
+++ b/crates/access/src/decision.rs
@@ -17,7 +17,7 @@
         /// What the rules say of it.
         verdict: Verdict,
         /// Whether it has to wait until its count stands in the ledger.
-        waits: bool,
+        awaits_count: bool,
     },
 }
 
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -359,7 +359,7 @@
             Decision::Decided {
                 statement,
                 verdict,
-                waits,
+                awaits_count,
             } => {
                 let name = |rule: usize, f: &Front| {
                     let v = hallmux_access::Verdict {
@@ -378,7 +378,7 @@
                 let hits: Vec<Hit> = rules.into_iter().map(hit).collect();
                 hits.iter()
                     .for_each(|hit| *self.judged.entry(hit.clone()).or_default() += 1);
-                match waits {
+                match awaits_count {
                     true => _ = f.waiting.insert(statement, (asked, verdict, hits)),
                     false => f.queued.push((self.now, statement, asked, verdict)),
                 }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -157,7 +157,7 @@
         if let Decision::Decided {
             statement,
             verdict,
-            waits,
+            awaits_count,
         } = judged
         {
             dispatcher.watch_end(ticket);
@@ -166,14 +166,14 @@
                 *statement,
                 Statement {
                     ticket,
-                    waits: *waits,
+                    waits: *awaits_count,
                     denied,
                     ran: false,
                     held: Vec::new(),
                 },
             );
             self.tickets.insert(ticket, *statement);
-            if denied && !waits {
+            if denied && !awaits_count {
                 self.rulings.push(Ruling::Deny(ticket));
             }
         }
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -200,7 +200,14 @@
             rules
                 .borrow_mut()
                 .statement_picked(&mut front.dispatcher, &judged, None);
-            matches!(judged, Decision::Decided { waits: true, .. }).then_some(())
+            matches!(
+                judged,
+                Decision::Decided {
+                    awaits_count: true,
+                    ..
+                }
+            )
+            .then_some(())
         });
     }
 }
