--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -13,7 +13,7 @@
 impl Access {
     /// Judges a statement, once for all its attempts.
     pub fn judge(&mut self, at: Moment, request: Request) -> Decision {
-        if !self.known_names().covers(&request.customer) {
+        if !self.known_names().covers_customer(&request.customer) {
             return Decision::Unrestricted;
         }
         let Some(index) = self.versions.lease(at.steady) else {
--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -83,7 +83,7 @@
         return None;
     };
     let is_barred = |workload: &&WorkloadLocations| {
-        let bound = known.bound(workload);
+        let bound = known.bound_locations(workload);
         !bound.is_empty() && !bound.iter().any(|location| locations.contains(location))
     };
     let workload = known
@@ -93,7 +93,7 @@
         .find(is_barred)?;
     let location = |index: u16| known.locations.get(index as usize).cloned();
     let bound: Vec<String> = known
-        .bound(workload)
+        .bound_locations(workload)
         .into_iter()
         .filter_map(location)
         .collect();
@@ -172,7 +172,7 @@
     known: &KnownNames,
     workload: &WorkloadLocations,
 ) -> Option<LocatedProblem> {
-    if known.covered.is_some() {
+    if known.covered_customers.is_some() {
         return None; // the customers that no rule can be about may run it
     }
     for rule in set.rules.iter().filter(|rule| is_about(rule, workload)) {
--- a/crates/access/src/known.rs
+++ b/crates/access/src/known.rs
@@ -24,13 +24,13 @@
     pub regions: BTreeMap<String, Vec<String>>,
     /// The customers that rules may be about; None: all. A front that cannot know what holds turns away the
     /// statements of these and of nobody else.
-    pub covered: Option<Vec<String>>,
+    pub covered_customers: Option<Vec<String>>,
 }
 
 impl KnownNames {
     /// Whether rules may be about a customer.
-    pub fn covers(&self, customer: &str) -> bool {
-        self.covered
+    pub fn covers_customer(&self, customer: &str) -> bool {
+        self.covered_customers
             .as_ref()
             .is_none_or(|all| all.iter().any(|name| name == customer))
     }
@@ -77,7 +77,7 @@
     }
 
     /// The places that a workload may run at.
-    pub fn bound(&self, workload: &WorkloadLocations) -> Vec<u16> {
+    pub fn bound_locations(&self, workload: &WorkloadLocations) -> Vec<u16> {
         let bound = workload.locations.as_ref();
         self.locations
             .iter()
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -80,7 +80,10 @@
             "settings' customers",
             known.customers.clone(),
         );
-        if let Some(customer) = customer.as_ref().filter(|customer| !known.covers(customer)) {
+        if let Some(customer) = customer
+            .as_ref()
+            .filter(|customer| !known.covers_customer(customer))
+        {
             let what = Problem::CustomerNotCovered {
                 rule: rule.to_string(),
                 customer: customer.clone(),
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -36,7 +36,7 @@
         workloads: vec![bound("lookup"), bound("report")],
         locations: names(&PLACES),
         regions: BTreeMap::new(),
-        covered: None,
+        covered_customers: None,
     }
 }
 
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -80,7 +80,7 @@
         workloads: vec![bound("lookup"), bound("report")],
         locations: names(&PLACES),
         regions: BTreeMap::new(),
-        covered: Some(names(&["acme", "brisk"])),
+        covered_customers: Some(names(&["acme", "brisk"])),
     }
 }
 
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -24,7 +24,7 @@
             ("west".to_string(), names(&["std-eu", "std-us"])),
         ]
         .into(),
-        covered: Some(names(&["acme", "brisk"])),
+        covered_customers: Some(names(&["acme", "brisk"])),
     }
 }
 
@@ -215,7 +215,7 @@
 #[test]
 fn a_set_leaves_every_workload_an_engine_for_somebody() {
     let all = KnownNames {
-        covered: None,
+        covered_customers: None,
         ..known()
     };
     let faults =
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -27,7 +27,7 @@
         workloads: workloads.collect(),
         locations: names.locations.clone(),
         regions: rules.regions.clone(),
-        covered: rules.customers.clone(),
+        covered_customers: rules.customers.clone(),
     }
 }
 
