--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -44,15 +44,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WhatIfReport {
     /// The version that holds, and the one that was asked about.
-    pub held: u64,
+    pub held_version: u64,
     /// The version that was asked about.
-    pub version: u64,
+    pub proposed_version: u64,
     /// How far the record goes back.
-    pub back: Micros,
+    pub covered_time: Micros,
     /// Statements that the record holds.
     pub statements: u64,
     /// Statements for whose kinds the record had no room.
-    pub unknown: u64,
+    pub unrecorded: u64,
     /// The statements that would be decided differently, and how many there were of each kind.
     pub changes: BTreeMap<ChangedDecision, u64>,
 }
@@ -132,8 +132,8 @@
         known: &crate::KnownNames,
     ) -> WhatIfReport {
         let mut report = WhatIfReport {
-            held: held.set.version,
-            version: other.set.version,
+            held_version: held.set.version,
+            proposed_version: other.set.version,
             ..WhatIfReport::default()
         };
         if self.part <= 0 {
@@ -141,8 +141,8 @@
         }
         self.advance(at.steady);
         let back = self.begun.map_or(0, |begun| at.steady - begun);
-        report.back = back.min(self.part * PARTS as Micros);
-        report.unknown = self.unknown.iter().sum();
+        report.covered_time = back.min(self.part * PARTS as Micros);
+        report.unrecorded = self.unknown.iter().sum();
         for (request, counts) in &self.kinds {
             let count = counts.iter().map(|count| u64::from(*count)).sum::<u64>();
             report.statements += count;
--- a/crates/access/src/record_tests.rs
+++ b/crates/access/src/record_tests.rs
@@ -18,7 +18,7 @@
             wall_ms: 0,
         };
         let found = record.compare(at, "eu", &index, &index, &KnownNames::default());
-        (found.statements, found.unknown, found.back)
+        (found.statements, found.unrecorded, found.covered_time)
     };
     (0..MAX_KINDS + 10).for_each(|n| record.add(500_000, &request(n)));
     record.add(20_000_000, &request(0));
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -296,7 +296,7 @@
             panic!("a question")
         };
         let told = one.access.what_if(one.at(), set);
-        assert_eq!((told.statements, told.unknown), (200, 0));
+        assert_eq!((told.statements, told.unrecorded), (200, 0));
         // The question changes nothing, also where it is offered.
         one.access.propose("rules.json5", &after, command(&after));
         one.advance(1_000);
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -58,11 +58,11 @@
 /// What a set would decide otherwise than the one that holds.
 pub fn what_if(found: &WhatIfReport) {
     let WhatIfReport {
-        held,
-        version,
-        back,
+        held_version: held,
+        proposed_version: version,
+        covered_time: back,
         statements,
-        unknown,
+        unrecorded: unknown,
         changes,
     } = found;
     let otherwise: u64 = changes.values().sum();
