--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -156,12 +156,12 @@
 
     /// A statement may not leave for want of room within a limit: later there may be.
     pub fn is_limited(&self, statement: u64) -> bool {
-        self.shares.lacks(statement)
+        self.shares.awaits_share(statement)
     }
 
     /// Statements refused by each rule's limit in this front's life.
     pub fn limit_rejections(&self) -> &BTreeMap<String, u64> {
-        &self.shares.limited
+        &self.shares.rejections_by_rule
     }
 
     /// An execution has ended.
@@ -175,6 +175,6 @@
     pub fn statement_ended(&mut self, statement: u64) {
         self.open.remove(&statement);
         self.hits.forget(statement);
-        self.shares.over(statement);
+        self.shares.release(statement);
     }
 }
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -67,7 +67,7 @@
         hits: Vec<Hit>,
         limits: Vec<Limit>,
     ) -> Vec<Hit> {
-        let has_shares = limits.is_empty() || self.shares.take(now, statement, limits);
+        let has_shares = limits.is_empty() || self.shares.acquire(now, statement, limits);
         if !has_shares || hits.is_empty() {
             return hits;
         }
@@ -92,7 +92,7 @@
         let may = is_allowed_now
             && !open.ending
             && open.verdict.allows(location_index)
-            && self.shares.begins(at.steady, statement);
+            && self.shares.begin(at.steady, statement);
         if may {
             open.executions.insert(execution, location_index);
         }
--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -46,7 +46,7 @@
                 .done(at, number, outcome.clone(), &mut || versions.number())
             || self
                 .shares
-                .done(at, number, outcome, &mut || versions.number());
+                .on_ledger_answer(at, number, outcome, &mut || versions.number());
         self.count_those_with_shares();
         self.hits.tick(at, &mut || self.versions.number());
         self.revoke_barred(at);
@@ -62,14 +62,14 @@
     pub fn take_output(&mut self) -> Output {
         let mut ledger_requests = std::mem::take(&mut self.versions.asks);
         ledger_requests.append(&mut self.hits.asks);
-        ledger_requests.append(&mut self.shares.asks);
+        ledger_requests.append(&mut self.shares.ledger_requests);
         let events = self.take_events();
         let swept = std::mem::take(&mut self.hits.swept);
         Output {
             ledger_requests,
             events,
             counted: std::mem::take(&mut self.hits.counted),
-            over_limit: std::mem::take(&mut self.shares.refused),
+            over_limit: std::mem::take(&mut self.shares.rejected),
             revoked: std::mem::take(&mut self.revoked),
             fleet_hits: swept.then(|| self.hits.fleet().clone()),
         }
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -40,13 +40,13 @@
     statements: BTreeMap<u64, LimitedStatement>,
     requests: HashMap<u64, Request>,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<LedgerRequest>,
+    pub ledger_requests: Vec<LedgerRequest>,
     /// Statements that have waited for their shares and have them now, or have none.
     pub ready: Vec<u64>,
     /// Statements that were refused for want of a share since the caller took them last.
-    pub refused: Vec<u64>,
+    pub rejected: Vec<u64>,
     /// Statements refused by each rule's limit, so far.
-    pub limited: BTreeMap<String, u64>,
+    pub rejections_by_rule: BTreeMap<String, u64>,
 }
 
 impl Shares {
@@ -57,15 +57,15 @@
             shares: BTreeMap::new(),
             statements: BTreeMap::new(),
             requests: HashMap::new(),
-            asks: Vec::new(),
+            ledger_requests: Vec::new(),
             ready: Vec::new(),
-            refused: Vec::new(),
-            limited: BTreeMap::new(),
+            rejected: Vec::new(),
+            rejections_by_rule: BTreeMap::new(),
         }
     }
 
     /// Whether a statement may go on at once; else it waits, and is among `ready` or `refused` later.
-    pub fn take(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
+    pub fn acquire(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
         let context = self.context;
         let mut lacks = 0;
         for limit in &limits {
@@ -73,7 +73,7 @@
                 .shares
                 .entry(limit.clone())
                 .or_insert_with(|| Share::new(limit.clone(), context));
-            if !share.take(now, statement) {
+            if !share.acquire(now, statement) {
                 lacks += 1;
             }
         }
@@ -90,7 +90,7 @@
     }
 
     /// Whether a statement's execution may leave now; the first is its beginning.
-    pub fn begins(&mut self, now: Micros, statement: u64) -> bool {
+    pub fn begin(&mut self, now: Micros, statement: u64) -> bool {
         let Some(limited) = self.statements.get_mut(&statement) else {
             return true;
         };
@@ -104,7 +104,7 @@
         // Every share has to learn of it, also where an earlier one has refused.
         for limit in &limited.limits {
             let share = self.shares.get_mut(limit);
-            may &= share.is_some_and(|share| share.begins(now, statement));
+            may &= share.is_some_and(|share| share.begin(now, statement));
         }
         limited.began = may;
         if !may {
@@ -114,7 +114,7 @@
     }
 
     /// A statement may not begin for want of a share.
-    pub fn lacks(&self, statement: u64) -> bool {
+    pub fn awaits_share(&self, statement: u64) -> bool {
         self.statements
             .get(&statement)
             .is_some_and(|limited| limited.lacks > 0)
@@ -122,13 +122,13 @@
 
     /// A statement has ended or is abandoned: it waits for no share any more. What it spent stays spent for
     /// the limit's window.
-    pub fn over(&mut self, statement: u64) {
+    pub fn release(&mut self, statement: u64) {
         let Some(limited) = self.statements.remove(&statement) else {
             return;
         };
         for limit in &limited.limits {
             if let Some(share) = self.shares.get_mut(limit) {
-                share.over(statement);
+                share.release(statement);
             }
         }
     }
@@ -155,7 +155,7 @@
                 at: at.steady,
             };
             self.requests.insert(number, request);
-            self.asks.push(LedgerRequest {
+            self.ledger_requests.push(LedgerRequest {
                 number,
                 key: limit.key(),
                 operation,
@@ -166,7 +166,7 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn done(
+    pub fn on_ledger_answer(
         &mut self,
         at: Moment,
         asked: u64,
@@ -199,7 +199,7 @@
 
     /// Takes from each share the statements that have it now, and those that get none.
     fn collect(&mut self) {
-        let mut refused = Vec::new();
+        let mut rejected = Vec::new();
         for share in self.shares.values_mut() {
             for statement in share.ready.drain(..) {
                 let Some(limited) = self.statements.get_mut(&statement) else {
@@ -210,15 +210,18 @@
                     self.ready.push(statement);
                 }
             }
-            for statement in share.refused.drain(..) {
-                *self.limited.entry(share.limit.rule.clone()).or_default() += 1;
-                refused.push(statement);
+            for statement in share.rejected.drain(..) {
+                *self
+                    .rejections_by_rule
+                    .entry(share.limit.rule.clone())
+                    .or_default() += 1;
+                rejected.push(statement);
             }
         }
-        for statement in refused {
+        for statement in rejected {
             if self.statements.contains_key(&statement) {
-                self.over(statement);
-                self.refused.push(statement);
+                self.release(statement);
+                self.rejected.push(statement);
             }
         }
     }
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -105,7 +105,7 @@
     /// Statements that have waited and have their share now.
     pub ready: Vec<u64>,
     /// Statements that get no share.
-    pub refused: Vec<u64>,
+    pub rejected: Vec<u64>,
 }
 
 impl Share {
@@ -136,7 +136,7 @@
             unreadable: false,
             full: false,
             ready: Vec::new(),
-            refused: Vec::new(),
+            rejected: Vec::new(),
         }
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Whether a statement may take from it at once; else it waits, and is `ready` or `refused` later.
-    pub fn take(&mut self, now: Micros, statement: u64) -> bool {
+    pub fn acquire(&mut self, now: Micros, statement: u64) -> bool {
         self.demand.add(now);
         self.cool(now);
         if self.waiting.is_empty() && now < self.lease_until && self.spare() > 0 {
@@ -223,7 +223,7 @@
             && self.spare() == 0
             && first > now + self.max_wait();
         if hopeless || self.waiting.len() >= MAX_WAITING {
-            self.refused.push(statement);
+            self.rejected.push(statement);
         } else {
             let ends = now + self.max_wait();
             self.waiting.push_back(WaitingStatement { statement, ends });
@@ -232,7 +232,7 @@
     }
 
     /// Whether a statement that took from it may begin now.
-    pub fn begins(&mut self, now: Micros, statement: u64) -> bool {
+    pub fn begin(&mut self, now: Micros, statement: u64) -> bool {
         self.cool(now);
         let may = now < self.lease_until && self.in_use() <= self.held();
         if !self.taken.remove(&statement) || !may {
@@ -243,7 +243,7 @@
     }
 
     /// A statement will not begin any more, or has begun.
-    pub fn over(&mut self, statement: u64) {
+    pub fn release(&mut self, statement: u64) {
         self.taken.remove(&statement);
         self.waiting
             .retain(|waiting| waiting.statement != statement);
@@ -319,7 +319,7 @@
                 self.taken.insert(statement);
                 self.ready.push(statement);
             } else if ends <= now {
-                self.refused.push(statement);
+                self.rejected.push(statement);
             } else {
                 break;
             }
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -214,7 +214,7 @@
                 let moment = self.moment(front);
                 let f = &mut self.fronts[front];
                 let next = &mut f.next;
-                f.shares.done(moment, number, outcome, &mut || {
+                f.shares.on_ledger_answer(moment, number, outcome, &mut || {
                     *next += 1;
                     *next
                 });
@@ -265,7 +265,7 @@
             let f = &mut self.fronts[front];
             f.next += 1;
             let (statement, limits) = (f.next, vec![self.limit.clone()]);
-            if f.shares.take(at.steady, statement, limits) {
+            if f.shares.acquire(at.steady, statement, limits) {
                 self.queue(front, statement);
             }
         }
@@ -277,9 +277,9 @@
         });
         let (ready, refused) = (
             std::mem::take(&mut f.shares.ready),
-            std::mem::take(&mut f.shares.refused),
+            std::mem::take(&mut f.shares.rejected),
         );
-        let asks = std::mem::take(&mut f.shares.asks);
+        let asks = std::mem::take(&mut f.shares.ledger_requests);
         ready
             .into_iter()
             .for_each(|statement| self.queue(front, statement));
@@ -347,19 +347,19 @@
         let (due, later): (Vec<_>, Vec<_>) = f.queued.drain(..).partition(|(when, _)| *when <= now);
         f.queued = later;
         for (_, statement) in due {
-            if f.shares.begins(at.steady, statement) {
+            if f.shares.begin(at.steady, statement) {
                 self.began.push(now);
                 self.tallies.began += 1;
                 f.running.push((now + 300_000, statement));
             } else {
-                f.shares.over(statement);
+                f.shares.release(statement);
             }
         }
         let (over, running): (Vec<_>, Vec<_>) =
             f.running.drain(..).partition(|(ends, _)| *ends <= now);
         f.running = running;
         over.into_iter()
-            .for_each(|(_, statement)| f.shares.over(statement));
+            .for_each(|(_, statement)| f.shares.release(statement));
     }
 
     /// The most that began in any window, and where.
