--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -123,7 +123,7 @@
         verdict
             .rule
             .filter(|_| held.set.version == verdict.version)
-            .map(|rule| held.name(rule))
+            .map(|rule| held.rule_name(rule))
     }
 
     /// The locations that a verdict lets a statement be read at; None: all.
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -49,10 +49,10 @@
 
     /// The hits of the rules that decided and counted a statement.
     fn hits_of(&self, index: &Index, verdict: &Verdict, request: &Request) -> Vec<Hit> {
-        let rules = verdict.rule.into_iter().chain(verdict.counts);
+        let rules = verdict.rule.into_iter().chain(verdict.counting_rule);
         rules
             .map(|rule| Hit {
-                rule: index.name(rule).to_string(),
+                rule: index.rule_name(rule).to_string(),
                 customer: request.customer.clone(),
                 region: self.region.clone(),
             })
--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -17,7 +17,7 @@
     let mut errors = repeated_names(set, lines);
     let index = Index::new(set.clone());
     for (at, rule) in set.rules.iter().enumerate() {
-        if let Some(by) = index.shadow(at).and_then(|by| set.rules.get(by)) {
+        if let Some(by) = index.shadowing_rule(at).and_then(|by| set.rules.get(by)) {
             let what = Problem::Shadowed {
                 rule: rule.name.clone(),
                 by: by.name.clone(),
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -117,7 +117,7 @@
                 tables_known,
                 ..*attributes
             };
-            self.judge_one(&attributes, wall_ms)
+            self.judge_group(&attributes, wall_ms)
         };
         let Some(groups) = groups.filter(|groups| groups.len() <= MAX_GROUPS) else {
             return judge(None, false);
@@ -128,13 +128,13 @@
             .unwrap_or_else(|| judge(None, true))
     }
 
-    fn judge_one(&self, attributes: &Attributes, wall_ms: u64) -> Verdict {
+    fn judge_group(&self, attributes: &Attributes, wall_ms: u64) -> Verdict {
         let matched = self.find(attributes, wall_ms);
         let deciding = matched.deciding.and_then(|at| self.set.rules.get(at));
         let mut verdict = Verdict {
             version: self.set.version,
             rule: matched.deciding,
-            counts: matched.counting,
+            counting_rule: matched.counting,
             limits: Vec::new(),
             denied: None,
             allowed: None,
@@ -180,7 +180,7 @@
     }
 
     /// The name of a rule, by its place in the order.
-    pub fn name(&self, rule: usize) -> &str {
+    pub fn rule_name(&self, rule: usize) -> &str {
         self.set.rules.get(rule).map_or("", |rule| &rule.name)
     }
 }
--- a/crates/access/src/index/compare.rs
+++ b/crates/access/src/index/compare.rs
@@ -134,7 +134,7 @@
 
     /// Where statements of a kind may be read, of all places, and within which limits.
     fn permitted(&self, kind: &Kind, all: &[u16]) -> Permitted {
-        let verdict = self.judge_one(&kind.attributes, kind.at_ms);
+        let verdict = self.judge_group(&kind.attributes, kind.at_ms);
         let limits = self.limits(&verdict);
         let locations = match verdict.denied {
             Some(_) => Vec::new(),
--- a/crates/access/src/index/shadow.rs
+++ b/crates/access/src/index/shadow.rs
@@ -6,7 +6,7 @@
 
 impl Index {
     /// A rule that goes before another wherever and whenever that would match.
-    pub fn shadow(&self, at: usize) -> Option<usize> {
+    pub fn shadowing_rule(&self, at: usize) -> Option<usize> {
         let rule = self.set.rules.get(at)?;
         let cells = self.wider_cells(rule);
         let any = cells
--- a/crates/access/src/index/verdict.rs
+++ b/crates/access/src/index/verdict.rs
@@ -11,7 +11,7 @@
     /// The rule that decided it, by its place in the set's order; None: the default.
     pub rule: Option<usize>,
     /// The rule that only counts it.
-    pub counts: Option<usize>,
+    pub counting_rule: Option<usize>,
     /// The rules that let it through within a limit.
     pub limits: Vec<usize>,
     /// Why it is denied.
@@ -35,13 +35,17 @@
     pub(super) fn and(self, other: Verdict) -> Verdict {
         // The rule that stands first is the one that decided, a denial before all.
         let order = |v: &Verdict| (v.denied.is_none(), v.rule.is_none(), v.rule);
-        let counts = self.counts.into_iter().chain(other.counts).min();
+        let counting_rule = self
+            .counting_rule
+            .into_iter()
+            .chain(other.counting_rule)
+            .min();
         let (mut verdict, other) = if order(&self) <= order(&other) {
             (self, other)
         } else {
             (other, self)
         };
-        verdict.counts = counts;
+        verdict.counting_rule = counting_rule;
         verdict.limits.extend(other.limits);
         verdict.limits.sort_unstable();
         verdict.limits.dedup();
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -368,8 +368,11 @@
                     };
                     f.access.rule_name(&v).unwrap_or_default().to_string()
                 };
-                let rules: BTreeSet<usize> =
-                    verdict.rule.into_iter().chain(verdict.counts).collect();
+                let rules: BTreeSet<usize> = verdict
+                    .rule
+                    .into_iter()
+                    .chain(verdict.counting_rule)
+                    .collect();
                 let hit = |rule| Hit {
                     rule: name(rule, f),
                     customer: asked.customer.clone(),
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -262,10 +262,10 @@
             0,
         );
         (
-            v.rule.map_or("", |at| index.name(at)).to_string(),
+            v.rule.map_or("", |at| index.rule_name(at)).to_string(),
             v.denied,
             v.allowed,
-            v.counts.is_some(),
+            v.counting_rule.is_some(),
         )
     };
     let is = |rule: &str, denied: Option<&str>, allowed: Option<Vec<u16>>, counts| {
@@ -418,7 +418,7 @@
                         Attributes { customer, workload, group, tables_known: true, front, first_judged_ms: None };
                     let found = index.find(&attributes, now);
                     for at in found.deciding.into_iter().chain(found.counting) {
-                        prop_assert_eq!(index.shadow(at), None);
+                        prop_assert_eq!(index.shadowing_rule(at), None);
                     }
                 }
             }
