--- a/crates/access/src/head.rs
+++ b/crates/access/src/head.rs
@@ -58,7 +58,7 @@
 
 impl StoredVersion {
     /// The entry for a text.
-    pub fn of(version: u64, text: &str) -> StoredVersion {
+    pub fn of_text(version: u64, text: &str) -> StoredVersion {
         StoredVersion {
             version,
             hash: hash(text),
--- a/crates/access/src/head_tests.rs
+++ b/crates/access/src/head_tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn what_is_damaged_or_of_another_format_is_no_head_and_no_text() {
     let text = "x".repeat(PART_BYTES + 1);
-    let mut head = Head::after(None, StoredVersion::of(3, &text), true).head;
+    let mut head = Head::after(None, StoredVersion::of_text(3, &text), true).head;
     let bytes = head.bytes();
     assert_eq!(Head::read(&bytes), Some(head.clone()));
     assert_eq!(Head::read(&[&bytes[..], b"x"].concat()), None);
@@ -29,7 +29,7 @@
         } else {
             version.to_string()
         };
-        let next = Head::after(head.as_ref(), StoredVersion::of(version, &text), true);
+        let next = Head::after(head.as_ref(), StoredVersion::of_text(version, &text), true);
         (head, gone) = (Some(next.head), next.dropped);
     }
     let head = head.unwrap();
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -43,7 +43,7 @@
     /// The kept version that an offer wants, or why not.
     pub(super) fn wanted(&self, proposal: &Proposal) -> Result<StoredVersion, ChangeError> {
         let RulesCommand::RollBack { version, to } = proposal.command else {
-            return Ok(StoredVersion::of(
+            return Ok(StoredVersion::of_text(
                 proposal.command.version(),
                 &proposal.text,
             ));
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -173,7 +173,7 @@
     pub fn offer(&mut self, front: usize, text: &str) {
         let command = read("rules.json5", text, &known(), &|_| None).expect("a good file");
         self.texts
-            .insert(StoredVersion::of(1, text).hash, text.to_string());
+            .insert(StoredVersion::of_text(1, text).hash, text.to_string());
         self.fronts[front]
             .access
             .propose("rules.json5", text, command);
