--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -18,12 +18,12 @@
     let index = Index::new(set.clone());
     for (at, rule) in set.rules.iter().enumerate() {
         if let Some(by) = index.shadowing_rule(at).and_then(|by| set.rules.get(by)) {
-            let what = Problem::Shadowed {
+            let problem = Problem::Shadowed {
                 rule: rule.name.clone(),
                 by: by.name.clone(),
                 line: line(lines, by.file_index),
             };
-            errors.push(at_rule(rule, what));
+            errors.push(at_rule(rule, problem));
         }
         errors.extend(barred_everywhere(rule, known));
     }
@@ -40,10 +40,10 @@
     format!("rules[{}]", rule.file_index)
 }
 
-fn at_rule(rule: &Rule, what: Problem) -> LocatedProblem {
+fn at_rule(rule: &Rule, problem: Problem) -> LocatedProblem {
     LocatedProblem {
         path: path(rule),
-        what,
+        problem,
     }
 }
 
@@ -61,13 +61,13 @@
         let first = *first_indices.entry(&rule.name).or_insert(rule.file_index);
         // A rule that moves is read as three.
         if first != rule.file_index {
-            let what = Problem::DuplicateName {
+            let problem = Problem::DuplicateName {
                 rule: rule.name.clone(),
                 line: line(lines, first),
             };
             errors.push(LocatedProblem {
                 path: format!("{}.name", path(rule)),
-                what,
+                problem,
             });
         }
     }
@@ -97,12 +97,12 @@
         .into_iter()
         .filter_map(location)
         .collect();
-    let what = Problem::NoLocation {
+    let problem = Problem::NoLocation {
         rule: rule.name.clone(),
         workload: workload.name.clone(),
         bound: bound.join(", "),
     };
-    Some(at_rule(rule, what))
+    Some(at_rule(rule, problem))
 }
 
 fn is_about(rule: &Rule, workload: &WorkloadLocations) -> bool {
@@ -148,12 +148,12 @@
         } else {
             (*other, *rule)
         };
-        let what = Problem::Contradicts {
+        let problem = Problem::Contradicts {
             rule: rule.name.clone(),
             other: other.name.clone(),
             line: line(lines, other.file_index),
         };
-        errors.push(at_rule(rule, what));
+        errors.push(at_rule(rule, problem));
     }
     errors
 }
@@ -183,18 +183,18 @@
         match &rule.effect {
             RuleEffect::Allow { .. } => return None,
             RuleEffect::Deny { .. } if for_everybody => {
-                let what = Problem::WorkloadDenied {
+                let problem = Problem::WorkloadDenied {
                     rule: rule.name.clone(),
                     workload: workload.name.clone(),
                 };
-                return Some(at_rule(rule, what));
+                return Some(at_rule(rule, problem));
             }
             RuleEffect::Deny { .. } | RuleEffect::Count => {}
         }
     }
     (set.default == DefaultEffect::Deny).then(|| LocatedProblem {
         path: "default".to_string(),
-        what: Problem::WorkloadNotAllowed {
+        problem: Problem::WorkloadNotAllowed {
             workload: workload.name.clone(),
         },
     })
--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -147,7 +147,7 @@
     /// Where in the file, as in `rules[2].name`; empty for the file as a whole.
     pub path: String,
     /// What is wrong there.
-    pub what: Problem,
+    pub problem: Problem,
 }
 
 /// One error, with the path and the line of what it is about.
@@ -158,7 +158,7 @@
     /// The line on which that path begins, if it is known; the first line is 1.
     pub line: Option<usize>,
     /// What is wrong there.
-    pub what: Problem,
+    pub problem: Problem,
 }
 
 impl fmt::Display for FileError {
@@ -167,11 +167,11 @@
         if let Some(line) = self.line {
             write!(out, "{line}:")?;
         }
-        let what = self.what.to_string();
-        if !self.path.is_empty() && !what.starts_with("rule `") {
+        let text = self.problem.to_string();
+        if !self.path.is_empty() && !text.starts_with("rule `") {
             write!(out, " {}:", self.path)?;
         }
-        write!(out, " {what}")
+        write!(out, " {text}")
     }
 }
 
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -70,10 +70,10 @@
 fn with_lines(errors: Vec<LocatedProblem>, lines: LineLookup) -> Vec<FileError> {
     let mut errors: Vec<FileError> = errors
         .into_iter()
-        .map(|LocatedProblem { path, what }| FileError {
+        .map(|LocatedProblem { path, problem }| FileError {
             line: lines(&path),
             path,
-            what,
+            problem,
         })
         .collect();
     errors.sort_by_key(|error| error.line);
--- a/crates/access/src/read/file.rs
+++ b/crates/access/src/read/file.rs
@@ -98,11 +98,11 @@
             }
         };
         if rules.len() > MAX_RULES {
-            let what = Problem::TooManyRules {
+            let problem = Problem::TooManyRules {
                 count: rules.len(),
                 max: MAX_RULES,
             };
-            return self.problem("rules", what);
+            return self.problem("rules", problem);
         }
         Some(rules)
     }
--- a/crates/access/src/read/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -98,8 +98,8 @@
     fn region(&mut self, path: &str, moves: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
         let name = self.text(path, moves, key)?;
         let Some(mut locations) = self.known.region_locations(&name) else {
-            let what = self.unknown_region(&name);
-            return self.problem(&format!("{path}.{key}"), what);
+            let problem = self.unknown_region(&name);
+            return self.problem(&format!("{path}.{key}"), problem);
         };
         locations.sort_unstable();
         Some(locations)
--- a/crates/access/src/read/reader.rs
+++ b/crates/access/src/read/reader.rs
@@ -13,14 +13,14 @@
 
 impl Reader<'_> {
     /// Reports an error; None stands for the value that could not be read.
-    pub fn problem<T>(&mut self, path: &str, what: Problem) -> Option<T> {
-        self.report(path.to_string(), what);
+    pub fn problem<T>(&mut self, path: &str, problem: Problem) -> Option<T> {
+        self.report(path.to_string(), problem);
         None
     }
 
     /// Reports an error.
-    pub fn report(&mut self, path: String, what: Problem) {
-        self.errors.push(LocatedProblem { path, what });
+    pub fn report(&mut self, path: String, problem: Problem) {
+        self.errors.push(LocatedProblem { path, problem });
     }
 
     /// Reports the keys of an object that are not among the known ones, which commas separate.
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -84,11 +84,11 @@
             .as_ref()
             .filter(|customer| !known.covers_customer(customer))
         {
-            let what = Problem::CustomerNotCovered {
+            let problem = Problem::CustomerNotCovered {
                 rule: rule.to_string(),
                 customer: customer.clone(),
             };
-            self.report(format!("{path}.customer"), what);
+            self.report(format!("{path}.customer"), problem);
         }
         customer
     }
@@ -257,8 +257,8 @@
             match self.known.region_locations(name) {
                 Some(named) => locations.extend(named),
                 None => {
-                    let what = self.unknown_region(name);
-                    self.report(path, what);
+                    let problem = self.unknown_region(name);
+                    self.report(path, problem);
                 }
             }
         }
