--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -113,7 +113,7 @@
     pub fn held_version(&self, steady: Micros) -> HeldVersion {
         HeldVersion {
             version: self.versions.held().set.version,
-            may_judge: self.versions.lease(steady).is_some(),
+            may_judge: self.versions.index_under_lease(steady).is_some(),
         }
     }
 
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -16,7 +16,7 @@
         if !self.known_names().covers_customer(&request.customer) {
             return Decision::Unrestricted;
         }
-        let Some(index) = self.versions.lease(at.steady) else {
+        let Some(index) = self.versions.index_under_lease(at.steady) else {
             return Decision::RulesUnknown;
         };
         let verdict = judge(index, &self.region, &request, at.wall_ms, None);
@@ -79,7 +79,7 @@
     /// that holds, and under a lease. One that may not never will; its statement is to end.
     pub fn may_send(&mut self, at: Moment, statement: u64, execution: u64, location: &str) -> bool {
         let location_index = self.known_names().location_index(location);
-        let Some(index) = self.versions.lease(at.steady) else {
+        let Some(index) = self.versions.index_under_lease(at.steady) else {
             return false;
         };
         let Some(open) = self.open.get_mut(&statement) else {
--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -21,9 +21,11 @@
     /// limits. To be called at [`Access::due`]; a call before that does no harm.
     pub fn tick(&mut self, at: Moment) {
         self.versions.tick(at);
-        self.shares.tick(at, &mut || self.versions.number());
+        self.shares
+            .tick(at, &mut || self.versions.next_request_number());
         self.count_those_with_shares();
-        self.hits.tick(at, &mut || self.versions.number());
+        self.hits
+            .tick(at, &mut || self.versions.next_request_number());
         self.revoke_barred(at);
     }
 
@@ -40,15 +42,16 @@
     pub fn on_ledger_answer(&mut self, at: Moment, done: LedgerAnswer) -> bool {
         let LedgerAnswer { number, outcome } = done;
         let versions = &mut self.versions;
-        let was_asked = versions.done(at, number, outcome.clone())
-            || self
-                .hits
-                .done(at, number, outcome.clone(), &mut || versions.number())
+        let was_asked = versions.on_ledger_answer(at, number, outcome.clone())
+            || self.hits.done(at, number, outcome.clone(), &mut || {
+                versions.next_request_number()
+            })
             || self
                 .shares
-                .on_ledger_answer(at, number, outcome, &mut || versions.number());
+                .on_ledger_answer(at, number, outcome, &mut || versions.next_request_number());
         self.count_those_with_shares();
-        self.hits.tick(at, &mut || self.versions.number());
+        self.hits
+            .tick(at, &mut || self.versions.next_request_number());
         self.revoke_barred(at);
         was_asked
     }
@@ -60,7 +63,7 @@
 
     /// What is to be done since the last call. Each item is returned once.
     pub fn take_output(&mut self) -> Output {
-        let mut ledger_requests = std::mem::take(&mut self.versions.asks);
+        let mut ledger_requests = std::mem::take(&mut self.versions.ledger_requests);
         ledger_requests.append(&mut self.hits.asks);
         ledger_requests.append(&mut self.shares.ledger_requests);
         let events = self.take_events();
--- a/crates/access/src/head.rs
+++ b/crates/access/src/head.rs
@@ -7,7 +7,7 @@
 /// Of the stored head; one of another format counts for nothing.
 const FORMAT: u8 = 1;
 /// Bytes of a file; a shard of the ledger holds 512 KiB.
-pub const MAX_TEXT: usize = 256 << 10;
+pub const MAX_TEXT_BYTES: usize = 256 << 10;
 /// Bytes of a part: a few datagrams.
 const PART_BYTES: usize = 8 << 10;
 /// Versions kept behind the one that holds.
@@ -69,9 +69,17 @@
 
 impl Head {
     /// The head that follows another one.
-    pub fn after(before: Option<&Head>, current: StoredVersion, in_force: bool) -> NextHead {
-        let mut kept: Vec<StoredVersion> = before.iter().map(|head| head.current).collect();
-        kept.extend(before.iter().flat_map(|head| head.previous.iter().copied()));
+    pub fn following(
+        predecessor: Option<&Head>,
+        current: StoredVersion,
+        in_force: bool,
+    ) -> NextHead {
+        let mut kept: Vec<StoredVersion> = predecessor.iter().map(|head| head.current).collect();
+        kept.extend(
+            predecessor
+                .iter()
+                .flat_map(|head| head.previous.iter().copied()),
+        );
         let dropped = if kept.len() > MAX_PREVIOUS {
             kept.pop()
         } else {
@@ -103,7 +111,7 @@
             _ => return None,
         };
         let fits = head.format == FORMAT && head.previous.len() <= MAX_PREVIOUS;
-        (fits && head.current.bytes as usize <= MAX_TEXT).then_some(head)
+        (fits && head.current.bytes as usize <= MAX_TEXT_BYTES).then_some(head)
     }
 
     /// A version that is kept.
@@ -139,7 +147,7 @@
 }
 
 /// The text cut into the parts that the ledger keeps.
-pub fn parts(text: &str) -> Vec<Vec<u8>> {
+pub fn split_parts(text: &str) -> Vec<Vec<u8>> {
     if text.is_empty() {
         return vec![Vec::new()];
     }
@@ -148,7 +156,7 @@
 }
 
 /// The text, if the parts are all of it and nothing else.
-pub fn joined(kept: StoredVersion, parts: Vec<Vec<u8>>) -> Option<String> {
+pub fn join_parts(kept: StoredVersion, parts: Vec<Vec<u8>>) -> Option<String> {
     let text = String::from_utf8(parts.concat()).ok()?;
     (text.len() == kept.bytes as usize && hash(&text) == kept.hash).then_some(text)
 }
--- a/crates/access/src/head_tests.rs
+++ b/crates/access/src/head_tests.rs
@@ -5,16 +5,16 @@
 #[test]
 fn what_is_damaged_or_of_another_format_is_no_head_and_no_text() {
     let text = "x".repeat(PART_BYTES + 1);
-    let mut head = Head::after(None, StoredVersion::of_text(3, &text), true).head;
+    let mut head = Head::following(None, StoredVersion::of_text(3, &text), true).head;
     let bytes = head.bytes();
     assert_eq!(Head::read(&bytes), Some(head.clone()));
     assert_eq!(Head::read(&[&bytes[..], b"x"].concat()), None);
     assert!((0..bytes.len()).all(|len| Head::read(&bytes[..len]).is_none()));
-    let mut split = parts(&text);
+    let mut split = split_parts(&text);
     assert_eq!((split.len(), part_keys(head.current).count()), (2, 2));
-    assert_eq!(joined(head.current, split.clone()), Some(text.clone()));
+    assert_eq!(join_parts(head.current, split.clone()), Some(text.clone()));
     split[1][0] = b'y';
-    assert_eq!(joined(head.current, split), None);
+    assert_eq!(join_parts(head.current, split), None);
     head.format = FORMAT + 1;
     assert_eq!(Head::read(&head.bytes()), None);
 }
@@ -29,7 +29,7 @@
         } else {
             version.to_string()
         };
-        let next = Head::after(head.as_ref(), StoredVersion::of_text(version, &text), true);
+        let next = Head::following(head.as_ref(), StoredVersion::of_text(version, &text), true);
         (head, gone) = (Some(next.head), next.dropped);
     }
     let head = head.unwrap();
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -17,13 +17,13 @@
 use crate::{Micros, Moment};
 
 /// Microseconds; what left under a lease that has ended may still be under way.
-const IN_FLIGHT: Micros = 200_000;
+const IN_FLIGHT_TIME: Micros = 200_000;
 /// Microseconds until a request that the ledger failed is repeated.
 const RETRY_INTERVAL: Micros = 250_000;
 /// Microseconds until a set that this build or these settings can't read is fetched again.
 const UNREADABLE_INTERVAL: Micros = 20 * RETRY_INTERVAL;
 /// Microseconds that others wait for the front that changed the head to confirm it first.
-const OTHERS_DELAY: Micros = 1_000_000;
+const PEER_CONFIRMATION_DELAY: Micros = 1_000_000;
 
 /// A file that this front wants to be the fleet's.
 struct Proposal {
@@ -35,7 +35,7 @@
     /// The head is being changed.
     swapping: bool,
     /// What the head is to name.
-    wanted: Option<StoredVersion>,
+    target: Option<StoredVersion>,
 }
 
 /// What a request to the ledger is for.
@@ -43,7 +43,7 @@
     /// To read the head.
     Head,
     /// To read a part of a version's text.
-    Part { of: StoredVersion, number: usize },
+    Part { target: StoredVersion, index: usize },
     /// To store a part of an offer's text.
     PutPart,
     /// To change the head.
@@ -62,7 +62,7 @@
 struct Request {
     pending: Pending,
     /// When it was made.
-    at: Micros,
+    requested_at: Micros,
 }
 
 /// The head with its version in the ledger.
@@ -73,7 +73,7 @@
 
 /// The text of a version, as its parts come.
 struct Fetch {
-    of: StoredVersion,
+    target: StoredVersion,
     parts: Vec<Option<Vec<u8>>>,
 }
 
@@ -97,18 +97,18 @@
     /// When a head was asked for whose set is still being fetched.
     lease_once_adopted: Option<Micros>,
     /// Whether the rules could be judged by at the last tick.
-    was_open: bool,
+    could_judge: bool,
     /// The text that is being fetched.
     fetch: Option<Fetch>,
     proposal: Option<Proposal>,
     requests: HashMap<u64, Request>,
-    next_number: u64,
+    last_request_number: u64,
     next_head_read: Micros,
     retry_at: Micros,
-    ticked: Micros,
+    last_tick: Micros,
     reported_unreadable: Option<&'static str>,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<LedgerRequest>,
+    pub ledger_requests: Vec<LedgerRequest>,
     /// Events for the log since the caller took them last.
     pub events: Vec<Event>,
 }
@@ -127,16 +127,16 @@
             changed_here: false,
             lease_until: Micros::MIN,
             lease_once_adopted: None,
-            was_open: false,
+            could_judge: false,
             fetch: None,
             proposal: None,
             requests: HashMap::new(),
-            next_number: first_number,
+            last_request_number: first_number,
             next_head_read: Micros::MIN,
             retry_at: Micros::MIN,
-            ticked: Micros::MIN,
+            last_tick: Micros::MIN,
             reported_unreadable: None,
-            asks: Vec::new(),
+            ledger_requests: Vec::new(),
             events: Vec::new(),
         }
     }
@@ -147,7 +147,7 @@
     }
 
     /// The set to judge by, while this front may.
-    pub fn lease(&self, steady: Micros) -> Option<&Index> {
+    pub fn index_under_lease(&self, steady: Micros) -> Option<&Index> {
         (steady < self.lease_until).then_some(&self.held)
     }
 
@@ -157,9 +157,9 @@
     }
 
     /// A number for the next request to the ledger; each is given out once.
-    pub fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    pub fn next_request_number(&mut self) -> u64 {
+        self.last_request_number += 1;
+        self.last_request_number
     }
 
     /// When `tick` is next due.
@@ -169,7 +169,7 @@
         } else {
             self.next_head_read
         };
-        let lease_end = if self.was_open {
+        let lease_end = if self.could_judge {
             self.lease_until
         } else {
             Micros::MAX
@@ -179,7 +179,7 @@
         } else {
             Micros::MAX
         };
-        let retry = if self.retry_at > self.ticked {
+        let retry = if self.retry_at > self.last_tick {
             self.retry_at
         } else {
             Micros::MAX
@@ -196,9 +196,13 @@
 
     /// When every lease on an earlier version has surely ended.
     fn in_force_at(&self) -> Micros {
-        let others = if self.changed_here { 0 } else { OTHERS_DELAY };
+        let delay = if self.changed_here {
+            0
+        } else {
+            PEER_CONFIRMATION_DELAY
+        };
         self.head_since
-            .saturating_add(self.terms.blocked_for() + IN_FLIGHT + others)
+            .saturating_add(self.terms.blocked_for() + IN_FLIGHT_TIME + delay)
     }
 
     fn is_pending(&self, what: impl Fn(&Pending) -> bool) -> bool {
@@ -207,13 +211,13 @@
     }
 
     fn ask(&mut self, at: Moment, pending: Pending, key: Key, operation: Operation) {
-        let number = self.number();
+        let number = self.next_request_number();
         let request = Request {
             pending,
-            at: at.steady,
+            requested_at: at.steady,
         };
         self.requests.insert(number, request);
-        self.asks.push(LedgerRequest {
+        self.ledger_requests.push(LedgerRequest {
             number,
             key,
             operation,
@@ -222,12 +226,12 @@
 
     /// Queues the requests that are due, and says whether this front may judge.
     pub fn tick(&mut self, at: Moment) {
-        self.ticked = at.steady;
-        let open = at.steady < self.lease_until;
-        if open != self.was_open {
-            self.was_open = open;
+        self.last_tick = at.steady;
+        let can_judge = at.steady < self.lease_until;
+        if can_judge != self.could_judge {
+            self.could_judge = can_judge;
             let version = self.held.set.version;
-            self.events.push(if open {
+            self.events.push(if can_judge {
                 Event::RulesKnown { version }
             } else {
                 Event::RulesUnknown
@@ -250,7 +254,7 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn done(&mut self, at: Moment, number: u64, outcome: Outcome) -> bool {
+    pub fn on_ledger_answer(&mut self, at: Moment, number: u64, outcome: Outcome) -> bool {
         let Some(request) = self.requests.remove(&number) else {
             return false;
         };
@@ -289,9 +293,9 @@
             _ => None,
         };
         match (request.pending, entry) {
-            (Pending::Head, entry) => self.on_head(at, request.at, entry),
-            (Pending::Part { of, number }, Some(entry)) => {
-                self.on_part(at, of, number, entry.value)
+            (Pending::Head, entry) => self.on_head(at, request.requested_at, entry),
+            (Pending::Part { target, index }, Some(entry)) => {
+                self.on_part(at, target, index, entry.value)
             }
             // Not there (yet): the head is looked at again.
             (Pending::Part { .. }, None) => {
@@ -305,13 +309,15 @@
             }
             (Pending::PutPart, None) => self.stop_swapping(),
             (Pending::Swap { to, dropped }, Some(entry)) => {
-                self.on_swapped(at, request.at, to, dropped, entry)
+                self.on_swapped(at, request.requested_at, to, dropped, entry)
             }
             (Pending::Swap { .. }, None) => {
                 self.next_head_read = at.steady;
                 self.stop_swapping();
             }
-            (Pending::ConfirmInForce, Some(entry)) => self.on_head(at, request.at, Some(entry)),
+            (Pending::ConfirmInForce, Some(entry)) => {
+                self.on_head(at, request.requested_at, Some(entry))
+            }
             (Pending::ConfirmInForce, None) => self.next_head_read = at.steady,
             (Pending::ExpirePart, _) => {}
         }
@@ -324,7 +330,7 @@
         }
     }
 
-    fn unreadable(&mut self, what: &'static str) {
+    fn report_unreadable(&mut self, what: &'static str) {
         if self.reported_unreadable.replace(what) != Some(what) {
             self.events.push(Event::Unreadable { what });
         }
--- a/crates/access/src/versions/adopt.rs
+++ b/crates/access/src/versions/adopt.rs
@@ -4,7 +4,7 @@
 
 use super::{Fetch, Pending, StoredHead, Versions, RETRY_INTERVAL, UNREADABLE_INTERVAL};
 use crate::event::Event;
-use crate::head::{joined, part_keys, Head, StoredVersion};
+use crate::head::{join_parts, part_keys, Head, StoredVersion};
 use crate::index::Index;
 use crate::read::{read, RulesCommand};
 use crate::rule::RuleSet;
@@ -12,7 +12,7 @@
 
 impl Versions {
     /// What stands at the head, as of some moment after it was asked for.
-    pub(super) fn on_head(&mut self, at: Moment, asked_at: Micros, entry: Option<Entry>) {
+    pub(super) fn on_head(&mut self, at: Moment, requested_at: Micros, entry: Option<Entry>) {
         let version = entry.as_ref().map_or(0, |entry| entry.version);
         let known = self.head.as_ref().map_or(0, |stored| stored.version);
         if version < known {
@@ -21,17 +21,17 @@
         self.ledger_has_answered = true;
         if version > known {
             let Some(head) = entry.and_then(|entry| Head::read(&entry.value)) else {
-                return self.unreadable("head");
+                return self.report_unreadable("head");
             };
             self.set_head(at, StoredHead { head, version });
         }
         if self.head.as_ref().map(|stored| stored.head.current) == self.held_from {
             self.lease_until = self
                 .lease_until
-                .max(asked_at + self.terms.owner_valid_for());
+                .max(requested_at + self.terms.owner_valid_for());
             self.lease_once_adopted = None;
         } else {
-            self.lease_once_adopted = Some(asked_at);
+            self.lease_once_adopted = Some(requested_at);
         }
         self.resolve_proposal();
     }
@@ -41,12 +41,12 @@
         let head = &stored.head;
         // A set that is said to be in force after it was only changed is the same set.
         let before = self.head.take().map(|before| before.head);
-        let same = before.filter(|before| before.current == head.current);
-        if same.is_none() {
+        let unchanged = before.filter(|before| before.current == head.current);
+        if unchanged.is_none() {
             self.head_since = at.steady;
             self.changed_here = false;
         }
-        let was_in_force = same.is_some_and(|same| same.in_force);
+        let was_in_force = unchanged.is_some_and(|unchanged| unchanged.in_force);
         if head.in_force && !was_in_force {
             self.events.push(Event::InForce {
                 version: head.current.version,
@@ -58,26 +58,35 @@
 
     /// Fetches the set that the head names, where it is not the one held.
     pub(super) fn fetch(&mut self, at: Moment) {
-        let Some(of) = self.head.as_ref().map(|stored| stored.head.current) else {
+        let Some(target) = self.head.as_ref().map(|stored| stored.head.current) else {
             return;
         };
-        let is_fetching = self.fetch.as_ref().is_some_and(|fetch| fetch.of == of);
-        if self.held_from == Some(of) || is_fetching {
+        let is_fetching = self
+            .fetch
+            .as_ref()
+            .is_some_and(|fetch| fetch.target == target);
+        if self.held_from == Some(target) || is_fetching {
             return;
         }
-        let keys: Vec<Key> = part_keys(of).collect();
+        let keys: Vec<Key> = part_keys(target).collect();
         let parts = vec![None; keys.len()];
-        self.fetch = Some(Fetch { of, parts });
-        for (number, key) in keys.into_iter().enumerate() {
-            self.ask(at, Pending::Part { of, number }, key, Operation::Read);
+        self.fetch = Some(Fetch { target, parts });
+        for (index, key) in keys.into_iter().enumerate() {
+            self.ask(at, Pending::Part { target, index }, key, Operation::Read);
         }
     }
 
-    pub(super) fn on_part(&mut self, at: Moment, of: StoredVersion, number: usize, bytes: Vec<u8>) {
-        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.of == of) else {
+    pub(super) fn on_part(
+        &mut self,
+        at: Moment,
+        target: StoredVersion,
+        index: usize,
+        bytes: Vec<u8>,
+    ) {
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.target == target) else {
             return;
         };
-        if let Some(part) = fetch.parts.get_mut(number) {
+        if let Some(part) = fetch.parts.get_mut(index) {
             *part = Some(bytes);
         }
         if !fetch.parts.iter().all(Option::is_some) {
@@ -85,19 +94,19 @@
         }
         let parts = fetch.parts.drain(..).flatten().collect();
         self.fetch = None;
-        match joined(of, parts) {
-            Some(text) => self.adopt(at, of, &text),
+        match join_parts(target, parts) {
+            Some(text) => self.adopt(at, target, &text),
             None => {
                 self.retry_at = at.steady + RETRY_INTERVAL;
-                self.unreadable("text");
+                self.report_unreadable("text");
             }
         }
     }
 
     /// Judges by a set from now on, if it is still the head's.
-    fn adopt(&mut self, at: Moment, of: StoredVersion, text: &str) {
+    fn adopt(&mut self, at: Moment, target: StoredVersion, text: &str) {
         let stored = self.head.as_ref();
-        let Some(stored) = stored.filter(|stored| stored.head.current == of) else {
+        let Some(stored) = stored.filter(|stored| stored.head.current == target) else {
             return;
         };
         let in_force = stored.head.in_force;
@@ -106,16 +115,16 @@
             // What another front has checked and this one can't read: its settings differ.
             self.lease_until = Micros::MIN;
             self.retry_at = at.steady + UNREADABLE_INTERVAL;
-            return self.unreadable("set by this front's settings");
+            return self.report_unreadable("set by this front's settings");
         };
-        let version = of.version;
+        let version = target.version;
         self.held = Index::new(RuleSet { version, ..set });
-        self.held_from = Some(of);
+        self.held_from = Some(target);
         self.reported_unreadable = None;
         let lease_until = self
             .lease_once_adopted
             .take()
-            .map(|asked_at| asked_at + self.terms.owner_valid_for());
+            .map(|requested_at| requested_at + self.terms.owner_valid_for());
         self.lease_until = lease_until.unwrap_or(Micros::MIN);
         self.events.push(Event::Adopted {
             version,
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -6,7 +6,8 @@
 use crate::error::ChangeError;
 use crate::event::Event;
 use crate::head::{
-    head_key, part_keys, parts, Head, NextHead, StoredVersion, DROPPED_PARTS_MS, MAX_TEXT,
+    head_key, part_keys, split_parts, Head, NextHead, StoredVersion, DROPPED_PARTS_MS,
+    MAX_TEXT_BYTES,
 };
 use crate::index::Index;
 use crate::read::RulesCommand;
@@ -19,13 +20,13 @@
         if matches!(command, RulesCommand::WhatIf(_)) {
             return; // a question changes nothing
         }
-        if text.len() > MAX_TEXT {
+        if text.len() > MAX_TEXT_BYTES {
             return self
                 .events
                 .push(Event::ChangeRejected(ChangeError::TextTooLong {
                     file: file.to_string(),
                     bytes: text.len(),
-                    max: MAX_TEXT,
+                    max: MAX_TEXT_BYTES,
                 }));
         }
         self.proposal = Some(Proposal {
@@ -34,14 +35,14 @@
             text: text.to_string(),
             parts_stored: 0,
             swapping: false,
-            wanted: None,
+            target: None,
         });
         self.next_head_read = Micros::MIN;
         self.retry_at = Micros::MIN;
     }
 
     /// The kept version that an offer wants, or why not.
-    pub(super) fn wanted(&self, proposal: &Proposal) -> Result<StoredVersion, ChangeError> {
+    pub(super) fn target_version(&self, proposal: &Proposal) -> Result<StoredVersion, ChangeError> {
         let RulesCommand::RollBack { version, to } = proposal.command else {
             return Ok(StoredVersion::of_text(
                 proposal.command.version(),
@@ -80,9 +81,11 @@
         if stated > current.version {
             return;
         }
-        let same = proposal.wanted == Some(current)
-            || self.wanted(proposal).is_ok_and(|wanted| wanted == current);
-        let event = match (stated == current.version, same) {
+        let unchanged = proposal.target == Some(current)
+            || self
+                .target_version(proposal)
+                .is_ok_and(|target| target == current);
+        let event = match (stated == current.version, unchanged) {
             (true, true) => Event::Accepted { version: stated },
             (true, false) if proposal.parts_stored > 0 => {
                 Event::ChangeRejected(ChangeError::ConcurrentChange { file, stated, next })
@@ -115,8 +118,8 @@
         if self.is_pending(|pending| matches!(pending, Pending::PutPart | Pending::Swap { .. })) {
             return;
         }
-        let wanted = match self.wanted(proposal) {
-            Ok(wanted) => wanted,
+        let target = match self.target_version(proposal) {
+            Ok(target) => target,
             Err(why) => {
                 self.proposal = None;
                 return self.events.push(Event::ChangeRejected(why));
@@ -124,16 +127,16 @@
         };
         let is_set = matches!(proposal.command, RulesCommand::Replace(_));
         let keys: Vec<Key> = if is_set {
-            part_keys(wanted).collect()
+            part_keys(target).collect()
         } else {
             Vec::new()
         };
         if proposal.parts_stored < keys.len() {
-            let parts = parts(&proposal.text);
+            let parts = split_parts(&proposal.text);
             return self.put_parts(at, keys, parts);
         }
-        let in_force = self.holds_at_once(proposal, at);
-        self.swap_head(at, wanted, in_force);
+        let in_force = self.is_effective_at_once(proposal, at);
+        self.swap_head(at, target, in_force);
     }
 
     fn put_parts(&mut self, at: Moment, keys: Vec<Key>, parts: Vec<Vec<u8>>) {
@@ -151,25 +154,25 @@
     }
 
     /// Changes the head to the version that the offer wants.
-    fn swap_head(&mut self, at: Moment, wanted: StoredVersion, in_force: bool) {
+    fn swap_head(&mut self, at: Moment, target: StoredVersion, in_force: bool) {
         let stored = self.head.as_ref();
         let NextHead { head, dropped } =
-            Head::after(stored.map(|stored| &stored.head), wanted, in_force);
+            Head::following(stored.map(|stored| &stored.head), target, in_force);
         let operation = Operation::Put {
             expects: Some(stored.map_or(0, |stored| stored.version)),
             ends_ms: 0,
             value: head.bytes(),
         };
-        let to = wanted;
+        let to = target;
         self.ask(at, Pending::Swap { to, dropped }, head_key(), operation);
         if let Some(proposal) = &mut self.proposal {
             proposal.swapping = true;
-            proposal.wanted = Some(wanted);
+            proposal.target = Some(target);
         }
     }
 
     /// Nothing is barred by it that the set in force lets through: it holds with its swap.
-    pub(super) fn holds_at_once(&self, proposal: &Proposal, at: Moment) -> bool {
+    pub(super) fn is_effective_at_once(&self, proposal: &Proposal, at: Moment) -> bool {
         let RulesCommand::Replace(set) = &proposal.command else {
             return false;
         };
@@ -183,12 +186,12 @@
     pub(super) fn on_swapped(
         &mut self,
         at: Moment,
-        asked_at: Micros,
+        requested_at: Micros,
         to: StoredVersion,
         dropped: Option<StoredVersion>,
         entry: Entry,
     ) {
-        self.on_head(at, asked_at, Some(entry));
+        self.on_head(at, requested_at, Some(entry));
         self.changed_here = self
             .head
             .as_ref()
