--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -55,11 +55,11 @@
     /// Where its executions are, by the caller's number.
     executions: BTreeMap<u64, Option<u16>>,
     /// It is to be ended, as a new version bars it.
-    ending: bool,
+    is_revoked: bool,
     /// When it was judged: rules that move go by that at every attempt.
     first_judged_ms: u64,
     /// What it counts for, while it waits for its share of a limit.
-    hits: Vec<Hit>,
+    uncounted_hits: Vec<Hit>,
 }
 
 /// One front's part in the access rules. It does no input or output: the caller passes in the time and the
@@ -70,7 +70,7 @@
     hits: Hits,
     shares: Shares,
     record: Record,
-    open: BTreeMap<u64, OpenStatement>,
+    open_statements: BTreeMap<u64, OpenStatement>,
     /// The number of the statement judged last.
     last_statement: u64,
     /// The version that open statements were last held against.
@@ -94,7 +94,7 @@
             record: Record::new(config.record_window),
             versions: Versions::new(config.known, config.terms, config.first_request_number),
             hits: Hits::new(config.owner, config.fronts),
-            open: BTreeMap::new(),
+            open_statements: BTreeMap::new(),
             last_statement: 0,
             checked_version: 0,
             revoked_count: 0,
@@ -166,15 +166,15 @@
 
     /// An execution has ended.
     pub fn execution_ended(&mut self, statement: u64, execution: u64) {
-        if let Some(open) = self.open.get_mut(&statement) {
+        if let Some(open) = self.open_statements.get_mut(&statement) {
             open.executions.remove(&execution);
         }
     }
 
     /// A statement has its final answer, or nobody waits for it.
     pub fn statement_ended(&mut self, statement: u64) {
-        self.open.remove(&statement);
-        self.hits.forget(statement);
+        self.open_statements.remove(&statement);
+        self.hits.stop_waiting(statement);
         self.shares.release(statement);
     }
 }
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -35,11 +35,11 @@
             request,
             verdict: verdict.clone(),
             executions: BTreeMap::new(),
-            ending: false,
-            hits,
+            is_revoked: false,
+            uncounted_hits: hits,
             first_judged_ms: at.wall_ms,
         };
-        self.open.insert(statement, open);
+        self.open_statements.insert(statement, open);
         Decision::Decided {
             statement,
             verdict,
@@ -82,21 +82,21 @@
         let Some(index) = self.versions.index_under_lease(at.steady) else {
             return false;
         };
-        let Some(open) = self.open.get_mut(&statement) else {
+        let Some(open) = self.open_statements.get_mut(&statement) else {
             return false;
         };
         let is_allowed_now = open.verdict.version == index.set.version
             || open
                 .judge_again(index, &self.region, at)
                 .allows(location_index);
-        let may = is_allowed_now
-            && !open.ending
+        let is_allowed = is_allowed_now
+            && !open.is_revoked
             && open.verdict.allows(location_index)
             && self.shares.begin(at.steady, statement);
-        if may {
+        if is_allowed {
             open.executions.insert(execution, location_index);
         }
-        may
+        is_allowed
     }
 
     /// Ends the statements that run where a version that was adopted bars them.
@@ -106,8 +106,8 @@
             return;
         }
         self.checked_version = index.set.version;
-        for (statement, open) in &mut self.open {
-            if open.executions.is_empty() || open.ending {
+        for (statement, open) in &mut self.open_statements {
+            if open.executions.is_empty() || open.is_revoked {
                 continue;
             }
             let verdict = open.judge_again(index, &self.region, at);
@@ -116,7 +116,7 @@
                 .values()
                 .all(|location_index| verdict.allows(*location_index))
             {
-                open.ending = true;
+                open.is_revoked = true;
                 self.revoked_count += 1;
                 self.revoked.push(*statement);
             }
--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -23,58 +23,61 @@
         self.versions.tick(at);
         self.shares
             .tick(at, &mut || self.versions.next_request_number());
-        self.count_those_with_shares();
+        self.count_statements_with_shares();
         self.hits
             .tick(at, &mut || self.versions.next_request_number());
         self.revoke_barred(at);
     }
 
     /// Those that have their shares now wait for their count.
-    fn count_those_with_shares(&mut self) {
+    fn count_statements_with_shares(&mut self) {
         for statement in std::mem::take(&mut self.shares.ready) {
-            if let Some(open) = self.open.get_mut(&statement) {
-                self.hits.count(statement, std::mem::take(&mut open.hits));
+            if let Some(open) = self.open_statements.get_mut(&statement) {
+                self.hits
+                    .count(statement, std::mem::take(&mut open.uncounted_hits));
             }
         }
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn on_ledger_answer(&mut self, at: Moment, done: LedgerAnswer) -> bool {
-        let LedgerAnswer { number, outcome } = done;
+    pub fn on_ledger_answer(&mut self, at: Moment, answer: LedgerAnswer) -> bool {
+        let LedgerAnswer { number, outcome } = answer;
         let versions = &mut self.versions;
-        let was_asked = versions.on_ledger_answer(at, number, outcome.clone())
-            || self.hits.done(at, number, outcome.clone(), &mut || {
-                versions.next_request_number()
-            })
+        let was_requested = versions.on_ledger_answer(at, number, outcome.clone())
+            || self
+                .hits
+                .on_ledger_answer(at, number, outcome.clone(), &mut || {
+                    versions.next_request_number()
+                })
             || self
                 .shares
                 .on_ledger_answer(at, number, outcome, &mut || versions.next_request_number());
-        self.count_those_with_shares();
+        self.count_statements_with_shares();
         self.hits
             .tick(at, &mut || self.versions.next_request_number());
         self.revoke_barred(at);
-        was_asked
+        was_requested
     }
 
     /// Asks for the fleet's count; it comes with `Output`.
     pub fn request_fleet_hits(&mut self, at: Moment) {
-        self.hits.sweep(at);
+        self.hits.request_fleet_hits(at);
     }
 
     /// What is to be done since the last call. Each item is returned once.
     pub fn take_output(&mut self) -> Output {
         let mut ledger_requests = std::mem::take(&mut self.versions.ledger_requests);
-        ledger_requests.append(&mut self.hits.asks);
+        ledger_requests.append(&mut self.hits.ledger_requests);
         ledger_requests.append(&mut self.shares.ledger_requests);
         let events = self.take_events();
-        let swept = std::mem::take(&mut self.hits.swept);
+        let fleet_hits_ready = std::mem::take(&mut self.hits.fleet_hits_ready);
         Output {
             ledger_requests,
             events,
             counted: std::mem::take(&mut self.hits.counted),
             over_limit: std::mem::take(&mut self.shares.rejected),
             revoked: std::mem::take(&mut self.revoked),
-            fleet_hits: swept.then(|| self.hits.fleet().clone()),
+            fleet_hits: fleet_hits_ready.then(|| self.hits.fleet().clone()),
         }
     }
 
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -20,7 +20,7 @@
 /// Microseconds until what the ledger could not do is requested again.
 const RETRY_INTERVAL: Micros = 250_000;
 /// The customer, or the rule, of rows for which there is no room.
-const OTHERS: &str = "*";
+const OVERFLOW_NAME: &str = "*";
 
 /// What is counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -50,8 +50,8 @@
 /// Takes in a table of an incarnation: of two counts of a row the greater is the later.
 pub fn merge_counts(into: &mut HitCounts, from: &HitCounts) {
     for (hit, count) in from {
-        let known = into.entry(hit.clone()).or_default();
-        *known = (*known).max(*count);
+        let merged = into.entry(hit.clone()).or_default();
+        *merged = (*merged).max(*count);
     }
 }
 
@@ -84,11 +84,11 @@
     /// To read or change the list of this front's incarnations.
     OwnList,
     /// To read a list for the fleet's count.
-    ListOf(FrontId),
+    SweepList(FrontId),
     /// To read a page for the fleet's count.
-    PageOf(Owner),
+    SweepPage(Owner),
     /// To read a part of the fleet's table for its count.
-    FoldedPart(usize),
+    SweepFoldedPart(usize),
     /// A step of folding an earlier incarnation.
     Fold(FoldStep),
 }
@@ -101,14 +101,14 @@
     /// Its counts are added to a part.
     Adding,
     /// Its pages are emptied.
-    Blanking,
+    Clearing,
     /// It is taken out of the list.
-    Dropping,
+    Delisting,
 }
 
 /// One front's counts and its view of the fleet's.
 pub struct Hits {
-    own: Owner,
+    owner: Owner,
     fronts: Vec<FrontId>,
     pages: Vec<Page>,
     /// The page of each row.
@@ -120,10 +120,10 @@
     /// The list of this front's incarnations, as read last.
     list: Option<IncarnationList>,
     /// A request for the list is out.
-    listing: bool,
-    asked: HashMap<u64, Pending>,
+    list_requested: bool,
+    pending: HashMap<u64, Pending>,
     retry_at: Micros,
-    ticked: Micros,
+    last_tick: Micros,
     /// An earlier incarnation of this front that is folded into the fleet's table.
     fold: Option<Fold>,
     /// The list has changed since it was read.
@@ -134,49 +134,49 @@
     /// The fleet's table, by part.
     folded: BTreeMap<usize, VersionedPart>,
     /// What is known of incarnations that are not folded yet.
-    known: BTreeMap<Owner, HitCounts>,
+    unfolded: BTreeMap<Owner, HitCounts>,
     fleet: FleetHits,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<LedgerRequest>,
+    pub ledger_requests: Vec<LedgerRequest>,
     /// Statements whose counts the ledger has confirmed since the caller took them last.
     pub counted: Vec<u64>,
     /// The fleet's count is there, as it was asked for.
-    pub swept: bool,
+    pub fleet_hits_ready: bool,
     /// The ledger has refused a page for lack of space.
     pub ledger_full: bool,
 }
 
 impl Hits {
     /// `fronts` are all whose counts make the fleet's.
-    pub fn new(own: Owner, fronts: Vec<FrontId>) -> Hits {
+    pub fn new(owner: Owner, fronts: Vec<FrontId>) -> Hits {
         Hits {
-            own,
+            owner,
             fronts,
             pages: Vec::new(),
             rows: HashMap::new(),
             waiting: BTreeMap::new(),
             listed_pages: 0,
             list: None,
-            listing: false,
-            asked: HashMap::new(),
+            list_requested: false,
+            pending: HashMap::new(),
             retry_at: Micros::MIN,
-            ticked: Micros::MIN,
+            last_tick: Micros::MIN,
             fold: None,
             list_is_stale: false,
             superseded: false,
             sweep: None,
             folded: BTreeMap::new(),
-            known: BTreeMap::new(),
+            unfolded: BTreeMap::new(),
             fleet: FleetHits::default(),
-            asks: Vec::new(),
+            ledger_requests: Vec::new(),
             counted: Vec::new(),
-            swept: false,
+            fleet_hits_ready: false,
             ledger_full: false,
         }
     }
 
     /// A statement waits for its count no longer.
-    pub fn forget(&mut self, statement: u64) {
+    pub fn stop_waiting(&mut self, statement: u64) {
         self.waiting.remove(&statement);
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Asks for the fleet's count.
-    pub fn sweep(&mut self, at: Moment) {
+    pub fn request_fleet_hits(&mut self, at: Moment) {
         if self.sweep.is_none() {
             self.sweep = Some(Sweep::new(at.steady, &self.fronts));
             self.retry_at = self.retry_at.min(at.steady);
@@ -195,7 +195,7 @@
 
     /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
     pub fn due(&self) -> Micros {
-        if self.retry_at > self.ticked {
+        if self.retry_at > self.last_tick {
             self.retry_at
         } else {
             Micros::MAX
@@ -204,7 +204,7 @@
 
     /// Queues the requests that are due. `number` gives each request a number of its own.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
-        self.ticked = at.steady;
+        self.last_tick = at.steady;
         if at.steady < self.retry_at {
             return;
         }
@@ -226,8 +226,8 @@
         operation: Operation,
     ) {
         let number = number();
-        self.asked.insert(number, pending);
-        self.asks.push(LedgerRequest {
+        self.pending.insert(number, pending);
+        self.ledger_requests.push(LedgerRequest {
             number,
             key,
             operation,
@@ -235,24 +235,24 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn done(
+    pub fn on_ledger_answer(
         &mut self,
         at: Moment,
-        asked: u64,
+        request_number: u64,
         outcome: Outcome,
         number: &mut impl FnMut() -> u64,
     ) -> bool {
-        let Some(asked) = self.asked.remove(&asked) else {
+        let Some(pending) = self.pending.remove(&request_number) else {
             return false;
         };
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::Full);
         self.ledger_full |= outcome == Outcome::Full;
-        match asked {
+        match pending {
             Pending::Put { page, added } => self.on_put_answer(page, added, outcome),
             Pending::OwnList => self.on_list_answer(outcome),
-            Pending::ListOf(front) => self.on_swept_list(front, outcome),
-            Pending::PageOf(owner) => self.on_swept_page(owner, outcome),
-            Pending::FoldedPart(part) => self.on_swept_part(part, outcome),
+            Pending::SweepList(front) => self.on_swept_list(front, outcome),
+            Pending::SweepPage(owner) => self.on_swept_page(owner, outcome),
+            Pending::SweepFoldedPart(part) => self.on_swept_part(part, outcome),
             Pending::Fold(step) => self.on_fold_answer(step, outcome),
         }
         if failed {
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -16,45 +16,45 @@
     decode, decode_counts, encode, encode_closed, folded_key, is_closed, list_key, page_key,
     IncarnationList, ListedIncarnation,
 };
-use super::{FoldStep, Hit, HitCounts, Hits, Pending, OTHERS};
+use super::{FoldStep, Hit, HitCounts, Hits, Pending, OVERFLOW_NAME};
 use crate::FrontId;
 
 /// Parts of the fleet's table.
-pub(super) const FOLDED_PARTS: usize = 16;
+pub(super) const FOLDED_PART_COUNT: usize = 16;
 /// Rows of a part; rows beyond are counted under any customer.
-const MAX_ROWS: usize = 256;
+const MAX_PART_ROWS: usize = 256;
 /// Milliseconds for which the page of a folded incarnation stays closed, without its counts.
 const CLOSED_PAGE_MS: u64 = 7 * 86_400_000;
 
 /// A part of the fleet's table. Fields are positional in the stored part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Folded {
+pub(super) struct FoldedCounts {
     pub counts: HitCounts,
     /// Of each front the last incarnation that is in it.
     incarnations: BTreeMap<FrontId, u64>,
 }
 
-impl Folded {
+impl FoldedCounts {
     /// Whether the counts of an incarnation are in it. Incarnations are folded in their order.
-    pub fn has(&self, owner: Owner) -> bool {
+    pub fn contains(&self, owner: Owner) -> bool {
         self.incarnations
             .get(&owner.front)
             .is_some_and(|last| *last >= owner.incarnation)
     }
 
     fn add(&mut self, owner: Owner, rows: &HitCounts) {
-        if self.has(owner) {
+        if self.contains(owner) {
             return;
         }
         self.incarnations.insert(owner.front, owner.incarnation);
         for (hit, count) in rows {
-            let has_room = self.counts.contains_key(hit) || self.counts.len() < MAX_ROWS;
-            let hit = if has_room {
+            let fits = self.counts.contains_key(hit) || self.counts.len() < MAX_PART_ROWS;
+            let hit = if fits {
                 hit.clone()
             } else {
                 Hit {
-                    customer: OTHERS.to_string(),
-                    region: OTHERS.to_string(),
+                    customer: OVERFLOW_NAME.to_string(),
+                    region: OVERFLOW_NAME.to_string(),
                     ..hit.clone()
                 }
             };
@@ -66,7 +66,7 @@
 /// A part of the fleet's table with its version in the ledger; 0 where it is not there yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct VersionedPart {
-    pub folded: Folded,
+    pub folded: FoldedCounts,
     pub version: u64,
 }
 
@@ -81,10 +81,10 @@
 }
 
 /// The part that a row belongs to; the same in every build.
-pub(super) fn part_of(hit: &Hit) -> usize {
+pub(super) fn part_index(hit: &Hit) -> usize {
     let texts = [&hit.rule, &hit.customer, &hit.region];
     let hash = fnv1a(texts.into_iter().flat_map(|text| text.bytes().chain([0])));
-    ((hash ^ (hash >> 32)) % FOLDED_PARTS as u64) as usize
+    ((hash ^ (hash >> 32)) % FOLDED_PART_COUNT as u64) as usize
 }
 
 /// A page as it was read, to be closed on its version.
@@ -97,20 +97,20 @@
 pub(super) struct Fold {
     owner: Owner,
     /// The page that is to be closed next, once it was read.
-    open: Option<OpenPage>,
+    open_page: Option<OpenPage>,
     /// Its pages as they were closed.
-    pages: Vec<HitCounts>,
+    closed_pages: Vec<HitCounts>,
     /// How many pages it has.
-    count: usize,
+    page_count: usize,
     /// What has yet to be added, by part; None until all pages are closed.
-    left: Option<BTreeMap<usize, HitCounts>>,
+    remaining: Option<BTreeMap<usize, HitCounts>>,
     /// The part that is to be added to next, once it was read.
-    part: Option<VersionedPart>,
+    open_part: Option<VersionedPart>,
     /// Pages that were emptied.
-    blanked: usize,
-    asking: bool,
+    cleared: usize,
+    request_pending: bool,
     /// Of a format that this build does not know: it stays as it is.
-    stuck: bool,
+    is_unreadable: bool,
 }
 
 /// A request to the ledger that brings a fold one step on.
@@ -127,29 +127,29 @@
                 front,
                 incarnation: listed.incarnation,
             },
-            open: None,
-            pages: Vec::new(),
-            count: listed.pages as usize,
-            left: None,
-            part: None,
-            blanked: 0,
-            asking: false,
-            stuck: false,
+            open_page: None,
+            closed_pages: Vec::new(),
+            page_count: listed.pages as usize,
+            remaining: None,
+            open_part: None,
+            cleared: 0,
+            request_pending: false,
+            is_unreadable: false,
         }
     }
 
     /// The next request; None once nothing is left but to take it out of the list.
     fn next_request(&self, wall_ms: u64) -> Option<Request> {
-        if self.pages.len() < self.count {
+        if self.closed_pages.len() < self.page_count {
             return Some(self.close_page());
         }
-        let left = self.left.as_ref();
-        if let Some((part, rows)) = left.and_then(|left| left.first_key_value()) {
+        let remaining = self.remaining.as_ref();
+        if let Some((part, rows)) = remaining.and_then(|remaining| remaining.first_key_value()) {
             return Some(self.add_to_part(*part, rows));
         }
-        (self.blanked < self.count).then(|| Request {
-            step: FoldStep::Blanking,
-            key: self.page_key(self.blanked),
+        (self.cleared < self.page_count).then(|| Request {
+            step: FoldStep::Clearing,
+            key: self.page_key(self.cleared),
             operation: Operation::Put {
                 expects: None,
                 ends_ms: wall_ms.saturating_add(CLOSED_PAGE_MS),
@@ -159,19 +159,19 @@
     }
 
     fn close_page(&self) -> Request {
-        let operation = match &self.open {
+        let operation = match &self.open_page {
             None => Operation::Read,
             Some(page) => put(page.version, encode_closed(&page.counts)),
         };
         Request {
             step: FoldStep::Closing,
-            key: self.page_key(self.pages.len()),
+            key: self.page_key(self.closed_pages.len()),
             operation,
         }
     }
 
     fn add_to_part(&self, part: usize, rows: &HitCounts) -> Request {
-        let operation = match &self.part {
+        let operation = match &self.open_part {
             None => Operation::Read,
             Some(VersionedPart { folded, version }) => {
                 let mut folded = folded.clone();
@@ -187,11 +187,11 @@
     }
 
     /// Takes the incarnation out of the list.
-    fn drop_from(&self, list: IncarnationList) -> Request {
+    fn delist(&self, list: IncarnationList) -> Request {
         let mut entries = list.entries;
         entries.retain(|entry| entry.incarnation != self.owner.incarnation);
         Request {
-            step: FoldStep::Dropping,
+            step: FoldStep::Delisting,
             key: list_key(self.owner.front),
             operation: put(list.version, encode(&entries)),
         }
@@ -205,23 +205,23 @@
         match outcome {
             Outcome::Stands(entry) => match decode_counts(&entry.value) {
                 Some(counts) if is_closed(&entry.value) => {
-                    self.pages.push(counts);
-                    self.open = None;
+                    self.closed_pages.push(counts);
+                    self.open_page = None;
                 }
                 Some(counts) => {
                     let version = entry.version;
-                    self.open = Some(OpenPage { counts, version });
+                    self.open_page = Some(OpenPage { counts, version });
                 }
-                None => self.stuck = true,
+                None => self.is_unreadable = true,
             },
             // Listed, and never written: it may not be any more.
             Outcome::Absent => {
-                self.open = Some(OpenPage {
+                self.open_page = Some(OpenPage {
                     counts: HitCounts::new(),
                     version: 0,
                 });
             }
-            Outcome::Held(_) => self.open = None,
+            Outcome::Held(_) => self.open_page = None,
             Outcome::Unreachable | Outcome::Full => {}
         }
     }
@@ -229,31 +229,33 @@
     fn on_adding(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Stands(entry) => match VersionedPart::read(&entry) {
-                Some(part) if part.folded.has(self.owner) => {
-                    if let Some(left) = &mut self.left {
-                        left.pop_first();
+                Some(part) if part.folded.contains(self.owner) => {
+                    if let Some(remaining) = &mut self.remaining {
+                        remaining.pop_first();
                     }
-                    self.part = None;
+                    self.open_part = None;
                 }
-                Some(part) => self.part = Some(part),
-                None => self.stuck = true,
+                Some(part) => self.open_part = Some(part),
+                None => self.is_unreadable = true,
             },
-            Outcome::Absent if self.part.is_none() => self.part = Some(VersionedPart::default()),
-            _ => self.part = None,
+            Outcome::Absent if self.open_part.is_none() => {
+                self.open_part = Some(VersionedPart::default())
+            }
+            _ => self.open_part = None,
         }
     }
 
     /// Once all pages are closed, sorts their rows by the parts that they belong to.
     fn sort_rows(&mut self) {
-        if self.left.is_some() || self.pages.len() != self.count {
+        if self.remaining.is_some() || self.closed_pages.len() != self.page_count {
             return;
         }
-        let mut left: BTreeMap<usize, HitCounts> = BTreeMap::new();
-        for (hit, count) in self.pages.iter().flatten() {
-            let rows = left.entry(part_of(hit)).or_default();
+        let mut remaining: BTreeMap<usize, HitCounts> = BTreeMap::new();
+        for (hit, count) in self.closed_pages.iter().flatten() {
+            let rows = remaining.entry(part_index(hit)).or_default();
             *rows.entry(hit.clone()).or_default() += count;
         }
-        self.left = Some(left);
+        self.remaining = Some(remaining);
     }
 }
 
@@ -274,18 +276,18 @@
         };
         if self.fold.is_none() {
             let earliest = self.earliest_to_fold(&list);
-            self.fold = earliest.map(|listed| Fold::new(self.own.front, listed));
+            self.fold = earliest.map(|listed| Fold::new(self.owner.front, listed));
         }
         let Some(fold) = &mut self.fold else { return };
-        if fold.asking || fold.stuck {
+        if fold.request_pending || fold.is_unreadable {
             return;
         }
         let request = match fold.next_request(wall_ms) {
             Some(request) => request,
-            None if self.listing => return,
-            None => fold.drop_from(list),
+            None if self.list_requested => return,
+            None => fold.delist(list),
         };
-        fold.asking = true;
+        fold.request_pending = true;
         self.ask(
             number,
             Pending::Fold(request.step),
@@ -296,7 +298,7 @@
 
     /// The earliest incarnation before this one. Only once this one is listed can an earlier one write no more.
     fn earliest_to_fold(&self, list: &IncarnationList) -> Option<ListedIncarnation> {
-        let own = self.own.incarnation;
+        let own = self.owner.incarnation;
         if list.entries.iter().all(|entry| entry.incarnation != own) {
             return None;
         }
@@ -307,19 +309,19 @@
     /// The ledger has answered a step.
     pub(super) fn on_fold_answer(&mut self, step: FoldStep, outcome: Outcome) {
         let Some(fold) = &mut self.fold else { return };
-        fold.asking = false;
+        fold.request_pending = false;
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::Full);
         match step {
             _ if failed => {}
             FoldStep::Closing => fold.on_closing(outcome),
             FoldStep::Adding => fold.on_adding(outcome),
-            FoldStep::Blanking => fold.blanked += 1,
-            FoldStep::Dropping => return self.on_dropped(outcome),
+            FoldStep::Clearing => fold.cleared += 1,
+            FoldStep::Delisting => return self.on_delisted(outcome),
         }
         fold.sort_rows();
     }
 
-    fn on_dropped(&mut self, outcome: Outcome) {
+    fn on_delisted(&mut self, outcome: Outcome) {
         self.fold = None;
         match outcome {
             Outcome::Stands(entry) => {
--- a/crates/access/src/hits/fold_tests.rs
+++ b/crates/access/src/hits/fold_tests.rs
@@ -16,7 +16,7 @@
     for (rule, customer, region, part) in PARTS {
         let [rule, customer, region] = [rule, customer, region].map(str::to_string);
         assert_eq!(
-            part_of(&Hit {
+            part_index(&Hit {
                 rule,
                 customer,
                 region
--- a/crates/access/src/hits/pages.rs
+++ b/crates/access/src/hits/pages.rs
@@ -6,7 +6,7 @@
 use super::storage::{
     decode, encode, is_closed, list_key, page_key, IncarnationList, ListedIncarnation,
 };
-use super::{AwaitedHit, Hit, Hits, Page, Pending, OTHERS, RETRY_INTERVAL};
+use super::{AwaitedHit, Hit, Hits, Page, Pending, OVERFLOW_NAME, RETRY_INTERVAL};
 use crate::Micros;
 
 /// Rows of a page, some 3 KB.
@@ -21,13 +21,13 @@
 impl Hits {
     /// Counts a statement, once for each hit; it may go on once `counted` names it.
     pub fn count(&mut self, statement: u64, hits: Vec<Hit>) {
-        let awaited = hits.into_iter().map(|hit| self.add(hit)).collect();
+        let awaited = hits.into_iter().map(|hit| self.add_hit(hit)).collect();
         self.waiting.insert(statement, awaited);
     }
 
     /// Adds a hit to its row.
-    fn add(&mut self, hit: Hit) -> AwaitedHit {
-        let row = self.row(hit);
+    fn add_hit(&mut self, hit: Hit) -> AwaitedHit {
+        let row = self.assign_row(hit);
         let page = self.rows.get(&row).copied().unwrap_or_default();
         let Some(counted) = self.pages.get_mut(page) else {
             return AwaitedHit { page, number: 0 };
@@ -41,7 +41,7 @@
     }
 
     /// The row that a hit goes to, made where it is new.
-    fn row(&mut self, hit: Hit) -> Hit {
+    fn assign_row(&mut self, hit: Hit) -> Hit {
         if self.rows.contains_key(&hit) {
             return hit;
         }
@@ -50,14 +50,14 @@
             hit
         } else if rows + 1 < MAX_ROWS {
             Hit {
-                customer: OTHERS.to_string(),
+                customer: OVERFLOW_NAME.to_string(),
                 ..hit
             }
         } else {
             Hit {
-                rule: OTHERS.to_string(),
-                customer: OTHERS.to_string(),
-                region: OTHERS.to_string(),
+                rule: OVERFLOW_NAME.to_string(),
+                customer: OVERFLOW_NAME.to_string(),
+                region: OVERFLOW_NAME.to_string(),
             }
         };
         if !self.rows.contains_key(&hit) {
@@ -74,13 +74,13 @@
     /// Names this incarnation and its pages in the list, before anything is counted there.
     pub(super) fn list_pages(&mut self, number: &mut impl FnMut() -> u64) {
         let has_to_list = self.list_is_stale || self.listed_pages < self.pages.len();
-        if self.superseded || !has_to_list || self.listing {
+        if self.superseded || !has_to_list || self.list_requested {
             return;
         }
-        self.listing = true;
-        let key = list_key(self.own.front);
+        self.list_requested = true;
+        let key = list_key(self.owner.front);
         let own = ListedIncarnation {
-            incarnation: self.own.incarnation,
+            incarnation: self.owner.incarnation,
             pages: self.pages.len() as u32,
         };
         let operation = match &self.list {
@@ -100,8 +100,8 @@
     }
 
     /// Stores a page that has hits which the ledger has not.
-    pub(super) fn put_page(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
-        let Some(page) = self.pages.get_mut(at) else {
+    pub(super) fn put_page(&mut self, page_index: usize, number: &mut impl FnMut() -> u64) {
+        let Some(page) = self.pages.get_mut(page_index) else {
             return;
         };
         if page.putting || page.stored >= page.added {
@@ -115,15 +115,15 @@
             value: encode(&page.counts),
         };
         let pending = Pending::Put {
-            page: at,
+            page: page_index,
             added: page.added,
         };
-        let key = page_key(self.own.front, self.own.incarnation, at);
+        let key = page_key(self.owner.front, self.owner.incarnation, page_index);
         self.ask(number, pending, key, operation);
     }
 
-    pub(super) fn on_put_answer(&mut self, at: usize, added: u64, outcome: Outcome) {
-        let Some(page) = self.pages.get_mut(at) else {
+    pub(super) fn on_put_answer(&mut self, page_index: usize, added: u64, outcome: Outcome) {
+        let Some(page) = self.pages.get_mut(page_index) else {
             return;
         };
         page.putting = false;
@@ -158,7 +158,7 @@
     }
 
     pub(super) fn on_list_answer(&mut self, outcome: Outcome) {
-        self.listing = false;
+        self.list_requested = false;
         let entry = match outcome {
             Outcome::Stands(entry) | Outcome::Held(entry) => entry,
             Outcome::Absent => return self.list = Some(IncarnationList::default()),
@@ -172,10 +172,10 @@
             } else {
                 UNKNOWN_FORMAT_INTERVAL
             };
-            self.retry_at = self.retry_at.max(self.ticked + wait);
+            self.retry_at = self.retry_at.max(self.last_tick + wait);
             return self.list = None;
         };
-        let own = self.own.incarnation;
+        let own = self.owner.incarnation;
         self.superseded |= entries.iter().any(|entry| entry.incarnation > own);
         if let Some(listed) = entries.iter().find(|entry| entry.incarnation == own) {
             let pages = self.listed_pages.max(listed.pages as usize);
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -4,7 +4,7 @@
 
 use hallmux_ledger::{Operation, Outcome, Owner};
 
-use super::fold::{part_of, VersionedPart, FOLDED_PARTS};
+use super::fold::{part_index, VersionedPart, FOLDED_PART_COUNT};
 use super::storage::{decode, decode_counts, folded_key, list_key, page_key, ListedIncarnation};
 use super::{merge_counts, FleetHits, Hit, HitCounts, Hits, Pending};
 use crate::{FrontId, Micros};
@@ -21,25 +21,25 @@
 
 /// The fleet's count as it is read from the ledger.
 pub(super) struct Sweep {
-    begun: Micros,
+    started_at: Micros,
     /// What has yet to be read.
-    reads: Vec<Read>,
+    queue: Vec<Read>,
     /// Reads that are out.
-    out: usize,
+    in_flight: usize,
     missing: BTreeSet<FrontId>,
     /// The fleet's table comes last: an incarnation whose pages are gone by then is in it.
-    last: bool,
+    is_reading_folded: bool,
 }
 
 impl Sweep {
-    pub fn new(begun: Micros, fronts: &[FrontId]) -> Sweep {
+    pub fn new(started_at: Micros, fronts: &[FrontId]) -> Sweep {
         let reads = fronts.iter().map(|front| Read::List(*front)).collect();
         Sweep {
-            begun,
-            reads,
-            out: 0,
+            started_at,
+            queue: reads,
+            in_flight: 0,
             missing: BTreeSet::new(),
-            last: false,
+            is_reading_folded: false,
         }
     }
 }
@@ -48,63 +48,69 @@
     /// Reads on for the fleet's count.
     pub(super) fn advance_sweep(&mut self, number: &mut impl FnMut() -> u64) {
         loop {
-            let Some(sweep) = self.sweep.as_mut().filter(|sweep| sweep.out < MAX_READS) else {
+            let Some(sweep) = self
+                .sweep
+                .as_mut()
+                .filter(|sweep| sweep.in_flight < MAX_READS)
+            else {
                 return;
             };
-            let Some(read) = sweep.reads.pop() else {
-                if sweep.out > 0 || sweep.last {
+            let Some(read) = sweep.queue.pop() else {
+                if sweep.in_flight > 0 || sweep.is_reading_folded {
                     break;
                 }
-                sweep.last = true;
-                sweep.reads.extend((0..FOLDED_PARTS).map(Read::FoldedPart));
+                sweep.is_reading_folded = true;
+                sweep
+                    .queue
+                    .extend((0..FOLDED_PART_COUNT).map(Read::FoldedPart));
                 continue;
             };
-            sweep.out += 1;
+            sweep.in_flight += 1;
             let (pending, key) = match read {
-                Read::List(front) => (Pending::ListOf(front), list_key(front)),
+                Read::List(front) => (Pending::SweepList(front), list_key(front)),
                 Read::Page { owner, page } => (
-                    Pending::PageOf(owner),
+                    Pending::SweepPage(owner),
                     page_key(owner.front, owner.incarnation, page as usize),
                 ),
-                Read::FoldedPart(part) => (Pending::FoldedPart(part), folded_key(part)),
+                Read::FoldedPart(part) => (Pending::SweepFoldedPart(part), folded_key(part)),
             };
             self.ask(number, pending, key, Operation::Read);
         }
-        if let Some(sweep) = self.sweep.take_if(|sweep| sweep.out == 0) {
-            let counts = self.sum();
+        if let Some(sweep) = self.sweep.take_if(|sweep| sweep.in_flight == 0) {
+            let counts = self.total_counts();
             self.fleet = FleetHits {
                 counts,
-                as_of: Some(sweep.begun),
+                as_of: Some(sweep.started_at),
                 missing: sweep.missing,
             };
-            self.swept = true;
+            self.fleet_hits_ready = true;
         }
     }
 
     /// What is in the fleet's table, and of each incarnation what is not.
-    fn sum(&mut self) -> HitCounts {
+    fn total_counts(&mut self) -> HitCounts {
         let mut counts = HitCounts::new();
         for (hit, count) in self.folded.values().flat_map(|part| &part.folded.counts) {
             *counts.entry(hit.clone()).or_default() += count;
         }
         let folded = &self.folded;
         let is_folded = |hit: &Hit, owner: Owner| {
-            let part = folded.get(&part_of(hit));
-            part.is_some_and(|part| part.folded.has(owner))
+            let part = folded.get(&part_index(hit));
+            part.is_some_and(|part| part.folded.contains(owner))
         };
-        for (owner, table) in &mut self.known {
+        for (owner, table) in &mut self.unfolded {
             table.retain(|hit, _| !is_folded(hit, *owner));
             for (hit, count) in table.iter() {
                 *counts.entry(hit.clone()).or_default() += count;
             }
         }
-        self.known.retain(|_, table| !table.is_empty());
+        self.unfolded.retain(|_, table| !table.is_empty());
         counts
     }
 
     pub(super) fn on_swept_list(&mut self, front: FrontId, outcome: Outcome) {
         let Some(sweep) = &mut self.sweep else { return };
-        sweep.out -= 1;
+        sweep.in_flight -= 1;
         let entry = match outcome {
             Outcome::Absent => return,
             Outcome::Stands(entry) => Some(entry),
@@ -118,27 +124,27 @@
         for ListedIncarnation { incarnation, pages } in list {
             let owner = Owner { front, incarnation };
             let reads = (0..pages).map(|page| Read::Page { owner, page });
-            sweep.reads.extend(reads);
+            sweep.queue.extend(reads);
         }
     }
 
     pub(super) fn on_swept_page(&mut self, owner: Owner, outcome: Outcome) {
         let Some(sweep) = &mut self.sweep else { return };
-        sweep.out -= 1;
+        sweep.in_flight -= 1;
         let entry = match outcome {
             Outcome::Absent => return,
             Outcome::Stands(entry) => Some(entry),
             _ => None,
         };
         match entry.and_then(|entry| decode_counts(&entry.value)) {
-            Some(counts) => merge_counts(self.known.entry(owner).or_default(), &counts),
+            Some(counts) => merge_counts(self.unfolded.entry(owner).or_default(), &counts),
             None => _ = sweep.missing.insert(owner.front),
         }
     }
 
     pub(super) fn on_swept_part(&mut self, part: usize, outcome: Outcome) {
         let Some(sweep) = &mut self.sweep else { return };
-        sweep.out -= 1;
+        sweep.in_flight -= 1;
         let entry = match outcome {
             Outcome::Absent => return,
             Outcome::Stands(entry) => Some(entry),
