--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -21,16 +21,16 @@
 struct LimitedStatement {
     limits: Vec<Limit>,
     /// Limits of which it has no share yet.
-    lacks: usize,
+    missing_shares: usize,
     /// An execution of it has left.
-    began: bool,
+    has_begun: bool,
 }
 
 /// A request to the ledger that is out.
 struct Request {
     limit: Limit,
     /// When it was made.
-    at: Micros,
+    requested_at: Micros,
 }
 
 /// One front's shares of all limits that it has traffic for.
@@ -53,7 +53,11 @@
     /// A share is spent under a lease by `terms`; `fronts` is how many share.
     pub fn new(own: Owner, terms: hallmux_lease::Terms, fronts: usize) -> Shares {
         Shares {
-            context: ShareContext { own, terms, fronts },
+            context: ShareContext {
+                owner: own,
+                terms,
+                front_count: fronts,
+            },
             shares: BTreeMap::new(),
             statements: BTreeMap::new(),
             requests: HashMap::new(),
@@ -67,26 +71,26 @@
     /// Whether a statement may go on at once; else it waits, and is among `ready` or `refused` later.
     pub fn acquire(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
         let context = self.context;
-        let mut lacks = 0;
+        let mut missing_shares = 0;
         for limit in &limits {
             let share = self
                 .shares
                 .entry(limit.clone())
                 .or_insert_with(|| Share::new(limit.clone(), context));
             if !share.acquire(now, statement) {
-                lacks += 1;
+                missing_shares += 1;
             }
         }
         self.statements.insert(
             statement,
             LimitedStatement {
                 limits,
-                lacks,
-                began: false,
+                missing_shares,
+                has_begun: false,
             },
         );
-        self.collect();
-        lacks == 0
+        self.collect_outcomes();
+        missing_shares == 0
     }
 
     /// Whether a statement's execution may leave now; the first is its beginning.
@@ -94,30 +98,30 @@
         let Some(limited) = self.statements.get_mut(&statement) else {
             return true;
         };
-        if limited.began {
+        if limited.has_begun {
             return true;
         }
-        if limited.lacks > 0 {
+        if limited.missing_shares > 0 {
             return false;
         }
-        let mut may = true;
+        let mut is_allowed = true;
         // Every share has to learn of it, also where an earlier one has refused.
         for limit in &limited.limits {
             let share = self.shares.get_mut(limit);
-            may &= share.is_some_and(|share| share.begin(now, statement));
+            is_allowed &= share.is_some_and(|share| share.begin(now, statement));
         }
-        limited.began = may;
-        if !may {
-            limited.lacks = 1;
+        limited.has_begun = is_allowed;
+        if !is_allowed {
+            limited.missing_shares = 1;
         }
-        may
+        is_allowed
     }
 
     /// A statement may not begin for want of a share.
     pub fn awaits_share(&self, statement: u64) -> bool {
         self.statements
             .get(&statement)
-            .is_some_and(|limited| limited.lacks > 0)
+            .is_some_and(|limited| limited.missing_shares > 0)
     }
 
     /// A statement has ended or is abandoned: it waits for no share any more. What it spent stays spent for
@@ -152,7 +156,7 @@
             let number = number();
             let request = Request {
                 limit: limit.clone(),
-                at: at.steady,
+                requested_at: at.steady,
             };
             self.requests.insert(number, request);
             self.ledger_requests.push(LedgerRequest {
@@ -161,7 +165,7 @@
                 operation,
             });
         }
-        self.collect();
+        self.collect_outcomes();
         self.shares.retain(|_, share| !share.is_idle());
     }
 
@@ -169,15 +173,15 @@
     pub fn on_ledger_answer(
         &mut self,
         at: Moment,
-        asked: u64,
+        request_number: u64,
         outcome: Outcome,
         number: &mut impl FnMut() -> u64,
     ) -> bool {
-        let Some(request) = self.requests.remove(&asked) else {
+        let Some(request) = self.requests.remove(&request_number) else {
             return false;
         };
         if let Some(share) = self.shares.get_mut(&request.limit) {
-            share.on_answer(at.steady, request.at, outcome);
+            share.on_answer(at.steady, request.requested_at, outcome);
         }
         self.tick(at, number);
         true
@@ -198,15 +202,15 @@
     }
 
     /// Takes from each share the statements that have it now, and those that get none.
-    fn collect(&mut self) {
+    fn collect_outcomes(&mut self) {
         let mut rejected = Vec::new();
         for share in self.shares.values_mut() {
             for statement in share.ready.drain(..) {
                 let Some(limited) = self.statements.get_mut(&statement) else {
                     continue;
                 };
-                limited.lacks = limited.lacks.saturating_sub(1);
-                if limited.lacks == 0 {
+                limited.missing_shares = limited.missing_shares.saturating_sub(1);
+                if limited.missing_shares == 0 {
                     self.ready.push(statement);
                 }
             }
--- a/crates/access/src/shares/demand.rs
+++ b/crates/access/src/shares/demand.rs
@@ -3,40 +3,40 @@
 use crate::Micros;
 
 /// Parts of the time that is looked back at; one more is being filled.
-const PARTS: usize = 4;
+const SLOTS: usize = 4;
 /// Microseconds looked back at, at most.
 const MAX_LOOK_BACK: Micros = 4_000_000;
 
 /// Counts of the last parts of a time, the latest last.
 pub struct Demand {
-    counts: [u32; PARTS + 1],
-    part: Micros,
-    at: Micros,
+    counts: [u32; SLOTS + 1],
+    slot_length: Micros,
+    current_slot: Micros,
 }
 
 impl Demand {
     pub fn new(window: Micros) -> Demand {
-        let part = window.min(MAX_LOOK_BACK) / PARTS as Micros;
+        let slot_length = window.min(MAX_LOOK_BACK) / SLOTS as Micros;
         Demand {
-            counts: [0; PARTS + 1],
-            part: part.max(1),
-            at: 0,
+            counts: [0; SLOTS + 1],
+            slot_length: slot_length.max(1),
+            current_slot: 0,
         }
     }
 
-    fn passed(&self, now: Micros) -> Micros {
-        now.div_euclid(self.part) - self.at
+    fn elapsed_slots(&self, now: Micros) -> Micros {
+        now.div_euclid(self.slot_length) - self.current_slot
     }
 
     pub fn add(&mut self, now: Micros) {
-        let passed = self.passed(now).clamp(0, PARTS as Micros + 1) as usize;
-        if passed > 0 {
-            self.counts.rotate_left(passed.min(PARTS));
-            let from = (PARTS + 1).saturating_sub(passed);
+        let elapsed_slots = self.elapsed_slots(now).clamp(0, SLOTS as Micros + 1) as usize;
+        if elapsed_slots > 0 {
+            self.counts.rotate_left(elapsed_slots.min(SLOTS));
+            let from = (SLOTS + 1).saturating_sub(elapsed_slots);
             for count in self.counts.iter_mut().skip(from) {
                 *count = 0;
             }
-            self.at = now.div_euclid(self.part);
+            self.current_slot = now.div_euclid(self.slot_length);
         }
         if let Some(last) = self.counts.last_mut() {
             *last = last.saturating_add(1);
@@ -44,15 +44,15 @@
     }
 
     /// How much will be asked for in a time, going by the last parts.
-    pub fn expects(&self, now: Micros, time: Micros) -> u32 {
-        let passed = self.passed(now).clamp(0, PARTS as Micros + 1) as usize;
+    pub fn forecast(&self, now: Micros, time: Micros) -> u32 {
+        let elapsed_slots = self.elapsed_slots(now).clamp(0, SLOTS as Micros + 1) as usize;
         let recent = self
             .counts
             .iter()
-            .skip(passed)
+            .skip(elapsed_slots)
             .fold(0u32, |all, count| all.saturating_add(*count));
-        let looked = self.part * PARTS as Micros;
-        (i128::from(recent) * i128::from(time) / i128::from(looked))
+        let look_back = self.slot_length * SLOTS as Micros;
+        (i128::from(recent) * i128::from(time) / i128::from(look_back))
             .try_into()
             .unwrap_or(u32::MAX)
     }
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -17,7 +17,7 @@
 use crate::Micros;
 
 /// Microseconds; what left may still be under way to an engine.
-const IN_FLIGHT: Micros = 200_000;
+const IN_FLIGHT_TIME: Micros = 200_000;
 /// Microseconds until what the ledger could not do is requested again.
 const RETRY_INTERVAL: Micros = 250_000;
 /// Microseconds until a table that this build can't read is read again.
@@ -31,11 +31,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ShareContext {
     /// This front.
-    pub own: Owner,
+    pub owner: Owner,
     /// How long a lease on a share lasts.
     pub terms: Terms,
     /// How many fronts share.
-    pub fronts: usize,
+    pub front_count: usize,
 }
 
 /// A table with its version in the ledger; 0 where there is none yet.
@@ -50,13 +50,13 @@
 struct WaitingStatement {
     statement: u64,
     /// When it is refused.
-    ends: Micros,
+    deadline: Micros,
 }
 
 /// The last round of wants that a front has looked at, while it has yet to look at a later one.
 #[derive(Clone, Copy)]
 struct UnansweredRound {
-    answered: u64,
+    seen_round: u64,
     since: Micros,
 }
 
@@ -76,17 +76,17 @@
     /// When each that was spent may be spent again, the first first.
     cooling: VecDeque<Micros>,
     /// Statements that have a token and have not begun.
-    taken: BTreeSet<u64>,
+    reserved: BTreeSet<u64>,
     waiting: VecDeque<WaitingStatement>,
     /// What it has to give to others once it has cooled.
-    owes: u32,
+    owed: u32,
     pending: Option<Pending>,
-    asking: bool,
+    request_pending: bool,
     next_read: Micros,
     retry_at: Micros,
     demand: Demand,
     /// When tokens at rest were first seen, by id.
-    resting_since: BTreeMap<u64, Micros>,
+    revoked_since: BTreeMap<u64, Micros>,
     /// Fronts that have yet to look at a round of wants.
     unanswered: BTreeMap<Owner, UnansweredRound>,
     /// No round of wants of its own before this.
@@ -96,7 +96,7 @@
     /// Since when it has had more than it needs.
     surplus_since: Option<Micros>,
     /// The table was read and nothing was done about it yet; else not before.
-    unplanned: bool,
+    plan_due: bool,
     replan_at: Micros,
     /// This build can't read the table.
     pub unreadable: bool,
@@ -118,20 +118,20 @@
             table: None,
             lease_until: Micros::MIN,
             cooling: VecDeque::new(),
-            taken: BTreeSet::new(),
+            reserved: BTreeSet::new(),
             waiting: VecDeque::new(),
-            owes: 0,
+            owed: 0,
             pending: None,
-            asking: false,
+            request_pending: false,
             next_read: Micros::MIN,
             retry_at: Micros::MIN,
             demand,
-            resting_since: BTreeMap::new(),
+            revoked_since: BTreeMap::new(),
             unanswered: BTreeMap::new(),
             next_round: Micros::MIN,
             round_backoff: 0,
             surplus_since: None,
-            unplanned: false,
+            plan_due: false,
             replan_at: Micros::MIN,
             unreadable: false,
             full: false,
@@ -146,7 +146,7 @@
             length: self.limit.window,
             drift_ppm: self.context.terms.drift_ppm,
         };
-        window.blocked_for() + IN_FLIGHT
+        window.blocked_for() + IN_FLIGHT_TIME
     }
 
     /// How long a statement waits for a share, at most: two looks of every other front.
@@ -156,7 +156,7 @@
 
     /// What this front surely has: a put that may yet stand can take away from it.
     fn held(&self) -> u32 {
-        let own = self.context.own;
+        let own = self.context.owner;
         let held = self.table.as_ref().map_or(0, |read| read.table.held(own));
         match &self.pending {
             Some(pending) => held.min(pending.next.held(own)),
@@ -166,45 +166,46 @@
 
     /// Tokens that are spent or cool.
     fn in_use(&self) -> u32 {
-        (self.cooling.len() + self.taken.len()) as u32
+        (self.cooling.len() + self.reserved.len()) as u32
     }
 
     /// Tokens that may be spent now.
-    fn spare(&self) -> u32 {
+    fn available(&self) -> u32 {
         self.held()
-            .saturating_sub(self.owes)
+            .saturating_sub(self.owed)
             .saturating_sub(self.in_use())
     }
 
     /// Tokens that it asks for beyond what it needs.
     fn batch(&self) -> u32 {
-        (self.limit.max_statements / (4 * self.context.fronts.max(1) as u32)).max(1)
+        (self.limit.max_statements / (4 * self.context.front_count.max(1) as u32)).max(1)
     }
 
     /// How much it wants to have in all.
-    fn goal(&self, now: Micros) -> u32 {
+    fn target(&self, now: Micros) -> u32 {
         let lead = self.cooldown() + self.context.terms.length / 2;
-        let needs = self.demand.expects(now, lead);
-        if needs == 0 && self.waiting.is_empty() {
+        let expected = self.demand.forecast(now, lead);
+        if expected == 0 && self.waiting.is_empty() {
             return 0;
         }
         let in_use = self.in_use() + self.waiting.len() as u32;
-        (needs + needs / 4)
+        (expected + expected / 4)
             .max(in_use)
             .saturating_add(self.batch())
             .min(self.limit.max_statements)
     }
 
     /// What it is to ask for, before it runs out.
-    fn lacks(&self, now: Micros) -> u32 {
-        let goal = self.goal(now);
+    fn shortfall(&self, now: Micros) -> u32 {
+        let target = self.target(now);
         let held = self.held();
-        let soon = self.demand.expects(now, self.context.terms.length / 2) + self.batch() / 4;
-        let runs_out = self.spare() < soon || !self.waiting.is_empty();
-        if goal <= held || !runs_out {
+        let needed_soon =
+            self.demand.forecast(now, self.context.terms.length / 2) + self.batch() / 4;
+        let runs_out = self.available() < needed_soon || !self.waiting.is_empty();
+        if target <= held || !runs_out {
             return 0;
         }
-        (goal - held)
+        (target - held)
             .max(held / 2)
             .min(self.limit.max_statements - held)
     }
@@ -212,30 +213,33 @@
     /// Whether a statement may take from it at once; else it waits, and is `ready` or `refused` later.
     pub fn acquire(&mut self, now: Micros, statement: u64) -> bool {
         self.demand.add(now);
-        self.cool(now);
-        if self.waiting.is_empty() && now < self.lease_until && self.spare() > 0 {
-            self.taken.insert(statement);
+        self.expire_cooldowns(now);
+        if self.waiting.is_empty() && now < self.lease_until && self.available() > 0 {
+            self.reserved.insert(statement);
             return true;
         }
         // All of it is spent here, and none of it comes back in time.
-        let first = self.cooling.front().copied().unwrap_or(now);
-        let hopeless = self.held() == self.limit.max_statements
-            && self.spare() == 0
-            && first > now + self.max_wait();
-        if hopeless || self.waiting.len() >= MAX_WAITING {
+        let first_cooled = self.cooling.front().copied().unwrap_or(now);
+        let cannot_recover_in_time = self.held() == self.limit.max_statements
+            && self.available() == 0
+            && first_cooled > now + self.max_wait();
+        if cannot_recover_in_time || self.waiting.len() >= MAX_WAITING {
             self.rejected.push(statement);
         } else {
-            let ends = now + self.max_wait();
-            self.waiting.push_back(WaitingStatement { statement, ends });
+            let deadline = now + self.max_wait();
+            self.waiting.push_back(WaitingStatement {
+                statement,
+                deadline,
+            });
         }
         false
     }
 
     /// Whether a statement that took from it may begin now.
     pub fn begin(&mut self, now: Micros, statement: u64) -> bool {
-        self.cool(now);
-        let may = now < self.lease_until && self.in_use() <= self.held();
-        if !self.taken.remove(&statement) || !may {
+        self.expire_cooldowns(now);
+        let is_allowed = now < self.lease_until && self.in_use() <= self.held();
+        if !self.reserved.remove(&statement) || !is_allowed {
             return false;
         }
         self.cooling.push_back(now + self.cooldown());
@@ -244,25 +248,25 @@
 
     /// A statement will not begin any more, or has begun.
     pub fn release(&mut self, statement: u64) {
-        self.taken.remove(&statement);
+        self.reserved.remove(&statement);
         self.waiting
             .retain(|waiting| waiting.statement != statement);
     }
 
     /// Nothing here is known or wanted any more.
     pub fn is_idle(&self) -> bool {
-        let own = self.context.own;
+        let own = self.context.owner;
         let held = self.table.as_ref().map_or(0, |read| read.table.held(own));
         held == 0
             && self.pending.is_none()
-            && !self.asking
+            && !self.request_pending
             && self.waiting.is_empty()
-            && self.taken.is_empty()
+            && self.reserved.is_empty()
             && self.cooling.is_empty()
     }
 
     /// What has cooled may be spent again.
-    fn cool(&mut self, now: Micros) {
+    fn expire_cooldowns(&mut self, now: Micros) {
         while self.cooling.front().is_some_and(|at| *at <= now) {
             self.cooling.pop_front();
         }
@@ -270,55 +274,65 @@
 
     /// When `tick` is next due, on the steady clock.
     pub fn due(&self, now: Micros) -> Micros {
-        let waits = self.waiting.front().map_or(Micros::MAX, |first| first.ends);
-        let cools = self
+        let wait_ends = self
+            .waiting
+            .front()
+            .map_or(Micros::MAX, |first| first.deadline);
+        let cooldown_ends = self
             .cooling
             .front()
             .copied()
             .filter(|_| !self.waiting.is_empty());
-        let plans = if self.waiting.is_empty() {
+        let next_plan = if self.waiting.is_empty() {
             Micros::MAX
         } else {
             self.replan_at
         };
-        let looks = if self.pending.is_some() {
+        let next_operation = if self.pending.is_some() {
             Micros::MIN
         } else {
-            self.next_read.min(plans)
+            self.next_read.min(next_plan)
         };
-        let asks = if self.asking || !self.is_needed(now) {
+        let request_at = if self.request_pending || !self.needs_ledger(now) {
             Micros::MAX
         } else {
-            looks
+            next_operation
         };
-        waits
-            .min(cools.unwrap_or(Micros::MAX))
-            .min(asks.max(self.retry_at))
+        wait_ends
+            .min(cooldown_ends.unwrap_or(Micros::MAX))
+            .min(request_at.max(self.retry_at))
     }
 
-    fn is_needed(&self, now: Micros) -> bool {
-        self.pending.is_some() || self.held() > 0 || !self.waiting.is_empty() || self.lacks(now) > 0
+    fn needs_ledger(&self, now: Micros) -> bool {
+        self.pending.is_some()
+            || self.held() > 0
+            || !self.waiting.is_empty()
+            || self.shortfall(now) > 0
     }
 
     /// What is to be asked of the ledger now, if anything.
     pub fn tick(&mut self, now: Micros) -> Option<Operation> {
-        self.cool(now);
-        self.serve(now);
-        if self.asking || now < self.retry_at || !self.is_needed(now) {
+        self.expire_cooldowns(now);
+        self.serve_waiting(now);
+        if self.request_pending || now < self.retry_at || !self.needs_ledger(now) {
             return None;
         }
-        let operation = self.next_act(now)?;
-        self.asking = true;
+        let operation = self.next_operation(now)?;
+        self.request_pending = true;
         Some(operation)
     }
 
     /// Serves those that wait, in order.
-    fn serve(&mut self, now: Micros) {
-        while let Some(WaitingStatement { statement, ends }) = self.waiting.front().copied() {
-            if now < self.lease_until && self.spare() > 0 {
-                self.taken.insert(statement);
+    fn serve_waiting(&mut self, now: Micros) {
+        while let Some(WaitingStatement {
+            statement,
+            deadline,
+        }) = self.waiting.front().copied()
+        {
+            if now < self.lease_until && self.available() > 0 {
+                self.reserved.insert(statement);
                 self.ready.push(statement);
-            } else if ends <= now {
+            } else if deadline <= now {
                 self.rejected.push(statement);
             } else {
                 break;
@@ -328,15 +342,16 @@
     }
 
     /// The next request: a put of a plan, or a look at the table.
-    fn next_act(&mut self, now: Micros) -> Option<Operation> {
+    fn next_operation(&mut self, now: Micros) -> Option<Operation> {
         if self.table.is_none() {
             return Some(Operation::Read);
         }
         // The same again: of two that stand for the same version only one does.
-        let is_to_plan =
-            self.unplanned || now >= self.next_read || now >= self.replan_at && self.lacks(now) > 0;
-        if self.pending.is_none() && is_to_plan {
-            self.unplanned = false;
+        let should_plan = self.plan_due
+            || now >= self.next_read
+            || now >= self.replan_at && self.shortfall(now) > 0;
+        if self.pending.is_none() && should_plan {
+            self.plan_due = false;
             self.replan_at = now + REPLAN_INTERVAL;
             self.pending = self.plan(now);
         }
--- a/crates/access/src/shares/share/answers.rs
+++ b/crates/access/src/shares/share/answers.rs
@@ -9,7 +9,7 @@
 impl Share {
     /// The ledger has answered what was requested at a time.
     pub fn on_answer(&mut self, now: Micros, requested_at: Micros, outcome: Outcome) {
-        self.asking = false;
+        self.request_pending = false;
         self.full = outcome == Outcome::Full;
         match outcome {
             Outcome::Stands(entry) => self.on_table(now, requested_at, &entry.value, entry.version),
@@ -19,7 +19,7 @@
             Outcome::Absent => self.on_absent(now),
             Outcome::Unreachable | Outcome::Full => self.retry_at = now + RETRY_INTERVAL,
         }
-        self.serve(now);
+        self.serve_waiting(now);
     }
 
     fn on_absent(&mut self, now: Micros) {
@@ -55,10 +55,10 @@
         self.lease_until = self.lease_until.max(lease_until);
         let next_read = requested_at + self.read_interval(&table);
         self.next_read = self.next_read.max(next_read);
-        self.note_resting(now, &table);
-        self.note_unanswered(now, &table);
+        self.track_revoked(now, &table);
+        self.track_unanswered(now, &table);
         self.table = Some(VersionedTable { table, version });
-        self.unplanned = true;
+        self.plan_due = true;
         if self.held() > held_before {
             self.round_backoff = 0;
             self.next_round = Micros::MIN;
@@ -66,27 +66,28 @@
     }
 
     /// Notes since when tokens are at rest.
-    fn note_resting(&mut self, now: Micros, table: &Table) {
-        self.resting_since
-            .retain(|id, _| table.resting.iter().any(|resting| resting.id == *id));
-        for resting in &table.resting {
-            self.resting_since.entry(resting.id).or_insert(now);
+    fn track_revoked(&mut self, now: Micros, table: &Table) {
+        self.revoked_since
+            .retain(|id, _| table.revoked.iter().any(|revoked| revoked.id == *id));
+        for revoked in &table.revoked {
+            self.revoked_since.entry(revoked.id).or_insert(now);
         }
     }
 
     /// Notes since when other fronts have not looked at the last round of wants.
-    fn note_unanswered(&mut self, now: Micros, table: &Table) {
-        let own = self.context.own;
-        let is_behind = |row: &Row| row.owner != own && row.held > 0 && row.answered < table.round;
+    fn track_unanswered(&mut self, now: Micros, table: &Table) {
+        let own = self.context.owner;
+        let is_behind =
+            |row: &Row| row.owner != own && row.held > 0 && row.seen_round < table.round;
         self.unanswered
             .retain(|owner, _| table.row(*owner).is_some_and(is_behind));
         for row in table.rows.iter().filter(|row| is_behind(row)) {
             let round = UnansweredRound {
-                answered: row.answered,
+                seen_round: row.seen_round,
                 since: now,
             };
             let known = self.unanswered.entry(row.owner).or_insert(round);
-            if known.answered != row.answered {
+            if known.seen_round != row.seen_round {
                 *known = round;
             }
         }
@@ -94,12 +95,14 @@
 
     /// Microseconds between looks at the table: few while others are to give to it.
     fn read_interval(&self, table: &Table) -> Micros {
-        let wants = table.row(self.context.own).is_some_and(|row| row.wants > 0);
-        let looks_per_lease = if wants && !self.waiting.is_empty() {
+        let is_waiting_for_tokens = table
+            .row(self.context.owner)
+            .is_some_and(|row| row.wanted > 0);
+        let reads_per_lease = if is_waiting_for_tokens && !self.waiting.is_empty() {
             12
         } else {
             3
         };
-        self.context.terms.owner_valid_for() / looks_per_lease
+        self.context.terms.owner_valid_for() / reads_per_lease
     }
 }
--- a/crates/access/src/shares/table.rs
+++ b/crates/access/src/shares/table.rs
@@ -28,14 +28,14 @@
     /// How many statements it may have begun in any window; its tokens.
     pub held: u32,
     /// What it lacks: others give to it.
-    pub wants: u32,
+    pub wanted: u32,
     /// The last round of wants that it has looked at.
-    pub answered: u64,
+    pub seen_round: u64,
 }
 
 /// Taken back from a front that may have spent it until just now: free again after a rest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Resting {
+pub struct RevokedTokens {
     /// Distinguishes it from others at rest in the same table.
     pub id: u64,
     /// How many tokens rest.
@@ -52,10 +52,10 @@
     /// The fronts that hold or want tokens.
     pub rows: Vec<Row>,
     /// Tokens taken back from fronts that were lost.
-    pub resting: Vec<Resting>,
+    pub revoked: Vec<RevokedTokens>,
     /// Grows whenever a front wants more than is free.
     pub round: u64,
-    next: u64,
+    last_revoked_id: u64,
 }
 
 impl Limit {
@@ -77,9 +77,9 @@
             max_statements,
             free: max_statements,
             rows: Vec::new(),
-            resting: Vec::new(),
+            revoked: Vec::new(),
             round: 0,
-            next: 0,
+            last_revoked_id: 0,
         }
     }
 
@@ -96,7 +96,7 @@
         };
         let held = table.rows.iter().map(|row| u64::from(row.held));
         let all: u64 = held
-            .chain(table.resting.iter().map(|r| u64::from(r.held)))
+            .chain(table.revoked.iter().map(|r| u64::from(r.held)))
             .sum::<u64>()
             + u64::from(table.free);
         (table.format == FORMAT
@@ -116,26 +116,26 @@
     }
 
     /// The row of an owner, made where there is none.
-    pub fn row_mut(&mut self, owner: Owner) -> Option<&mut Row> {
+    pub fn row_or_insert(&mut self, owner: Owner) -> Option<&mut Row> {
         if self.row(owner).is_none() {
             self.rows.push(Row {
                 owner,
                 held: 0,
-                wants: 0,
-                answered: self.round,
+                wanted: 0,
+                seen_round: self.round,
             });
         }
         self.rows.iter_mut().find(|row| row.owner == owner)
     }
 
     /// What others than this one lack.
-    pub fn wanted_of(&self, own: Owner) -> u32 {
-        let others = self.rows.iter().filter(|row| row.owner != own);
-        others.fold(0, |all, row| all.saturating_add(row.wants))
+    pub fn wanted_by_peers(&self, own: Owner) -> u32 {
+        let peers = self.rows.iter().filter(|row| row.owner != own);
+        peers.fold(0, |all, row| all.saturating_add(row.wanted))
     }
 
     /// Gives a front's tokens to those that want them, the least served first; what nobody wants is free.
-    pub fn give(&mut self, from: Owner, mut tokens: u32) {
+    pub fn transfer(&mut self, from: Owner, mut tokens: u32) {
         for row in self.rows.iter_mut().filter(|row| row.owner == from) {
             row.held -= tokens.min(row.held);
         }
@@ -143,44 +143,44 @@
             let wanting = self
                 .rows
                 .iter_mut()
-                .filter(|row| row.owner != from && row.wants > 0);
+                .filter(|row| row.owner != from && row.wanted > 0);
             let Some(least) = wanting.min_by_key(|row| row.held) else {
                 break;
             };
-            let part = least.wants.min(tokens.div_ceil(2));
-            least.held += part;
-            least.wants -= part;
-            tokens -= part;
+            let amount = least.wanted.min(tokens.div_ceil(2));
+            least.held += amount;
+            least.wanted -= amount;
+            tokens -= amount;
         }
         self.free += tokens;
     }
 
     /// Takes a front's share back: it rests until nothing that was spent of it counts any more.
-    pub fn take_back(&mut self, owner: Owner) {
+    pub fn revoke(&mut self, owner: Owner) {
         let held = self.held(owner);
         self.rows.retain(|row| row.owner != owner);
         if held > 0 {
-            self.next += 1;
-            self.resting.push(Resting {
-                id: self.next,
+            self.last_revoked_id += 1;
+            self.revoked.push(RevokedTokens {
+                id: self.last_revoked_id,
                 held,
             });
         }
     }
 
     /// What has rested is free.
-    pub fn rested(&mut self, done: impl Fn(u64) -> bool) {
-        let (done, rest) = std::mem::take(&mut self.resting)
+    pub fn release_revoked(&mut self, is_done: impl Fn(u64) -> bool) {
+        let (done, kept) = std::mem::take(&mut self.revoked)
             .into_iter()
-            .partition(|r| done(r.id));
-        self.resting = rest;
-        let done: Vec<Resting> = done;
+            .partition(|r| is_done(r.id));
+        self.revoked = kept;
+        let done: Vec<RevokedTokens> = done;
         self.free += done.iter().map(|r| r.held).sum::<u32>();
     }
 
     /// Removes rows that neither hold nor want anything.
-    pub fn tidy(&mut self) {
-        self.rows.retain(|row| row.held > 0 || row.wants > 0);
+    pub fn remove_empty_rows(&mut self) {
+        self.rows.retain(|row| row.held > 0 || row.wanted > 0);
     }
 }
 
--- a/crates/access/src/shares/table_tests.rs
+++ b/crates/access/src/shares/table_tests.rs
@@ -15,14 +15,14 @@
     }))
     .into();
     let mut table = Table::new(&limit);
-    table.row_mut(one).unwrap().held = 10;
+    table.row_or_insert(one).unwrap().held = 10;
     table.free = 0;
-    table.row_mut(other).unwrap().wants = 3;
-    table.give(one, 4);
+    table.row_or_insert(other).unwrap().wanted = 3;
+    table.transfer(one, 4);
     assert_eq!((table.held(one), table.held(other), table.free), (6, 3, 1));
-    table.take_back(one);
+    table.revoke(one);
     assert_eq!(Table::read(&table.bytes(), &limit), Some(table.clone()));
-    table.rested(|_| true);
+    table.release_revoked(|_| true);
     assert_eq!(table.free, 7);
     let more = Table {
         free: 8,
