--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -21,7 +21,7 @@
             let problem = Problem::Shadowed {
                 rule: rule.name.clone(),
                 by: by.name.clone(),
-                line: line(lines, by.file_index),
+                line: rule_line(lines, by.file_index),
             };
             errors.push(at_rule(rule, problem));
         }
@@ -36,18 +36,18 @@
     errors
 }
 
-fn path(rule: &Rule) -> String {
+fn rule_path(rule: &Rule) -> String {
     format!("rules[{}]", rule.file_index)
 }
 
 fn at_rule(rule: &Rule, problem: Problem) -> LocatedProblem {
     LocatedProblem {
-        path: path(rule),
+        path: rule_path(rule),
         problem,
     }
 }
 
-fn line(lines: LineLookup, file_index: usize) -> usize {
+fn rule_line(lines: LineLookup, file_index: usize) -> usize {
     lines(&format!("rules[{file_index}]")).unwrap_or(0)
 }
 
@@ -63,10 +63,10 @@
         if first != rule.file_index {
             let problem = Problem::DuplicateName {
                 rule: rule.name.clone(),
-                line: line(lines, first),
+                line: rule_line(lines, first),
             };
             errors.push(LocatedProblem {
-                path: format!("{}.name", path(rule)),
+                path: format!("{}.name", rule_path(rule)),
                 problem,
             });
         }
@@ -89,7 +89,7 @@
     let workload = known
         .workloads
         .iter()
-        .filter(|workload| is_about(rule, workload))
+        .filter(|workload| applies_to(rule, workload))
         .find(is_barred)?;
     let location = |index: u16| known.locations.get(index as usize).cloned();
     let bound: Vec<String> = known
@@ -105,7 +105,7 @@
     Some(at_rule(rule, problem))
 }
 
-fn is_about(rule: &Rule, workload: &WorkloadLocations) -> bool {
+fn applies_to(rule: &Rule, workload: &WorkloadLocations) -> bool {
     let named = rule.workload.as_ref();
     named.is_none_or(|name| *name == workload.name)
 }
@@ -129,18 +129,18 @@
 }
 
 fn contradictions_of_level(mut level: Vec<&Rule>, lines: LineLookup) -> Vec<LocatedProblem> {
-    level.sort_by_key(|rule| (tables(rule), rule.file_index));
+    level.sort_by_key(|rule| (table_range(rule), rule.file_index));
     let mut errors = Vec::new();
     for (at, rule) in level.iter().enumerate() {
-        let mut meeting = level
+        let mut overlapping = level
             .iter()
             .skip(at + 1)
-            .take_while(|other| tables(other).first <= tables(rule).last);
+            .take_while(|other| table_range(other).first <= table_range(rule).last);
         let contradicts = |other: &&&Rule| {
-            let together = rule.from_ms < other.until_ms && other.from_ms < rule.until_ms;
-            together && !other.has_same_effect(rule)
+            let overlap_in_time = rule.from_ms < other.until_ms && other.from_ms < rule.until_ms;
+            overlap_in_time && !other.has_same_effect(rule)
         };
-        let Some(other) = meeting.find(contradicts) else {
+        let Some(other) = overlapping.find(contradicts) else {
             continue;
         };
         let (rule, other) = if other.file_index < rule.file_index {
@@ -151,7 +151,7 @@
         let problem = Problem::Contradicts {
             rule: rule.name.clone(),
             other: other.name.clone(),
-            line: line(lines, other.file_index),
+            line: rule_line(lines, other.file_index),
         };
         errors.push(at_rule(rule, problem));
     }
@@ -159,7 +159,7 @@
 }
 
 /// The groups of tables that a rule is about.
-fn tables(rule: &Rule) -> TableRange {
+fn table_range(rule: &Rule) -> TableRange {
     rule.tables.unwrap_or(TableRange {
         first: 0,
         last: u32::MAX,
@@ -175,7 +175,7 @@
     if known.covered_customers.is_some() {
         return None; // the customers that no rule can be about may run it
     }
-    for rule in set.rules.iter().filter(|rule| is_about(rule, workload)) {
+    for rule in set.rules.iter().filter(|rule| applies_to(rule, workload)) {
         let for_everybody = rule.customer.is_none()
             && rule.tables.is_none()
             && rule.front.is_none()
--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 /// Errors that are shown; one wrong name may stand in each of many rules.
-const MAX_SHOWN: usize = 100;
+const MAX_SHOWN_ERRORS: usize = 100;
 
 /// What is wrong with a rule or a set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -186,13 +186,13 @@
 
 impl fmt::Display for FileErrors {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        for (at, error) in self.errors.iter().take(MAX_SHOWN).enumerate() {
-            let lead = if at == 0 { "" } else { "\n" };
-            write!(out, "{lead}{}:{error}", self.file)?;
+        for (at, error) in self.errors.iter().take(MAX_SHOWN_ERRORS).enumerate() {
+            let separator = if at == 0 { "" } else { "\n" };
+            write!(out, "{separator}{}:{error}", self.file)?;
         }
-        match self.errors.len().saturating_sub(MAX_SHOWN) {
+        match self.errors.len().saturating_sub(MAX_SHOWN_ERRORS) {
             0 => Ok(()),
-            more => write!(out, "\nand {more} more faults"),
+            hidden => write!(out, "\nand {hidden} more errors"),
         }
     }
 }
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -20,7 +20,7 @@
 const GROUPS_UNKNOWN: &str =
     "the groups of tables that it reads cannot be told, and a rule bars some";
 /// Why a statement is denied by the default.
-const NOT_ALLOWED: &str = "no rule allows it";
+const NO_RULE_ALLOWS: &str = "no rule allows it";
 
 /// A rule set compiled for look-up.
 #[derive(Clone, Debug)]
@@ -28,26 +28,26 @@
     /// The rules it was compiled from.
     pub set: RuleSet,
     /// The numbers of the values that rules name, by field.
-    names: [HashMap<String, u32>; FIELDS],
+    value_numbers: [HashMap<String, u32>; FIELDS],
     /// The rules that decide.
-    decide: Table,
+    deciding_rules: Table,
     /// The rules that only count.
-    count: Table,
+    counting_rules: Table,
 }
 
 impl Index {
     /// Compiles a set. Rules of one customer, workload and front whose table ranges overlap are listed once for
     /// each range of groups that they cover.
     pub fn new(set: RuleSet) -> Index {
-        let mut names: [HashMap<String, u32>; FIELDS] = Default::default();
+        let mut value_numbers: [HashMap<String, u32>; FIELDS] = Default::default();
         let mut deciding: HashMap<FieldNumbers, Vec<u32>> = HashMap::new();
         let mut counting = deciding.clone();
         for (at, rule) in set.rules.iter().enumerate() {
             let mut numbers: FieldNumbers = Default::default();
             for (field, name) in fields(rule).into_iter().enumerate() {
                 if let Some(name) = name {
-                    let next = names[field].len() as u32 + 1;
-                    numbers[field] = *names[field].entry(name.clone()).or_insert(next);
+                    let next = value_numbers[field].len() as u32 + 1;
+                    numbers[field] = *value_numbers[field].entry(name.clone()).or_insert(next);
                 }
             }
             let rules = match rule.effect {
@@ -57,9 +57,9 @@
             rules.entry(numbers).or_default().push(at as u32);
         }
         Index {
-            names,
-            decide: Table::new(&set, deciding),
-            count: Table::new(&set, counting),
+            value_numbers,
+            deciding_rules: Table::new(&set, deciding),
+            counting_rules: Table::new(&set, counting),
             set,
         }
     }
@@ -67,45 +67,48 @@
     /// The rules about a statement.
     pub fn find(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
         let names = [attributes.customer, attributes.workload, attributes.front];
-        let number = |field: usize| self.names[field].get(names[field]).copied();
+        let number = |field: usize| self.value_numbers[field].get(names[field]).copied();
         let numbers = [0, 1, 2].map(number);
-        let first = |table: &Table| self.first_in(table, &numbers, attributes, wall_ms);
+        let first = |table: &Table| self.find_first(table, &numbers, attributes, wall_ms);
         MatchedRules {
-            deciding: first(&self.decide),
-            counting: first(&self.count),
+            deciding: first(&self.deciding_rules),
+            counting: first(&self.counting_rules),
         }
     }
 
     /// The first rule of a table that is about a statement and holds now. `numbers` are those of the statement's
     /// fields, where some rule names them.
-    fn first_in(
+    fn find_first(
         &self,
         table: &Table,
         numbers: &[Option<u32>; FIELDS],
         attributes: &Attributes,
         wall_ms: u64,
     ) -> Option<usize> {
-        let mut least = None::<u32>;
+        let mut first_rule = None::<u32>;
         for mask in &table.masks {
             let key = entry_key(*mask, numbers);
             let Some(cell) = key.and_then(|key| table.cells.get(&key)) else {
                 continue;
             };
-            for list in [Some(&cell.any), about_tables(cell, attributes)]
-                .into_iter()
-                .flatten()
+            for list in [
+                Some(&cell.without_tables),
+                rules_for_tables(cell, attributes),
+            ]
+            .into_iter()
+            .flatten()
             {
                 let found = list
                     .iter()
-                    .take_while(|at| least.is_none_or(|least| **at < least))
+                    .take_while(|at| first_rule.is_none_or(|first_rule| **at < first_rule))
                     .find(|at| {
                         let rule = self.set.rules.get(**at as usize);
                         rule.is_some_and(|rule| rule.applies_at(attributes, wall_ms))
                     });
-                least = found.copied().or(least);
+                first_rule = found.copied().or(first_rule);
             }
         }
-        least.map(|at| at as usize)
+        first_rule.map(|at| at as usize)
     }
 
     /// Judges a statement by all groups of tables that it reads: barred for one is barred for all.
@@ -124,7 +127,7 @@
         };
         let verdicts = groups.iter().map(|group| judge(Some(*group), true));
         verdicts
-            .reduce(Verdict::and)
+            .reduce(Verdict::intersect)
             .unwrap_or_else(|| judge(None, true))
     }
 
@@ -141,7 +144,7 @@
         };
         let Some(rule) = deciding else {
             if self.set.default == DefaultEffect::Deny {
-                verdict.denied = Some(NOT_ALLOWED.to_string());
+                verdict.denied = Some(NO_RULE_ALLOWS.to_string());
             }
             return verdict;
         };
@@ -197,10 +200,10 @@
 }
 
 /// The rules of an entry about the tables that a statement reads.
-fn about_tables<'a>(cell: &'a Cell, attributes: &Attributes) -> Option<&'a Vec<u32>> {
+fn rules_for_tables<'a>(cell: &'a Cell, attributes: &Attributes) -> Option<&'a Vec<u32>> {
     match attributes.group {
-        Some(group) => cell.about(group),
+        Some(group) => cell.rules_for_group(group),
         None if attributes.tables_known => None,
-        None => Some(&cell.narrowing),
+        None => Some(&cell.restrictive),
     }
 }
--- a/crates/access/src/index/compare.rs
+++ b/crates/access/src/index/compare.rs
@@ -6,7 +6,7 @@
 use crate::shares::Limit;
 
 /// Kinds of statements that are compared; it takes some 100 ms.
-const MAX_COMPARED: usize = 200_000;
+const MAX_COMPARED_KINDS: usize = 200_000;
 
 /// One kind of statements at one time.
 struct Kind<'a> {
@@ -45,8 +45,8 @@
             .flat_map(|t| [Some(t.first), t.last.checked_add(1)])
             .flatten()
             .map(Some);
-        let changes = rules().flat_map(|r| [r.from_ms, r.until_ms]);
-        let later = changes.filter(|at| *at > now_ms && *at < u64::MAX);
+        let boundaries = rules().flat_map(|r| [r.from_ms, r.until_ms]);
+        let later = boundaries.filter(|at| *at > now_ms && *at < u64::MAX);
         Kinds {
             customers: names(|r| r.customer.as_ref()),
             workloads: names(|r| r.workload.as_ref()),
@@ -75,12 +75,12 @@
             let workloads = self.workloads.iter();
             workloads.flat_map(move |workload| {
                 let fronts = self.fronts.iter();
-                fronts.flat_map(move |front| self.of_front(customer, workload, front))
+                fronts.flat_map(move |front| self.kinds_for_front(customer, workload, front))
             })
         })
     }
 
-    fn of_front(
+    fn kinds_for_front(
         &self,
         customer: &'a str,
         workload: &'a str,
@@ -116,14 +116,14 @@
     /// the kinds of statements that the two tell apart are few; beyond that it says yes.
     pub fn tightens(&self, before: &Index, known: &KnownNames, now_ms: u64) -> bool {
         let kinds = Kinds::new([&self.set, &before.set], now_ms);
-        if kinds.count().is_none_or(|count| count > MAX_COMPARED) {
+        if kinds.count().is_none_or(|count| count > MAX_COMPARED_KINDS) {
             return true;
         }
         // One place more stands for those that are not known here.
-        let all: Vec<u16> = (0..=known.locations.len() as u16).collect();
+        let all_locations: Vec<u16> = (0..=known.locations.len() as u16).collect();
         let tightens = |kind: Kind| {
-            let new = self.permitted(&kind, &all);
-            let old = before.permitted(&kind, &all);
+            let new = self.permitted(&kind, &all_locations);
+            let old = before.permitted(&kind, &all_locations);
             let is_limited = new.limits.iter().any(|limit| !old.limits.contains(limit));
             let mut locations = old.locations.iter();
             is_limited || locations.any(|location| new.locations.binary_search(location).is_err())
@@ -133,12 +133,12 @@
     }
 
     /// Where statements of a kind may be read, of all places, and within which limits.
-    fn permitted(&self, kind: &Kind, all: &[u16]) -> Permitted {
+    fn permitted(&self, kind: &Kind, all_locations: &[u16]) -> Permitted {
         let verdict = self.judge_group(&kind.attributes, kind.at_ms);
         let limits = self.limits(&verdict);
         let locations = match verdict.denied {
             Some(_) => Vec::new(),
-            None => verdict.allowed.unwrap_or_else(|| all.to_vec()),
+            None => verdict.allowed.unwrap_or_else(|| all_locations.to_vec()),
         };
         Permitted { locations, limits }
     }
--- a/crates/access/src/index/shadow.rs
+++ b/crates/access/src/index/shadow.rs
@@ -9,18 +9,18 @@
     pub fn shadowing_rule(&self, at: usize) -> Option<usize> {
         let rule = self.set.rules.get(at)?;
         let cells = self.wider_cells(rule);
-        let any = cells
+        let covering_rule = cells
             .iter()
-            .find_map(|cell| self.covering(&cell.any, at, rule));
-        if any.is_some() {
-            return any;
+            .find_map(|cell| self.find_covering(&cell.without_tables, at, rule));
+        if covering_rule.is_some() {
+            return covering_rule;
         }
         // Each range of its groups must have one; the ranges of an entry differ from those of another.
         let mut last = None;
         for start in range_starts(&cells, rule.tables?) {
             let covering = cells
                 .iter()
-                .find_map(|cell| self.covering(cell.about(start)?, at, rule));
+                .find_map(|cell| self.find_covering(cell.rules_for_group(start)?, at, rule));
             last = Some(covering?);
         }
         last
@@ -29,18 +29,18 @@
     /// The entries whose rules name no field that this one does not name alike.
     fn wider_cells(&self, rule: &Rule) -> Vec<&Cell> {
         let table = match rule.effect {
-            RuleEffect::Count => &self.count,
-            RuleEffect::Deny { .. } | RuleEffect::Allow { .. } => &self.decide,
+            RuleEffect::Count => &self.counting_rules,
+            RuleEffect::Deny { .. } | RuleEffect::Allow { .. } => &self.deciding_rules,
         };
-        let mut own: FieldNumbers = Default::default();
+        let mut numbers: FieldNumbers = Default::default();
         for (field, name) in fields(rule).into_iter().enumerate() {
-            let number = name.and_then(|name| self.names[field].get(name));
-            own[field] = number.copied().unwrap_or(0);
+            let number = name.and_then(|name| self.value_numbers[field].get(name));
+            numbers[field] = number.copied().unwrap_or(0);
         }
-        let own_mask = mask_of(&own);
-        let wider = table.masks.iter().filter(|mask| **mask & !own_mask == 0);
+        let mask = mask_of(&numbers);
+        let wider = table.masks.iter().filter(|other| **other & !mask == 0);
         let cell = |mask: &u8| {
-            let mut key = own;
+            let mut key = numbers;
             for (field, number) in key.iter_mut().enumerate() {
                 if !names_field(*mask, field) {
                     *number = 0;
@@ -52,7 +52,7 @@
     }
 
     /// A rule of a list that goes before rule `at` and holds whenever that does.
-    fn covering(&self, list: &[u32], at: usize, rule: &Rule) -> Option<usize> {
+    fn find_covering(&self, list: &[u32], at: usize, rule: &Rule) -> Option<usize> {
         let spans = |by: &usize| {
             self.set
                 .rules
--- a/crates/access/src/index/table.rs
+++ b/crates/access/src/index/table.rs
@@ -35,13 +35,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Cell {
     /// Those that name no tables.
-    pub any: Vec<u32>,
+    pub without_tables: Vec<u32>,
     /// Where each range of groups begins.
     pub starts: Vec<u32>,
     /// The rules about each range.
     ranges: Vec<Vec<u32>>,
     /// Those about tables that let less through: they hold where the groups are unknown.
-    pub narrowing: Vec<u32>,
+    pub restrictive: Vec<u32>,
 }
 
 /// Where a rule about tables begins or ends. Of one group, ends sort first.
@@ -60,7 +60,7 @@
         for number in rules {
             let rule = set.rules.get(*number as usize);
             let Some((rule, tables)) = rule.and_then(|rule| Some((rule, rule.tables?))) else {
-                cell.any.push(*number);
+                cell.without_tables.push(*number);
                 continue;
             };
             edges.push(Edge {
@@ -74,12 +74,12 @@
                 rule: *number,
             }));
             if rule.is_restrictive() {
-                cell.narrowing.push(*number);
+                cell.restrictive.push(*number);
             }
         }
         cell.add_ranges(set, edges);
-        cell.any = until_always(set, cell.any.into_iter());
-        cell.narrowing = until_always(set, cell.narrowing.into_iter());
+        cell.without_tables = until_always(set, cell.without_tables.into_iter());
+        cell.restrictive = until_always(set, cell.restrictive.into_iter());
         cell
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// The rules about a group.
-    pub fn about(&self, group: u32) -> Option<&Vec<u32>> {
+    pub fn rules_for_group(&self, group: u32) -> Option<&Vec<u32>> {
         let after = self.starts.partition_point(|start| *start <= group);
         self.ranges.get(after.checked_sub(1)?)
     }
--- a/crates/access/src/index/verdict.rs
+++ b/crates/access/src/index/verdict.rs
@@ -1,7 +1,8 @@
 //! What holds for a statement, also where it reads several groups of tables.
 
 /// Why a statement is denied whose groups have no place in common.
-const NOWHERE: &str = "the groups of tables that it reads may be read together in no region";
+const NO_COMMON_LOCATION: &str =
+    "the groups of tables that it reads may be read together in no region";
 
 /// What holds for a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,23 +25,23 @@
     /// Whether the statement may be read at a location. `None` stands for a location that is not known, which is
     /// allowed only where all are.
     pub fn allows(&self, location: Option<u16>) -> bool {
-        let named =
+        let is_named =
             |all: &Vec<u16>| location.is_some_and(|location| all.binary_search(&location).is_ok());
-        self.denied.is_none() && self.allowed.as_ref().is_none_or(named)
+        self.denied.is_none() && self.allowed.as_ref().is_none_or(is_named)
     }
 }
 
 impl Verdict {
     /// What holds for a statement about which two verdicts hold.
-    pub(super) fn and(self, other: Verdict) -> Verdict {
+    pub(super) fn intersect(self, other: Verdict) -> Verdict {
         // The rule that stands first is the one that decided, a denial before all.
-        let order = |v: &Verdict| (v.denied.is_none(), v.rule.is_none(), v.rule);
+        let precedence = |v: &Verdict| (v.denied.is_none(), v.rule.is_none(), v.rule);
         let counting_rule = self
             .counting_rule
             .into_iter()
             .chain(other.counting_rule)
             .min();
-        let (mut verdict, other) = if order(&self) <= order(&other) {
+        let (mut verdict, other) = if precedence(&self) <= precedence(&other) {
             (self, other)
         } else {
             (other, self)
@@ -60,7 +61,7 @@
             (one, other) => one.or(other),
         };
         if verdict.allowed.as_ref().is_some_and(Vec::is_empty) {
-            verdict.denied = Some(NOWHERE.to_string());
+            verdict.denied = Some(NO_COMMON_LOCATION.to_string());
         }
         verdict
     }
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -50,7 +50,7 @@
         known,
         errors: Vec::new(),
     };
-    let command = reader.file(text);
+    let command = reader.read_file(text);
     let mut errors = reader.errors;
     if errors.is_empty() {
         if let Some(RulesCommand::Replace(set) | RulesCommand::WhatIf(set)) = &command {
--- a/crates/access/src/read/file.rs
+++ b/crates/access/src/read/file.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value};
 
-use super::reader::{whole, Reader};
+use super::reader::{read_unsigned, Reader};
 use super::RulesCommand;
 use crate::error::Problem;
 use crate::rule::{DefaultEffect, Rule, RuleSet};
@@ -17,16 +17,16 @@
 
 impl Reader<'_> {
     /// None where the text can't be used; the reader then has the errors.
-    pub fn file(&mut self, text: &str) -> Option<RulesCommand> {
+    pub fn read_file(&mut self, text: &str) -> Option<RulesCommand> {
         let value: Value = match json5::from_str(text) {
             Ok(value) => value,
-            Err(e) => return self.problem("", Problem::Syntax(e.to_string())),
+            Err(e) => return self.fail("", Problem::Syntax(e.to_string())),
         };
         let Value::Object(file) = value else {
             let needs = "object of version and rules";
-            return self.problem("", Problem::WrongType { needs });
+            return self.fail("", Problem::WrongType { needs });
         };
-        self.keys("", &file, KEYS);
+        self.check_keys("", &file, KEYS);
         let version = self.version(&file);
         if let Some(to) = file.get("roll_back_to") {
             return self.roll_back(&file, version, to);
@@ -46,12 +46,12 @@
     fn version(&mut self, file: &Map<String, Value>) -> Option<u64> {
         let Some(value) = file.get("version") else {
             let needs = "a whole number that grows with each change";
-            return self.problem("version", Problem::Missing { needs });
+            return self.fail("version", Problem::Missing { needs });
         };
         let needs = "whole number from 1";
-        whole(value)
+        read_unsigned(value)
             .filter(|version| *version > 0)
-            .or_else(|| self.problem("version", Problem::WrongType { needs }))
+            .or_else(|| self.fail("version", Problem::WrongType { needs }))
     }
 
     fn roll_back(
@@ -65,8 +65,8 @@
             self.report(key.to_string(), Problem::UnknownKey { known });
         }
         let needs = "version";
-        let to =
-            whole(to).or_else(|| self.problem("roll_back_to", Problem::WrongType { needs }))?;
+        let to = read_unsigned(to)
+            .or_else(|| self.fail("roll_back_to", Problem::WrongType { needs }))?;
         Some(RulesCommand::RollBack {
             version: version?,
             to,
@@ -76,12 +76,12 @@
     fn default_effect(&mut self, file: &Map<String, Value>) -> Option<DefaultEffect> {
         let needs = "'allow' or 'deny'";
         let Some(value) = file.get("default") else {
-            return self.problem("default", Problem::Missing { needs });
+            return self.fail("default", Problem::Missing { needs });
         };
         match value.as_str() {
             Some("allow") => Some(DefaultEffect::Allow),
             Some("deny") => Some(DefaultEffect::Deny),
-            _ => self.problem("default", Problem::WrongType { needs }),
+            _ => self.fail("default", Problem::WrongType { needs }),
         }
     }
 
@@ -90,11 +90,11 @@
             Some(Value::Array(rules)) => rules,
             None => {
                 let needs = "a list of rules, which may be empty";
-                return self.problem("rules", Problem::Missing { needs });
+                return self.fail("rules", Problem::Missing { needs });
             }
             _ => {
                 let needs = "list of rules";
-                return self.problem("rules", Problem::WrongType { needs });
+                return self.fail("rules", Problem::WrongType { needs });
             }
         };
         if rules.len() > MAX_RULES {
@@ -102,7 +102,7 @@
                 count: rules.len(),
                 max: MAX_RULES,
             };
-            return self.problem("rules", problem);
+            return self.fail("rules", problem);
         }
         Some(rules)
     }
@@ -115,14 +115,14 @@
         let needs = "true or false";
         value
             .as_bool()
-            .or_else(|| self.problem("what_if", Problem::WrongType { needs }))
+            .or_else(|| self.fail("what_if", Problem::WrongType { needs }))
     }
 
     /// The rules of the list; None where one is faulty. All are read, so that all errors are known.
     fn rules(&mut self, list: &[Value]) -> Option<Vec<Rule>> {
         let mut all = Some(Vec::new());
         for (at, value) in list.iter().enumerate() {
-            match (self.rule(at, value), &mut all) {
+            match (self.read_rule(at, value), &mut all) {
                 (Some(rules), Some(all)) => all.extend(rules),
                 (_, all) => *all = None,
             }
--- a/crates/access/src/read/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -5,16 +5,16 @@
 
 use serde_json::{Map, Value};
 
-use super::reader::{whole, Reader};
-use super::rule::shape;
+use super::reader::{read_unsigned, Reader};
+use super::rule::conflicting_keys;
 use crate::error::Problem;
 use crate::rule::{Rule, RuleEffect};
 
 const KEYS: &str = "from, to, at, overlap_ms";
 /// Keys of a rule that say where or when; a move does so itself.
-const OTHER_KEYS: [&str; 6] = ["regions", "barred", "then", "reason", "from", "until"];
+const EXCLUDED_KEYS: [&str; 6] = ["regions", "barred", "then", "reason", "from", "until"];
 /// Milliseconds for which the tables may lie at both regions; at most a year.
-const OVERLAP_MS: RangeInclusive<u64> = 1..=366 * 86_400_000;
+const OVERLAP_RANGE_MS: RangeInclusive<u64> = 1..=366 * 86_400_000;
 
 /// The move of a group of tables. Regions are places, ascending.
 pub(super) struct Move {
@@ -52,40 +52,45 @@
 
 impl Reader<'_> {
     /// The move of a rule; None where it is faulty.
-    pub fn moves(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<Move> {
-        if OTHER_KEYS.iter().any(|key| r.contains_key(*key)) {
+    pub fn read_move(
+        &mut self,
+        path: &str,
+        fields: &Map<String, Value>,
+        name: &str,
+    ) -> Option<Move> {
+        if EXCLUDED_KEYS.iter().any(|key| fields.contains_key(*key)) {
             let why = "moves, and says otherwise where or when too";
             let remedy = "take out `regions`, `barred`, `then`, `reason`, `from` and `until`";
-            return self.problem(path, shape(name, why, remedy));
+            return self.fail(path, conflicting_keys(name, why, remedy));
         }
-        if !r.contains_key("tables") {
+        if !fields.contains_key("tables") {
             let why = "moves, but names no tables";
             let remedy = "name the group of tables that moves";
-            return self.problem(path, shape(name, why, remedy));
+            return self.fail(path, conflicting_keys(name, why, remedy));
         }
         let path = &format!("{path}.moves");
-        let Some(Value::Object(moves)) = r.get("moves") else {
+        let Some(Value::Object(moves)) = fields.get("moves") else {
             let needs = "object of from, to, at and overlap_ms";
-            return self.problem(path, Problem::WrongType { needs });
+            return self.fail(path, Problem::WrongType { needs });
         };
-        self.keys(path, moves, KEYS);
+        self.check_keys(path, moves, KEYS);
         if let Some(missing) = KEYS.split(", ").find(|key| !moves.contains_key(*key)) {
             let needs =
                 "from which region to which, when, and for how many milliseconds it lies at both";
-            return self.problem(&format!("{path}.{missing}"), Problem::Missing { needs });
+            return self.fail(&format!("{path}.{missing}"), Problem::Missing { needs });
         }
         let from = self.region(path, moves, "from");
         let to = self.region(path, moves, "to");
         let at_ms = self.time(path, moves, "at");
-        let overlap = moves.get("overlap_ms").and_then(whole);
-        let Some(overlap_ms) = overlap.filter(|ms| OVERLAP_MS.contains(ms)) else {
+        let overlap = moves.get("overlap_ms").and_then(read_unsigned);
+        let Some(overlap_ms) = overlap.filter(|ms| OVERLAP_RANGE_MS.contains(ms)) else {
             let needs = "whole number of milliseconds from 1 to 31622400000";
-            return self.problem(&format!("{path}.overlap_ms"), Problem::WrongType { needs });
+            return self.fail(&format!("{path}.overlap_ms"), Problem::WrongType { needs });
         };
         let (from, to, at_ms) = (from?, to?, at_ms?);
         if at_ms == 0 {
             let needs = "time after 1970";
-            return self.problem(&format!("{path}.at"), Problem::WrongType { needs });
+            return self.fail(&format!("{path}.at"), Problem::WrongType { needs });
         }
         Some(Move {
             from,
@@ -96,10 +101,10 @@
     }
 
     fn region(&mut self, path: &str, moves: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
-        let name = self.text(path, moves, key)?;
+        let name = self.read_text(path, moves, key)?;
         let Some(mut locations) = self.known.region_locations(&name) else {
             let problem = self.unknown_region(&name);
-            return self.problem(&format!("{path}.{key}"), problem);
+            return self.fail(&format!("{path}.{key}"), problem);
         };
         locations.sort_unstable();
         Some(locations)
--- a/crates/access/src/read/reader.rs
+++ b/crates/access/src/read/reader.rs
@@ -13,7 +13,7 @@
 
 impl Reader<'_> {
     /// Reports an error; None stands for the value that could not be read.
-    pub fn problem<T>(&mut self, path: &str, problem: Problem) -> Option<T> {
+    pub fn fail<T>(&mut self, path: &str, problem: Problem) -> Option<T> {
         self.report(path.to_string(), problem);
         None
     }
@@ -24,7 +24,7 @@
     }
 
     /// Reports the keys of an object that are not among the known ones, which commas separate.
-    pub fn keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
+    pub fn check_keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
         for key in object
             .keys()
             .filter(|key| !known.split(", ").any(|k| k == *key))
@@ -39,10 +39,15 @@
     }
 
     /// A text that is not empty; None where there is none.
-    pub fn text(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<String> {
+    pub fn read_text(
+        &mut self,
+        path: &str,
+        object: &Map<String, Value>,
+        key: &str,
+    ) -> Option<String> {
         match object.get(key)? {
             Value::String(text) if !text.is_empty() => Some(text.clone()),
-            _ => self.problem(
+            _ => self.fail(
                 &format!("{path}.{key}"),
                 Problem::WrongType { needs: "text" },
             ),
@@ -50,7 +55,7 @@
     }
 
     /// A name out of a list; where the list is empty any will do.
-    pub fn name(
+    pub fn read_name(
         &mut self,
         path: &str,
         object: &Map<String, Value>,
@@ -58,11 +63,11 @@
         list: &'static str,
         known: Vec<String>,
     ) -> Option<String> {
-        let name = self.text(path, object, key)?;
+        let name = self.read_text(path, object, key)?;
         if known.is_empty() || known.contains(&name) {
             return Some(name);
         }
-        self.problem(
+        self.fail(
             &format!("{path}.{key}"),
             Problem::UnknownName {
                 name,
@@ -74,17 +79,17 @@
 }
 
 /// Numbers below this have no gaps between whole ones.
-const MAX_WHOLE: f64 = 9e15;
+const MAX_EXACT_INTEGER: f64 = 9e15;
 
 /// A whole number. JSON5 has one kind of number; whole ones may be written with a point.
-pub(super) fn number(value: &Value) -> Option<i64> {
-    let is_whole = |number: &f64| number.fract() == 0.0 && number.abs() < MAX_WHOLE;
+pub(super) fn read_integer(value: &Value) -> Option<i64> {
+    let is_whole = |number: &f64| number.fract() == 0.0 && number.abs() < MAX_EXACT_INTEGER;
     value
         .as_i64()
         .or_else(|| value.as_f64().filter(is_whole).map(|number| number as i64))
 }
 
 /// A whole number that is not negative.
-pub(super) fn whole(value: &Value) -> Option<u64> {
-    number(value).and_then(|n| u64::try_from(n).ok())
+pub(super) fn read_unsigned(value: &Value) -> Option<u64> {
+    read_integer(value).and_then(|n| u64::try_from(n).ok())
 }
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 
-use super::reader::{number, whole, Reader};
+use super::reader::{read_integer, read_unsigned, Reader};
 use crate::error::Problem;
 use crate::rule::{RateLimit, Rule, RuleEffect, TableRange};
 use crate::Micros;
@@ -13,34 +13,36 @@
     "name, customer, workload, tables, front, regions, barred, then, reason, at_most, in_ms, moves, \
      priority, from, until";
 /// Statements that a limit may allow in its window; each takes some 8 bytes.
-const AT_MOST: RangeInclusive<u64> = 1..=100_000;
+const MAX_STATEMENTS_RANGE: RangeInclusive<u64> = 1..=100_000;
 /// Milliseconds of a limit's window.
-const WINDOW_MS: RangeInclusive<u64> = 1_000..=86_400_000;
+const WINDOW_RANGE_MS: RangeInclusive<u64> = 1_000..=86_400_000;
 
 impl Reader<'_> {
     /// The rules that an entry of the list stands for: one, or three for one that moves. `None` where it is faulty.
-    pub(super) fn rule(&mut self, file_index: usize, value: &Value) -> Option<Vec<Rule>> {
+    pub(super) fn read_rule(&mut self, file_index: usize, value: &Value) -> Option<Vec<Rule>> {
         let path = &format!("rules[{file_index}]");
-        let Value::Object(r) = value else {
-            return self.problem(path, Problem::WrongType { needs: "rule" });
+        let Value::Object(fields) = value else {
+            return self.fail(path, Problem::WrongType { needs: "rule" });
         };
         let before = self.errors.len();
-        self.keys(path, r, RULE_KEYS);
-        let name = self.rule_name(path, r);
+        self.check_keys(path, fields, RULE_KEYS);
+        let name = self.rule_name(path, fields);
         let known = self.known;
-        let customer = self.customer(path, r, &name);
+        let customer = self.customer(path, fields, &name);
         let workloads = known.workloads.iter().map(|w| w.name.clone()).collect();
-        let workload = self.name(path, r, "workload", "settings' workloads", workloads);
-        let front = self.name(path, r, "front", "regions", known.region_names());
-        let tables = r.get("tables").and_then(|t| self.tables(path, t));
-        let priority = self.priority(path, r);
-        let (from_ms, until_ms) = self.period(path, r, &name);
-        let moved = r.contains_key("moves").then(|| self.moves(path, r, &name));
+        let workload = self.read_name(path, fields, "workload", "settings' workloads", workloads);
+        let front = self.read_name(path, fields, "front", "regions", known.region_names());
+        let tables = fields.get("tables").and_then(|t| self.tables(path, t));
+        let priority = self.priority(path, fields);
+        let (from_ms, until_ms) = self.period(path, fields, &name);
+        let moved = fields
+            .contains_key("moves")
+            .then(|| self.read_move(path, fields, &name));
         let effect = match &moved {
             Some(_) => Some(RuleEffect::Allow { locations: None }),
-            None => self.effect(path, r, &name),
+            None => self.effect(path, fields, &name),
         };
-        let limit = self.limit_of(path, r, &name, effect.as_ref());
+        let limit = self.limit_if_allowing(path, fields, &name, effect.as_ref());
         let rule = Rule {
             name,
             customer,
@@ -62,20 +64,20 @@
         (self.errors.len() == before).then_some(rules)
     }
 
-    fn rule_name(&mut self, path: &str, r: &Map<String, Value>) -> String {
-        if !r.contains_key("name") {
+    fn rule_name(&mut self, path: &str, fields: &Map<String, Value>) -> String {
+        if !fields.contains_key("name") {
             let needs = "a name that the log and the counts can give it";
             self.report(path.to_string(), Problem::Missing { needs });
             return String::new();
         }
-        self.text(path, r, "name").unwrap_or_default()
+        self.read_text(path, fields, "name").unwrap_or_default()
     }
 
-    fn customer(&mut self, path: &str, r: &Map<String, Value>, rule: &str) -> Option<String> {
+    fn customer(&mut self, path: &str, fields: &Map<String, Value>, rule: &str) -> Option<String> {
         let known = self.known;
-        let customer = self.name(
+        let customer = self.read_name(
             path,
-            r,
+            fields,
             "customer",
             "settings' customers",
             known.customers.clone(),
@@ -93,11 +95,11 @@
         customer
     }
 
-    fn priority(&mut self, path: &str, r: &Map<String, Value>) -> i32 {
-        let Some(value) = r.get("priority") else {
+    fn priority(&mut self, path: &str, fields: &Map<String, Value>) -> i32 {
+        let Some(value) = fields.get("priority") else {
             return 0;
         };
-        let priority = number(value).and_then(|number| i32::try_from(number).ok());
+        let priority = read_integer(value).and_then(|number| i32::try_from(number).ok());
         if priority.is_none() {
             let needs = "whole number";
             self.report(format!("{path}.priority"), Problem::WrongType { needs });
@@ -106,37 +108,40 @@
     }
 
     /// From when and until when it holds, in Unix milliseconds.
-    fn period(&mut self, path: &str, r: &Map<String, Value>, rule: &str) -> (u64, u64) {
-        let from_ms = self.time(path, r, "from").unwrap_or(0);
-        let until_ms = self.time(path, r, "until").unwrap_or(u64::MAX);
+    fn period(&mut self, path: &str, fields: &Map<String, Value>, rule: &str) -> (u64, u64) {
+        let from_ms = self.time(path, fields, "from").unwrap_or(0);
+        let until_ms = self.time(path, fields, "until").unwrap_or(u64::MAX);
         if from_ms >= until_ms {
             let why = "ends before it begins";
             let remedy = "give `until` a time after `from`";
-            self.report(format!("{path}.until"), shape(rule, why, remedy));
+            self.report(format!("{path}.until"), conflicting_keys(rule, why, remedy));
         }
         (from_ms, until_ms)
     }
 
     /// Its limit; only a rule that allows may have one.
-    fn limit_of(
+    fn limit_if_allowing(
         &mut self,
         path: &str,
-        r: &Map<String, Value>,
+        fields: &Map<String, Value>,
         rule: &str,
         effect: Option<&RuleEffect>,
     ) -> Option<RateLimit> {
-        let limit = self.limit(path, r, rule);
+        let limit = self.limit(path, fields, rule);
         let allows = effect.is_none_or(|effect| matches!(effect, RuleEffect::Allow { .. }));
         if limit.is_some() && !allows {
             let why = "has a limit though it does not allow";
             let remedy = "take out `at_most` and `in_ms`, or say then: 'allow'";
-            self.report(format!("{path}.at_most"), shape(rule, why, remedy));
+            self.report(
+                format!("{path}.at_most"),
+                conflicting_keys(rule, why, remedy),
+            );
         }
         limit
     }
 
     fn tables(&mut self, path: &str, value: &Value) -> Option<TableRange> {
-        let group = |v: &Value| whole(v).and_then(|v| u32::try_from(v).ok());
+        let group = |v: &Value| read_unsigned(v).and_then(|v| u32::try_from(v).ok());
         let range = |first, last| (first <= last).then_some(TableRange { first, last });
         let tables = match value {
             Value::Array(ends) => match ends.as_slice() {
@@ -148,25 +153,26 @@
             one => group(one).and_then(|one| range(one, one)),
         };
         let needs = "number of a group of tables, nor [first, last]";
-        tables.or_else(|| self.problem(&format!("{path}.tables"), Problem::WrongType { needs }))
+        tables.or_else(|| self.fail(&format!("{path}.tables"), Problem::WrongType { needs }))
     }
 
-    fn limit(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RateLimit> {
-        let (max_statements, window) = (r.get("at_most"), r.get("in_ms"));
+    fn limit(&mut self, path: &str, fields: &Map<String, Value>, name: &str) -> Option<RateLimit> {
+        let (max_statements, window) = (fields.get("at_most"), fields.get("in_ms"));
         if max_statements.is_some() != window.is_some() {
             let why = "has one of `at_most` and `in_ms`";
             let remedy = "give both: so many statements, in a window of so many milliseconds";
-            return self.problem(path, shape(name, why, remedy));
+            return self.fail(path, conflicting_keys(name, why, remedy));
         }
-        let Some(max_statements) =
-            whole(max_statements?).filter(|max_statements| AT_MOST.contains(max_statements))
+        let Some(max_statements) = read_unsigned(max_statements?)
+            .filter(|max_statements| MAX_STATEMENTS_RANGE.contains(max_statements))
         else {
             let needs = "whole number from 1 to 100000";
-            return self.problem(&format!("{path}.at_most"), Problem::WrongType { needs });
+            return self.fail(&format!("{path}.at_most"), Problem::WrongType { needs });
         };
-        let Some(window_ms) = whole(window?).filter(|ms| WINDOW_MS.contains(ms)) else {
+        let Some(window_ms) = read_unsigned(window?).filter(|ms| WINDOW_RANGE_MS.contains(ms))
+        else {
             let needs = "whole number of milliseconds from 1000 to 86400000";
-            return self.problem(&format!("{path}.in_ms"), Problem::WrongType { needs });
+            return self.fail(&format!("{path}.in_ms"), Problem::WrongType { needs });
         };
         Some(RateLimit {
             max_statements: max_statements as u32,
@@ -176,52 +182,60 @@
 
     /// A time in Unix milliseconds.
     pub fn time(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<u64> {
-        let text = self.text(path, object, key)?;
+        let text = self.read_text(path, object, key)?;
         let time = text
             .parse::<jiff::Timestamp>()
             .ok()
             .and_then(|t| u64::try_from(t.as_millisecond()).ok());
         let needs = "time by RFC 3339, such as '2026-12-01T06:00:00Z'";
-        time.or_else(|| self.problem(&format!("{path}.{key}"), Problem::WrongType { needs }))
+        time.or_else(|| self.fail(&format!("{path}.{key}"), Problem::WrongType { needs }))
     }
 
-    fn effect(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RuleEffect> {
-        let reason = self.text(path, r, "reason");
-        let regions = self.regions(path, r, "regions");
-        let barred = self.regions(path, r, "barred");
-        let word = match r.get("then") {
+    fn effect(
+        &mut self,
+        path: &str,
+        fields: &Map<String, Value>,
+        name: &str,
+    ) -> Option<RuleEffect> {
+        let reason = self.read_text(path, fields, "reason");
+        let regions = self.regions(path, fields, "regions");
+        let barred = self.regions(path, fields, "barred");
+        let keyword = match fields.get("then") {
             None => "allow",
-            Some(word) => word.as_str().unwrap_or_default(),
+            Some(keyword) => keyword.as_str().unwrap_or_default(),
         };
-        if reason.is_some() && word != "deny" {
+        if reason.is_some() && keyword != "deny" {
             let why = "gives a reason though it does not deny";
             let remedy = "take out `reason`, or say then: 'deny'";
-            self.report(format!("{path}.reason"), shape(name, why, remedy));
+            self.report(
+                format!("{path}.reason"),
+                conflicting_keys(name, why, remedy),
+            );
         }
-        let names_regions = r.contains_key("regions") || r.contains_key("barred");
-        match word {
+        let names_regions = fields.contains_key("regions") || fields.contains_key("barred");
+        match keyword {
             "deny" | "count" if names_regions => {
                 let why = "names regions though it does not allow";
                 let remedy = "take out `regions` and `barred`, or say then: 'allow'";
-                self.problem(path, shape(name, why, remedy))
+                self.fail(path, conflicting_keys(name, why, remedy))
             }
             "deny" => {
                 let Some(reason) = reason else {
                     let why = "denies without a reason";
                     let remedy = "give it `reason`, for the log";
-                    return self.problem(path, shape(name, why, remedy));
+                    return self.fail(path, conflicting_keys(name, why, remedy));
                 };
                 Some(RuleEffect::Deny { reason })
             }
             "count" => Some(RuleEffect::Count),
-            "allow" if r.contains_key("regions") && r.contains_key("barred") => {
+            "allow" if fields.contains_key("regions") && fields.contains_key("barred") => {
                 let why = "has both `regions` and `barred`";
-                self.problem(path, shape(name, why, "give one of them"))
+                self.fail(path, conflicting_keys(name, why, "give one of them"))
             }
-            "allow" => self.allow(r, regions, barred),
+            "allow" => self.allow(fields, regions, barred),
             _ => {
                 let needs = "'allow', 'deny' or 'count'";
-                self.problem(&format!("{path}.then"), Problem::WrongType { needs })
+                self.fail(&format!("{path}.then"), Problem::WrongType { needs })
             }
         }
     }
@@ -229,14 +243,14 @@
     /// Allows the regions named, or all but those barred; None where those are faulty.
     fn allow(
         &self,
-        r: &Map<String, Value>,
+        fields: &Map<String, Value>,
         regions: Option<Vec<u16>>,
         barred: Option<Vec<u16>>,
     ) -> Option<RuleEffect> {
         let mut locations = None;
-        if r.contains_key("regions") {
+        if fields.contains_key("regions") {
             locations = Some(regions?);
-        } else if r.contains_key("barred") {
+        } else if fields.contains_key("barred") {
             let barred = barred?;
             let all = 0..self.known.locations.len() as u16;
             locations = Some(all.filter(|location| !barred.contains(location)).collect());
@@ -245,10 +259,15 @@
     }
 
     /// The places of a list of regions, ascending.
-    pub fn regions(&mut self, path: &str, r: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
-        let Value::Array(names) = r.get(key)? else {
+    pub fn regions(
+        &mut self,
+        path: &str,
+        fields: &Map<String, Value>,
+        key: &str,
+    ) -> Option<Vec<u16>> {
+        let Value::Array(names) = fields.get(key)? else {
             let needs = "list of regions";
-            return self.problem(&format!("{path}.{key}"), Problem::WrongType { needs });
+            return self.fail(&format!("{path}.{key}"), Problem::WrongType { needs });
         };
         let mut locations = Vec::new();
         for (at, name) in names.iter().enumerate() {
@@ -278,7 +297,7 @@
 }
 
 /// The error for keys that don't go together.
-pub(super) fn shape(rule: &str, why: &'static str, remedy: &'static str) -> Problem {
+pub(super) fn conflicting_keys(rule: &str, why: &'static str, remedy: &'static str) -> Problem {
     Problem::ConflictingKeys {
         rule: rule.to_string(),
         why,
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -11,7 +11,7 @@
 /// Kinds of statements, some 250 bytes each.
 const MAX_KINDS: usize = 4_096;
 /// Parts into which the time looked back at is cut.
-const PARTS: usize = 24;
+const SLOTS: usize = 24;
 
 /// What a set says of a statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -59,65 +59,65 @@
 
 /// What was asked of one front over a sliding window of time, counted by kind.
 pub struct Record {
-    part: Micros,
-    begun: Option<Micros>,
+    slot_length: Micros,
+    started_at: Option<Micros>,
     /// The part that is being filled, since the clock began.
-    at: Micros,
-    kinds: HashMap<Request, [u32; PARTS]>,
-    unknown: [u64; PARTS],
+    current_slot: Micros,
+    counts_by_request: HashMap<Request, [u32; SLOTS]>,
+    unrecorded: [u64; SLOTS],
 }
 
 impl Record {
     /// Of the last so many microseconds; 0: of nothing.
-    pub fn new(back: Micros) -> Record {
-        let part = back / PARTS as Micros;
+    pub fn new(window: Micros) -> Record {
+        let slot_length = window / SLOTS as Micros;
         Record {
-            part,
-            begun: None,
-            at: 0,
-            kinds: HashMap::new(),
-            unknown: [0; PARTS],
+            slot_length,
+            started_at: None,
+            current_slot: 0,
+            counts_by_request: HashMap::new(),
+            unrecorded: [0; SLOTS],
         }
     }
 
     /// Goes on to a time: what is older than the record goes back is forgotten.
     fn advance(&mut self, now: Micros) -> usize {
-        let part = now.div_euclid(self.part);
-        let passed = if self.begun.is_none() {
+        let slot = now.div_euclid(self.slot_length);
+        let elapsed = if self.started_at.is_none() {
             0
         } else {
-            (part - self.at).clamp(0, PARTS as Micros)
+            (slot - self.current_slot).clamp(0, SLOTS as Micros)
         };
-        for gone in 0..passed {
-            let slot = (part - gone).rem_euclid(PARTS as Micros) as usize;
-            for counts in self.kinds.values_mut() {
+        for age in 0..elapsed {
+            let slot = (slot - age).rem_euclid(SLOTS as Micros) as usize;
+            for counts in self.counts_by_request.values_mut() {
                 counts[slot] = 0;
             }
-            self.unknown[slot] = 0;
+            self.unrecorded[slot] = 0;
         }
-        if passed > 0 {
-            self.kinds
+        if elapsed > 0 {
+            self.counts_by_request
                 .retain(|_, counts| counts.iter().any(|count| *count > 0));
         }
-        self.at = self.at.max(part);
-        self.begun.get_or_insert(now);
-        part.rem_euclid(PARTS as Micros) as usize
+        self.current_slot = self.current_slot.max(slot);
+        self.started_at.get_or_insert(now);
+        slot.rem_euclid(SLOTS as Micros) as usize
     }
 
     /// Counts one statement.
     pub fn add(&mut self, now: Micros, request: &Request) {
-        if self.part <= 0 {
+        if self.slot_length <= 0 {
             return;
         }
         let slot = self.advance(now);
-        if !self.kinds.contains_key(request) {
-            if self.kinds.len() >= MAX_KINDS {
-                self.unknown[slot] += 1;
+        if !self.counts_by_request.contains_key(request) {
+            if self.counts_by_request.len() >= MAX_KINDS {
+                self.unrecorded[slot] += 1;
                 return;
             }
-            self.kinds.insert(request.clone(), [0; PARTS]);
+            self.counts_by_request.insert(request.clone(), [0; SLOTS]);
         }
-        if let Some(counts) = self.kinds.get_mut(request) {
+        if let Some(counts) = self.counts_by_request.get_mut(request) {
             counts[slot] = counts[slot].saturating_add(1);
         }
     }
@@ -128,26 +128,29 @@
         at: Moment,
         region: &str,
         held: &Index,
-        other: &Index,
+        proposed_rules: &Index,
         known: &crate::KnownNames,
     ) -> WhatIfReport {
         let mut report = WhatIfReport {
             held_version: held.set.version,
-            proposed_version: other.set.version,
+            proposed_version: proposed_rules.set.version,
             ..WhatIfReport::default()
         };
-        if self.part <= 0 {
+        if self.slot_length <= 0 {
             return report;
         }
         self.advance(at.steady);
-        let back = self.begun.map_or(0, |begun| at.steady - begun);
-        report.covered_time = back.min(self.part * PARTS as Micros);
-        report.unrecorded = self.unknown.iter().sum();
-        for (request, counts) in &self.kinds {
+        let covered_time = self
+            .started_at
+            .map_or(0, |started_at| at.steady - started_at);
+        report.covered_time = covered_time.min(self.slot_length * SLOTS as Micros);
+        report.unrecorded = self.unrecorded.iter().sum();
+        for (request, counts) in &self.counts_by_request {
             let count = counts.iter().map(|count| u64::from(*count)).sum::<u64>();
             report.statements += count;
-            let by = |index: &Index| decided(index, known, region, request, at.wall_ms);
-            let (current, proposed) = (by(held), by(other));
+            let permission_under =
+                |index: &Index| permission(index, known, region, request, at.wall_ms);
+            let (current, proposed) = (permission_under(held), permission_under(proposed_rules));
             if current != proposed {
                 let (customer, workload) = (request.customer.clone(), request.workload.clone());
                 *report
@@ -165,7 +168,7 @@
     }
 }
 
-fn decided(
+fn permission(
     index: &Index,
     known: &crate::KnownNames,
     region: &str,
--- a/crates/access/src/record_tests.rs
+++ b/crates/access/src/record_tests.rs
@@ -17,8 +17,8 @@
             steady: now,
             wall_ms: 0,
         };
-        let found = record.compare(at, "eu", &index, &index, &KnownNames::default());
-        (found.statements, found.unrecorded, found.covered_time)
+        let report = record.compare(at, "eu", &index, &index, &KnownNames::default());
+        (report.statements, report.unrecorded, report.covered_time)
     };
     (0..MAX_KINDS + 10).for_each(|n| record.add(500_000, &request(n)));
     record.add(20_000_000, &request(0));
@@ -27,7 +27,7 @@
         (MAX_KINDS as u64 + 1, 10, 19_500_000)
     );
     assert_eq!(counts(&mut record, 24_100_000), (1, 0, 23_600_000));
-    assert_eq!(record.kinds.len(), 1);
+    assert_eq!(record.counts_by_request.len(), 1);
     assert_eq!(counts(&mut record, 90_000_000), (0, 0, 24_000_000));
     let mut off = Record::new(0);
     off.add(1, &request(0));
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -171,11 +171,11 @@
     /// Whether it is about a statement. Where the groups of tables are unknown, a rule about tables that lets
     /// less through is about it, and one that lets more through is not.
     pub fn matches(&self, attributes: &Attributes) -> bool {
-        let named =
-            |field: &Option<String>, asked: &str| field.as_ref().is_none_or(|name| name == asked);
-        named(&self.customer, attributes.customer)
-            && named(&self.workload, attributes.workload)
-            && named(&self.front, attributes.front)
+        let matches_field =
+            |field: &Option<String>, value: &str| field.as_ref().is_none_or(|name| name == value);
+        matches_field(&self.customer, attributes.customer)
+            && matches_field(&self.workload, attributes.workload)
+            && matches_field(&self.front, attributes.front)
             && self.tables.is_none_or(|t| match attributes.group {
                 Some(group) => t.contains(group),
                 None => !attributes.tables_known && self.is_restrictive(),
@@ -205,7 +205,7 @@
     pub fn has_same_effect(&self, other: &Rule) -> bool {
         match (&self.effect, &other.effect) {
             (RuleEffect::Deny { .. }, RuleEffect::Deny { .. }) => true,
-            (ours, theirs) => ours == theirs && self.limit == other.limit,
+            (own_effect, other_effect) => own_effect == other_effect && self.limit == other.limit,
         }
     }
 }
@@ -256,13 +256,13 @@
 
     /// The rules about a statement, by going through all in order: what the index must equal.
     pub fn find_linear(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
-        let first = |counts: bool| {
-            let fits = |r: &Rule| {
-                (r.effect == RuleEffect::Count) == counts
+        let first = |is_counting: bool| {
+            let decides = |r: &Rule| {
+                (r.effect == RuleEffect::Count) == is_counting
                     && r.applies_at(attributes, wall_ms)
                     && r.matches(attributes)
             };
-            self.rules.iter().position(fits)
+            self.rules.iter().position(decides)
         };
         MatchedRules {
             deciding: first(false),
