--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -1,5 +1,6 @@
-//! One front's part in the rules: it judges statements, watches those that are open, and carries the version and the
-//! counts to and from the ledger. Statements are judged in `judging`; `requests` has what goes to the ledger.
+//! The access rules at one front: evaluates statements, tracks the open ones, and exchanges
+//! versions, hit counts and shares of limits with the ledger. `judging` evaluates statements;
+//! `requests` handles the ledger traffic.
 
 mod judging;
 mod requests;
@@ -21,30 +22,32 @@
 use crate::versions::Versions;
 use crate::{FrontId, Micros, Moment};
 
-/// How one front's part in the rules is configured.
+/// Configuration of the access rules at one front.
 pub struct AccessConfig {
-    /// This front, and the incarnation in which it runs.
+    /// This front and its current incarnation.
     pub owner: Owner,
-    /// All whose counts make the fleet's, this front too.
+    /// All fronts whose hits make up the fleet's counts, including this one.
     pub fronts: Vec<FrontId>,
-    /// Where this front stands, as rules may name it.
+    /// The region of this front, under the name that rules use.
     pub region: String,
     /// The names that rules may use.
     pub known: KnownNames,
-    /// How long a lease on the rules and on shares of limits lasts, and by how much clocks may drift.
+    /// The length of leases on the rules and on shares of limits, and the greatest drift of clocks.
     pub terms: Terms,
-    /// How long what was asked is remembered, by kind; 0: not at all.
+    /// How long the kinds of received statements are recorded for what-if reports, in microseconds;
+    /// 0 disables the record.
     pub record_window: Micros,
-    /// The number behind which its asks to the ledger are numbered: other callers of this front keep away from them.
+    /// Ledger requests are numbered from above this number; other users of the ledger at this front
+    /// must not use numbers above it.
     pub first_request_number: u64,
 }
 
-/// A version of the rules as a front holds it.
+/// The version of the rules that a front holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldVersion {
-    /// Its number; 0 where the fleet was never given a set.
+    /// The version's number; 0 if the fleet has never had a rule set.
     pub version: u64,
-    /// Whether the front may judge by it now.
+    /// Whether the front holds a valid lease, and so may apply the version now.
     pub may_judge: bool,
 }
 
@@ -52,18 +55,20 @@
 struct OpenStatement {
     request: Request,
     verdict: Verdict,
-    /// Where its executions are, by the caller's number.
+    /// The location index of each execution in flight, by the caller's execution number.
     executions: BTreeMap<u64, Option<u16>>,
-    /// It is to be ended, as a new version bars it.
+    /// Whether a newly adopted version bars a location at which the statement runs, so that it has
+    /// to end.
     is_revoked: bool,
-    /// When it was judged: rules that move go by that at every attempt.
+    /// Unix milliseconds of the first evaluation; rules that move tables use this time for every
+    /// attempt.
     first_judged_ms: u64,
-    /// What it counts for, while it waits for its share of a limit.
+    /// The hits to count once the statement has its shares of all limits.
     uncounted_hits: Vec<Hit>,
 }
 
-/// One front's part in the access rules. It does no input or output: the caller passes in the time and the
-/// ledger's answers, and carries out what [`Access::take`] returns.
+/// The access rules at one front. Does no input or output: the caller passes in the time and the
+/// ledger's answers, and carries out what [`Access::take_output`] returns.
 pub struct Access {
     region: String,
     versions: Versions,
@@ -71,21 +76,21 @@
     shares: Shares,
     record: Record,
     open_statements: BTreeMap<u64, OpenStatement>,
-    /// The number of the statement judged last.
+    /// The number given to the latest statement.
     last_statement: u64,
-    /// The version that open statements were last held against.
+    /// The version against which open statements were last checked.
     checked_version: u64,
-    /// Statements that a new version has ended.
+    /// The number of statements that newly adopted versions have ended.
     pub revoked_count: u64,
     revoked: Vec<u64>,
     superseded_reported: bool,
-    /// The fault of the shares that was reported last.
+    /// The fault of the shares that was last reported.
     shares_fault: Option<Event>,
 }
 
 impl Access {
-    /// A front that has not read the rules yet: until it has, it answers [`Decision::RulesUnknown`] for every
-    /// customer that rules can be about.
+    /// Creates a front that has not read the rules yet. Until it has, it answers
+    /// [`Decision::RulesUnknown`] for every customer that rules can apply to.
     pub fn new(config: AccessConfig) -> Access {
         let shares = Shares::new(config.owner, config.terms, config.fronts.len());
         Access {
@@ -104,12 +109,12 @@
         }
     }
 
-    /// The names that rules may use, as configured.
+    /// Returns the names that rules may use.
     pub fn known_names(&self) -> &KnownNames {
         self.versions.known()
     }
 
-    /// The version held.
+    /// Returns the version held, and whether it may be applied at a time on the steady clock.
     pub fn held_version(&self, steady: Micros) -> HeldVersion {
         HeldVersion {
             version: self.versions.held().set.version,
@@ -117,7 +122,8 @@
         }
     }
 
-    /// The name of the rule that decided.
+    /// Returns the name of the rule that decided; `None` if the default did or the verdict is of
+    /// another version.
     pub fn rule_name(&self, verdict: &Verdict) -> Option<&str> {
         let held = self.versions.held();
         verdict
@@ -126,13 +132,14 @@
             .map(|rule| held.rule_name(rule))
     }
 
-    /// The locations that a verdict lets a statement be read at; None: all.
+    /// Returns the locations at which a verdict allows a statement to be read; `None` means all.
     pub fn locations(&self, verdict: &Verdict) -> Option<Vec<String>> {
         let locations = verdict.allowed.as_ref()?;
         Some(self.known_names().location_names(locations))
     }
 
-    /// The limits that a verdict of the version held lets a statement through within.
+    /// Returns the limits that a verdict counts against; empty if the verdict is of another
+    /// version.
     pub fn limits(&self, verdict: &Verdict) -> Vec<Limit> {
         let held = self.versions.held();
         if held.set.version == verdict.version {
@@ -142,36 +149,37 @@
         }
     }
 
-    /// A file was read: it is to be the fleet's.
+    /// Proposes a file's rules as the fleet's version.
     pub fn propose(&mut self, file: &str, text: &str, command: RulesCommand) {
         self.versions.propose(file, text, command);
     }
 
-    /// What a set would decide otherwise of what was asked here, before it is put in force.
+    /// Reports which recorded statements a rule set would decide differently from the version held.
     pub fn what_if(&mut self, at: Moment, set: RuleSet) -> WhatIfReport {
         let (held, known) = (self.versions.held(), self.versions.known());
         self.record
             .compare(at, &self.region, held, &Index::new(set), known)
     }
 
-    /// A statement may not leave for want of room within a limit: later there may be.
+    /// Returns whether a statement cannot be sent because a limit has no capacity left; it may be
+    /// retried later.
     pub fn is_limited(&self, statement: u64) -> bool {
         self.shares.awaits_share(statement)
     }
 
-    /// Statements refused by each rule's limit in this front's life.
+    /// Returns the statements rejected by each rule's limit in this incarnation, by rule name.
     pub fn limit_rejections(&self) -> &BTreeMap<String, u64> {
         &self.shares.rejections_by_rule
     }
 
-    /// An execution has ended.
+    /// Removes an ended execution of a statement.
     pub fn execution_ended(&mut self, statement: u64, execution: u64) {
         if let Some(open) = self.open_statements.get_mut(&statement) {
             open.executions.remove(&execution);
         }
     }
 
-    /// A statement has its final answer, or nobody waits for it.
+    /// Removes a statement that has its final answer or that no client waits for any more.
     pub fn statement_ended(&mut self, statement: u64) {
         self.open_statements.remove(&statement);
         self.hits.stop_waiting(statement);
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -1,4 +1,5 @@
-//! Statements are judged as they arrive, before each execution leaves, and when a new version is adopted.
+//! Evaluates statements on arrival, before each execution is sent, and when a new version is
+//! adopted.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 use crate::{Micros, Moment};
 
 impl Access {
-    /// Judges a statement, once for all its attempts.
+    /// Evaluates a statement once for all its attempts.
     pub fn judge(&mut self, at: Moment, request: Request) -> Decision {
         if !self.known_names().covers_customer(&request.customer) {
             return Decision::Unrestricted;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The hits of the rules that decided and counted a statement.
+    /// Returns the hits of the deciding and the counting rule of a statement.
     fn hits_of(&self, index: &Index, verdict: &Verdict, request: &Request) -> Vec<Hit> {
         let rules = verdict.rule.into_iter().chain(verdict.counting_rule);
         rules
@@ -59,7 +60,8 @@
             .collect()
     }
 
-    /// Counts a statement's hits where it has its shares of the limits; gives the hits that wait for those.
+    /// Counts a statement's hits if it has its shares of all limits; otherwise returns the hits,
+    /// which are counted once it has them.
     fn count_within_limits(
         &mut self,
         now: Micros,
@@ -75,8 +77,10 @@
         Vec::new()
     }
 
-    /// Whether an execution may leave for a location now: by the version that the statement was judged by, by the one
-    /// that holds, and under a lease. One that may not never will; its statement is to end.
+    /// Decides whether an execution may be sent to a location now, and records it if so. It must be
+    /// allowed by the version that decided the statement, by the version now held, and by a valid
+    /// lease and share. A rejected execution is never sent later; the caller has to end its
+    /// statement.
     pub fn may_send(&mut self, at: Moment, statement: u64, execution: u64, location: &str) -> bool {
         let location_index = self.known_names().location_index(location);
         let Some(index) = self.versions.index_under_lease(at.steady) else {
@@ -99,7 +103,7 @@
         is_allowed
     }
 
-    /// Ends the statements that run where a version that was adopted bars them.
+    /// Marks statements as revoked that run at a location barred by a newly adopted version.
     pub(super) fn revoke_barred(&mut self, at: Moment) {
         let index = self.versions.held();
         if index.set.version == self.checked_version {
@@ -125,7 +129,7 @@
 }
 
 impl OpenStatement {
-    /// What a set says of the statement now.
+    /// Evaluates the statement under a rule set at the present time.
     fn judge_again(&self, index: &Index, region: &str, at: Moment) -> Verdict {
         let first_judged_ms = Some(self.first_judged_ms);
         judge(index, region, &self.request, at.wall_ms, first_judged_ms)
--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -1,4 +1,4 @@
-//! What goes to the ledger and comes from it: versions, counts and shares of limits.
+//! Exchanges versions, hit counts and shares of limits with the ledger.
 
 use hallmux_ledger::LedgerAnswer;
 
@@ -8,8 +8,8 @@
 use crate::{Micros, Moment};
 
 impl Access {
-    /// The time on the steady clock, in microseconds, at which [`Access::tick`] is next due; `Micros::MAX` if
-    /// nothing is.
+    /// Returns the time on the steady clock, in microseconds, at which [`Access::tick`] is next
+    /// due; `Micros::MAX` if nothing is scheduled.
     pub fn due(&self, steady: Micros) -> Micros {
         self.versions
             .due()
@@ -17,8 +17,8 @@
             .min(self.shares.due(steady))
     }
 
-    /// Does what is due: renews the lease, reads and changes the version, writes counts, and moves shares of
-    /// limits. To be called at [`Access::due`]; a call before that does no harm.
+    /// Does the work that is due: renews the lease, reads and changes the version, stores counts,
+    /// and moves shares of limits. Must be called at [`Access::due`]; an earlier call does no harm.
     pub fn tick(&mut self, at: Moment) {
         self.versions.tick(at);
         self.shares
@@ -29,7 +29,7 @@
         self.revoke_barred(at);
     }
 
-    /// Those that have their shares now wait for their count.
+    /// Counts the hits of statements that now have their shares of all limits.
     fn count_statements_with_shares(&mut self) {
         for statement in std::mem::take(&mut self.shares.ready) {
             if let Some(open) = self.open_statements.get_mut(&statement) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The ledger has answered. False if it was not asked here.
+    /// Handles an answer of the ledger. Returns false if the request was not made here.
     pub fn on_ledger_answer(&mut self, at: Moment, answer: LedgerAnswer) -> bool {
         let LedgerAnswer { number, outcome } = answer;
         let versions = &mut self.versions;
@@ -59,12 +59,12 @@
         was_requested
     }
 
-    /// Asks for the fleet's count; it comes with `Output`.
+    /// Requests the fleet's hit counts; they are returned in [`Output::fleet_hits`] once complete.
     pub fn request_fleet_hits(&mut self, at: Moment) {
         self.hits.request_fleet_hits(at);
     }
 
-    /// What is to be done since the last call. Each item is returned once.
+    /// Returns the work to be done since the last call. Each item is returned once.
     pub fn take_output(&mut self) -> Output {
         let mut ledger_requests = std::mem::take(&mut self.versions.ledger_requests);
         ledger_requests.append(&mut self.hits.ledger_requests);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Events for the log since the last call.
+    /// Returns the events for the log since the last call.
     fn take_events(&mut self) -> Vec<Event> {
         let mut events = std::mem::take(&mut self.versions.events);
         if std::mem::take(&mut self.hits.ledger_full) {
--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -1,5 +1,5 @@
-//! A set looked at as a whole: rules that can never match, rules that contradict each other, workloads that are left
-//! with no engine.
+//! Checks a rule set as a whole: rules that can never match, rules that contradict each other, and
+//! workloads that no location remains for.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,10 +9,11 @@
 use crate::lines::LineLookup;
 use crate::rule::{DefaultEffect, Precedence, Rule, RuleEffect, RuleSet, TableRange};
 
-/// Rules that could each decide the same statement: alike in customer, workload and front, and at one height.
+/// Identifies rules that could decide the same statement with equal precedence: the customer,
+/// workload and front that they name, and their precedence.
 type Level<'a> = ([Option<&'a str>; 3], Precedence);
 
-/// All that is wrong with a set.
+/// Returns all errors of a rule set.
 pub(crate) fn check(set: &RuleSet, known: &KnownNames, lines: LineLookup) -> Vec<LocatedProblem> {
     let mut errors = repeated_names(set, lines);
     let index = Index::new(set.clone());
@@ -51,7 +52,7 @@
     lines(&format!("rules[{file_index}]")).unwrap_or(0)
 }
 
-/// Rules with the name of an earlier one.
+/// Returns an error for each rule that repeats the name of an earlier one.
 fn repeated_names(set: &RuleSet, lines: LineLookup) -> Vec<LocatedProblem> {
     let mut rules: Vec<&Rule> = set.rules.iter().collect();
     rules.sort_by_key(|rule| rule.file_index);
@@ -59,7 +60,7 @@
     let mut errors = Vec::new();
     for rule in rules {
         let first = *first_indices.entry(&rule.name).or_insert(rule.file_index);
-        // A rule that moves is read as three.
+        // A rule that moves tables is read as three rules with one file index.
         if first != rule.file_index {
             let problem = Problem::DuplicateName {
                 rule: rule.name.clone(),
@@ -74,7 +75,7 @@
     errors
 }
 
-/// A rule that allows a workload nowhere that it may run.
+/// Returns an error if a rule allows none of the locations that a workload is bound to.
 fn barred_everywhere(rule: &Rule, known: &KnownNames) -> Option<LocatedProblem> {
     let RuleEffect::Allow {
         locations: Some(locations),
@@ -110,7 +111,9 @@
     named.is_none_or(|name| *name == workload.name)
 }
 
-/// Deny goes before allow at the same height; two that allow different places have no order.
+/// Returns an error for each pair of allowing rules that contradict each other. Denials need no
+/// check: at equal precedence a denial takes effect before an allowing rule, whereas two rules that
+/// allow different locations have no order.
 fn contradictions(set: &RuleSet, lines: LineLookup) -> Vec<LocatedProblem> {
     let mut levels: BTreeMap<Level, Vec<&Rule>> = BTreeMap::new();
     let allowing = set
@@ -158,7 +161,7 @@
     errors
 }
 
-/// The groups of tables that a rule is about.
+/// Returns the table groups that a rule applies to.
 fn table_range(rule: &Rule) -> TableRange {
     rule.tables.unwrap_or(TableRange {
         first: 0,
@@ -166,14 +169,14 @@
     })
 }
 
-/// A workload that no customer may run any more.
+/// Returns an error if a workload is denied to every customer.
 fn denied_to_all(
     set: &RuleSet,
     known: &KnownNames,
     workload: &WorkloadLocations,
 ) -> Option<LocatedProblem> {
     if known.covered_customers.is_some() {
-        return None; // the customers that no rule can be about may run it
+        return None; // customers outside the covered list are never restricted and may run the workload
     }
     for rule in set.rules.iter().filter(|rule| applies_to(rule, workload)) {
         let for_everybody = rule.customer.is_none()
--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -1,13 +1,13 @@
-//! What can be wrong with a file of rules, or why its version is refused, in words that say what to do about it.
+//! Errors of a rules file, and reasons to reject its version, each with a remedy.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// Errors that are shown; one wrong name may stand in each of many rules.
+/// The number of errors shown; one wrong name can appear in each of many rules.
 const MAX_SHOWN_ERRORS: usize = 100;
 
-/// What is wrong with a rule or a set.
+/// An error in a rule or a rule set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Problem {
     /// The file is not JSON5; holds the parser's message.
@@ -22,7 +22,7 @@
     /// A required key is missing.
     #[error("is missing; give {needs}")]
     Missing {
-        /// What has to be given.
+        /// The value that has to be given.
         needs: &'static str,
     },
     /// A value of the wrong type or out of range.
@@ -31,17 +31,17 @@
         /// The type and range that are expected.
         needs: &'static str,
     },
-    /// A name that the settings or the operator's file do not list.
+    /// A name that neither the settings nor the operator's file lists.
     #[error("'{name}' is not among the {list}: {known}; name one of them")]
     UnknownName {
         /// The name as the file gives it.
         name: String,
-        /// Which list it was looked for in.
+        /// The list in which the name was looked up.
         list: &'static str,
         /// The names on that list, separated by commas.
         known: String,
     },
-    /// A rule about a customer whose statements a front without the rules would let through.
+    /// A rule about a customer whose statements a front without a lease on the rules would admit.
     #[error(
         "rule `{rule}` is about customer '{customer}', which `rules.customers` of the operator's file does not name: a \
          front that is cut off would let it through; add it there at every front first"
@@ -59,10 +59,10 @@
     DuplicateName {
         /// The name.
         rule: String,
-        /// The line of the first rule with it.
+        /// The line of the first rule with the name.
         line: usize,
     },
-    /// Keys of one rule that do not go together.
+    /// Keys of one rule that cannot be combined.
     #[error("rule `{rule}` {why}; {remedy}")]
     ConflictingKeys {
         /// The rule's name.
@@ -72,7 +72,7 @@
         /// What the author of the file can do.
         remedy: &'static str,
     },
-    /// A rule that can never decide a statement, as another always goes before it.
+    /// A rule that can never decide a statement because another rule always takes precedence.
     #[error(
         "rule `{rule}` can never match: rule `{by}` on line {line} goes before it wherever it would; take it out, or \
          give it a higher priority"
@@ -80,12 +80,13 @@
     Shadowed {
         /// The rule's name.
         rule: String,
-        /// The rule that goes before it.
+        /// The rule that takes precedence.
         by: String,
         /// The line of that rule.
         line: usize,
     },
-    /// Two rules that match some statements in common, have the same precedence and disagree.
+    /// Two rules that match some of the same statements with equal precedence and different
+    /// effects.
     #[error(
         "rule `{rule}` contradicts rule `{other}` on line {line}: both match some statements at the same height and \
          say different things of them; give one a priority, or fields that tell them apart"
@@ -93,7 +94,7 @@
     Contradicts {
         /// The rule's name.
         rule: String,
-        /// The rule that it disagrees with.
+        /// The rule that it contradicts.
         other: String,
         /// The line of that rule.
         line: usize,
@@ -111,7 +112,7 @@
         /// The locations that the workload is bound to, separated by commas.
         bound: String,
     },
-    /// A rule that denies a workload to everybody.
+    /// A rule that denies a workload to every customer.
     #[error(
         "rule `{rule}` leaves workload `{workload}` with no engine for anybody; give the rule a customer, tables or a \
          front, or add a rule before it that allows"
@@ -134,35 +135,36 @@
     /// More rules than a file may hold.
     #[error("holds {count} rules, more than {max}; give fewer")]
     TooManyRules {
-        /// How many the file holds.
+        /// The number of rules in the file.
         count: usize,
-        /// How many it may hold.
+        /// The number of rules allowed.
         max: usize,
     },
 }
 
-/// An error with the path of what it is about; its line is looked up later.
+/// An error with the path of the value that is wrong; its line is looked up later.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LocatedProblem {
-    /// Where in the file, as in `rules[2].name`; empty for the file as a whole.
+    /// The path in the file, such as `rules[2].name`; empty for the file as a whole.
     pub path: String,
-    /// What is wrong there.
+    /// What is wrong with the value.
     pub problem: Problem,
 }
 
-/// One error, with the path and the line of what it is about.
+/// An error with the path and the line of the value that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileError {
-    /// Where in the file, as in `rules[2].name`; empty for the file as a whole.
+    /// The path in the file, such as `rules[2].name`; empty for the file as a whole.
     pub path: String,
-    /// The line on which that path begins, if it is known; the first line is 1.
+    /// The line on which the value begins, counted from 1, if it is known.
     pub line: Option<usize>,
-    /// What is wrong there.
+    /// What is wrong with the value.
     pub problem: Problem,
 }
 
 impl fmt::Display for FileError {
-    /// The line, the path and the error; what names its rule needs no path beside it.
+    /// Writes the line, the path and the error. The path is left out where the error names its
+    /// rule.
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         if let Some(line) = self.line {
             write!(out, "{line}:")?;
@@ -175,7 +177,7 @@
     }
 }
 
-/// All errors of a file at once.
+/// All errors of a file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct FileErrors {
     /// The file's name, as the operator gave it.
@@ -197,10 +199,10 @@
     }
 }
 
-/// Why a set that is well in itself does not become the fleet's.
+/// The reason why a valid rules file does not become the fleet's version.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// The version stated is lower than the one in force.
+    /// The stated version is lower than the fleet's.
     #[error(
         "{file}: version {stated} is not above the fleet's {current}, which stays; state {next} to change it"
     )]
@@ -214,7 +216,7 @@
         /// The version to state instead.
         next: u64,
     },
-    /// The version stated is in force already, with another text.
+    /// The fleet already has the stated version, with a different text.
     #[error(
         "{file}: version {stated} is the fleet's already, with other contents, which stay; state {next} to change them"
     )]
@@ -226,7 +228,7 @@
         /// The version to state instead.
         next: u64,
     },
-    /// Another front's change to the same version won the compare and swap.
+    /// Another front's change to the same version won the compare-and-swap.
     #[error(
         "{file}: version {stated} lost to another front's change in the same moment, which stays; read it, and state \
          {next}"
@@ -239,7 +241,7 @@
         /// The version to state instead.
         next: u64,
     },
-    /// A roll-back to a version that is kept no longer.
+    /// A roll-back to a version that is no longer kept.
     #[error("{file}: `roll_back_to` names version {to}, which is not among the last ones kept ({kept}); name one of them")]
     VersionNotKept {
         /// The file's name.
--- a/crates/access/src/event.rs
+++ b/crates/access/src/event.rs
@@ -1,48 +1,48 @@
-//! What happens to the rules at one front, for its log.
+//! Events of the access rules at one front, for its log.
 
 use crate::error::ChangeError;
 
-/// What an operator should know of; the caller logs it.
+/// An event that an operator should know of; the caller logs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// This front judges by another version.
+    /// This front now applies another version.
     Adopted {
         /// The version adopted.
         version: u64,
-        /// The number of rules in it.
+        /// The number of rules in the version.
         rules: usize,
-        /// Whether all fronts judge by it already.
+        /// Whether all fronts already apply the version.
         in_force: bool,
     },
-    /// No front judges by an earlier version any more.
+    /// No front applies an earlier version any more.
     InForce {
         /// The version in force.
         version: u64,
     },
-    /// This front's file is the fleet's.
+    /// The fleet's version is the one in this front's file.
     Accepted {
         /// The version that the file states.
         version: u64,
     },
-    /// This front's file was not accepted, and why.
+    /// The change proposed by this front's file was rejected, with the reason.
     ChangeRejected(ChangeError),
-    /// This front cannot know what holds: statements of customers with rules are rejected.
+    /// This front's lease on the rules has ended: statements of customers with rules are rejected.
     RulesUnknown,
-    /// This front can judge by the rules again.
+    /// This front holds a lease on the rules again.
     RulesKnown {
-        /// The version that it judges by.
+        /// The version that this front applies.
         version: u64,
     },
-    /// A later incarnation of this front counts hits: this one does not any more.
+    /// A later incarnation of this front counts hits, so this incarnation no longer does.
     Superseded,
-    /// The ledger holds what this build cannot read.
+    /// The ledger holds an entry that this build cannot read.
     Unreadable {
-        /// Which entry of the ledger it is.
+        /// The unreadable entry.
         what: &'static str,
     },
-    /// The ledger is full: what is named could not be stored.
+    /// The ledger is full and rejected a write.
     LedgerFull {
-        /// What could not be kept.
+        /// What could not be stored.
         what: &'static str,
     },
 }
--- a/crates/access/src/head.rs
+++ b/crates/access/src/head.rs
@@ -1,27 +1,28 @@
-//! Which version holds for the fleet, as the ledger keeps it, and the text that goes with it in parts.
+//! The ledger entries for the fleet's version: the head, which names the version, and the parts of
+//! its text.
 
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Of the stored head; one of another format counts for nothing.
+/// The format of the stored head; a head of another format is not read.
 const FORMAT: u8 = 1;
-/// Bytes of a file; a shard of the ledger holds 512 KiB.
+/// The length allowed for a file, in bytes; a shard of the ledger holds 512 KiB.
 pub const MAX_TEXT_BYTES: usize = 256 << 10;
-/// Bytes of a part: a few datagrams.
+/// The length of a part in bytes: a few datagrams.
 const PART_BYTES: usize = 8 << 10;
-/// Versions kept behind the one that holds.
+/// The number of earlier versions kept.
 pub const MAX_PREVIOUS: usize = 8;
-/// Milliseconds for which the parts of a version that is kept no longer stay.
+/// Milliseconds for which the parts of a version that is no longer kept remain in the ledger.
 pub const DROPPED_PARTS_MS: u64 = 600_000;
 
 /// A SHA-256 hash.
 pub type Hash = [u8; 32];
 
-/// A version and the text that goes with it.
+/// A version number and the identity of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredVersion {
-    /// The version's number; grows with each change.
+    /// The version's number, which grows with each change.
     pub version: u64,
     /// The SHA-256 of its text.
     pub hash: Hash,
@@ -29,35 +30,35 @@
     pub bytes: u32,
 }
 
-/// The entry in the ledger that names the fleet's version. Changed by compare and swap only.
+/// The ledger entry that names the fleet's version. It is changed by compare-and-swap only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The format of this entry; an entry of another format is not read.
     pub format: u8,
-    /// The version that holds now.
+    /// The fleet's version.
     pub current: StoredVersion,
-    /// No front judges by an earlier version any more.
+    /// Whether no front applies an earlier version any more.
     pub in_force: bool,
-    /// The versions before, the latest first.
+    /// The earlier versions, the latest first.
     pub previous: Vec<StoredVersion>,
 }
 
-/// A head that follows another one.
+/// A head with the consequences of its change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NextHead {
     /// The head.
     pub head: Head,
-    /// The version whose text it keeps no longer.
+    /// The version whose text is no longer needed once the head is stored.
     pub dropped: Option<StoredVersion>,
 }
 
-/// The SHA-256 of a text.
+/// Returns the SHA-256 of a text.
 pub fn hash(text: &str) -> Hash {
     Sha256::digest(text).into()
 }
 
 impl StoredVersion {
-    /// The entry for a text.
+    /// Returns the stored version of a text.
     pub fn of_text(version: u64, text: &str) -> StoredVersion {
         StoredVersion {
             version,
@@ -68,7 +69,7 @@
 }
 
 impl Head {
-    /// The head that follows another one.
+    /// Returns the head that replaces another one with a new version.
     pub fn following(
         predecessor: Option<&Head>,
         current: StoredVersion,
@@ -85,7 +86,7 @@
         } else {
             None
         };
-        // The same text may be kept under another version.
+        // The same text may still be kept under another version.
         let is_kept = |dropped: &StoredVersion| {
             dropped.hash == current.hash || kept.iter().any(|kept| kept.hash == dropped.hash)
         };
@@ -99,12 +100,12 @@
         NextHead { head, dropped }
     }
 
-    /// The bytes to keep in the ledger.
+    /// Encodes the head for the ledger.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None where it is of a format that this build does not know, or no head at all.
+    /// Decodes a head; `None` if the bytes are of an unknown format or not a head.
     pub fn read(bytes: &[u8]) -> Option<Head> {
         let head = match postcard::take_from_bytes::<Head>(bytes) {
             Ok((head, [])) => head,
@@ -114,7 +115,7 @@
         (fits && head.current.bytes as usize <= MAX_TEXT_BYTES).then_some(head)
     }
 
-    /// A version that is kept.
+    /// Returns a version that is kept; `None` if it is not.
     pub fn find(&self, version: u64) -> Option<StoredVersion> {
         [self.current]
             .into_iter()
@@ -123,7 +124,7 @@
     }
 }
 
-/// The ledger's key of the head.
+/// Returns the ledger key of the head.
 pub fn head_key() -> Key {
     Key {
         kind: Kind::Rules,
@@ -131,7 +132,7 @@
     }
 }
 
-/// The keys of a text's parts.
+/// Returns the ledger keys of the parts of a version's text.
 pub fn part_keys(kept: StoredVersion) -> impl Iterator<Item = Key> {
     let name: String = kept
         .hash
@@ -146,7 +147,7 @@
     })
 }
 
-/// The text cut into the parts that the ledger keeps.
+/// Splits a text into the parts stored in the ledger; an empty text has one empty part.
 pub fn split_parts(text: &str) -> Vec<Vec<u8>> {
     if text.is_empty() {
         return vec![Vec::new()];
@@ -155,7 +156,7 @@
     parts.map(<[u8]>::to_vec).collect()
 }
 
-/// The text, if the parts are all of it and nothing else.
+/// Joins the parts of a version's text; `None` if the length or the hash differs.
 pub fn join_parts(kept: StoredVersion, parts: Vec<Vec<u8>>) -> Option<String> {
     let text = String::from_utf8(parts.concat()).ok()?;
     (text.len() == kept.bytes as usize && hash(&text) == kept.hash).then_some(text)
--- a/crates/access/src/head_tests.rs
+++ b/crates/access/src/head_tests.rs
@@ -33,7 +33,7 @@
         (head, gone) = (Some(next.head), next.dropped);
     }
     let head = head.unwrap();
-    // Version 1 went first; its text is version 9's too.
+    // Version 1 was dropped first, but version 9 keeps the same text.
     assert_eq!((head.find(1), gone), (None, None));
     assert_eq!(head.find(2).map(|k| k.version), Some(2));
 }
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -1,5 +1,6 @@
-//! Hits of rules by customer and region: one table for each incarnation of a front, whose counts only grow, in pages
-//! that the ledger keeps. Tables merge by the greater count of each row, in any order, twice without harm.
+//! Hits of rules by customer and region. Each incarnation of a front has a table of counts that
+//! only grow, stored in the ledger in pages. Two copies of a table merge by taking the greater
+//! count of each row, so copies may be merged in any order and repeatedly.
 
 mod fold;
 mod pages;
@@ -17,37 +18,39 @@
 use storage::IncarnationList;
 use sweep::Sweep;
 
-/// Microseconds until what the ledger could not do is requested again.
+/// Microseconds until a request that failed at the ledger is repeated.
 const RETRY_INTERVAL: Micros = 250_000;
-/// The customer, or the rule, of rows for which there is no room.
+/// Stands for the customer, rule or region of hits that no longer fit in a row of their own.
 const OVERFLOW_NAME: &str = "*";
 
-/// What is counted.
+/// The key of a row of counts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Hit {
     /// The name of the rule that decided or counted the statement.
     pub rule: String,
     /// The statement's customer.
     pub customer: String,
-    /// The region of the front that was asked.
+    /// The region of the front that received the statement.
     pub region: String,
 }
 
 /// How many statements each rule decided or counted, by customer and region.
 pub type HitCounts = BTreeMap<Hit, u64>;
 
-/// The fleet's count, as of a moment.
+/// The fleet's hit counts as of a time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetHits {
     /// The counts of all fronts together.
     pub counts: HitCounts,
-    /// On the steady clock of the front that was asked: hits acknowledged before it are in the counts.
+    /// The time on the steady clock of the requesting front: the counts include all hits confirmed
+    /// before it. `None` if no count was completed.
     pub as_of: Option<Micros>,
-    /// Fronts whose counts are missing, or older than that.
+    /// Fronts whose counts are missing or older than `as_of`.
     pub missing: BTreeSet<FrontId>,
 }
 
-/// Takes in a table of an incarnation: of two counts of a row the greater is the later.
+/// Merges a copy of an incarnation's table into another: the greater count of a row is the later
+/// one.
 pub fn merge_counts(into: &mut HitCounts, from: &HitCounts) {
     for (hit, count) in from {
         let merged = into.entry(hit.clone()).or_default();
@@ -59,95 +62,96 @@
 #[derive(Default)]
 struct Page {
     counts: HitCounts,
-    /// Hits added so far.
+    /// The number of hits added so far.
     added: u64,
-    /// How many of them the ledger has.
+    /// The number of added hits that the ledger has stored.
     stored: u64,
-    /// Its version in the ledger; 0 where it is not there yet.
+    /// The page's version in the ledger; 0 if it is not stored yet.
     version: u64,
-    /// A put is under way.
+    /// Whether a put of the page is pending.
     putting: bool,
 }
 
-/// A hit that a statement waits for, until the ledger has it.
+/// A hit that a statement waits for until the ledger has stored it.
 #[derive(Clone, Copy)]
 struct AwaitedHit {
     page: usize,
-    /// Which hit of the page it is, counted from 1.
+    /// The number of the hit within the page, counted from 1.
     number: u64,
 }
 
-/// What a request to the ledger is for.
+/// The purpose of a pending request to the ledger.
 enum Pending {
-    /// To store a page, with this many hits.
+    /// Stores a page that includes this many hits.
     Put { page: usize, added: u64 },
-    /// To read or change the list of this front's incarnations.
+    /// Reads or changes the list of this front's incarnations.
     OwnList,
-    /// To read a list for the fleet's count.
+    /// Reads the list of a front's incarnations for the fleet's counts.
     SweepList(FrontId),
-    /// To read a page for the fleet's count.
+    /// Reads a page of an incarnation for the fleet's counts.
     SweepPage(Owner),
-    /// To read a part of the fleet's table for its count.
+    /// Reads a part of the fleet's table for the fleet's counts.
     SweepFoldedPart(usize),
-    /// A step of folding an earlier incarnation.
+    /// Takes a step of folding an earlier incarnation.
     Fold(FoldStep),
 }
 
 /// A step of folding an earlier incarnation into the fleet's table.
 #[derive(Clone, Copy)]
 enum FoldStep {
-    /// Its pages are closed.
+    /// Closes its pages, so that it can no longer write them.
     Closing,
-    /// Its counts are added to a part.
+    /// Adds its counts to a part of the fleet's table.
     Adding,
-    /// Its pages are emptied.
+    /// Empties its pages.
     Clearing,
-    /// It is taken out of the list.
+    /// Removes it from the list of incarnations.
     Delisting,
 }
 
-/// One front's counts and its view of the fleet's.
+/// One front's hit counts and its view of the fleet's.
 pub struct Hits {
     owner: Owner,
     fronts: Vec<FrontId>,
     pages: Vec<Page>,
     /// The page of each row.
     rows: HashMap<Hit, usize>,
-    /// Statements that wait, and for which hits.
+    /// The statements that wait for their hits to be stored, with those hits.
     waiting: BTreeMap<u64, Vec<AwaitedHit>>,
-    /// This many pages of this incarnation are in the list.
+    /// The number of pages of this incarnation that the stored list includes.
     listed_pages: usize,
-    /// The list of this front's incarnations, as read last.
+    /// The list of this front's incarnations, as last read.
     list: Option<IncarnationList>,
-    /// A request for the list is out.
+    /// Whether a request for the list is pending.
     list_requested: bool,
     pending: HashMap<u64, Pending>,
     retry_at: Micros,
     last_tick: Micros,
-    /// An earlier incarnation of this front that is folded into the fleet's table.
+    /// The fold of an earlier incarnation of this front into the fleet's table.
     fold: Option<Fold>,
-    /// The list has changed since it was read.
+    /// Whether the list has changed since it was read.
     list_is_stale: bool,
-    /// A later incarnation of this front counts: this one may no more.
+    /// Whether a later incarnation of this front counts hits, so that this one must not any more.
     pub superseded: bool,
     sweep: Option<Sweep>,
     /// The fleet's table, by part.
     folded: BTreeMap<usize, VersionedPart>,
-    /// What is known of incarnations that are not folded yet.
+    /// The counts of incarnations that are not folded yet, as last read.
     unfolded: BTreeMap<Owner, HitCounts>,
     fleet: FleetHits,
     /// Requests to the ledger that have yet to be sent.
     pub ledger_requests: Vec<LedgerRequest>,
-    /// Statements whose counts the ledger has confirmed since the caller took them last.
+    /// Statements whose hits the ledger has confirmed since the caller last took them.
     pub counted: Vec<u64>,
-    /// The fleet's count is there, as it was asked for.
+    /// Whether requested fleet counts are complete and have yet to be taken.
     pub fleet_hits_ready: bool,
-    /// The ledger has refused a page for lack of space.
+    /// Whether the ledger has rejected a write for lack of space.
     pub ledger_full: bool,
 }
 
 impl Hits {
-    /// `fronts` are all whose counts make the fleet's.
+    /// Creates the counts of one incarnation. `fronts` are all fronts whose hits make up the
+    /// fleet's counts.
     pub fn new(owner: Owner, fronts: Vec<FrontId>) -> Hits {
         Hits {
             owner,
@@ -175,17 +179,17 @@
         }
     }
 
-    /// A statement waits for its count no longer.
+    /// Removes a statement that no longer waits for its hits.
     pub fn stop_waiting(&mut self, statement: u64) {
         self.waiting.remove(&statement);
     }
 
-    /// The fleet's count as it was asked for last.
+    /// Returns the fleet's hit counts as of the last request.
     pub fn fleet(&self) -> &FleetHits {
         &self.fleet
     }
 
-    /// Asks for the fleet's count.
+    /// Starts reading the fleet's hit counts unless that is in progress.
     pub fn request_fleet_hits(&mut self, at: Moment) {
         if self.sweep.is_none() {
             self.sweep = Some(Sweep::new(at.steady, &self.fronts));
@@ -193,7 +197,8 @@
         }
     }
 
-    /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
+    /// Returns the time on the steady clock at which `tick` is next due; `Micros::MAX` if nothing
+    /// is scheduled.
     pub fn due(&self) -> Micros {
         if self.retry_at > self.last_tick {
             self.retry_at
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Queues the requests that are due. `number` gives each request a number of its own.
+    /// Queues the requests that are due. `number` returns a new number for each request.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         self.last_tick = at.steady;
         if at.steady < self.retry_at {
@@ -234,7 +239,7 @@
         });
     }
 
-    /// The ledger has answered. False if it was not asked here.
+    /// Handles an answer of the ledger. Returns false if the request was not made here.
     pub fn on_ledger_answer(
         &mut self,
         at: Moment,
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -1,10 +1,13 @@
-//! Incarnations of a front that can write no more are folded into one table of the fleet, each row exactly once.
+//! Folds the counts of incarnations that can no longer write into one table of the fleet, each row
+//! exactly once.
 //!
-//! A later incarnation of the same front does it: it is in the list of incarnations, so an earlier one that goes on all
-//! the same can neither list nor count any more. It closes the pages of the earliest incarnation (a put of that one that
-//! is still on its way finds another version), adds its rows to each part of the fleet's table that they belong to, and
-//! then takes it out of the list. A part names, for each front, the last incarnation that is in it: what was added is
-//! never added again, whoever goes on from whatever step.
+//! A later incarnation of the same front folds an earlier one. The later one is in the list of
+//! incarnations, so an earlier process that is still running can neither list pages nor count any
+//! more. The fold closes the pages of the earliest incarnation (a put by that incarnation still in
+//! flight then finds another version and fails), adds its rows to the parts of the fleet's table
+//! that they belong to, and then removes it from the list. Each part records, for each front, the
+//! last incarnation added to it, so counts are never added twice, whichever process continues a
+//! fold and from whichever step.
 
 use std::collections::BTreeMap;
 
@@ -19,23 +22,24 @@
 use super::{FoldStep, Hit, HitCounts, Hits, Pending, OVERFLOW_NAME};
 use crate::FrontId;
 
-/// Parts of the fleet's table.
+/// The number of parts of the fleet's table.
 pub(super) const FOLDED_PART_COUNT: usize = 16;
-/// Rows of a part; rows beyond are counted under any customer.
+/// The number of rows in a part; further rows are counted under any customer.
 const MAX_PART_ROWS: usize = 256;
-/// Milliseconds for which the page of a folded incarnation stays closed, without its counts.
+/// Milliseconds for which a page of a folded incarnation stays closed, without its counts.
 const CLOSED_PAGE_MS: u64 = 7 * 86_400_000;
 
 /// A part of the fleet's table. Fields are positional in the stored part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct FoldedCounts {
     pub counts: HitCounts,
-    /// Of each front the last incarnation that is in it.
+    /// For each front, the last incarnation whose counts are included.
     incarnations: BTreeMap<FrontId, u64>,
 }
 
 impl FoldedCounts {
-    /// Whether the counts of an incarnation are in it. Incarnations are folded in their order.
+    /// Returns whether an incarnation's counts are included. Incarnations are folded in ascending
+    /// order.
     pub fn contains(&self, owner: Owner) -> bool {
         self.incarnations
             .get(&owner.front)
@@ -63,7 +67,7 @@
     }
 }
 
-/// A part of the fleet's table with its version in the ledger; 0 where it is not there yet.
+/// A part of the fleet's table with its version in the ledger; 0 if it is not stored yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct VersionedPart {
     pub folded: FoldedCounts,
@@ -71,7 +75,7 @@
 }
 
 impl VersionedPart {
-    /// None where the entry is of a format that this build does not know.
+    /// Decodes an entry; `None` if its format is unknown to this build.
     pub fn read(entry: &Entry) -> Option<VersionedPart> {
         Some(VersionedPart {
             folded: decode(&entry.value)?,
@@ -80,40 +84,40 @@
     }
 }
 
-/// The part that a row belongs to; the same in every build.
+/// Returns the part that a row belongs to; it must be the same in every build.
 pub(super) fn part_index(hit: &Hit) -> usize {
     let texts = [&hit.rule, &hit.customer, &hit.region];
     let hash = fnv1a(texts.into_iter().flat_map(|text| text.bytes().chain([0])));
     ((hash ^ (hash >> 32)) % FOLDED_PART_COUNT as u64) as usize
 }
 
-/// A page as it was read, to be closed on its version.
+/// A page as it was read; it is closed on condition of this version.
 struct OpenPage {
     counts: HitCounts,
     version: u64,
 }
 
-/// An earlier incarnation on its way into the fleet's table.
+/// The fold of an earlier incarnation into the fleet's table.
 pub(super) struct Fold {
     owner: Owner,
-    /// The page that is to be closed next, once it was read.
+    /// The page to be closed next, once it has been read.
     open_page: Option<OpenPage>,
-    /// Its pages as they were closed.
+    /// The counts of the pages closed so far.
     closed_pages: Vec<HitCounts>,
-    /// How many pages it has.
+    /// The number of the incarnation's pages.
     page_count: usize,
-    /// What has yet to be added, by part; None until all pages are closed.
+    /// The rows that have yet to be added, by part; `None` until all pages are closed.
     remaining: Option<BTreeMap<usize, HitCounts>>,
-    /// The part that is to be added to next, once it was read.
+    /// The part to be added to next, once it has been read.
     open_part: Option<VersionedPart>,
-    /// Pages that were emptied.
+    /// The number of pages emptied so far.
     cleared: usize,
     request_pending: bool,
-    /// Of a format that this build does not know: it stays as it is.
+    /// Whether an entry has a format unknown to this build; the incarnation is then left as it is.
     is_unreadable: bool,
 }
 
-/// A request to the ledger that brings a fold one step on.
+/// A request to the ledger for the next step of a fold.
 struct Request {
     step: FoldStep,
     key: Key,
@@ -138,7 +142,7 @@
         }
     }
 
-    /// The next request; None once nothing is left but to take it out of the list.
+    /// Returns the next request; `None` once only the removal from the list remains.
     fn next_request(&self, wall_ms: u64) -> Option<Request> {
         if self.closed_pages.len() < self.page_count {
             return Some(self.close_page());
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Takes the incarnation out of the list.
+    /// Returns the request that removes the incarnation from the list.
     fn delist(&self, list: IncarnationList) -> Request {
         let mut entries = list.entries;
         entries.retain(|entry| entry.incarnation != self.owner.incarnation);
@@ -214,7 +218,8 @@
                 }
                 None => self.is_unreadable = true,
             },
-            // Listed, and never written: it may not be any more.
+            // The page was listed but never written. Closing it keeps the incarnation from writing
+            // it later.
             Outcome::Absent => {
                 self.open_page = Some(OpenPage {
                     counts: HitCounts::new(),
@@ -245,7 +250,7 @@
         }
     }
 
-    /// Once all pages are closed, sorts their rows by the parts that they belong to.
+    /// Once all pages are closed, groups their rows by the part that they belong to.
     fn sort_rows(&mut self) {
         if self.remaining.is_some() || self.closed_pages.len() != self.page_count {
             return;
@@ -259,6 +264,7 @@
     }
 }
 
+/// Returns a put that is applied only if the entry still has this version; 0 means no entry.
 fn put(version: u64, value: Vec<u8>) -> Operation {
     Operation::Put {
         expects: Some(version),
@@ -268,8 +274,8 @@
 }
 
 impl Hits {
-    /// Brings the earliest incarnation one step on; one after the other, so that what was folded is all up to an
-    /// incarnation.
+    /// Takes the next step of folding the earliest incarnation. Incarnations are folded one at a
+    /// time, so that each part includes every incarnation up to the last one recorded.
     pub(super) fn advance_fold(&mut self, wall_ms: u64, number: &mut impl FnMut() -> u64) {
         let Some(list) = self.list.clone() else {
             return;
@@ -296,7 +302,8 @@
         );
     }
 
-    /// The earliest incarnation before this one. Only once this one is listed can an earlier one write no more.
+    /// Returns the earliest incarnation before this one. An earlier incarnation is certain not to
+    /// write any more only once this one is listed.
     fn earliest_to_fold(&self, list: &IncarnationList) -> Option<ListedIncarnation> {
         let own = self.owner.incarnation;
         if list.entries.iter().all(|entry| entry.incarnation != own) {
@@ -306,7 +313,7 @@
         earlier.min().copied()
     }
 
-    /// The ledger has answered a step.
+    /// Handles the ledger's answer to a step.
     pub(super) fn on_fold_answer(&mut self, step: FoldStep, outcome: Outcome) {
         let Some(fold) = &mut self.fold else { return };
         fold.request_pending = false;
@@ -331,7 +338,8 @@
                     version: entry.version,
                 });
             }
-            // The list has moved on: it is read anew, and what was folded is known by the parts.
+            // The list has changed meanwhile: it is read again, and the parts show which
+            // incarnations are folded.
             _ => self.list_is_stale = true,
         }
     }
--- a/crates/access/src/hits/fold_tests.rs
+++ b/crates/access/src/hits/fold_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Rule, customer and region of a row, and the part that released builds keep it in.
+/// Rule, customer and region of a row, and the part in which released builds store it.
 const PARTS: [(&str, &str, &str, usize); 4] = [
     ("eu-only", "acme", "west", 14),
     ("", "", "", 15),
@@ -10,7 +10,8 @@
     ("deny-all", "*", "east", 3),
 ];
 
-/// Fronts of all versions must agree on the part of a row, or its counts would stand in two.
+/// Guards against a change of the hash: if fronts of different builds disagreed on the part of a
+/// row, its counts would be stored in two parts.
 #[test]
 fn a_rows_part_is_the_same_in_every_build() {
     for (rule, customer, region, part) in PARTS {
--- a/crates/access/src/hits/pages.rs
+++ b/crates/access/src/hits/pages.rs
@@ -1,5 +1,5 @@
-//! This incarnation's pages of counts: a statement's hits are added to them, and they are listed and stored in the
-//! ledger.
+//! The pages of this incarnation's counts: adds the hits of statements to them, lists them, and
+//! stores them in the ledger.
 
 use hallmux_ledger::{Operation, Outcome};
 
@@ -9,17 +9,17 @@
 use super::{AwaitedHit, Hit, Hits, Page, Pending, OVERFLOW_NAME, RETRY_INTERVAL};
 use crate::Micros;
 
-/// Rows of a page, some 3 KB.
+/// The number of rows in a page, about 3 KB.
 const PAGE_ROWS: usize = 64;
-/// Pages of an incarnation; rows beyond are counted under any customer.
+/// The number of pages of an incarnation; further rows are counted under any customer.
 const MAX_PAGES: usize = 64;
 const MAX_ROWS: usize = PAGE_ROWS * MAX_PAGES;
-/// Rows that are left for rules when customers are counted apart no more.
+/// Rows reserved for rules once customers are no longer counted separately.
 const RESERVED_ROWS: usize = 512;
-/// Microseconds until a list of an unknown format is read again.
+/// Microseconds until a list of unknown format is read again.
 const UNKNOWN_FORMAT_INTERVAL: Micros = 20 * RETRY_INTERVAL;
 impl Hits {
-    /// Counts a statement, once for each hit; it may go on once `counted` names it.
+    /// Counts the hits of a statement, which may proceed once it is in `counted`.
     pub fn count(&mut self, statement: u64, hits: Vec<Hit>) {
         let awaited = hits.into_iter().map(|hit| self.add_hit(hit)).collect();
         self.waiting.insert(statement, awaited);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The row that a hit goes to, made where it is new.
+    /// Returns the row that a hit is counted in, creating it if necessary.
     fn assign_row(&mut self, hit: Hit) -> Hit {
         if self.rows.contains_key(&hit) {
             return hit;
@@ -71,7 +71,7 @@
         hit
     }
 
-    /// Names this incarnation and its pages in the list, before anything is counted there.
+    /// Adds this incarnation and its pages to the list, which must precede the first put of a page.
     pub(super) fn list_pages(&mut self, number: &mut impl FnMut() -> u64) {
         let has_to_list = self.list_is_stale || self.listed_pages < self.pages.len();
         if self.superseded || !has_to_list || self.list_requested {
@@ -99,7 +99,7 @@
         self.ask(number, Pending::OwnList, key, operation);
     }
 
-    /// Stores a page that has hits which the ledger has not.
+    /// Stores a page if it has hits that the ledger has not stored.
     pub(super) fn put_page(&mut self, page_index: usize, number: &mut impl FnMut() -> u64) {
         let Some(page) = self.pages.get_mut(page_index) else {
             return;
@@ -108,7 +108,7 @@
             return;
         }
         page.putting = true;
-        // Compare and swap: one that was held up on its way can't set the page back.
+        // Compare-and-swap, so that a delayed put cannot revert the page.
         let operation = Operation::Put {
             expects: Some(page.version),
             ends_ms: 0,
@@ -132,7 +132,7 @@
                 page.stored = page.stored.max(added);
                 page.version = entry.version;
             }
-            // An earlier put of this incarnation that was thought lost has been made.
+            // An earlier put of this incarnation that seemed lost has been applied.
             Outcome::Held(entry) => {
                 // Only a later incarnation of this front closes its pages.
                 self.superseded |= is_closed(&entry.value);
@@ -143,7 +143,7 @@
         self.release_counted();
     }
 
-    /// Statements all of whose hits the ledger has may go on.
+    /// Releases the statements all of whose hits the ledger has stored.
     pub(super) fn release_counted(&mut self) {
         let pages = &self.pages;
         let is_stored = |hit: &AwaitedHit| {
@@ -165,8 +165,8 @@
             Outcome::Unreachable | Outcome::Full => return,
         };
         let Some(entries) = decode::<Vec<ListedIncarnation>>(&entry.value) else {
-            // A repeated answer comes without the value: it is read anew. A list of a format that this build does
-            // not know stays as it is.
+            // A repeated answer has no value, so the list is read again. A list of a format unknown
+            // to this build is left as it is.
             let wait = if entry.value.is_empty() {
                 0
             } else {
--- a/crates/access/src/hits/storage.rs
+++ b/crates/access/src/hits/storage.rs
@@ -1,4 +1,5 @@
-//! How hits are kept in the ledger: the keys, and the formats of pages and of the list of incarnations.
+//! The storage of hits in the ledger: the keys, and the formats of pages and of the list of
+//! incarnations.
 
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
@@ -6,37 +7,37 @@
 use super::HitCounts;
 use crate::FrontId;
 
-/// Of a page and of the list of incarnations.
+/// The format of an open page and of the list of incarnations.
 const FORMAT: u8 = 1;
-/// Of a page that is written no more.
+/// The format of a closed page, which is not written any more.
 const CLOSED: u8 = 2;
 
-/// An incarnation of a front as the front's list names it. Fields are positional in the stored list.
+/// An incarnation in its front's list. Fields are positional in the stored list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) struct ListedIncarnation {
     pub incarnation: u64,
-    /// How many pages of counts it has.
+    /// The number of its pages of counts.
     pub pages: u32,
 }
 
-/// The list of a front's incarnations, with its version in the ledger; 0 where it is not there yet.
+/// The list of a front's incarnations, with its version in the ledger; 0 if it is not stored yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct IncarnationList {
     pub entries: Vec<ListedIncarnation>,
     pub version: u64,
 }
 
-/// The ledger's key of the list of a front's incarnations.
+/// Returns the ledger key of the list of a front's incarnations.
 pub(super) fn list_key(front: FrontId) -> Key {
     hits_key(format!("lives {front:016x}"))
 }
 
-/// The ledger's key of a page of counts.
+/// Returns the ledger key of a page of counts.
 pub(super) fn page_key(front: FrontId, incarnation: u64, page: usize) -> Key {
     hits_key(format!("hits {front:016x} {incarnation} {page}"))
 }
 
-/// The ledger's key of a part of the fleet's table.
+/// Returns the ledger key of a part of the fleet's table.
 pub(super) fn folded_key(part: usize) -> Key {
     hits_key(format!("folded {part}"))
 }
@@ -48,17 +49,17 @@
     }
 }
 
-/// The bytes of a value with its format.
+/// Encodes a value with its format.
 pub(super) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(&(FORMAT, value)).unwrap_or_default()
 }
 
-/// The bytes of a page that is written no more.
+/// Encodes a closed page.
 pub(super) fn encode_closed(counts: &HitCounts) -> Vec<u8> {
     postcard::to_stdvec(&(CLOSED, counts)).unwrap_or_default()
 }
 
-/// None where the bytes are of a format that this build does not know, or more than the value.
+/// Decodes a value; `None` if its format is unknown to this build or bytes are left over.
 pub(super) fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<T> {
     match postcard::take_from_bytes::<(u8, T)>(bytes) {
         Ok(((FORMAT, value), [])) => Some(value),
@@ -66,7 +67,7 @@
     }
 }
 
-/// The counts of a page, whether it is closed or not.
+/// Decodes the counts of a page, whether it is closed or not.
 pub(super) fn decode_counts(bytes: &[u8]) -> Option<HitCounts> {
     match postcard::take_from_bytes::<(u8, HitCounts)>(bytes) {
         Ok(((FORMAT | CLOSED, counts), [])) => Some(counts),
@@ -74,7 +75,7 @@
     }
 }
 
-/// Whether a page is written no more.
+/// Returns whether a page is closed.
 pub(super) fn is_closed(bytes: &[u8]) -> bool {
     bytes.first() == Some(&CLOSED)
 }
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -1,4 +1,5 @@
-//! The fleet's count: what was folded into its table, and the tables of the incarnations that were not.
+//! Reads the fleet's hit counts: the fleet's table of folded incarnations, and the tables of all
+//! other incarnations.
 
 use std::collections::BTreeSet;
 
@@ -9,29 +10,31 @@
 use super::{merge_counts, FleetHits, Hit, HitCounts, Hits, Pending};
 use crate::{FrontId, Micros};
 
-/// Entries that are read at once for the fleet's count.
+/// The number of entries read at the same time.
 const MAX_READS: usize = 32;
 
-/// An entry to be read.
+/// A ledger entry to be read.
 enum Read {
     List(FrontId),
     Page { owner: Owner, page: u32 },
     FoldedPart(usize),
 }
 
-/// The fleet's count as it is read from the ledger.
+/// A read of the fleet's counts in progress.
 pub(super) struct Sweep {
     started_at: Micros,
-    /// What has yet to be read.
+    /// The entries that have yet to be read.
     queue: Vec<Read>,
-    /// Reads that are out.
+    /// The number of reads in flight.
     in_flight: usize,
     missing: BTreeSet<FrontId>,
-    /// The fleet's table comes last: an incarnation whose pages are gone by then is in it.
+    /// Whether the fleet's table is being read. It is read last, so that it includes every
+    /// incarnation whose pages were already emptied.
     is_reading_folded: bool,
 }
 
 impl Sweep {
+    /// Creates a read that starts with the incarnation lists of these fronts.
     pub fn new(started_at: Micros, fronts: &[FrontId]) -> Sweep {
         let reads = fronts.iter().map(|front| Read::List(*front)).collect();
         Sweep {
@@ -45,7 +48,7 @@
 }
 
 impl Hits {
-    /// Reads on for the fleet's count.
+    /// Sends further reads, and completes the fleet's counts once all are answered.
     pub(super) fn advance_sweep(&mut self, number: &mut impl FnMut() -> u64) {
         loop {
             let Some(sweep) = self
@@ -87,7 +90,7 @@
         }
     }
 
-    /// What is in the fleet's table, and of each incarnation what is not.
+    /// Adds up the fleet's table and the rows of each incarnation that the table does not include.
     fn total_counts(&mut self) -> HitCounts {
         let mut counts = HitCounts::new();
         for (hit, count) in self.folded.values().flat_map(|part| &part.folded.counts) {
@@ -151,7 +154,7 @@
             _ => None,
         };
         let Some(read) = entry.and_then(|entry| VersionedPart::read(&entry)) else {
-            // Of any front something may be there.
+            // The part may include counts of any front.
             sweep.missing.extend(&self.fronts);
             return;
         };
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -1,5 +1,6 @@
-//! A set compiled, so that the cost of a decision hardly grows with its rules: a table by the fields that rules name,
-//! and within each entry the tables' groups cut into ranges with the rules of each in order.
+//! A rule set compiled so that the cost of a decision hardly grows with the number of rules: a
+//! table keyed by the fields that rules name, in which each entry divides the table groups into
+//! ranges and lists the rules of each range in order of precedence.
 
 mod compare;
 mod shadow;
@@ -14,20 +15,20 @@
 use table::{fields, names_field, Cell, FieldMask, FieldNumbers, Table, FIELDS};
 pub use verdict::Verdict;
 
-/// Groups of tables of one statement; with more they count as unknown.
+/// The number of table groups evaluated for one statement; with more, its groups count as unknown.
 const MAX_GROUPS: usize = 16;
-/// Why a statement is denied whose groups are unknown.
+/// The reason of a denial for unknown table groups.
 const GROUPS_UNKNOWN: &str =
     "the groups of tables that it reads cannot be told, and a rule bars some";
-/// Why a statement is denied by the default.
+/// The reason of a denial by the default.
 const NO_RULE_ALLOWS: &str = "no rule allows it";
 
-/// A rule set compiled for look-up.
+/// A rule set compiled for lookup.
 #[derive(Clone, Debug)]
 pub struct Index {
-    /// The rules it was compiled from.
+    /// The rule set that the index was compiled from.
     pub set: RuleSet,
-    /// The numbers of the values that rules name, by field.
+    /// For each field, the number assigned to each value that rules name.
     value_numbers: [HashMap<String, u32>; FIELDS],
     /// The rules that decide.
     deciding_rules: Table,
@@ -36,8 +37,8 @@
 }
 
 impl Index {
-    /// Compiles a set. Rules of one customer, workload and front whose table ranges overlap are listed once for
-    /// each range of groups that they cover.
+    /// Compiles a rule set. Rules of one customer, workload and front whose table ranges overlap
+    /// are listed once for each range of groups that they cover.
     pub fn new(set: RuleSet) -> Index {
         let mut value_numbers: [HashMap<String, u32>; FIELDS] = Default::default();
         let mut deciding: HashMap<FieldNumbers, Vec<u32>> = HashMap::new();
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The rules about a statement.
+    /// Returns the rules that match a statement.
     pub fn find(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
         let names = [attributes.customer, attributes.workload, attributes.front];
         let number = |field: usize| self.value_numbers[field].get(names[field]).copied();
@@ -76,8 +77,8 @@
         }
     }
 
-    /// The first rule of a table that is about a statement and holds now. `numbers` are those of the statement's
-    /// fields, where some rule names them.
+    /// Returns the first rule of a table that matches a statement and is active now. `numbers` are
+    /// those of the statement's values, `None` where no rule names the value.
     fn find_first(
         &self,
         table: &Table,
@@ -111,8 +112,8 @@
         first_rule.map(|at| at as usize)
     }
 
-    /// Judges a statement by all groups of tables that it reads: barred for one is barred for all.
-    /// None: they are unknown.
+    /// Evaluates a statement for all table groups that it reads; a location barred for one group is
+    /// barred for the statement. `None` means that the groups are unknown.
     pub fn judge(&self, attributes: &Attributes, groups: Option<&[u32]>, wall_ms: u64) -> Verdict {
         let judge = |group: Option<u32>, tables_known: bool| {
             let attributes = Attributes {
@@ -161,7 +162,7 @@
         verdict
     }
 
-    /// The limits that a verdict holds a statement to.
+    /// Returns the limits that a verdict counts against.
     pub fn limits(&self, verdict: &Verdict) -> Vec<Limit> {
         let rules = verdict
             .limits
@@ -182,13 +183,14 @@
             .collect()
     }
 
-    /// The name of a rule, by its place in the order.
+    /// Returns the name of the rule at an index of the set; empty if there is no such rule.
     pub fn rule_name(&self, rule: usize) -> &str {
         self.set.rules.get(rule).map_or("", |rule| &rule.name)
     }
 }
 
-/// The key of the entry whose rules name the fields of a mask; None where no rule names a value of the statement.
+/// Returns the key of the entry whose rules name the fields of a mask; `None` if no rule names one
+/// of the statement's values.
 fn entry_key(mask: FieldMask, numbers: &[Option<u32>; FIELDS]) -> Option<FieldNumbers> {
     let mut key: FieldNumbers = Default::default();
     for (field, number) in numbers.iter().enumerate() {
@@ -199,7 +201,7 @@
     Some(key)
 }
 
-/// The rules of an entry about the tables that a statement reads.
+/// Returns the rules of an entry for the tables that a statement reads.
 fn rules_for_tables<'a>(cell: &'a Cell, attributes: &Attributes) -> Option<&'a Vec<u32>> {
     match attributes.group {
         Some(group) => cell.rules_for_group(group),
--- a/crates/access/src/index/compare.rs
+++ b/crates/access/src/index/compare.rs
@@ -1,36 +1,39 @@
-//! Whether one set of rules lets less through than another.
+//! Decides whether one rule set is more restrictive than another.
 
 use super::Index;
 use crate::known::KnownNames;
 use crate::rule::{Attributes, Rule, RuleSet};
 use crate::shares::Limit;
 
-/// Kinds of statements that are compared; it takes some 100 ms.
+/// The number of kinds of statements compared; comparing this many takes about 100 ms.
 const MAX_COMPARED_KINDS: usize = 200_000;
 
 /// One kind of statements at one time.
 struct Kind<'a> {
     attributes: Attributes<'a>,
-    /// Unix milliseconds.
+    /// The time in Unix milliseconds.
     at_ms: u64,
 }
 
-/// What a set permits to a kind of statements.
+/// What a rule set allows a kind of statements.
 struct Permitted {
-    /// Where they may be read, ascending.
+    /// The indices of the allowed locations, ascending.
     locations: Vec<u16>,
     limits: Vec<Limit>,
 }
 
-/// The kinds of statements that two sets tell apart: every combination of one value of each list.
+/// The kinds of statements that two rule sets distinguish: every combination of one value from each
+/// list.
 struct Kinds<'a> {
-    /// The names in either set's rules, and an empty one for all that no rule names; so are the next two.
+    /// The customers named in either set's rules, and an empty name for all others. `workloads` and
+    /// `fronts` are built likewise.
     customers: Vec<&'a str>,
     workloads: Vec<&'a str>,
     fronts: Vec<&'a str>,
-    /// Where a range of groups begins, or another has ended.
+    /// The group at which each range starts, and the group after each range's end.
     groups: Vec<Option<u32>>,
-    /// The moment looked at first, and those after it at which a rule begins or ends, in Unix milliseconds.
+    /// The time of the comparison and the later times at which a rule starts or ends, in Unix
+    /// milliseconds.
     times: Vec<u64>,
 }
 
@@ -56,7 +59,7 @@
         }
     }
 
-    /// How many there are; `None`: more than a number holds.
+    /// Returns the number of kinds; `None` if it exceeds the integer range.
     fn count(&self) -> Option<usize> {
         let lists = [
             self.customers.len(),
@@ -68,7 +71,7 @@
         lists.iter().try_fold(1usize, |all, n| all.checked_mul(*n))
     }
 
-    /// All of them, at each time that is looked at.
+    /// Returns all kinds at each of the times.
     fn all(&self) -> impl Iterator<Item = Kind<'a>> + '_ {
         let customers = self.customers.iter();
         customers.flat_map(move |customer| {
@@ -112,14 +115,15 @@
 }
 
 impl Index {
-    /// Whether, for some statement, this set lets less through than an earlier one at any time from now on. Exact where
-    /// the kinds of statements that the two tell apart are few; beyond that it says yes.
+    /// Returns whether this set is more restrictive than an earlier one for some statement at any
+    /// time from now on. The answer is exact if the two sets distinguish few kinds of statements;
+    /// otherwise it is yes.
     pub fn tightens(&self, before: &Index, known: &KnownNames, now_ms: u64) -> bool {
         let kinds = Kinds::new([&self.set, &before.set], now_ms);
         if kinds.count().is_none_or(|count| count > MAX_COMPARED_KINDS) {
             return true;
         }
-        // One place more stands for those that are not known here.
+        // One more index stands for the locations that this front does not know.
         let all_locations: Vec<u16> = (0..=known.locations.len() as u16).collect();
         let tightens = |kind: Kind| {
             let new = self.permitted(&kind, &all_locations);
@@ -132,7 +136,8 @@
         kinds.any(tightens)
     }
 
-    /// Where statements of a kind may be read, of all places, and within which limits.
+    /// Returns the locations and limits for a kind of statements; `all_locations` replaces an
+    /// unrestricted verdict.
     fn permitted(&self, kind: &Kind, all_locations: &[u16]) -> Permitted {
         let verdict = self.judge_group(&kind.attributes, kind.at_ms);
         let limits = self.limits(&verdict);
--- a/crates/access/src/index/shadow.rs
+++ b/crates/access/src/index/shadow.rs
@@ -1,11 +1,12 @@
-//! Rules that can never decide, as another always goes before them.
+//! Finds rules that can never decide because another rule always takes precedence.
 
 use super::table::{fields, mask_of, names_field, Cell, FieldNumbers};
 use super::Index;
 use crate::rule::{Rule, RuleEffect, TableRange};
 
 impl Index {
-    /// A rule that goes before another wherever and whenever that would match.
+    /// Returns a rule that takes precedence over rule `at` wherever and whenever that rule would
+    /// match.
     pub fn shadowing_rule(&self, at: usize) -> Option<usize> {
         let rule = self.set.rules.get(at)?;
         let cells = self.wider_cells(rule);
@@ -15,7 +16,7 @@
         if covering_rule.is_some() {
             return covering_rule;
         }
-        // Each range of its groups must have one; the ranges of an entry differ from those of another.
+        // Each range of the rule's groups needs such a rule; the ranges of the entries differ.
         let mut last = None;
         for start in range_starts(&cells, rule.tables?) {
             let covering = cells
@@ -26,7 +27,7 @@
         last
     }
 
-    /// The entries whose rules name no field that this one does not name alike.
+    /// Returns the entries whose rules name a subset of this rule's fields, with the same values.
     fn wider_cells(&self, rule: &Rule) -> Vec<&Cell> {
         let table = match rule.effect {
             RuleEffect::Count => &self.counting_rules,
@@ -51,7 +52,8 @@
         wider.filter_map(cell).collect()
     }
 
-    /// A rule of a list that goes before rule `at` and holds whenever that does.
+    /// Returns a rule of the list that takes precedence over rule `at` and is active whenever that
+    /// rule is.
     fn find_covering(&self, list: &[u32], at: usize, rule: &Rule) -> Option<usize> {
         let spans = |by: &usize| {
             self.set
@@ -64,7 +66,7 @@
     }
 }
 
-/// Where the ranges of some entries begin within these tables.
+/// Returns the first group of each range of the entries that lies within these tables.
 fn range_starts(cells: &[&Cell], tables: TableRange) -> Vec<u32> {
     let mut starts = vec![tables.first];
     for cell in cells {
--- a/crates/access/src/index/table.rs
+++ b/crates/access/src/index/table.rs
@@ -1,50 +1,52 @@
-//! The table by the fields that rules name, and its entries: the groups of tables cut into ranges, with the rules
-//! of each in order. Rules are numbered by their place in the set's order.
+//! The table keyed by the fields that rules name, and its entries: the table groups divided into
+//! ranges, with the rules of each range in order. Rules are numbered by their index in the rule
+//! set.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::rule::{Rule, RuleSet};
 
-/// Customer, workload and front of a rule.
+/// The number of fields that key the table: customer, workload and front.
 pub(super) const FIELDS: usize = 3;
 
-/// Customer, workload and front by number; 0 where a rule names none.
+/// The numbers of a rule's customer, workload and front; 0 if the rule does not name the field.
 pub(super) type FieldNumbers = [u32; FIELDS];
 
-/// The fields that rules of an entry name, a bit for each.
+/// A bit for each field that the rules of an entry name.
 pub(super) type FieldMask = u8;
 
-/// The values of the fields that entries are found by; None where the rule names none.
+/// Returns the values of the key fields; `None` if the rule does not name the field.
 pub(super) fn fields(rule: &Rule) -> [Option<&String>; FIELDS] {
     [&rule.customer, &rule.workload, &rule.front].map(Option::as_ref)
 }
 
-/// Which of the fields are named.
+/// Returns the mask of the fields that are named.
 pub(super) fn mask_of(numbers: &FieldNumbers) -> FieldMask {
     (0..FIELDS).fold(0, |mask, field| {
         mask | u8::from(numbers[field] > 0) << field
     })
 }
 
-/// Whether a mask has the bit of a field.
+/// Returns whether a mask includes a field.
 pub(super) fn names_field(mask: FieldMask, field: usize) -> bool {
     mask >> field & 1 == 1
 }
 
-/// Rules of one entry, in order; a list ends with the first rule that always holds, as none behind it ever decides.
+/// The rules of one entry, in order. Each list ends with the first rule that is always active, as
+/// no rule behind it can decide.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Cell {
-    /// Those that name no tables.
+    /// The rules that name no tables.
     pub without_tables: Vec<u32>,
-    /// Where each range of groups begins.
+    /// The first group of each range.
     pub starts: Vec<u32>,
-    /// The rules about each range.
+    /// The rules of each range.
     ranges: Vec<Vec<u32>>,
-    /// Those about tables that let less through: they hold where the groups are unknown.
+    /// The restrictive rules about tables, which apply if a statement's groups are unknown.
     pub restrictive: Vec<u32>,
 }
 
-/// Where a rule about tables begins or ends. Of one group, ends sort first.
+/// The start or the end of a rule's table range. Within one group, ends sort before starts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Edge {
     group: u32,
@@ -53,7 +55,7 @@
 }
 
 impl Cell {
-    /// The entry of these rules, which come in order.
+    /// Builds the entry of these rules, which are given in order.
     fn new(set: &RuleSet, rules: &[u32]) -> Cell {
         let mut cell = Cell::default();
         let mut edges = Vec::new();
@@ -83,7 +85,7 @@
         cell
     }
 
-    /// Cuts the groups into ranges at these edges.
+    /// Divides the groups into ranges at these edges.
     fn add_ranges(&mut self, set: &RuleSet, mut edges: Vec<Edge>) {
         edges.sort_unstable();
         let mut open = BTreeSet::new();
@@ -102,23 +104,23 @@
         }
     }
 
-    /// The rules about a group.
+    /// Returns the rules about a group; `None` if it lies before the first range.
     pub fn rules_for_group(&self, group: u32) -> Option<&Vec<u32>> {
         let after = self.starts.partition_point(|start| *start <= group);
         self.ranges.get(after.checked_sub(1)?)
     }
 }
 
-/// Entries by the fields that their rules name.
+/// The entries, keyed by the fields that their rules name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Table {
     pub cells: HashMap<FieldNumbers, Cell>,
-    /// The fields that the rules of some entry name.
+    /// The masks of the entries' fields, without duplicates.
     pub masks: Vec<FieldMask>,
 }
 
 impl Table {
-    /// The table of a set's rules, which come in order for each entry.
+    /// Builds the table of a rule set; the rules of each entry are given in order.
     pub fn new(set: &RuleSet, rules: HashMap<FieldNumbers, Vec<u32>>) -> Table {
         let mut masks: Vec<FieldMask> = rules.keys().map(mask_of).collect();
         masks.sort_unstable();
@@ -133,7 +135,7 @@
     }
 }
 
-/// The rules up to the first that always holds.
+/// Returns the rules up to and including the first that is always active.
 fn until_always(set: &RuleSet, rules: impl Iterator<Item = u32>) -> Vec<u32> {
     let mut list = Vec::new();
     for number in rules {
--- a/crates/access/src/index/verdict.rs
+++ b/crates/access/src/index/verdict.rs
@@ -1,29 +1,29 @@
-//! What holds for a statement, also where it reads several groups of tables.
+//! The verdict on a statement, which may read several table groups.
 
-/// Why a statement is denied whose groups have no place in common.
+/// The reason of a denial when the groups of a statement have no allowed location in common.
 const NO_COMMON_LOCATION: &str =
     "the groups of tables that it reads may be read together in no region";
 
-/// What holds for a statement.
+/// The verdict of a rule set on a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// The version that it was judged by: the same at every try.
+    /// The version that gave the verdict; the same for every attempt.
     pub version: u64,
-    /// The rule that decided it, by its place in the set's order; None: the default.
+    /// The index of the deciding rule in the set; `None` if the default decided.
     pub rule: Option<usize>,
-    /// The rule that only counts it.
+    /// The index of the rule that only counts the statement.
     pub counting_rule: Option<usize>,
-    /// The rules that let it through within a limit.
+    /// The indices of the rules whose limits apply to the statement.
     pub limits: Vec<usize>,
-    /// Why it is denied.
+    /// The reason of the denial, if the statement is denied.
     pub denied: Option<String>,
-    /// The places where it may be read, ascending; None: all.
+    /// The indices of the allowed locations, ascending; `None` means all.
     pub allowed: Option<Vec<u16>>,
 }
 
 impl Verdict {
-    /// Whether the statement may be read at a location. `None` stands for a location that is not known, which is
-    /// allowed only where all are.
+    /// Returns whether the statement may be read at a location. `None` stands for an unknown
+    /// location, which is allowed only if all locations are.
     pub fn allows(&self, location: Option<u16>) -> bool {
         let is_named =
             |all: &Vec<u16>| location.is_some_and(|location| all.binary_search(&location).is_ok());
@@ -32,9 +32,11 @@
 }
 
 impl Verdict {
-    /// What holds for a statement about which two verdicts hold.
+    /// Combines the verdicts for two table groups of one statement; only locations that both allow
+    /// remain.
     pub(super) fn intersect(self, other: Verdict) -> Verdict {
-        // The rule that stands first is the one that decided, a denial before all.
+        // The first rule in order of precedence is reported as deciding; a denial goes before all
+        // others.
         let precedence = |v: &Verdict| (v.denied.is_none(), v.rule.is_none(), v.rule);
         let counting_rule = self
             .counting_rule
--- a/crates/access/src/judge.rs
+++ b/crates/access/src/judge.rs
@@ -1,19 +1,20 @@
-//! What a set of rules says of a statement.
+//! Evaluates a rule set for one statement.
 
 use crate::index::{Index, Verdict};
 use crate::rule::Attributes;
 
-/// What a statement asks for.
+/// The attributes of a statement that rules refer to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// Whose statement it is; matched exactly.
+    /// The customer that sent the statement; matched exactly.
     pub customer: String,
-    /// The workload that the statement belongs to, as the settings name it.
+    /// The workload of the statement, as the settings name it.
     pub workload: String,
-    /// The groups of tables that it reads; None where they cannot be told.
+    /// The table groups that the statement reads; `None` if they are unknown.
     pub groups: Option<Vec<u32>>,
 }
 
+/// Evaluates a statement received at a front of a region under a compiled rule set.
 pub(crate) fn judge(
     index: &Index,
     region: &str,
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,10 +1,13 @@
-//! Regional access rules of customers: who may read what where. A set of rules is read and checked as a whole
-//! (`read`, `check`), compiled to an index (`index`), kept as one version for the whole fleet in the ledger
-//! (`head`, `versions`), counted exactly (`hits`), and held to limits over the whole fleet (`shares`).
-//! `Access` joins them for one front. No sockets, no files, no clock, no randomness: statements, the ledger's answers
-//! and the time come in, requests to the ledger, decisions and events go out.
+//! Regional access rules of customers: which customer may read which tables in which region. A rule
+//! set is parsed and checked as a whole (`read`, `check`), compiled to an index (`index`), stored
+//! in the ledger as one version for the whole fleet (`head`, `versions`), counted exactly (`hits`),
+//! and limited over the whole fleet (`shares`). `Access` combines these for one front.
 //!
-//! A rule narrows where the decision module may send; the module still chooses among what is left.
+//! The crate has no sockets, files, clock or randomness: its inputs are statements, the ledger's
+//! answers and the time; its outputs are ledger requests, decisions and events.
+//!
+//! A rule restricts the locations to which the decision module may send a statement; the module
+//! still chooses among the locations that remain.
 
 #![warn(missing_docs)]
 
--- a/crates/access/src/output.rs
+++ b/crates/access/src/output.rs
@@ -1,23 +1,26 @@
-//! What the caller has to do for the rules.
+//! The work that the access rules hand to their caller.
 
 use hallmux_ledger::LedgerRequest;
 
 use crate::event::Event;
 use crate::hits::FleetHits;
 
-/// What is to be done.
+/// Ledger requests, log events and statement outcomes since the last call.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// Requests to the ledger; each is answered through [`crate::Access::on_ledger_answer`] under its number.
+    /// Requests to the ledger; the caller passes each answer to [`crate::Access::on_ledger_answer`]
+    /// with the request's number.
     pub ledger_requests: Vec<LedgerRequest>,
     /// Events for the log, in the order in which they happened.
     pub events: Vec<Event>,
-    /// Statements whose hits stand.
+    /// Statements whose hits are replicated in the ledger.
     pub counted: Vec<u64>,
-    /// Statements for which there is no room within a limit: nothing of them has left, and later there may be.
+    /// Statements rejected because a limit has no capacity left. None of their executions has been
+    /// sent, so they may be retried later.
     pub over_limit: Vec<u64>,
-    /// Statements that run where the version adopted bars: they are to be ended, where the platform can.
+    /// Statements running at a location that the newly adopted version bars. The caller ends them
+    /// if the platform can.
     pub revoked: Vec<u64>,
-    /// The fleet's count, as it was asked for.
+    /// The fleet's hit counts, if they were requested and are now complete.
     pub fleet_hits: Option<FleetHits>,
 }
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -1,4 +1,4 @@
-//! A file of rules read as a whole: JSON5, every error at once with its path and line.
+//! Reads a rules file in JSON5 and reports all its errors at once, each with its path and line.
 
 mod file;
 mod moves;
@@ -13,24 +13,24 @@
 
 use reader::Reader;
 
-/// What a file asks for.
+/// The change that a rules file asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RulesCommand {
-    /// This set is to hold for the fleet.
+    /// Make this rule set the fleet's.
     Replace(RuleSet),
-    /// What this set would decide otherwise is reported; nothing changes.
+    /// Report the decisions that this rule set would change; nothing else happens.
     WhatIf(RuleSet),
-    /// The set of an earlier version is to hold again, under a new one.
+    /// Make the rule set of an earlier version the fleet's again, under a new version.
     RollBack {
-        /// The version under which the earlier set is to hold.
+        /// The new version of the earlier set.
         version: u64,
-        /// The version of the earlier set.
+        /// The version under which the set was kept.
         to: u64,
     },
 }
 
 impl RulesCommand {
-    /// The version that the file states.
+    /// Returns the version that the file states.
     pub fn version(&self) -> u64 {
         match self {
             RulesCommand::Replace(set) | RulesCommand::WhatIf(set) => set.version,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads a file's text and checks it against what is known. `file` names it in the errors.
+/// Parses a rules file and checks it against the known names. `file` names it in the errors.
 pub fn read(
     file: &str,
     text: &str,
@@ -66,7 +66,7 @@
     }
 }
 
-/// The errors with their lines, in the order of those.
+/// Adds the line of each error and sorts the errors by line.
 fn with_lines(errors: Vec<LocatedProblem>, lines: LineLookup) -> Vec<FileError> {
     let mut errors: Vec<FileError> = errors
         .into_iter()
@@ -77,6 +77,6 @@
         })
         .collect();
     errors.sort_by_key(|error| error.line);
-    errors.dedup(); // a rule that moves is read as three
+    errors.dedup(); // a rule that moves tables is read as three rules, whose errors repeat
     errors
 }
--- a/crates/access/src/read/file.rs
+++ b/crates/access/src/read/file.rs
@@ -1,4 +1,4 @@
-//! A file of rules as a whole.
+//! Reads a rules file as a whole.
 
 use serde_json::{Map, Value};
 
@@ -7,16 +7,16 @@
 use crate::error::Problem;
 use crate::rule::{DefaultEffect, Rule, RuleSet};
 
-/// Rules in a file.
+/// The number of rules allowed in a file.
 const MAX_RULES: usize = 200_000;
 const KEYS: &str = "version, default, rules, roll_back_to, what_if";
-/// The keys of a roll-back.
+/// The keys allowed in a roll-back.
 const ROLL_BACK_KEYS: &str = "version, roll_back_to";
-/// The keys that don't go with a roll-back.
+/// The keys not allowed in a roll-back.
 const SET_KEYS: [&str; 3] = ["rules", "default", "what_if"];
 
 impl Reader<'_> {
-    /// None where the text can't be used; the reader then has the errors.
+    /// Returns `None` if the text cannot be used; the reader then holds the errors.
     pub fn read_file(&mut self, text: &str) -> Option<RulesCommand> {
         let value: Value = match json5::from_str(text) {
             Ok(value) => value,
@@ -107,7 +107,7 @@
         Some(rules)
     }
 
-    /// Whether the file only asks what its set would change.
+    /// Returns whether the file only asks what its rule set would change.
     fn what_if(&mut self, file: &Map<String, Value>) -> Option<bool> {
         let Some(value) = file.get("what_if") else {
             return Some(false);
@@ -118,7 +118,7 @@
             .or_else(|| self.fail("what_if", Problem::WrongType { needs }))
     }
 
-    /// The rules of the list; None where one is faulty. All are read, so that all errors are known.
+    /// Reads all rules, so that all errors are found; returns `None` if any rule has one.
     fn rules(&mut self, list: &[Value]) -> Option<Vec<Rule>> {
         let mut all = Some(Vec::new());
         for (at, value) in list.iter().enumerate() {
--- a/crates/access/src/read/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -1,5 +1,6 @@
-//! Rules that follow data: a group of tables that moves from one region to another at a time, with an overlap in which
-//! it lies at both. Read as three rules of one name, one for each time.
+//! Rules that follow a move of tables: a range of table groups moves from one region to another at
+//! a given time, with an overlap in which it is available in both. Such a rule is read as three
+//! rules of one name, one for each phase of the move.
 
 use std::ops::RangeInclusive;
 
@@ -11,23 +12,23 @@
 use crate::rule::{Rule, RuleEffect};
 
 const KEYS: &str = "from, to, at, overlap_ms";
-/// Keys of a rule that say where or when; a move does so itself.
+/// Keys that set the location or the period of a rule, which a move sets itself.
 const EXCLUDED_KEYS: [&str; 6] = ["regions", "barred", "then", "reason", "from", "until"];
-/// Milliseconds for which the tables may lie at both regions; at most a year.
+/// The overlap allowed, in milliseconds; at most a year.
 const OVERLAP_RANGE_MS: RangeInclusive<u64> = 1..=366 * 86_400_000;
 
-/// The move of a group of tables. Regions are places, ascending.
+/// The move of a range of table groups. `from` and `to` are location indices, ascending.
 pub(super) struct Move {
     from: Vec<u16>,
     to: Vec<u16>,
-    /// When it lies at both, in Unix milliseconds.
+    /// The start of the overlap, in Unix milliseconds.
     at_ms: u64,
-    /// Milliseconds for which it lies at both.
+    /// The length of the overlap, in milliseconds.
     overlap_ms: u64,
 }
 
 impl Move {
-    /// Before its time, while both have the data, and after.
+    /// Returns the rules for the time before the overlap, during it, and after it.
     pub fn phases(&self, rule: &Rule) -> Vec<Rule> {
         let mut both: Vec<u16> = self.from.iter().chain(&self.to).copied().collect();
         both.sort_unstable();
@@ -51,7 +52,7 @@
 }
 
 impl Reader<'_> {
-    /// The move of a rule; None where it is faulty.
+    /// Reads the move of a rule; `None` if it has an error.
     pub fn read_move(
         &mut self,
         path: &str,
--- a/crates/access/src/read/reader.rs
+++ b/crates/access/src/read/reader.rs
@@ -1,4 +1,4 @@
-//! Reads values of a file, and gathers what is wrong with them.
+//! Reads values of a rules file and collects the errors.
 
 use serde_json::{Map, Value};
 
@@ -12,7 +12,7 @@
 }
 
 impl Reader<'_> {
-    /// Reports an error; None stands for the value that could not be read.
+    /// Reports an error and returns `None` in place of the value that could not be read.
     pub fn fail<T>(&mut self, path: &str, problem: Problem) -> Option<T> {
         self.report(path.to_string(), problem);
         None
@@ -23,7 +23,7 @@
         self.errors.push(LocatedProblem { path, problem });
     }
 
-    /// Reports the keys of an object that are not among the known ones, which commas separate.
+    /// Reports the keys of an object that are not in `known`, a list separated by commas.
     pub fn check_keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
         for key in object
             .keys()
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A text that is not empty; None where there is none.
+    /// Reads a non-empty text; `None` if the key is missing or its value is no such text.
     pub fn read_text(
         &mut self,
         path: &str,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A name out of a list; where the list is empty any will do.
+    /// Reads a name that has to be on a list; an empty list allows any name.
     pub fn read_name(
         &mut self,
         path: &str,
@@ -78,10 +78,11 @@
     }
 }
 
-/// Numbers below this have no gaps between whole ones.
+/// Below this bound, a 64-bit floating-point number represents every integer exactly.
 const MAX_EXACT_INTEGER: f64 = 9e15;
 
-/// A whole number. JSON5 has one kind of number; whole ones may be written with a point.
+/// Reads an integer. JSON5 has a single type of number, so an integer may be written with a decimal
+/// point.
 pub(super) fn read_integer(value: &Value) -> Option<i64> {
     let is_whole = |number: &f64| number.fract() == 0.0 && number.abs() < MAX_EXACT_INTEGER;
     value
@@ -89,7 +90,7 @@
         .or_else(|| value.as_f64().filter(is_whole).map(|number| number as i64))
 }
 
-/// A whole number that is not negative.
+/// Reads an integer that is not negative.
 pub(super) fn read_unsigned(value: &Value) -> Option<u64> {
     read_integer(value).and_then(|n| u64::try_from(n).ok())
 }
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -1,4 +1,4 @@
-//! One entry of a file's list of rules.
+//! Reads one entry of a file's list of rules.
 
 use std::ops::RangeInclusive;
 
@@ -12,13 +12,14 @@
 const RULE_KEYS: &str =
     "name, customer, workload, tables, front, regions, barred, then, reason, at_most, in_ms, moves, \
      priority, from, until";
-/// Statements that a limit may allow in its window; each takes some 8 bytes.
+/// The number of statements that a limit may allow in its window; each takes about 8 bytes.
 const MAX_STATEMENTS_RANGE: RangeInclusive<u64> = 1..=100_000;
-/// Milliseconds of a limit's window.
+/// The window of a limit, in milliseconds.
 const WINDOW_RANGE_MS: RangeInclusive<u64> = 1_000..=86_400_000;
 
 impl Reader<'_> {
-    /// The rules that an entry of the list stands for: one, or three for one that moves. `None` where it is faulty.
+    /// Reads an entry of the list: one rule, or three for a rule that moves tables. Returns `None`
+    /// if the entry has an error.
     pub(super) fn read_rule(&mut self, file_index: usize, value: &Value) -> Option<Vec<Rule>> {
         let path = &format!("rules[{file_index}]");
         let Value::Object(fields) = value else {
@@ -107,7 +108,7 @@
         priority.unwrap_or_default()
     }
 
-    /// From when and until when it holds, in Unix milliseconds.
+    /// Reads the start and the end of a rule's period, in Unix milliseconds.
     fn period(&mut self, path: &str, fields: &Map<String, Value>, rule: &str) -> (u64, u64) {
         let from_ms = self.time(path, fields, "from").unwrap_or(0);
         let until_ms = self.time(path, fields, "until").unwrap_or(u64::MAX);
@@ -119,7 +120,7 @@
         (from_ms, until_ms)
     }
 
-    /// Its limit; only a rule that allows may have one.
+    /// Reads the limit of a rule; only a rule that allows may have one.
     fn limit_if_allowing(
         &mut self,
         path: &str,
@@ -180,7 +181,7 @@
         })
     }
 
-    /// A time in Unix milliseconds.
+    /// Reads a time as Unix milliseconds.
     pub fn time(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<u64> {
         let text = self.read_text(path, object, key)?;
         let time = text
@@ -240,7 +241,8 @@
         }
     }
 
-    /// Allows the regions named, or all but those barred; None where those are faulty.
+    /// Builds an effect that allows the named regions, or all regions but the barred ones; `None`
+    /// if their list has an error.
     fn allow(
         &self,
         fields: &Map<String, Value>,
@@ -258,7 +260,7 @@
         Some(RuleEffect::Allow { locations })
     }
 
-    /// The places of a list of regions, ascending.
+    /// Reads a list of regions as location indices, ascending.
     pub fn regions(
         &mut self,
         path: &str,
@@ -286,7 +288,7 @@
         Some(locations)
     }
 
-    /// The error for a region that is not known.
+    /// Returns the error for an unknown region.
     pub fn unknown_region(&self, name: &str) -> Problem {
         Problem::UnknownName {
             name: name.to_string(),
@@ -296,7 +298,7 @@
     }
 }
 
-/// The error for keys that don't go together.
+/// Returns the error for keys that cannot be combined.
 pub(super) fn conflicting_keys(rule: &str, why: &'static str, remedy: &'static str) -> Problem {
     Problem::ConflictingKeys {
         rule: rule.to_string(),
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -1,5 +1,5 @@
-//! What was asked here in the last hours, by kind and without texts; and what a set that is not in force would have
-//! decided of it.
+//! Records the statements received in the last hours by kind, without their texts, and reports
+//! which of them a proposed rule set would decide differently.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,67 +8,67 @@
 use crate::shares::Limit;
 use crate::{Micros, Moment};
 
-/// Kinds of statements, some 250 bytes each.
+/// The number of kinds of statements recorded; each takes about 250 bytes.
 const MAX_KINDS: usize = 4_096;
-/// Parts into which the time looked back at is cut.
+/// The number of slots into which the recorded time is divided.
 const SLOTS: usize = 24;
 
-/// What a set says of a statement.
+/// The decision of a rule set on a kind of statements.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Permission {
-    /// Turned away by a rule or by the default.
+    /// Denied by a rule or by the default.
     Denied,
-    /// At these locations (None: all), within these limits.
+    /// Allowed at some locations, within some limits.
     Allowed {
-        /// The locations at which it may be read; `None`: all.
+        /// The locations at which the statement may be read; `None` means all.
         locations: Option<Vec<String>>,
-        /// The limits that it counts against.
+        /// The limits that the statement counts against.
         limits: Vec<Limit>,
     },
 }
 
-/// Statements that two sets decide differently.
+/// Statements that two rule sets decide differently.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChangedDecision {
-    /// Whose statements they are.
+    /// The customer of the statements.
     pub customer: String,
     /// The workload of the statements.
     pub workload: String,
-    /// What the set in force says of them.
+    /// The decision of the rule set held.
     pub current: Permission,
-    /// What the other set would say of them.
+    /// The decision of the proposed rule set.
     pub proposed: Permission,
 }
 
-/// What a set would change, were it to hold now.
+/// The decisions that a rule set would change if it were in force now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WhatIfReport {
-    /// The version that holds, and the one that was asked about.
+    /// The version held.
     pub held_version: u64,
-    /// The version that was asked about.
+    /// The proposed version.
     pub proposed_version: u64,
-    /// How far the record goes back.
+    /// How far back the record reaches, in microseconds.
     pub covered_time: Micros,
-    /// Statements that the record holds.
+    /// The number of statements in the record.
     pub statements: u64,
-    /// Statements for whose kinds the record had no room.
+    /// The number of statements left out because the record had no space for their kind.
     pub unrecorded: u64,
-    /// The statements that would be decided differently, and how many there were of each kind.
+    /// The statements that would be decided differently, with the number of each kind.
     pub changes: BTreeMap<ChangedDecision, u64>,
 }
 
-/// What was asked of one front over a sliding window of time, counted by kind.
+/// The statements that one front received in a sliding window of time, counted by kind.
 pub struct Record {
     slot_length: Micros,
     started_at: Option<Micros>,
-    /// The part that is being filled, since the clock began.
+    /// The slot being filled, counted from time 0 of the clock.
     current_slot: Micros,
     counts_by_request: HashMap<Request, [u32; SLOTS]>,
     unrecorded: [u64; SLOTS],
 }
 
 impl Record {
-    /// Of the last so many microseconds; 0: of nothing.
+    /// Creates a record of the last `window` microseconds; 0 disables it.
     pub fn new(window: Micros) -> Record {
         let slot_length = window / SLOTS as Micros;
         Record {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Goes on to a time: what is older than the record goes back is forgotten.
+    /// Advances the record to a time and drops the slots that have left the window. Returns the
+    /// index of the present slot.
     fn advance(&mut self, now: Micros) -> usize {
         let slot = now.div_euclid(self.slot_length);
         let elapsed = if self.started_at.is_none() {
@@ -122,7 +123,8 @@
         }
     }
 
-    /// What a set would decide otherwise than the one held, of what was asked, were it asked now.
+    /// Reports the recorded statements that a proposed rule set would decide differently from the
+    /// one held if they were received now.
     pub fn compare(
         &mut self,
         at: Moment,
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -1,10 +1,10 @@
-//! A rule, a set of them in the order in which they decide, and the plain walk over it.
+//! A rule, a rule set in order of precedence, and the linear search that the index must agree with.
 
 use std::cmp::Reverse;
 
 use crate::Micros;
 
-/// Groups of tables, both ends within.
+/// A range of table groups, including both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TableRange {
     /// The first group of the range.
@@ -14,7 +14,7 @@
 }
 
 impl TableRange {
-    /// Whether the range includes a group.
+    /// Returns whether the range includes a group.
     pub fn contains(&self, group: u32) -> bool {
         (self.first..=self.last).contains(&group)
     }
@@ -24,20 +24,20 @@
     }
 }
 
-/// What a rule says of the statements it matches.
+/// The effect of a rule on the statements it matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RuleEffect {
     /// The statement is not run.
     Deny {
-        /// The reason that the client and the log get.
+        /// The reason, which the client and the log receive.
         reason: String,
     },
-    /// Places (indices of `KnownNames::locations`) where it may be read, ascending; None: anywhere.
+    /// The statement may be read only at some locations.
     Allow {
-        /// Indices of `KnownNames::locations` where it may be read, ascending; `None`: anywhere.
+        /// Indices of `KnownNames::locations`, ascending; `None` means all locations.
         locations: Option<Vec<u16>>,
     },
-    /// Counted beside whatever decides.
+    /// The statement is counted in addition to the rule that decides it.
     Count,
 }
 
@@ -49,7 +49,8 @@
         )
     }
 
-    /// Of two rules at the same height, the one that lets less through goes first.
+    /// Orders rules of equal precedence: the more restrictive effect has the lower number and comes
+    /// first.
     fn severity(&self) -> u8 {
         match self {
             RuleEffect::Deny { .. } => 0,
@@ -60,58 +61,61 @@
     }
 }
 
-/// One rule: which statements it matches, and what it says of them.
+/// One rule: the statements it matches and its effect on them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// The rule's name, unique within its set; the log and the counts use it.
+    /// The rule's name, unique within its set, which the log and the counts use.
     pub name: String,
-    /// Whose statements; what is None matches all.
+    /// The customer that the rule applies to; `None` means all.
     pub customer: Option<String>,
-    /// The workload that it is about; `None`: all.
+    /// The workload that the rule applies to; `None` means all.
     pub workload: Option<String>,
-    /// The table groups that it is about; `None`: all statements, also those that read no table.
+    /// The table groups that the rule applies to; `None` means all statements, including those that
+    /// read no table.
     pub tables: Option<TableRange>,
-    /// The region of the front that was asked.
+    /// The region of the receiving front that the rule applies to; `None` means all.
     pub front: Option<String>,
-    /// What it says of the statements that it matches.
+    /// The effect on matching statements.
     pub effect: RuleEffect,
-    /// How many of the statements that it lets through may begin in a time; `None`: any number.
+    /// The rate at which allowed statements may begin; `None` means unlimited.
     pub limit: Option<RateLimit>,
-    /// Rules with a higher priority go first.
+    /// Rules with a higher priority take precedence.
     pub priority: i32,
-    /// Unix milliseconds: from the first on, before the second.
+    /// The start of the rule's period in Unix milliseconds, inclusive.
     pub from_ms: u64,
-    /// When it ends, exclusive; `u64::MAX`: never.
+    /// The end of the rule's period in Unix milliseconds, exclusive; `u64::MAX` means never.
     pub until_ms: u64,
-    /// A time of a move: a statement goes by the time at which it was judged first, at every try.
+    /// Whether the rule is one phase of a move of tables. Such a rule applies by the time at which
+    /// a statement was first evaluated, for every attempt.
     pub is_move_phase: bool,
-    /// Its index in the file, for errors.
+    /// The rule's index in the file, for errors.
     pub file_index: usize,
 }
 
-/// How high a rule stands: the least goes first. Priority, then the more specific.
+/// The precedence of a rule; the smallest value takes precedence. Priority counts first, then how
+/// specific the rule is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
-    /// A higher one goes first.
+    /// A higher priority takes precedence.
     pub priority: Reverse<i32>,
-    /// The rule that names more fields goes first.
+    /// The rule that names more fields takes precedence.
     pub named_fields: Reverse<u32>,
-    /// Of as many fields, customer goes before tables, workload and front, in this order.
+    /// With as many fields named, customer outranks tables, workload and front, in this order.
     pub mask: Reverse<u8>,
-    /// Of the same fields, the rule about fewer tables goes first.
+    /// With the same fields named, the rule for fewer table groups takes precedence.
     pub table_width: u32,
 }
 
-/// A bound on the statements that a rule lets through, over the whole fleet.
+/// A limit, over the whole fleet, on the statements that a rule allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
-    /// How many may begin in any window.
+    /// How many statements may begin in any window.
     pub max_statements: u32,
     /// The length of a window in microseconds.
     pub window: Micros,
 }
 
-/// What holds for a statement that no rule decides.
+/// The effect on statements that no rule decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultEffect {
     /// Statements that no rule decides may run anywhere.
@@ -120,25 +124,27 @@
     Deny,
 }
 
-/// Who asks for what.
+/// The attributes of a statement that rules are matched against.
 #[derive(Clone, Copy, Debug)]
 pub struct Attributes<'a> {
     /// The statement's customer.
     pub customer: &'a str,
     /// The statement's workload.
     pub workload: &'a str,
-    /// A group of tables that it reads.
+    /// A table group that the statement reads; `None` if it reads none or its groups are unknown.
     pub group: Option<u32>,
-    /// Whether the groups are known: without a group it then surely reads none.
+    /// Whether the statement's table groups are known. A statement with known groups and no `group`
+    /// reads no table.
     pub tables_known: bool,
-    /// The region of the front that was asked.
+    /// The region of the front that received the statement.
     pub front: &'a str,
-    /// When it was judged first, where that was before.
+    /// Unix milliseconds of the statement's first evaluation, if this is a later one.
     pub first_judged_ms: Option<u64>,
 }
 
 impl Rule {
-    /// Whether it holds for a statement now.
+    /// Returns whether the rule is active for a statement now; a phase of a move goes by the
+    /// statement's first evaluation.
     pub fn applies_at(&self, attributes: &Attributes, wall_ms: u64) -> bool {
         self.is_active(
             attributes
@@ -148,28 +154,28 @@
         )
     }
 
-    /// Whether it holds at a time.
+    /// Returns whether the rule's period includes a time.
     pub fn is_active(&self, wall_ms: u64) -> bool {
         self.from_ms <= wall_ms && wall_ms < self.until_ms
     }
 
-    /// It has neither beginning nor end.
+    /// Returns whether the rule's period has neither start nor end.
     pub fn is_always_active(&self) -> bool {
         self.from_ms == 0 && self.until_ms == u64::MAX
     }
 
-    /// Whether it lets less through than if it were not there.
+    /// Returns whether the rule restricts the statements that it matches.
     pub fn is_restrictive(&self) -> bool {
         self.effect.is_restrictive() || self.limit.is_some()
     }
 
-    /// Whether it holds whenever the other does.
+    /// Returns whether the rule is active whenever another is.
     pub fn covers_period_of(&self, other: &Rule) -> bool {
         self.from_ms <= other.from_ms && other.until_ms <= self.until_ms
     }
 
-    /// Whether it is about a statement. Where the groups of tables are unknown, a rule about tables that lets
-    /// less through is about it, and one that lets more through is not.
+    /// Returns whether the rule matches a statement. If the statement's table groups are unknown, a
+    /// rule about tables matches if it is restrictive, and does not match otherwise.
     pub fn matches(&self, attributes: &Attributes) -> bool {
         let matches_field =
             |field: &Option<String>, value: &str| field.as_ref().is_none_or(|name| name == value);
@@ -182,7 +188,8 @@
             })
     }
 
-    /// Which of its fields are named; the weight of each tells which goes first where as many are named.
+    /// Returns a bit for each field that the rule names. With as many fields named, the greater
+    /// mask takes precedence.
     pub fn field_mask(&self) -> u8 {
         u8::from(self.customer.is_some()) << 3
             | u8::from(self.tables.is_some()) << 2
@@ -190,7 +197,7 @@
             | u8::from(self.front.is_some())
     }
 
-    /// How high it stands.
+    /// Returns the rule's precedence.
     pub fn precedence(&self) -> Precedence {
         let mask = self.field_mask();
         Precedence {
@@ -201,7 +208,7 @@
         }
     }
 
-    /// Whether both say the same of what they match.
+    /// Returns whether two rules have the same effect. Denials are equal whatever their reasons.
     pub fn has_same_effect(&self, other: &Rule) -> bool {
         match (&self.effect, &other.effect) {
             (RuleEffect::Deny { .. }, RuleEffect::Deny { .. }) => true,
@@ -210,28 +217,28 @@
     }
 }
 
-/// The rules about a statement, by their indices in the set's order.
+/// The rules that match a statement, by their indices in the set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MatchedRules {
-    /// The rule that decides it; `None`: the default does.
+    /// The rule that decides the statement; `None` if the default does.
     pub deciding: Option<usize>,
-    /// The rule that only counts it.
+    /// The rule that only counts the statement.
     pub counting: Option<usize>,
 }
 
-/// A set of rules, in the order in which they decide.
+/// A rule set, in order of precedence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuleSet {
-    /// As its file states it.
+    /// The version that the file states.
     pub version: u64,
-    /// What holds for statements that no rule decides.
+    /// The effect on statements that no rule decides.
     pub default: DefaultEffect,
-    /// The rules, the one that goes first at index 0.
+    /// The rules, with the highest precedence at index 0.
     pub rules: Vec<Rule>,
 }
 
 impl RuleSet {
-    /// The set of a fleet that was never given one.
+    /// Returns the rule set of a fleet that has never had one.
     pub fn empty() -> RuleSet {
         RuleSet {
             version: 0,
@@ -240,8 +247,8 @@
         }
     }
 
-    /// Sorts the rules into the order in which they decide: by height, then the stricter first, then by the
-    /// time from which they hold and by name.
+    /// Sorts the rules by precedence, then the more restrictive effect first, then by start time
+    /// and name.
     pub fn new(version: u64, default: DefaultEffect, mut rules: Vec<Rule>) -> RuleSet {
         rules.sort_by(|a, b| {
             let key = |r: &Rule| (r.precedence(), r.effect.severity(), r.from_ms);
@@ -254,7 +261,7 @@
         }
     }
 
-    /// The rules about a statement, by going through all in order: what the index must equal.
+    /// Returns the rules that match a statement by a linear search; the index must return the same.
     pub fn find_linear(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
         let first = |is_counting: bool| {
             let decides = |r: &Rule| {
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -1,7 +1,7 @@
-//! Limits of rules over the whole fleet: at most N statements begin in any window of T. Each front holds a share of
-//! each limit that it has traffic for, in escrow: what it holds no other can spend. Shares are kept in the ledger, move
-//! to where the traffic is before they run out, and are taken back from a front that is lost once it can surely
-//! spend them no more.
+//! Limits of rules over the whole fleet: at most N statements begin in any window of T. Each front
+//! with traffic for a limit holds a share of its tokens in escrow; no other front can spend them.
+//! Shares are stored in the ledger. They move to the fronts with traffic before those run out, and
+//! are revoked from a lost front once it certainly can no longer spend them.
 
 mod demand;
 mod share;
@@ -20,16 +20,16 @@
 /// A statement that limits apply to.
 struct LimitedStatement {
     limits: Vec<Limit>,
-    /// Limits of which it has no share yet.
+    /// The number of limits for which the statement has no token yet.
     missing_shares: usize,
-    /// An execution of it has left.
+    /// Whether an execution of the statement has been sent.
     has_begun: bool,
 }
 
-/// A request to the ledger that is out.
+/// A pending request to the ledger.
 struct Request {
     limit: Limit,
-    /// When it was made.
+    /// The time of the request, from which a lease is counted.
     requested_at: Micros,
 }
 
@@ -41,16 +41,17 @@
     requests: HashMap<u64, Request>,
     /// Requests to the ledger that have yet to be sent.
     pub ledger_requests: Vec<LedgerRequest>,
-    /// Statements that have waited for their shares and have them now, or have none.
+    /// Statements that waited and now have a token of each of their limits.
     pub ready: Vec<u64>,
-    /// Statements that were refused for want of a share since the caller took them last.
+    /// Statements rejected for lack of a token since the caller last took them.
     pub rejected: Vec<u64>,
-    /// Statements refused by each rule's limit, so far.
+    /// The number of statements rejected by the limit of each rule.
     pub rejections_by_rule: BTreeMap<String, u64>,
 }
 
 impl Shares {
-    /// A share is spent under a lease by `terms`; `fronts` is how many share.
+    /// Creates the shares of one front. Each share is spent under a lease by `terms`; `fronts` is
+    /// the number of fronts that share the limits.
     pub fn new(own: Owner, terms: hallmux_lease::Terms, fronts: usize) -> Shares {
         Shares {
             context: ShareContext {
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Whether a statement may go on at once; else it waits, and is among `ready` or `refused` later.
+    /// Reserves a token of each limit. Returns whether the statement may proceed at once; otherwise
+    /// it waits, and is in `ready` or `rejected` later.
     pub fn acquire(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
         let context = self.context;
         let mut missing_shares = 0;
@@ -93,7 +95,8 @@
         missing_shares == 0
     }
 
-    /// Whether a statement's execution may leave now; the first is its beginning.
+    /// Returns whether an execution of a statement may be sent now. The first execution spends the
+    /// statement's tokens.
     pub fn begin(&mut self, now: Micros, statement: u64) -> bool {
         let Some(limited) = self.statements.get_mut(&statement) else {
             return true;
@@ -105,7 +108,7 @@
             return false;
         }
         let mut is_allowed = true;
-        // Every share has to learn of it, also where an earlier one has refused.
+        // Every share has to be notified, even if an earlier one did not allow the statement.
         for limit in &limited.limits {
             let share = self.shares.get_mut(limit);
             is_allowed &= share.is_some_and(|share| share.begin(now, statement));
@@ -117,15 +120,15 @@
         is_allowed
     }
 
-    /// A statement may not begin for want of a share.
+    /// Returns whether a statement cannot begin for lack of a token.
     pub fn awaits_share(&self, statement: u64) -> bool {
         self.statements
             .get(&statement)
             .is_some_and(|limited| limited.missing_shares > 0)
     }
 
-    /// A statement has ended or is abandoned: it waits for no share any more. What it spent stays spent for
-    /// the limit's window.
+    /// Removes a statement that has ended or is abandoned, and ends its waiting. A spent token
+    /// stays spent for the limit's window.
     pub fn release(&mut self, statement: u64) {
         let Some(limited) = self.statements.remove(&statement) else {
             return;
@@ -137,7 +140,8 @@
         }
     }
 
-    /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
+    /// Returns the time on the steady clock at which `tick` is next due; `Micros::MAX` if nothing
+    /// is scheduled.
     pub fn due(&self, now: Micros) -> Micros {
         self.shares
             .values()
@@ -146,8 +150,8 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// Queues the requests that are due and serves the statements that wait. `number` gives each request a
-    /// number of its own.
+    /// Queues the requests that are due and serves waiting statements. `number` returns a new
+    /// number for each request.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         for (limit, share) in &mut self.shares {
             let Some(operation) = share.tick(at.steady) else {
@@ -169,7 +173,7 @@
         self.shares.retain(|_, share| !share.is_idle());
     }
 
-    /// The ledger has answered. False if it was not asked here.
+    /// Handles an answer of the ledger. Returns false if the request was not made here.
     pub fn on_ledger_answer(
         &mut self,
         at: Moment,
@@ -187,7 +191,7 @@
         true
     }
 
-    /// What keeps shares from being spent, if anything that an operator should know of.
+    /// Returns the fault that prevents tokens from being spent, if an operator should know of it.
     pub fn fault(&self) -> Option<Event> {
         let unreadable = self.shares.values().any(|share| share.unreadable);
         let full = self.shares.values().any(|share| share.full);
@@ -201,7 +205,8 @@
         }
     }
 
-    /// Takes from each share the statements that have it now, and those that get none.
+    /// Collects from each share the statements that were granted a token and those that were
+    /// rejected.
     fn collect_outcomes(&mut self) {
         let mut rejected = Vec::new();
         for share in self.shares.values_mut() {
--- a/crates/access/src/shares/demand.rs
+++ b/crates/access/src/shares/demand.rs
@@ -1,13 +1,13 @@
-//! How much was asked for of late.
+//! Estimates demand from recent requests.
 
 use crate::Micros;
 
-/// Parts of the time that is looked back at; one more is being filled.
+/// The number of complete slots in the look-back time; one more slot is being filled.
 const SLOTS: usize = 4;
-/// Microseconds looked back at, at most.
+/// The longest look-back time, in microseconds.
 const MAX_LOOK_BACK: Micros = 4_000_000;
 
-/// Counts of the last parts of a time, the latest last.
+/// Counts of the most recent slots, the latest last.
 pub struct Demand {
     counts: [u32; SLOTS + 1],
     slot_length: Micros,
@@ -15,6 +15,7 @@
 }
 
 impl Demand {
+    /// Creates an estimate that looks back at most one window, in microseconds.
     pub fn new(window: Micros) -> Demand {
         let slot_length = window.min(MAX_LOOK_BACK) / SLOTS as Micros;
         Demand {
@@ -24,10 +25,12 @@
         }
     }
 
+    /// Returns the number of slots between the latest count and now.
     fn elapsed_slots(&self, now: Micros) -> Micros {
         now.div_euclid(self.slot_length) - self.current_slot
     }
 
+    /// Counts one request.
     pub fn add(&mut self, now: Micros) {
         let elapsed_slots = self.elapsed_slots(now).clamp(0, SLOTS as Micros + 1) as usize;
         if elapsed_slots > 0 {
@@ -43,7 +46,7 @@
         }
     }
 
-    /// How much will be asked for in a time, going by the last parts.
+    /// Returns how many requests to expect within a time, by the rate of the recent slots.
     pub fn forecast(&self, now: Micros, time: Micros) -> u32 {
         let elapsed_slots = self.elapsed_slots(now).clamp(0, SLOTS as Micros + 1) as usize;
         let recent = self
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -1,8 +1,10 @@
-//! One front's share of one limit: what it may still spend of it, and what it does to have as much as it needs.
+//! One front's share of one limit: the tokens that it may still spend, and how it obtains as many
+//! as it needs.
 //!
-//! A share is spent under a lease: a look at the table, counted from when it was asked. What was spent cools for the
-//! limit's window; only what has cooled is spent again or given away. So however shares move, each of the limit's
-//! tokens is spent once in any window.
+//! A share is spent under a lease, which each read of the table renews, counted from the time of
+//! the request. A spent token cools down for the limit's window; only a token that has cooled down
+//! is spent again or transferred. However shares move, each of the limit's tokens is therefore
+//! spent at most once in any window.
 
 mod answers;
 mod plan;
@@ -16,51 +18,51 @@
 use super::table::{Limit, Table};
 use crate::Micros;
 
-/// Microseconds; what left may still be under way to an engine.
+/// Microseconds for which an execution sent under the lease may still be on its way to an engine.
 const IN_FLIGHT_TIME: Micros = 200_000;
-/// Microseconds until what the ledger could not do is requested again.
+/// Microseconds until a request that failed at the ledger is repeated.
 const RETRY_INTERVAL: Micros = 250_000;
-/// Microseconds until a table that this build can't read is read again.
+/// Microseconds until a table that this build cannot read is read again.
 const UNREADABLE_INTERVAL: Micros = 20 * RETRY_INTERVAL;
-/// Microseconds between plans while it lacks some.
+/// Microseconds between plans while the front is short of tokens.
 const REPLAN_INTERVAL: Micros = 50_000;
-/// Statements that wait for a share.
+/// The number of statements that may wait for a token.
 const MAX_WAITING: usize = 1_024;
 
-/// What a front goes by.
+/// The settings common to all shares of a front.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareContext {
     /// This front.
     pub owner: Owner,
-    /// How long a lease on a share lasts.
+    /// The length of a lease on a share, and the drift of clocks.
     pub terms: Terms,
-    /// How many fronts share.
+    /// The number of fronts that share the limits.
     pub front_count: usize,
 }
 
-/// A table with its version in the ledger; 0 where there is none yet.
+/// A table with its version in the ledger; 0 if it is not stored yet.
 #[derive(Clone)]
 struct VersionedTable {
     table: Table,
     version: u64,
 }
 
-/// A statement that waits for its share.
+/// A statement that waits for a token.
 #[derive(Clone, Copy)]
 struct WaitingStatement {
     statement: u64,
-    /// When it is refused.
+    /// When the statement is rejected.
     deadline: Micros,
 }
 
-/// The last round of wants that a front has looked at, while it has yet to look at a later one.
+/// The last request round that a front has seen, while it has not seen the latest one.
 #[derive(Clone, Copy)]
 struct UnansweredRound {
     seen_round: u64,
     since: Micros,
 }
 
-/// A put whose outcome is not known: until the table has moved on it may yet be made.
+/// A put whose outcome is not known. It may still be applied until the table has another version.
 struct Pending {
     expects: u64,
     next: Table,
@@ -70,46 +72,47 @@
 pub struct Share {
     pub limit: Limit,
     context: ShareContext,
-    /// As read last.
+    /// The table as last read.
     table: Option<VersionedTable>,
     lease_until: Micros,
-    /// When each that was spent may be spent again, the first first.
+    /// The times at which spent tokens may be spent again, the earliest first.
     cooling: VecDeque<Micros>,
-    /// Statements that have a token and have not begun.
+    /// Statements that have reserved a token and have not begun.
     reserved: BTreeSet<u64>,
     waiting: VecDeque<WaitingStatement>,
-    /// What it has to give to others once it has cooled.
+    /// Tokens to be transferred to other fronts once they have cooled down.
     owed: u32,
     pending: Option<Pending>,
     request_pending: bool,
     next_read: Micros,
     retry_at: Micros,
     demand: Demand,
-    /// When tokens at rest were first seen, by id.
+    /// When each set of revoked tokens was first seen, by its id.
     revoked_since: BTreeMap<u64, Micros>,
-    /// Fronts that have yet to look at a round of wants.
+    /// Fronts that have not seen the latest request round.
     unanswered: BTreeMap<Owner, UnansweredRound>,
-    /// No round of wants of its own before this.
+    /// The front starts no request round before this time.
     next_round: Micros,
-    /// How long it waits after a round of its own.
+    /// How long the front waits after a request round of its own.
     round_backoff: Micros,
-    /// Since when it has had more than it needs.
+    /// Since when the front has held more tokens than it needs.
     surplus_since: Option<Micros>,
-    /// The table was read and nothing was done about it yet; else not before.
+    /// Whether the table was read and no plan was made for it yet; otherwise the next plan waits
+    /// until `replan_at`.
     plan_due: bool,
     replan_at: Micros,
-    /// This build can't read the table.
+    /// Whether this build cannot read the table.
     pub unreadable: bool,
-    /// The ledger was full at the last request.
+    /// Whether the ledger was full at the last request.
     pub full: bool,
-    /// Statements that have waited and have their share now.
+    /// Statements that waited and now have a token.
     pub ready: Vec<u64>,
-    /// Statements that get no share.
+    /// Statements that were rejected.
     pub rejected: Vec<u64>,
 }
 
 impl Share {
-    /// A share of which nothing is held yet.
+    /// Creates a share that holds no tokens yet.
     pub fn new(limit: Limit, context: ShareContext) -> Share {
         let demand = Demand::new(limit.window);
         Share {
@@ -140,7 +143,7 @@
         }
     }
 
-    /// How long what was spent cools.
+    /// Returns how long a spent token cools down.
     fn cooldown(&self) -> Micros {
         let window = Terms {
             length: self.limit.window,
@@ -149,12 +152,14 @@
         window.blocked_for() + IN_FLIGHT_TIME
     }
 
-    /// How long a statement waits for a share, at most: two looks of every other front.
+    /// Returns how long a statement may wait for a token: half a lease, in which other fronts read
+    /// the table and transfer tokens.
     fn max_wait(&self) -> Micros {
         self.context.terms.length / 2
     }
 
-    /// What this front surely has: a put that may yet stand can take away from it.
+    /// Returns the tokens that the front certainly holds: a put that may still be applied can
+    /// reduce them.
     fn held(&self) -> u32 {
         let own = self.context.owner;
         let held = self.table.as_ref().map_or(0, |read| read.table.held(own));
@@ -164,24 +169,24 @@
         }
     }
 
-    /// Tokens that are spent or cool.
+    /// Returns the tokens that are reserved or cooling down.
     fn in_use(&self) -> u32 {
         (self.cooling.len() + self.reserved.len()) as u32
     }
 
-    /// Tokens that may be spent now.
+    /// Returns the tokens that may be spent now.
     fn available(&self) -> u32 {
         self.held()
             .saturating_sub(self.owed)
             .saturating_sub(self.in_use())
     }
 
-    /// Tokens that it asks for beyond what it needs.
+    /// Returns the tokens that the front requests beyond those that it needs.
     fn batch(&self) -> u32 {
         (self.limit.max_statements / (4 * self.context.front_count.max(1) as u32)).max(1)
     }
 
-    /// How much it wants to have in all.
+    /// Returns the total of tokens that the front aims to hold.
     fn target(&self, now: Micros) -> u32 {
         let lead = self.cooldown() + self.context.terms.length / 2;
         let expected = self.demand.forecast(now, lead);
@@ -195,7 +200,7 @@
             .min(self.limit.max_statements)
     }
 
-    /// What it is to ask for, before it runs out.
+    /// Returns the tokens to request now, so that the front does not run out.
     fn shortfall(&self, now: Micros) -> u32 {
         let target = self.target(now);
         let held = self.held();
@@ -210,7 +215,8 @@
             .min(self.limit.max_statements - held)
     }
 
-    /// Whether a statement may take from it at once; else it waits, and is `ready` or `refused` later.
+    /// Reserves a token for a statement at once if possible; otherwise the statement waits, and is
+    /// in `ready` or `rejected` later.
     pub fn acquire(&mut self, now: Micros, statement: u64) -> bool {
         self.demand.add(now);
         self.expire_cooldowns(now);
@@ -218,7 +224,7 @@
             self.reserved.insert(statement);
             return true;
         }
-        // All of it is spent here, and none of it comes back in time.
+        // This front holds and has spent the whole limit, and no token cools down in time.
         let first_cooled = self.cooling.front().copied().unwrap_or(now);
         let cannot_recover_in_time = self.held() == self.limit.max_statements
             && self.available() == 0
@@ -235,7 +241,7 @@
         false
     }
 
-    /// Whether a statement that took from it may begin now.
+    /// Spends the reserved token of a statement; returns false if the statement may not begin now.
     pub fn begin(&mut self, now: Micros, statement: u64) -> bool {
         self.expire_cooldowns(now);
         let is_allowed = now < self.lease_until && self.in_use() <= self.held();
@@ -246,14 +252,14 @@
         true
     }
 
-    /// A statement will not begin any more, or has begun.
+    /// Removes a statement that has begun or will not begin any more.
     pub fn release(&mut self, statement: u64) {
         self.reserved.remove(&statement);
         self.waiting
             .retain(|waiting| waiting.statement != statement);
     }
 
-    /// Nothing here is known or wanted any more.
+    /// Returns whether the share holds no tokens and nothing is pending, so that it can be dropped.
     pub fn is_idle(&self) -> bool {
         let own = self.context.owner;
         let held = self.table.as_ref().map_or(0, |read| read.table.held(own));
@@ -265,14 +271,14 @@
             && self.cooling.is_empty()
     }
 
-    /// What has cooled may be spent again.
+    /// Removes the tokens that have cooled down.
     fn expire_cooldowns(&mut self, now: Micros) {
         while self.cooling.front().is_some_and(|at| *at <= now) {
             self.cooling.pop_front();
         }
     }
 
-    /// When `tick` is next due, on the steady clock.
+    /// Returns the time on the steady clock at which `tick` is next due.
     pub fn due(&self, now: Micros) -> Micros {
         let wait_ends = self
             .waiting
@@ -310,7 +316,7 @@
             || self.shortfall(now) > 0
     }
 
-    /// What is to be asked of the ledger now, if anything.
+    /// Serves waiting statements and returns the next request to the ledger, if any is due.
     pub fn tick(&mut self, now: Micros) -> Option<Operation> {
         self.expire_cooldowns(now);
         self.serve_waiting(now);
@@ -322,7 +328,8 @@
         Some(operation)
     }
 
-    /// Serves those that wait, in order.
+    /// Grants tokens to waiting statements in order of arrival, and rejects those whose wait has
+    /// timed out.
     fn serve_waiting(&mut self, now: Micros) {
         while let Some(WaitingStatement {
             statement,
@@ -341,12 +348,13 @@
         }
     }
 
-    /// The next request: a put of a plan, or a look at the table.
+    /// Returns the next request: a put of a plan, or a read of the table.
     fn next_operation(&mut self, now: Micros) -> Option<Operation> {
         if self.table.is_none() {
             return Some(Operation::Read);
         }
-        // The same again: of two that stand for the same version only one does.
+        // A pending put is repeated unchanged: of two puts that expect the same version only one is
+        // applied.
         let should_plan = self.plan_due
             || now >= self.next_read
             || now >= self.replan_at && self.shortfall(now) > 0;
--- a/crates/access/src/shares/share/answers.rs
+++ b/crates/access/src/shares/share/answers.rs
@@ -1,4 +1,4 @@
-//! What the ledger's answers mean for a share.
+//! Handles the ledger's answers for a share.
 
 use hallmux_ledger::Outcome;
 
@@ -7,13 +7,13 @@
 use crate::Micros;
 
 impl Share {
-    /// The ledger has answered what was requested at a time.
+    /// Handles the answer to a request made at a time.
     pub fn on_answer(&mut self, now: Micros, requested_at: Micros, outcome: Outcome) {
         self.request_pending = false;
         self.full = outcome == Outcome::Full;
         match outcome {
             Outcome::Stands(entry) => self.on_table(now, requested_at, &entry.value, entry.version),
-            // A repeated answer comes without the value.
+            // A repeated answer has no value, so the table is read again.
             Outcome::Held(entry) if entry.value.is_empty() => self.next_read = now,
             Outcome::Held(entry) => self.on_table(now, requested_at, &entry.value, entry.version),
             Outcome::Absent => self.on_absent(now),
@@ -24,7 +24,7 @@
 
     fn on_absent(&mut self, now: Micros) {
         if self.table.as_ref().is_some_and(|read| read.version > 0) {
-            // It was there: what this means nobody can say.
+            // The table existed before, so its absence cannot be explained: nothing is spent.
             return self.on_unreadable(now);
         }
         self.table = Some(VersionedTable {
@@ -42,13 +42,13 @@
     fn on_table(&mut self, now: Micros, requested_at: Micros, value: &[u8], version: u64) {
         let known = self.table.as_ref().map_or(0, |read| read.version);
         if version < known {
-            return; // an answer that was overtaken
+            return; // a newer table has been read since
         }
         let Some(table) = Table::read(value, &self.limit) else {
             return self.on_unreadable(now);
         };
         self.unreadable = false;
-        // A put on an earlier version has been made, or never will be.
+        // A put that expected an earlier version has been applied, or never will be.
         self.pending.take_if(|pending| version > pending.expects);
         let held_before = self.held();
         let lease_until = requested_at + self.context.terms.owner_valid_for();
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Notes since when tokens are at rest.
+    /// Records when revoked tokens were first seen.
     fn track_revoked(&mut self, now: Micros, table: &Table) {
         self.revoked_since
             .retain(|id, _| table.revoked.iter().any(|revoked| revoked.id == *id));
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Notes since when other fronts have not looked at the last round of wants.
+    /// Records since when other fronts have not seen the latest request round.
     fn track_unanswered(&mut self, now: Micros, table: &Table) {
         let own = self.context.owner;
         let is_behind =
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Microseconds between looks at the table: few while others are to give to it.
+    /// Returns the microseconds between reads of the table; shorter while other fronts are to
+    /// transfer tokens.
     fn read_interval(&self, table: &Table) -> Micros {
         let is_waiting_for_tokens = table
             .row(self.context.owner)
--- a/crates/access/src/shares/share/plan.rs
+++ b/crates/access/src/shares/share/plan.rs
@@ -1,5 +1,5 @@
-//! What a front does to a limit's table: it takes what it lacks, asks others for it, gives what they want, and takes
-//! back what lost fronts held.
+//! Plans changes of a limit's table: a front claims free tokens, requests more from other fronts,
+//! transfers tokens that they request, and revokes those of lost fronts.
 
 use hallmux_ledger::Owner;
 
@@ -8,7 +8,7 @@
 use crate::Micros;
 
 impl Share {
-    /// The table as it is to be, where that is not as it is.
+    /// Returns the changed table; `None` if no change is needed.
     pub(super) fn plan(&mut self, now: Micros) -> Option<Pending> {
         let own = self.context.owner;
         let read = self.table.clone()?;
@@ -37,8 +37,8 @@
         })
     }
 
-    /// Takes back what is held by earlier incarnations of this front, which spend nothing any more, and by fronts
-    /// that are silent, which will not for much longer.
+    /// Revokes the tokens of earlier incarnations of this front, which spend nothing any more, and
+    /// of silent fronts, which cannot spend once their leases end.
     fn revoke_lost(&self, now: Micros, current: &Table, next: &mut Table) {
         let lost = current.rows.iter().filter(|row| self.is_lost(now, row));
         for row in lost {
@@ -55,8 +55,8 @@
         is_earlier || is_silent
     }
 
-    /// Frees what was taken back once the lease of the front that held it has ended on its own clock, and what it
-    /// had spent until then has cooled.
+    /// Frees revoked tokens once the lease of the front that held them has ended by its own clock
+    /// and the tokens it had spent until then have cooled down.
     fn free_revoked(&self, now: Micros, next: &mut Table) {
         let wait = self.context.terms.blocked_for() + IN_FLIGHT_TIME + self.cooldown();
         next.release_revoked(|id| {
@@ -65,7 +65,8 @@
         });
     }
 
-    /// Takes `gets` of what is free, and asks others for the rest of what it lacks. None where it has no row.
+    /// Claims free tokens, and starts a request round for the remaining shortfall. Returns `None`
+    /// if the front has no row.
     fn claim_free(
         &mut self,
         now: Micros,
@@ -84,7 +85,7 @@
         }
         if starts_round {
             next.round += 1;
-            // Others that are served at the same time are not asked again and again.
+            // Backs off, so that fronts with demand of their own are not asked repeatedly.
             let length = self.context.terms.length;
             let max_backoff = self.limit.window.max(length);
             self.round_backoff = (self.round_backoff * 2).clamp(length / 3, max_backoff);
@@ -93,7 +94,7 @@
         Some(())
     }
 
-    /// Gives to others what they want, or lets go of what it needs no longer.
+    /// Transfers tokens that other fronts request, and gives up those that are not needed any more.
     fn plan_transfers(&mut self, now: Micros, next: &mut Table, shortfall: u32) {
         let own = self.context.owner;
         let target = self.target(now);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Whether it has held well more than its goal for the length of a lease.
+    /// Returns whether the front has held well more than its target for the length of a lease.
     fn has_lasting_surplus(&mut self, now: Micros, target: u32, held: u32, shortfall: u32) -> bool {
         let upper_bound = target
             .saturating_add(target / 2)
--- a/crates/access/src/shares/table.rs
+++ b/crates/access/src/shares/table.rs
@@ -1,15 +1,16 @@
-//! Who holds how much of a limit, as the ledger keeps it: one table a limit. What is free, what fronts hold and what
-//! rests is the limit's number at any time.
+//! The stored table of a limit: which front holds how many tokens. Free, held and revoked tokens
+//! always add up to the limit.
 
 use hallmux_ledger::{Key, Kind, Owner};
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// Of the stored table; one of a format that a build does not know lets nothing through.
+/// The format of the stored table. A build that does not know the format allows nothing under the
+/// limit.
 const FORMAT: u8 = 1;
 
-/// At most so many statements that a rule lets through begin in any window of this length.
+/// A limit: at most this many statements allowed by a rule begin in any window of this length.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Limit {
     /// The name of the rule that sets the limit.
@@ -25,41 +26,42 @@
 pub struct Row {
     /// The front and its incarnation.
     pub owner: Owner,
-    /// How many statements it may have begun in any window; its tokens.
+    /// The tokens held: how many statements the front may begin in any window.
     pub held: u32,
-    /// What it lacks: others give to it.
+    /// The tokens that the front is short of and requests from other fronts.
     pub wanted: u32,
-    /// The last round of wants that it has looked at.
+    /// The last request round that the front has seen.
     pub seen_round: u64,
 }
 
-/// Taken back from a front that may have spent it until just now: free again after a rest.
+/// Tokens revoked from a front that may have spent them until just now. They become free after a
+/// wait.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevokedTokens {
-    /// Distinguishes it from others at rest in the same table.
+    /// Distinguishes these tokens from other revoked tokens in the table.
     pub id: u64,
-    /// How many tokens rest.
+    /// The number of tokens.
     pub held: u32,
 }
 
-/// All tokens of one limit. What is free, held and at rest adds up to the limit.
+/// All tokens of one limit. Free, held and revoked tokens add up to the limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
     format: u8,
     max_statements: u32,
     /// Tokens that no front holds.
     pub free: u32,
-    /// The fronts that hold or want tokens.
+    /// The fronts that hold or request tokens.
     pub rows: Vec<Row>,
-    /// Tokens taken back from fronts that were lost.
+    /// Tokens revoked from lost fronts.
     pub revoked: Vec<RevokedTokens>,
-    /// Grows whenever a front wants more than is free.
+    /// The latest request round: grows whenever a front requests more than is free.
     pub round: u64,
     last_revoked_id: u64,
 }
 
 impl Limit {
-    /// The ledger's key of the limit's table. A changed limit is another one, with another key.
+    /// Returns the ledger key of the limit's table. A changed limit has another key.
     pub fn key(&self) -> Key {
         Key {
             kind: Kind::Shares,
@@ -69,7 +71,7 @@
 }
 
 impl Table {
-    /// A table of which everything is free.
+    /// Creates a table in which all tokens are free.
     pub fn new(limit: &Limit) -> Table {
         let max_statements = limit.max_statements;
         Table {
@@ -83,12 +85,13 @@
         }
     }
 
-    /// The bytes to keep in the ledger.
+    /// Encodes the table for the ledger.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None where it is of a format that this build does not know, of another limit, or damaged.
+    /// Decodes a table; `None` if its format is unknown to this build, or it belongs to another
+    /// limit or is damaged.
     pub fn read(bytes: &[u8], limit: &Limit) -> Option<Table> {
         let table = match postcard::take_from_bytes::<Table>(bytes) {
             Ok((table, [])) => table,
@@ -105,17 +108,17 @@
         .then_some(table)
     }
 
-    /// A front's row, if it has one.
+    /// Returns a front's row, if it has one.
     pub fn row(&self, owner: Owner) -> Option<&Row> {
         self.rows.iter().find(|row| row.owner == owner)
     }
 
-    /// How many tokens a front holds.
+    /// Returns how many tokens a front holds.
     pub fn held(&self, owner: Owner) -> u32 {
         self.row(owner).map_or(0, |row| row.held)
     }
 
-    /// The row of an owner, made where there is none.
+    /// Returns the row of an owner, creating it if necessary.
     pub fn row_or_insert(&mut self, owner: Owner) -> Option<&mut Row> {
         if self.row(owner).is_none() {
             self.rows.push(Row {
@@ -128,13 +131,14 @@
         self.rows.iter_mut().find(|row| row.owner == owner)
     }
 
-    /// What others than this one lack.
+    /// Returns how many tokens all fronts but this one request.
     pub fn wanted_by_peers(&self, own: Owner) -> u32 {
         let peers = self.rows.iter().filter(|row| row.owner != own);
         peers.fold(0, |all, row| all.saturating_add(row.wanted))
     }
 
-    /// Gives a front's tokens to those that want them, the least served first; what nobody wants is free.
+    /// Transfers a front's tokens to the fronts that request them, the one that holds least first;
+    /// tokens that no front requests become free.
     pub fn transfer(&mut self, from: Owner, mut tokens: u32) {
         for row in self.rows.iter_mut().filter(|row| row.owner == from) {
             row.held -= tokens.min(row.held);
@@ -155,7 +159,8 @@
         self.free += tokens;
     }
 
-    /// Takes a front's share back: it rests until nothing that was spent of it counts any more.
+    /// Revokes a front's share; its tokens become free once none of them can count within a window
+    /// any more.
     pub fn revoke(&mut self, owner: Owner) {
         let held = self.held(owner);
         self.rows.retain(|row| row.owner != owner);
@@ -168,7 +173,7 @@
         }
     }
 
-    /// What has rested is free.
+    /// Frees the revoked tokens whose wait is over.
     pub fn release_revoked(&mut self, is_done: impl Fn(u64) -> bool) {
         let (done, kept) = std::mem::take(&mut self.revoked)
             .into_iter()
@@ -178,7 +183,7 @@
         self.free += done.iter().map(|r| r.held).sum::<u32>();
     }
 
-    /// Removes rows that neither hold nor want anything.
+    /// Removes rows that neither hold nor request tokens.
     pub fn remove_empty_rows(&mut self) {
         self.rows.retain(|row| row.held > 0 || row.wanted > 0);
     }
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -1,4 +1,5 @@
-//! One version of the set for the fleet: what this front knows of it, its lease on it, and its part in changing it.
+//! The fleet's version of the rules as one front knows it: the rule set held, the lease on it, and
+//! changes that this front proposes.
 
 mod adopt;
 mod change;
@@ -16,52 +17,54 @@
 use crate::rule::RuleSet;
 use crate::{Micros, Moment};
 
-/// Microseconds; what left under a lease that has ended may still be under way.
+/// Microseconds for which an execution sent under a lease that has since ended may still be in
+/// flight.
 const IN_FLIGHT_TIME: Micros = 200_000;
-/// Microseconds until a request that the ledger failed is repeated.
+/// Microseconds until a request that failed at the ledger is repeated.
 const RETRY_INTERVAL: Micros = 250_000;
-/// Microseconds until a set that this build or these settings can't read is fetched again.
+/// Microseconds until a rule set that this build or its settings cannot read is fetched again.
 const UNREADABLE_INTERVAL: Micros = 20 * RETRY_INTERVAL;
-/// Microseconds that others wait for the front that changed the head to confirm it first.
+/// Microseconds for which other fronts wait, so that the front that changed the head confirms it
+/// first.
 const PEER_CONFIRMATION_DELAY: Micros = 1_000_000;
 
-/// A file that this front wants to be the fleet's.
+/// A file that this front proposes as the fleet's version.
 struct Proposal {
     file: String,
     command: RulesCommand,
     text: String,
-    /// Parts that stand; the head follows once all do.
+    /// The number of parts stored; the head is changed once all are.
     parts_stored: usize,
-    /// The head is being changed.
+    /// Whether a change of the head is pending.
     swapping: bool,
-    /// What the head is to name.
+    /// The version that the changed head names.
     target: Option<StoredVersion>,
 }
 
-/// What a request to the ledger is for.
+/// The purpose of a pending request to the ledger.
 enum Pending {
-    /// To read the head.
+    /// Reads the head.
     Head,
-    /// To read a part of a version's text.
+    /// Reads a part of a version's text.
     Part { target: StoredVersion, index: usize },
-    /// To store a part of an offer's text.
+    /// Stores a part of a proposal's text.
     PutPart,
-    /// To change the head.
+    /// Changes the head.
     Swap {
         to: StoredVersion,
-        /// The version whose text is kept no longer.
+        /// The version whose text is no longer kept.
         dropped: Option<StoredVersion>,
     },
-    /// To store that the head is in force.
+    /// Stores in the head that its version is in force.
     ConfirmInForce,
-    /// To let a part end that nothing names any more.
+    /// Lets a part expire that no version needs any more.
     ExpirePart,
 }
 
-/// A request that is out.
+/// A request to the ledger that has not been answered.
 struct Request {
     pending: Pending,
-    /// When it was made.
+    /// The time of the request, from which a lease is counted.
     requested_at: Micros,
 }
 
@@ -71,7 +74,7 @@
     version: u64,
 }
 
-/// The text of a version, as its parts come.
+/// The text of a version whose parts are being read.
 struct Fetch {
     target: StoredVersion,
     parts: Vec<Option<Vec<u8>>>,
@@ -82,23 +85,24 @@
     known: KnownNames,
     terms: Terms,
     held: Index,
-    /// What the set held was read from; None: the empty set that holds before there is any.
+    /// The stored version of the rule set held; `None` for the empty set of a fleet that has none.
     held_from: Option<StoredVersion>,
-    /// The head read last; None where there is none yet.
+    /// The latest head read; `None` if there is none yet.
     head: Option<StoredHead>,
-    /// The ledger has answered in this incarnation.
+    /// Whether the ledger has answered in this incarnation.
     ledger_has_answered: bool,
     /// When this head was first read.
     head_since: Micros,
-    /// This front has made it the head.
+    /// Whether this front stored this head.
     changed_here: bool,
-    /// It may be judged by the set held before this.
+    /// The end of the lease: before this time the rule set held may be applied.
     lease_until: Micros,
-    /// When a head was asked for whose set is still being fetched.
+    /// When the head was requested whose rule set is still being fetched; a lease starts at this
+    /// time once the set is adopted.
     lease_once_adopted: Option<Micros>,
-    /// Whether the rules could be judged by at the last tick.
+    /// Whether the lease was valid at the last tick.
     could_judge: bool,
-    /// The text that is being fetched.
+    /// The text being fetched.
     fetch: Option<Fetch>,
     proposal: Option<Proposal>,
     requests: HashMap<u64, Request>,
@@ -109,12 +113,12 @@
     reported_unreadable: Option<&'static str>,
     /// Requests to the ledger that have yet to be sent.
     pub ledger_requests: Vec<LedgerRequest>,
-    /// Events for the log since the caller took them last.
+    /// Events for the log since the caller last took them.
     pub events: Vec<Event>,
 }
 
 impl Versions {
-    /// A front that has read nothing yet. Requests are numbered from above `first_number`.
+    /// Creates a front that has read nothing yet. Requests are numbered from above `first_number`.
     pub fn new(known: KnownNames, terms: Terms, first_number: u64) -> Versions {
         Versions {
             known,
@@ -141,28 +145,28 @@
         }
     }
 
-    /// The names that rules may use.
+    /// Returns the names that rules may use.
     pub fn known(&self) -> &KnownNames {
         &self.known
     }
 
-    /// The set to judge by, while this front may.
+    /// Returns the rule set held while the lease on it is valid, otherwise `None`.
     pub fn index_under_lease(&self, steady: Micros) -> Option<&Index> {
         (steady < self.lease_until).then_some(&self.held)
     }
 
-    /// The set held, whether it may be judged by or not.
+    /// Returns the rule set held, whether the lease on it is valid or not.
     pub fn held(&self) -> &Index {
         &self.held
     }
 
-    /// A number for the next request to the ledger; each is given out once.
+    /// Returns a new number for a request to the ledger.
     pub fn next_request_number(&mut self) -> u64 {
         self.last_request_number += 1;
         self.last_request_number
     }
 
-    /// When `tick` is next due.
+    /// Returns the time on the steady clock at which `tick` is next due.
     pub fn due(&self) -> Micros {
         let head_read = if self.is_pending(|pending| matches!(pending, Pending::Head)) {
             Micros::MAX
@@ -187,6 +191,7 @@
         head_read.min(lease_end).min(confirmation).min(retry)
     }
 
+    /// Returns whether the head has yet to be confirmed as in force, by no pending request.
     fn awaits_confirmation(&self) -> bool {
         self.head
             .as_ref()
@@ -194,7 +199,7 @@
             && !self.is_pending(|pending| matches!(pending, Pending::ConfirmInForce))
     }
 
-    /// When every lease on an earlier version has surely ended.
+    /// Returns the time at which every lease on an earlier version has certainly ended.
     fn in_force_at(&self) -> Micros {
         let delay = if self.changed_here {
             0
@@ -224,7 +229,7 @@
         });
     }
 
-    /// Queues the requests that are due, and says whether this front may judge.
+    /// Queues the requests that are due, and reports when the lease starts or ends.
     pub fn tick(&mut self, at: Moment) {
         self.last_tick = at.steady;
         let can_judge = at.steady < self.lease_until;
@@ -253,7 +258,7 @@
         }
     }
 
-    /// The ledger has answered. False if it was not asked here.
+    /// Handles an answer of the ledger. Returns false if the request was not made here.
     pub fn on_ledger_answer(&mut self, at: Moment, number: u64, outcome: Outcome) -> bool {
         let Some(request) = self.requests.remove(&number) else {
             return false;
@@ -271,7 +276,7 @@
         self.retry_at = at.steady + RETRY_INTERVAL;
         match pending {
             Pending::Head => self.next_head_read = at.steady + RETRY_INTERVAL,
-            // It may stand or not: the head will tell.
+            // The change may have been stored or not; reading the head shows which.
             Pending::Swap { .. } => {
                 self.next_head_read = at.steady;
                 self.stop_swapping();
@@ -297,7 +302,7 @@
             (Pending::Part { target, index }, Some(entry)) => {
                 self.on_part(at, target, index, entry.value)
             }
-            // Not there (yet): the head is looked at again.
+            // The part is not in the ledger, or not yet: the text is fetched again later.
             (Pending::Part { .. }, None) => {
                 self.fetch = None;
                 self.retry_at = at.steady + RETRY_INTERVAL;
@@ -323,13 +328,14 @@
         }
     }
 
-    /// The head that was to be changed is to be read first.
+    /// Ends the pending change of the head, so that the head is read before another attempt.
     fn stop_swapping(&mut self) {
         if let Some(proposal) = &mut self.proposal {
             proposal.swapping = false;
         }
     }
 
+    /// Reports an unreadable entry once, until a rule set is adopted or another entry is unreadable.
     fn report_unreadable(&mut self, what: &'static str) {
         if self.reported_unreadable.replace(what) != Some(what) {
             self.events.push(Event::Unreadable { what });
--- a/crates/access/src/versions/adopt.rs
+++ b/crates/access/src/versions/adopt.rs
@@ -1,4 +1,5 @@
-//! How this front takes up the version that the head names: reads the head, fetches the text, and judges by it.
+//! Adopts the version that the head names: reads the head, fetches the text, and applies its rule
+//! set.
 
 use hallmux_ledger::{Entry, Key, Operation};
 
@@ -11,12 +12,12 @@
 use crate::{Micros, Moment};
 
 impl Versions {
-    /// What stands at the head, as of some moment after it was asked for.
+    /// Handles the head as it was at some time after it was requested.
     pub(super) fn on_head(&mut self, at: Moment, requested_at: Micros, entry: Option<Entry>) {
         let version = entry.as_ref().map_or(0, |entry| entry.version);
         let known = self.head.as_ref().map_or(0, |stored| stored.version);
         if version < known {
-            return; // an answer that was overtaken
+            return; // a newer head has been read since
         }
         self.ledger_has_answered = true;
         if version > known {
@@ -36,10 +37,10 @@
         self.resolve_proposal();
     }
 
-    /// Goes by a later head.
+    /// Records a later head.
     fn set_head(&mut self, at: Moment, stored: StoredHead) {
         let head = &stored.head;
-        // A set that is said to be in force after it was only changed is the same set.
+        // A head that only adds that its version is in force names the same rule set.
         let before = self.head.take().map(|before| before.head);
         let unchanged = before.filter(|before| before.current == head.current);
         if unchanged.is_none() {
@@ -56,7 +57,7 @@
         self.stop_swapping();
     }
 
-    /// Fetches the set that the head names, where it is not the one held.
+    /// Fetches the rule set that the head names, unless it is already held.
     pub(super) fn fetch(&mut self, at: Moment) {
         let Some(target) = self.head.as_ref().map(|stored| stored.head.current) else {
             return;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Judges by a set from now on, if it is still the head's.
+    /// Applies a rule set from now on, if the head still names it.
     fn adopt(&mut self, at: Moment, target: StoredVersion, text: &str) {
         let stored = self.head.as_ref();
         let Some(stored) = stored.filter(|stored| stored.head.current == target) else {
@@ -112,7 +113,8 @@
         let in_force = stored.head.in_force;
         let command = read("the fleet's rules", text, &self.known, &|_| None);
         let Ok(RulesCommand::Replace(set)) = command else {
-            // What another front has checked and this one can't read: its settings differ.
+            // Another front validated this rule set; reading it fails here because the settings
+            // differ.
             self.lease_until = Micros::MIN;
             self.retry_at = at.steady + UNREADABLE_INTERVAL;
             return self.report_unreadable("set by this front's settings");
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -1,4 +1,5 @@
-//! How this front changes the fleet's version: its file's parts, then the head; and how it says that one is in force.
+//! Changes the fleet's version: stores the parts of a file, then the head, and later confirms that
+//! the version is in force.
 
 use hallmux_ledger::{Entry, Key, Operation};
 
@@ -14,11 +15,11 @@
 use crate::{Micros, Moment};
 
 impl Versions {
-    /// A file was read: it is to be the fleet's.
+    /// Proposes a file's rules as the fleet's version, in place of any earlier proposal.
     pub fn propose(&mut self, file: &str, text: &str, command: RulesCommand) {
         self.proposal = None;
         if matches!(command, RulesCommand::WhatIf(_)) {
-            return; // a question changes nothing
+            return; // a what-if file changes nothing
         }
         if text.len() > MAX_TEXT_BYTES {
             return self
@@ -41,7 +42,7 @@
         self.retry_at = Micros::MIN;
     }
 
-    /// The kept version that an offer wants, or why not.
+    /// Returns the version that a proposal asks for, or the reason why it cannot be provided.
     pub(super) fn target_version(&self, proposal: &Proposal) -> Result<StoredVersion, ChangeError> {
         let RulesCommand::RollBack { version, to } = proposal.command else {
             return Ok(StoredVersion::of_text(
@@ -65,7 +66,7 @@
         })
     }
 
-    /// What has become of an offer, by the head.
+    /// Ends a proposal that the head shows as accepted or rejected.
     pub(super) fn resolve_proposal(&mut self) {
         let Some(proposal) = self.proposal.as_ref() else {
             return;
@@ -104,9 +105,9 @@
         self.events.push(event);
     }
 
-    /// Brings an offer one step on: its parts, then the head.
+    /// Takes the next step of a proposal: stores its parts, then changes the head.
     pub(super) fn advance_proposal(&mut self, at: Moment) {
-        // One that is not above the head is never swapped in, however the head was read.
+        // A proposal that is not above the head is never stored, however the head was read.
         self.resolve_proposal();
         let Some(proposal) = self
             .proposal
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Changes the head to the version that the offer wants.
+    /// Changes the head to the version that the proposal asks for.
     fn swap_head(&mut self, at: Moment, target: StoredVersion, in_force: bool) {
         let stored = self.head.as_ref();
         let NextHead { head, dropped } =
@@ -171,7 +172,8 @@
         }
     }
 
-    /// Nothing is barred by it that the set in force lets through: it holds with its swap.
+    /// Returns whether the proposal bars nothing that the set in force allows, so that it is in
+    /// force as soon as the head is changed.
     pub(super) fn is_effective_at_once(&self, proposal: &Proposal, at: Moment) -> bool {
         let RulesCommand::Replace(set) = &proposal.command else {
             return false;
@@ -196,7 +198,7 @@
             .head
             .as_ref()
             .is_some_and(|stored| stored.head.current == to);
-        // Parts that nothing names any more end after a while.
+        // Parts that no version needs any more expire after a while.
         for key in dropped.into_iter().flat_map(part_keys) {
             let operation = Operation::Put {
                 expects: None,
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Says that the head is in force.
+    /// Confirms that the head's version is in force.
     pub(super) fn confirm_in_force(&mut self, at: Moment) {
         let Some(StoredHead { head, version }) = &self.head else {
             return;
