--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -14,7 +14,7 @@
     #[error("{0}; write the file as JSON5")]
     Syntax(String),
     /// An unknown key.
-    #[error("is not known; the keys here are {known}")]
+    #[error("unknown key; the keys allowed here are {known}")]
     UnknownKey {
         /// The keys that are allowed at this path.
         known: &'static str,
@@ -26,7 +26,7 @@
         needs: &'static str,
     },
     /// A value of the wrong type or out of range.
-    #[error("is no {needs}; give one")]
+    #[error("has the wrong type or value; give {needs}")]
     WrongType {
         /// The type and range that are expected.
         needs: &'static str,
@@ -44,7 +44,7 @@
     /// A rule about a customer whose statements a front without a lease on the rules would admit.
     #[error(
         "rule `{rule}` is about customer '{customer}', which `rules.customers` of the operator's file does not name: a \
-         front that is cut off would let it through; add it there at every front first"
+         front without a lease on the rules would admit its statements; add the customer there at every front first"
     )]
     CustomerNotCovered {
         /// The rule's name.
@@ -53,9 +53,7 @@
         customer: String,
     },
     /// Two rules with one name.
-    #[error(
-        "rule `{rule}` has the name of the rule on line {line}; give each rule a name of its own"
-    )]
+    #[error("rule `{rule}` has the name of the rule on line {line}; give each rule a unique name")]
     DuplicateName {
         /// The name.
         rule: String,
@@ -74,7 +72,7 @@
     },
     /// A rule that can never decide a statement because another rule always takes precedence.
     #[error(
-        "rule `{rule}` can never match: rule `{by}` on line {line} goes before it wherever it would; take it out, or \
+        "rule `{rule}` can never match: rule `{by}` on line {line} takes precedence wherever it would; remove it, or \
          give it a higher priority"
     )]
     Shadowed {
@@ -88,8 +86,8 @@
     /// Two rules that match some of the same statements with equal precedence and different
     /// effects.
     #[error(
-        "rule `{rule}` contradicts rule `{other}` on line {line}: both match some statements at the same height and \
-         say different things of them; give one a priority, or fields that tell them apart"
+        "rule `{rule}` contradicts rule `{other}` on line {line}: both match some statements with equal precedence and \
+         have different effects; give one a priority, or fields that distinguish them"
     )]
     Contradicts {
         /// The rule's name.
@@ -114,8 +112,8 @@
     },
     /// A rule that denies a workload to every customer.
     #[error(
-        "rule `{rule}` leaves workload `{workload}` with no engine for anybody; give the rule a customer, tables or a \
-         front, or add a rule before it that allows"
+        "rule `{rule}` leaves workload `{workload}` with no engine for any customer; give the rule a customer, tables or a \
+         front, or add an allowing rule of higher precedence"
     )]
     WorkloadDenied {
         /// The rule's name.
@@ -218,7 +216,7 @@
     },
     /// The fleet already has the stated version, with a different text.
     #[error(
-        "{file}: version {stated} is the fleet's already, with other contents, which stay; state {next} to change them"
+        "{file}: version {stated} is already the fleet's, with other contents, which stay; state {next} to change them"
     )]
     VersionTaken {
         /// The file's name.
@@ -230,7 +228,7 @@
     },
     /// Another front's change to the same version won the compare-and-swap.
     #[error(
-        "{file}: version {stated} lost to another front's change in the same moment, which stays; read it, and state \
+        "{file}: version {stated} lost to a concurrent change by another front, which stays; read it, and state \
          {next}"
     )]
     ConcurrentChange {
--- a/crates/access/src/read/file.rs
+++ b/crates/access/src/read/file.rs
@@ -23,7 +23,7 @@
             Err(e) => return self.fail("", Problem::Syntax(e.to_string())),
         };
         let Value::Object(file) = value else {
-            let needs = "object of version and rules";
+            let needs = "an object of version and rules";
             return self.fail("", Problem::WrongType { needs });
         };
         self.check_keys("", &file, KEYS);
@@ -48,7 +48,7 @@
             let needs = "a whole number that grows with each change";
             return self.fail("version", Problem::Missing { needs });
         };
-        let needs = "whole number from 1";
+        let needs = "a whole number from 1";
         read_unsigned(value)
             .filter(|version| *version > 0)
             .or_else(|| self.fail("version", Problem::WrongType { needs }))
@@ -64,7 +64,7 @@
             let known = ROLL_BACK_KEYS;
             self.report(key.to_string(), Problem::UnknownKey { known });
         }
-        let needs = "version";
+        let needs = "the version to restore";
         let to = read_unsigned(to)
             .or_else(|| self.fail("roll_back_to", Problem::WrongType { needs }))?;
         Some(RulesCommand::RollBack {
@@ -93,7 +93,7 @@
                 return self.fail("rules", Problem::Missing { needs });
             }
             _ => {
-                let needs = "list of rules";
+                let needs = "a list of rules";
                 return self.fail("rules", Problem::WrongType { needs });
             }
         };
--- a/crates/access/src/read/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -60,8 +60,8 @@
         name: &str,
     ) -> Option<Move> {
         if EXCLUDED_KEYS.iter().any(|key| fields.contains_key(*key)) {
-            let why = "moves, and says otherwise where or when too";
-            let remedy = "take out `regions`, `barred`, `then`, `reason`, `from` and `until`";
+            let why = "moves tables and also sets regions or a period";
+            let remedy = "remove `regions`, `barred`, `then`, `reason`, `from` and `until`";
             return self.fail(path, conflicting_keys(name, why, remedy));
         }
         if !fields.contains_key("tables") {
@@ -71,13 +71,13 @@
         }
         let path = &format!("{path}.moves");
         let Some(Value::Object(moves)) = fields.get("moves") else {
-            let needs = "object of from, to, at and overlap_ms";
+            let needs = "an object of from, to, at and overlap_ms";
             return self.fail(path, Problem::WrongType { needs });
         };
         self.check_keys(path, moves, KEYS);
         if let Some(missing) = KEYS.split(", ").find(|key| !moves.contains_key(*key)) {
             let needs =
-                "from which region to which, when, and for how many milliseconds it lies at both";
+                "the regions to move from and to, the time, and the milliseconds for which both regions have the tables";
             return self.fail(&format!("{path}.{missing}"), Problem::Missing { needs });
         }
         let from = self.region(path, moves, "from");
@@ -85,12 +85,12 @@
         let at_ms = self.time(path, moves, "at");
         let overlap = moves.get("overlap_ms").and_then(read_unsigned);
         let Some(overlap_ms) = overlap.filter(|ms| OVERLAP_RANGE_MS.contains(ms)) else {
-            let needs = "whole number of milliseconds from 1 to 31622400000";
+            let needs = "a whole number of milliseconds from 1 to 31622400000";
             return self.fail(&format!("{path}.overlap_ms"), Problem::WrongType { needs });
         };
         let (from, to, at_ms) = (from?, to?, at_ms?);
         if at_ms == 0 {
-            let needs = "time after 1970";
+            let needs = "a time after 1970";
             return self.fail(&format!("{path}.at"), Problem::WrongType { needs });
         }
         Some(Move {
--- a/crates/access/src/read/reader.rs
+++ b/crates/access/src/read/reader.rs
@@ -49,7 +49,9 @@
             Value::String(text) if !text.is_empty() => Some(text.clone()),
             _ => self.fail(
                 &format!("{path}.{key}"),
-                Problem::WrongType { needs: "text" },
+                Problem::WrongType {
+                    needs: "a non-empty text",
+                },
             ),
         }
     }
--- a/crates/access/src/versions/adopt.rs
+++ b/crates/access/src/versions/adopt.rs
@@ -117,7 +117,7 @@
             // differ.
             self.lease_until = Micros::MIN;
             self.retry_at = at.steady + UNREADABLE_INTERVAL;
-            return self.report_unreadable("set by this front's settings");
+            return self.report_unreadable("the rule set, under this front's settings");
         };
         let version = target.version;
         self.held = Index::new(RuleSet { version, ..set });
