--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-const PLACES: [&str; 3] = ["eu", "us", "ap"];
+const LOCATIONS: [&str; 3] = ["eu", "us", "ap"];
 const START_MS: u64 = 1_800_000_000_000; // 2027-01-15T08:00:00Z
 
 struct SingleFront {
@@ -19,10 +19,10 @@
     earlier: Option<Access>,
     counted: Vec<u64>,
     events: Vec<Event>,
-    fleet: Option<FleetHits>,
+    fleet_hits: Option<FleetHits>,
     now: i64,
     ledger: BTreeMap<Key, Entry>,
-    last: u64,
+    last_version: u64,
 }
 
 fn known() -> KnownNames {
@@ -34,7 +34,7 @@
     KnownNames {
         customers: names(&["acme", "brisk"]),
         workloads: vec![bound("lookup"), bound("report")],
-        locations: names(&PLACES),
+        locations: names(&LOCATIONS),
         regions: BTreeMap::new(),
         covered_customers: None,
     }
@@ -44,7 +44,7 @@
     read("rules.json5", text, &known(), &|_| None).unwrap_or_else(|e| panic!("{e}: {text}"))
 }
 
-fn access(incarnation: u64) -> Access {
+fn new_access(incarnation: u64) -> Access {
     Access::new(AccessConfig {
         owner: Owner {
             front: 1,
@@ -66,20 +66,20 @@
     fn new() -> SingleFront {
         let (ledger, counted, events) = (BTreeMap::new(), Vec::new(), Vec::new());
         SingleFront {
-            access: access(1),
+            access: new_access(1),
             earlier: None,
             counted,
             events,
-            fleet: None,
+            fleet_hits: None,
             now: 0,
             ledger,
-            last: 0,
+            last_version: 0,
         }
     }
 
     /// Changes places with the earlier life.
     fn swap_with_earlier(&mut self) {
-        let other = self.earlier.take().unwrap_or_else(|| access(2));
+        let other = self.earlier.take().unwrap_or_else(|| new_access(2));
         self.earlier = Some(std::mem::replace(&mut self.access, other));
         self.advance(4_000);
     }
@@ -100,16 +100,16 @@
                 let out = self.access.take_output();
                 self.counted.extend(out.counted);
                 self.events.extend(out.events);
-                self.fleet = out.fleet_hits.or(self.fleet.take());
+                self.fleet_hits = out.fleet_hits.or(self.fleet_hits.take());
                 if out.ledger_requests.is_empty() {
                     break;
                 }
-                for ask in out.ledger_requests {
-                    let outcome = self.operation(&ask.key, ask.operation);
+                for ledger_request in out.ledger_requests {
+                    let outcome = self.apply(&ledger_request.key, ledger_request.operation);
                     self.access.on_ledger_answer(
                         self.at(),
                         LedgerAnswer {
-                            number: ask.number,
+                            number: ledger_request.number,
                             outcome,
                         },
                     );
@@ -118,7 +118,7 @@
         }
     }
 
-    fn operation(&mut self, key: &Key, operation: Operation) -> Outcome {
+    fn apply(&mut self, key: &Key, operation: Operation) -> Outcome {
         let current = self.ledger.get(key).cloned();
         let Operation::Put {
             expects,
@@ -131,7 +131,7 @@
         if expects.is_some_and(|expects| expects != current.as_ref().map_or(0, |e| e.version)) {
             return current.map_or(Outcome::Absent, Outcome::Held);
         }
-        self.last += 1;
+        self.last_version += 1;
         let owner = Owner {
             front: 1,
             incarnation: 1,
@@ -139,7 +139,7 @@
         let entry = Entry {
             key: key.clone(),
             owner,
-            version: self.last,
+            version: self.last_version,
             ends_ms,
             value,
         };
@@ -148,7 +148,7 @@
     }
 
     /// Puts a set in force.
-    fn holds(&mut self, text: &str) {
+    fn put_in_force(&mut self, text: &str) {
         self.access.propose("rules.json5", text, command(text));
         self.advance(6_000);
         assert_eq!(
@@ -161,10 +161,10 @@
     }
 
     /// What is decided of a statement, and its number.
-    fn ask(&mut self, asked: &Request) -> (Permission, u64) {
+    fn decide(&mut self, request: &Request) -> (Permission, u64) {
         let Decision::Decided {
             statement, verdict, ..
-        } = self.access.judge(self.at(), asked.clone())
+        } = self.access.judge(self.at(), request.clone())
         else {
             panic!("judged")
         };
@@ -182,40 +182,42 @@
 
     fn may_send(&mut self, statement: u64, execution: u64) -> Vec<&'static str> {
         let at = self.at();
-        let may = |place: &&str| self.access.may_send(at, statement, execution, place);
-        PLACES.into_iter().filter(may).collect()
+        let may = |location: &&str| self.access.may_send(at, statement, execution, location);
+        LOCATIONS.into_iter().filter(may).collect()
     }
 }
 
 #[test]
-fn an_earlier_life_that_goes_on_beside_a_later_one_counts_nothing_any_more() {
-    let asked = Request {
+fn an_earlier_incarnation_stops_counting_once_a_later_one_counts() {
+    let request = Request {
         customer: "acme".to_string(),
         workload: "lookup".to_string(),
         groups: None,
     };
-    let mut one = SingleFront::new();
-    one.holds("{ version: 1, default: 'allow', rules: [ { name: 'a', then: 'count' }, { name: 'b', regions: ['eu'] } ] }");
-    let counts = |one: &mut SingleFront| {
-        one.counted.clear();
-        let statement = one.ask(&asked).1;
-        one.advance(4_000);
-        one.counted == [statement]
+    let mut front = SingleFront::new();
+    front.put_in_force("{ version: 1, default: 'allow', rules: [ { name: 'a', then: 'count' }, { name: 'b', regions: ['eu'] } ] }");
+    let counts = |front: &mut SingleFront| {
+        front.counted.clear();
+        let statement = front.decide(&request).1;
+        front.advance(4_000);
+        front.counted == [statement]
     };
-    assert!(counts(&mut one));
+    assert!(counts(&mut front));
     // The later life has counted nothing yet: both may go on.
-    one.swap_with_earlier();
-    one.swap_with_earlier();
-    assert!(counts(&mut one));
+    front.swap_with_earlier();
+    front.swap_with_earlier();
+    assert!(counts(&mut front));
     // Now it has, and takes in what the earlier one had counted.
-    one.swap_with_earlier();
-    assert!(counts(&mut one) && counts(&mut one));
-    one.swap_with_earlier();
-    assert!(!counts(&mut one) && !counts(&mut one) && one.events.contains(&Event::Superseded));
-    one.swap_with_earlier();
-    one.access.request_fleet_hits(one.at());
-    one.advance(4_000);
-    let fleet = one.fleet.clone().unwrap();
+    front.swap_with_earlier();
+    assert!(counts(&mut front) && counts(&mut front));
+    front.swap_with_earlier();
+    assert!(
+        !counts(&mut front) && !counts(&mut front) && front.events.contains(&Event::Superseded)
+    );
+    front.swap_with_earlier();
+    front.access.request_fleet_hits(front.at());
+    front.advance(4_000);
+    let fleet = front.fleet_hits.clone().unwrap();
     assert_eq!(
         (
             fleet.missing.len(),
@@ -225,7 +227,7 @@
     );
 }
 
-fn drawn_rules(rng: &mut Pcg64, version: u64, what_if: bool) -> String {
+fn random_rules(rng: &mut Pcg64, version: u64, what_if: bool) -> String {
     let mut rules = Vec::new();
     for n in 0..rng.random_range(1..8) {
         let mut rule = format!("name: 'r{n}', priority: {n}");
@@ -241,16 +243,16 @@
             let first = rng.random_range(0..5);
             rule += &format!(", tables: [{first}, {}]", first + rng.random_range(0..3));
         }
-        let place = PLACES[rng.random_range(0..3)];
+        let location = LOCATIONS[rng.random_range(0..3)];
         rule += &match rng.random_range(0..5) {
             0 => ", then: 'deny', reason: 'drawn'".to_string(),
             1 => format!(
-                ", regions: ['{place}'], at_most: {}, in_ms: 60000",
+                ", regions: ['{location}'], at_most: {}, in_ms: 60000",
                 rng.random_range(1..3)
             ),
-            2 => format!(", barred: ['{place}'], from: '2027-01-15T07:00:00Z'"),
-            3 => format!(", barred: ['{place}'], until: '2027-01-15T07:00:00Z'"),
-            _ => format!(", regions: ['{place}']"),
+            2 => format!(", barred: ['{location}'], from: '2027-01-15T07:00:00Z'"),
+            3 => format!(", barred: ['{location}'], until: '2027-01-15T07:00:00Z'"),
+            _ => format!(", regions: ['{location}']"),
         };
         rules.push(format!("{{ {rule} }}"));
     }
@@ -261,13 +263,13 @@
 }
 
 #[test]
-fn what_a_set_would_change_is_what_then_happens_on_the_same_traffic() {
+fn a_what_if_report_equals_the_changes_after_adoption() {
     let (mut runs, mut changed) = (0, 0);
     for seed in 0..400 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let (before, mut after) = (
-            drawn_rules(&mut rng, 1, false),
-            drawn_rules(&mut rng, 2, true),
+            random_rules(&mut rng, 1, false),
+            random_rules(&mut rng, 2, true),
         );
         // Sets whose rules shadow each other are no files.
         if [&before, &after]
@@ -277,7 +279,7 @@
             continue;
         }
         runs += 1;
-        let drawn = |rng: &mut Pcg64| Request {
+        let random_request = |rng: &mut Pcg64| Request {
             customer: ["acme", "brisk"][rng.random_range(0..2)].to_string(),
             workload: ["lookup", "report"][rng.random_range(0..2)].to_string(),
             groups: [
@@ -288,35 +290,38 @@
             ][rng.random_range(0..4)]
             .clone(),
         };
-        let traffic: Vec<Request> = (0..200).map(|_| drawn(&mut rng)).collect();
-        let mut one = SingleFront::new();
-        one.holds(&before);
-        let was: Vec<Permission> = traffic.iter().map(|asked| one.ask(asked).0).collect();
+        let traffic: Vec<Request> = (0..200).map(|_| random_request(&mut rng)).collect();
+        let mut front = SingleFront::new();
+        front.put_in_force(&before);
+        let before_decisions: Vec<Permission> = traffic
+            .iter()
+            .map(|request| front.decide(request).0)
+            .collect();
         let RulesCommand::WhatIf(set) = command(&after) else {
             panic!("a question")
         };
-        let told = one.access.what_if(one.at(), set);
-        assert_eq!((told.statements, told.unrecorded), (200, 0));
+        let report = front.access.what_if(front.at(), set);
+        assert_eq!((report.statements, report.unrecorded), (200, 0));
         // The question changes nothing, also where it is offered.
-        one.access.propose("rules.json5", &after, command(&after));
-        one.advance(1_000);
+        front.access.propose("rules.json5", &after, command(&after));
+        front.advance(1_000);
         assert_eq!(
-            one.access.held_version(one.now),
+            front.access.held_version(front.now),
             HeldVersion {
                 version: 1,
                 may_judge: true
             }
         );
         after = after.replace("what_if: true", "what_if: false");
-        one.holds(&after);
-        let mut happened: BTreeMap<ChangedDecision, u64> = BTreeMap::new();
-        for (asked, current) in traffic.iter().zip(was) {
-            let proposed = one.ask(asked).0;
+        front.put_in_force(&after);
+        let mut observed_changes: BTreeMap<ChangedDecision, u64> = BTreeMap::new();
+        for (request, current) in traffic.iter().zip(before_decisions) {
+            let proposed = front.decide(request).0;
             let Request {
                 customer, workload, ..
-            } = asked.clone();
+            } = request.clone();
             if current != proposed {
-                *happened
+                *observed_changes
                     .entry(ChangedDecision {
                         customer,
                         workload,
@@ -326,15 +331,18 @@
                     .or_default() += 1;
             }
         }
-        assert_eq!(told.changes, happened, "seed {seed}: {before} {after}");
-        changed += happened.values().sum::<u64>();
+        assert_eq!(
+            report.changes, observed_changes,
+            "seed {seed}: {before} {after}"
+        );
+        changed += observed_changes.values().sum::<u64>();
     }
     println!("{runs} runs, {changed} statements decided otherwise");
     assert!(runs > 50 && changed > 1_000, "{runs} {changed}");
 }
 
 #[test]
-fn tables_that_move_are_read_where_they_lie_and_a_statement_goes_by_when_it_was_judged() {
+fn moving_tables_are_read_where_they_are_at_the_first_evaluation_of_a_statement() {
     let moves = |version, more: &str| {
         let at = "2027-01-15T08:10:00Z";
         format!(
@@ -342,53 +350,53 @@
              moves: {{ from: 'eu', to: 'us', at: '{at}', overlap_ms: 60000 }} }}{more} ] }}"
         )
     };
-    let asked = |group| Request {
+    let request = |group| Request {
         customer: "acme".to_string(),
         workload: "lookup".to_string(),
         groups: Some(vec![group]),
     };
-    let mut one = SingleFront::new();
-    one.holds(&moves(1, ""));
-    let (before, other) = (one.ask(&asked(7)).1, one.ask(&asked(4)).1);
-    assert_eq!(one.may_send(before, 1), ["eu"]);
-    one.advance(600_000);
+    let mut front = SingleFront::new();
+    front.put_in_force(&moves(1, ""));
+    let (before, other) = (front.decide(&request(7)).1, front.decide(&request(4)).1);
+    assert_eq!(front.may_send(before, 1), ["eu"]);
+    front.advance(600_000);
     // In the overlap: what is judged now may go to both; what was judged before goes where it was to go.
-    let within = one.ask(&asked(7)).1;
+    let within = front.decide(&request(7)).1;
     assert_eq!(
-        (one.may_send(within, 1), one.may_send(before, 2)),
+        (front.may_send(within, 1), front.may_send(before, 2)),
         (vec!["eu", "us"], vec!["eu"])
     );
-    one.advance(60_000);
-    let after = one.ask(&asked(7)).1;
-    let tries = |one: &mut SingleFront, n| {
+    front.advance(60_000);
+    let after = front.decide(&request(7)).1;
+    let send_attempts = |front: &mut SingleFront, n| {
         (
-            one.may_send(before, n),
-            one.may_send(within, n),
-            one.may_send(after, n),
+            front.may_send(before, n),
+            front.may_send(within, n),
+            front.may_send(after, n),
         )
     };
     assert_eq!(
-        tries(&mut one, 3),
+        send_attempts(&mut front, 3),
         (vec!["eu"], vec!["eu", "us"], vec!["us"])
     );
     // Another version with the same move is no reason to judge them by another time; one that bars them is.
-    one.holds(&moves(2, ", { name: 'x', tables: 3, regions: ['ap'] }"));
+    front.put_in_force(&moves(2, ", { name: 'x', tables: 3, regions: ['ap'] }"));
     assert_eq!(
-        tries(&mut one, 4),
+        send_attempts(&mut front, 4),
         (vec!["eu"], vec!["eu", "us"], vec!["us"])
     );
-    one.holds(&moves(
+    front.put_in_force(&moves(
         3,
         ", { name: 'x', tables: [6, 8], then: 'deny', reason: 'x' }",
     ));
-    assert_eq!(tries(&mut one, 5), (vec![], vec![], vec![]));
-    assert_eq!(one.may_send(other, 1), PLACES);
+    assert_eq!(send_attempts(&mut front, 5), (vec![], vec![], vec![]));
+    assert_eq!(front.may_send(other, 1), LOCATIONS);
 }
 
 #[test]
-fn a_move_that_makes_no_sense_is_refused() {
+fn an_invalid_move_is_rejected() {
     let good = "{ name: 'm', tables: 5, moves: { from: 'eu', to: 'us', at: '2027-01-15T08:00:00Z', overlap_ms: 1 } }";
-    for (from, to, says) in [
+    for (from, to, expected) in [
         (
             "tables: 5, ",
             "",
@@ -430,10 +438,10 @@
             "{{ version: 1, default: 'allow', rules: [ {} ] }}",
             good.replace(from, to)
         );
-        let said = match read("f", &text, &known(), &|_| None) {
-            Err(faults) => faults.to_string(),
+        let message = match read("f", &text, &known(), &|_| None) {
+            Err(errors) => errors.to_string(),
             Ok(command) => format!("{command:?}"),
         };
-        assert!(said.starts_with(&format!("f: {says}")), "{to}: {said}");
+        assert!(message.starts_with(&format!("f: {expected}")), "{to}: {message}");
     }
 }
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -50,9 +50,9 @@
     }
 }
 
-fn faults(text: &str) -> String {
+fn read_errors(text: &str) -> String {
     match read("rules.json5", text, &known(), &lines(text)) {
-        Err(faults) => faults.to_string(),
+        Err(errors) => errors.to_string(),
         Ok(command) => format!("{command:?}"),
     }
 }
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn each_fault_says_where_it_is_and_what_to_do() {
-    for (rule, says) in [
+fn each_error_names_its_location_and_remedy() {
+    for (rule, expected) in [
         ("{ name: 'a', then: 'deny', resaon: 'x' }", "rules[0].resaon: unknown key; the keys allowed here are name,"),
         ("{ then: 'count' }", "rules[0]: is missing; give a name"),
         ("{ name: 'a', customer: 'acne', then: 'count' }", "rules[0].customer: 'acne' is not among the settings' customers: acme, brisk, corvid; name one"),
@@ -99,12 +99,12 @@
         ("{ name: 'a', then: 'count', at_most: 5, in_ms: 5000 }", "rule `a` has a limit though it does not allow; remove"),
         ("7", "rules[0]: has the wrong type or value; give an object that describes a rule"),
     ] {
-        let said = faults(&file(&[rule]));
+        let message = read_errors(&file(&[rule]));
         // A number for a rule stands on no line of its own in these files.
         let line = if rule == "7" { "rules.json5:".to_string() } else { "rules.json5:5:".to_string() };
-        assert!(said.starts_with(&format!("{line} {says}")), "{rule}: {said}");
+        assert!(message.starts_with(&format!("{line} {expected}")), "{rule}: {message}");
     }
-    for (text, says) in [
+    for (text, expected) in [
         (
             "{ version: 0, default: 'allow', rules: [] }",
             "rules.json5:1: version: has the wrong type or value; give a whole number from 1",
@@ -131,20 +131,23 @@
             "rules.json5:1: has the wrong type or value; give an object of version and rules",
         ),
     ] {
-        let said = faults(text);
-        assert!(said.starts_with(says), "{text}: {said}");
+        let message = read_errors(text);
+        assert!(message.starts_with(expected), "{text}: {message}");
     }
 }
 
 #[test]
-fn all_faults_come_at_once_in_the_order_of_lines() {
+fn all_errors_are_reported_at_once_in_line_order() {
     let text = file(&[
         "{ name: 'a', then: 'permit' }",
         "{ name: 'b', workload: 'x' }",
         "{ name: 'c', frm: 1 }",
     ]);
-    let said = faults(&text);
-    let lines: Vec<&str> = said.lines().map(|l| l.split(' ').next().unwrap()).collect();
+    let message = read_errors(&text);
+    let lines: Vec<&str> = message
+        .lines()
+        .map(|l| l.split(' ').next().unwrap())
+        .collect();
     assert_eq!(
         lines,
         ["rules.json5:5:", "rules.json5:6:", "rules.json5:7:"]
@@ -152,8 +155,8 @@
 }
 
 #[test]
-fn a_set_is_looked_at_as_a_whole() {
-    for (rules, says) in [
+fn rules_that_repeat_shadow_or_contradict_others_are_rejected() {
+    for (rules, expected) in [
         (
             &[
                 "{ name: 'a', customer: 'acme', then: 'count' }",
@@ -198,8 +201,8 @@
             "rules.json5:7: rule `r` can never match",
         ),
     ] {
-        let said = faults(&file(rules));
-        assert!(said.contains(says), "{rules:?}: {said}");
+        let message = read_errors(&file(rules));
+        assert!(message.contains(expected), "{rules:?}: {message}");
     }
     // Later, or for other tables, they do not meet.
     set(&[
@@ -213,33 +216,33 @@
 }
 
 #[test]
-fn a_set_leaves_every_workload_an_engine_for_somebody() {
+fn a_set_that_denies_a_workload_to_every_customer_is_rejected() {
     let all = KnownNames {
         covered_customers: None,
         ..known()
     };
-    let faults =
+    let read_errors =
         |text: &str| read("r", text, &all, &lines(text)).map_err(|e: FileErrors| e.to_string());
     let denied = file(&["{ name: 'no', workload: 'report', then: 'deny', reason: 'x' }"]);
-    assert!(faults(&denied)
+    assert!(read_errors(&denied)
         .unwrap_err()
         .starts_with("r:5: rule `no` leaves workload `report` with no engine"));
     let one = file(&[
         "{ name: 'no', workload: 'report', then: 'deny', reason: 'x' }",
         "{ name: 'yes', customer: 'acme', workload: 'report' }",
     ]);
-    assert!(faults(&one).is_ok());
+    assert!(read_errors(&one).is_ok());
     let default = "{ version: 1, default: 'deny',\n rules: [\n{ name: 'a', workload: 'lookup' }] }";
-    let said = faults(default).unwrap_err();
-    assert_eq!(said.lines().count(), 1);
+    let message = read_errors(default).unwrap_err();
+    assert_eq!(message.lines().count(), 1);
     assert!(
-        said.contains("default: the default 'deny' leaves workload `report` with no engine"),
-        "{said}"
+        message.contains("default: the default 'deny' leaves workload `report` with no engine"),
+        "{message}"
     );
 }
 
 #[test]
-fn specific_goes_before_general_and_deny_before_allow() {
+fn specific_rules_precede_general_ones_and_denials_precede_allowing_rules() {
     let set = set(&[
         "{ name: 'acme', customer: 'acme', regions: ['west'] }",
         "{ name: 'acme-tables', customer: 'acme', tables: [10, 20], regions: ['std-us'] }",
@@ -316,7 +319,7 @@
 }
 
 #[test]
-fn a_set_tightens_where_some_statement_is_let_through_at_fewer_places() {
+fn a_set_tightens_if_some_statement_is_allowed_fewer_locations() {
     let index = |rules: &[&str]| Index::new(set(rules));
     let eu = index(&["{ name: 'a', customer: 'acme', regions: ['eu'] }"]);
     let west = index(&["{ name: 'a', customer: 'acme', regions: ['west'] }"]);
@@ -336,7 +339,7 @@
     assert!(tightens(&tables, &eu) && tightens(&eu, &tables));
 }
 
-fn drawn_rule() -> impl Strategy<Value = Rule> {
+fn random_rule() -> impl Strategy<Value = Rule> {
     let name = |all: &'static [&'static str]| {
         prop::option::of(prop::sample::select(all)).prop_map(|n| n.map(str::to_string))
     };
@@ -388,8 +391,8 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_index_equals_a_plain_walk(
-        rules in prop::collection::vec(drawn_rule(), 0..40),
+    fn the_index_agrees_with_a_linear_search(
+        rules in prop::collection::vec(random_rule(), 0..40),
         customer in prop::sample::select(&["a", "b", "c", "z"][..]),
         workload in prop::sample::select(&["x", "y", "z"][..]),
         front in prop::sample::select(&["eu", "us", "ap"][..]),
@@ -399,13 +402,13 @@
     ) {
         let set = RuleSet::new(1, DefaultEffect::Allow, rules);
         let attributes = Attributes { customer, workload, group, tables_known, front, first_judged_ms: None };
-        let walked = set.find_linear(&attributes, now);
-        prop_assert_eq!(Index::new(set).find(&attributes, now), walked);
+        let searched = set.find_linear(&attributes, now);
+        prop_assert_eq!(Index::new(set).find(&attributes, now), searched);
     }
 
     #[test]
     fn a_shadowed_rule_never_decides(
-        rules in prop::collection::vec(drawn_rule(), 0..30),
+        rules in prop::collection::vec(random_rule(), 0..30),
         group in 0u32..20,
         now in 0u64..9,
     ) {
@@ -427,7 +430,7 @@
 }
 
 #[test]
-fn the_example_is_read() {
+fn the_example_rules_file_is_valid() {
     let text = include_str!("../../../deploy/rules.example.json5");
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
     let bound = |name: &&str| WorkloadLocations {
