--- a/crates/access/src/head_tests.rs
+++ b/crates/access/src/head_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_damaged_or_of_another_format_is_no_head_and_no_text() {
+fn damaged_bytes_or_another_format_are_rejected_as_head_or_text() {
     let text = "x".repeat(PART_BYTES + 1);
     let mut head = Head::following(None, StoredVersion::of_text(3, &text), true).head;
     let bytes = head.bytes();
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn the_last_versions_are_kept_and_a_text_goes_with_its_last_version() {
+fn recent_versions_are_kept_and_a_text_is_dropped_with_its_last_version() {
     let mut head = None;
-    let mut gone = None;
+    let mut dropped = None;
     for version in 1..=MAX_PREVIOUS as u64 + 2 {
         let text = if version == 9 {
             "1".to_string()
@@ -30,10 +30,10 @@
             version.to_string()
         };
         let next = Head::following(head.as_ref(), StoredVersion::of_text(version, &text), true);
-        (head, gone) = (Some(next.head), next.dropped);
+        (head, dropped) = (Some(next.head), next.dropped);
     }
     let head = head.unwrap();
     // Version 1 was dropped first, but version 9 keeps the same text.
-    assert_eq!((head.find(1), gone), (None, None));
+    assert_eq!((head.find(1), dropped), (None, None));
     assert_eq!(head.find(2).map(|k| k.version), Some(2));
 }
--- a/crates/access/src/record_tests.rs
+++ b/crates/access/src/record_tests.rs
@@ -4,7 +4,7 @@
 use crate::{KnownNames, RuleSet};
 
 #[test]
-fn a_record_is_bounded_and_what_is_too_old_is_forgotten() {
+fn a_record_is_bounded_and_drops_old_statements() {
     let request = |n: usize| Request {
         customer: n.to_string(),
         workload: "w".to_string(),
--- a/crates/access/src/shares/table_tests.rs
+++ b/crates/access/src/shares/table_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_damaged_or_of_another_limit_lets_nothing_through() {
+fn a_damaged_table_or_one_of_another_limit_is_rejected() {
     let limit = Limit {
         rule: "a".to_string(),
         max_statements: 10,
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -1,4 +1,5 @@
-//! One front on a ledger that answers at once: what a set would change beside what then happens, and tables that move.
+//! One front with a ledger that answers at once: what-if reports against the changes that follow,
+//! moves of tables, and a process whose front has started again.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 
 struct SingleFront {
     access: Access,
-    /// An earlier life of the same front that goes on all the same.
+    /// An earlier incarnation of the same front whose process is still running.
     earlier: Option<Access>,
     counted: Vec<u64>,
     events: Vec<Event>,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Changes places with the earlier life.
+    /// Swaps the running incarnation with the other one and lets it run for 4 s.
     fn swap_with_earlier(&mut self) {
         let other = self.earlier.take().unwrap_or_else(|| new_access(2));
         self.earlier = Some(std::mem::replace(&mut self.access, other));
@@ -147,7 +148,7 @@
         Outcome::Stands(entry)
     }
 
-    /// Puts a set in force.
+    /// Puts a rule set in force.
     fn put_in_force(&mut self, text: &str) {
         self.access.propose("rules.json5", text, command(text));
         self.advance(6_000);
@@ -160,7 +161,7 @@
         );
     }
 
-    /// What is decided of a statement, and its number.
+    /// Returns the decision on a statement, and the statement's number.
     fn decide(&mut self, request: &Request) -> (Permission, u64) {
         let Decision::Decided {
             statement, verdict, ..
@@ -203,11 +204,11 @@
         front.counted == [statement]
     };
     assert!(counts(&mut front));
-    // The later life has counted nothing yet: both may go on.
+    // The later incarnation has not counted anything yet, so both may count.
     front.swap_with_earlier();
     front.swap_with_earlier();
     assert!(counts(&mut front));
-    // Now it has, and takes in what the earlier one had counted.
+    // Now it has, and folds the counts of the earlier one.
     front.swap_with_earlier();
     assert!(counts(&mut front) && counts(&mut front));
     front.swap_with_earlier();
@@ -271,7 +272,7 @@
             random_rules(&mut rng, 1, false),
             random_rules(&mut rng, 2, true),
         );
-        // Sets whose rules shadow each other are no files.
+        // A set whose rules shadow each other is not a valid file.
         if [&before, &after]
             .iter()
             .any(|text| read("x", text, &known(), &|_| None).is_err())
@@ -302,7 +303,7 @@
         };
         let report = front.access.what_if(front.at(), set);
         assert_eq!((report.statements, report.unrecorded), (200, 0));
-        // The question changes nothing, also where it is offered.
+        // A what-if file changes nothing, even if it is proposed.
         front.access.propose("rules.json5", &after, command(&after));
         front.advance(1_000);
         assert_eq!(
@@ -360,7 +361,8 @@
     let (before, other) = (front.decide(&request(7)).1, front.decide(&request(4)).1);
     assert_eq!(front.may_send(before, 1), ["eu"]);
     front.advance(600_000);
-    // In the overlap: what is judged now may go to both; what was judged before goes where it was to go.
+    // During the overlap: statements first evaluated now may be sent to both locations, earlier
+    // ones only to the old location.
     let within = front.decide(&request(7)).1;
     assert_eq!(
         (front.may_send(within, 1), front.may_send(before, 2)),
@@ -379,7 +381,8 @@
         send_attempts(&mut front, 3),
         (vec!["eu"], vec!["eu", "us"], vec!["us"])
     );
-    // Another version with the same move is no reason to judge them by another time; one that bars them is.
+    // A new version with the same move leaves the time of evaluation as it is; a version that bars
+    // the statements applies.
     front.put_in_force(&moves(2, ", { name: 'x', tables: 3, regions: ['ap'] }"));
     assert_eq!(
         send_attempts(&mut front, 4),
--- a/crates/access/tests/common/faults.rs
+++ b/crates/access/tests/common/faults.rs
@@ -1,26 +1,26 @@
-//! Faults that the simulations of several fronts draw alike: one look a step, at one front.
+//! Randomized faults shared by the simulations of several fronts: one draw a step, at one front.
 
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-const CHANCES: i32 = 2_000; // of which each step draws one; most mean that nothing happens
+const OUTCOMES: i32 = 2_000; // each step draws one of these; most mean that nothing happens
 
-/// What happens to the front drawn. Times are microseconds of true time.
+/// What happens to the drawn front. Times are microseconds of true time.
 pub enum Fault {
-    /// Its messages and the answers to it may be lost for so long.
+    /// Requests and answers of the front may be lost for this long.
     Cut(i64),
-    /// It does nothing for so long.
+    /// The front does nothing for this long.
     Stall(i64),
-    /// It begins another life with an empty memory.
+    /// The front starts a new incarnation with an empty memory.
     Restart,
-    /// No fault: the chance drawn, by which a simulation may have events of its own.
+    /// No fault; the number drawn, which a simulation may use for events of its own.
     None(i32),
 }
 
-/// A front out of so many, and what happens to it.
+/// Draws a front out of `fronts`, and what happens to it.
 pub fn draw(rng: &mut Pcg64, fronts: usize) -> (usize, Fault) {
     let front = rng.random_range(0..fronts);
-    let fault = match rng.random_range(0..CHANCES) {
+    let fault = match rng.random_range(0..OUTCOMES) {
         0..4 => Fault::Cut(rng.random_range(200_000..9_000_000)),
         4..7 => Fault::Stall(rng.random_range(100_000..6_000_000)),
         7..9 => Fault::Restart,
--- a/crates/access/tests/fleet/faults_drawn.rs
+++ b/crates/access/tests/fleet/faults_drawn.rs
@@ -1,22 +1,22 @@
-//! Which faults are played, and what came of a run.
+//! Plays randomized faults and counts the events of a run.
 
 use rand::Rng;
 
-use super::{access, Sim, FRONTS, PLACES};
+use super::{new_access, Sim, FRONTS, LOCATIONS};
 use crate::faults::{self, Fault};
 
 #[derive(Clone, Copy)]
 pub struct Faults {
     pub on: bool,
-    /// How far one clock runs off, beyond what it draws.
-    pub clock: f64,
+    /// How far the first front's clock drifts beyond its random drift.
+    pub excess_drift: f64,
 }
 
 impl Default for Faults {
     fn default() -> Faults {
         Faults {
             on: true,
-            clock: 0.0,
+            excess_drift: 0.0,
         }
     }
 }
@@ -25,7 +25,7 @@
     pub fn none() -> Faults {
         Faults {
             on: false,
-            clock: 0.0,
+            excess_drift: 0.0,
         }
     }
 }
@@ -36,16 +36,16 @@
     pub stalls: u64,
     pub restarts: u64,
     pub in_force: u64,
-    pub lost: u64,
-    pub old: u64,
-    pub closed: u64,
-    pub ended: u64,
+    pub other_rejections: u64,
+    pub versions_too_low: u64,
+    pub rules_unknown: u64,
+    pub revoked: u64,
     pub denied: u64,
-    pub rolls: u64,
+    pub roll_backs: u64,
     pub limited: u64,
     pub sent: u64,
-    pub free: u64,
-    pub free_refused: u64,
+    pub unrestricted: u64,
+    pub unrestricted_rejections: u64,
 }
 
 impl Tallies {
@@ -55,12 +55,12 @@
             (&mut self.stalls, other.stalls),
             (&mut self.restarts, other.restarts),
             (&mut self.in_force, other.in_force),
-            (&mut self.lost, other.lost),
-            (&mut self.old, other.old),
-            (&mut self.closed, other.closed),
-            (&mut self.ended, other.ended),
+            (&mut self.other_rejections, other.other_rejections),
+            (&mut self.versions_too_low, other.versions_too_low),
+            (&mut self.rules_unknown, other.rules_unknown),
+            (&mut self.revoked, other.revoked),
             (&mut self.denied, other.denied),
-            (&mut self.rolls, other.rolls),
+            (&mut self.roll_backs, other.roll_backs),
             (&mut self.limited, other.limited),
             (&mut self.sent, other.sent),
         ] {
@@ -78,7 +78,7 @@
                 self.tallies.cuts += 1;
             }
             Fault::Stall(time) => {
-                self.fronts[front].stalled = self.now + time;
+                self.fronts[front].stalled_until = self.now + time;
                 self.tallies.stalls += 1;
             }
             Fault::Restart => self.restart(front),
@@ -87,26 +87,27 @@
                 self.next_version += 1;
                 let text = match version > 2 && self.rng.random_bool(0.25) {
                     true => {
-                        self.tallies.rolls += 1;
+                        self.tallies.roll_backs += 1;
                         let to = self
                             .rng
                             .random_range(version.saturating_sub(6).max(1)..version);
                         format!("{{ version: {version}, roll_back_to: {to} }}")
                     }
-                    false => self.draw_rules(version),
+                    false => self.random_rules(version),
                 };
-                self.offer_text(front, version, &text);
+                self.propose_file(front, version, &text);
                 if self.rng.random_bool(0.4) {
-                    // Another file under the same version, at another front in the same moment.
+                    // Another file for the same version, proposed at another front at the same
+                    // time.
                     let other = (front + 1) % FRONTS;
-                    let text = self.draw_rules(version);
-                    self.offer_text(other, version, &text);
+                    let text = self.random_rules(version);
+                    self.propose_file(other, version, &text);
                 }
             }
             Fault::None(13..15) => {
-                // SIGHUP at a front whose file is as it was.
+                // SIGHUP at a front whose file has not changed.
                 if let Some(file) = self.fronts[front].file.clone() {
-                    self.offer(front, &file);
+                    self.propose(front, &file);
                 }
             }
             Fault::None(_) => {}
@@ -114,26 +115,26 @@
     }
 
     pub fn cut(&mut self, front: usize, time: i64) {
-        self.fronts[front].cut = self.now + time;
+        self.fronts[front].cut_until = self.now + time;
     }
 
     pub fn restart(&mut self, front: usize) {
-        let life = self.fronts[front].life + 1;
+        let incarnation = self.fronts[front].incarnation + 1;
         let f = &mut self.fronts[front];
-        (f.access, f.life) = (access(front, life), life);
+        (f.access, f.incarnation) = (new_access(front, incarnation), incarnation);
         f.waiting.clear();
         f.queued.clear();
         f.running.clear();
         let file = f.file.clone();
-        file.into_iter().for_each(|file| self.offer(front, &file));
+        file.into_iter().for_each(|file| self.propose(front, &file));
         self.tallies.restarts += 1;
     }
 
-    fn draw_rules(&mut self, version: u64) -> String {
+    fn random_rules(&mut self, version: u64) -> String {
         let mut rules = Vec::new();
         for customer in ["acme", "brisk"] {
             for workload in ["", ", workload: 'report'"] {
-                let regions: Vec<String> = PLACES
+                let regions: Vec<String> = LOCATIONS
                     .iter()
                     .filter(|_| self.rng.random_bool(0.5))
                     .map(|p| format!("'{p}'"))
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -1,4 +1,4 @@
-//! What a run is judged by, from what was recorded apart from what fronts say of themselves.
+//! Checks a run by records that are independent of what the fronts report.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,9 @@
 use super::{set, Sent, Sim, FRONTS, STEP};
 
 impl Sim {
-    /// What left though the version in force barred it, and none after it was there to let it through.
-    pub fn barred(&self) -> Vec<String> {
+    /// Returns the executions that the version in force barred and that no later version accepted
+    /// by then allowed.
+    pub fn find_barred_executions(&self) -> Vec<String> {
         let indices: BTreeMap<u64, (i64, Index)> = self
             .accepted
             .iter()
@@ -18,8 +19,8 @@
         for Sent {
             at,
             front,
-            asked,
-            place,
+            request,
+            location,
         } in &self.sent
         {
             let held = self
@@ -33,7 +34,7 @@
                 customer,
                 workload,
                 groups,
-            } = asked;
+            } = request;
             let attributes = Attributes {
                 customer,
                 workload,
@@ -46,10 +47,10 @@
             if !may.any(|(_, (_, index))| {
                 index
                     .judge(&attributes, groups.as_deref(), 0)
-                    .allows(Some(*place))
+                    .allows(Some(*location))
             }) {
                 found.push(format!(
-                    "{at}: front {front} sent {asked:?} to {place} under version {held}"
+                    "{at}: front {front} sent {request:?} to {location} under version {held}"
                 ));
             }
         }
@@ -57,19 +58,20 @@
     }
 
     pub fn fleet_count(&mut self, front: usize) -> FleetHits {
-        let at = self.moment(front);
+        let at = self.clock_reading(front);
         self.fronts[front].access.request_fleet_hits(at);
         self.counts.remove(&front);
         for _ in 0..2_000 {
             self.deliver();
             self.now += STEP;
-            let at = self.moment(front);
+            let at = self.clock_reading(front);
             self.fronts[front].access.tick(at);
             let out = self.fronts[front].access.take_output();
-            let life = self.fronts[front].life;
-            out.ledger_requests
-                .into_iter()
-                .for_each(|ask| self.asks.push((self.now, front, life, ask, true)));
+            let incarnation = self.fronts[front].incarnation;
+            out.ledger_requests.into_iter().for_each(|request| {
+                self.requests
+                    .push((self.now, front, incarnation, request, true))
+            });
             if let Some(fleet) = out.fleet_hits {
                 return fleet;
             }
@@ -77,35 +79,39 @@
         panic!("no count");
     }
 
-    /// Pages of lives that hold counts of their own: those that end are on their way out.
-    pub fn pages(&self) -> usize {
+    /// Counts the pages that have not been folded; emptied pages have an end time.
+    pub fn count_open_pages(&self) -> usize {
         let own = |e: &&hallmux_access::Entry| e.key.name.starts_with("hits ") && e.ends_ms == 0;
         self.ledger.values().filter(own).count()
     }
 
     pub fn versions(&self) -> Vec<(u64, bool)> {
         (0..FRONTS)
-            .map(|n| self.fronts[n].access.held_version(self.moment(n).steady))
+            .map(|n| {
+                self.fronts[n]
+                    .access
+                    .held_version(self.clock_reading(n).steady)
+            })
             .map(|held| (held.version, held.may_judge))
             .collect()
     }
 
-    /// Where a customer's lookups may be read, as a front judges them.
+    /// Returns the locations at which a front allows a customer's lookups.
     pub fn allows(&mut self, front: usize, customer: &str) -> Option<Vec<u16>> {
-        let at = self.moment(front);
-        let asked = Request {
+        let at = self.clock_reading(front);
+        let request = Request {
             customer: customer.to_string(),
             workload: "lookup".to_string(),
             groups: Some(vec![1]),
         };
-        match self.fronts[front].access.judge(at, asked) {
+        match self.fronts[front].access.judge(at, request) {
             Decision::Decided { verdict, .. } => verdict.allowed,
             _ => None,
         }
     }
 
-    /// Time from when the ledger took a version until it was in force.
-    pub fn took(&self, version: u64) -> Option<i64> {
+    /// Returns the time from when the ledger accepted a version until it was in force.
+    pub fn time_to_take_effect(&self, version: u64) -> Option<i64> {
         Some(self.in_force.get(&version)? - self.accepted.get(&version)?.0)
     }
 }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -1,4 +1,5 @@
-//! The simulation: true time, a ledger that is one register a key, fronts with clocks of their own.
+//! The simulation: true time, a ledger with one register for each key, and fronts with clocks of
+//! their own.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,21 +19,21 @@
 pub use faults_drawn::{Faults, Tallies};
 
 const FRONTS: usize = 5;
-const STEP: i64 = 5_000; // microseconds of true time between looks at everything
-const PATIENCE: i64 = 500_000; // microseconds until the ledger says that it cannot be reached
+const STEP: i64 = 5_000; // microseconds of true time in a simulation step
+const UNREACHABLE_TIMEOUT: i64 = 500_000; // microseconds until the ledger is reported as unreachable
 const DRIFT_PPM: u32 = 10_000;
-const PLACES: [&str; 3] = ["eu", "us", "ap"];
+const LOCATIONS: [&str; 3] = ["eu", "us", "ap"];
 
 struct Front {
     access: Access,
-    life: u64,
-    rate: f64,
-    cut: i64,
-    stalled: i64,
+    incarnation: u64,
+    clock_rate: f64,
+    cut_until: i64,
+    stalled_until: i64,
     file: Option<String>,
-    /// Statements that wait for their count, and their hits.
+    /// Statements that wait for their count, with their hits.
     waiting: BTreeMap<u64, (Request, hallmux_access::Verdict, Vec<Hit>)>,
-    /// Statements to be sent, when.
+    /// Statements to be sent, and when.
     queued: Vec<(i64, u64, Request, hallmux_access::Verdict)>,
     running: BTreeMap<u64, i64>,
 }
@@ -40,8 +41,8 @@
 struct Sent {
     at: i64,
     front: usize,
-    asked: Request,
-    place: u16,
+    request: Request,
+    location: u16,
 }
 
 pub struct Sim {
@@ -50,22 +51,22 @@
     faults: Faults,
     fronts: Vec<Front>,
     ledger: BTreeMap<Key, Entry>,
-    last: u64,
-    /// Asks on their way there, and answers on their way back.
-    asks: Vec<(i64, usize, u64, LedgerRequest, bool)>,
+    last_version: u64,
+    /// Requests and answers in flight.
+    requests: Vec<(i64, usize, u64, LedgerRequest, bool)>,
     answers: Vec<(i64, usize, u64, LedgerAnswer)>,
     texts: BTreeMap<[u8; 32], String>,
     next_version: u64,
     sent: Vec<Sent>,
-    /// When the ledger took a version, and when a front first said that it is in force.
+    /// When the ledger accepted a version, and when a front first reported it as in force.
     accepted: BTreeMap<u64, (i64, String)>,
     in_force: BTreeMap<u64, i64>,
     pub events: Vec<(i64, usize, Event)>,
     pub judged: BTreeMap<Hit, u64>,
-    pub acked: BTreeMap<Hit, u64>,
+    pub confirmed: BTreeMap<Hit, u64>,
     counts: BTreeMap<usize, FleetHits>,
-    /// No statements come.
-    pub quiet: bool,
+    /// Whether no statements arrive.
+    pub has_no_traffic: bool,
     pub tallies: Tallies,
 }
 
@@ -78,7 +79,7 @@
     KnownNames {
         customers: names(&["acme", "brisk", "free"]),
         workloads: vec![bound("lookup"), bound("report")],
-        locations: names(&PLACES),
+        locations: names(&LOCATIONS),
         regions: BTreeMap::new(),
         covered_customers: Some(names(&["acme", "brisk"])),
     }
@@ -96,11 +97,13 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let drift = f64::from(DRIFT_PPM) / 1e6;
         let fronts = (0..FRONTS).map(|n| Front {
-            access: access(n, 1),
-            life: 1,
-            rate: 1.0 + rng.random_range(-drift..drift) + if n == 0 { faults.clock } else { 0.0 },
-            cut: 0,
-            stalled: 0,
+            access: new_access(n, 1),
+            incarnation: 1,
+            clock_rate: 1.0
+                + rng.random_range(-drift..drift)
+                + if n == 0 { faults.excess_drift } else { 0.0 },
+            cut_until: 0,
+            stalled_until: 0,
             file: None,
             waiting: BTreeMap::new(),
             queued: Vec::new(),
@@ -113,8 +116,8 @@
             faults,
             fronts,
             ledger: BTreeMap::new(),
-            last: 0,
-            asks: Vec::new(),
+            last_version: 0,
+            requests: Vec::new(),
             answers: Vec::new(),
             texts: BTreeMap::new(),
             next_version: 1,
@@ -123,9 +126,9 @@
             in_force: BTreeMap::new(),
             events: Vec::new(),
             judged: BTreeMap::new(),
-            acked: BTreeMap::new(),
+            confirmed: BTreeMap::new(),
             counts: BTreeMap::new(),
-            quiet: false,
+            has_no_traffic: false,
             tallies: Tallies::default(),
         }
     }
@@ -134,8 +137,9 @@
         self.fronts.len()
     }
 
-    fn moment(&self, front: usize) -> Moment {
-        let steady = (self.now as f64 * self.fronts[front].rate) as i64 + front as i64 * 77_000;
+    fn clock_reading(&self, front: usize) -> Moment {
+        let steady =
+            (self.now as f64 * self.fronts[front].clock_rate) as i64 + front as i64 * 77_000;
         Moment {
             steady,
             wall_ms: 1_700_000_000_000 + self.now as u64 / 1000,
@@ -151,26 +155,26 @@
             }
             self.deliver();
             for front in 0..FRONTS {
-                if self.fronts[front].stalled <= self.now {
+                if self.fronts[front].stalled_until <= self.now {
                     self.run_front(front);
                 }
             }
         }
     }
 
-    pub fn heal(&mut self) {
+    pub fn end_faults(&mut self) {
         self.faults.on = false;
         self.fronts
             .iter_mut()
-            .for_each(|f| (f.cut, f.stalled) = (0, 0));
+            .for_each(|f| (f.cut_until, f.stalled_until) = (0, 0));
     }
 
-    pub fn offer_text(&mut self, front: usize, _version: u64, text: &str) {
+    pub fn propose_file(&mut self, front: usize, _version: u64, text: &str) {
         self.fronts[front].file = Some(text.to_string());
-        self.offer(front, text);
+        self.propose(front, text);
     }
 
-    pub fn offer(&mut self, front: usize, text: &str) {
+    pub fn propose(&mut self, front: usize, text: &str) {
         let command = read("rules.json5", text, &known(), &|_| None).expect("a good file");
         self.texts
             .insert(StoredVersion::of_text(1, text).hash, text.to_string());
@@ -179,27 +183,27 @@
             .propose("rules.json5", text, command);
     }
 
-    /// Asks and answers on their way.
+    /// Delivers the requests and answers that are due.
     fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.asks)
+        let (due, later) = std::mem::take(&mut self.requests)
             .into_iter()
             .partition(|(at, ..)| *at <= self.now);
-        self.asks = later;
+        self.requests = later;
         let due: Vec<(i64, usize, u64, LedgerRequest, bool)> = due;
-        for (_, front, life, ask, answered) in due {
+        for (_, front, incarnation, request, is_answered) in due {
             let owner = Owner {
                 front: front as u64 + 1,
-                incarnation: life,
+                incarnation,
             };
-            let outcome = self.ledger_act(owner, &ask);
-            if answered {
+            let outcome = self.apply_request(owner, &request);
+            if is_answered {
                 let back = self.now + self.rng.random_range(500..15_000);
                 self.answers.push((
                     back,
                     front,
-                    life,
+                    incarnation,
                     LedgerAnswer {
-                        number: ask.number,
+                        number: request.number,
                         outcome,
                     },
                 ));
@@ -210,23 +214,23 @@
             .partition(|(at, ..)| *at <= self.now);
         self.answers = later;
         let due: Vec<(i64, usize, u64, LedgerAnswer)> = due;
-        for (at, front, life, done) in due {
-            if self.fronts[front].stalled > self.now {
-                self.answers.push((at, front, life, done)); // it lies in its socket until it wakes
-            } else if self.fronts[front].life == life {
-                let moment = self.moment(front);
-                self.fronts[front].access.on_ledger_answer(moment, done);
+        for (at, front, incarnation, done) in due {
+            if self.fronts[front].stalled_until > self.now {
+                self.answers.push((at, front, incarnation, done)); // the answer stays in the socket until the stall ends
+            } else if self.fronts[front].incarnation == incarnation {
+                let now = self.clock_reading(front);
+                self.fronts[front].access.on_ledger_answer(now, done);
             }
         }
     }
 
-    fn ledger_act(&mut self, owner: Owner, ask: &LedgerRequest) -> Outcome {
-        let current = self.ledger.get(&ask.key).cloned();
+    fn apply_request(&mut self, owner: Owner, request: &LedgerRequest) -> Outcome {
+        let current = self.ledger.get(&request.key).cloned();
         let Operation::Put {
             expects,
             ends_ms,
             value,
-        } = &ask.operation
+        } = &request.operation
         else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
@@ -234,47 +238,48 @@
         if expects.is_some_and(|expects| expects != version) {
             return current.map_or(Outcome::Absent, Outcome::Held);
         }
-        self.last += 1;
+        self.last_version += 1;
         let entry = Entry {
-            key: ask.key.clone(),
+            key: request.key.clone(),
             owner,
-            version: self.last,
+            version: self.last_version,
             ends_ms: *ends_ms,
             value: value.clone(),
         };
-        if ask.key.name == "head" {
+        if request.key.name == "head" {
             let head = Head::read(value).expect("a head");
             let text = self.texts[&head.current.hash].clone();
             self.accepted
                 .entry(head.current.version)
                 .or_insert((self.now, text));
         }
-        self.ledger.insert(ask.key.clone(), entry.clone());
+        self.ledger.insert(request.key.clone(), entry.clone());
         Outcome::Stands(entry)
     }
 
     fn run_front(&mut self, front: usize) {
-        let at = self.moment(front);
-        if self.rng.random_bool(0.2) && !self.quiet {
-            self.statement(front, at);
+        let at = self.clock_reading(front);
+        if self.rng.random_bool(0.2) && !self.has_no_traffic {
+            self.receive_statement(front, at);
         }
         let f = &mut self.fronts[front];
         f.access.tick(at);
         let out = f.access.take_output();
-        for ask in out.ledger_requests {
+        for request in out.ledger_requests {
             let (there, cut) = (
                 self.now + self.rng.random_range(500..15_000),
-                self.fronts[front].cut > self.now,
+                self.fronts[front].cut_until > self.now,
             );
-            // Cut off: lost on its way there, or on its way back.
+            // A cut loses the request or only its answer.
             let arrives = !cut || self.rng.random_bool(0.3);
-            let life = self.fronts[front].life;
+            let incarnation = self.fronts[front].incarnation;
             if cut {
                 let done = LedgerAnswer {
-                    number: ask.number,
+                    number: request.number,
                     outcome: Outcome::Unreachable,
                 };
-                self.answers.push((self.now + PATIENCE, front, life, done));
+                self.answers
+                    .push((self.now + UNREACHABLE_TIMEOUT, front, incarnation, done));
             }
             if arrives {
                 let there = if cut {
@@ -282,7 +287,8 @@
                 } else {
                     there
                 };
-                self.asks.push((there, front, life, ask, !cut));
+                self.requests
+                    .push((there, front, incarnation, request, !cut));
             }
         }
         for event in out.events {
@@ -292,8 +298,8 @@
                     self.tallies.in_force += 1;
                 }
                 Event::ChangeRejected(why) => match why.to_string().contains("not above") {
-                    true => self.tallies.old += 1,
-                    false => self.tallies.lost += 1,
+                    true => self.tallies.versions_too_low += 1,
+                    false => self.tallies.other_rejections += 1,
                 },
                 Event::Unreadable { what } => panic!("{what}"),
                 _ => {}
@@ -305,11 +311,11 @@
             .for_each(|fleet| _ = self.counts.insert(front, fleet));
         let f = &mut self.fronts[front];
         for statement in out.counted {
-            let Some((asked, verdict, hits)) = f.waiting.remove(&statement) else {
+            let Some((request, verdict, hits)) = f.waiting.remove(&statement) else {
                 continue;
             };
             hits.into_iter()
-                .for_each(|hit| *self.acked.entry(hit).or_default() += 1);
+                .for_each(|hit| *self.confirmed.entry(hit).or_default() += 1);
             if verdict.denied.is_some() {
                 self.tallies.denied += 1;
                 f.access.statement_ended(statement);
@@ -322,7 +328,7 @@
                 f.queued.push((
                     self.now + self.rng.random_range(0..wait),
                     statement,
-                    asked,
+                    request,
                     verdict,
                 ));
             }
@@ -333,29 +339,29 @@
             f.access.statement_ended(statement);
         }
         for statement in out.revoked {
-            self.tallies.ended += 1;
+            self.tallies.revoked += 1;
             f.running.remove(&statement);
             f.access.statement_ended(statement);
         }
-        self.send(front, at);
+        self.send_due(front, at);
     }
 
-    fn statement(&mut self, front: usize, at: Moment) {
+    fn receive_statement(&mut self, front: usize, at: Moment) {
         let customer = ["acme", "brisk", "free"][self.rng.random_range(0..3)].to_string();
         let workload = ["lookup", "report"][self.rng.random_range(0..2)].to_string();
-        let asked = Request {
+        let request = Request {
             customer,
             workload,
             groups: Some(vec![self.rng.random_range(0..4)]),
         };
         let f = &mut self.fronts[front];
-        let judged = f.access.judge(at, asked.clone());
-        let free = asked.customer == "free";
-        self.tallies.free += u64::from(free);
-        self.tallies.free_refused += u64::from(free && judged != Decision::Unrestricted);
+        let judged = f.access.judge(at, request.clone());
+        let free = request.customer == "free";
+        self.tallies.unrestricted += u64::from(free);
+        self.tallies.unrestricted_rejections += u64::from(free && judged != Decision::Unrestricted);
         match judged {
             Decision::Unrestricted => {}
-            Decision::RulesUnknown => self.tallies.closed += 1,
+            Decision::RulesUnknown => self.tallies.rules_unknown += 1,
             Decision::Decided {
                 statement,
                 verdict,
@@ -375,36 +381,38 @@
                     .collect();
                 let hit = |rule| Hit {
                     rule: name(rule, f),
-                    customer: asked.customer.clone(),
+                    customer: request.customer.clone(),
                     region: "eu".to_string(),
                 };
                 let hits: Vec<Hit> = rules.into_iter().map(hit).collect();
                 hits.iter()
                     .for_each(|hit| *self.judged.entry(hit.clone()).or_default() += 1);
                 match awaits_count {
-                    true => _ = f.waiting.insert(statement, (asked, verdict, hits)),
-                    false => f.queued.push((self.now, statement, asked, verdict)),
+                    true => _ = f.waiting.insert(statement, (request, verdict, hits)),
+                    false => f.queued.push((self.now, statement, request, verdict)),
                 }
             }
         }
     }
 
-    fn send(&mut self, front: usize, at: Moment) {
+    fn send_due(&mut self, front: usize, at: Moment) {
         let f = &mut self.fronts[front];
         let (due, later) = std::mem::take(&mut f.queued)
             .into_iter()
             .partition(|(when, ..)| *when <= self.now);
         f.queued = later;
         let due: Vec<(i64, u64, Request, hallmux_access::Verdict)> = due;
-        for (_, statement, asked, verdict) in due {
+        for (_, statement, request, verdict) in due {
             let allowed = verdict.allowed.unwrap_or_else(|| vec![0, 1, 2]);
-            let place = allowed[self.rng.random_range(0..allowed.len())];
-            if f.access.may_send(at, statement, 0, PLACES[place as usize]) {
+            let location = allowed[self.rng.random_range(0..allowed.len())];
+            if f.access
+                .may_send(at, statement, 0, LOCATIONS[location as usize])
+            {
                 self.sent.push(Sent {
                     at: self.now,
                     front,
-                    asked,
-                    place,
+                    request,
+                    location,
                 });
                 self.tallies.sent += 1;
                 f.running.insert(
@@ -429,11 +437,11 @@
     }
 }
 
-fn access(front: usize, life: u64) -> Access {
+fn new_access(front: usize, incarnation: u64) -> Access {
     Access::new(AccessConfig {
         owner: Owner {
             front: front as u64 + 1,
-            incarnation: life,
+            incarnation,
         },
         fronts: (1..=FRONTS as u64).collect(),
         region: "eu".to_string(),
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Files of rules as a person writes them: what is refused, in which words; and the index beside the plain walk.
+//! Rules files as a person writes them: which errors are reported and with which text; and the
+//! index against a linear search.
 
 use hallmux_access::{
     read, Attributes, DefaultEffect, FileErrors, Index, KnownNames, Rule, RuleEffect, RuleSet,
@@ -28,7 +29,7 @@
     }
 }
 
-/// Lines by the key's text: each rule of these files stands on a line of its own.
+/// Finds lines by the text of a key; each rule of these files is on its own line.
 fn lines(text: &str) -> impl Fn(&str) -> Option<usize> + '_ {
     move |path| {
         let place = path
@@ -100,7 +101,7 @@
         ("7", "rules[0]: has the wrong type or value; give an object that describes a rule"),
     ] {
         let message = read_errors(&file(&[rule]));
-        // A number for a rule stands on no line of its own in these files.
+        // A number in place of a rule has no line in these files.
         let line = if rule == "7" { "rules.json5:".to_string() } else { "rules.json5:5:".to_string() };
         assert!(message.starts_with(&format!("{line} {expected}")), "{rule}: {message}");
     }
@@ -204,7 +205,7 @@
         let message = read_errors(&file(rules));
         assert!(message.contains(expected), "{rules:?}: {message}");
     }
-    // Later, or for other tables, they do not meet.
+    // Rules for different times or different tables do not contradict each other.
     set(&[
         "{ name: 'eu', customer: 'acme', regions: ['eu'], until: '2026-12-01T06:00:00Z' }",
         "{ name: 'us', customer: 'acme', regions: ['std-us'], from: '2026-12-01T07:00:00+01:00' }",
@@ -296,7 +297,8 @@
         is("report", None, Some(vec![0]), true)
     );
     assert_eq!(judge("brisk", "lookup", None), is("", None, None, false));
-    // Several groups: where all of them may be read; one that is denied denies the whole.
+    // Several groups: the statement may be read where all of them may; one denied group denies the
+    // statement.
     assert_eq!(
         judge("acme", "lookup", Some(&[30, 15])),
         is("acme-tables", None, Some(vec![1]), false)
@@ -305,12 +307,12 @@
         judge("acme", "lookup", Some(&[30, 15, 12])),
         is("acme-one", Some("moved"), None, false)
     );
-    // One that reads none is about none.
+    // A statement that reads no table matches no rule about tables.
     assert_eq!(
         judge("acme", "lookup", Some(&[])),
         is("acme", None, Some(vec![0, 1]), false)
     );
-    // What cannot be told could be any of them.
+    // Unknown groups may be any of them.
     let (rule, denied, ..) = judge("acme", "lookup", None);
     assert_eq!(rule, "acme-one");
     assert!(denied
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -1,5 +1,6 @@
-//! Fronts that share one limit in simulated time: a ledger that is one register, fronts with clocks of their own,
-//! cuts, stalls, restarts with an empty memory, asks that come twice. What began and when is recorded apart.
+//! Fronts that share one limit in simulated time: a ledger with one register, fronts with clocks of
+//! their own, cuts, stalls, restarts with an empty memory, and duplicated requests. The times at
+//! which statements begin are recorded independently.
 
 use std::collections::BTreeMap;
 
@@ -11,20 +12,20 @@
 
 use crate::faults::{self, Fault};
 
-const STEP: i64 = 5_000; // microseconds of true time between looks at everything
-const PATIENCE: i64 = 500_000; // microseconds until the ledger says that it cannot be reached
+const STEP: i64 = 5_000; // microseconds of true time in a simulation step
+const UNREACHABLE_TIMEOUT: i64 = 500_000; // microseconds until the ledger is reported as unreachable
 pub const DRIFT_PPM: u32 = 10_000;
 
 pub struct Front {
     pub shares: Shares,
-    life: u64,
-    rate: f64,
-    /// Statements a second that it is asked for.
-    pub asked: f64,
-    cut: i64,
-    stalled: i64,
-    next: u64,
-    /// Statements to begin, when; and those under way.
+    incarnation: u64,
+    clock_rate: f64,
+    /// The rate at which statements arrive.
+    pub statements_per_second: f64,
+    cut_until: i64,
+    stalled_until: i64,
+    last_number: u64,
+    /// Statements to begin and those running, each with a time.
     queued: Vec<(i64, u64)>,
     running: Vec<(i64, u64)>,
 }
@@ -34,11 +35,11 @@
     pub cuts: u64,
     pub stalls: u64,
     pub restarts: u64,
-    pub asked: u64,
+    pub arrived: u64,
     pub began: u64,
-    pub refused: u64,
-    /// Refused though fewer than the limit had begun in the window before.
-    pub not_needed: u64,
+    pub rejected: u64,
+    /// Rejections although fewer statements than the limit had begun in the window before.
+    pub needless_rejections: u64,
     pub messages: u64,
 }
 
@@ -47,14 +48,14 @@
     pub now: i64,
     pub limit: Limit,
     pub fronts: Vec<Front>,
-    /// Terms that a front goes by, beside those of the fleet.
-    odd: Option<(usize, Terms)>,
+    /// A front whose terms differ from the fleet's.
+    terms_override: Option<(usize, Terms)>,
     pub faults: bool,
     ledger: BTreeMap<Key, Entry>,
-    last: u64,
-    asks: Vec<(i64, usize, u64, LedgerRequest, bool)>,
+    last_version: u64,
+    requests: Vec<(i64, usize, u64, LedgerRequest, bool)>,
     answers: Vec<(i64, usize, u64, u64, Outcome)>,
-    pub began: Vec<i64>,
+    pub begin_times: Vec<i64>,
     pub tallies: Tallies,
 }
 
@@ -71,7 +72,7 @@
         fronts: usize,
         max_statements: u32,
         window: i64,
-        odd: Option<(usize, Terms)>,
+        terms_override: Option<(usize, Terms)>,
     ) -> Sim {
         let mut rng = Pcg64::seed_from_u64(seed);
         let drift = f64::from(DRIFT_PPM) / 1e6;
@@ -83,13 +84,13 @@
                 max_statements,
                 window,
             },
-            odd,
+            terms_override,
             faults: false,
             ledger: BTreeMap::new(),
-            last: 0,
-            asks: Vec::new(),
+            last_version: 0,
+            requests: Vec::new(),
             answers: Vec::new(),
-            began: Vec::new(),
+            begin_times: Vec::new(),
             tallies: Tallies::default(),
             rng: rng.clone(),
         };
@@ -98,12 +99,12 @@
             let shares = sim.shares(n, 1, fronts);
             sim.fronts.push(Front {
                 shares,
-                life: 1,
-                rate,
-                asked: 0.0,
-                cut: 0,
-                stalled: 0,
-                next: 0,
+                incarnation: 1,
+                clock_rate: rate,
+                statements_per_second: 0.0,
+                cut_until: 0,
+                stalled_until: 0,
+                last_number: 0,
                 queued: Vec::new(),
                 running: Vec::new(),
             });
@@ -111,23 +112,24 @@
         sim
     }
 
-    fn shares(&self, front: usize, life: u64, fronts: usize) -> Shares {
+    fn shares(&self, front: usize, incarnation: u64, fronts: usize) -> Shares {
         let terms = self
-            .odd
-            .filter(|(odd, _)| *odd == front)
+            .terms_override
+            .filter(|(overridden, _)| *overridden == front)
             .map_or(terms(), |(_, terms)| terms);
         Shares::new(
             Owner {
                 front: front as u64 + 1,
-                incarnation: life,
+                incarnation,
             },
             terms,
             fronts,
         )
     }
 
-    fn moment(&self, front: usize) -> Moment {
-        let steady = (self.now as f64 * self.fronts[front].rate) as i64 + front as i64 * 77_000;
+    fn clock_reading(&self, front: usize) -> Moment {
+        let steady =
+            (self.now as f64 * self.fronts[front].clock_rate) as i64 + front as i64 * 77_000;
         Moment {
             steady,
             wall_ms: 1_700_000_000_000 + self.now as u64 / 1000,
@@ -143,34 +145,34 @@
             }
             self.deliver();
             for front in 0..self.fronts.len() {
-                if self.fronts[front].stalled <= self.now {
+                if self.fronts[front].stalled_until <= self.now {
                     self.run_front(front);
                 }
             }
         }
     }
 
-    /// A front stands still for good.
-    pub fn lose(&mut self, front: usize) {
-        self.fronts[front].stalled = i64::MAX;
+    /// Stalls a front for the rest of the run.
+    pub fn stall_forever(&mut self, front: usize) {
+        self.fronts[front].stalled_until = i64::MAX;
     }
 
     fn draw_faults(&mut self) {
         let (front, fault) = faults::draw(&mut self.rng, self.fronts.len());
         match fault {
             Fault::Cut(time) => {
-                self.fronts[front].cut = self.now + time;
+                self.fronts[front].cut_until = self.now + time;
                 self.tallies.cuts += 1;
             }
             Fault::Stall(time) => {
-                self.fronts[front].stalled = self.now + time;
+                self.fronts[front].stalled_until = self.now + time;
                 self.tallies.stalls += 1;
             }
             Fault::Restart => {
-                let life = self.fronts[front].life + 1;
-                let shares = self.shares(front, life, self.fronts.len());
+                let incarnation = self.fronts[front].incarnation + 1;
+                let shares = self.shares(front, incarnation, self.fronts.len());
                 let f = &mut self.fronts[front];
-                (f.shares, f.life) = (shares, life);
+                (f.shares, f.incarnation) = (shares, incarnation);
                 f.queued.clear();
                 f.running.clear();
                 self.tallies.restarts += 1;
@@ -178,7 +180,7 @@
             Fault::None(9..15) => {
                 let most = f64::from(self.limit.max_statements) / (self.limit.window as f64 / 1e6);
                 let busy = self.rng.random_bool(0.4);
-                self.fronts[front].asked = if busy {
+                self.fronts[front].statements_per_second = if busy {
                     self.rng.random_range(0.0..2.0) * most
                 } else {
                     0.0
@@ -188,18 +190,19 @@
         }
     }
 
-    /// Asks and answers on their way.
+    /// Delivers the requests and answers that are due.
     fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.asks)
+        let (due, later) = std::mem::take(&mut self.requests)
             .into_iter()
             .partition(|(at, ..)| *at <= self.now);
-        self.asks = later;
+        self.requests = later;
         let due: Vec<(i64, usize, u64, LedgerRequest, bool)> = due;
-        for (_, front, life, ask, answered) in due {
-            let outcome = self.ledger_act(front, life, &ask);
-            if answered {
+        for (_, front, incarnation, request, is_answered) in due {
+            let outcome = self.apply_request(front, incarnation, &request);
+            if is_answered {
                 let back = self.now + self.rng.random_range(500..15_000);
-                self.answers.push((back, front, life, ask.number, outcome));
+                self.answers
+                    .push((back, front, incarnation, request.number, outcome));
             }
         }
         let (due, later) = std::mem::take(&mut self.answers)
@@ -207,109 +210,115 @@
             .partition(|(at, ..)| *at <= self.now);
         self.answers = later;
         let due: Vec<(i64, usize, u64, u64, Outcome)> = due;
-        for (at, front, life, number, outcome) in due {
-            if self.fronts[front].stalled > self.now {
-                self.answers.push((at, front, life, number, outcome)); // it lies in its socket until it wakes
-            } else if self.fronts[front].life == life {
-                let moment = self.moment(front);
+        for (at, front, incarnation, number, outcome) in due {
+            if self.fronts[front].stalled_until > self.now {
+                self.answers.push((at, front, incarnation, number, outcome)); // the answer stays in the socket until the stall ends
+            } else if self.fronts[front].incarnation == incarnation {
+                let now = self.clock_reading(front);
                 let f = &mut self.fronts[front];
-                let next = &mut f.next;
-                f.shares.on_ledger_answer(moment, number, outcome, &mut || {
-                    *next += 1;
-                    *next
+                let last_number = &mut f.last_number;
+                f.shares.on_ledger_answer(now, number, outcome, &mut || {
+                    *last_number += 1;
+                    *last_number
                 });
             }
         }
     }
 
-    fn ledger_act(&mut self, front: usize, life: u64, ask: &LedgerRequest) -> Outcome {
-        let current = self.ledger.get(&ask.key).cloned();
+    fn apply_request(
+        &mut self,
+        front: usize,
+        incarnation: u64,
+        request: &LedgerRequest,
+    ) -> Outcome {
+        let current = self.ledger.get(&request.key).cloned();
         let Operation::Put {
             expects,
             ends_ms,
             value,
-        } = &ask.operation
+        } = &request.operation
         else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
         if expects.is_some_and(|expects| expects != current.as_ref().map_or(0, |e| e.version)) {
             return current.map_or(Outcome::Absent, Outcome::Held);
         }
-        self.last += 1;
+        self.last_version += 1;
         let owner = Owner {
             front: front as u64 + 1,
-            incarnation: life,
+            incarnation,
         };
-        let (key, ends_ms, value) = (ask.key.clone(), *ends_ms, value.clone());
+        let (key, ends_ms, value) = (request.key.clone(), *ends_ms, value.clone());
         let entry = Entry {
             key,
             owner,
-            version: self.last,
+            version: self.last_version,
             ends_ms,
             value,
         };
-        self.ledger.insert(ask.key.clone(), entry.clone());
+        self.ledger.insert(request.key.clone(), entry.clone());
         Outcome::Stands(entry)
     }
 
     fn run_front(&mut self, front: usize) {
-        let at = self.moment(front);
-        let expected = self.fronts[front].asked * STEP as f64 / 1e6;
+        let at = self.clock_reading(front);
+        let expected = self.fronts[front].statements_per_second * STEP as f64 / 1e6;
         let mut arrive = expected as u64;
         arrive += u64::from(
             self.rng
                 .random_bool((expected - arrive as f64).clamp(0.0, 1.0)),
         );
         for _ in 0..arrive {
-            self.tallies.asked += 1;
+            self.tallies.arrived += 1;
             let f = &mut self.fronts[front];
-            f.next += 1;
-            let (statement, limits) = (f.next, vec![self.limit.clone()]);
+            f.last_number += 1;
+            let (statement, limits) = (f.last_number, vec![self.limit.clone()]);
             if f.shares.acquire(at.steady, statement, limits) {
                 self.queue(front, statement);
             }
         }
         let f = &mut self.fronts[front];
-        let next = &mut f.next;
+        let last_number = &mut f.last_number;
         f.shares.tick(at, &mut || {
-            *next += 1;
-            *next
+            *last_number += 1;
+            *last_number
         });
-        let (ready, refused) = (
+        let (ready, rejected) = (
             std::mem::take(&mut f.shares.ready),
             std::mem::take(&mut f.shares.rejected),
         );
-        let asks = std::mem::take(&mut f.shares.ledger_requests);
+        let requests = std::mem::take(&mut f.shares.ledger_requests);
         ready
             .into_iter()
             .for_each(|statement| self.queue(front, statement));
-        if !refused.is_empty() {
+        if !rejected.is_empty() {
             let since = self.now - self.limit.window;
             let began = self
-                .began
+                .begin_times
                 .iter()
                 .rev()
                 .take_while(|at| **at > since)
                 .count();
-            self.tallies.refused += refused.len() as u64;
+            self.tallies.rejected += rejected.len() as u64;
             let room = began < self.limit.max_statements as usize;
-            self.tallies.not_needed += if room { refused.len() as u64 } else { 0 };
+            self.tallies.needless_rejections += if room { rejected.len() as u64 } else { 0 };
         }
-        for ask in asks {
+        for request in requests {
             self.tallies.messages += 1;
-            let cut = self.fronts[front].cut > self.now;
-            let life = self.fronts[front].life;
+            let cut = self.fronts[front].cut_until > self.now;
+            let incarnation = self.fronts[front].incarnation;
             if cut {
                 let answer = (
-                    self.now + PATIENCE,
+                    self.now + UNREACHABLE_TIMEOUT,
                     front,
-                    life,
-                    ask.number,
+                    incarnation,
+                    request.number,
                     Outcome::Unreachable,
                 );
                 self.answers.push(answer);
             }
-            // Cut off: lost on its way there, or on its way back. Some come twice, the second late.
+            // A cut loses the request or only its answer. Some requests are duplicated, the second
+            // one late.
             let late = if cut {
                 self.rng.random_range(0..3_000_000)
             } else {
@@ -318,10 +327,12 @@
             let there = self.now + self.rng.random_range(500..15_000) + late;
             if self.faults && self.rng.random_bool(0.05) {
                 let again = there + self.rng.random_range(0..2_000_000);
-                self.asks.push((again, front, life, ask.clone(), !cut));
+                self.requests
+                    .push((again, front, incarnation, request.clone(), !cut));
             }
             if !cut || self.rng.random_bool(0.3) {
-                self.asks.push((there, front, life, ask, !cut));
+                self.requests
+                    .push((there, front, incarnation, request, !cut));
             }
         }
         self.begin(front, at);
@@ -348,7 +359,7 @@
         f.queued = later;
         for (_, statement) in due {
             if f.shares.begin(at.steady, statement) {
-                self.began.push(now);
+                self.begin_times.push(now);
                 self.tallies.began += 1;
                 f.running.push((now + 300_000, statement));
             } else {
@@ -362,16 +373,16 @@
             .for_each(|(_, statement)| f.shares.release(statement));
     }
 
-    /// The most that began in any window, and where.
-    pub fn most(&self) -> (usize, i64) {
+    /// Returns the most statements that began in any window, and the start of that window.
+    pub fn max_in_window(&self) -> (usize, i64) {
         let window = self.limit.window;
         let in_window = |from: usize| {
             let end = self
-                .began
-                .partition_point(|at| *at < self.began[from] + window);
-            (end - from, self.began[from])
+                .begin_times
+                .partition_point(|at| *at < self.begin_times[from] + window);
+            (end - from, self.begin_times[from])
         };
-        (0..self.began.len())
+        (0..self.begin_times.len())
             .map(in_window)
             .max()
             .unwrap_or_default()
