--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -223,7 +223,7 @@
         self.advance_sweep(number);
     }
 
-    fn ask(
+    fn queue_request(
         &mut self,
         number: &mut impl FnMut() -> u64,
         pending: Pending,
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -294,7 +294,7 @@
             None => fold.delist(list),
         };
         fold.request_pending = true;
-        self.ask(
+        self.queue_request(
             number,
             Pending::Fold(request.step),
             request.key,
--- a/crates/access/src/hits/pages.rs
+++ b/crates/access/src/hits/pages.rs
@@ -96,7 +96,7 @@
             }
             _ => Operation::Read,
         };
-        self.ask(number, Pending::OwnList, key, operation);
+        self.queue_request(number, Pending::OwnList, key, operation);
     }
 
     /// Stores a page if it has hits that the ledger has not stored.
@@ -119,7 +119,7 @@
             added: page.added,
         };
         let key = page_key(self.owner.front, self.owner.incarnation, page_index);
-        self.ask(number, pending, key, operation);
+        self.queue_request(number, pending, key, operation);
     }
 
     pub(super) fn on_put_answer(&mut self, page_index: usize, added: u64, outcome: Outcome) {
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -77,7 +77,7 @@
                 ),
                 Read::FoldedPart(part) => (Pending::SweepFoldedPart(part), folded_key(part)),
             };
-            self.ask(number, pending, key, Operation::Read);
+            self.queue_request(number, pending, key, Operation::Read);
         }
         if let Some(sweep) = self.sweep.take_if(|sweep| sweep.in_flight == 0) {
             let counts = self.total_counts();
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -90,11 +90,11 @@
             (slot - self.current_slot).clamp(0, SLOTS as Micros)
         };
         for age in 0..elapsed {
-            let slot = (slot - age).rem_euclid(SLOTS as Micros) as usize;
+            let expired = (slot - age).rem_euclid(SLOTS as Micros) as usize;
             for counts in self.counts_by_request.values_mut() {
-                counts[slot] = 0;
+                counts[expired] = 0;
             }
-            self.unrecorded[slot] = 0;
+            self.unrecorded[expired] = 0;
         }
         if elapsed > 0 {
             self.counts_by_request
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -271,7 +271,7 @@
             && self.cooling.is_empty()
     }
 
-    /// Removes the tokens that have cooled down.
+    /// Makes tokens that have cooled down available again.
     fn expire_cooldowns(&mut self, now: Micros) {
         while self.cooling.front().is_some_and(|at| *at <= now) {
             self.cooling.pop_front();
@@ -294,7 +294,7 @@
         } else {
             self.replan_at
         };
-        let next_operation = if self.pending.is_some() {
+        let next_operation_at = if self.pending.is_some() {
             Micros::MIN
         } else {
             self.next_read.min(next_plan)
@@ -302,7 +302,7 @@
         let request_at = if self.request_pending || !self.needs_ledger(now) {
             Micros::MAX
         } else {
-            next_operation
+            next_operation_at
         };
         wait_ends
             .min(cooldown_ends.unwrap_or(Micros::MAX))
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -215,7 +215,7 @@
         requests.any(|request| what(&request.pending))
     }
 
-    fn ask(&mut self, at: Moment, pending: Pending, key: Key, operation: Operation) {
+    fn queue_request(&mut self, at: Moment, pending: Pending, key: Key, operation: Operation) {
         let number = self.next_request_number();
         let request = Request {
             pending,
@@ -246,7 +246,7 @@
             && !self.is_pending(|pending| matches!(pending, Pending::Head))
         {
             self.next_head_read = at.steady + self.terms.owner_valid_for() / 3;
-            self.ask(at, Pending::Head, head_key(), Operation::Read);
+            self.queue_request(at, Pending::Head, head_key(), Operation::Read);
         }
         if at.steady < self.retry_at {
             return;
--- a/crates/access/src/versions/adopt.rs
+++ b/crates/access/src/versions/adopt.rs
@@ -73,7 +73,7 @@
         let parts = vec![None; keys.len()];
         self.fetch = Some(Fetch { target, parts });
         for (index, key) in keys.into_iter().enumerate() {
-            self.ask(at, Pending::Part { target, index }, key, Operation::Read);
+            self.queue_request(at, Pending::Part { target, index }, key, Operation::Read);
         }
     }
 
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -82,11 +82,11 @@
         if stated > current.version {
             return;
         }
-        let unchanged = proposal.target == Some(current)
+        let is_current = proposal.target == Some(current)
             || self
                 .target_version(proposal)
                 .is_ok_and(|target| target == current);
-        let event = match (stated == current.version, unchanged) {
+        let event = match (stated == current.version, is_current) {
             (true, true) => Event::Accepted { version: stated },
             (true, false) if proposal.parts_stored > 0 => {
                 Event::ChangeRejected(ChangeError::ConcurrentChange { file, stated, next })
@@ -150,7 +150,7 @@
                 ends_ms: 0,
                 value,
             };
-            self.ask(at, Pending::PutPart, key, operation);
+            self.queue_request(at, Pending::PutPart, key, operation);
         }
     }
 
@@ -165,7 +165,7 @@
             value: head.bytes(),
         };
         let to = target;
-        self.ask(at, Pending::Swap { to, dropped }, head_key(), operation);
+        self.queue_request(at, Pending::Swap { to, dropped }, head_key(), operation);
         if let Some(proposal) = &mut self.proposal {
             proposal.swapping = true;
             proposal.target = Some(target);
@@ -205,7 +205,7 @@
                 ends_ms: at.wall_ms + DROPPED_PARTS_MS,
                 value: Vec::new(),
             };
-            self.ask(at, Pending::ExpirePart, key, operation);
+            self.queue_request(at, Pending::ExpirePart, key, operation);
         }
     }
 
@@ -223,6 +223,6 @@
             ends_ms: 0,
             value: confirmed.bytes(),
         };
-        self.ask(at, Pending::ConfirmInForce, head_key(), operation);
+        self.queue_request(at, Pending::ConfirmInForce, head_key(), operation);
     }
 }
