--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -48,7 +48,7 @@
     /// The version's number; 0 if the fleet has never had a rule set.
     pub version: u64,
     /// Whether the front holds a valid lease, and so may apply the version now.
-    pub may_judge: bool,
+    pub has_lease: bool,
 }
 
 /// A statement between its arrival and its final answer.
@@ -62,7 +62,7 @@
     is_revoked: bool,
     /// Unix milliseconds of the first evaluation; rules that move tables use this time for every
     /// attempt.
-    first_judged_ms: u64,
+    first_evaluated_ms: u64,
     /// The hits to count once the statement has its shares of all limits.
     uncounted_hits: Vec<Hit>,
 }
@@ -118,7 +118,7 @@
     pub fn held_version(&self, steady: Micros) -> HeldVersion {
         HeldVersion {
             version: self.versions.held().set.version,
-            may_judge: self.versions.index_under_lease(steady).is_some(),
+            has_lease: self.versions.index_under_lease(steady).is_some(),
         }
     }
 
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/judging.rs
@@ -7,20 +7,20 @@
 use crate::decision::Decision;
 use crate::hits::Hit;
 use crate::index::{Index, Verdict};
-use crate::judge::{judge, Request};
+use crate::judge::{evaluate, Request};
 use crate::shares::Limit;
 use crate::{Micros, Moment};
 
 impl Access {
     /// Evaluates a statement once for all its attempts.
-    pub fn judge(&mut self, at: Moment, request: Request) -> Decision {
+    pub fn evaluate(&mut self, at: Moment, request: Request) -> Decision {
         if !self.known_names().covers_customer(&request.customer) {
             return Decision::Unrestricted;
         }
         let Some(index) = self.versions.index_under_lease(at.steady) else {
             return Decision::RulesUnknown;
         };
-        let verdict = judge(index, &self.region, &request, at.wall_ms, None);
+        let verdict = evaluate(index, &self.region, &request, at.wall_ms, None);
         self.record.add(at.steady, &request);
         let hits = self.hits_of(index, &verdict, &request);
         let limits = if verdict.denied.is_none() {
@@ -38,7 +38,7 @@
             executions: BTreeMap::new(),
             is_revoked: false,
             uncounted_hits: hits,
-            first_judged_ms: at.wall_ms,
+            first_evaluated_ms: at.wall_ms,
         };
         self.open_statements.insert(statement, open);
         Decision::Decided {
@@ -91,7 +91,7 @@
         };
         let is_allowed_now = open.verdict.version == index.set.version
             || open
-                .judge_again(index, &self.region, at)
+                .evaluate_again(index, &self.region, at)
                 .allows(location_index);
         let is_allowed = is_allowed_now
             && !open.is_revoked
@@ -114,7 +114,7 @@
             if open.executions.is_empty() || open.is_revoked {
                 continue;
             }
-            let verdict = open.judge_again(index, &self.region, at);
+            let verdict = open.evaluate_again(index, &self.region, at);
             if !open
                 .executions
                 .values()
@@ -130,8 +130,8 @@
 
 impl OpenStatement {
     /// Evaluates the statement under a rule set at the present time.
-    fn judge_again(&self, index: &Index, region: &str, at: Moment) -> Verdict {
-        let first_judged_ms = Some(self.first_judged_ms);
-        judge(index, region, &self.request, at.wall_ms, first_judged_ms)
+    fn evaluate_again(&self, index: &Index, region: &str, at: Moment) -> Verdict {
+        let first_evaluated_ms = Some(self.first_evaluated_ms);
+        evaluate(index, region, &self.request, at.wall_ms, first_evaluated_ms)
     }
 }
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -114,25 +114,30 @@
 
     /// Evaluates a statement for all table groups that it reads; a location barred for one group is
     /// barred for the statement. `None` means that the groups are unknown.
-    pub fn judge(&self, attributes: &Attributes, groups: Option<&[u32]>, wall_ms: u64) -> Verdict {
-        let judge = |group: Option<u32>, tables_known: bool| {
+    pub fn evaluate(
+        &self,
+        attributes: &Attributes,
+        groups: Option<&[u32]>,
+        wall_ms: u64,
+    ) -> Verdict {
+        let evaluate = |group: Option<u32>, tables_known: bool| {
             let attributes = Attributes {
                 group,
                 tables_known,
                 ..*attributes
             };
-            self.judge_group(&attributes, wall_ms)
+            self.evaluate_group(&attributes, wall_ms)
         };
         let Some(groups) = groups.filter(|groups| groups.len() <= MAX_GROUPS) else {
-            return judge(None, false);
+            return evaluate(None, false);
         };
-        let verdicts = groups.iter().map(|group| judge(Some(*group), true));
+        let verdicts = groups.iter().map(|group| evaluate(Some(*group), true));
         verdicts
             .reduce(Verdict::intersect)
-            .unwrap_or_else(|| judge(None, true))
+            .unwrap_or_else(|| evaluate(None, true))
     }
 
-    fn judge_group(&self, attributes: &Attributes, wall_ms: u64) -> Verdict {
+    fn evaluate_group(&self, attributes: &Attributes, wall_ms: u64) -> Verdict {
         let matched = self.find(attributes, wall_ms);
         let deciding = matched.deciding.and_then(|at| self.set.rules.get(at));
         let mut verdict = Verdict {
--- a/crates/access/src/index/compare.rs
+++ b/crates/access/src/index/compare.rs
@@ -96,7 +96,7 @@
                 group: *group,
                 tables_known: false,
                 front,
-                first_judged_ms: None,
+                first_evaluated_ms: None,
             };
             let times = self.times.iter();
             times.map(move |at_ms| Kind {
@@ -139,7 +139,7 @@
     /// Returns the locations and limits for a kind of statements; `all_locations` replaces an
     /// unrestricted verdict.
     fn permitted(&self, kind: &Kind, all_locations: &[u16]) -> Permitted {
-        let verdict = self.judge_group(&kind.attributes, kind.at_ms);
+        let verdict = self.evaluate_group(&kind.attributes, kind.at_ms);
         let limits = self.limits(&verdict);
         let locations = match verdict.denied {
             Some(_) => Vec::new(),
--- a/crates/access/src/judge.rs
+++ b/crates/access/src/judge.rs
@@ -15,20 +15,20 @@
 }
 
 /// Evaluates a statement received at a front of a region under a compiled rule set.
-pub(crate) fn judge(
+pub(crate) fn evaluate(
     index: &Index,
     region: &str,
     request: &Request,
     wall_ms: u64,
-    first_judged_ms: Option<u64>,
+    first_evaluated_ms: Option<u64>,
 ) -> Verdict {
     let attributes = Attributes {
-        first_judged_ms,
+        first_evaluated_ms,
         customer: &request.customer,
         workload: &request.workload,
         group: None,
         tables_known: false,
         front: region,
     };
-    index.judge(&attributes, request.groups.as_deref(), wall_ms)
+    index.evaluate(&attributes, request.groups.as_deref(), wall_ms)
 }
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::index::Index;
-use crate::judge::{judge, Request};
+use crate::judge::{evaluate, Request};
 use crate::shares::Limit;
 use crate::{Micros, Moment};
 
@@ -177,7 +177,7 @@
     request: &Request,
     wall_ms: u64,
 ) -> Permission {
-    let verdict = judge(index, region, request, wall_ms, None);
+    let verdict = evaluate(index, region, request, wall_ms, None);
     if verdict.denied.is_some() {
         return Permission::Denied;
     }
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -139,7 +139,7 @@
     /// The region of the front that received the statement.
     pub front: &'a str,
     /// Unix milliseconds of the statement's first evaluation, if this is a later one.
-    pub first_judged_ms: Option<u64>,
+    pub first_evaluated_ms: Option<u64>,
 }
 
 impl Rule {
@@ -148,7 +148,7 @@
     pub fn applies_at(&self, attributes: &Attributes, wall_ms: u64) -> bool {
         self.is_active(
             attributes
-                .first_judged_ms
+                .first_evaluated_ms
                 .filter(|_| self.is_move_phase)
                 .unwrap_or(wall_ms),
         )
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -101,7 +101,7 @@
     /// time once the set is adopted.
     lease_once_adopted: Option<Micros>,
     /// Whether the lease was valid at the last tick.
-    could_judge: bool,
+    had_lease: bool,
     /// The text being fetched.
     fetch: Option<Fetch>,
     proposal: Option<Proposal>,
@@ -131,7 +131,7 @@
             changed_here: false,
             lease_until: Micros::MIN,
             lease_once_adopted: None,
-            could_judge: false,
+            had_lease: false,
             fetch: None,
             proposal: None,
             requests: HashMap::new(),
@@ -173,7 +173,7 @@
         } else {
             self.next_head_read
         };
-        let lease_end = if self.could_judge {
+        let lease_end = if self.had_lease {
             self.lease_until
         } else {
             Micros::MAX
@@ -232,11 +232,11 @@
     /// Queues the requests that are due, and reports when the lease starts or ends.
     pub fn tick(&mut self, at: Moment) {
         self.last_tick = at.steady;
-        let can_judge = at.steady < self.lease_until;
-        if can_judge != self.could_judge {
-            self.could_judge = can_judge;
+        let has_lease = at.steady < self.lease_until;
+        if has_lease != self.had_lease {
+            self.had_lease = has_lease;
             let version = self.held.set.version;
-            self.events.push(if can_judge {
+            self.events.push(if has_lease {
                 Event::RulesKnown { version }
             } else {
                 Event::RulesUnknown
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -156,7 +156,7 @@
             self.access.held_version(self.now),
             HeldVersion {
                 version: command(text).version(),
-                may_judge: true
+                has_lease: true
             }
         );
     }
@@ -165,9 +165,9 @@
     fn decide(&mut self, request: &Request) -> (Permission, u64) {
         let Decision::Decided {
             statement, verdict, ..
-        } = self.access.judge(self.at(), request.clone())
+        } = self.access.evaluate(self.at(), request.clone())
         else {
-            panic!("judged")
+            panic!("the statement was not decided")
         };
         if verdict.denied.is_some() {
             return (Permission::Denied, statement);
@@ -299,7 +299,7 @@
             .map(|request| front.decide(request).0)
             .collect();
         let RulesCommand::WhatIf(set) = command(&after) else {
-            panic!("a question")
+            panic!("not a what-if file")
         };
         let report = front.access.what_if(front.at(), set);
         assert_eq!((report.statements, report.unrecorded), (200, 0));
@@ -310,7 +310,7 @@
             front.access.held_version(front.now),
             HeldVersion {
                 version: 1,
-                may_judge: true
+                has_lease: true
             }
         );
         after = after.replace("what_if: true", "what_if: false");
--- a/crates/access/tests/fleet.rs
+++ b/crates/access/tests/fleet.rs
@@ -84,18 +84,20 @@
         assert!(here.missing.is_empty(), "seed {seed}: {:?}", here.missing);
         assert_eq!(here.counts, there.counts, "seed {seed}");
         assert!(here.counts.values().sum::<u64>() > 50, "seed {seed}");
-        for (hit, judged) in &sim.judged {
+        for (hit, evaluated) in &sim.evaluated {
             let (count, confirmed) = (
                 here.counts.get(hit).copied().unwrap_or(0),
                 sim.confirmed.get(hit).copied().unwrap_or(0),
             );
             assert!(
-                confirmed <= count && count <= *judged,
-                "seed {seed}: {hit:?}: {confirmed} <= {count} <= {judged}"
+                confirmed <= count && count <= *evaluated,
+                "seed {seed}: {hit:?}: {confirmed} <= {count} <= {evaluated}"
             );
         }
         assert!(
-            here.counts.keys().all(|hit| sim.judged.contains_key(hit)),
+            here.counts
+                .keys()
+                .all(|hit| sim.evaluated.contains_key(hit)),
             "seed {seed}"
         );
     }
@@ -128,12 +130,12 @@
             (0, &there.counts),
             "seed {seed}"
         );
-        for (hit, judged) in &sim.judged {
+        for (hit, evaluated) in &sim.evaluated {
             let count = here.counts.get(hit).copied().unwrap_or(0);
             let confirmed = sim.confirmed.get(hit).copied().unwrap_or(0);
             assert!(
-                confirmed <= count && count <= *judged,
-                "seed {seed}: {hit:?}: {confirmed} <= {count} <= {judged}"
+                confirmed <= count && count <= *evaluated,
+                "seed {seed}: {hit:?}: {confirmed} <= {count} <= {evaluated}"
             );
         }
         // Only one incarnation of each front has pages that are not folded.
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -41,12 +41,12 @@
                 group: None,
                 tables_known: false,
                 front: "eu",
-                first_judged_ms: None,
+                first_evaluated_ms: None,
             };
             let mut may = indices.range(held..).filter(|(_, (since, _))| since <= at);
             if !may.any(|(_, (_, index))| {
                 index
-                    .judge(&attributes, groups.as_deref(), 0)
+                    .evaluate(&attributes, groups.as_deref(), 0)
                     .allows(Some(*location))
             }) {
                 found.push(format!(
@@ -92,7 +92,7 @@
                     .access
                     .held_version(self.clock_reading(n).steady)
             })
-            .map(|held| (held.version, held.may_judge))
+            .map(|held| (held.version, held.has_lease))
             .collect()
     }
 
@@ -104,7 +104,7 @@
             workload: "lookup".to_string(),
             groups: Some(vec![1]),
         };
-        match self.fronts[front].access.judge(at, request) {
+        match self.fronts[front].access.evaluate(at, request) {
             Decision::Decided { verdict, .. } => verdict.allowed,
             _ => None,
         }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -62,7 +62,7 @@
     accepted: BTreeMap<u64, (i64, String)>,
     in_force: BTreeMap<u64, i64>,
     pub events: Vec<(i64, usize, Event)>,
-    pub judged: BTreeMap<Hit, u64>,
+    pub evaluated: BTreeMap<Hit, u64>,
     pub confirmed: BTreeMap<Hit, u64>,
     counts: BTreeMap<usize, FleetHits>,
     /// Whether no statements arrive.
@@ -125,7 +125,7 @@
             accepted: BTreeMap::new(),
             in_force: BTreeMap::new(),
             events: Vec::new(),
-            judged: BTreeMap::new(),
+            evaluated: BTreeMap::new(),
             confirmed: BTreeMap::new(),
             counts: BTreeMap::new(),
             has_no_traffic: false,
@@ -355,11 +355,12 @@
             groups: Some(vec![self.rng.random_range(0..4)]),
         };
         let f = &mut self.fronts[front];
-        let judged = f.access.judge(at, request.clone());
+        let evaluated = f.access.evaluate(at, request.clone());
         let free = request.customer == "free";
         self.tallies.unrestricted += u64::from(free);
-        self.tallies.unrestricted_rejections += u64::from(free && judged != Decision::Unrestricted);
-        match judged {
+        self.tallies.unrestricted_rejections +=
+            u64::from(free && evaluated != Decision::Unrestricted);
+        match evaluated {
             Decision::Unrestricted => {}
             Decision::RulesUnknown => self.tallies.rules_unknown += 1,
             Decision::Decided {
@@ -386,7 +387,7 @@
                 };
                 let hits: Vec<Hit> = rules.into_iter().map(hit).collect();
                 hits.iter()
-                    .for_each(|hit| *self.judged.entry(hit.clone()).or_default() += 1);
+                    .for_each(|hit| *self.evaluated.entry(hit.clone()).or_default() += 1);
                 match awaits_count {
                     true => _ = f.waiting.insert(statement, (request, verdict, hits)),
                     false => f.queued.push((self.now, statement, request, verdict)),
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -252,15 +252,15 @@
         "{ name: 'seen', workload: 'report', then: 'count' }",
     ]);
     let index = Index::new(set);
-    let judge = |customer, workload, groups: Option<&[u32]>| {
-        let v = index.judge(
+    let evaluate = |customer, workload, groups: Option<&[u32]>| {
+        let v = index.evaluate(
             &Attributes {
                 customer,
                 workload,
                 group: None,
                 tables_known: false,
                 front: "eu",
-                first_judged_ms: None,
+                first_evaluated_ms: None,
             },
             groups,
             0,
@@ -281,39 +281,39 @@
         )
     };
     assert_eq!(
-        judge("acme", "lookup", Some(&[30])),
+        evaluate("acme", "lookup", Some(&[30])),
         is("acme", None, Some(vec![0, 1]), false)
     );
     assert_eq!(
-        judge("acme", "lookup", Some(&[15])),
+        evaluate("acme", "lookup", Some(&[15])),
         is("acme-tables", None, Some(vec![1]), false)
     );
     assert_eq!(
-        judge("acme", "lookup", Some(&[12])),
+        evaluate("acme", "lookup", Some(&[12])),
         is("acme-one", Some("moved"), None, false)
     );
     assert_eq!(
-        judge("brisk", "report", Some(&[])),
+        evaluate("brisk", "report", Some(&[])),
         is("report", None, Some(vec![0]), true)
     );
-    assert_eq!(judge("brisk", "lookup", None), is("", None, None, false));
+    assert_eq!(evaluate("brisk", "lookup", None), is("", None, None, false));
     // Several groups: the statement may be read where all of them may; one denied group denies the
     // statement.
     assert_eq!(
-        judge("acme", "lookup", Some(&[30, 15])),
+        evaluate("acme", "lookup", Some(&[30, 15])),
         is("acme-tables", None, Some(vec![1]), false)
     );
     assert_eq!(
-        judge("acme", "lookup", Some(&[30, 15, 12])),
+        evaluate("acme", "lookup", Some(&[30, 15, 12])),
         is("acme-one", Some("moved"), None, false)
     );
     // A statement that reads no table matches no rule about tables.
     assert_eq!(
-        judge("acme", "lookup", Some(&[])),
+        evaluate("acme", "lookup", Some(&[])),
         is("acme", None, Some(vec![0, 1]), false)
     );
     // Unknown groups may be any of them.
-    let (rule, denied, ..) = judge("acme", "lookup", None);
+    let (rule, denied, ..) = evaluate("acme", "lookup", None);
     assert_eq!(rule, "acme-one");
     assert!(denied
         .unwrap()
@@ -403,7 +403,7 @@
         now in 0u64..9,
     ) {
         let set = RuleSet::new(1, DefaultEffect::Allow, rules);
-        let attributes = Attributes { customer, workload, group, tables_known, front, first_judged_ms: None };
+        let attributes = Attributes { customer, workload, group, tables_known, front, first_evaluated_ms: None };
         let searched = set.find_linear(&attributes, now);
         prop_assert_eq!(Index::new(set).find(&attributes, now), searched);
     }
@@ -420,7 +420,7 @@
                 for front in ["eu", "us", "ap"] {
                     let group = Some(group);
                     let attributes =
-                        Attributes { customer, workload, group, tables_known: true, front, first_judged_ms: None };
+                        Attributes { customer, workload, group, tables_known: true, front, first_evaluated_ms: None };
                     let found = index.find(&attributes, now);
                     for at in found.deciding.into_iter().chain(found.counting) {
                         prop_assert_eq!(index.shadowing_rule(at), None);
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -117,7 +117,7 @@
             workload: workload.to_string(),
             groups,
         };
-        let judged = self.access.judge(self.moment(now), request);
+        let judged = self.access.evaluate(self.moment(now), request);
         if let Decision::Decided { verdict, .. } = &judged {
             if let Some(why) = &verdict.denied {
                 let rule = self.access.rule_name(verdict).unwrap_or("the default");
@@ -231,7 +231,7 @@
         let may = self
             .access
             .may_send(at, number, place_of(ordered.id()), &location);
-        let closed = !self.access.held_version(at.steady).may_judge;
+        let closed = !self.access.held_version(at.steady).has_lease;
         let limited = self.access.is_limited(number);
         let Some(s) = self.statements.get_mut(&number) else {
             return true;
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -171,7 +171,7 @@
                 group: Some(*group),
                 front: "z0",
                 tables_known: true,
-                first_judged_ms: None,
+                first_evaluated_ms: None,
             }
         };
         let (mut indexed, mut walked, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
