--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -1,8 +1,8 @@
 //! The access rules at one front: evaluates statements, tracks the open ones, and exchanges
-//! versions, hit counts and shares of limits with the ledger. `judging` evaluates statements;
+//! versions, hit counts and shares of limits with the ledger. `evaluation` evaluates statements;
 //! `requests` handles the ledger traffic.
 
-mod judging;
+mod evaluation;
 mod requests;
 
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 use hallmux_lease::Terms;
 use hallmux_ledger::Owner;
 
+use crate::evaluate::Request;
 use crate::event::Event;
 use crate::hits::{Hit, Hits};
 use crate::index::{Index, Verdict};
-use crate::judge::Request;
 use crate::known::KnownNames;
 use crate::read::RulesCommand;
 use crate::record::{Record, WhatIfReport};
--- a/crates/access/src/access/judging.rs
+++ b/crates/access/src/access/evaluation.rs
@@ -5,9 +5,9 @@
 
 use super::{Access, OpenStatement};
 use crate::decision::Decision;
+use crate::evaluate::{evaluate, Request};
 use crate::hits::Hit;
 use crate::index::{Index, Verdict};
-use crate::judge::{evaluate, Request};
 use crate::shares::Limit;
 use crate::{Micros, Moment};
 
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -15,11 +15,11 @@
 mod check;
 mod decision;
 mod error;
+mod evaluate;
 mod event;
 mod head;
 mod hits;
 mod index;
-mod judge;
 mod known;
 mod lines;
 mod output;
@@ -32,6 +32,7 @@
 pub use access::{Access, AccessConfig, HeldVersion};
 pub use decision::Decision;
 pub use error::{ChangeError, FileError, FileErrors, Problem};
+pub use evaluate::Request;
 pub use event::Event;
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{
@@ -41,7 +42,6 @@
 pub use head::{Head, StoredVersion};
 pub use hits::{merge_counts, FleetHits, Hit, HitCounts};
 pub use index::{Index, Verdict};
-pub use judge::Request;
 pub use known::{KnownNames, WorkloadLocations};
 pub use lines::LineLookup;
 pub use output::Output;
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
+use crate::evaluate::{evaluate, Request};
 use crate::index::Index;
-use crate::judge::{evaluate, Request};
 use crate::shares::Limit;
 use crate::{Micros, Moment};
 
