--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 use hallmux_ledger::Owner;
 
 use crate::evaluate::Request;
@@ -33,7 +33,7 @@
     /// The names that rules may use.
     pub known: KnownNames,
     /// The length of leases on the rules and on shares of limits, and the greatest drift of clocks.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// How long the kinds of received statements are recorded for what-if reports, in microseconds;
     /// 0 disables the record.
     pub record_window: Micros,
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -34,7 +34,7 @@
 pub use error::{ChangeError, FileError, FileErrors, Problem};
 pub use evaluate::Request;
 pub use event::Event;
-pub use hallmux_lease::Terms;
+pub use hallmux_lease::LeaseTerms;
 pub use hallmux_ledger::{
     Entry, FrontId, Key, Kind, LedgerAnswer, LedgerRequest, Micros, Moment, Operation, Outcome,
     Owner,
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -52,7 +52,7 @@
 impl Shares {
     /// Creates the shares of one front. Each share is spent under a lease by `terms`; `fronts` is
     /// the number of fronts that share the limits.
-    pub fn new(own: Owner, terms: hallmux_lease::Terms, fronts: usize) -> Shares {
+    pub fn new(own: Owner, terms: hallmux_lease::LeaseTerms, fronts: usize) -> Shares {
         Shares {
             context: ShareContext {
                 owner: own,
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 use hallmux_ledger::{Operation, Owner};
 
 use super::demand::Demand;
@@ -35,7 +35,7 @@
     /// This front.
     pub owner: Owner,
     /// The length of a lease on a share, and the drift of clocks.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The number of fronts that share the limits.
     pub front_count: usize,
 }
@@ -145,7 +145,7 @@
 
     /// Returns how long a spent token cools down.
     fn cooldown(&self) -> Micros {
-        let window = Terms {
+        let window = LeaseTerms {
             length: self.limit.window,
             drift_ppm: self.context.terms.drift_ppm,
         };
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 use hallmux_ledger::{Key, LedgerRequest, Operation, Outcome};
 
 use crate::event::Event;
@@ -83,7 +83,7 @@
 /// One front's view of the fleet's version, and its lease on it.
 pub struct Versions {
     known: KnownNames,
-    terms: Terms,
+    terms: LeaseTerms,
     held: Index,
     /// The stored version of the rule set held; `None` for the empty set of a fleet that has none.
     held_from: Option<StoredVersion>,
@@ -119,7 +119,7 @@
 
 impl Versions {
     /// Creates a front that has read nothing yet. Requests are numbered from above `first_number`.
-    pub fn new(known: KnownNames, terms: Terms, first_number: u64) -> Versions {
+    pub fn new(known: KnownNames, terms: LeaseTerms, first_number: u64) -> Versions {
         Versions {
             known,
             terms,
--- a/crates/access/tests/shares.rs
+++ b/crates/access/tests/shares.rs
@@ -6,7 +6,7 @@
 #[path = "shares/sim.rs"]
 mod sim;
 
-use hallmux_access::Terms;
+use hallmux_access::LeaseTerms;
 use sim::{terms, Sim, Tallies, DRIFT_PPM};
 
 const RUNS: u64 = 40; // randomized runs of 90 s
@@ -17,7 +17,7 @@
     (50, 1_000_000),
 ];
 
-fn run_with_faults(seed: u64, terms_override: Option<(usize, Terms)>) -> Sim {
+fn run_with_faults(seed: u64, terms_override: Option<(usize, LeaseTerms)>) -> Sim {
     let (most, window) = LIMITS[seed as usize % LIMITS.len()];
     let mut sim = Sim::new(seed, 5, most, window, terms_override);
     sim.faults = true;
@@ -56,7 +56,7 @@
 
 #[test]
 fn the_check_detects_a_share_revoked_before_its_lease_has_ended() {
-    let early = Terms {
+    let early = LeaseTerms {
         length: 200_000,
         drift_ppm: DRIFT_PPM,
     };
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    Entry, Key, LedgerRequest, Limit, Moment, Operation, Outcome, Owner, Shares, Terms,
+    Entry, Key, LeaseTerms, LedgerRequest, Limit, Moment, Operation, Outcome, Owner, Shares,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -49,7 +49,7 @@
     pub limit: Limit,
     pub fronts: Vec<Front>,
     /// A front whose terms differ from the fleet's.
-    terms_override: Option<(usize, Terms)>,
+    terms_override: Option<(usize, LeaseTerms)>,
     pub faults: bool,
     ledger: BTreeMap<Key, Entry>,
     last_version: u64,
@@ -59,8 +59,8 @@
     pub tallies: Tallies,
 }
 
-pub fn terms() -> Terms {
-    Terms {
+pub fn terms() -> LeaseTerms {
+    LeaseTerms {
         length: 3_000_000,
         drift_ppm: DRIFT_PPM,
     }
@@ -72,7 +72,7 @@
         fronts: usize,
         max_statements: u32,
         window: i64,
-        terms_override: Option<(usize, Terms)>,
+        terms_override: Option<(usize, LeaseTerms)>,
     ) -> Sim {
         let mut rng = Pcg64::seed_from_u64(seed);
         let drift = f64::from(DRIFT_PPM) / 1e6;
--- a/crates/fleet/src/ledger_barrier/driver.rs
+++ b/crates/fleet/src/ledger_barrier/driver.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_config::Settings;
-use hallmux_dispatcher::{Dispatcher, Micros, Place, Terms, Ticket};
+use hallmux_dispatcher::{Dispatcher, EngineIndex, Micros, Terms, Ticket};
 use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::{BarrierDecision, LedgerBarrier, PendingExecution, REQUEST_NUMBER_BASE};
@@ -28,7 +28,7 @@
     /// The number of the execution among those of its statement.
     pub execution: usize,
     /// The engine that the execution is for.
-    pub place: Place,
+    pub place: EngineIndex,
     /// The deadline and priority of the execution.
     pub terms: Terms,
 }
@@ -48,7 +48,7 @@
         shards: u16,
         dispatcher: &mut Dispatcher,
     ) -> BarrierDriver {
-        dispatcher.watch_promises();
+        dispatcher.enable_ledger_events();
         BarrierDriver {
             barrier: LedgerBarrier::new(settings, (now / 1000) as u64, shards),
             last_held_report: 0,
@@ -91,7 +91,7 @@
             execution: ordered.execution,
             place: ordered.place,
             terms: ordered.terms,
-            site: dispatcher.site(ordered.place),
+            site: dispatcher.engine_site(ordered.place),
         };
         dispatcher.execution_held(now, ordered.ticket, ordered.execution);
         self.barrier.hold(now, pending);
@@ -117,7 +117,7 @@
         ledger: &mut impl LedgerClient,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<BarrierDecision> {
-        for event in dispatcher.promise_events() {
+        for event in dispatcher.ledger_events() {
             self.barrier.observe(now, event, &id);
         }
         self.barrier.tick(now);
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,111 +1,112 @@
-//! One front among its peers: what it reports and what it knows of the fleet. Datagrams go out in `sending` and
-//! come in in `receiving`; load reports are in `load`.
+//! The local front's node in the gossip network: its own reports and its view of the fleet.
+//! `sending` builds datagrams, `receiving` handles them, and `load` exchanges load reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use crate::channels::{ChannelMessage, Mailbox};
-use crate::evidence::{Evidence, PeerOwnership, PeerReport, MAX_SIGHTINGS};
+use crate::evidence::{Evidence, PeerOwnership, PeerReport, MAX_ENGINE_STATUSES};
 use crate::load_reports::LoadReports;
 use crate::members::{FleetSize, Members};
-use crate::message::{OwnershipReport, Report, Sighting};
-use crate::seal::{Identity, Keys, Peers, Refused, TokenBucket};
+use crate::message::{EngineStatus, OwnershipReport, Report};
+use crate::seal::{Identity, Keys, Peers, TokenBucket, VerificationError};
 use crate::{Micros, PeerId};
 
-use sending::{ANSWER_RATE, GOSSIP_RATE};
+use sending::{ANSWER_BYTES_PER_SECOND, GOSSIP_BYTES_PER_SECOND};
 
 mod load;
 mod receiving;
 mod sending;
 
-/// Microseconds after which a front repeats a report that still holds.
+/// Microseconds after which a front renews a report that has not changed.
 const REPORT_RENEWAL: Micros = 1_000_000;
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Its receiver.
+    /// The address of the receiver.
     pub to: SocketAddr,
     /// The sealed message.
     pub bytes: Vec<u8>,
 }
 
-/// What a front needs to take part.
+/// The configuration of a node.
 pub struct NodeConfig {
-    /// The secret half of its key pair.
+    /// The private key of the front.
     pub secret: [u8; 32],
-    /// Public keys of all fronts that count.
+    /// The public keys of all fronts of the fleet; datagrams and reports of others are rejected.
     pub keys: Rc<Keys>,
-    /// Where other fronts reach this one.
+    /// The address at which other fronts reach this one.
     pub address: SocketAddr,
-    /// Addresses of fronts to contact first, and now and then later.
+    /// Addresses of fronts to contact at start, and now and then later.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// One front's part in the gossip.
+/// The local front as a member of the gossip network.
 pub struct Node {
-    own: Identity,
+    identity: Identity,
     peers: Peers,
     members: Members,
     evidence: Evidence,
     gossip_tokens: TokenBucket,
     answer_tokens: TokenBucket,
     next_round: Micros,
-    /// What this front reported last.
-    sightings: Vec<Sighting>,
+    /// The engine statuses reported last.
+    statuses: Vec<EngineStatus>,
     ownership: OwnershipReport,
     mailbox: Mailbox,
-    /// Load reports, once they are enabled.
+    /// The load reports; None until they are enabled.
     load_reports: Option<LoadReports>,
     load_reported_at: Micros,
     load_version: u32,
-    /// The number of the report made last.
-    version: u32,
-    /// When a report that still holds is repeated.
+    /// The version of the report made last.
+    report_version: u32,
+    /// When an unchanged report is renewed.
     renew_at: Micros,
-    /// Datagrams and reports that were refused, by reason.
-    pub refused: BTreeMap<Refused, u64>,
-    /// Bytes that were sent.
-    pub sent: u64,
-    /// Datagrams that were not sent: too long, or beyond a rate limit.
-    pub held_back: u64,
+    /// The number of rejected datagrams and reports, by reason.
+    pub rejected: BTreeMap<VerificationError, u64>,
+    /// Bytes sent.
+    pub bytes_sent: u64,
+    /// Datagrams that were not sent because they were too long or beyond a rate limit.
+    pub datagrams_withheld: u64,
 }
 
 impl Node {
-    /// `wall_ms` is Unix time in milliseconds: it names this run of the front.
-    pub fn new(start: NodeConfig, wall_ms: u64) -> Node {
-        let own = Identity::new(&start.secret, wall_ms);
+    /// Creates the node. `wall_ms` is Unix time in milliseconds and identifies this incarnation of
+    /// the front.
+    pub fn new(config: NodeConfig, wall_ms: u64) -> Node {
+        let identity = Identity::new(&config.secret, wall_ms);
         Node {
-            members: Members::new(own.id, start.address, wall_ms, start.seeds),
-            peers: Peers::new(start.keys),
+            members: Members::new(identity.id, config.address, wall_ms, config.seeds),
+            peers: Peers::new(config.keys),
             evidence: Evidence::default(),
-            gossip_tokens: TokenBucket::new(GOSSIP_RATE),
-            answer_tokens: TokenBucket::new(ANSWER_RATE),
+            gossip_tokens: TokenBucket::new(GOSSIP_BYTES_PER_SECOND),
+            answer_tokens: TokenBucket::new(ANSWER_BYTES_PER_SECOND),
             next_round: 0,
-            sightings: Vec::new(),
+            statuses: Vec::new(),
             ownership: OwnershipReport::default(),
             mailbox: Mailbox::new(),
             load_reports: None,
             load_reported_at: Micros::MIN / 2,
             load_version: 0,
-            version: 0,
+            report_version: 0,
             renew_at: 0,
-            refused: BTreeMap::new(),
-            sent: 0,
-            held_back: 0,
-            own,
+            rejected: BTreeMap::new(),
+            bytes_sent: 0,
+            datagrams_withheld: 0,
+            identity,
         }
     }
 
-    /// The id that other fronts know this one by.
+    /// The id of this front.
     pub fn peer_id(&self) -> PeerId {
-        self.own.id
+        self.identity.id
     }
 
-    /// The public half of this front's key pair.
+    /// The public key of this front.
     pub fn public_key(&self) -> [u8; 32] {
-        self.own.public_key()
+        self.identity.public_key()
     }
 
     /// This front's view of the fleet.
@@ -113,8 +114,9 @@
         &self.members
     }
 
-    /// The size of the fleet, this front included. Where there are more fronts than the view holds, the
-    /// number of keys stands for those known, and the part of the view that is up for the part of the fleet.
+    /// The size of the fleet, including this front. If the view is full the fleet may be larger
+    /// than the view: then the number of keys is taken as the size, and the number of fronts that
+    /// are up is extrapolated from the view.
     pub fn fleet_size(&self) -> FleetSize {
         let FleetSize { known, up } = self.members.size();
         if !self.members.is_full() {
@@ -130,63 +132,69 @@
         }
     }
 
-    /// Other public keys count from now on.
+    /// Replaces the public keys that are accepted.
     pub fn set_keys(&mut self, keys: Rc<Keys>) {
         self.peers.set_keys(keys);
     }
 
-    /// Reports what this front observes of engines now: only those with a fault, or with something
-    /// announced of them. Beyond [`MAX_SIGHTINGS`] the rest is left out.
-    pub fn report_sightings(&mut self, now: Micros, wall_ms: u64, sightings: Vec<Sighting>) {
-        self.report(now, wall_ms, sightings, OwnershipReport::default());
+    /// Reports the engines that are faulty or have announced a start, drain or end, as this front
+    /// observes them. Statuses beyond [`MAX_ENGINE_STATUSES`] are dropped.
+    pub fn report_engine_statuses(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        statuses: Vec<EngineStatus>,
+    ) {
+        self.report(now, wall_ms, statuses, OwnershipReport::default());
     }
 
-    /// The same, with what this front reports of work on behalf of the fleet.
+    /// Like [`Node::report_engine_statuses`], with the front's ownership report. No new report is
+    /// made if neither changed and no renewal is due.
     pub fn report(
         &mut self,
         now: Micros,
         wall_ms: u64,
-        mut sightings: Vec<Sighting>,
+        mut statuses: Vec<EngineStatus>,
         ownership: OwnershipReport,
     ) {
-        sightings.truncate(MAX_SIGHTINGS);
-        let changed = sightings != self.sightings || !ownership.is_equivalent(&self.ownership);
-        let is_empty = sightings.is_empty() && ownership.is_empty();
+        statuses.truncate(MAX_ENGINE_STATUSES);
+        let changed = statuses != self.statuses || !ownership.is_equivalent(&self.ownership);
+        let is_empty = statuses.is_empty() && ownership.is_empty();
         if !changed && (is_empty || now < self.renew_at) {
             return;
         }
         self.ownership = ownership.clone();
         self.renew_at = now + REPORT_RENEWAL;
-        self.version += 1;
+        self.report_version += 1;
         let report = Report {
-            reporter: self.own.id,
-            started_ms: self.own.started_ms,
-            version: self.version,
+            reporter: self.identity.id,
+            started_ms: self.identity.started_ms,
+            version: self.report_version,
             created_ms: wall_ms,
-            sightings: sightings.clone(),
+            statuses: statuses.clone(),
             ownership,
         };
-        self.sightings = sightings;
-        let signed = self.own.sign(&report);
+        self.statuses = statuses;
+        let signed = self.identity.sign(&report);
         self.evidence.merge(now, report, signed, 0);
     }
 
-    /// What other fronts report of engines.
+    /// The unexpired engine statuses that other fronts report.
     pub fn peer_reports(&self, now: Micros) -> Vec<PeerReport> {
-        self.evidence.peer_reports(now, self.own.id)
+        self.evidence.peer_reports(now, self.identity.id)
     }
 
-    /// What each front reports of the fleet's work, this front's own report included.
+    /// The unexpired ownership reports of all fronts, including this one.
     pub fn ownership_reports(&self, now: Micros) -> impl Iterator<Item = PeerOwnership<'_>> {
         self.evidence.ownership_reports(now)
     }
 
     /// Takes the channel messages received since the last call.
-    pub fn received(&mut self) -> Vec<ChannelMessage> {
+    pub fn take_messages(&mut self) -> Vec<ChannelMessage> {
         self.mailbox.take()
     }
 
-    /// Where a front that is up listens, as far as it is known.
+    /// The address of a front; None if it is not up or not in the view.
     pub fn address(&self, front: PeerId) -> Option<SocketAddr> {
         let member = self.members.up().find(|member| member.id == front)?;
         Some(member.address)
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Forged load reports count for nothing however many come, and each front counts once.
+//! Forged load reports are ignored however many are received, and each front counts once.
 
 #[allow(dead_code)]
 #[path = "fleet/sim.rs"]
@@ -10,7 +10,7 @@
 use hallmux_gossip::node::{Node, NodeConfig};
 use hallmux_gossip::seal::Identity;
 use hallmux_gossip::Micros;
-use sim::{at, keys, secret, SECOND, WALL};
+use sim::{address, keys, secret, SECOND, WALL};
 
 fn report(reporter: u64, version: u32, requested: u32) -> LoadReport {
     let offered = vec![OfferedLoad {
@@ -28,11 +28,11 @@
     }
 }
 
-/// A datagram of `own` that holds these reports.
-fn datagram_with(own: &mut Identity, reports: &[Signed]) -> Vec<u8> {
+/// A datagram sealed by `sender` that carries these reports.
+fn datagram_with(sender: &mut Identity, reports: &[Signed]) -> Vec<u8> {
     let payload = [
         &[Channel::Load as u8][..],
-        &message::bytes(&reports.to_vec()),
+        &message::encode(&reports.to_vec()),
     ]
     .concat();
     let message = Message {
@@ -41,7 +41,7 @@
         reports: Vec::new(),
         payload,
     };
-    own.seal(WALL, &message::bytes(&message))
+    sender.seal(WALL, &message::encode(&message))
 }
 
 fn requested(node: &Node, now: Micros) -> Vec<u32> {
@@ -51,56 +51,60 @@
 }
 
 #[test]
-fn a_flood_of_forged_load_reports_changes_nothing() {
-    let start = NodeConfig {
+fn a_flood_of_forged_load_reports_is_ignored() {
+    let config = NodeConfig {
         secret: secret(0),
         keys: keys(4),
-        address: at(0),
+        address: address(0),
         seeds: Vec::new(),
     };
-    let mut node = Node::new(start, WALL);
+    let mut node = Node::new(config, WALL);
     node.enable_load_reports();
-    let (mut liar, honest) = (
+    let (mut malicious, honest) = (
         Identity::new(&secret(1), WALL),
         Identity::new(&secret(2), WALL),
     );
     let passed_on = datagram_with(
-        &mut liar,
+        &mut malicious,
         &[honest.sign_load_report(&report(honest.id, 1, 7))],
     );
-    node.receive(0, WALL, at(1), &passed_on);
+    node.receive(0, WALL, address(1), &passed_on);
     assert_eq!(
         requested(&node, 1),
         [7],
-        "whoever passes it on, the report is its reporter's"
+        "the report counts for its reporter, whichever front forwards it"
     );
     assert!(node.has_peer_load(1));
-    // Under another's name, of fronts that nobody knows, cut short, with more workloads than count.
-    let stranger = Identity::new(&secret(9), WALL);
+    // Reports in another front's name, of an unknown front, truncated, and with too many loads.
+    let unknown = Identity::new(&secret(9), WALL);
     for version in 2..400 {
-        let forged = liar.sign_load_report(&report(honest.id, version, u32::MAX));
-        let strange = stranger.sign_load_report(&report(stranger.id, version, u32::MAX));
-        let mut short = honest.sign_load_report(&report(honest.id, version, 9));
-        short.report.pop();
-        let many = LoadReport {
+        let forged = malicious.sign_load_report(&report(honest.id, version, u32::MAX));
+        let unknown_reporter = unknown.sign_load_report(&report(unknown.id, version, u32::MAX));
+        let mut truncated = honest.sign_load_report(&report(honest.id, version, 9));
+        truncated.report.pop();
+        let too_many = LoadReport {
             offered: vec![OfferedLoad::default(); 25],
-            ..report(liar.id, version, 0)
+            ..report(malicious.id, version, 0)
         };
-        for reports in [[forged, strange], [short, liar.sign_load_report(&many)]] {
-            let datagram = datagram_with(&mut liar, &reports);
-            node.receive(Micros::from(version), WALL, at(1), &datagram);
+        for reports in [
+            [forged, unknown_reporter],
+            [truncated, malicious.sign_load_report(&too_many)],
+        ] {
+            let datagram = datagram_with(&mut malicious, &reports);
+            node.receive(Micros::from(version), WALL, address(1), &datagram);
         }
     }
     assert_eq!(requested(&node, 500), [7]);
-    assert!(node.refused.values().sum::<u64>() > 0);
-    // One that speaks for itself without end counts once, by its last report.
+    assert!(node.rejected.values().sum::<u64>() > 0);
+    // A front that keeps reporting for itself counts once, by its last accepted report.
     for version in 1..400 {
-        let own = liar.sign_load_report(&report(liar.id, version, u32::MAX - version));
-        let datagram = datagram_with(&mut liar, &[own]);
+        let own_report =
+            malicious.sign_load_report(&report(malicious.id, version, u32::MAX - version));
+        let datagram = datagram_with(&mut malicious, &[own_report]);
         node.receive(
             SECOND + Micros::from(version) * 10_000,
             WALL + 1_000,
-            at(1),
+            address(1),
             &datagram,
         );
     }
@@ -110,6 +114,6 @@
         "{:?}",
         requested(&node, now)
     );
-    // What is not renewed is gone in seconds.
+    // Reports that are not renewed expire within seconds.
     assert!(!node.has_peer_load(12 * SECOND) && requested(&node, 12 * SECOND).is_empty());
 }
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,6 +1,6 @@
-//! A voter: an acceptor of the replicated log of leases (OmniPaxos), which grants leases while it leads. The
-//! log alone decides who owns what; time only keeps a leader from proposing a new owner before the one before
-//! has surely stopped.
+//! A voter: an acceptor of the replicated log of leases (OmniPaxos), which grants leases while it
+//! is the leader. The log alone decides who owns a lease. Time is used only to keep a leader from
+//! proposing a new owner before the previous owner's lease has certainly expired.
 
 mod log;
 
@@ -9,77 +9,79 @@
 use hallmux_replica::{LogStore, MessageOrder};
 use omnipaxos::OmniPaxos;
 
-use crate::disk::{Disk, StateError};
 use crate::leases::{Change, Leases};
+use crate::state::{DurableState, StateError};
 use crate::{
-    AddressedEnvelope, Envelope, FrontId, LeaseMessage, Micros, Reply, Request, Task, Terms,
+    AddressedEnvelope, Envelope, FrontId, LeaseMessage, LeaseTerms, Micros, Reply, Request, Task,
 };
 
-/// Microseconds between ticks of the log's clock.
-const TICK: Micros = 50_000;
-/// Bytes of progress that go with a lease.
-const MAX_PROGRESS: usize = 256;
-/// Requests that wait for the log at once.
-const MAX_WAITING: usize = 64;
+/// Microseconds between ticks of the log library's clock.
+const TICK_INTERVAL: Micros = 50_000;
+/// Maximum size in bytes of the progress stored with a lease; requests with more are ignored.
+const MAX_PROGRESS_BYTES: usize = 256;
+/// Maximum number of requests that wait for the log at once; further ones are ignored.
+const MAX_WAITING_REQUESTS: usize = 64;
 
-/// What a voter is part of.
+/// The configuration of a voter.
 #[derive(Clone, Debug)]
 pub struct VoterConfig {
     /// The fleet's fingerprint.
     pub fleet: u64,
-    /// This front.
-    pub own: FrontId,
+    /// The front that the voter runs on.
+    pub local_id: FrontId,
     /// All voters, in any order.
     pub voters: Vec<FrontId>,
-    /// How long a lease lasts.
-    pub terms: Terms,
+    /// The duration of a lease.
+    pub terms: LeaseTerms,
 }
 
-/// A request that waits until the log has decided on it.
-struct Waiting {
+/// A request whose change was proposed to the log and is not yet decided.
+struct WaitingRequest {
     requester: FrontId,
     request: Request,
-    /// When it is given up.
-    ends: Micros,
+    /// When the voter stops waiting for the decision and sends no reply.
+    expires_at: Micros,
 }
 
-/// What a call gives out: what to save, and what to send once that is durable.
+/// The output of a call: the state to save, and the messages to send once it is durable.
 #[derive(Default)]
 pub struct Output {
-    /// Replaces what was saved before. Must be durable before any of the messages leaves, those of later
-    /// calls too.
+    /// Replaces the state saved before; None if nothing changed. It must be durable before any of
+    /// the messages of this call or a later one is sent.
     pub save: Option<Vec<u8>>,
-    /// To be sent, each to its front.
+    /// The messages to send.
     pub messages: Vec<AddressedEnvelope>,
 }
 
-/// One voter, and its part of the log.
+/// One voter with its replica of the log.
 pub struct Voter {
     fleet: u64,
-    own: FrontId,
-    /// All voters in order: the place of each, counted from 1, is its number in the log.
+    local_id: FrontId,
+    /// All voters, sorted: the position of a voter, counted from 1, is its number in the log.
     voters: Vec<FrontId>,
-    terms: Terms,
+    terms: LeaseTerms,
     log: OmniPaxos<Change, LogStore<Change>>,
-    disk: Disk,
-    /// Messages that come out of order count as lost.
-    order: MessageOrder,
+    state: DurableState,
+    /// Numbers sent log messages, and drops received ones that are out of order: they count as
+    /// lost.
+    message_order: MessageOrder,
     leases: Leases,
-    /// How many entries of the log are applied to the leases.
-    applied: usize,
-    /// When each lease was last confirmed, on this clock.
-    confirmed: BTreeMap<Task, Micros>,
-    /// Since when this voter leads.
+    /// The number of log entries applied to the leases.
+    applied_entries: usize,
+    /// When this voter last learned of a grant or renewal of each lease, on the local clock.
+    last_confirmed: BTreeMap<Task, Micros>,
+    /// When this voter became the leader; None while it is not.
     leading_since: Option<Micros>,
-    started: Micros,
+    started_at: Micros,
     next_tick: Micros,
-    waiting: Vec<Waiting>,
-    messages: Vec<AddressedEnvelope>,
+    waiting: Vec<WaitingRequest>,
+    outgoing: Vec<AddressedEnvelope>,
 }
 
 impl Voter {
-    /// `saved` is what an earlier run gave out to be saved last; None only where there was none. An error
-    /// says why it can't be used, or that this front is no voter.
+    /// Starts a voter from the state that its previous incarnation saved last. `saved` may be None
+    /// only if the voter has never run. Fails if the state is not usable or this front is not a
+    /// voter.
     pub fn new(
         now: Micros,
         config: VoterConfig,
@@ -87,52 +89,52 @@
     ) -> Result<Voter, StateError> {
         let VoterConfig {
             fleet,
-            own,
+            local_id,
             mut voters,
             terms,
         } = config;
         voters.sort_unstable();
         voters.dedup();
-        let mut disk = match saved {
-            Some(saved) => Disk::read(fleet, saved)?,
-            None => Disk::new(fleet),
+        let mut state = match saved {
+            Some(saved) => DurableState::read(fleet, saved)?,
+            None => DurableState::new(fleet),
         };
-        disk.start();
-        let log = log::open_log(own, &voters, disk.store.clone())?;
+        state.start();
+        let log = log::open_log(local_id, &voters, state.store.clone())?;
         let mut voter = Voter {
             fleet,
-            own,
+            local_id,
             voters,
             terms,
             log,
-            disk,
-            order: MessageOrder::default(),
+            state,
+            message_order: MessageOrder::default(),
             leases: Leases::default(),
-            applied: 0,
-            confirmed: BTreeMap::new(),
+            applied_entries: 0,
+            last_confirmed: BTreeMap::new(),
             leading_since: None,
-            started: now,
+            started_at: now,
             next_tick: now,
             waiting: Vec::new(),
-            messages: Vec::new(),
+            outgoing: Vec::new(),
         };
         voter.apply(now);
         Ok(voter)
     }
 
-    /// The leases, as far as the log is decided here.
+    /// The leases according to the log entries that are decided on this voter.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// Whether it leads now.
+    /// Whether this voter is the leader and ready to propose, as of the last call.
     pub fn is_leader(&self) -> bool {
         self.leading_since.is_some()
     }
 
-    /// How many entries of the log are decided, as far as this voter knows.
-    pub fn decided(&self) -> usize {
-        self.applied
+    /// The number of log entries that are decided and applied on this voter.
+    pub fn decided_entries(&self) -> usize {
+        self.applied_entries
     }
 
     /// When `tick` is next due, on the caller's monotonic clock.
@@ -140,18 +142,20 @@
         self.next_tick
     }
 
-    /// Runs the log's clock where it is due, and gives what is to be saved and sent.
+    /// Advances the log library's clock if a tick is due, and returns the state to save and
+    /// messages to send.
     pub fn tick(&mut self, now: Micros) -> Output {
         if self.next_tick <= now {
-            // A voter that was paused does not catch up: the log's clock counts the ticks that it ran.
-            self.next_tick = now + TICK;
+            // Ticks missed during a pause are not made up: the log's clock counts only ticks that
+            // ran.
+            self.next_tick = now + TICK_INTERVAL;
             self.log.tick();
         }
-        self.settle(now)
+        self.collect_output(now)
     }
 
-    /// A message has come from a front whose signature holds. It is ignored where it is for another fleet, or
-    /// no voter's.
+    /// Handles a message from a front whose signature was verified. Messages of another fleet and
+    /// log messages that do not come from the voter they name are ignored.
     pub fn receive(&mut self, now: Micros, from: FrontId, envelope: Envelope) -> Output {
         if envelope.fleet != self.fleet {
             return Output::default();
@@ -161,47 +165,48 @@
                 incarnation,
                 number,
                 message,
-            } if self.is_from(&message, from) => {
-                if self.order.accepts(from, incarnation, number) {
+            } if self.matches_endpoints(&message, from) => {
+                if self.message_order.accepts(from, incarnation, number) {
                     self.log.handle_incoming(*message);
                 }
             }
-            LeaseMessage::Request(request) => self.requested(now, from, request),
+            LeaseMessage::Request(request) => self.handle_request(now, from, request),
             LeaseMessage::Log { .. } | LeaseMessage::Unnumbered(_) | LeaseMessage::Reply(_) => {}
         }
-        self.settle(now)
+        self.collect_output(now)
     }
 
-    /// A front requests a lease or its renewal. Without a reply it requests again, and this voter may be ready.
-    fn requested(&mut self, now: Micros, requester: FrontId, request: Request) {
+    /// Handles a front's request for a lease or its renewal. If the voter is not ready it sends no
+    /// reply; the front then repeats the request.
+    fn handle_request(&mut self, now: Micros, requester: FrontId, request: Request) {
         let number = request.number;
         let Some(leader) = self.leader() else { return };
-        if leader != self.own {
+        if leader != self.local_id {
             return self.reply(requester, Reply::NotLeader { number, leader });
         }
-        let is_ready = self.leading_since.is_some() && self.waiting.len() < MAX_WAITING;
-        if !is_ready || request.progress.len() > MAX_PROGRESS {
+        let is_ready = self.leading_since.is_some() && self.waiting.len() < MAX_WAITING_REQUESTS;
+        if !is_ready || request.progress.len() > MAX_PROGRESS_BYTES {
             return;
         }
         let Some(change) = self.change_for(now, requester, &request) else {
             return self.reply(requester, Reply::Denied { number });
         };
         if self.log.append(change).is_ok() {
-            self.waiting.push(Waiting {
+            self.waiting.push(WaitingRequest {
                 requester,
                 request,
-                ends: now + self.terms.length,
+                expires_at: now + self.terms.length,
             });
         }
     }
 
-    /// The change of the leases that grants a request; None where it is denied.
+    /// The change of the leases that grants a request; None if the request is denied.
     fn change_for(&self, now: Micros, requester: FrontId, request: &Request) -> Option<Change> {
-        let lease = self.leases.of(request.task);
+        let lease = self.leases.get(request.task);
         let Some(token) = request.token else {
             return self.is_free(now, request.task).then_some(Change::Grant {
                 task: request.task,
-                after: lease.map_or(0, |lease| lease.token),
+                previous_token: lease.map_or(0, |lease| lease.token),
                 owner: requester,
                 number: request.number,
             });
@@ -216,14 +221,18 @@
             })
     }
 
-    /// Whether the lease's last owner has surely stopped, whichever voter confirmed it and whenever: a leader
-    /// counts from when it began to lead, and from when it learned of each confirmation.
+    /// Whether the last owner's lease has certainly expired, whichever voter confirmed it and when.
+    /// The block counts from when this voter became the leader, from when it learned of the last
+    /// confirmation, and from its own start.
     fn is_free(&self, now: Micros, task: Task) -> bool {
-        let has_passed = |since: Micros| now >= since + self.terms.blocked_for();
-        let since_leading = self.leading_since.is_some_and(has_passed);
+        let block_has_passed = |since: Micros| now >= since + self.terms.blocked_for();
+        let since_leading = self.leading_since.is_some_and(block_has_passed);
         since_leading
-            && self.confirmed.get(&task).is_none_or(|at| has_passed(*at))
-            && has_passed(self.started)
+            && self
+                .last_confirmed
+                .get(&task)
+                .is_none_or(|at| block_has_passed(*at))
+            && block_has_passed(self.started_at)
     }
 
     fn reply(&mut self, to: FrontId, reply: Reply) {
@@ -233,14 +242,14 @@
     fn send(&mut self, to: FrontId, message: LeaseMessage) {
         let fleet = self.fleet;
         let envelope = Envelope { fleet, message };
-        self.messages.push(AddressedEnvelope { to, envelope });
+        self.outgoing.push(AddressedEnvelope { to, envelope });
     }
 
-    /// Applies what the log has decided, replies to requests that waited for it, and gathers what is to go
-    /// out.
-    fn settle(&mut self, now: Micros) -> Output {
+    /// Applies the entries that the log has decided, replies to the requests that waited for them,
+    /// and collects the state to save and the messages to send.
+    fn collect_output(&mut self, now: Micros) -> Output {
         self.apply(now);
-        self.leading_since = if self.leads() {
+        self.leading_since = if self.is_ready_leader() {
             self.leading_since.or(Some(now))
         } else {
             None
@@ -248,18 +257,19 @@
         self.reply_to_waiting(now);
         self.send_log_messages();
         Output {
-            save: self.disk.unsaved(),
-            messages: std::mem::take(&mut self.messages),
+            save: self.state.take_unsaved(),
+            messages: std::mem::take(&mut self.outgoing),
         }
     }
 
-    /// Replies to requests that the log has granted. Those that it has not decided in time get no reply.
+    /// Replies to waiting requests whose change the log has decided. Requests that are not decided
+    /// in time get no reply.
     fn reply_to_waiting(&mut self, now: Micros) {
         for waiting in std::mem::take(&mut self.waiting) {
             let number = waiting.request.number;
             let granted = self
                 .leases
-                .of(waiting.request.task)
+                .get(waiting.request.task)
                 .filter(|lease| lease.owner == waiting.requester && lease.number == number);
             if let Some(lease) = granted {
                 let reply = Reply::Granted {
@@ -268,7 +278,7 @@
                     progress: lease.progress.clone(),
                 };
                 self.reply(waiting.requester, reply);
-            } else if now < waiting.ends {
+            } else if now < waiting.expires_at {
                 self.waiting.push(waiting);
             }
         }
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -1,4 +1,4 @@
-//! Statements that end without a result, and attempts that are cancelled.
+//! Statements that end without a result, and the cancellation of their attempts.
 
 use crate::interface::{Action, EngineId, RejectReason, StatementId};
 use crate::policy::idempotency::{answer_without_result, Answer};
@@ -9,10 +9,13 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Looks at the statements whose standing may have changed by time alone.
+    /// Checks the statements whose urgency may have changed by time alone.
     pub(super) fn expire(&mut self) {
-        while let Some(id) = self.queues.next_due(self.clock.now) {
-            let Some(statement) = self.statements.get(&id).filter(|statement| !statement.over)
+        while let Some(id) = self.queues.next_check(self.clock.now) {
+            let Some(statement) = self
+                .statements
+                .get(&id)
+                .filter(|statement| !statement.closed)
             else {
                 continue;
             };
@@ -26,42 +29,46 @@
         }
     }
 
-    /// What decides whether a held statement ends now.
+    /// The inputs of the shedding rule for a held statement.
     pub(super) fn shed_request(&self, statement: &Statement) -> ShedRequest {
         ShedRequest {
             timing: self.timing(statement),
-            late_share: self.workload(statement).late_share,
-            shares_order_key: self.order_queues.is_shared(statement.asked.order_key),
+            late_value_share: self.workload(statement).late_value_share,
+            shares_order_key: self.order_queues.is_shared(statement.arrival.order_key),
             sticky_engine_closed: self.sticky_engine_closed(statement),
             has_safe_engine: self.has_safe_engine(statement),
         }
     }
 
-    /// Why a held statement whose standing has changed ends now, if it does.
+    /// The reason to end a held statement whose urgency has changed; `None` if it stays.
     fn expiry_reason(&self, statement: &Statement) -> Option<RejectReason> {
-        let others_wait = self.queues.any_ready();
+        let timely_waiting = self.queues.has_timely();
         self.shed_request(statement)
-            .reason_at_expiry(others_wait, self.clock.now)
+            .reason_at_expiry(timely_waiting, self.clock.now)
     }
 
-    /// Whether the engine that holds its transaction takes nothing new any more.
+    /// Whether the engine of the statement's transaction no longer accepts statements.
     pub(super) fn sticky_engine_closed(&self, statement: &Statement) -> bool {
         let is_open = |engine: EngineId| self.engines.open.get(engine).is_some_and(|open| *open);
         statement
-            .asked
+            .arrival
             .sticky_engine
             .is_some_and(|engine| !is_open(engine))
     }
 
-    /// Ends a statement without a result: a rejection where trying again is harmless, else an abort.
+    /// Ends a statement without a result: with a rejection if the client may safely retry,
+    /// otherwise with an abort.
     pub(super) fn reject(&mut self, id: StatementId, reason: RejectReason) {
         let statement = &self.statements[&id];
         let may_have_run = statement.may_have_run().next().is_some();
-        let (workload, first_try) = (statement.asked.workload, statement.is_first_try());
+        let (workload, first_client_attempt) = (
+            statement.arrival.workload,
+            statement.is_first_client_attempt(),
+        );
         let action = match answer_without_result(self.workload(statement), may_have_run) {
             Answer::Reject => Action::Reject {
                 statement: id,
-                retry_after: retry_after(self.random.next(), self.agreed.longest_retry_after),
+                retry_after: retry_after(self.random.next(), self.agreement.max_retry_after),
                 reason,
             },
             Answer::Abort => Action::Abort {
@@ -70,40 +77,42 @@
             },
         };
         self.actions.push(action);
-        if first_try {
-            self.client_retries.first_attempt_shed(workload);
+        if first_client_attempt {
+            self.client_retries.record_shed_first_attempt(workload);
         }
         self.close(id, Timeliness::NotTimely);
     }
 
-    /// Counts a statement that is over, and lets go of all it holds but attempts still in flight.
+    /// Closes a statement that has its final answer: records it, cancels its attempts in flight
+    /// and frees its place in the order of its key.
     pub(super) fn close(&mut self, id: StatementId, timeliness: Timeliness) {
         self.dequeue(id);
         let Some(statement) = self
             .statements
             .get_mut(&id)
-            .filter(|statement| !statement.over)
+            .filter(|statement| !statement.closed)
         else {
             return;
         };
-        statement.over = true;
-        let (class, key) = (statement.class, statement.asked.order_key);
-        let unresolved = statement.in_flight();
-        if self.agreed.cancel {
+        statement.closed = true;
+        let (class, key) = (statement.class, statement.arrival.order_key);
+        let unresolved = statement.in_flight_attempts();
+        if self.agreement.cancel {
             let cancel = |number: &usize| Action::Cancel {
                 statement: id,
                 execution: *number,
             };
             self.actions.extend(unresolved.iter().map(cancel));
         }
-        self.count_closed(id, class, timeliness);
+        self.record_closed(id, class, timeliness);
         self.order_queues.remove(key, id, unresolved.len());
         self.enqueue_first_in_order(key);
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    /// Counts a statement that is over in its class; a change of level changes priorities.
-    fn count_closed(&mut self, id: StatementId, class: usize, timeliness: Timeliness) {
+    /// Counts a closed statement in its class. If the class enters or leaves the top level, the
+    /// priorities of its statements in flight are updated.
+    fn record_closed(&mut self, id: StatementId, class: usize, timeliness: Timeliness) {
         let counts = &mut self.queues.classes[class];
         counts.in_flight.remove(&id);
         let was_top = counts.conformance.is_top_level();
@@ -115,10 +124,10 @@
         }
     }
 
-    /// Lets go of a statement that is over with nothing in flight.
-    pub(super) fn forget(&mut self, id: StatementId) {
-        let done = |statement: &Statement| statement.over && !statement.is_in_flight();
-        if self.statements.get(&id).is_some_and(done) {
+    /// Removes a statement that is closed and has no attempt in flight.
+    pub(super) fn remove_if_finished(&mut self, id: StatementId) {
+        let is_finished = |statement: &Statement| statement.closed && !statement.is_in_flight();
+        if self.statements.get(&id).is_some_and(is_finished) {
             self.statements.remove(&id);
         }
     }
