--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -111,9 +111,9 @@
     named.is_none_or(|name| *name == workload.name)
 }
 
-/// Returns an error for each pair of allowing rules that contradict each other. Denials need no
-/// check: at equal precedence a denial takes effect before an allowing rule, whereas two rules that
-/// allow different locations have no order.
+/// Returns an error for each allowing rule that contradicts another. Denials need no check: at
+/// equal precedence a denial takes effect before an allowing rule, whereas two rules that allow
+/// different locations have no order.
 fn contradictions(set: &RuleSet, lines: LineLookup) -> Vec<LocatedProblem> {
     let mut levels: BTreeMap<Level, Vec<&Rule>> = BTreeMap::new();
     let allowing = set
@@ -176,7 +176,7 @@
     workload: &WorkloadLocations,
 ) -> Option<LocatedProblem> {
     if known.covered_customers.is_some() {
-        return None; // customers outside the covered list are never restricted and may run the workload
+        return None; // customers that are not covered are never restricted
     }
     for rule in set.rules.iter().filter(|rule| applies_to(rule, workload)) {
         let for_everybody = rule.customer.is_none()
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -24,7 +24,7 @@
 
 /// The number of parts of the fleet's table.
 pub(super) const FOLDED_PART_COUNT: usize = 16;
-/// The number of rows in a part; further rows are counted under any customer.
+/// The number of rows in a part; further rows are counted under any customer and region.
 const MAX_PART_ROWS: usize = 256;
 /// Milliseconds for which a page of a folded incarnation stays closed, without its counts.
 const CLOSED_PAGE_MS: u64 = 7 * 86_400_000;
