--- a/crates/access/src/index/shadow.rs
+++ b/crates/access/src/index/shadow.rs
@@ -1,46 +1,47 @@
-//! Rules that can never decide, as another always goes before them.
+//! Finds rules that can never decide because another rule always takes precedence.
 
 use super::table::{fields, mask_of, names_field, Cell, FieldNumbers};
 use super::Index;
 use crate::rule::{Rule, RuleEffect, TableRange};
 
 impl Index {
-    /// A rule that goes before another wherever and whenever that would match.
-    pub fn shadow(&self, at: usize) -> Option<usize> {
+    /// Returns a rule that takes precedence over rule `at` wherever and whenever that rule would
+    /// match.
+    pub fn shadowing_rule(&self, at: usize) -> Option<usize> {
         let rule = self.set.rules.get(at)?;
         let cells = self.wider_cells(rule);
-        let any = cells
+        let covering_rule = cells
             .iter()
-            .find_map(|cell| self.covering(&cell.any, at, rule));
-        if any.is_some() {
-            return any;
+            .find_map(|cell| self.find_covering(&cell.without_tables, at, rule));
+        if covering_rule.is_some() {
+            return covering_rule;
         }
-        // Each range of its groups must have one; the ranges of an entry differ from those of another.
+        // Each range of the rule's groups needs such a rule; the ranges of the entries differ.
         let mut last = None;
         for start in range_starts(&cells, rule.tables?) {
             let covering = cells
                 .iter()
-                .find_map(|cell| self.covering(cell.about(start)?, at, rule));
+                .find_map(|cell| self.find_covering(cell.rules_for_group(start)?, at, rule));
             last = Some(covering?);
         }
         last
     }
 
-    /// The entries whose rules name no field that this one does not name alike.
+    /// Returns the entries whose rules name a subset of this rule's fields, with the same values.
     fn wider_cells(&self, rule: &Rule) -> Vec<&Cell> {
         let table = match rule.effect {
-            RuleEffect::Count => &self.count,
-            RuleEffect::Deny { .. } | RuleEffect::Allow { .. } => &self.decide,
+            RuleEffect::Count => &self.counting_rules,
+            RuleEffect::Deny { .. } | RuleEffect::Allow { .. } => &self.deciding_rules,
         };
-        let mut own: FieldNumbers = Default::default();
+        let mut numbers: FieldNumbers = Default::default();
         for (field, name) in fields(rule).into_iter().enumerate() {
-            let number = name.and_then(|name| self.names[field].get(name));
-            own[field] = number.copied().unwrap_or(0);
+            let number = name.and_then(|name| self.value_numbers[field].get(name));
+            numbers[field] = number.copied().unwrap_or(0);
         }
-        let own_mask = mask_of(&own);
-        let wider = table.masks.iter().filter(|mask| **mask & !own_mask == 0);
+        let mask = mask_of(&numbers);
+        let wider = table.masks.iter().filter(|other| **other & !mask == 0);
         let cell = |mask: &u8| {
-            let mut key = own;
+            let mut key = numbers;
             for (field, number) in key.iter_mut().enumerate() {
                 if !names_field(*mask, field) {
                     *number = 0;
@@ -51,15 +52,21 @@
         wider.filter_map(cell).collect()
     }
 
-    /// A rule of a list that goes before rule `at` and holds whenever that does.
-    fn covering(&self, list: &[u32], at: usize, rule: &Rule) -> Option<usize> {
-        let spans = |by: &usize| self.set.rules.get(*by).is_some_and(|by| by.spans(rule));
+    /// Returns a rule of the list that takes precedence over rule `at` and is active whenever that
+    /// rule is.
+    fn find_covering(&self, list: &[u32], at: usize, rule: &Rule) -> Option<usize> {
+        let spans = |by: &usize| {
+            self.set
+                .rules
+                .get(*by)
+                .is_some_and(|by| by.covers_period_of(rule))
+        };
         let before = list.iter().map(|by| *by as usize);
         before.take_while(|by| *by < at).find(spans)
     }
 }
 
-/// Where the ranges of some entries begin within these tables.
+/// Returns the first group of each range of the entries that lies within these tables.
 fn range_starts(cells: &[&Cell], tables: TableRange) -> Vec<u32> {
     let mut starts = vec![tables.first];
     for cell in cells {
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Files of rules as a person writes them: what is refused, in which words; and the index beside the plain walk.
+//! Rules files as a person writes them: which errors are reported and with which text; and the
+//! index against a linear search.
 
 use hallmux_access::{
     read, Attributes, DefaultEffect, FileErrors, Index, KnownNames, Rule, RuleEffect, RuleSet,
@@ -24,11 +25,11 @@
             ("west".to_string(), names(&["std-eu", "std-us"])),
         ]
         .into(),
-        covered: Some(names(&["acme", "brisk"])),
+        covered_customers: Some(names(&["acme", "brisk"])),
     }
 }
 
-/// Lines by the key's text: each rule of these files stands on a line of its own.
+/// Finds lines by the text of a key; each rule of these files is on its own line.
 fn lines(text: &str) -> impl Fn(&str) -> Option<usize> + '_ {
     move |path| {
         let place = path
@@ -50,9 +51,9 @@
     }
 }
 
-fn faults(text: &str) -> String {
+fn read_errors(text: &str) -> String {
     match read("rules.json5", text, &known(), &lines(text)) {
-        Err(faults) => faults.to_string(),
+        Err(errors) => errors.to_string(),
         Ok(command) => format!("{command:?}"),
     }
 }
@@ -74,40 +75,40 @@
 }
 
 #[test]
-fn each_fault_says_where_it_is_and_what_to_do() {
-    for (rule, says) in [
-        ("{ name: 'a', then: 'deny', resaon: 'x' }", "rules[0].resaon: is not known; the keys here are name,"),
+fn each_error_names_its_location_and_remedy() {
+    for (rule, expected) in [
+        ("{ name: 'a', then: 'deny', resaon: 'x' }", "rules[0].resaon: unknown key; the keys allowed here are name,"),
         ("{ then: 'count' }", "rules[0]: is missing; give a name"),
         ("{ name: 'a', customer: 'acne', then: 'count' }", "rules[0].customer: 'acne' is not among the settings' customers: acme, brisk, corvid; name one"),
         ("{ name: 'a', customer: 'corvid', then: 'count' }", "rule `a` is about customer 'corvid', which `rules.customers`"),
         ("{ name: 'a', workload: 'x', then: 'count' }", "rules[0].workload: 'x' is not among the settings' workloads: lookup, report"),
         ("{ name: 'a', regions: ['mars'] }", "rules[0].regions[0]: 'mars' is not among the regions: eu, west, std-eu"),
         ("{ name: 'a', front: 'mars' }", "rules[0].front: 'mars' is not among the regions"),
-        ("{ name: 'a', tables: [9, 3] }", "rules[0].tables: is no number of a group of tables"),
-        ("{ name: 'a', from: 'noon' }", "rules[0].from: is no time by RFC 3339, such as"),
+        ("{ name: 'a', tables: [9, 3] }", "rules[0].tables: has the wrong type or value; give the number of a table group"),
+        ("{ name: 'a', from: 'noon' }", "rules[0].from: has the wrong type or value; give a time by RFC 3339, such as"),
         ("{ name: 'a', from: '2026-12-01T06:00:00Z', until: '2026-12-01T05:00:00Z' }", "rule `a` ends before it begins; give `until`"),
-        ("{ name: 'a', priority: 1.5 }", "rules[0].priority: is no whole number; give one"),
-        ("{ name: 'a', then: 'permit' }", "rules[0].then: is no 'allow', 'deny' or 'count'; give one"),
+        ("{ name: 'a', priority: 1.5 }", "rules[0].priority: has the wrong type or value; give a whole number"),
+        ("{ name: 'a', then: 'permit' }", "rules[0].then: has the wrong type or value; give 'allow', 'deny' or 'count'"),
         ("{ name: 'a', then: 'deny' }", "rule `a` denies without a reason; give it `reason`"),
-        ("{ name: 'a', reason: 'x' }", "rule `a` gives a reason though it does not deny; take out"),
-        ("{ name: 'a', then: 'deny', reason: 'x', barred: ['eu'] }", "rule `a` names regions though it does not allow; take out"),
+        ("{ name: 'a', reason: 'x' }", "rule `a` gives a reason though it does not deny; remove"),
+        ("{ name: 'a', then: 'deny', reason: 'x', barred: ['eu'] }", "rule `a` names regions though it does not allow; remove"),
         ("{ name: 'a', regions: ['eu'], barred: ['eu'] }", "rule `a` has both `regions` and `barred`; give one"),
         ("{ name: 'eu-only', customer: 'acme', regions: ['std-ap'] }", "rule `eu-only` bars every region that workload `report` is bound to; name one of std-eu, std-us, or give the rule a workload"),
         ("{ name: 'a', at_most: 5 }", "rule `a` has one of `at_most` and `in_ms`; give both"),
-        ("{ name: 'a', at_most: 0, in_ms: 5000 }", "rules[0].at_most: is no whole number from 1 to 100000; give one"),
-        ("{ name: 'a', at_most: 5, in_ms: 50 }", "rules[0].in_ms: is no whole number of milliseconds from 1000 to"),
-        ("{ name: 'a', then: 'count', at_most: 5, in_ms: 5000 }", "rule `a` has a limit though it does not allow; take out"),
-        ("7", "rules[0]: is no rule; give one"),
+        ("{ name: 'a', at_most: 0, in_ms: 5000 }", "rules[0].at_most: has the wrong type or value; give a whole number from 1 to 100000"),
+        ("{ name: 'a', at_most: 5, in_ms: 50 }", "rules[0].in_ms: has the wrong type or value; give a whole number of milliseconds from 1000 to"),
+        ("{ name: 'a', then: 'count', at_most: 5, in_ms: 5000 }", "rule `a` has a limit though it does not allow; remove"),
+        ("7", "rules[0]: has the wrong type or value; give an object that describes a rule"),
     ] {
-        let said = faults(&file(&[rule]));
-        // A number for a rule stands on no line of its own in these files.
+        let message = read_errors(&file(&[rule]));
+        // A number in place of a rule has no line in these files.
         let line = if rule == "7" { "rules.json5:".to_string() } else { "rules.json5:5:".to_string() };
-        assert!(said.starts_with(&format!("{line} {says}")), "{rule}: {said}");
+        assert!(message.starts_with(&format!("{line} {expected}")), "{rule}: {message}");
     }
-    for (text, says) in [
+    for (text, expected) in [
         (
             "{ version: 0, default: 'allow', rules: [] }",
-            "rules.json5:1: version: is no whole number from 1; give one",
+            "rules.json5:1: version: has the wrong type or value; give a whole number from 1",
         ),
         (
             "{ default: 'allow', rules: [] }",
@@ -123,28 +124,31 @@
         ),
         (
             "{ version: 2, roll_back_to: 1, rules: [] }",
-            "rules.json5:1: rules: is not known; the keys here are version",
+            "rules.json5:1: rules: unknown key; the keys allowed here are version",
         ),
         ("{ version: ", "rules.json5:"),
         (
             "[]",
-            "rules.json5:1: is no object of version and rules; give one",
+            "rules.json5:1: has the wrong type or value; give an object of version and rules",
         ),
     ] {
-        let said = faults(text);
-        assert!(said.starts_with(says), "{text}: {said}");
+        let message = read_errors(text);
+        assert!(message.starts_with(expected), "{text}: {message}");
     }
 }
 
 #[test]
-fn all_faults_come_at_once_in_the_order_of_lines() {
+fn all_errors_are_reported_at_once_in_line_order() {
     let text = file(&[
         "{ name: 'a', then: 'permit' }",
         "{ name: 'b', workload: 'x' }",
         "{ name: 'c', frm: 1 }",
     ]);
-    let said = faults(&text);
-    let lines: Vec<&str> = said.lines().map(|l| l.split(' ').next().unwrap()).collect();
+    let message = read_errors(&text);
+    let lines: Vec<&str> = message
+        .lines()
+        .map(|l| l.split(' ').next().unwrap())
+        .collect();
     assert_eq!(
         lines,
         ["rules.json5:5:", "rules.json5:6:", "rules.json5:7:"]
@@ -152,8 +156,8 @@
 }
 
 #[test]
-fn a_set_is_looked_at_as_a_whole() {
-    for (rules, says) in [
+fn rules_that_repeat_shadow_or_contradict_others_are_rejected() {
+    for (rules, expected) in [
         (
             &[
                 "{ name: 'a', customer: 'acme', then: 'count' }",
@@ -166,7 +170,7 @@
                 "{ name: 'all', customer: 'acme', regions: ['eu'], priority: 1 }",
                 "{ name: 'one', customer: 'acme', workload: 'report', regions: ['std-us'] }",
             ],
-            "rules.json5:6: rule `one` can never match: rule `all` on line 5 goes before it",
+            "rules.json5:6: rule `one` can never match: rule `all` on line 5 takes precedence",
         ),
         (
             &[
@@ -198,10 +202,10 @@
             "rules.json5:7: rule `r` can never match",
         ),
     ] {
-        let said = faults(&file(rules));
-        assert!(said.contains(says), "{rules:?}: {said}");
+        let message = read_errors(&file(rules));
+        assert!(message.contains(expected), "{rules:?}: {message}");
     }
-    // Later, or for other tables, they do not meet.
+    // Rules for different times or different tables do not contradict each other.
     set(&[
         "{ name: 'eu', customer: 'acme', regions: ['eu'], until: '2026-12-01T06:00:00Z' }",
         "{ name: 'us', customer: 'acme', regions: ['std-us'], from: '2026-12-01T07:00:00+01:00' }",
@@ -213,33 +217,33 @@
 }
 
 #[test]
-fn a_set_leaves_every_workload_an_engine_for_somebody() {
+fn a_set_that_denies_a_workload_to_every_customer_is_rejected() {
     let all = KnownNames {
-        covered: None,
+        covered_customers: None,
         ..known()
     };
-    let faults =
+    let read_errors =
         |text: &str| read("r", text, &all, &lines(text)).map_err(|e: FileErrors| e.to_string());
     let denied = file(&["{ name: 'no', workload: 'report', then: 'deny', reason: 'x' }"]);
-    assert!(faults(&denied)
+    assert!(read_errors(&denied)
         .unwrap_err()
         .starts_with("r:5: rule `no` leaves workload `report` with no engine"));
     let one = file(&[
         "{ name: 'no', workload: 'report', then: 'deny', reason: 'x' }",
         "{ name: 'yes', customer: 'acme', workload: 'report' }",
     ]);
-    assert!(faults(&one).is_ok());
+    assert!(read_errors(&one).is_ok());
     let default = "{ version: 1, default: 'deny',\n rules: [\n{ name: 'a', workload: 'lookup' }] }";
-    let said = faults(default).unwrap_err();
-    assert_eq!(said.lines().count(), 1);
+    let message = read_errors(default).unwrap_err();
+    assert_eq!(message.lines().count(), 1);
     assert!(
-        said.contains("default: the default 'deny' leaves workload `report` with no engine"),
-        "{said}"
+        message.contains("default: the default 'deny' leaves workload `report` with no engine"),
+        "{message}"
     );
 }
 
 #[test]
-fn specific_goes_before_general_and_deny_before_allow() {
+fn specific_rules_precede_general_ones_and_denials_precede_allowing_rules() {
     let set = set(&[
         "{ name: 'acme', customer: 'acme', regions: ['west'] }",
         "{ name: 'acme-tables', customer: 'acme', tables: [10, 20], regions: ['std-us'] }",
@@ -248,24 +252,24 @@
         "{ name: 'seen', workload: 'report', then: 'count' }",
     ]);
     let index = Index::new(set);
-    let judge = |customer, workload, groups: Option<&[u32]>| {
-        let v = index.judge(
+    let evaluate = |customer, workload, groups: Option<&[u32]>| {
+        let v = index.evaluate(
             &Attributes {
                 customer,
                 workload,
                 group: None,
                 tables_known: false,
                 front: "eu",
-                first_judged_ms: None,
+                first_evaluated_ms: None,
             },
             groups,
             0,
         );
         (
-            v.rule.map_or("", |at| index.name(at)).to_string(),
+            v.rule.map_or("", |at| index.rule_name(at)).to_string(),
             v.denied,
             v.allowed,
-            v.counts.is_some(),
+            v.counting_rule.is_some(),
         )
     };
     let is = |rule: &str, denied: Option<&str>, allowed: Option<Vec<u16>>, counts| {
@@ -277,38 +281,39 @@
         )
     };
     assert_eq!(
-        judge("acme", "lookup", Some(&[30])),
+        evaluate("acme", "lookup", Some(&[30])),
         is("acme", None, Some(vec![0, 1]), false)
     );
     assert_eq!(
-        judge("acme", "lookup", Some(&[15])),
+        evaluate("acme", "lookup", Some(&[15])),
         is("acme-tables", None, Some(vec![1]), false)
     );
     assert_eq!(
-        judge("acme", "lookup", Some(&[12])),
+        evaluate("acme", "lookup", Some(&[12])),
         is("acme-one", Some("moved"), None, false)
     );
     assert_eq!(
-        judge("brisk", "report", Some(&[])),
+        evaluate("brisk", "report", Some(&[])),
         is("report", None, Some(vec![0]), true)
     );
-    assert_eq!(judge("brisk", "lookup", None), is("", None, None, false));
-    // Several groups: where all of them may be read; one that is denied denies the whole.
+    assert_eq!(evaluate("brisk", "lookup", None), is("", None, None, false));
+    // Several groups: the statement may be read where all of them may; one denied group denies the
+    // statement.
     assert_eq!(
-        judge("acme", "lookup", Some(&[30, 15])),
+        evaluate("acme", "lookup", Some(&[30, 15])),
         is("acme-tables", None, Some(vec![1]), false)
     );
     assert_eq!(
-        judge("acme", "lookup", Some(&[30, 15, 12])),
+        evaluate("acme", "lookup", Some(&[30, 15, 12])),
         is("acme-one", Some("moved"), None, false)
     );
-    // One that reads none is about none.
+    // A statement that reads no table matches no rule about tables.
     assert_eq!(
-        judge("acme", "lookup", Some(&[])),
+        evaluate("acme", "lookup", Some(&[])),
         is("acme", None, Some(vec![0, 1]), false)
     );
-    // What cannot be told could be any of them.
-    let (rule, denied, ..) = judge("acme", "lookup", None);
+    // Unknown groups may be any of them.
+    let (rule, denied, ..) = evaluate("acme", "lookup", None);
     assert_eq!(rule, "acme-one");
     assert!(denied
         .unwrap()
@@ -316,7 +321,7 @@
 }
 
 #[test]
-fn a_set_tightens_where_some_statement_is_let_through_at_fewer_places() {
+fn a_set_tightens_if_some_statement_is_allowed_fewer_locations() {
     let index = |rules: &[&str]| Index::new(set(rules));
     let eu = index(&["{ name: 'a', customer: 'acme', regions: ['eu'] }"]);
     let west = index(&["{ name: 'a', customer: 'acme', regions: ['west'] }"]);
@@ -336,7 +341,7 @@
     assert!(tightens(&tables, &eu) && tightens(&eu, &tables));
 }
 
-fn drawn_rule() -> impl Strategy<Value = Rule> {
+fn random_rule() -> impl Strategy<Value = Rule> {
     let name = |all: &'static [&'static str]| {
         prop::option::of(prop::sample::select(all)).prop_map(|n| n.map(str::to_string))
     };
@@ -350,10 +355,10 @@
         Just(RuleEffect::Deny {
             reason: "x".to_string()
         }),
-        Just(RuleEffect::Allow { places: None }),
+        Just(RuleEffect::Allow { locations: None }),
         Just(RuleEffect::Count),
         prop::collection::btree_set(0u16..3, 1..3).prop_map(|p| RuleEffect::Allow {
-            places: Some(p.into_iter().collect())
+            locations: Some(p.into_iter().collect())
         }),
     ];
     let time = prop_oneof![3 => Just((0, u64::MAX)), 1 => (0u64..4, 4u64..8)];
@@ -377,8 +382,8 @@
                 priority,
                 from_ms,
                 until_ms,
-                moves: false,
-                place: 0,
+                is_move_phase: false,
+                file_index: 0,
             }
         },
     )
@@ -388,8 +393,8 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_index_equals_a_plain_walk(
-        rules in prop::collection::vec(drawn_rule(), 0..40),
+    fn the_index_agrees_with_a_linear_search(
+        rules in prop::collection::vec(random_rule(), 0..40),
         customer in prop::sample::select(&["a", "b", "c", "z"][..]),
         workload in prop::sample::select(&["x", "y", "z"][..]),
         front in prop::sample::select(&["eu", "us", "ap"][..]),
@@ -398,14 +403,14 @@
         now in 0u64..9,
     ) {
         let set = RuleSet::new(1, DefaultEffect::Allow, rules);
-        let attributes = Attributes { customer, workload, group, tables_known, front, first_judged_ms: None };
-        let walked = set.walk(&attributes, now);
-        prop_assert_eq!(Index::new(set).find(&attributes, now), walked);
+        let attributes = Attributes { customer, workload, group, tables_known, front, first_evaluated_ms: None };
+        let searched = set.find_linear(&attributes, now);
+        prop_assert_eq!(Index::new(set).find(&attributes, now), searched);
     }
 
     #[test]
     fn a_shadowed_rule_never_decides(
-        rules in prop::collection::vec(drawn_rule(), 0..30),
+        rules in prop::collection::vec(random_rule(), 0..30),
         group in 0u32..20,
         now in 0u64..9,
     ) {
@@ -415,10 +420,10 @@
                 for front in ["eu", "us", "ap"] {
                     let group = Some(group);
                     let attributes =
-                        Attributes { customer, workload, group, tables_known: true, front, first_judged_ms: None };
+                        Attributes { customer, workload, group, tables_known: true, front, first_evaluated_ms: None };
                     let found = index.find(&attributes, now);
                     for at in found.deciding.into_iter().chain(found.counting) {
-                        prop_assert_eq!(index.shadow(at), None);
+                        prop_assert_eq!(index.shadowing_rule(at), None);
                     }
                 }
             }
@@ -427,7 +432,7 @@
 }
 
 #[test]
-fn the_example_is_read() {
+fn the_example_rules_file_is_valid() {
     let text = include_str!("../../../deploy/rules.example.json5");
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
     let bound = |name: &&str| WorkloadLocations {
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -206,7 +206,14 @@
             rules
                 .borrow_mut()
                 .statement_picked(&mut front.dispatcher, &decision, None);
-            matches!(decision, Decision::Decided { waits: true, .. }).then_some(())
+            matches!(
+                decision,
+                Decision::Decided {
+                    awaits_count: true,
+                    ..
+                }
+            )
+            .then_some(())
         });
     }
 }
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -139,15 +139,15 @@
                 reason: "barred".into(),
             },
             _ => RuleEffect::Allow {
-                places: Some(vec![(n % 3) as u16]),
+                locations: Some(vec![(n % 3) as u16]),
             },
         },
         limit: None,
         priority: (n % 3) as i32,
         from_ms: 0,
         until_ms: u64::MAX,
-        moves: false,
-        place: n,
+        is_move_phase: false,
+        file_index: n,
     };
     RuleSet::new(1, DefaultEffect::Allow, (0..count).map(rule).collect())
 }
@@ -171,7 +171,7 @@
                 group: Some(*group),
                 front: "z0",
                 tables_known: true,
-                first_judged_ms: None,
+                first_evaluated_ms: None,
             }
         };
         let (mut indexed, mut walked, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
@@ -185,7 +185,7 @@
                 _ = std::hint::black_box(index.find(&one(n), 1))
             });
             let slow = per((DECIDED * 10 / count).clamp(50, DECIDED), &|n| {
-                _ = std::hint::black_box(walk.walk(&one(n), 1))
+                _ = std::hint::black_box(walk.find_linear(&one(n), 1))
             });
             indexed.push(fast);
             walked.push(slow);
