--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -1,5 +1,5 @@
-//! A set looked at as a whole: rules that can never match, rules that contradict each other, workloads that are left
-//! with no engine.
+//! Checks a rule set as a whole: rules that can never match, rules that contradict each other, and
+//! workloads that no location remains for.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,23 +7,24 @@
 use crate::index::Index;
 use crate::known::{KnownNames, WorkloadLocations};
 use crate::lines::LineLookup;
-use crate::rule::{DefaultEffect, Height, Rule, RuleEffect, RuleSet, TableRange};
+use crate::rule::{DefaultEffect, Precedence, Rule, RuleEffect, RuleSet, TableRange};
 
-/// Rules that could each decide the same statement: alike in customer, workload and front, and at one height.
-type Level<'a> = ([Option<&'a str>; 3], Height);
+/// Identifies rules that could decide the same statement with equal precedence: the customer,
+/// workload and front that they name, and their precedence.
+type Level<'a> = ([Option<&'a str>; 3], Precedence);
 
-/// All that is wrong with a set.
+/// Returns all errors of a rule set.
 pub(crate) fn check(set: &RuleSet, known: &KnownNames, lines: LineLookup) -> Vec<LocatedProblem> {
     let mut errors = repeated_names(set, lines);
     let index = Index::new(set.clone());
     for (at, rule) in set.rules.iter().enumerate() {
-        if let Some(by) = index.shadow(at).and_then(|by| set.rules.get(by)) {
-            let what = Problem::Shadowed {
+        if let Some(by) = index.shadowing_rule(at).and_then(|by| set.rules.get(by)) {
+            let problem = Problem::Shadowed {
                 rule: rule.name.clone(),
                 by: by.name.clone(),
-                line: line(lines, by.place),
+                line: rule_line(lines, by.file_index),
             };
-            errors.push(at_rule(rule, what));
+            errors.push(at_rule(rule, problem));
         }
         errors.extend(barred_everywhere(rule, known));
     }
@@ -36,81 +37,83 @@
     errors
 }
 
-fn path(rule: &Rule) -> String {
-    format!("rules[{}]", rule.place)
+fn rule_path(rule: &Rule) -> String {
+    format!("rules[{}]", rule.file_index)
 }
 
-fn at_rule(rule: &Rule, what: Problem) -> LocatedProblem {
+fn at_rule(rule: &Rule, problem: Problem) -> LocatedProblem {
     LocatedProblem {
-        path: path(rule),
-        what,
+        path: rule_path(rule),
+        problem,
     }
 }
 
-fn line(lines: LineLookup, place: usize) -> usize {
-    lines(&format!("rules[{place}]")).unwrap_or(0)
+fn rule_line(lines: LineLookup, file_index: usize) -> usize {
+    lines(&format!("rules[{file_index}]")).unwrap_or(0)
 }
 
-/// Rules with the name of an earlier one.
+/// Returns an error for each rule that repeats the name of an earlier one.
 fn repeated_names(set: &RuleSet, lines: LineLookup) -> Vec<LocatedProblem> {
     let mut rules: Vec<&Rule> = set.rules.iter().collect();
-    rules.sort_by_key(|rule| rule.place);
-    let mut first_places: HashMap<&str, usize> = HashMap::new();
+    rules.sort_by_key(|rule| rule.file_index);
+    let mut first_indices: HashMap<&str, usize> = HashMap::new();
     let mut errors = Vec::new();
     for rule in rules {
-        let first = *first_places.entry(&rule.name).or_insert(rule.place);
-        // A rule that moves is read as three.
-        if first != rule.place {
-            let what = Problem::Twice {
+        let first = *first_indices.entry(&rule.name).or_insert(rule.file_index);
+        // A rule that moves tables is read as three rules with one file index.
+        if first != rule.file_index {
+            let problem = Problem::DuplicateName {
                 rule: rule.name.clone(),
-                line: line(lines, first),
+                line: rule_line(lines, first),
             };
             errors.push(LocatedProblem {
-                path: format!("{}.name", path(rule)),
-                what,
+                path: format!("{}.name", rule_path(rule)),
+                problem,
             });
         }
     }
     errors
 }
 
-/// A rule that allows a workload nowhere that it may run.
+/// Returns an error if a rule allows none of the locations that a workload is bound to.
 fn barred_everywhere(rule: &Rule, known: &KnownNames) -> Option<LocatedProblem> {
     let RuleEffect::Allow {
-        places: Some(places),
+        locations: Some(locations),
     } = &rule.effect
     else {
         return None;
     };
     let is_barred = |workload: &&WorkloadLocations| {
-        let bound = known.bound(workload);
-        !bound.is_empty() && !bound.iter().any(|place| places.contains(place))
+        let bound = known.bound_locations(workload);
+        !bound.is_empty() && !bound.iter().any(|location| locations.contains(location))
     };
     let workload = known
         .workloads
         .iter()
-        .filter(|workload| is_about(rule, workload))
+        .filter(|workload| applies_to(rule, workload))
         .find(is_barred)?;
-    let location = |place: u16| known.locations.get(place as usize).cloned();
+    let location = |index: u16| known.locations.get(index as usize).cloned();
     let bound: Vec<String> = known
-        .bound(workload)
+        .bound_locations(workload)
         .into_iter()
         .filter_map(location)
         .collect();
-    let what = Problem::NoEngine {
+    let problem = Problem::NoLocation {
         rule: rule.name.clone(),
         workload: workload.name.clone(),
         bound: bound.join(", "),
     };
-    Some(at_rule(rule, what))
+    Some(at_rule(rule, problem))
 }
 
-fn is_about(rule: &Rule, workload: &WorkloadLocations) -> bool {
+fn applies_to(rule: &Rule, workload: &WorkloadLocations) -> bool {
     let named = rule.workload.as_ref();
     named.is_none_or(|name| *name == workload.name)
 }
 
-/// Deny goes before allow at the same height; two that allow different places have no order.
+/// Returns an error for each allowing rule that contradicts another. Denials need no check: at
+/// equal precedence a denial takes effect before an allowing rule, whereas two rules that allow
+/// different locations have no order.
 fn contradictions(set: &RuleSet, lines: LineLookup) -> Vec<LocatedProblem> {
     let mut levels: BTreeMap<Level, Vec<&Rule>> = BTreeMap::new();
     let allowing = set
@@ -119,7 +122,7 @@
         .filter(|rule| matches!(rule.effect, RuleEffect::Allow { .. }));
     for rule in allowing {
         let fields = [&rule.customer, &rule.workload, &rule.front].map(|name| name.as_deref());
-        let level = (fields, rule.height());
+        let level = (fields, rule.precedence());
         levels.entry(level).or_default().push(rule);
     }
     levels
@@ -129,72 +132,72 @@
 }
 
 fn contradictions_of_level(mut level: Vec<&Rule>, lines: LineLookup) -> Vec<LocatedProblem> {
-    level.sort_by_key(|rule| (tables(rule), rule.place));
+    level.sort_by_key(|rule| (table_range(rule), rule.file_index));
     let mut errors = Vec::new();
     for (at, rule) in level.iter().enumerate() {
-        let mut meeting = level
+        let mut overlapping = level
             .iter()
             .skip(at + 1)
-            .take_while(|other| tables(other).first <= tables(rule).last);
+            .take_while(|other| table_range(other).first <= table_range(rule).last);
         let contradicts = |other: &&&Rule| {
-            let together = rule.from_ms < other.until_ms && other.from_ms < rule.until_ms;
-            together && !other.agrees(rule)
+            let overlap_in_time = rule.from_ms < other.until_ms && other.from_ms < rule.until_ms;
+            overlap_in_time && !other.has_same_effect(rule)
         };
-        let Some(other) = meeting.find(contradicts) else {
+        let Some(other) = overlapping.find(contradicts) else {
             continue;
         };
-        let (rule, other) = if other.place < rule.place {
+        let (rule, other) = if other.file_index < rule.file_index {
             (*rule, *other)
         } else {
             (*other, *rule)
         };
-        let what = Problem::Contradicts {
+        let problem = Problem::Contradicts {
             rule: rule.name.clone(),
             other: other.name.clone(),
-            line: line(lines, other.place),
+            line: rule_line(lines, other.file_index),
         };
-        errors.push(at_rule(rule, what));
+        errors.push(at_rule(rule, problem));
     }
     errors
 }
 
-/// The groups of tables that a rule is about.
-fn tables(rule: &Rule) -> TableRange {
+/// Returns the table groups that a rule applies to.
+fn table_range(rule: &Rule) -> TableRange {
     rule.tables.unwrap_or(TableRange {
         first: 0,
         last: u32::MAX,
     })
 }
 
-/// A workload that no customer may run any more.
+/// Returns an error if a workload is denied to every customer.
 fn denied_to_all(
     set: &RuleSet,
     known: &KnownNames,
     workload: &WorkloadLocations,
 ) -> Option<LocatedProblem> {
-    if known.covered.is_some() {
-        return None; // the customers that no rule can be about may run it
+    if known.covered_customers.is_some() {
+        return None; // customers that are not covered are never restricted
     }
-    for rule in set.rules.iter().filter(|rule| is_about(rule, workload)) {
+    for rule in set.rules.iter().filter(|rule| applies_to(rule, workload)) {
         let for_everybody = rule.customer.is_none()
             && rule.tables.is_none()
             && rule.front.is_none()
-            && rule.always();
+            && rule.is_always_active();
         match &rule.effect {
             RuleEffect::Allow { .. } => return None,
             RuleEffect::Deny { .. } if for_everybody => {
-                let what = Problem::AllDenied {
+                let problem = Problem::WorkloadDenied {
                     rule: rule.name.clone(),
                     workload: workload.name.clone(),
                 };
-                return Some(at_rule(rule, what));
+                return Some(at_rule(rule, problem));
             }
             RuleEffect::Deny { .. } | RuleEffect::Count => {}
         }
     }
     (set.default == DefaultEffect::Deny).then(|| LocatedProblem {
         path: "default".to_string(),
-        what: Problem::NothingAllowed {
+        problem: Problem::WorkloadNotAllowed {
             workload: workload.name.clone(),
         },
     })
--- a/crates/access/src/read/reader.rs
+++ b/crates/access/src/read/reader.rs
@@ -1,4 +1,4 @@
-//! Reads values of a file, and gathers what is wrong with them.
+//! Reads values of a rules file and collects the errors.
 
 use serde_json::{Map, Value};
 
@@ -12,19 +12,19 @@
 }
 
 impl Reader<'_> {
-    /// Reports an error; None stands for the value that could not be read.
-    pub fn problem<T>(&mut self, path: &str, what: Problem) -> Option<T> {
-        self.report(path.to_string(), what);
+    /// Reports an error and returns `None` in place of the value that could not be read.
+    pub fn fail<T>(&mut self, path: &str, problem: Problem) -> Option<T> {
+        self.report(path.to_string(), problem);
         None
     }
 
     /// Reports an error.
-    pub fn report(&mut self, path: String, what: Problem) {
-        self.errors.push(LocatedProblem { path, what });
+    pub fn report(&mut self, path: String, problem: Problem) {
+        self.errors.push(LocatedProblem { path, problem });
     }
 
-    /// Reports the keys of an object that are not among the known ones, which commas separate.
-    pub fn keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
+    /// Reports the keys of an object that are not in `known`, a list separated by commas.
+    pub fn check_keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
         for key in object
             .keys()
             .filter(|key| !known.split(", ").any(|k| k == *key))
@@ -34,20 +34,30 @@
             } else {
                 format!("{path}.{key}")
             };
-            self.report(path, Problem::Key { known });
+            self.report(path, Problem::UnknownKey { known });
         }
     }
 
-    /// A text that is not empty; None where there is none.
-    pub fn text(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<String> {
+    /// Reads a non-empty text; `None` if the key is missing or its value is no such text.
+    pub fn read_text(
+        &mut self,
+        path: &str,
+        object: &Map<String, Value>,
+        key: &str,
+    ) -> Option<String> {
         match object.get(key)? {
             Value::String(text) if !text.is_empty() => Some(text.clone()),
-            _ => self.problem(&format!("{path}.{key}"), Problem::Kind { needs: "text" }),
+            _ => self.fail(
+                &format!("{path}.{key}"),
+                Problem::WrongType {
+                    needs: "a non-empty text",
+                },
+            ),
         }
     }
 
-    /// A name out of a list; where the list is empty any will do.
-    pub fn name(
+    /// Reads a name that has to be on a list; an empty list allows any name.
+    pub fn read_name(
         &mut self,
         path: &str,
         object: &Map<String, Value>,
@@ -55,13 +65,13 @@
         list: &'static str,
         known: Vec<String>,
     ) -> Option<String> {
-        let name = self.text(path, object, key)?;
+        let name = self.read_text(path, object, key)?;
         if known.is_empty() || known.contains(&name) {
             return Some(name);
         }
-        self.problem(
+        self.fail(
             &format!("{path}.{key}"),
-            Problem::Name {
+            Problem::UnknownName {
                 name,
                 list,
                 known: known.join(", "),
@@ -70,18 +80,19 @@
     }
 }
 
-/// Numbers below this have no gaps between whole ones.
-const MAX_WHOLE: f64 = 9e15;
+/// Below this bound, a 64-bit floating-point number represents every integer exactly.
+const MAX_EXACT_INTEGER: f64 = 9e15;
 
-/// A whole number. JSON5 has one kind of number; whole ones may be written with a point.
-pub(super) fn number(value: &Value) -> Option<i64> {
-    let is_whole = |number: &f64| number.fract() == 0.0 && number.abs() < MAX_WHOLE;
+/// Reads an integer. JSON5 has a single type of number, so an integer may be written with a decimal
+/// point.
+pub(super) fn read_integer(value: &Value) -> Option<i64> {
+    let is_whole = |number: &f64| number.fract() == 0.0 && number.abs() < MAX_EXACT_INTEGER;
     value
         .as_i64()
         .or_else(|| value.as_f64().filter(is_whole).map(|number| number as i64))
 }
 
-/// A whole number that is not negative.
-pub(super) fn whole(value: &Value) -> Option<u64> {
-    number(value).and_then(|n| u64::try_from(n).ok())
+/// Reads an integer that is not negative.
+pub(super) fn read_unsigned(value: &Value) -> Option<u64> {
+    read_integer(value).and_then(|n| u64::try_from(n).ok())
 }
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -1,7 +1,7 @@
-//! Limits of rules over the whole fleet: at most N statements begin in any window of T. Each front holds a share of
-//! each limit that it has traffic for, in escrow: what it holds no other can spend. Shares are kept in the ledger, move
-//! to where the traffic is before they run out, and are taken back from a front that is lost once it can surely
-//! spend them no more.
+//! Limits of rules over the whole fleet: at most N statements begin in any window of T. Each front
+//! with traffic for a limit holds a share of its tokens in escrow; no other front can spend them.
+//! Shares are stored in the ledger. They move to the fronts with traffic before those run out, and
+//! are revoked from a lost front once it certainly can no longer spend them.
 
 mod demand;
 mod share;
@@ -20,17 +20,17 @@
 /// A statement that limits apply to.
 struct LimitedStatement {
     limits: Vec<Limit>,
-    /// Limits of which it has no share yet.
-    lacks: usize,
-    /// An execution of it has left.
-    began: bool,
+    /// The number of limits for which the statement has no token yet.
+    missing_shares: usize,
+    /// Whether an execution of the statement has been sent.
+    has_begun: bool,
 }
 
-/// A request to the ledger that is out.
+/// A pending request to the ledger.
 struct Request {
     limit: Limit,
-    /// When it was made.
-    at: Micros,
+    /// The time of the request, from which a lease is counted.
+    requested_at: Micros,
 }
 
 /// One front's shares of all limits that it has traffic for.
@@ -40,100 +40,108 @@
     statements: BTreeMap<u64, LimitedStatement>,
     requests: HashMap<u64, Request>,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<LedgerRequest>,
-    /// Statements that have waited for their shares and have them now, or have none.
+    pub ledger_requests: Vec<LedgerRequest>,
+    /// Statements that waited and now have a token of each of their limits.
     pub ready: Vec<u64>,
-    /// Statements that were refused for want of a share since the caller took them last.
-    pub refused: Vec<u64>,
-    /// Statements refused by each rule's limit, so far.
-    pub limited: BTreeMap<String, u64>,
+    /// Statements rejected for lack of a token since the caller last took them.
+    pub rejected: Vec<u64>,
+    /// The number of statements rejected by the limit of each rule.
+    pub rejections_by_rule: BTreeMap<String, u64>,
 }
 
 impl Shares {
-    /// A share is spent under a lease by `terms`; `fronts` is how many share.
+    /// Creates the shares of one front. Each share is spent under a lease by `terms`; `fronts` is
+    /// the number of fronts that share the limits.
     pub fn new(own: Owner, terms: hallmux_lease::LeaseTerms, fronts: usize) -> Shares {
         Shares {
-            context: ShareContext { own, terms, fronts },
+            context: ShareContext {
+                owner: own,
+                terms,
+                front_count: fronts,
+            },
             shares: BTreeMap::new(),
             statements: BTreeMap::new(),
             requests: HashMap::new(),
-            asks: Vec::new(),
+            ledger_requests: Vec::new(),
             ready: Vec::new(),
-            refused: Vec::new(),
-            limited: BTreeMap::new(),
+            rejected: Vec::new(),
+            rejections_by_rule: BTreeMap::new(),
         }
     }
 
-    /// Whether a statement may go on at once; else it waits, and is among `ready` or `refused` later.
-    pub fn take(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
+    /// Reserves a token of each limit. Returns whether the statement may proceed at once; otherwise
+    /// it waits, and is in `ready` or `rejected` later.
+    pub fn acquire(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
         let context = self.context;
-        let mut lacks = 0;
+        let mut missing_shares = 0;
         for limit in &limits {
             let share = self
                 .shares
                 .entry(limit.clone())
                 .or_insert_with(|| Share::new(limit.clone(), context));
-            if !share.take(now, statement) {
-                lacks += 1;
+            if !share.acquire(now, statement) {
+                missing_shares += 1;
             }
         }
         self.statements.insert(
             statement,
             LimitedStatement {
                 limits,
-                lacks,
-                began: false,
+                missing_shares,
+                has_begun: false,
             },
         );
-        self.collect();
-        lacks == 0
+        self.collect_outcomes();
+        missing_shares == 0
     }
 
-    /// Whether a statement's execution may leave now; the first is its beginning.
-    pub fn begins(&mut self, now: Micros, statement: u64) -> bool {
+    /// Returns whether an execution of a statement may be sent now. The first execution spends the
+    /// statement's tokens.
+    pub fn begin(&mut self, now: Micros, statement: u64) -> bool {
         let Some(limited) = self.statements.get_mut(&statement) else {
             return true;
         };
-        if limited.began {
+        if limited.has_begun {
             return true;
         }
-        if limited.lacks > 0 {
+        if limited.missing_shares > 0 {
             return false;
         }
-        let mut may = true;
-        // Every share has to learn of it, also where an earlier one has refused.
+        let mut is_allowed = true;
+        // Every share has to be notified, even if an earlier one did not allow the statement.
         for limit in &limited.limits {
             let share = self.shares.get_mut(limit);
-            may &= share.is_some_and(|share| share.begins(now, statement));
+            is_allowed &= share.is_some_and(|share| share.begin(now, statement));
         }
-        limited.began = may;
-        if !may {
-            limited.lacks = 1;
+        limited.has_begun = is_allowed;
+        if !is_allowed {
+            limited.missing_shares = 1;
         }
-        may
+        is_allowed
     }
 
-    /// A statement may not begin for want of a share.
-    pub fn lacks(&self, statement: u64) -> bool {
+    /// Returns whether a statement cannot begin for lack of a token.
+    pub fn awaits_share(&self, statement: u64) -> bool {
         self.statements
             .get(&statement)
-            .is_some_and(|limited| limited.lacks > 0)
+            .is_some_and(|limited| limited.missing_shares > 0)
     }
 
-    /// A statement has ended or is abandoned: it waits for no share any more. What it spent stays spent for
-    /// the limit's window.
-    pub fn over(&mut self, statement: u64) {
+    /// Removes a statement that has ended or is abandoned, and ends its waiting. A spent token
+    /// stays spent for the limit's window.
+    pub fn release(&mut self, statement: u64) {
         let Some(limited) = self.statements.remove(&statement) else {
             return;
         };
         for limit in &limited.limits {
             if let Some(share) = self.shares.get_mut(limit) {
-                share.over(statement);
+                share.release(statement);
             }
         }
     }
 
-    /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
+    /// Returns the time on the steady clock at which `tick` is next due; `Micros::MAX` if nothing
+    /// is scheduled.
     pub fn due(&self, now: Micros) -> Micros {
         self.shares
             .values()
@@ -142,8 +150,8 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// Queues the requests that are due and serves the statements that wait. `number` gives each request a
-    /// number of its own.
+    /// Queues the requests that are due and serves waiting statements. `number` returns a new
+    /// number for each request.
     pub fn tick(&mut self, at: ClockReading, number: &mut impl FnMut() -> u64) {
         for (limit, share) in &mut self.shares {
             let Some(operation) = share.tick(at.steady) else {
@@ -152,38 +160,38 @@
             let number = number();
             let request = Request {
                 limit: limit.clone(),
-                at: at.steady,
+                requested_at: at.steady,
             };
             self.requests.insert(number, request);
-            self.asks.push(LedgerRequest {
+            self.ledger_requests.push(LedgerRequest {
                 number,
                 key: limit.key(),
                 operation,
             });
         }
-        self.collect();
+        self.collect_outcomes();
         self.shares.retain(|_, share| !share.is_idle());
     }
 
-    /// The ledger has answered. False if it was not asked here.
-    pub fn done(
+    /// Handles an answer of the ledger. Returns false if the request was not made here.
+    pub fn on_ledger_answer(
         &mut self,
         at: ClockReading,
-        asked: u64,
+        request_number: u64,
         outcome: Outcome,
         number: &mut impl FnMut() -> u64,
     ) -> bool {
-        let Some(request) = self.requests.remove(&asked) else {
+        let Some(request) = self.requests.remove(&request_number) else {
             return false;
         };
         if let Some(share) = self.shares.get_mut(&request.limit) {
-            share.on_answer(at.steady, request.at, outcome);
+            share.on_answer(at.steady, request.requested_at, outcome);
         }
         self.tick(at, number);
         true
     }
 
-    /// What keeps shares from being spent, if anything that an operator should know of.
+    /// Returns the fault that prevents tokens from being spent, if an operator should know of it.
     pub fn fault(&self) -> Option<Event> {
         let unreadable = self.shares.values().any(|share| share.unreadable);
         let full = self.shares.values().any(|share| share.full);
@@ -197,28 +205,32 @@
         }
     }
 
-    /// Takes from each share the statements that have it now, and those that get none.
-    fn collect(&mut self) {
-        let mut refused = Vec::new();
+    /// Collects from each share the statements that were granted a token and those that were
+    /// rejected.
+    fn collect_outcomes(&mut self) {
+        let mut rejected = Vec::new();
         for share in self.shares.values_mut() {
             for statement in share.ready.drain(..) {
                 let Some(limited) = self.statements.get_mut(&statement) else {
                     continue;
                 };
-                limited.lacks = limited.lacks.saturating_sub(1);
-                if limited.lacks == 0 {
+                limited.missing_shares = limited.missing_shares.saturating_sub(1);
+                if limited.missing_shares == 0 {
                     self.ready.push(statement);
                 }
             }
-            for statement in share.refused.drain(..) {
-                *self.limited.entry(share.limit.rule.clone()).or_default() += 1;
-                refused.push(statement);
+            for statement in share.rejected.drain(..) {
+                *self
+                    .rejections_by_rule
+                    .entry(share.limit.rule.clone())
+                    .or_default() += 1;
+                rejected.push(statement);
             }
         }
-        for statement in refused {
+        for statement in rejected {
             if self.statements.contains_key(&statement) {
-                self.over(statement);
-                self.refused.push(statement);
+                self.release(statement);
+                self.rejected.push(statement);
             }
         }
     }
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -1,47 +1,54 @@
-//! How this front changes the fleet's version: its file's parts, then the head; and how it says that one is in force.
+//! Changes the fleet's version: stores the parts of a file, then the head, and later confirms that
+//! the version is in force.
 
 use hallmux_ledger::{Entry, Key, Operation};
 
-use super::{Offer, Pending, StoredHead, Versions};
-use crate::error::Refused;
+use super::{Pending, Proposal, StoredHead, Versions};
+use crate::error::ChangeError;
 use crate::event::Event;
 use crate::head::{
-    head_key, part_keys, parts, Head, NextHead, StoredVersion, DROPPED_PARTS_MS, MAX_TEXT,
+    head_key, part_keys, split_parts, Head, NextHead, StoredVersion, DROPPED_PARTS_MS,
+    MAX_TEXT_BYTES,
 };
 use crate::index::Index;
 use crate::read::RulesCommand;
 use crate::{ClockReading, Micros};
 
 impl Versions {
-    /// A file was read: it is to be the fleet's.
-    pub fn offer(&mut self, file: &str, text: &str, command: RulesCommand) {
-        self.offer = None;
+    /// Proposes a file's rules as the fleet's version, in place of any earlier proposal.
+    pub fn propose(&mut self, file: &str, text: &str, command: RulesCommand) {
+        self.proposal = None;
         if matches!(command, RulesCommand::WhatIf(_)) {
-            return; // a question changes nothing
+            return; // a what-if file changes nothing
         }
-        if text.len() > MAX_TEXT {
-            return self.events.push(Event::Refused(Refused::TooLong {
-                file: file.to_string(),
-                bytes: text.len(),
-                most: MAX_TEXT,
-            }));
+        if text.len() > MAX_TEXT_BYTES {
+            return self
+                .events
+                .push(Event::ChangeRejected(ChangeError::TextTooLong {
+                    file: file.to_string(),
+                    bytes: text.len(),
+                    max: MAX_TEXT_BYTES,
+                }));
         }
-        self.offer = Some(Offer {
+        self.proposal = Some(Proposal {
             file: file.to_string(),
             command,
             text: text.to_string(),
             parts_stored: 0,
             swapping: false,
-            wanted: None,
+            target: None,
         });
         self.next_head_read = Micros::MIN;
         self.retry_at = Micros::MIN;
     }
 
-    /// The kept version that an offer wants, or why not.
-    pub(super) fn wanted(&self, offer: &Offer) -> Result<StoredVersion, Refused> {
-        let RulesCommand::RollBack { version, to } = offer.command else {
-            return Ok(StoredVersion::of(offer.command.version(), &offer.text));
+    /// Returns the version that a proposal asks for, or the reason why it cannot be provided.
+    pub(super) fn target_version(&self, proposal: &Proposal) -> Result<StoredVersion, ChangeError> {
+        let RulesCommand::RollBack { version, to } = proposal.command else {
+            return Ok(StoredVersion::of_text(
+                proposal.command.version(),
+                &proposal.text,
+            ));
         };
         let head = self.head.as_ref().map(|stored| &stored.head);
         if let Some(kept) = head.and_then(|head| head.find(to)) {
@@ -52,82 +59,90 @@
             .flat_map(|head| &head.previous)
             .map(|kept| kept.version.to_string())
             .collect();
-        Err(Refused::NotKept {
-            file: offer.file.clone(),
+        Err(ChangeError::VersionNotKept {
+            file: proposal.file.clone(),
             to,
             kept: kept.join(", "),
         })
     }
 
-    /// What has become of an offer, by the head.
-    pub(super) fn resolve_offer(&mut self) {
-        let Some(offer) = self.offer.as_ref() else {
+    /// Ends a proposal that the head shows as accepted or rejected.
+    pub(super) fn resolve_proposal(&mut self) {
+        let Some(proposal) = self.proposal.as_ref() else {
             return;
         };
-        let Some(has) = self.head.as_ref().map(|stored| stored.head.current) else {
+        let Some(current) = self.head.as_ref().map(|stored| stored.head.current) else {
             return;
         };
-        let (file, stated, next) = (offer.file.clone(), offer.command.version(), has.version + 1);
-        if stated > has.version {
+        let (file, stated, next) = (
+            proposal.file.clone(),
+            proposal.command.version(),
+            current.version + 1,
+        );
+        if stated > current.version {
             return;
         }
-        let same =
-            offer.wanted == Some(has) || self.wanted(offer).is_ok_and(|wanted| wanted == has);
-        let event = match (stated == has.version, same) {
+        let is_current = proposal.target == Some(current)
+            || self
+                .target_version(proposal)
+                .is_ok_and(|target| target == current);
+        let event = match (stated == current.version, is_current) {
             (true, true) => Event::Accepted { version: stated },
-            (true, false) if offer.parts_stored > 0 => {
-                Event::Refused(Refused::Lost { file, stated, next })
+            (true, false) if proposal.parts_stored > 0 => {
+                Event::ChangeRejected(ChangeError::ConcurrentChange { file, stated, next })
             }
-            (true, false) => Event::Refused(Refused::Other { file, stated, next }),
-            (false, _) => Event::Refused(Refused::Old {
+            (true, false) => {
+                Event::ChangeRejected(ChangeError::VersionTaken { file, stated, next })
+            }
+            (false, _) => Event::ChangeRejected(ChangeError::VersionTooLow {
                 file,
                 stated,
-                has: has.version,
+                current: current.version,
                 next,
             }),
         };
-        self.offer = None;
+        self.proposal = None;
         self.events.push(event);
     }
 
-    /// Brings an offer one step on: its parts, then the head.
-    pub(super) fn propose(&mut self, at: ClockReading) {
-        // One that is not above the head is never swapped in, however the head was read.
-        self.resolve_offer();
-        let Some(offer) = self
-            .offer
+    /// Takes the next step of a proposal: stores its parts, then changes the head.
+    pub(super) fn advance_proposal(&mut self, at: ClockReading) {
+        // A proposal that is not above the head is never stored, however the head was read.
+        self.resolve_proposal();
+        let Some(proposal) = self
+            .proposal
             .as_ref()
-            .filter(|offer| self.ledger_has_answered && !offer.swapping)
+            .filter(|proposal| self.ledger_has_answered && !proposal.swapping)
         else {
             return;
         };
         if self.is_pending(|pending| matches!(pending, Pending::PutPart | Pending::Swap { .. })) {
             return;
         }
-        let wanted = match self.wanted(offer) {
-            Ok(wanted) => wanted,
+        let target = match self.target_version(proposal) {
+            Ok(target) => target,
             Err(why) => {
-                self.offer = None;
-                return self.events.push(Event::Refused(why));
+                self.proposal = None;
+                return self.events.push(Event::ChangeRejected(why));
             }
         };
-        let is_set = matches!(offer.command, RulesCommand::Replace(_));
+        let is_set = matches!(proposal.command, RulesCommand::Replace(_));
         let keys: Vec<Key> = if is_set {
-            part_keys(wanted).collect()
+            part_keys(target).collect()
         } else {
             Vec::new()
         };
-        if offer.parts_stored < keys.len() {
-            let parts = parts(&offer.text);
+        if proposal.parts_stored < keys.len() {
+            let parts = split_parts(&proposal.text);
             return self.put_parts(at, keys, parts);
         }
-        let in_force = self.holds_at_once(offer, at);
-        self.swap_head(at, wanted, in_force);
+        let in_force = self.is_effective_at_once(proposal, at);
+        self.swap_head(at, target, in_force);
     }
 
     fn put_parts(&mut self, at: ClockReading, keys: Vec<Key>, parts: Vec<Vec<u8>>) {
-        if let Some(offer) = &mut self.offer {
-            offer.parts_stored = 0;
+        if let Some(proposal) = &mut self.proposal {
+            proposal.parts_stored = 0;
         }
         for (key, value) in keys.into_iter().zip(parts) {
             let operation = Operation::Put {
@@ -135,31 +150,32 @@
                 ends_ms: 0,
                 value,
             };
-            self.ask(at, Pending::PutPart, key, operation);
+            self.queue_request(at, Pending::PutPart, key, operation);
         }
     }
 
-    /// Changes the head to the version that the offer wants.
-    fn swap_head(&mut self, at: ClockReading, wanted: StoredVersion, in_force: bool) {
+    /// Changes the head to the version that the proposal asks for.
+    fn swap_head(&mut self, at: ClockReading, target: StoredVersion, in_force: bool) {
         let stored = self.head.as_ref();
         let NextHead { head, dropped } =
-            Head::after(stored.map(|stored| &stored.head), wanted, in_force);
+            Head::following(stored.map(|stored| &stored.head), target, in_force);
         let operation = Operation::Put {
             expects: Some(stored.map_or(0, |stored| stored.version)),
             ends_ms: 0,
             value: head.bytes(),
         };
-        let to = wanted;
-        self.ask(at, Pending::Swap { to, dropped }, head_key(), operation);
-        if let Some(offer) = &mut self.offer {
-            offer.swapping = true;
-            offer.wanted = Some(wanted);
+        let to = target;
+        self.queue_request(at, Pending::Swap { to, dropped }, head_key(), operation);
+        if let Some(proposal) = &mut self.proposal {
+            proposal.swapping = true;
+            proposal.target = Some(target);
         }
     }
 
-    /// Nothing is barred by it that the set in force lets through: it holds with its swap.
-    pub(super) fn holds_at_once(&self, offer: &Offer, at: ClockReading) -> bool {
-        let RulesCommand::Replace(set) = &offer.command else {
+    /// Returns whether the proposal bars nothing that the set in force allows, so that it is in
+    /// force as soon as the head is changed.
+    pub(super) fn is_effective_at_once(&self, proposal: &Proposal, at: ClockReading) -> bool {
+        let RulesCommand::Replace(set) = &proposal.command else {
             return false;
         };
         let from = self.head.as_ref().map(|stored| stored.head.current);
@@ -172,28 +188,28 @@
     pub(super) fn on_swapped(
         &mut self,
         at: ClockReading,
-        asked_at: Micros,
+        requested_at: Micros,
         to: StoredVersion,
         dropped: Option<StoredVersion>,
         entry: Entry,
     ) {
-        self.on_head(at, asked_at, Some(entry));
+        self.on_head(at, requested_at, Some(entry));
         self.changed_here = self
             .head
             .as_ref()
             .is_some_and(|stored| stored.head.current == to);
-        // Parts that nothing names any more end after a while.
+        // Parts that no version needs any more expire after a while.
         for key in dropped.into_iter().flat_map(part_keys) {
             let operation = Operation::Put {
                 expects: None,
                 ends_ms: at.wall_ms + DROPPED_PARTS_MS,
                 value: Vec::new(),
             };
-            self.ask(at, Pending::ExpirePart, key, operation);
+            self.queue_request(at, Pending::ExpirePart, key, operation);
         }
     }
 
-    /// Says that the head is in force.
+    /// Confirms that the head's version is in force.
     pub(super) fn confirm_in_force(&mut self, at: ClockReading) {
         let Some(StoredHead { head, version }) = &self.head else {
             return;
@@ -207,6 +223,6 @@
             ends_ms: 0,
             value: confirmed.bytes(),
         };
-        self.ask(at, Pending::ConfirmInForce, head_key(), operation);
+        self.queue_request(at, Pending::ConfirmInForce, head_key(), operation);
     }
 }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -89,12 +89,12 @@
 impl Rules {
     /// SIGHUP: the file is read again. One that can't be used changes nothing.
     pub fn reload(&mut self, now: Micros, rules: &hallmux_config::Rules) {
-        match read(&rules.file, self.access.known()) {
+        match read(&rules.file, self.access.known_names()) {
             Ok((_, RulesCommand::WhatIf(set))) => {
                 let found = self.access.what_if(self.moment(now), set);
                 log_lines::what_if(&found);
             }
-            Ok((text, command)) => self.access.offer(&rules.file, &text, command),
+            Ok((text, command)) => self.access.propose(&rules.file, &text, command),
             Err(why) => log::error!("the rules are left as they were: {why}"),
         }
         self.logged_hits = None;
@@ -117,10 +117,10 @@
             workload: workload.to_string(),
             groups,
         };
-        let judged = self.access.judge(self.moment(now), request);
+        let judged = self.access.evaluate(self.moment(now), request);
         if let Decision::Decided { verdict, .. } = &judged {
             if let Some(why) = &verdict.denied {
-                let rule = self.access.rule(verdict).unwrap_or("the default");
+                let rule = self.access.rule_name(verdict).unwrap_or("the default");
                 log::info!(
                     "customer {customer}: {workload} is denied by {rule} of version {}: {why}",
                     verdict.version
@@ -157,7 +157,7 @@
         if let Decision::Decided {
             statement,
             verdict,
-            waits,
+            awaits_count,
         } = judged
         {
             dispatcher.watch_end(ticket);
@@ -166,14 +166,14 @@
                 *statement,
                 Statement {
                     ticket,
-                    waits: *waits,
+                    waits: *awaits_count,
                     denied,
                     ran: false,
                     held: Vec::new(),
                 },
             );
             self.tickets.insert(ticket, *statement);
-            if denied && !waits {
+            if denied && !awaits_count {
                 self.rulings.push(Ruling::Deny(ticket));
             }
         }
@@ -181,7 +181,7 @@
 
     fn dropped(&mut self, judged: &Decision) {
         if let Decision::Decided { statement, .. } = judged {
-            self.access.statement_over(*statement);
+            self.access.statement_ended(*statement);
         }
     }
 
@@ -189,7 +189,7 @@
     pub fn statement_over(&mut self, ticket: Ticket) {
         if let Some(statement) = self.tickets.remove(&ticket) {
             self.statements.remove(&statement);
-            self.access.statement_over(statement);
+            self.access.statement_ended(statement);
         }
     }
 
@@ -226,12 +226,12 @@
         };
         let at = self.moment(now);
         let location = dispatcher.engine_site(ordered.place).location;
-        let names = &self.access.known().locations;
+        let names = &self.access.known_names().locations;
         let location = names.get(location).cloned().unwrap_or_default();
         let may = self
             .access
             .may_send(at, number, place_of(ordered.id()), &location);
-        let closed = !self.access.version(at.steady).may_judge;
+        let closed = !self.access.held_version(at.steady).has_lease;
         let limited = self.access.is_limited(number);
         let Some(s) = self.statements.get_mut(&number) else {
             return true;
@@ -316,7 +316,7 @@
         }
         self.access.tick(at);
         loop {
-            let out = self.access.take();
+            let out = self.access.take_output();
             self.take(at, &out);
             let answers = self.ask_ledger(now, at, out.ledger_requests, peers.as_deref_mut());
             if answers.is_empty() {
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -40,7 +40,7 @@
 
     /// What limits have turned away here, where that has changed.
     pub(super) fn log_limits(&mut self) {
-        let limited = self.access.limited().clone();
+        let limited = self.access.limit_rejections().clone();
         for (rule, count) in &limited {
             if self.logged_limits.get(rule) != Some(count) {
                 log::info!(
@@ -58,11 +58,11 @@
 /// What a set would decide otherwise than the one that holds.
 pub fn what_if(found: &WhatIfReport) {
     let WhatIfReport {
-        held,
-        version,
-        back,
+        held_version: held,
+        proposed_version: version,
+        covered_time: back,
         statements,
-        unknown,
+        unrecorded: unknown,
         changes,
     } = found;
     let otherwise: u64 = changes.values().sum();
@@ -98,8 +98,9 @@
     let at = locations
         .as_ref()
         .map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
-    let limit =
-        |l: &hallmux_access::Limit| format!(", at most {} in {} ms", l.most, l.window / 1000);
+    let limit = |l: &hallmux_access::Limit| {
+        format!(", at most {} in {} ms", l.max_statements, l.window / 1000)
+    };
     format!(
         "let through {at}{}",
         limits.iter().map(limit).collect::<String>()
@@ -117,7 +118,7 @@
         Event::Accepted { version } => {
             log::info!("this front's file is the fleet's: version {version} of the rules")
         }
-        Event::Refused(why) => log::error!("the rules are left as they were: {why}"),
+        Event::ChangeRejected(why) => log::error!("the rules are left as they were: {why}"),
         Event::RulesUnknown => {
             log::warn!("cannot know which rules hold; statements of customers that they can be about are rejected")
         }
