--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -5,8 +5,8 @@
 mod copies;
 mod errors;
 mod faulty_disk;
-mod gate;
 mod join;
+mod ledger_barrier;
 mod members;
 mod peers;
 /// Regional access rules of customers.
@@ -14,5 +14,5 @@
 mod votes;
 
 pub use errors::{PeersError, RulesError};
-pub use gate::LoggedGuard;
+pub use ledger_barrier::LoggedGuard;
 pub use peers::{PeerMessage, Peers};
