--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -21,8 +21,8 @@
 use crate::engine_starts::EngineStarts;
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketId, SocketKind};
-use crate::fleet::rules::Shared;
-use crate::fleet::{LoggedGuard, Peers};
+use crate::fleet::rules::SharedRules;
+use crate::fleet::{LoggedBarrier, Peers};
 use crate::link::Link;
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
@@ -57,9 +57,9 @@
     /// Messages with other fronts, likewise.
     peers: Option<Peers>,
     /// Regional access rules of customers, likewise.
-    rules: Option<Shared>,
+    rules: Option<SharedRules>,
     /// Executions that wait for the ledger, where fronts keep one.
-    guard: Option<LoggedGuard>,
+    guard: Option<LoggedBarrier>,
     /// Statements that are asked of several sites, likewise.
     scatter: Option<ScatteredStatements>,
     /// What was reported to the dispatcher of how many executions can leave for each engine.
@@ -97,7 +97,7 @@
         let optional = [
             self.gateway.as_ref().map(Gateway::due),
             self.peers.as_ref().map(|peers| peers.due(now)),
-            self.guard.as_ref().map(LoggedGuard::due),
+            self.guard.as_ref().map(LoggedBarrier::due),
             self.rules.as_ref().map(|rules| rules.borrow().due(now)),
             self.scatter.as_ref().map(|scatter| scatter.due(gossips)),
         ];
@@ -132,7 +132,7 @@
             SocketKind::Peers => self
                 .peers
                 .as_mut()
-                .is_some_and(|peers| peers.read(self.clock.now)),
+                .is_some_and(|peers| peers.receive_datagrams(self.clock.now)),
             SocketKind::SessionListener
             | SocketKind::Session
             | SocketKind::Server
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -101,7 +101,7 @@
             true => self
                 .rules
                 .iter()
-                .for_each(|rules| rules.borrow_mut().statement_over(ticket)),
+                .for_each(|rules| rules.borrow_mut().statement_ended(ticket)),
             false => self.dispatcher.client_left(now, ticket),
         }
         // The statement is over first: else it could be tried anew.
@@ -149,7 +149,7 @@
             return self.clients.reject(client, number);
         }
         let rules = self.rules.as_ref();
-        let allowed = rules.and_then(|rules| rules.borrow().allowed(&judged));
+        let allowed = rules.and_then(|rules| rules.borrow().allowed_locations(&judged));
         let request = JudgedRequest {
             client,
             number,
@@ -178,7 +178,7 @@
             return Some(NotTaken::Rejected);
         }
         let scatter = self.scatter.as_ref();
-        if scatter.is_some_and(|scatter| scatter.passes_for_numbered(call)) {
+        if scatter.is_some_and(|scatter| scatter.has_reserved_prefix(call)) {
             return Some(NotTaken::NumberedText);
         }
         self.is_full().then_some(NotTaken::Rejected)
@@ -212,7 +212,7 @@
         };
         let now = self.clock.now;
         let mut rules = rules.borrow_mut();
-        rules.judge(now, &call.customer, &call.workload, &call.statement)
+        rules.check_statement(now, &call.customer, &call.workload, &call.statement)
     }
 
     /// Whether no more statements can be taken: too many are held, or they take too much memory.
@@ -262,7 +262,7 @@
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(&mut self.dispatcher, &judged, picked.ok());
+                .record_admission(&mut self.dispatcher, &judged, picked.ok());
         }
         match picked {
             Ok(ticket) => self.clients.open(client, number, ticket, call),
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -11,7 +11,7 @@
 use super::EventLoopState;
 use crate::engines;
 use crate::execution::ExecutionId;
-use crate::fleet::rules::{Ordered, Ruling, Shared};
+use crate::fleet::rules::{RuleDecision, SendCommand, SharedRules};
 use crate::fleet::Peers;
 use crate::postgres::admission_state::AdmissionState;
 use crate::postgres::gateway::Gateway;
@@ -103,24 +103,24 @@
         self.dispatcher
             .watched_ends()
             .iter()
-            .for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
+            .for_each(|ticket| rules.borrow_mut().statement_ended(*ticket));
         let rulings = rules
             .borrow_mut()
             .tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
-                Ruling::Send(ordered) => self.await_promises(ordered),
-                Ruling::Deny(ticket) => {
+                RuleDecision::Send(ordered) => self.await_promises(ordered),
+                RuleDecision::Deny(ticket) => {
                     let refusal = Refusal::Rejected { retry_after: None };
                     self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.dispatcher.reject(now, ticket);
                 }
-                Ruling::Abort(ticket) => {
+                RuleDecision::Abort(ticket) => {
                     let refusal = Refusal::Aborted;
                     self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
-                Ruling::Reject { ticket, may_retry } => {
+                RuleDecision::Reject { ticket, may_retry } => {
                     let retry_after = self.dispatcher.reject(now, ticket);
                     let retry_after = retry_after.filter(|_| may_retry);
                     let refusal = Refusal::Rejected { retry_after };
@@ -150,8 +150,8 @@
                     ..
                 }) => {
                     self.dispatcher.execution_sent(now, ticket, execution);
-                    self.await_mark(Ordered {
-                        judged: self.statement_for_rules(ticket),
+                    self.await_mark(SendCommand {
+                        checked_ticket: self.statement_for_rules(ticket),
                         ticket,
                         execution,
                         place,
@@ -201,7 +201,7 @@
     }
 
     /// An execution that rules have let go on waits for its promises, or leaves.
-    fn await_promises(&mut self, ordered: Ordered) {
+    fn await_promises(&mut self, ordered: SendCommand) {
         let (now, guard) = (self.clock.now, self.guard.as_mut());
         if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, &ordered)) {
             self.await_mark(ordered);
@@ -209,7 +209,7 @@
     }
 
     /// An execution that has its promises waits for the mark on its load, or leaves.
-    fn await_mark(&mut self, ordered: Ordered) {
+    fn await_mark(&mut self, ordered: SendCommand) {
         let now = self.clock.now;
         let load = self.load(ordered.ticket);
         let loads = self
@@ -235,18 +235,22 @@
     }
 
     /// Whether rules still let it leave: nothing may come between this look and its way.
-    pub(super) fn may_leave(&mut self, ordered: Ordered) -> bool {
+    pub(super) fn may_leave(&mut self, ordered: SendCommand) -> bool {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        let may = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
+        let may = |rules: &SharedRules| {
+            rules
+                .borrow_mut()
+                .check_before_send(now, dispatcher, ordered)
+        };
         self.rules.as_ref().is_none_or(may)
     }
 
     /// An execution leaves for its engine.
-    fn send(&mut self, ordered: Ordered) {
+    fn send(&mut self, ordered: SendCommand) {
         if !self.may_leave(ordered) {
             return;
         }
-        let Ordered {
+        let SendCommand {
             ticket,
             execution,
             place,
@@ -317,7 +321,7 @@
     pub(super) fn statement_for_rules(&self, ticket: Ticket) -> Ticket {
         self.scatter
             .as_ref()
-            .and_then(|scatter| scatter.whole_of(ticket))
+            .and_then(|scatter| scatter.parent_of(ticket))
             .unwrap_or(ticket)
     }
 
@@ -325,7 +329,7 @@
         let part = || {
             self.scatter
                 .as_ref()
-                .and_then(|scatter| scatter.call(ticket))
+                .and_then(|scatter| scatter.call_of_part(ticket))
         };
         self.clients.call(ticket).or_else(part)
     }
@@ -339,8 +343,8 @@
                 execution,
                 place,
                 terms,
-            } => self.send_when_allowed(Ordered {
-                judged: self.statement_for_rules(ticket),
+            } => self.send_when_allowed(SendCommand {
+                checked_ticket: self.statement_for_rules(ticket),
                 ticket,
                 execution,
                 place,
@@ -379,9 +383,10 @@
     }
 
     /// An execution leaves once rules, promises and marks allow it.
-    fn send_when_allowed(&mut self, ordered: Ordered) {
+    fn send_when_allowed(&mut self, ordered: SendCommand) {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        let passes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
+        let passes =
+            |rules: &SharedRules| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
         if self.rules.as_ref().is_none_or(passes) {
             self.await_promises(ordered);
         }
--- a/crates/front/src/event_loop/graceful_shutdown.rs
+++ b/crates/front/src/event_loop/graceful_shutdown.rs
@@ -11,7 +11,7 @@
 //!    process.
 
 use super::EventLoopState;
-use crate::fleet::LoggedGuard;
+use crate::fleet::LoggedBarrier;
 use crate::postgres::gateway::Gateway;
 use crate::shutdown::LedgerDuty;
 
@@ -71,6 +71,6 @@
             && self.clients.len() == 0
             && self.gateway.as_ref().is_none_or(Gateway::is_done)
             // What it holds of the ledger is freed first.
-            && self.guard.as_ref().is_none_or(LoggedGuard::is_idle)
+            && self.guard.as_ref().is_none_or(LoggedBarrier::is_idle)
     }
 }
--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -10,10 +10,11 @@
 use super::admission::JudgedRequest;
 use super::EventLoopState;
 use crate::execution::ExecutionId;
-use crate::fleet::rules::Ordered;
+use crate::fleet::rules::SendCommand;
 use crate::fleet::PeerMessage;
 use crate::scatter::{
-    FinalReply, GroupMarks, LoadOutcome, Outgoing, ScatterRequest, ScatteredStatements, ASK_NUMBERS,
+    FinalReply, GroupMarkers, LoadOutcome, Outgoing, ScatterRequest, ScatteredStatements,
+    REQUEST_NUMBER_BASE,
 };
 
 const NOT_ESTIMATED: &str =
@@ -29,7 +30,7 @@
         let Some(scatter) = scatter.filter(|s| s.is_scattered(&request.call.workload)) else {
             return Some(request);
         };
-        match scatter.read(&request.call) {
+        match scatter.parse_query(&request.call) {
             Ok(Some(query)) => {
                 self.begin_scattered(request, query);
                 None
@@ -56,7 +57,7 @@
             return;
         };
         if let Some(rules) = &self.rules {
-            rules.borrow_mut().statement_picked(
+            rules.borrow_mut().record_admission(
                 &mut self.dispatcher,
                 &request.judged,
                 Some(ticket),
@@ -66,10 +67,10 @@
             let statement = ScatterRequest {
                 call,
                 query,
-                ends: now + request.time_left,
-                allowed: request.allowed,
+                deadline: now + request.time_left,
+                allowed_sites: request.allowed,
             };
-            scatter.begin(now, ticket, statement, &mut self.dispatcher);
+            scatter.start(now, ticket, statement, &mut self.dispatcher);
         }
     }
 
@@ -84,17 +85,21 @@
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(&mut self.dispatcher, &request.judged, None);
+                .record_admission(&mut self.dispatcher, &request.judged, None);
         }
     }
 
     /// Ends a part of a scattered statement; false if the ticket is no part.
     pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], PartFailure>) -> bool {
         let now = self.clock.now;
-        let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else {
+        let Some(scatter) = self
+            .scatter
+            .as_mut()
+            .filter(|scatter| scatter.is_part(part))
+        else {
             return false;
         };
-        scatter.ended(now, part, ended.map(<[u8]>::to_vec), &mut self.dispatcher);
+        scatter.part_ended(now, part, ended.map(<[u8]>::to_vec), &mut self.dispatcher);
         true
     }
 
@@ -104,10 +109,10 @@
         let Some(scatter) = &mut self.scatter else {
             return;
         };
-        scatter.summaries.choose(now);
-        scatter.finish_audits(now, &mut self.dispatcher);
+        scatter.summaries.update_retention(now);
+        scatter.expire_audit_waits(now, &mut self.dispatcher);
         if let Some(peers) = &mut self.peers {
-            let mut messages = scatter.tick(now, &peers.others());
+            let mut messages = scatter.tick(now, &peers.accepted_peers());
             for PeerMessage { from, bytes } in peers.take_messages(Channel::Summaries) {
                 messages.extend(scatter.summaries.receive(now, from, &bytes));
             }
@@ -133,16 +138,17 @@
             let Some(loads) = &mut scatter.loads else {
                 return;
             };
-            let answers = peers.ledger_answers(ASK_NUMBERS).into_iter();
-            let mut outcomes: Vec<LoadOutcome> =
-                answers.flat_map(|done| loads.done(done)).collect();
-            let due = loads.asks(now, &scatter.summaries.book);
+            let answers = peers.take_ledger_answers(REQUEST_NUMBER_BASE).into_iter();
+            let mut outcomes: Vec<LoadOutcome> = answers
+                .flat_map(|done| loads.on_ledger_answer(done))
+                .collect();
+            let due = loads.due_requests(now, &scatter.summaries.store);
             outcomes.extend(due.outcomes);
-            if outcomes.is_empty() && due.asks.is_empty() {
+            if outcomes.is_empty() && due.requests.is_empty() {
                 return;
             }
-            for ask in due.asks {
-                peers.ask(now, ask);
+            for ask in due.requests {
+                peers.submit_ledger_request(now, ask);
             }
             for outcome in outcomes {
                 self.apply_load_outcome(outcome);
@@ -154,17 +160,17 @@
         let now = self.clock.now;
         match outcome {
             LoadOutcome::Send {
-                sent,
+                execution_id,
                 place,
                 terms,
                 outgoing,
             } => {
                 self.dispatcher
-                    .execution_sent(now, sent.ticket, sent.number);
-                let ordered = Ordered {
-                    judged: self.statement_for_rules(sent.ticket),
-                    ticket: sent.ticket,
-                    execution: sent.number,
+                    .execution_sent(now, execution_id.ticket, execution_id.number);
+                let ordered = SendCommand {
+                    checked_ticket: self.statement_for_rules(execution_id.ticket),
+                    ticket: execution_id.ticket,
+                    execution: execution_id.number,
                     place,
                     terms,
                 };
@@ -172,7 +178,7 @@
                     self.send_marked(ordered, outgoing);
                 }
             }
-            LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
+            LoadOutcome::Reject(ExecutionId { ticket, .. }) => {
                 let retry_after = self.dispatcher.reject(now, ticket);
                 self.carry_out(Command::Reject {
                     ticket,
@@ -187,12 +193,12 @@
             }) => {
                 let waiting: Vec<Ticket> =
                     scatters.iter().map(|ticket| *ticket as Ticket).collect();
-                let group_marks = GroupMarks {
+                let group_marks = GroupMarkers {
                     group,
-                    marks: marks.as_ref(),
+                    markers: marks.as_ref(),
                 };
                 if let Some(scatter) = &mut self.scatter {
-                    scatter.marks(now, group_marks, &waiting, &mut self.dispatcher);
+                    scatter.apply_group_markers(now, group_marks, &waiting, &mut self.dispatcher);
                 }
             }
             LoadOutcome::Other(_) => {}
@@ -200,8 +206,8 @@
     }
 
     /// Sends an execution whose load is marked.
-    fn send_marked(&mut self, ordered: Ordered, outgoing: Outgoing) {
-        let Ordered { place, terms, .. } = ordered;
+    fn send_marked(&mut self, ordered: SendCommand, outgoing: Outgoing) {
+        let SendCommand { place, terms, .. } = ordered;
         let now = self.clock.now;
         match (outgoing, &mut self.gateway) {
             (Outgoing::Call(call), _) => self.engines.send(now, ordered.id(), place, call, terms),
@@ -219,7 +225,7 @@
         {
             self.rules
                 .iter()
-                .for_each(|rules| rules.borrow_mut().statement_over(ticket));
+                .for_each(|rules| rules.borrow_mut().statement_ended(ticket));
             match reply {
                 FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
                 FinalReply::Invalid(unfit) => {
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -15,8 +15,8 @@
 use crate::engine_starts::EngineStarts;
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketKind};
-use crate::fleet::rules::{Rules, Shared};
-use crate::fleet::{LoggedGuard, Peers};
+use crate::fleet::rules::{Rules, SharedRules};
+use crate::fleet::{LoggedBarrier, Peers};
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
 use crate::scatter::ScatteredStatements;
@@ -87,7 +87,7 @@
             return;
         };
         let now = self.clock.now;
-        let guard = LoggedGuard::new(&config.settings, now, ledger.shards, &mut self.dispatcher);
+        let guard = LoggedBarrier::new(&config.settings, now, ledger.shards, &mut self.dispatcher);
         self.guard = Some(guard);
     }
 }
@@ -112,7 +112,7 @@
 fn start_gateway(
     config: &NodeConfig,
     handle: &LoopHandle<'static, LoopEvents>,
-    rules: Option<Shared>,
+    rules: Option<SharedRules>,
 ) -> Result<Option<Gateway>, StartError> {
     let Some(postgres) = &config.operator.postgres else {
         return Ok(None);
--- a/crates/front/src/fleet/ledger_barrier.rs
+++ b/crates/front/src/fleet/ledger_barrier.rs
@@ -9,7 +9,7 @@
 use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::peers::Peers;
-use super::rules::Ordered;
+use super::rules::SendCommand;
 use crate::execution::ExecutionId;
 
 /// Microseconds between lines of the log on what was rejected.
@@ -17,31 +17,31 @@
 
 impl LedgerClient for Peers {
     fn submit(&mut self, now: Micros, ask: LedgerRequest) {
-        Peers::ask(self, now, ask);
+        Peers::submit_ledger_request(self, now, ask);
     }
 
     fn take_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
-        Peers::ledger_answers(self, part)
+        Peers::take_ledger_answers(self, part)
     }
 }
 
 /// The ledger barrier, and what was logged of it.
-pub struct LoggedGuard {
+pub struct LoggedBarrier {
     guard: ledger_barrier::BarrierDriver,
     last_log: Micros,
     refused: BTreeMap<&'static str, u64>,
 }
 
-impl LoggedGuard {
+impl LoggedBarrier {
     /// Where there is a ledger; `now` is the Unix clock, which names this incarnation.
     pub fn new(
         settings: &Settings,
         now: Micros,
         shards: u16,
         dispatcher: &mut Dispatcher,
-    ) -> LoggedGuard {
+    ) -> LoggedBarrier {
         let guard = ledger_barrier::BarrierDriver::new(settings, now, shards, dispatcher);
-        LoggedGuard {
+        LoggedBarrier {
             guard,
             last_log: 0,
             refused: BTreeMap::new(),
@@ -59,8 +59,13 @@
     }
 
     /// An execution is ordered. True if it is held for now.
-    pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: &Ordered) -> bool {
-        let Ordered {
+    pub fn hold(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        ordered: &SendCommand,
+    ) -> bool {
+        let SendCommand {
             ticket,
             execution,
             place,
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -14,5 +14,5 @@
 mod votes;
 
 pub use errors::{PeersError, RulesError};
-pub use ledger_barrier::LoggedGuard;
+pub use ledger_barrier::LoggedBarrier;
 pub use peers::{PeerMessage, Peers};
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -103,7 +103,7 @@
     }
 
     /// Datagrams have come; true if there are more for another iteration.
-    pub fn read(&mut self, now: Micros) -> bool {
+    pub fn receive_datagrams(&mut self, now: Micros) -> bool {
         self.apply_durable(now);
         let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..DATAGRAMS_PER_ITERATION {
@@ -161,7 +161,7 @@
     }
 
     /// The other fronts whose messages count.
-    pub fn others(&self) -> Vec<PeerId> {
+    pub fn accepted_peers(&self) -> Vec<PeerId> {
         let own = peer_id(&self.exchange.public_key());
         self.names
             .keys()
@@ -236,13 +236,13 @@
     }
 
     /// Asks the ledger; the answer comes with `promised`.
-    pub fn ask(&mut self, now: Micros, ask: LedgerRequest) {
+    pub fn submit_ledger_request(&mut self, now: Micros, ask: LedgerRequest) {
         let out = self.exchange.submit_ledger_request(self.moment(now), ask);
         self.send(now, out);
     }
 
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
-    pub fn ledger_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
+    pub fn take_ledger_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
         self.done.extend(self.exchange.take_ledger_answers());
         let (told, others) = std::mem::take(&mut self.done)
             .into_iter()
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -22,27 +22,27 @@
 use file::read;
 
 /// The highest byte of the numbers of its asks: other parts of one front have others.
-const ASK_NUMBERS: u64 = 2 << 56;
+const REQUEST_NUMBER_BASE: u64 = 2 << 56;
 /// Groups of tables that a statement is judged by; more cannot be told.
 const MOST_GROUPS: usize = 16;
 /// Microseconds between reports to the dispatcher on what is held here.
 const REPORT_INTERVAL: Micros = 100_000;
 
 /// The front and its sessions judge by the same.
-pub type Shared = Rc<RefCell<Rules>>;
+pub type SharedRules = Rc<RefCell<Rules>>;
 
 /// An execution that the dispatcher has ordered to be sent.
 #[derive(Clone, Copy)]
-pub struct Ordered {
+pub struct SendCommand {
     /// The statement that was judged: of a part the whole.
-    pub judged: Ticket,
+    pub checked_ticket: Ticket,
     pub ticket: Ticket,
     pub execution: usize,
     pub place: Place,
     pub terms: Terms,
 }
 
-impl Ordered {
+impl SendCommand {
     /// Which execution it is.
     pub fn id(&self) -> ExecutionId {
         ExecutionId::new(self.ticket, self.execution)
@@ -50,9 +50,9 @@
 }
 
 /// What becomes of a statement.
-pub enum Ruling {
+pub enum RuleDecision {
     /// Its hit stands: the execution held leaves.
-    Send(Ordered),
+    Send(SendCommand),
     /// Denied, and its hit stands: final, and it would be denied again.
     Deny(Ticket),
     /// It has not run and may not leave any more: final. `may_retry`: it may be allowed later.
@@ -66,7 +66,7 @@
     waits: bool,
     denied: bool,
     ran: bool,
-    held: Vec<Ordered>,
+    held: Vec<SendCommand>,
 }
 
 /// The access rules, and the statements that they have judged.
@@ -77,7 +77,7 @@
     steady: Instant,
     statements: BTreeMap<u64, Statement>,
     tickets: HashMap<Ticket, u64>,
-    rulings: Vec<Ruling>,
+    rulings: Vec<RuleDecision>,
     next_report: Micros,
     next_log: Micros,
     log_every: Micros,
@@ -109,7 +109,13 @@
     }
 
     /// Judges a statement, once for all its tries.
-    pub fn judge(&mut self, now: Micros, customer: &str, workload: &str, text: &[u8]) -> Decision {
+    pub fn check_statement(
+        &mut self,
+        now: Micros,
+        customer: &str,
+        workload: &str,
+        text: &[u8],
+    ) -> Decision {
         let groups = Some(tables::groups(text, MOST_GROUPS)).filter(|all| !all.is_empty());
         let groups = groups.or_else(|| session_control::reads_no_table(text).then(Vec::new));
         let request = Request {
@@ -131,7 +137,7 @@
     }
 
     /// The locations that are allowed to it; None: all. Of one that is denied nothing ever leaves.
-    pub fn allowed(&self, judged: &Decision) -> Option<Vec<String>> {
+    pub fn allowed_locations(&self, judged: &Decision) -> Option<Vec<String>> {
         match judged {
             Decision::Decided { verdict, .. } if verdict.denied.is_none() => {
                 self.access.locations(verdict)
@@ -141,7 +147,7 @@
     }
 
     /// A statement that was judged is taken under a ticket, and its end is told by `gone`; or it was not taken.
-    pub fn statement_picked(
+    pub fn record_admission(
         &mut self,
         dispatcher: &mut Dispatcher,
         judged: &Decision,
@@ -174,7 +180,7 @@
             );
             self.tickets.insert(ticket, *statement);
             if denied && !waits {
-                self.rulings.push(Ruling::Deny(ticket));
+                self.rulings.push(RuleDecision::Deny(ticket));
             }
         }
     }
@@ -186,7 +192,7 @@
     }
 
     /// A statement is over with nothing out for it.
-    pub fn statement_over(&mut self, ticket: Ticket) {
+    pub fn statement_ended(&mut self, ticket: Ticket) {
         if let Some(statement) = self.tickets.remove(&ticket) {
             self.statements.remove(&statement);
             self.access.statement_over(statement);
@@ -198,9 +204,9 @@
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ordered: Ordered,
+        ordered: SendCommand,
     ) -> bool {
-        let Some(number) = self.tickets.get(&ordered.judged).copied() else {
+        let Some(number) = self.tickets.get(&ordered.checked_ticket).copied() else {
             return true;
         };
         let Some(s) = self.statements.get_mut(&number) else {
@@ -215,13 +221,13 @@
     }
 
     /// The last look before its first byte leaves. False if it may not: then its statement ends by a ruling.
-    pub fn check_leaving(
+    pub fn check_before_send(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ordered: Ordered,
+        ordered: SendCommand,
     ) -> bool {
-        let Some(number) = self.tickets.get(&ordered.judged).copied() else {
+        let Some(number) = self.tickets.get(&ordered.checked_ticket).copied() else {
             return true;
         };
         let at = self.moment(now);
@@ -254,9 +260,9 @@
             None,
         );
         let ruling = if s.ran {
-            Ruling::Abort(s.ticket)
+            RuleDecision::Abort(s.ticket)
         } else {
-            Ruling::Reject {
+            RuleDecision::Reject {
                 ticket: s.ticket,
                 may_retry: closed || limited,
             }
@@ -307,7 +313,7 @@
         now: Micros,
         dispatcher: &mut Dispatcher,
         mut peers: Option<&mut Peers>,
-    ) -> Vec<Ruling> {
+    ) -> Vec<RuleDecision> {
         let at = self.moment(now);
         if at.steady >= self.next_log {
             self.next_log = at.steady + self.log_every;
@@ -329,7 +335,7 @@
         self.report_held(now, dispatcher);
         let rulings = std::mem::take(&mut self.rulings);
         for ruling in &rulings {
-            if let Ruling::Send(ordered) = ruling {
+            if let RuleDecision::Send(ordered) = ruling {
                 dispatcher.execution_sent(now, ordered.ticket, ordered.execution);
             }
         }
@@ -351,9 +357,9 @@
             return Vec::new();
         };
         for ask in asks {
-            peers.ask(now, ask);
+            peers.submit_ledger_request(now, ask);
         }
-        peers.ledger_answers(ASK_NUMBERS)
+        peers.take_ledger_answers(REQUEST_NUMBER_BASE)
     }
 
     /// Reports to the dispatcher, now and then, that what is held here still is.
@@ -375,16 +381,17 @@
             };
             s.waits = false;
             if s.denied {
-                self.rulings.push(Ruling::Deny(s.ticket));
+                self.rulings.push(RuleDecision::Deny(s.ticket));
             } else {
-                self.rulings.extend(s.held.drain(..).map(Ruling::Send));
+                self.rulings
+                    .extend(s.held.drain(..).map(RuleDecision::Send));
             }
         }
         for number in &out.over_limit {
             let Some(s) = self.statements.get(number) else {
                 continue;
             };
-            self.rulings.push(Ruling::Reject {
+            self.rulings.push(RuleDecision::Reject {
                 ticket: s.ticket,
                 may_retry: true,
             });
@@ -393,7 +400,7 @@
             let Some(s) = self.statements.get(number) else {
                 continue;
             };
-            self.rulings.push(Ruling::Abort(s.ticket));
+            self.rulings.push(RuleDecision::Abort(s.ticket));
         }
         if self.ended != self.access.revoked_count {
             let more = self.access.revoked_count - self.ended;
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -11,7 +11,7 @@
 use hallmux_ledger::{self as ledger, Ledger, Member, Moment};
 
 use super::file::{known, read};
-use super::{Rules, Shared, ASK_NUMBERS};
+use super::{Rules, SharedRules, REQUEST_NUMBER_BASE};
 use crate::fleet::errors::RulesError;
 use crate::fleet::peers::{LedgerFleet, Peers};
 
@@ -21,7 +21,7 @@
         config: &NodeConfig,
         now: Micros,
         peers: Option<&Peers>,
-    ) -> Result<Option<Shared>, RulesError> {
+    ) -> Result<Option<SharedRules>, RulesError> {
         let Some(rules) = &config.operator.rules else {
             return Ok(None);
         };
@@ -66,7 +66,7 @@
                 drift_ppm: rules.drift_ppm,
             },
             remembers: rules.remembers,
-            first_number: ASK_NUMBERS,
+            first_number: REQUEST_NUMBER_BASE,
         };
         let alone = alone.then(|| own_ledger(own)).transpose()?;
         let mut access = Access::new(setup);
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -193,13 +193,15 @@
             let Some(rules) = front.rules.clone() else {
                 return Some(());
             };
-            let judged =
-                rules
-                    .borrow_mut()
-                    .judge(front.clock.now, "acme", "lookup", SELECT.as_bytes());
+            let judged = rules.borrow_mut().check_statement(
+                front.clock.now,
+                "acme",
+                "lookup",
+                SELECT.as_bytes(),
+            );
             rules
                 .borrow_mut()
-                .statement_picked(&mut front.dispatcher, &judged, None);
+                .record_admission(&mut front.dispatcher, &judged, None);
             matches!(judged, Decision::Decided { waits: true, .. }).then_some(())
         });
     }
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -21,7 +21,7 @@
 use crate::engine_protocols::EngineProtocols;
 use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
-use crate::fleet::rules::Shared;
+use crate::fleet::rules::SharedRules;
 use crate::listener::Listener;
 use crate::transient;
 use crate::unsent_answers::UnsentAnswers;
@@ -38,7 +38,7 @@
     timeouts: Vec<(String, Micros)>,
     retry_after_ms: Option<i64>,
     /// Regional access rules, where they are switched on.
-    rules: Option<Shared>,
+    rules: Option<SharedRules>,
     /// Workloads whose units may write, where loads are marked.
     pub writes: Vec<String>,
     shut: Option<Micros>,
@@ -52,7 +52,7 @@
         postgres: &Postgres,
         settings: &Settings,
         handle: LoopHandle<'static, LoopEvents>,
-        rules: Option<Shared>,
+        rules: Option<SharedRules>,
     ) -> std::io::Result<Gateway> {
         let listener = transient::retry(|| TcpListener::bind(postgres.listen)).map_err(|why| {
             ListenError::Listen {
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -11,7 +11,7 @@
 use hallmux_postgres::sql::Label;
 
 use super::{loads, Gateway};
-use crate::fleet::rules::Shared;
+use crate::fleet::rules::SharedRules;
 use crate::postgres::admission_state::AdmissionState;
 use crate::postgres::ids::SessionId;
 use crate::postgres::sessions::OpenSession;
@@ -22,7 +22,7 @@
 
 /// What the admission of units goes by, whatever their session.
 struct AdmissionPolicy<'a> {
-    rules: Option<&'a Shared>,
+    rules: Option<&'a SharedRules>,
     /// Workloads, and how long their clients wait, in microseconds.
     timeouts: &'a [(String, Micros)],
     /// Workloads whose units may write, where loads are marked.
@@ -65,7 +65,9 @@
         if judged == Decision::RulesUnknown {
             return Err(self.rejected());
         }
-        let allowed = self.rules.and_then(|rules| rules.borrow().allowed(&judged));
+        let allowed = self
+            .rules
+            .and_then(|rules| rules.borrow().allowed_locations(&judged));
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
@@ -88,7 +90,7 @@
         if let Some(rules) = self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(dispatcher, &judged, picked.ok());
+                .record_admission(dispatcher, &judged, picked.ok());
         }
         let ticket = picked.map_err(invalid_request)?;
         let key = request.order_key.map(str::to_string);
@@ -101,7 +103,7 @@
             return Decision::Unrestricted;
         };
         let mut rules = rules.borrow_mut();
-        rules.judge(now, terms.member, terms.workload, part.text())
+        rules.check_statement(now, terms.member, terms.workload, part.text())
     }
 
     fn rejected(&self) -> ClientError {
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -13,10 +13,10 @@
 use hallmux_scatter::store::SummaryStore;
 
 use crate::execution::ExecutionId;
-use crate::fleet::rules::Ordered;
+use crate::fleet::rules::SendCommand;
 
 /// The highest byte of the numbers of this part's asks: others of one front have others.
-pub const ASK_NUMBERS: u64 = 3 << 56;
+pub const REQUEST_NUMBER_BASE: u64 = 3 << 56;
 /// Microseconds beyond a statement's end for which an execution of it may run on.
 const RUN_ON: Micros = 60_000_000;
 /// Groups of tables that a load is marked for; statements are shorter than that.
@@ -58,8 +58,8 @@
 }
 
 /// What is to be asked of the ledger, and what became of loads meanwhile.
-pub struct DueAsks {
-    pub asks: Vec<LedgerRequest>,
+pub struct DueRequests {
+    pub requests: Vec<LedgerRequest>,
     pub outcomes: Vec<LoadOutcome>,
 }
 
@@ -86,12 +86,12 @@
 pub enum LoadOutcome {
     /// It leaves, as it is to be sent.
     Send {
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         place: usize,
         terms: Terms,
         outgoing: Outgoing,
     },
-    TurnAway(ExecutionId),
+    Reject(ExecutionId),
     Other(Effect),
 }
 
@@ -99,7 +99,7 @@
     /// `writes` are the workloads whose statements may write, `locations` the sites' names.
     pub fn new(writes: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
-            marker: Marker::new(ASK_NUMBERS),
+            marker: Marker::new(REQUEST_NUMBER_BASE),
             held: HashMap::new(),
             writes,
             locations,
@@ -113,10 +113,10 @@
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ordered: &Ordered,
+        ordered: &SendCommand,
         load: Load,
     ) -> bool {
-        let Ordered { place, terms, .. } = *ordered;
+        let SendCommand { place, terms, .. } = *ordered;
         let sent = ordered.id();
         if matches!(&load, Load::Call(call) if !self.writes.contains(&call.workload)) {
             return false;
@@ -168,7 +168,7 @@
     }
 
     /// A scattered statement waits for the marks of its group.
-    pub fn scatter(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
+    pub fn await_markers(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
         self.marker.await_marks(u64::from(ticket), group);
     }
 
@@ -192,21 +192,21 @@
     }
 
     /// What is to be asked of the ledger now, and what is known without asking.
-    pub fn asks(&mut self, now: Micros, book: &SummaryStore) -> DueAsks {
+    pub fn due_requests(&mut self, now: Micros, book: &SummaryStore) -> DueRequests {
         let wall_ms = (now / 1000) as u64;
         let (asks, follows) = self.marker.requests(wall_ms, |site, group| {
             book.reported_loads(wall_ms, site, group)
         });
         let mut outcomes: Vec<LoadOutcome> = follows.into_iter().map(|f| self.outcome(f)).collect();
-        outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::TurnAway));
-        DueAsks {
-            asks: asks.into_iter().map(ask).collect(),
+        outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::Reject));
+        DueRequests {
+            requests: asks.into_iter().map(ask).collect(),
             outcomes,
         }
     }
 
     /// What follows from an answer of the ledger.
-    pub fn done(&mut self, done: LedgerAnswer) -> Vec<LoadOutcome> {
+    pub fn on_ledger_answer(&mut self, done: LedgerAnswer) -> Vec<LoadOutcome> {
         let said = match done.outcome {
             Outcome::Stands(entry) => LedgerReply::Stands {
                 version: entry.version,
@@ -244,17 +244,17 @@
                         (_, text) => Outgoing::Unit(text),
                     };
                     LoadOutcome::Send {
-                        sent: sent(load),
+                        execution_id: sent(load),
                         place,
                         terms,
                         outgoing,
                     }
                 }
-                None => LoadOutcome::TurnAway(sent(load)),
+                None => LoadOutcome::Reject(sent(load)),
             },
             Effect::Reject { load } => {
                 self.held.remove(&sent(load));
-                LoadOutcome::TurnAway(sent(load))
+                LoadOutcome::Reject(sent(load))
             }
             other => LoadOutcome::Other(other),
         }
--- a/crates/front/src/scatter/mod.rs
+++ b/crates/front/src/scatter/mod.rs
@@ -7,5 +7,5 @@
 mod statements;
 mod summaries;
 
-pub use loads::{Load, LoadOutcome, Outgoing, ASK_NUMBERS};
-pub use statements::{FinalReply, GroupMarks, ScatterRequest, ScatteredStatements};
+pub use loads::{Load, LoadOutcome, Outgoing, REQUEST_NUMBER_BASE};
+pub use statements::{FinalReply, GroupMarkers, ScatterRequest, ScatteredStatements};
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -36,9 +36,9 @@
 struct Statement {
     call: Rc<Call>,
     query: Query,
-    ends: Micros,
+    deadline: Micros,
     /// Sites that may be asked; None: all.
-    allowed: Option<Vec<String>>,
+    allowed_sites: Option<Vec<String>>,
     /// Of a join: the marks of its groups that are there.
     group_marks: BTreeMap<u32, Option<Marks>>,
     /// None while the marks of its group are awaited.
@@ -54,16 +54,16 @@
     pub call: Rc<Call>,
     pub query: Query,
     /// When an answer is of no use any more, in Unix microseconds.
-    pub ends: Micros,
+    pub deadline: Micros,
     /// The sites that rules allow; none given: all.
-    pub allowed: Option<Vec<String>>,
+    pub allowed_sites: Option<Vec<String>>,
 }
 
 /// A group of tables and the marks of its loads, as the ledger has them; none if it can't be reached.
 #[derive(Clone, Copy)]
-pub struct GroupMarks<'a> {
+pub struct GroupMarkers<'a> {
     pub group: u32,
-    pub marks: Option<&'a Marks>,
+    pub markers: Option<&'a Marks>,
 }
 
 /// A statement that waits for audits alone, until the time given.
@@ -161,7 +161,7 @@
     }
 
     /// A client's statement passes for a load that a front has numbered: its site would take its word for it.
-    pub fn passes_for_numbered(&self, call: &Call) -> bool {
+    pub fn has_reserved_prefix(&self, call: &Call) -> bool {
         self.loads.is_some() && !numbers(&call.statement).is_empty()
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// A statement begins: its sites are asked at once, or once the marks of its group are known.
-    pub fn begin(
+    pub fn start(
         &mut self,
         now: Micros,
         ticket: Ticket,
@@ -181,8 +181,8 @@
         let ScatterRequest {
             call,
             query,
-            ends,
-            allowed,
+            deadline,
+            allowed_sites,
         } = request;
         let mut groups = BTreeSet::from([query.group]);
         groups.extend(query.join.as_ref().map(|join| join.group));
@@ -190,8 +190,8 @@
         let statement = Statement {
             call,
             query,
-            ends,
-            allowed,
+            deadline,
+            allowed_sites,
             group_marks,
             whole: None,
             tickets,
@@ -201,20 +201,22 @@
         match &mut self.loads {
             Some(loads) => groups
                 .into_iter()
-                .for_each(|group| loads.scatter(ticket, group)),
+                .for_each(|group| loads.await_markers(ticket, group)),
             None => self.ask_sites(now, ticket, &LoadInfo::NoLoads, dispatcher),
         }
     }
 
     /// A group's marks have come from the ledger for the statements that wait for them.
-    pub fn marks(
+    pub fn apply_group_markers(
         &mut self,
         now: Micros,
-        group_marks: GroupMarks,
+        group_marks: GroupMarkers,
         waiting: &[Ticket],
         dispatcher: &mut Dispatcher,
     ) {
-        let load_info = group_marks.marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
+        let load_info = group_marks
+            .markers
+            .map_or(LoadInfo::Unknown, LoadInfo::Marks);
         for ticket in waiting {
             if self
                 .open
@@ -224,7 +226,7 @@
                 self.marks_of_join(now, *ticket, group_marks, dispatcher);
                 continue;
             }
-            let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.book);
+            let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.store);
             if !self
                 .audits
                 .as_mut()
@@ -290,7 +292,7 @@
         let statement = self.open.get(&ticket)?;
         let query = &statement.query;
         let allowed: Option<Vec<&str>> = statement
-            .allowed
+            .allowed_sites
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
         let (sites, allowed) = (&self.sites, allowed.as_deref());
@@ -305,7 +307,7 @@
         let basis = Basis {
             sites,
             allowed,
-            summaries: &self.summaries.book,
+            summaries: &self.summaries.store,
             wall_ms: (now / 1000) as u64,
             loads: load_info,
             suspected: &is_suspect,
@@ -338,7 +340,7 @@
             return;
         }
         let wall_ms = (now / 1000) as u64;
-        let book = &mut self.summaries.book;
+        let book = &mut self.summaries.store;
         let ruled_out = plan.parts.iter().filter(|part| part.ruled_out);
         for part in ruled_out {
             let summary = book.current(wall_ms, &part.site, query.group);
@@ -368,7 +370,7 @@
     }
 
     /// Answers those that have waited long enough for audits alone.
-    pub fn finish_audits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
+    pub fn expire_audit_waits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         while let Some(wait) = self.audit_waits.pop_front_if(|wait| wait.until <= now) {
             let ticket = wait.ticket;
             let whole = self
@@ -423,7 +425,7 @@
     }
 
     /// A part has its answer, or has failed for good.
-    pub fn ended(
+    pub fn part_ended(
         &mut self,
         now: Micros,
         part: Ticket,
@@ -480,7 +482,7 @@
                 *self.asked_without_rows.entry(part.reason).or_default() += 1;
             }
             self.summaries
-                .book
+                .store
                 .record_outcome(wall_ms, query, site, true);
         }
         let ruled_out = statement.ruled_out.iter().find(|out| out.site == site);
@@ -493,9 +495,9 @@
             return;
         }
         match &mut self.loads {
-            Some(loads) => loads.scatter(check, query.group),
+            Some(loads) => loads.await_markers(check, query.group),
             None => {
-                audits.apply_marks(wall_ms, check, &LoadInfo::NoLoads, &self.summaries.book);
+                audits.apply_marks(wall_ms, check, &LoadInfo::NoLoads, &self.summaries.store);
             }
         }
     }
@@ -519,7 +521,7 @@
             .audit_waits
             .front()
             .map_or(Micros::MAX, |wait| wait.until);
-        let chosen = self.summaries.choose_due().min(hurry);
+        let chosen = self.summaries.retention_due().min(hurry);
         match (self.replies.is_empty(), has_peers) {
             (true, true) => self.summaries.due().min(loads).min(hurry),
             (true, false) => chosen,
@@ -556,7 +558,7 @@
         customer: &statement.call.customer,
         order_key: None,
         dedup_key: None,
-        time_left: statement.ends - now,
+        time_left: statement.deadline - now,
         work: statement.call.work_ms * 1000.0,
         memory_mb: statement.call.memory_mb,
         data_set: Some(statement.query.group),
--- a/crates/front/src/scatter/statements/parts.rs
+++ b/crates/front/src/scatter/statements/parts.rs
@@ -9,18 +9,18 @@
 
 impl ScatteredStatements {
     /// A statement is a part of one of these.
-    pub fn owns(&self, part: Ticket) -> bool {
+    pub fn is_part(&self, part: Ticket) -> bool {
         self.parts.contains_key(&part)
     }
 
     /// The whole that a statement is a part of.
-    pub fn whole_of(&self, part: Ticket) -> Option<Ticket> {
+    pub fn parent_of(&self, part: Ticket) -> Option<Ticket> {
         self.parts.get(&part).map(|part| part.whole)
     }
 
     /// What a part's client has asked for.
-    pub fn call(&self, part: Ticket) -> Option<Rc<Call>> {
-        let whole = self.whole_of(part)?;
+    pub fn call_of_part(&self, part: Ticket) -> Option<Rc<Call>> {
+        let whole = self.parent_of(part)?;
         let statement = self.open.get(&whole)?;
         Some(statement.call.clone())
     }
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -8,12 +8,12 @@
 use hallmux_scatter::sketch;
 use hallmux_scatter::sql::{self, Query};
 
-use super::{GroupMarks, ScatteredStatements, SiteCounts, Statement};
+use super::{GroupMarkers, ScatteredStatements, SiteCounts, Statement};
 
 impl ScatteredStatements {
     /// Reads a statement. None: it goes to the site that has all rows. An error says why it can't be
     /// answered.
-    pub fn read(&self, call: &Call) -> Result<Option<Query>, String> {
+    pub fn parse_query(&self, call: &Call) -> Result<Option<Query>, String> {
         if self.settings.distinct_error.contains_key(&call.customer) {
             if let Some(query) = sql::read_distinct(&call.statement) {
                 return Ok(Some(query));
@@ -21,7 +21,7 @@
         }
         let read = sql::read(&call.statement).and_then(|mut query| {
             let (group, table) = (query.group, &query.table);
-            let kind = |column: &str| self.summaries.book.column_kind(group, table, column);
+            let kind = |column: &str| self.summaries.store.column_kind(group, table, column);
             query
                 .combine
                 .iter_mut()
@@ -49,13 +49,13 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        group_marks: GroupMarks,
+        group_marks: GroupMarkers,
         dispatcher: &mut Dispatcher,
     ) {
         let Some(statement) = self.open.get_mut(&ticket) else {
             return;
         };
-        let marks = group_marks.marks.cloned();
+        let marks = group_marks.markers.cloned();
         statement.group_marks.insert(group_marks.group, marks);
         let second = statement
             .query
@@ -90,7 +90,7 @@
             .copied()
             .unwrap_or(0);
         let allowed: Option<Vec<&str>> = statement
-            .allowed
+            .allowed_sites
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
         let is_suspect = |site: &str| {
@@ -98,7 +98,7 @@
                 .as_ref()
                 .is_some_and(|audits| audits.is_suspect(site))
         };
-        let (book, wall_ms) = (&self.summaries.book, (now / 1000) as u64);
+        let (book, wall_ms) = (&self.summaries.store, (now / 1000) as u64);
         let (sites, allowed) = (&self.sites, allowed.as_deref());
         let basis = Basis {
             sites,
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -25,7 +25,7 @@
 
 /// The summaries of sites: the store, their files, and what is exchanged of them with other fronts.
 pub struct Summaries {
-    pub book: SummaryStore,
+    pub store: SummaryStore,
     spread: Exchange,
     /// False summaries of sites that other fronts have reported.
     pub found: Vec<FalseSummary>,
@@ -72,7 +72,7 @@
         spread_offset: usize,
     ) -> std::io::Result<Summaries> {
         let mut summaries = Summaries {
-            book: SummaryStore::new(terms(settings)?),
+            store: SummaryStore::new(terms(settings)?),
             spread: Exchange::new(spread_offset),
             found: Vec::new(),
             last_log: 0,
@@ -88,7 +88,7 @@
 
     /// The operator's file was read again.
     pub fn reload(&mut self, settings: &Scatter, now: Micros) -> std::io::Result<()> {
-        self.book.reconfigure(terms(settings)?);
+        self.store.reconfigure(terms(settings)?);
         self.keep(settings, now);
         self.read(settings, now);
         Ok(())
@@ -97,11 +97,11 @@
     /// Takes up the budget, with what was learned before.
     fn keep(&mut self, settings: &Scatter, now: Micros) {
         let Some(terms) = &settings.keep else {
-            self.book.retention = None;
+            self.store.retention = None;
             return;
         };
         self.file = terms.file.as_ref().map(PathBuf::from);
-        if let Some(keep) = &mut self.book.retention {
+        if let Some(keep) = &mut self.store.retention {
             return keep.set_budget(budget(terms));
         }
         let mut keep = Retention::new(budget(terms));
@@ -122,12 +122,12 @@
             }
         }
         keep.choose(now);
-        self.book.retention = Some(keep);
+        self.store.retention = Some(keep);
     }
 
     /// Writes what was learned, beside and then in place of what was there.
     pub fn save(&self) {
-        let Some((file, keep)) = self.file.as_ref().zip(self.book.retention.as_ref()) else {
+        let Some((file, keep)) = self.file.as_ref().zip(self.store.retention.as_ref()) else {
             return;
         };
         let beside = file.with_extension("new");
@@ -170,17 +170,17 @@
                     .map(|_| ())
             });
             match read.map_err(|e| e.to_string()).and_then(|()| {
-                self.book
+                self.store
                     .accept((now / 1000) as u64, &bytes)
                     .map_err(|why| why.to_string())
             }) {
                 Ok(taken) => {
                     new += usize::from(taken);
-                    if let Some((name, version)) = self.book.id_and_version(&bytes) {
+                    if let Some((name, version)) = self.store.id_and_version(&bytes) {
                         if taken {
                             self.spread.announce(name);
                         }
-                        if self.book.retention.is_some() {
+                        if self.store.retention.is_some() {
                             self.local_files.insert(name, path);
                             self.spread.local.insert(name, version);
                         }
@@ -189,7 +189,10 @@
                 Err(why) => log::warn!("scatter.directory: {}: {why}", path.display()),
             }
         }
-        log::info!("{new} new summaries of sites, {} are held", self.book.len());
+        log::info!(
+            "{new} new summaries of sites, {} are held",
+            self.store.len()
+        );
     }
 
     /// When something of them is due, in Unix microseconds.
@@ -199,7 +202,7 @@
 
     /// Messages to other fronts, where it is time.
     pub fn tick(&mut self, now: Micros, others: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
-        let out = self.spread.tick(now, others, &self.book);
+        let out = self.spread.tick(now, others, &self.store);
         self.take(now, out)
     }
 
@@ -207,38 +210,38 @@
     pub fn receive(&mut self, now: Micros, from: PeerId, bytes: &[u8]) -> Vec<(PeerId, Vec<u8>)> {
         let out = self
             .spread
-            .on_message(now, (now / 1000) as u64, from, bytes, &mut self.book);
+            .on_message(now, (now / 1000) as u64, from, bytes, &mut self.store);
         self.take(now, out)
     }
 
-    /// When `choose` is next due.
-    pub fn choose_due(&self) -> Micros {
-        self.book
+    /// When `update_retention` is next due.
+    pub fn retention_due(&self) -> Micros {
+        self.store
             .retention
             .as_ref()
             .map_or(Micros::MAX, |_| self.chosen + CHOOSE_INTERVAL)
     }
 
     /// Chooses anew what is held, where it is time, and saves what was learned.
-    pub fn choose(&mut self, now: Micros) {
-        if self.book.retention.is_none() || now < self.chosen + CHOOSE_INTERVAL {
+    pub fn update_retention(&mut self, now: Micros) {
+        if self.store.retention.is_none() || now < self.chosen + CHOOSE_INTERVAL {
             return;
         }
         self.chosen = now;
-        self.book.choose((now / 1000) as u64);
+        self.store.choose((now / 1000) as u64);
         let held: BTreeMap<u64, Detail> = self
-            .book
+            .store
             .versions()
             .map(|held| (held.name, held.detail))
             .collect();
         for (name, path) in &self.local_files {
             // A summary that is in a local file need not come from others.
-            if held.get(name).copied() < self.book.wanted_detail(*name) {
+            if held.get(name).copied() < self.store.wanted_detail(*name) {
                 let read = std::fs::read(path)
                     .ok()
                     .filter(|bytes| bytes.len() <= MOST_BYTES);
                 read.into_iter()
-                    .for_each(|bytes| _ = self.book.accept((now / 1000) as u64, &bytes));
+                    .for_each(|bytes| _ = self.store.accept((now / 1000) as u64, &bytes));
             }
         }
         if now >= self.saved + SAVE_INTERVAL {
@@ -255,7 +258,7 @@
                 .get(&loan.name)
                 .and_then(|path| std::fs::read(path).ok());
             let of = |bytes: &Vec<u8>| {
-                self.book.id_and_version(bytes) == Some((loan.name, loan.version))
+                self.store.id_and_version(bytes) == Some((loan.name, loan.version))
             };
             if let Some(bytes) = bytes.filter(of) {
                 self.spread.send_piece(now, loan, &bytes, out);
@@ -279,7 +282,7 @@
             self.last_log = now;
             log::warn!(
                 "from another front: {why}; refused so far: {:?}",
-                self.book.refused
+                self.store.refused
             );
         }
         out.messages
