--- a/crates/front/src/fleet/copies.rs
+++ b/crates/front/src/fleet/copies.rs
@@ -16,13 +16,13 @@
 const RECORDS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("records");
 /// Under one key, the identity of the disk: with the records, so that it is lost only with them.
 const IDENTITY: TableDefinition<u8, u64> = TableDefinition::new("identity");
-const FILE: &str = "promises.redb";
+const FILE_NAME: &str = "promises.redb";
 /// Bytes: the ledger holds all of it in memory itself.
-const CACHE: usize = 4 * 1_024 * 1_024;
+const CACHE_BYTES: usize = 4 * 1_024 * 1_024;
 /// Writes that wait for the disk: some seconds' worth.
 const QUEUE_LENGTH: usize = 4_096;
 /// Writes in one commit at most.
-const MOST_PER_COMMIT: usize = 256;
+const MAX_WRITES_PER_COMMIT: usize = 256;
 /// A commit that takes longer is logged, once.
 const SLOW_COMMIT: Duration = Duration::from_secs(1);
 
@@ -36,7 +36,7 @@
         error: String,
     },
     #[error("ledger.directory {0}: another front has it; give each front one of its own")]
-    Taken(String),
+    InUse(String),
     #[error(
         "ledger.directory {directory}: {error}; move it away: the front comes back as one that lost its disk"
     )]
@@ -74,7 +74,7 @@
 }
 
 /// What was found in a directory.
-pub struct Found {
+pub struct StoredCopies {
     pub disk: DiskId,
     pub saved: Option<Saved>,
 }
@@ -82,8 +82,8 @@
 /// The thread that writes copies, as the event loop sees it.
 pub struct Copies {
     writes: SyncSender<Write>,
-    durable: Receiver<WriteOutcome>,
-    results: Sender<WriteOutcome>,
+    outcomes: Receiver<WriteOutcome>,
+    outcome_sender: Sender<WriteOutcome>,
     /// Held while this front runs: two on one directory would vote twice.
     _lock: Option<File>,
 }
@@ -101,21 +101,22 @@
         fault_file: Option<&str>,
         socket: UdpSocket,
         wake: impl Fn() + Send + 'static,
-    ) -> Result<(Copies, Found), CopiesError> {
+    ) -> Result<(Copies, StoredCopies), CopiesError> {
         let path = Path::new(directory);
-        let unfit = |what, e: std::io::Error| CopiesError::Disk {
+        let disk_error = |what, e: std::io::Error| CopiesError::Disk {
             directory: directory.to_string(),
             what,
             error: e.to_string(),
         };
-        std::fs::create_dir_all(path).map_err(|e| unfit("can't be made", e))?;
-        let lock = File::create(path.join("lock")).map_err(|e| unfit("can't be written", e))?;
+        std::fs::create_dir_all(path).map_err(|e| disk_error("can't be made", e))?;
+        let lock =
+            File::create(path.join("lock")).map_err(|e| disk_error("can't be written", e))?;
         lock.try_lock()
-            .map_err(|_| CopiesError::Taken(directory.to_string()))?;
-        let file = path.join(FILE);
-        let found = opened(directory, || {
+            .map_err(|_| CopiesError::InUse(directory.to_string()))?;
+        let file = path.join(FILE_NAME);
+        let stored = open_database(directory, || {
             let mut builder = Database::builder();
-            builder.set_cache_size(CACHE);
+            builder.set_cache_size(CACHE_BYTES);
             match fault_file {
                 Some(fault_file) => {
                     builder.create_with_backend(super::faulty_disk::open(&file, fault_file)?)
@@ -123,36 +124,36 @@
                 None => builder.create(&file),
             }
         })?;
-        let (mut copies, found) = Copies::with(directory, found, socket, wake)?;
+        let (mut copies, stored) = Copies::start(directory, stored, socket, wake)?;
         copies._lock = Some(lock);
-        Ok((copies, found))
+        Ok((copies, stored))
     }
 
-    fn with(
+    fn start(
         directory: &str,
-        (database, found): (Database, Found),
+        (database, stored): (Database, StoredCopies),
         socket: UdpSocket,
         wake: impl Fn() + Send + 'static,
-    ) -> Result<(Copies, Found), CopiesError> {
-        let (writes, to_write) = sync_channel(QUEUE_LENGTH);
-        let (results, durable) = channel();
-        let unfit = |e: std::io::Error| CopiesError::Disk {
+    ) -> Result<(Copies, StoredCopies), CopiesError> {
+        let (writes, pending_writes) = sync_channel(QUEUE_LENGTH);
+        let (outcome_sender, outcomes) = channel();
+        let disk_error = |e: std::io::Error| CopiesError::Disk {
             directory: directory.to_string(),
             what: "its thread can't be had",
             error: e.to_string(),
         };
-        let (name, sender) = (directory.to_string(), results.clone());
+        let (name, sender) = (directory.to_string(), outcome_sender.clone());
         let thread = std::thread::Builder::new().name("copies".to_string());
-        let run = move || write_all(&name, &database, &to_write, &socket, &sender, wake);
-        thread.spawn(run).map_err(unfit)?;
+        let run = move || run_writer(&name, &database, &pending_writes, &socket, &sender, wake);
+        thread.spawn(run).map_err(disk_error)?;
         Ok((
             Copies {
                 writes,
-                durable,
-                results,
+                outcomes,
+                outcome_sender,
                 _lock: None,
             },
-            found,
+            stored,
         ))
     }
 
@@ -161,13 +162,13 @@
         let number = write.number;
         if self.writes.try_send(write).is_err() {
             // The thread has said so, or the disk is seconds behind: nothing is promised on it any more.
-            let _ = self.results.send(WriteOutcome::failed(number));
+            let _ = self.outcome_sender.send(WriteOutcome::failed(number));
         }
     }
 
     /// Writes that are durable, or have failed, since the last call.
-    pub fn durable(&self) -> Vec<WriteOutcome> {
-        self.durable.try_iter().collect()
+    pub fn take_outcomes(&self) -> Vec<WriteOutcome> {
+        self.outcomes.try_iter().collect()
     }
 }
 
@@ -179,46 +180,49 @@
 }
 
 /// A database with what it holds, if it is whole. The store may panic where a file was altered from outside.
-fn opened(
+fn open_database(
     directory: &str,
     open: impl FnOnce() -> Result<Database, redb::DatabaseError>,
-) -> Result<(Database, Found), CopiesError> {
+) -> Result<(Database, StoredCopies), CopiesError> {
     let damaged = |error: String| CopiesError::Damaged {
         directory: directory.to_string(),
         error,
     };
-    let all = std::panic::AssertUnwindSafe(|| -> Result<(Database, Found), CopiesError> {
-        let mut database = open().map_err(|e| match e {
-            redb::DatabaseError::DatabaseAlreadyOpen => CopiesError::Taken(directory.to_string()),
-            e => damaged(e.to_string()),
-        })?;
-        if !database
-            .check_integrity()
-            .map_err(|e| damaged(e.to_string()))?
-        {
-            log::warn!("ledger.directory {directory}: was not closed cleanly, and is mended");
-        }
-        let found = read(&database).map_err(|e| damaged(e.to_string()))?;
-        Ok((database, found))
-    });
-    std::panic::catch_unwind(all)
+    let open_and_read =
+        std::panic::AssertUnwindSafe(|| -> Result<(Database, StoredCopies), CopiesError> {
+            let mut database = open().map_err(|e| match e {
+                redb::DatabaseError::DatabaseAlreadyOpen => {
+                    CopiesError::InUse(directory.to_string())
+                }
+                e => damaged(e.to_string()),
+            })?;
+            if !database
+                .check_integrity()
+                .map_err(|e| damaged(e.to_string()))?
+            {
+                log::warn!("ledger.directory {directory}: was not closed cleanly, and is mended");
+            }
+            let stored = read_stored(&database).map_err(|e| damaged(e.to_string()))?;
+            Ok((database, stored))
+        });
+    std::panic::catch_unwind(open_and_read)
         .unwrap_or_else(|_| Err(damaged("its file was altered".to_string())))
 }
 
 /// The identity and the records; where there is none, one is drawn and made durable.
-fn read(database: &Database) -> Result<Found, Box<redb::Error>> {
+fn read_stored(database: &Database) -> Result<StoredCopies, Box<redb::Error>> {
     let boxed = |e: redb::Error| Box::new(e);
     let transaction = database.begin_write().map_err(|e| boxed(e.into()))?;
     let mut records = Vec::new();
-    let (disk, new) = {
+    let (disk, is_new) = {
         let mut identity = transaction
             .open_table(IDENTITY)
             .map_err(|e| boxed(e.into()))?;
-        let known = identity
+        let existing = identity
             .get(0)
             .map_err(|e| boxed(e.into()))?
             .map(|disk| disk.value());
-        let disk = known.unwrap_or_else(random_disk_id);
+        let disk = existing.unwrap_or_else(random_disk_id);
         identity.insert(0, disk).map_err(|e| boxed(e.into()))?;
         let table = transaction
             .open_table(RECORDS)
@@ -227,43 +231,43 @@
             let (name, bytes) = record.map_err(|e| boxed(e.into()))?;
             records.push((name.value().to_vec(), bytes.value().to_vec()));
         }
-        (disk, known.is_none())
+        (disk, existing.is_none())
     };
     transaction.commit().map_err(|e| boxed(e.into()))?;
     let _ = database.begin_read().map_err(|e| boxed(e.into()))?;
-    Ok(Found {
+    Ok(StoredCopies {
         disk,
-        saved: (!new && !records.is_empty()).then_some(Saved(records)),
+        saved: (!is_new && !records.is_empty()).then_some(Saved(records)),
     })
 }
 
-fn write_all(
+fn run_writer(
     directory: &str,
     database: &Database,
-    to_write: &Receiver<Write>,
+    pending_writes: &Receiver<Write>,
     socket: &UdpSocket,
-    results: &Sender<WriteOutcome>,
+    outcome_sender: &Sender<WriteOutcome>,
     wake: impl Fn(),
 ) {
-    let mut slow = false;
-    while let Ok(first) = to_write.recv() {
+    let mut slow_commit_logged = false;
+    while let Ok(first) = pending_writes.recv() {
         let mut writes = vec![first];
-        writes.extend(to_write.try_iter().take(MOST_PER_COMMIT - 1));
+        writes.extend(pending_writes.try_iter().take(MAX_WRITES_PER_COMMIT - 1));
         let last = writes.last().map_or(0, |write| write.number);
-        let began = Instant::now();
+        let started = Instant::now();
         if let Err(e) = commit(database, &writes) {
             log::error!(
                 "ledger.directory {directory}: {e}; this front keeps no copies there any more in this life"
             );
-            let _ = results.send(WriteOutcome::failed(last));
+            let _ = outcome_sender.send(WriteOutcome::failed(last));
             wake();
-            for write in to_write {
-                let _ = results.send(WriteOutcome::failed(write.number));
+            for write in pending_writes {
+                let _ = outcome_sender.send(WriteOutcome::failed(write.number));
             }
             return;
         }
-        if began.elapsed() >= SLOW_COMMIT && !std::mem::replace(&mut slow, true) {
-            let ms = began.elapsed().as_millis();
+        if started.elapsed() >= SLOW_COMMIT && !std::mem::replace(&mut slow_commit_logged, true) {
+            let ms = started.elapsed().as_millis();
             log::warn!(
                 "ledger.directory {directory}: a commit took {ms} ms; promises of this front wait for it"
             );
@@ -271,7 +275,7 @@
         writes
             .iter()
             .for_each(|write| send(socket, &write.datagrams));
-        let _ = results.send(WriteOutcome::durable(last));
+        let _ = outcome_sender.send(WriteOutcome::durable(last));
         wake();
     }
 }
--- a/crates/front/src/fleet/copies_tests.rs
+++ b/crates/front/src/fleet/copies_tests.rs
@@ -5,14 +5,14 @@
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
 
-struct Folder(std::path::PathBuf);
+struct TestDirectory(std::path::PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let folder =
+impl TestDirectory {
+    fn new(name: &str) -> TestDirectory {
+        let directory =
             std::env::temp_dir().join(format!("hallmux-copies-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        Folder(folder)
+        let _ = std::fs::remove_dir_all(&directory);
+        TestDirectory(directory)
     }
 
     fn name(&self) -> String {
@@ -20,7 +20,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -50,73 +50,74 @@
     }
 }
 
-fn open(folder: &Folder) -> Result<(Copies, Found), CopiesError> {
-    Copies::open(&folder.name(), None, socket(), || {})
+fn open(directory: &TestDirectory) -> Result<(Copies, StoredCopies), CopiesError> {
+    Copies::open(&directory.name(), None, socket(), || {})
 }
 
 /// The next word on a save.
-fn said(copies: &Copies) -> (u64, bool) {
-    let outcome = copies.durable.recv_timeout(Duration::from_secs(10));
+fn next_outcome(copies: &Copies) -> (u64, bool) {
+    let outcome = copies.outcomes.recv_timeout(Duration::from_secs(10));
     let WriteOutcome { number, is_durable } = outcome.unwrap();
     (number, is_durable)
 }
 
 #[test]
 fn what_was_kept_is_there_again_under_the_same_identity_and_a_new_directory_has_another() {
-    let (folder, hears, mut byte) = (Folder::new("kept"), socket(), [0; 8]);
-    let (mut copies, found) = open(&folder).unwrap();
-    assert!(found.saved.is_none() && found.disk != 0);
-    assert!(matches!(open(&folder), Err(CopiesError::Taken(_))));
-    copies.save(write(1, "a", Some(b"one"), &hears));
-    copies.save(write(2, "b", Some(b"two"), &hears));
-    copies.save(write(3, "a", None, &hears));
+    let (directory, receiver, mut byte) = (TestDirectory::new("kept"), socket(), [0; 8]);
+    let (mut copies, stored) = open(&directory).unwrap();
+    assert!(stored.saved.is_none() && stored.disk != 0);
+    assert!(matches!(open(&directory), Err(CopiesError::InUse(_))));
+    copies.save(write(1, "a", Some(b"one"), &receiver));
+    copies.save(write(2, "b", Some(b"two"), &receiver));
+    copies.save(write(3, "a", None, &receiver));
     for number in 1..=3 {
-        assert_eq!((hears.recv(&mut byte).unwrap(), byte[0]), (1, number));
+        assert_eq!((receiver.recv(&mut byte).unwrap(), byte[0]), (1, number));
     }
-    while said(&copies) != (3, true) {}
+    while next_outcome(&copies) != (3, true) {}
     drop(copies);
-    let again = loop {
+    let reopened = loop {
         // The thread lets go of the file once it has seen that nobody writes any more.
-        match open(&folder) {
-            Ok((_, found)) => break found,
-            Err(CopiesError::Taken(_)) => std::thread::yield_now(),
+        match open(&directory) {
+            Ok((_, stored)) => break stored,
+            Err(CopiesError::InUse(_)) => std::thread::yield_now(),
             Err(e) => panic!("{e}"),
         }
     };
     assert_eq!(
-        (again.disk, again.saved),
+        (reopened.disk, reopened.saved),
         (
-            found.disk,
+            stored.disk,
             Some(Saved(vec![(b"b".to_vec(), b"two".to_vec())]))
         )
     );
-    let other = open(&Folder::new("other")).unwrap().1;
-    assert_ne!(other.disk, found.disk);
+    let other = open(&TestDirectory::new("other")).unwrap().1;
+    assert_ne!(other.disk, stored.disk);
 }
 
 #[test]
 fn a_file_that_was_altered_or_cut_is_refused_with_its_reason() {
-    let folder = Folder::new("altered");
-    std::fs::create_dir_all(&folder.0).unwrap();
+    let directory = TestDirectory::new("altered");
+    std::fs::create_dir_all(&directory.0).unwrap();
     for bytes in [vec![7; 5_000], vec![0xff; 40]] {
-        std::fs::write(folder.0.join(FILE), bytes).unwrap();
-        let why = open(&folder).err().unwrap();
-        assert!(matches!(why, CopiesError::Damaged { .. }), "{why}");
+        std::fs::write(directory.0.join(FILE_NAME), bytes).unwrap();
+        let error = open(&directory).err().unwrap();
+        assert!(matches!(error, CopiesError::Damaged { .. }), "{error}");
         assert!(
-            why.to_string().contains(&folder.name()) && why.to_string().contains("move it away"),
-            "{why}"
+            error.to_string().contains(&directory.name())
+                && error.to_string().contains("move it away"),
+            "{error}"
         );
     }
 }
 
 /// A disk that fails when told to.
 #[derive(Debug)]
-struct Failing(InMemoryBackend, Arc<AtomicBool>);
+struct FailingBackend(InMemoryBackend, Arc<AtomicBool>);
 
 type Io<T> = std::io::Result<T>;
 
-impl Failing {
-    fn works(&self) -> Io<()> {
+impl FailingBackend {
+    fn check_failure(&self) -> Io<()> {
         if self.1.load(Ordering::SeqCst) {
             return Err(std::io::Error::from(std::io::ErrorKind::StorageFull));
         }
@@ -124,7 +125,7 @@
     }
 }
 
-impl StorageBackend for Failing {
+impl StorageBackend for FailingBackend {
     fn len(&self) -> Io<u64> {
         self.0.len()
     }
@@ -134,42 +135,44 @@
     }
 
     fn set_len(&self, len: u64) -> Io<()> {
-        self.works().and_then(|()| self.0.set_len(len))
+        self.check_failure().and_then(|()| self.0.set_len(len))
     }
 
     fn sync_data(&self) -> Io<()> {
-        self.works().and_then(|()| self.0.sync_data())
+        self.check_failure().and_then(|()| self.0.sync_data())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Io<()> {
-        self.works().and_then(|()| self.0.write(offset, data))
+        self.check_failure()
+            .and_then(|()| self.0.write(offset, data))
     }
 }
 
 #[test]
 fn on_a_full_disk_nothing_that_waits_for_it_leaves_and_it_is_said() {
-    let (fails, hears, mut byte) = (Arc::new(AtomicBool::new(false)), socket(), [0; 8]);
-    let backend = Failing(InMemoryBackend::new(), fails.clone());
-    let found = opened("test", || Database::builder().create_with_backend(backend)).unwrap();
-    let (mut copies, _) = Copies::with("test", found, socket(), || {}).unwrap();
-    copies.save(write(1, "a", Some(b"one"), &hears));
+    let (is_failing, receiver, mut byte) = (Arc::new(AtomicBool::new(false)), socket(), [0; 8]);
+    let backend = FailingBackend(InMemoryBackend::new(), is_failing.clone());
+    let stored =
+        open_database("test", || Database::builder().create_with_backend(backend)).unwrap();
+    let (mut copies, _) = Copies::start("test", stored, socket(), || {}).unwrap();
+    copies.save(write(1, "a", Some(b"one"), &receiver));
     assert_eq!(
-        (hears.recv(&mut byte).unwrap(), said(&copies)),
+        (receiver.recv(&mut byte).unwrap(), next_outcome(&copies)),
         (1, (1, true))
     );
-    fails.store(true, Ordering::SeqCst);
-    copies.save(write(2, "a", Some(b"two"), &hears));
-    assert_eq!(said(&copies), (2, false));
-    copies.save(write(3, "a", Some(b"three"), &hears));
-    assert_eq!(said(&copies), (3, false));
-    hears.set_nonblocking(true).unwrap();
-    assert!(hears.recv(&mut byte).is_err());
+    is_failing.store(true, Ordering::SeqCst);
+    copies.save(write(2, "a", Some(b"two"), &receiver));
+    assert_eq!(next_outcome(&copies), (2, false));
+    copies.save(write(3, "a", Some(b"three"), &receiver));
+    assert_eq!(next_outcome(&copies), (3, false));
+    receiver.set_nonblocking(true).unwrap();
+    assert!(receiver.recv(&mut byte).is_err());
 }
 
 #[test]
 fn what_is_unfit_says_where_and_what_to_do() {
     let directory = || "/data".to_string();
-    for (unfit, advice) in [
+    for (error, advice) in [
         (
             CopiesError::Disk {
                 directory: directory(),
@@ -179,7 +182,7 @@
             "with room",
         ),
         (
-            CopiesError::Taken(directory()),
+            CopiesError::InUse(directory()),
             "give each front one of its own",
         ),
         (
@@ -190,7 +193,7 @@
             "move it away",
         ),
     ] {
-        let text = unfit.to_string();
+        let text = error.to_string();
         assert!(
             text.starts_with("ledger.directory /data: ") && text.contains(advice),
             "{text}"
--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -18,7 +18,7 @@
     #[error("gossip: ownership.{0}")]
     Votes(#[from] VotesError),
     #[error("gossip: ownership.directory: {0}")]
-    Voted(#[from] hallmux_lease::disk::StateError),
+    VoterState(#[from] hallmux_lease::disk::StateError),
     #[error("gossip: {0}")]
     Copies(#[from] super::copies::CopiesError),
     #[error("gossip: {0}")]
@@ -44,11 +44,11 @@
         why: std::io::Error,
     },
     #[error("directory: {0}: another front has it; give each front one of its own")]
-    Taken(String),
+    InUse(String),
     #[error(
         "directory: {directory}: can't be locked: {why}; give the front a directory on a disk of its own"
     )]
-    Unlocked {
+    Lock {
         directory: String,
         why: std::io::Error,
     },
@@ -64,9 +64,9 @@
     #[error("rules.file: {file}: {why}; name a file that can be read")]
     File { file: String, why: std::io::Error },
     #[error(transparent)]
-    Wrong(#[from] hallmux_access::FileErrors),
+    Invalid(#[from] hallmux_access::FileErrors),
     #[error("{0}: what_if: asks a question, and gives no rules to begin with; take it out")]
-    Question(String),
+    WhatIf(String),
     #[error(
         "rules: this front has others, but no `gossip.ledger` that keeps rules; name its members"
     )]
--- a/crates/front/src/fleet/errors_tests.rs
+++ b/crates/front/src/fleet/errors_tests.rs
@@ -7,7 +7,7 @@
     let io = || std::io::Error::other("gone");
     let (file, directory) = (|| "/f".to_string(), || "/d".to_string());
     let at = SocketAddr::from(([127, 0, 0, 1], 9));
-    let taken = || VotesError::Taken(directory());
+    let in_use = || VotesError::InUse(directory());
     let texts = [
         (
             PeersError::SecretFile {
@@ -30,7 +30,7 @@
             "gossip: too many",
         ),
         (
-            PeersError::from(taken()).to_string(),
+            PeersError::from(in_use()).to_string(),
             "gossip: ownership.directory: /d: ",
         ),
         (
@@ -47,7 +47,7 @@
             "directory: /d: w: ",
         ),
         (
-            VotesError::Unlocked {
+            VotesError::Lock {
                 directory: directory(),
                 why: io(),
             }
@@ -63,13 +63,13 @@
             .to_string(),
             "rules.file: /f: ",
         ),
-        (RulesError::Question(file()).to_string(), "/f: what_if: "),
+        (RulesError::WhatIf(file()).to_string(), "/f: what_if: "),
         (RulesError::NoLedger.to_string(), "rules: "),
     ];
     for (text, place) in texts {
-        let (wrong, remedy) = text.rsplit_once("; ").unwrap();
+        let (fault, remedy) = text.rsplit_once("; ").unwrap();
         assert!(
-            wrong.starts_with(place) && wrong.len() >= place.len() && remedy.len() > 8,
+            fault.starts_with(place) && fault.len() >= place.len() && remedy.len() > 8,
             "{text}"
         );
         assert!(
--- a/crates/front/src/fleet/faulty_disk.rs
+++ b/crates/front/src/fleet/faulty_disk.rs
@@ -9,13 +9,13 @@
 use redb::StorageBackend;
 
 /// Milliseconds of a sync; what is slower is as good as gone.
-const MOST_MS: u64 = 60_000;
+const MAX_SYNC_DELAY_MS: u64 = 60_000;
 
 type Io<T> = std::io::Result<T>;
 
 /// Opens the store's file, with the faults that `fault_file` names.
 pub fn open(file: &std::path::Path, fault_file: &str) -> Result<FaultyDisk, redb::DatabaseError> {
-    let opened = std::fs::OpenOptions::new()
+    let store_file = std::fs::OpenOptions::new()
         .read(true)
         .write(true)
         .create(true)
@@ -23,7 +23,7 @@
         .open(file)?;
     log::warn!("ledger.drill: what befalls the disk of copies is a drill's, from {fault_file}");
     Ok(FaultyDisk {
-        file: FileBackend::new(opened)?,
+        file: FileBackend::new(store_file)?,
         fault_file: PathBuf::from(fault_file),
     })
 }
@@ -37,13 +37,13 @@
 
 impl FaultyDisk {
     /// The fault that is to be injected now.
-    fn instruction(&self) -> String {
+    fn fault(&self) -> String {
         std::fs::read_to_string(&self.fault_file).unwrap_or_default()
     }
 
     /// A full disk takes nothing, also no change of what is there: as file systems that copy on write do.
     fn check_space(&self) -> Io<()> {
-        match self.instruction().trim() {
+        match self.fault().trim() {
             "full" => Err(std::io::ErrorKind::StorageFull.into()),
             _ => Ok(()),
         }
@@ -51,12 +51,12 @@
 }
 
 /// Milliseconds that a sync takes longer, by an instruction of the file.
-fn slow_ms(instruction: &str) -> u64 {
-    let ms = instruction
+fn sync_delay_ms(fault: &str) -> u64 {
+    let ms = fault
         .trim()
         .strip_prefix("slow ")
         .and_then(|ms| ms.parse().ok());
-    ms.unwrap_or(0).min(MOST_MS)
+    ms.unwrap_or(0).min(MAX_SYNC_DELAY_MS)
 }
 
 impl StorageBackend for FaultyDisk {
@@ -74,7 +74,7 @@
 
     fn sync_data(&self) -> Io<()> {
         self.check_space()?;
-        std::thread::sleep(Duration::from_millis(slow_ms(&self.instruction())));
+        std::thread::sleep(Duration::from_millis(sync_delay_ms(&self.fault())));
         self.file.sync_data()
     }
 
--- a/crates/front/src/fleet/faulty_disk_tests.rs
+++ b/crates/front/src/fleet/faulty_disk_tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn a_disk_is_full_or_slow_as_long_as_its_file_says_so() {
-    let folder = std::env::temp_dir().join(format!("hallmux-drilled-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let fault_file = folder.join("drill");
-    let disk = open(&folder.join("store"), &fault_file.display().to_string()).unwrap();
+    let directory = std::env::temp_dir().join(format!("hallmux-drilled-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    let fault_file = directory.join("drill");
+    let disk = open(&directory.join("store"), &fault_file.display().to_string()).unwrap();
     disk.set_len(8)
         .and_then(|()| disk.write(0, b"whole"))
         .unwrap();
@@ -21,17 +21,17 @@
     disk.read(0, &mut bytes).unwrap();
     assert_eq!((&bytes, disk.len().unwrap()), (b"whole", 8));
     std::fs::write(&fault_file, "slow 30").unwrap();
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     disk.sync_data().unwrap();
-    assert!(began.elapsed() >= Duration::from_millis(30));
+    assert!(started.elapsed() >= Duration::from_millis(30));
     assert_eq!(
         (
-            slow_ms("slow 2000\n"),
-            slow_ms("slow x"),
-            slow_ms("slow 99999999"),
-            slow_ms("")
+            sync_delay_ms("slow 2000\n"),
+            sync_delay_ms("slow x"),
+            sync_delay_ms("slow 99999999"),
+            sync_delay_ms("")
         ),
-        (2000, 0, MOST_MS, 0)
+        (2000, 0, MAX_SYNC_DELAY_MS, 0)
     );
-    let _ = std::fs::remove_dir_all(&folder);
+    let _ = std::fs::remove_dir_all(&directory);
 }
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -3,22 +3,22 @@
 use std::net::UdpSocket;
 
 use calloop::LoopHandle;
-use hallmux_config::{self as agreement, OnDiskFailure};
+use hallmux_config::{self as config, OnDiskFailure};
 use hallmux_dispatcher::Micros;
 use hallmux_fleet::{ClockReading, Exchange, OwnershipConfig, VoterAddress};
 use hallmux_gossip::seal::peer_id;
 use hallmux_lease::Terms;
 
-use super::copies::{Copies, CopiesError, Found};
+use super::copies::{Copies, CopiesError, StoredCopies};
 use super::errors::PeersError;
-use super::members::{setup, LedgerSetup};
+use super::members::{ledger_setup, LedgerSetup};
 use super::votes::Votes;
 use crate::events::{LoopEvents, SocketKind};
 
 /// Joins the elections for ownership of the fleet's work. Returns the durable votes, where this front is a voter.
 pub(super) fn join_ownership(
     exchange: &mut Exchange,
-    ownership: &agreement::Ownership,
+    ownership: &config::Ownership,
     now: Micros,
     socket: &UdpSocket,
 ) -> Result<Option<Votes>, PeersError> {
@@ -31,12 +31,12 @@
             address: voter.address,
         })
         .collect();
-    let own = peer_id(&exchange.public_key());
+    let local_id = peer_id(&exchange.public_key());
     let mut saved = None;
-    if voters.iter().any(|voter| voter.id == own) {
+    if voters.iter().any(|voter| voter.id == local_id) {
         let socket = socket.try_clone().map_err(PeersError::system)?;
-        let (opened, kept) = Votes::open(&ownership.directory, socket)?;
-        (votes, saved) = (Some(opened), kept);
+        let (opened, previous) = Votes::open(&ownership.directory, socket)?;
+        (votes, saved) = (Some(opened), previous);
     }
     let terms = Terms {
         length: ownership.lease,
@@ -48,12 +48,12 @@
         terms,
         saved,
     };
-    let moment = ClockReading {
+    let clock = ClockReading {
         now,
         steady: 0,
         wall_ms: (now / 1000) as u64,
     };
-    exchange.enable_ownership(moment, ownership)?;
+    exchange.enable_ownership(clock, ownership)?;
     log::info!(
         "takes part in ownership of the fleet's work{}",
         if votes.is_some() { ", and votes" } else { "" }
@@ -64,14 +64,14 @@
 /// Joins the ledger. Returns the durable copies, where this front keeps some on disk.
 pub(super) fn join_ledger(
     exchange: &mut Exchange,
-    ledger: &agreement::Ledger,
+    ledger: &config::Ledger,
     now: Micros,
     socket: &UdpSocket,
     handle: &LoopHandle<'static, LoopEvents>,
 ) -> Result<Option<Copies>, PeersError> {
-    let own = peer_id(&exchange.public_key());
+    let local_id = peer_id(&exchange.public_key());
     let wall_ms = (now / 1000) as u64;
-    let moment = ClockReading {
+    let clock = ClockReading {
         now,
         steady: 0,
         wall_ms,
@@ -79,37 +79,37 @@
     let LedgerSetup {
         mut setup,
         addresses,
-    } = setup(ledger, own, wall_ms);
+    } = ledger_setup(ledger, local_id, wall_ms);
     let mut members = ledger.members.iter();
-    let keeps = members.any(|member| peer_id(&member.key) == own);
+    let is_member = members.any(|member| peer_id(&member.key) == local_id);
     let mut copies = None;
     let mut saved = None;
-    if keeps {
-        if let Some((opened, found)) = open_copies(ledger, socket, handle)? {
+    if is_member {
+        if let Some((opened, stored)) = open_copies(ledger, socket, handle)? {
             copies = Some(opened);
-            setup.disk = found.disk;
-            saved = found.saved;
+            setup.disk = stored.disk;
+            saved = stored.saved;
         }
     }
-    let kept = match (&copies, &saved) {
-        _ if !keeps => "",
+    let storage = match (&copies, &saved) {
+        _ if !is_member => "",
         (None, _) => ", and keeps copies in memory alone",
         (Some(_), None) => ", and keeps copies on a disk that is new",
         (Some(_), Some(_)) => ", and keeps copies on the disk that it had",
     };
-    exchange.enable_ledger(moment, setup, addresses, saved)?;
+    exchange.enable_ledger(clock, setup, addresses, saved)?;
     let count = ledger.members.len();
-    log::info!("asks {count} fronts for promises{kept}");
+    log::info!("asks {count} fronts for promises{storage}");
     Ok(copies)
 }
 
 /// Opens the directory for copies, where the operator's file names one. None: copies are in memory alone, also after
 /// a failure of the disk where the file allows that.
 fn open_copies(
-    ledger: &agreement::Ledger,
+    ledger: &config::Ledger,
     socket: &UdpSocket,
     handle: &LoopHandle<'static, LoopEvents>,
-) -> Result<Option<(Copies, Found)>, PeersError> {
+) -> Result<Option<(Copies, StoredCopies)>, PeersError> {
     let Some(directory) = &ledger.directory else {
         return Ok(None);
     };
@@ -132,9 +132,9 @@
     handle: &LoopHandle<'static, LoopEvents>,
 ) -> std::io::Result<impl Fn() + Send + 'static> {
     let (ping, source) = calloop::ping::make_ping()?;
-    let told = handle.insert_source(source, |(), _, events: &mut LoopEvents| {
+    let registered = handle.insert_source(source, |(), _, events: &mut LoopEvents| {
         events.ready.push(SocketKind::Peers.id(0));
     });
-    told.map_err(|e| std::io::Error::other(e.error.to_string()))?;
+    registered.map_err(|e| std::io::Error::other(e.error.to_string()))?;
     Ok(move || ping.ping())
 }
--- a/crates/front/src/fleet/ledger_barrier.rs
+++ b/crates/front/src/fleet/ledger_barrier.rs
@@ -16,20 +16,20 @@
 const LOG_INTERVAL: Micros = 10_000_000;
 
 impl LedgerClient for Peers {
-    fn submit(&mut self, now: Micros, ask: LedgerRequest) {
-        Peers::submit_ledger_request(self, now, ask);
+    fn submit(&mut self, now: Micros, request: LedgerRequest) {
+        Peers::submit_ledger_request(self, now, request);
     }
 
-    fn take_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
-        Peers::take_ledger_answers(self, part)
+    fn take_answers(&mut self, request_number_base: u64) -> Vec<LedgerAnswer> {
+        Peers::take_ledger_answers(self, request_number_base)
     }
 }
 
 /// The ledger barrier, and what was logged of it.
 pub struct LoggedBarrier {
-    guard: ledger_barrier::BarrierDriver,
-    last_log: Micros,
-    refused: BTreeMap<&'static str, u64>,
+    driver: ledger_barrier::BarrierDriver,
+    last_log_time: Micros,
+    logged_rejections: BTreeMap<&'static str, u64>,
 }
 
 impl LoggedBarrier {
@@ -40,22 +40,22 @@
         shards: u16,
         dispatcher: &mut Dispatcher,
     ) -> LoggedBarrier {
-        let guard = ledger_barrier::BarrierDriver::new(settings, now, shards, dispatcher);
+        let driver = ledger_barrier::BarrierDriver::new(settings, now, shards, dispatcher);
         LoggedBarrier {
-            guard,
-            last_log: 0,
-            refused: BTreeMap::new(),
+            driver,
+            last_log_time: 0,
+            logged_rejections: BTreeMap::new(),
         }
     }
 
     /// When something is due though nothing happens.
     pub fn due(&self) -> Micros {
-        self.guard.due()
+        self.driver.due()
     }
 
     /// Nothing is asked that has no answer yet.
     pub fn is_idle(&self) -> bool {
-        self.guard.is_idle()
+        self.driver.is_idle()
     }
 
     /// An execution is ordered. True if it is held for now.
@@ -63,7 +63,7 @@
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ordered: &SendCommand,
+        command: &SendCommand,
     ) -> bool {
         let SendCommand {
             ticket,
@@ -71,8 +71,8 @@
             place,
             terms,
             ..
-        } = *ordered;
-        self.guard.hold(
+        } = *command;
+        self.driver.hold(
             now,
             dispatcher,
             OrderedExecution {
@@ -86,12 +86,13 @@
 
     /// Changes the priority that a held execution leaves with.
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
-        self.guard.set_priority(ticket, priority);
+        self.driver.set_priority(ticket, priority);
     }
 
     /// Gives an execution up. True if it was held.
-    pub fn cancel(&mut self, now: Micros, sent: ExecutionId) -> bool {
-        self.guard.cancel(now, sent.ticket, sent.number)
+    pub fn cancel(&mut self, now: Micros, execution_id: ExecutionId) -> bool {
+        self.driver
+            .cancel(now, execution_id.ticket, execution_id.number)
     }
 
     /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id` names a
@@ -103,14 +104,16 @@
         peers: &mut Peers,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<BarrierDecision> {
-        let rulings = self.guard.advance(now, dispatcher, peers, id);
-        if self.guard.refused() != &self.refused && self.last_log + LOG_INTERVAL <= now {
-            (self.last_log, self.refused) = (now, self.guard.refused().clone());
+        let decisions = self.driver.advance(now, dispatcher, peers, id);
+        if self.driver.refused() != &self.logged_rejections
+            && self.last_log_time + LOG_INTERVAL <= now
+        {
+            (self.last_log_time, self.logged_rejections) = (now, self.driver.refused().clone());
             log::warn!(
                 "statements ended for want of a promise so far: {:?}",
-                self.refused
+                self.logged_rejections
             );
         }
-        rulings
+        decisions
     }
 }
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -22,7 +22,7 @@
 }
 
 /// The members that the operator's file names.
-pub fn members(ledger: &Ledger) -> LedgerMembers {
+pub fn ledger_members(ledger: &Ledger) -> LedgerMembers {
     let member = |m: &hallmux_config::LedgerMember| Member {
         front: peer_id(&m.key),
         zone: m.zone.clone(),
@@ -39,8 +39,8 @@
 }
 
 /// The ledger as this front keeps it. `own` is its key, `incarnation` the Unix time of its start in milliseconds.
-pub fn setup(ledger: &Ledger, own: PeerId, incarnation: u64) -> LedgerSetup {
-    let LedgerMembers { members, addresses } = members(ledger);
+pub fn ledger_setup(ledger: &Ledger, local_id: PeerId, incarnation: u64) -> LedgerSetup {
+    let LedgerMembers { members, addresses } = ledger_members(ledger);
     // In memory each incarnation is a disk of its own.
     let disk = RandomState::new().hash_one(incarnation).max(1);
     let setup = Setup {
@@ -54,7 +54,7 @@
         moves_percent: ledger.moves_percent,
         zone_after: ledger.zone_after,
         clock_skew_ms: ledger.clocks_apart_ms,
-        ..Setup::new(&ledger.fleet, own, incarnation, disk, members)
+        ..Setup::new(&ledger.fleet, local_id, incarnation, disk, members)
     };
     LedgerSetup { setup, addresses }
 }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -22,7 +22,7 @@
 use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::copies::{random_disk_id, Copies, Write, WriteOutcome};
-use super::members::{members, LedgerMembers};
+use super::members::{ledger_members, LedgerMembers};
 use super::votes::Votes;
 use crate::shutdown::LedgerDuty;
 use log_lines::LogState;
@@ -30,7 +30,7 @@
 /// Datagrams taken before others are served.
 const DATAGRAMS_PER_ITERATION: usize = 64;
 /// Bits of an ask's number that a part of the front counts in; the byte above them says which part.
-const PART_SHIFT: u32 = 56;
+const COMPONENT_SHIFT: u32 = 56;
 
 /// A message on a channel beside gossip.
 pub struct PeerMessage {
@@ -41,7 +41,7 @@
 
 /// This front and the others, by their keys, where a ledger is kept.
 pub struct LedgerFleet {
-    pub own: PeerId,
+    pub local_id: PeerId,
     /// All fronts whose keys count.
     pub fronts: Vec<PeerId>,
 }
@@ -50,29 +50,29 @@
 pub struct Peers {
     socket: Rc<UdpSocket>,
     exchange: Exchange,
-    names: BTreeMap<PeerId, String>,
+    peer_names: BTreeMap<PeerId, String>,
     random: RandomState,
     draws_made: u64,
     /// The clock that leases go by: it runs evenly on, whatever becomes of the wall clock.
-    started: Instant,
+    steady_start: Instant,
     votes: Option<Votes>,
     /// Where copies of promises are kept; none: in memory alone.
     copies: Option<Copies>,
     /// A disk that fails leaves them in memory.
     memory_on_disk_failure: bool,
-    log: LogState,
+    log_state: LogState,
     messages: BTreeMap<Channel, Vec<PeerMessage>>,
     /// Answers of the ledger that their part of this front has not taken yet.
-    done: Vec<LedgerAnswer>,
+    ledger_answers: Vec<LedgerAnswer>,
     /// A ledger is kept.
     has_ledger: bool,
 }
 
-fn keys(gossip: &Gossip) -> Rc<Keys> {
+fn peer_keys(gossip: &Gossip) -> Rc<Keys> {
     Keys::new(&gossip.peers.iter().map(|peer| peer.key).collect::<Vec<_>>())
 }
 
-fn names(gossip: &Gossip) -> BTreeMap<PeerId, String> {
+fn peer_names(gossip: &Gossip) -> BTreeMap<PeerId, String> {
     gossip
         .peers
         .iter()
@@ -83,13 +83,13 @@
 impl Peers {
     /// The file was read again: its keys count from now on.
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
-        self.names = names(gossip);
-        self.exchange.set_keys(keys(gossip));
+        self.peer_names = peer_names(gossip);
+        self.exchange.set_keys(peer_keys(gossip));
         if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.has_ledger) {
-            let LedgerMembers { members, addresses } = members(ledger);
-            if let Err(e) = self
-                .exchange
-                .set_ledger_members(self.moment(now), members, addresses)
+            let LedgerMembers { members, addresses } = ledger_members(ledger);
+            if let Err(e) =
+                self.exchange
+                    .set_ledger_members(self.clock_reading(now), members, addresses)
             {
                 log::error!("gossip.ledger.members is left as it was: {e}");
             }
@@ -99,18 +99,20 @@
 
     /// When `tick` is next due, in Unix microseconds.
     pub fn due(&self, now: Micros) -> Micros {
-        self.exchange.due(self.moment(now))
+        self.exchange.due(self.clock_reading(now))
     }
 
     /// Datagrams have come; true if there are more for another iteration.
     pub fn receive_datagrams(&mut self, now: Micros) -> bool {
-        self.apply_durable(now);
+        self.apply_write_outcomes(now);
         let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut bytes) {
                 Ok((len, from)) => {
-                    let out = self.exchange.receive(self.moment(now), from, &bytes[..len]);
-                    self.send(now, out);
+                    let output =
+                        self.exchange
+                            .receive(self.clock_reading(now), from, &bytes[..len]);
+                    self.send(now, output);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
                 // A peer that is gone shows here; it will show as silent as well.
@@ -120,8 +122,8 @@
         true
     }
 
-    fn moment(&self, now: Micros) -> ClockReading {
-        let steady = self.started.elapsed().as_micros() as Micros;
+    fn clock_reading(&self, now: Micros) -> ClockReading {
+        let steady = self.steady_start.elapsed().as_micros() as Micros;
         ClockReading {
             now,
             steady,
@@ -132,9 +134,9 @@
     /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
     pub fn take_messages(&mut self, channel: Channel) -> Vec<PeerMessage> {
         for message in self.exchange.take_received() {
-            let kept = self.messages.entry(message.channel).or_default();
-            if kept.len() < DATAGRAMS_PER_ITERATION {
-                kept.push(PeerMessage {
+            let queue = self.messages.entry(message.channel).or_default();
+            if queue.len() < DATAGRAMS_PER_ITERATION {
+                queue.push(PeerMessage {
                     from: message.from,
                     bytes: message.bytes,
                 });
@@ -145,10 +147,10 @@
 
     /// Sends such a message; what does not go out is as if it were lost on the way.
     pub fn send_message(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
-        let at = self.moment(now);
+        let clock = self.clock_reading(now);
         let datagrams = self
             .exchange
-            .channel_datagram(at, to, channel, bytes)
+            .channel_datagram(clock, to, channel, bytes)
             .into_iter()
             .collect();
         self.send(
@@ -162,11 +164,11 @@
 
     /// The other fronts whose messages count.
     pub fn accepted_peers(&self) -> Vec<PeerId> {
-        let own = peer_id(&self.exchange.public_key());
-        self.names
+        let local_id = peer_id(&self.exchange.public_key());
+        self.peer_names
             .keys()
             .copied()
-            .filter(|peer| *peer != own)
+            .filter(|peer| *peer != local_id)
             .collect()
     }
 
@@ -178,16 +180,17 @@
     /// Whether a probe on behalf of the fleet may leave now.
     pub fn may_probe(&self) -> bool {
         self.exchange
-            .may_probe(self.started.elapsed().as_micros() as Micros)
+            .may_probe(self.steady_start.elapsed().as_micros() as Micros)
     }
 
     /// What does not go out is as if it were lost on the way.
-    fn send(&mut self, now: Micros, out: Output) {
-        for Datagram { to, bytes } in out.datagrams {
+    fn send(&mut self, now: Micros, output: Output) {
+        for Datagram { to, bytes } in output.datagrams {
             let _ = self.socket.send_to(&bytes, to);
         }
         if let Some(votes) = &mut self.votes {
-            out.voter_saves
+            output
+                .voter_saves
                 .into_iter()
                 .for_each(|saved| votes.save(saved));
         }
@@ -195,7 +198,7 @@
             number,
             records,
             datagrams,
-        } in out.ledger_saves
+        } in output.ledger_saves
         {
             if let Some(copies) = &mut self.copies {
                 copies.save(Write {
@@ -209,84 +212,92 @@
             for Datagram { to, bytes } in datagrams {
                 let _ = self.socket.send_to(&bytes, to);
             }
-            let out = self.exchange.ledger_saved(self.moment(now), number, true);
-            self.send(now, out);
+            let output = self
+                .exchange
+                .ledger_saved(self.clock_reading(now), number, true);
+            self.send(now, output);
         }
     }
 
     /// Applies writes of copies that have become durable, or have failed.
-    fn apply_durable(&mut self, now: Micros) {
-        let durable = self
+    fn apply_write_outcomes(&mut self, now: Micros) {
+        let outcomes = self
             .copies
             .as_ref()
-            .map(Copies::durable)
+            .map(Copies::take_outcomes)
             .unwrap_or_default();
-        for WriteOutcome { number, is_durable } in durable {
-            let at = self.moment(now);
-            let out = self.exchange.ledger_saved(at, number, is_durable);
-            self.send(now, out);
+        for WriteOutcome { number, is_durable } in outcomes {
+            let clock = self.clock_reading(now);
+            let output = self.exchange.ledger_saved(clock, number, is_durable);
+            self.send(now, output);
             if !is_durable && self.memory_on_disk_failure && self.copies.take().is_some() {
                 log::error!(
                     "copies of promises are in memory alone from now on, as a front's that remembers nothing"
                 );
-                let out = self.exchange.reset_ledger(at, random_disk_id());
-                self.send(now, out);
+                let output = self.exchange.reset_ledger(clock, random_disk_id());
+                self.send(now, output);
             }
         }
     }
 
     /// Asks the ledger; the answer comes with `promised`.
-    pub fn submit_ledger_request(&mut self, now: Micros, ask: LedgerRequest) {
-        let out = self.exchange.submit_ledger_request(self.moment(now), ask);
-        self.send(now, out);
+    pub fn submit_ledger_request(&mut self, now: Micros, request: LedgerRequest) {
+        let output = self
+            .exchange
+            .submit_ledger_request(self.clock_reading(now), request);
+        self.send(now, output);
     }
 
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
-    pub fn take_ledger_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
-        self.done.extend(self.exchange.take_ledger_answers());
-        let (told, others) = std::mem::take(&mut self.done)
+    pub fn take_ledger_answers(&mut self, request_number_base: u64) -> Vec<LedgerAnswer> {
+        self.ledger_answers
+            .extend(self.exchange.take_ledger_answers());
+        let (answers, remaining) = std::mem::take(&mut self.ledger_answers)
             .into_iter()
-            .partition(|done| done.number >> PART_SHIFT == part >> PART_SHIFT);
-        self.done = others;
-        told
+            .partition(|answer| {
+                answer.number >> COMPONENT_SHIFT == request_number_base >> COMPONENT_SHIFT
+            });
+        self.ledger_answers = remaining;
+        answers
     }
 
     /// The fronts that keep the ledger and ask it; none where none is kept.
     pub fn ledger_fleet(&self) -> Option<LedgerFleet> {
-        let fleet = || LedgerFleet {
-            own: peer_id(&self.exchange.public_key()),
-            fronts: self.names.keys().copied().collect(),
+        let ledger_fleet = || LedgerFleet {
+            local_id: peer_id(&self.exchange.public_key()),
+            fronts: self.peer_names.keys().copied().collect(),
         };
-        self.has_ledger.then(fleet)
+        self.has_ledger.then(ledger_fleet)
     }
 
     /// Does what is due; the log says what is new, and what was refused.
     pub fn tick(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
-        self.apply_durable(now);
-        let before = self.exchange.fleet_size();
-        let at = self.moment(now);
+        self.apply_write_outcomes(now);
+        let previous_size = self.exchange.fleet_size();
+        let clock = self.clock_reading(now);
         let TickOutput {
             output,
             new_reports,
         } = self.exchange.tick(
-            at,
+            clock,
             dispatcher,
             &mut random_numbers(&self.random, &mut self.draws_made),
         );
         self.send(now, output);
         let size = self.exchange.fleet_size();
-        if size != before {
+        if size != previous_size {
             log_lines::log_fleet_size(size);
         }
         for report in &new_reports {
-            log_lines::log_peer_report(report, &self.names);
+            log_lines::log_peer_report(report, &self.peer_names);
         }
-        self.log.log_changes(now, at.steady, &self.exchange);
+        self.log_state
+            .log_changes(now, clock.steady, &self.exchange);
     }
 
     /// What of the ledger depends on this front.
     pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
-        if self.exchange.is_needed_for_quorum(self.moment(now)) {
+        if self.exchange.is_needed_for_quorum(self.clock_reading(now)) {
             LedgerDuty::NeededForQuorum
         } else if self.exchange.has_shards_to_hand_over() {
             LedgerDuty::OwnsShards
@@ -297,12 +308,12 @@
 
     /// This front ends: what it owns of the ledger is handed over, and some peers are notified, which notify the others.
     pub fn leave(&mut self, now: Micros) {
-        let out = self.exchange.hand_over_shards(self.moment(now));
-        self.send(now, out);
-        let wall = (now / 1000) as u64;
+        let output = self.exchange.hand_over_shards(self.clock_reading(now));
+        self.send(now, output);
+        let wall_ms = (now / 1000) as u64;
         let datagrams = self.exchange.leave(
             now,
-            wall,
+            wall_ms,
             &mut random_numbers(&self.random, &mut self.draws_made),
         );
         self.send(
--- a/crates/front/src/fleet/peers/log_lines.rs
+++ b/crates/front/src/fleet/peers/log_lines.rs
@@ -16,12 +16,12 @@
 /// What was logged last, so that a line comes only where something has changed.
 #[derive(Default)]
 pub(super) struct LogState {
-    last_log: Micros,
-    refused: BTreeMap<Refused, u64>,
-    refused_acts: BTreeMap<&'static str, u64>,
-    ownership: Option<OwnedLease>,
+    last_log_time: Micros,
+    logged_rejections: BTreeMap<Refused, u64>,
+    logged_ownership_rejections: BTreeMap<&'static str, u64>,
+    logged_lease: Option<OwnedLease>,
     /// Replicas of the ledger that were found to differ.
-    differences: Differences,
+    logged_differences: Differences,
 }
 
 impl LogState {
@@ -29,14 +29,14 @@
     /// time that leases go by.
     pub(super) fn log_changes(&mut self, now: Micros, steady: Micros, exchange: &Exchange) {
         self.log_ownership(exchange.owned_lease(steady));
-        self.log_refused_acts(now, exchange);
+        self.log_ownership_rejections(now, exchange);
         self.log_differences(exchange.replica_differences());
-        self.log_refused(now, exchange);
+        self.log_rejections(now, exchange);
     }
 
     fn log_ownership(&mut self, owned: Option<OwnedLease>) {
-        match (self.ownership, owned) {
-            (before, Some(OwnedLease { token })) if before != owned => {
+        match (self.logged_lease, owned) {
+            (previous, Some(OwnedLease { token })) if previous != owned => {
                 log::info!("owns the fleet's work under token {token}")
             }
             (Some(OwnedLease { token }), None) => {
@@ -44,23 +44,23 @@
             }
             _ => {}
         }
-        self.ownership = owned;
+        self.logged_lease = owned;
     }
 
-    fn log_refused_acts(&mut self, now: Micros, exchange: &Exchange) {
-        let refused = exchange.refused_acts();
-        if refused == self.refused_acts || !self.is_due(now) {
+    fn log_ownership_rejections(&mut self, now: Micros, exchange: &Exchange) {
+        let rejected = exchange.refused_acts();
+        if rejected == self.logged_ownership_rejections || !self.is_log_due(now) {
             return;
         }
-        log::warn!("words on the fleet's work that count for nothing so far: {refused:?}");
-        self.refused_acts = refused;
+        log::warn!("words on the fleet's work that count for nothing so far: {rejected:?}");
+        self.logged_ownership_rejections = rejected;
     }
 
     fn log_differences(&mut self, differences: Differences) {
-        if differences == self.differences {
+        if differences == self.logged_differences {
             return;
         }
-        self.differences = differences;
+        self.logged_differences = differences;
         let Differences {
             found,
             repaired_here,
@@ -70,20 +70,20 @@
         );
     }
 
-    fn log_refused(&mut self, now: Micros, exchange: &Exchange) {
-        let refused = exchange.refused();
-        if refused == &self.refused || !self.is_due(now) {
+    fn log_rejections(&mut self, now: Micros, exchange: &Exchange) {
+        let rejected = exchange.refused();
+        if rejected == &self.logged_rejections || !self.is_log_due(now) {
             return;
         }
-        self.last_log = now;
-        self.refused = refused.clone();
+        self.last_log_time = now;
+        self.logged_rejections = rejected.clone();
         log::warn!(
-            "datagrams and reports of other fronts that count for nothing so far: {refused:?}"
+            "datagrams and reports of other fronts that count for nothing so far: {rejected:?}"
         );
     }
 
-    fn is_due(&self, now: Micros) -> bool {
-        self.last_log + LOG_INTERVAL <= now
+    fn is_log_due(&self, now: Micros) -> bool {
+        self.last_log_time + LOG_INTERVAL <= now
     }
 }
 
@@ -93,11 +93,11 @@
 
 /// What another front has seen of an engine.
 pub(super) fn log_peer_report(report: &PeerReport, names: &BTreeMap<PeerId, String>) {
-    let name = names.get(&report.reporter).map_or("?", String::as_str);
+    let reporter_name = names.get(&report.reporter).map_or("?", String::as_str);
     let sighting = &report.sighting;
-    let drains = if sighting.drains { ", drains" } else { "" };
+    let drain_suffix = if sighting.drains { ", drains" } else { "" };
     log::info!(
-        "front {name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{drains}; {} ms ago",
+        "front {reporter_name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{drain_suffix}; {} ms ago",
         sighting.engine,
         sighting.failed,
         sighting.answered,
--- a/crates/front/src/fleet/peers/start.rs
+++ b/crates/front/src/fleet/peers/start.rs
@@ -14,7 +14,7 @@
 use hallmux_gossip::node::NodeConfig;
 
 use super::log_lines::LogState;
-use super::{keys, names, Peers};
+use super::{peer_keys, peer_names, Peers};
 use crate::events::{LoopEvents, SocketKind};
 use crate::fleet::errors::PeersError;
 use crate::fleet::join::{join_ledger, join_ownership};
@@ -36,7 +36,7 @@
         register(&socket, handle)?;
         let node = NodeConfig {
             secret,
-            keys: keys(gossip),
+            keys: peer_keys(gossip),
             address: gossip.advertise.unwrap_or(local_address),
             seeds: gossip.seeds.clone(),
         };
@@ -45,7 +45,7 @@
             exchange.enable_load_reports();
             log::info!("sheds overload as one with the fleet");
         }
-        let started = Instant::now();
+        let steady_start = Instant::now();
         let votes = match &gossip.ownership {
             Some(ownership) => join_ownership(&mut exchange, ownership, now, &socket)?,
             None => None,
@@ -59,16 +59,16 @@
         Ok(Peers {
             socket,
             exchange,
-            names: names(gossip),
+            peer_names: peer_names(gossip),
             random: RandomState::new(),
             draws_made: 0,
-            started,
+            steady_start,
             votes,
             copies,
             memory_on_disk_failure: ledger
                 .is_some_and(|ledger| ledger.on_disk_failure == OnDiskFailure::Memory),
-            log: LogState::default(),
-            done: Vec::new(),
+            log_state: LogState::default(),
+            ledger_answers: Vec::new(),
             has_ledger: ledger.is_some(),
             messages: BTreeMap::new(),
         })
@@ -113,13 +113,13 @@
 }
 
 fn log_start(gossip: &Gossip, exchange: &Exchange, local_address: SocketAddr) {
-    let public: String = exchange
+    let public_key: String = exchange
         .public_key()
         .iter()
         .map(|byte| format!("{byte:02x}"))
         .collect();
     log::info!(
-        "talks with other fronts, {} keys count; its own is {public}, its address {local_address}",
+        "talks with other fronts, {} keys count; its own is {public_key}, its address {local_address}",
         gossip.peers.len()
     );
 }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -19,12 +19,12 @@
 
 use super::peers::Peers;
 use crate::execution::ExecutionId;
-use file::read;
+use file::read_rules;
 
 /// The highest byte of the numbers of its asks: other parts of one front have others.
 const REQUEST_NUMBER_BASE: u64 = 2 << 56;
 /// Groups of tables that a statement is judged by; more cannot be told.
-const MOST_GROUPS: usize = 16;
+const MAX_TABLE_GROUPS: usize = 16;
 /// Microseconds between reports to the dispatcher on what is held here.
 const REPORT_INTERVAL: Micros = 100_000;
 
@@ -63,9 +63,9 @@
 
 struct Statement {
     ticket: Ticket,
-    waits: bool,
-    denied: bool,
-    ran: bool,
+    waits_for_hit: bool,
+    is_denied: bool,
+    may_have_run: bool,
     held: Vec<SendCommand>,
 }
 
@@ -73,15 +73,15 @@
 pub struct Rules {
     access: Access,
     /// A front without others keeps its promises alone.
-    alone: Option<Ledger>,
-    steady: Instant,
+    local_ledger: Option<Ledger>,
+    steady_start: Instant,
     statements: BTreeMap<u64, Statement>,
-    tickets: HashMap<Ticket, u64>,
-    rulings: Vec<RuleDecision>,
-    next_report: Micros,
-    next_log: Micros,
-    log_every: Micros,
-    ended: u64,
+    statement_numbers: HashMap<Ticket, u64>,
+    decisions: Vec<RuleDecision>,
+    next_report_time: Micros,
+    next_log_time: Micros,
+    log_interval: Micros,
+    logged_revoked_count: u64,
     logged_hits: Option<FleetHits>,
     logged_limits: BTreeMap<String, u64>,
 }
@@ -89,21 +89,21 @@
 impl Rules {
     /// SIGHUP: the file is read again. One that can't be used changes nothing.
     pub fn reload(&mut self, now: Micros, rules: &hallmux_config::Rules) {
-        match read(&rules.file, self.access.known()) {
+        match read_rules(&rules.file, self.access.known()) {
             Ok((_, RulesCommand::WhatIf(set))) => {
-                let found = self.access.what_if(self.moment(now), set);
-                log_lines::what_if(&found);
+                let report = self.access.what_if(self.clock_reading(now), set);
+                log_lines::log_what_if(&report);
             }
             Ok((text, command)) => self.access.offer(&rules.file, &text, command),
             Err(why) => log::error!("the rules are left as they were: {why}"),
         }
         self.logged_hits = None;
-        self.access.request_fleet_hits(self.moment(now));
+        self.access.request_fleet_hits(self.clock_reading(now));
     }
 
-    fn moment(&self, now: Micros) -> Moment {
+    fn clock_reading(&self, now: Micros) -> Moment {
         Moment {
-            steady: self.steady.elapsed().as_micros() as Micros,
+            steady: self.steady_start.elapsed().as_micros() as Micros,
             wall_ms: (now / 1000) as u64,
         }
     }
@@ -116,15 +116,15 @@
         workload: &str,
         text: &[u8],
     ) -> Decision {
-        let groups = Some(tables::groups(text, MOST_GROUPS)).filter(|all| !all.is_empty());
+        let groups = Some(tables::groups(text, MAX_TABLE_GROUPS)).filter(|all| !all.is_empty());
         let groups = groups.or_else(|| session_control::reads_no_table(text).then(Vec::new));
         let request = Request {
             customer: customer.to_string(),
             workload: workload.to_string(),
             groups,
         };
-        let judged = self.access.judge(self.moment(now), request);
-        if let Decision::Decided { verdict, .. } = &judged {
+        let decision = self.access.judge(self.clock_reading(now), request);
+        if let Decision::Decided { verdict, .. } = &decision {
             if let Some(why) = &verdict.denied {
                 let rule = self.access.rule(verdict).unwrap_or("the default");
                 log::info!(
@@ -133,12 +133,12 @@
                 );
             }
         }
-        judged
+        decision
     }
 
     /// The locations that are allowed to it; None: all. Of one that is denied nothing ever leaves.
-    pub fn allowed_locations(&self, judged: &Decision) -> Option<Vec<String>> {
-        match judged {
+    pub fn allowed_locations(&self, decision: &Decision) -> Option<Vec<String>> {
+        match decision {
             Decision::Decided { verdict, .. } if verdict.denied.is_none() => {
                 self.access.locations(verdict)
             }
@@ -150,50 +150,55 @@
     pub fn record_admission(
         &mut self,
         dispatcher: &mut Dispatcher,
-        judged: &Decision,
+        decision: &Decision,
         ticket: Option<Ticket>,
     ) {
         match ticket {
-            Some(ticket) => self.opened(dispatcher, ticket, judged),
-            None => self.dropped(judged),
+            Some(ticket) => self.insert_statement(dispatcher, ticket, decision),
+            None => self.release_statement(decision),
         }
     }
 
-    fn opened(&mut self, dispatcher: &mut Dispatcher, ticket: Ticket, judged: &Decision) {
+    fn insert_statement(
+        &mut self,
+        dispatcher: &mut Dispatcher,
+        ticket: Ticket,
+        decision: &Decision,
+    ) {
         if let Decision::Decided {
             statement,
             verdict,
             waits,
-        } = judged
+        } = decision
         {
             dispatcher.watch_end(ticket);
-            let denied = verdict.denied.is_some();
+            let is_denied = verdict.denied.is_some();
             self.statements.insert(
                 *statement,
                 Statement {
                     ticket,
-                    waits: *waits,
-                    denied,
-                    ran: false,
+                    waits_for_hit: *waits,
+                    is_denied,
+                    may_have_run: false,
                     held: Vec::new(),
                 },
             );
-            self.tickets.insert(ticket, *statement);
-            if denied && !waits {
-                self.rulings.push(RuleDecision::Deny(ticket));
+            self.statement_numbers.insert(ticket, *statement);
+            if is_denied && !waits {
+                self.decisions.push(RuleDecision::Deny(ticket));
             }
         }
     }
 
-    fn dropped(&mut self, judged: &Decision) {
-        if let Decision::Decided { statement, .. } = judged {
+    fn release_statement(&mut self, decision: &Decision) {
+        if let Decision::Decided { statement, .. } = decision {
             self.access.statement_over(*statement);
         }
     }
 
     /// A statement is over with nothing out for it.
     pub fn statement_ended(&mut self, ticket: Ticket) {
-        if let Some(statement) = self.tickets.remove(&ticket) {
+        if let Some(statement) = self.statement_numbers.remove(&ticket) {
             self.statements.remove(&statement);
             self.access.statement_over(statement);
         }
@@ -204,17 +209,17 @@
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ordered: SendCommand,
+        command: SendCommand,
     ) -> bool {
-        let Some(number) = self.tickets.get(&ordered.checked_ticket).copied() else {
+        let Some(number) = self.statement_numbers.get(&command.checked_ticket).copied() else {
             return true;
         };
-        let Some(s) = self.statements.get_mut(&number) else {
+        let Some(statement) = self.statements.get_mut(&number) else {
             return true;
         };
-        if s.waits || s.denied {
-            s.held.push(ordered);
-            dispatcher.execution_held(now, ordered.ticket, ordered.execution);
+        if statement.waits_for_hit || statement.is_denied {
+            statement.held.push(command);
+            dispatcher.execution_held(now, command.ticket, command.execution);
             return false;
         }
         true
@@ -225,83 +230,90 @@
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ordered: SendCommand,
+        command: SendCommand,
     ) -> bool {
-        let Some(number) = self.tickets.get(&ordered.checked_ticket).copied() else {
+        let Some(number) = self.statement_numbers.get(&command.checked_ticket).copied() else {
             return true;
         };
-        let at = self.moment(now);
-        let location = dispatcher.site(ordered.place).location;
+        let clock = self.clock_reading(now);
+        let location = dispatcher.site(command.place).location;
         let names = &self.access.known().locations;
         let location = names.get(location).cloned().unwrap_or_default();
-        let may = self
-            .access
-            .may_send(at, number, place_of(ordered.id()), &location);
-        let closed = !self.access.version(at.steady).may_judge;
-        let limited = self.access.is_limited(number);
-        let Some(s) = self.statements.get_mut(&number) else {
+        let is_allowed =
+            self.access
+                .may_send(clock, number, execution_number(command.id()), &location);
+        let rules_unknown = !self.access.version(clock.steady).may_judge;
+        let is_limited = self.access.is_limited(number);
+        let Some(statement) = self.statements.get_mut(&number) else {
             return true;
         };
-        if may {
-            s.ran = true;
+        if is_allowed {
+            statement.may_have_run = true;
             return true;
         }
-        let why = match (closed, limited) {
+        let reason = match (rules_unknown, is_limited) {
             (true, _) => "while this front cannot know what holds",
             (_, true) => "beyond a rule's limit",
             _ => "by the version that holds",
         };
-        log::info!("statement {}: may not leave for {location} {why}", s.ticket);
+        log::info!(
+            "statement {}: may not leave for {location} {reason}",
+            statement.ticket
+        );
         dispatcher.report(
             now,
-            ordered.ticket,
-            ordered.execution,
+            command.ticket,
+            command.execution,
             Ending::Withdrawn,
             None,
         );
-        let ruling = if s.ran {
-            RuleDecision::Abort(s.ticket)
+        let decision = if statement.may_have_run {
+            RuleDecision::Abort(statement.ticket)
         } else {
             RuleDecision::Reject {
-                ticket: s.ticket,
-                may_retry: closed || limited,
+                ticket: statement.ticket,
+                may_retry: rules_unknown || is_limited,
             }
         };
-        self.rulings.push(ruling);
+        self.decisions.push(decision);
         false
     }
 
     /// Gives an execution up. True if it was held here: nothing of it has left.
-    pub fn cancel(&mut self, of: Ticket, sent: ExecutionId) -> bool {
-        let number = self.tickets.get(&of);
-        let Some(s) = number.and_then(|number| self.statements.get_mut(number)) else {
+    pub fn cancel(&mut self, checked_ticket: Ticket, execution_id: ExecutionId) -> bool {
+        let number = self.statement_numbers.get(&checked_ticket);
+        let Some(statement) = number.and_then(|number| self.statements.get_mut(number)) else {
             return false;
         };
-        let before = s.held.len();
-        s.held.retain(|held| held.id() != sent);
-        s.held.len() < before
+        let previous_len = statement.held.len();
+        statement.held.retain(|held| held.id() != execution_id);
+        statement.held.len() < previous_len
     }
 
     /// An execution has ended.
-    pub fn execution_ended(&mut self, of: Ticket, sent: ExecutionId) {
-        if let Some(number) = self.tickets.get(&of) {
-            self.access.execution_ended(*number, place_of(sent));
+    pub fn execution_ended(&mut self, checked_ticket: Ticket, execution_id: ExecutionId) {
+        if let Some(number) = self.statement_numbers.get(&checked_ticket) {
+            self.access
+                .execution_ended(*number, execution_number(execution_id));
         }
     }
 
     /// When `tick` is next due, in Unix microseconds.
     pub fn due(&self, now: Micros) -> Micros {
-        if !self.rulings.is_empty() {
+        if !self.decisions.is_empty() {
             return now;
         }
-        let steady = self.steady.elapsed().as_micros() as Micros;
-        let ledger = self.alone.as_ref().map_or(Micros::MAX, Ledger::due);
-        let next = self.access.due(steady).min(ledger).min(self.next_log);
+        let steady = self.steady_start.elapsed().as_micros() as Micros;
+        let ledger = self.local_ledger.as_ref().map_or(Micros::MAX, Ledger::due);
+        let next = self.access.due(steady).min(ledger).min(self.next_log_time);
         let wait = next.max(steady).saturating_sub(steady);
         let next = now.saturating_add(wait);
-        let holds = self.statements.values().any(|s| !s.held.is_empty());
-        if holds {
-            next.min(self.next_report)
+        let has_held = self
+            .statements
+            .values()
+            .any(|statement| !statement.held.is_empty());
+        if has_held {
+            next.min(self.next_report_time)
         } else {
             next
         }
@@ -314,121 +326,131 @@
         dispatcher: &mut Dispatcher,
         mut peers: Option<&mut Peers>,
     ) -> Vec<RuleDecision> {
-        let at = self.moment(now);
-        if at.steady >= self.next_log {
-            self.next_log = at.steady + self.log_every;
-            self.access.request_fleet_hits(at);
+        let clock = self.clock_reading(now);
+        if clock.steady >= self.next_log_time {
+            self.next_log_time = clock.steady + self.log_interval;
+            self.access.request_fleet_hits(clock);
             self.log_limits();
         }
-        self.access.tick(at);
+        self.access.tick(clock);
         loop {
-            let out = self.access.take();
-            self.take(at, &out);
-            let answers = self.ask_ledger(now, at, out.ledger_requests, peers.as_deref_mut());
+            let output = self.access.take();
+            self.apply_output(clock, &output);
+            let answers = self.submit_ledger_requests(
+                now,
+                clock,
+                output.ledger_requests,
+                peers.as_deref_mut(),
+            );
             if answers.is_empty() {
                 break;
             }
             for answer in answers {
-                self.access.on_ledger_answer(self.moment(now), answer);
+                self.access
+                    .on_ledger_answer(self.clock_reading(now), answer);
             }
         }
         self.report_held(now, dispatcher);
-        let rulings = std::mem::take(&mut self.rulings);
-        for ruling in &rulings {
-            if let RuleDecision::Send(ordered) = ruling {
-                dispatcher.execution_sent(now, ordered.ticket, ordered.execution);
+        let decisions = std::mem::take(&mut self.decisions);
+        for decision in &decisions {
+            if let RuleDecision::Send(command) = decision {
+                dispatcher.execution_sent(now, command.ticket, command.execution);
             }
         }
-        rulings
+        decisions
     }
 
     /// Asks this front's own ledger or the fleet's, and takes the answers there are.
-    fn ask_ledger(
+    fn submit_ledger_requests(
         &mut self,
         now: Micros,
-        at: Moment,
-        asks: Vec<ledger::LedgerRequest>,
+        clock: Moment,
+        requests: Vec<ledger::LedgerRequest>,
         peers: Option<&mut Peers>,
     ) -> Vec<ledger::LedgerAnswer> {
-        if let Some(ledger) = &mut self.alone {
-            return ask_own_ledger(ledger, at, asks);
+        if let Some(ledger) = &mut self.local_ledger {
+            return submit_to_local_ledger(ledger, clock, requests);
         }
         let Some(peers) = peers else {
             return Vec::new();
         };
-        for ask in asks {
-            peers.submit_ledger_request(now, ask);
+        for request in requests {
+            peers.submit_ledger_request(now, request);
         }
         peers.take_ledger_answers(REQUEST_NUMBER_BASE)
     }
 
     /// Reports to the dispatcher, now and then, that what is held here still is.
     fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
-        if self.next_report > now {
+        if self.next_report_time > now {
             return;
         }
-        self.next_report = now + REPORT_INTERVAL;
-        for held in self.statements.values().flat_map(|s| &s.held) {
+        self.next_report_time = now + REPORT_INTERVAL;
+        for held in self
+            .statements
+            .values()
+            .flat_map(|statement| &statement.held)
+        {
             dispatcher.execution_held(now, held.ticket, held.execution);
         }
     }
 
-    fn take(&mut self, at: Moment, out: &access::Output) {
-        out.events.iter().for_each(log_lines::log_event);
-        for number in &out.counted {
-            let Some(s) = self.statements.get_mut(number) else {
+    fn apply_output(&mut self, clock: Moment, output: &access::Output) {
+        output.events.iter().for_each(log_lines::log_event);
+        for number in &output.counted {
+            let Some(statement) = self.statements.get_mut(number) else {
                 continue;
             };
-            s.waits = false;
-            if s.denied {
-                self.rulings.push(RuleDecision::Deny(s.ticket));
+            statement.waits_for_hit = false;
+            if statement.is_denied {
+                self.decisions.push(RuleDecision::Deny(statement.ticket));
             } else {
-                self.rulings
-                    .extend(s.held.drain(..).map(RuleDecision::Send));
+                self.decisions
+                    .extend(statement.held.drain(..).map(RuleDecision::Send));
             }
         }
-        for number in &out.over_limit {
-            let Some(s) = self.statements.get(number) else {
+        for number in &output.over_limit {
+            let Some(statement) = self.statements.get(number) else {
                 continue;
             };
-            self.rulings.push(RuleDecision::Reject {
-                ticket: s.ticket,
+            self.decisions.push(RuleDecision::Reject {
+                ticket: statement.ticket,
                 may_retry: true,
             });
         }
-        for number in &out.revoked {
-            let Some(s) = self.statements.get(number) else {
+        for number in &output.revoked {
+            let Some(statement) = self.statements.get(number) else {
                 continue;
             };
-            self.rulings.push(RuleDecision::Abort(s.ticket));
+            self.decisions.push(RuleDecision::Abort(statement.ticket));
         }
-        if self.ended != self.access.revoked_count {
-            let more = self.access.revoked_count - self.ended;
+        if self.logged_revoked_count != self.access.revoked_count {
+            let newly_revoked = self.access.revoked_count - self.logged_revoked_count;
             log::warn!(
-                "{more} statements ran where the rules bar from now on, and are ended; {} so far",
+                "{newly_revoked} statements ran where the rules bar from now on, and are ended; {} so far",
                 self.access.revoked_count
             );
-            self.ended = self.access.revoked_count;
+            self.logged_revoked_count = self.access.revoked_count;
         }
-        if let Some(fleet) = &out.fleet_hits {
-            self.log_hits(at, fleet);
+        if let Some(fleet) = &output.fleet_hits {
+            self.log_hits(clock, fleet);
         }
     }
 }
 
-fn ask_own_ledger(
+fn submit_to_local_ledger(
     ledger: &mut Ledger,
-    at: Moment,
-    asks: Vec<ledger::LedgerRequest>,
+    clock: Moment,
+    requests: Vec<ledger::LedgerRequest>,
 ) -> Vec<ledger::LedgerAnswer> {
-    for ask in asks {
-        ledger.ask(at, ask);
+    for request in requests {
+        ledger.ask(clock, request);
     }
-    ledger.tick(at);
+    ledger.tick(clock);
     let output = ledger.take_output();
     // Nothing is kept, and nobody else hears: what it saves is lasting as far as it goes.
     for save in &output.saves {
-        ledger.saved(at, save.number, true);
+        ledger.saved(clock, save.number, true);
     }
     let mut answers = output.done;
     answers.extend(ledger.take_output().done);
@@ -436,6 +458,6 @@
 }
 
 /// The number of an execution for `hallmux_access`; executions of different parts of a statement have different ones.
-fn place_of(sent: ExecutionId) -> u64 {
-    u64::from(sent.ticket) << 16 | sent.number as u64 & 0xffff
+fn execution_number(execution_id: ExecutionId) -> u64 {
+    u64::from(execution_id.ticket) << 16 | execution_id.number as u64 & 0xffff
 }
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -5,21 +5,21 @@
 
 use crate::fleet::errors::RulesError;
 
-pub(super) fn known(rules: &hallmux_config::Rules, settings: &Settings) -> KnownNames {
+pub(super) fn known_names(rules: &hallmux_config::Rules, settings: &Settings) -> KnownNames {
     let names = &settings.names;
     let workloads = names
         .workloads
         .iter()
         .zip(&settings.agreement.workloads)
         .map(|(name, w)| {
-            let named = |all: &Vec<usize>| {
+            let location_names = |all: &Vec<usize>| {
                 all.iter()
-                    .filter_map(|at| names.locations.get(*at).cloned())
+                    .filter_map(|index| names.locations.get(*index).cloned())
                     .collect()
             };
             access::WorkloadLocations {
                 name: name.clone(),
-                locations: w.locations.as_ref().map(named),
+                locations: w.locations.as_ref().map(location_names),
             }
         });
     KnownNames {
@@ -32,7 +32,10 @@
 }
 
 /// Reads the file of rules; all its faults at once.
-pub(super) fn read(file: &str, known: &KnownNames) -> Result<(String, RulesCommand), RulesError> {
+pub(super) fn read_rules(
+    file: &str,
+    known: &KnownNames,
+) -> Result<(String, RulesCommand), RulesError> {
     let text = std::fs::read_to_string(file);
     let text = text.map_err(|why| RulesError::File {
         file: file.to_string(),
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -7,15 +7,15 @@
 
 impl Rules {
     /// A line for each row of the fleet's count, where it has changed.
-    pub(super) fn log_hits(&mut self, at: Moment, fleet: &FleetHits) {
-        let same = self
+    pub(super) fn log_hits(&mut self, clock: Moment, fleet: &FleetHits) {
+        let is_unchanged = self
             .logged_hits
             .as_ref()
-            .is_some_and(|t| t.counts == fleet.counts && t.missing == fleet.missing);
-        if same || fleet.counts.is_empty() && fleet.missing.is_empty() {
+            .is_some_and(|logged| logged.counts == fleet.counts && logged.missing == fleet.missing);
+        if is_unchanged || fleet.counts.is_empty() && fleet.missing.is_empty() {
             return;
         }
-        let old = fleet.as_of.map_or(0, |as_of| (at.steady - as_of) / 1000);
+        let age_ms = fleet.as_of.map_or(0, |as_of| (clock.steady - as_of) / 1000);
         let missing: Vec<String> = fleet
             .missing
             .iter()
@@ -26,7 +26,7 @@
         } else {
             missing.join(", ")
         };
-        log::info!("the fleet's hits, at most {old} ms old; fronts that are missing: {missing}");
+        log::info!("the fleet's hits, at most {age_ms} ms old; fronts that are missing: {missing}");
         for (hit, count) in &fleet.counts {
             log::info!(
                 "hits of rule {} by customer {} in {}: {count}",
@@ -53,10 +53,10 @@
 }
 
 /// Lines on what a set would change.
-const MOST_SHOWN: usize = 100;
+const MAX_LOGGED_CHANGES: usize = 100;
 
 /// What a set would decide otherwise than the one that holds.
-pub fn what_if(found: &WhatIfReport) {
+pub fn log_what_if(report: &WhatIfReport) {
     let WhatIfReport {
         held,
         version,
@@ -64,14 +64,14 @@
         statements,
         unknown,
         changes,
-    } = found;
-    let otherwise: u64 = changes.values().sum();
+    } = report;
+    let changed_count: u64 = changes.values().sum();
     let minutes = back / 60_000_000;
     log::info!(
         "what if version {version} held: of {statements} statements that were asked here in the last {minutes} min \
-         {otherwise} would be decided otherwise than by version {held}"
+         {changed_count} would be decided otherwise than by version {held}"
     );
-    for (change, count) in changes.iter().take(MOST_SHOWN) {
+    for (change, count) in changes.iter().take(MAX_LOGGED_CHANGES) {
         log::info!(
             "what if version {version} held: customer {}, {}: {count} would be {} instead of {}",
             change.customer,
@@ -80,10 +80,10 @@
             permission_text(&change.current)
         );
     }
-    if changes.len() > MOST_SHOWN {
+    if changes.len() > MAX_LOGGED_CHANGES {
         log::info!(
             "what if version {version} held: {} more kinds of change",
-            changes.len() - MOST_SHOWN
+            changes.len() - MAX_LOGGED_CHANGES
         );
     }
     if *unknown > 0 {
@@ -95,13 +95,13 @@
     let Permission::Allowed { locations, limits } = permission else {
         return "denied".to_string();
     };
-    let at = locations
-        .as_ref()
-        .map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
+    let location_text = locations.as_ref().map_or("anywhere".to_string(), |names| {
+        format!("at {}", names.join(", "))
+    });
     let limit =
         |l: &hallmux_access::Limit| format!(", at most {} in {} ms", l.most, l.window / 1000);
     format!(
-        "let through {at}{}",
+        "let through {location_text}{}",
         limits.iter().map(limit).collect::<String>()
     )
 }
@@ -110,8 +110,8 @@
 pub fn log_event(event: &Event) {
     match event {
         Event::Adopted { version, rules, in_force } => {
-            let yet = if *in_force { "" } else { ", not yet in force" };
-            log::info!("judges by version {version} of the rules, {rules} of them{yet}")
+            let suffix = if *in_force { "" } else { ", not yet in force" };
+            log::info!("judges by version {version} of the rules, {rules} of them{suffix}")
         }
         Event::InForce { version } => log::info!("version {version} of the rules is in force"),
         Event::Accepted { version } => {
--- a/crates/front/src/fleet/rules/session_control.rs
+++ b/crates/front/src/fleet/rules/session_control.rs
@@ -19,10 +19,10 @@
 pub fn reads_no_table(text: &[u8]) -> bool {
     let text = text.trim_ascii();
     let text = text.strip_suffix(b";").unwrap_or(text);
-    let len = text
+    let keyword_len = text
         .iter()
         .position(|c| !c.is_ascii_alphabetic())
         .unwrap_or(text.len());
-    let is_keyword = |word: &&str| text[..len].eq_ignore_ascii_case(word.as_bytes());
+    let is_keyword = |word: &&str| text[..keyword_len].eq_ignore_ascii_case(word.as_bytes());
     !text.contains(&b';') && KEYWORDS.iter().any(is_keyword)
 }
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -10,7 +10,7 @@
 use hallmux_dispatcher::Micros;
 use hallmux_ledger::{self as ledger, Ledger, Member, Moment};
 
-use super::file::{known, read};
+use super::file::{known_names, read_rules};
 use super::{Rules, SharedRules, REQUEST_NUMBER_BASE};
 use crate::fleet::errors::RulesError;
 use crate::fleet::peers::{LedgerFleet, Peers};
@@ -29,17 +29,17 @@
         // Without other fronts this one is the fleet.
         let fleet = match peers {
             None => LedgerFleet {
-                own: 1,
+                local_id: 1,
                 fronts: vec![1],
             },
             Some(peers) => peers.ledger_fleet().ok_or(RulesError::NoLedger)?,
         };
-        let own = Owner {
-            front: fleet.own,
+        let owner = Owner {
+            front: fleet.local_id,
             incarnation,
         };
         let is_alone = peers.is_none();
-        let rules = Rules::new(rules, &config.settings, own, fleet.fronts, is_alone)?;
+        let rules = Rules::new(rules, &config.settings, owner, fleet.fronts, is_alone)?;
         Ok(Some(Rc::new(RefCell::new(rules))))
     }
 
@@ -47,17 +47,17 @@
     fn new(
         rules: &hallmux_config::Rules,
         settings: &Settings,
-        own: Owner,
+        owner: Owner,
         fronts: Vec<u64>,
-        alone: bool,
+        is_alone: bool,
     ) -> Result<Rules, RulesError> {
-        let known = known(rules, settings);
-        let (text, command) = read(&rules.file, &known)?;
+        let known = known_names(rules, settings);
+        let (text, command) = read_rules(&rules.file, &known)?;
         if matches!(command, RulesCommand::WhatIf(_)) {
-            return Err(RulesError::Question(rules.file.clone()));
+            return Err(RulesError::WhatIf(rules.file.clone()));
         }
-        let setup = AccessConfig {
-            own,
+        let access_config = AccessConfig {
+            own: owner,
             fronts,
             region: rules.region.clone(),
             known,
@@ -68,8 +68,8 @@
             remembers: rules.remembers,
             first_number: REQUEST_NUMBER_BASE,
         };
-        let alone = alone.then(|| own_ledger(own)).transpose()?;
-        let mut access = Access::new(setup);
+        let local_ledger = is_alone.then(|| local_ledger(owner)).transpose()?;
+        let mut access = Access::new(access_config);
         access.offer(&rules.file, &text, command);
         log::info!(
             "rules of customers hold; this front stands in {}",
@@ -77,15 +77,15 @@
         );
         Ok(Rules {
             access,
-            alone,
-            steady: Instant::now(),
+            local_ledger,
+            steady_start: Instant::now(),
             statements: BTreeMap::new(),
-            tickets: HashMap::new(),
-            rulings: Vec::new(),
-            next_report: 0,
-            next_log: rules.tell_every,
-            log_every: rules.tell_every,
-            ended: 0,
+            statement_numbers: HashMap::new(),
+            decisions: Vec::new(),
+            next_report_time: 0,
+            next_log_time: rules.tell_every,
+            log_interval: rules.tell_every,
+            logged_revoked_count: 0,
             logged_hits: None,
             logged_limits: BTreeMap::new(),
         })
@@ -93,20 +93,20 @@
 }
 
 /// The ledger of a front without others.
-fn own_ledger(own: Owner) -> Result<Ledger, RulesError> {
+fn local_ledger(owner: Owner) -> Result<Ledger, RulesError> {
     let member = Member {
-        front: own.front,
+        front: owner.front,
         zone: String::new(),
     };
-    let disk = own.incarnation | 1;
+    let disk = owner.incarnation | 1;
     let setup = ledger::Setup {
         copies: 1,
         shards: 1,
-        ..ledger::Setup::new("alone", own.front, own.incarnation, disk, vec![member])
+        ..ledger::Setup::new("alone", owner.front, owner.incarnation, disk, vec![member])
     };
-    let at = Moment {
+    let clock = Moment {
         steady: 0,
-        wall_ms: own.incarnation,
+        wall_ms: owner.incarnation,
     };
-    Ok(Ledger::new(at, setup, None)?)
+    Ok(Ledger::new(clock, setup, None)?)
 }
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -13,13 +13,13 @@
 
 /// Writes that wait for the disk: some ten seconds' worth.
 const QUEUE_LENGTH: usize = 1_024;
-const FILE: &str = "votes";
+const FILE_NAME: &str = "votes";
 
 /// The votes of a voter, made durable by a thread.
 pub struct Votes {
     writes: SyncSender<VoterSave>,
     /// A write was lost: no message of the voter may leave any more until the front restarts.
-    silent: bool,
+    has_failed: bool,
     /// Held while this front runs: two on one directory would vote twice.
     _lock: File,
 }
@@ -43,26 +43,26 @@
         std::fs::create_dir_all(&directory).map_err(disk_error("can't be made"))?;
         let lock = File::create(directory.join("lock")).map_err(disk_error("can't be written"))?;
         lock.try_lock().map_err(|why| match why {
-            TryLockError::WouldBlock => VotesError::Taken(name.clone()),
-            TryLockError::Error(why) => VotesError::Unlocked {
+            TryLockError::WouldBlock => VotesError::InUse(name.clone()),
+            TryLockError::Error(why) => VotesError::Lock {
                 directory: name.clone(),
                 why,
             },
         })?;
-        let saved = match std::fs::read(directory.join(FILE)) {
+        let saved = match std::fs::read(directory.join(FILE_NAME)) {
             Ok(saved) => Some(saved),
             Err(e) if e.kind() == ErrorKind::NotFound => None,
             Err(e) => return Err(disk_error("can't be read")(e)),
         };
-        let (writes, to_write) = sync_channel::<VoterSave>(QUEUE_LENGTH);
+        let (writes, pending_writes) = sync_channel::<VoterSave>(QUEUE_LENGTH);
         std::thread::Builder::new()
             .name("votes".to_string())
-            .spawn(move || write_all(&directory, &to_write, &socket))
+            .spawn(move || run_writer(&directory, &pending_writes, &socket))
             .map_err(VotesError::Thread)?;
         Ok((
             Votes {
                 writes,
-                silent: false,
+                has_failed: false,
                 _lock: lock,
             },
             saved,
@@ -71,11 +71,11 @@
 
     /// Queues a write; its datagrams are sent once it is durable.
     pub fn save(&mut self, saved: VoterSave) {
-        if self.silent {
+        if self.has_failed {
             return;
         }
         if let Err(e) = self.writes.try_send(saved) {
-            self.silent = true;
+            self.has_failed = true;
             if matches!(e, TrySendError::Full(_)) {
                 log::error!(
                     "the disk is too slow for votes; this front votes no more in this life"
@@ -87,9 +87,9 @@
 
 /// Makes each vote durable, then sends what waited for it. Ends with the first write that fails: no message of the
 /// voter may leave after that.
-fn write_all(directory: &Path, writes: &Receiver<VoterSave>, socket: &UdpSocket) {
+fn run_writer(directory: &Path, writes: &Receiver<VoterSave>, socket: &UdpSocket) {
     for VoterSave { bytes, datagrams } in writes {
-        if let Err(e) = bytes.map_or(Ok(()), |bytes| write(directory, &bytes)) {
+        if let Err(e) = bytes.map_or(Ok(()), |bytes| replace_file(directory, &bytes)) {
             log::error!(
                 "{}: {e}; this front votes no more in this life",
                 directory.display()
@@ -104,12 +104,12 @@
 }
 
 /// Writes the whole beside the old and puts it in its place, each step lasting.
-fn write(directory: &Path, bytes: &[u8]) -> std::io::Result<()> {
-    let beside = directory.join("votes.new");
-    let mut file = File::create(&beside)?;
+fn replace_file(directory: &Path, bytes: &[u8]) -> std::io::Result<()> {
+    let temporary_path = directory.join("votes.new");
+    let mut file = File::create(&temporary_path)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(&beside, directory.join(FILE))?;
+    std::fs::rename(&temporary_path, directory.join(FILE_NAME))?;
     File::open(directory)?.sync_all()
 }
 
--- a/crates/front/src/fleet/votes_tests.rs
+++ b/crates/front/src/fleet/votes_tests.rs
@@ -5,33 +5,33 @@
 
 #[test]
 fn what_is_saved_is_there_once_what_waited_for_it_has_come_and_nobody_else_gets_the_directory() {
-    let folder = std::env::temp_dir().join(format!("hallmux-votes-{}", std::process::id()));
-    let directory = folder.display().to_string();
+    let path = std::env::temp_dir().join(format!("hallmux-votes-{}", std::process::id()));
+    let directory = path.display().to_string();
     let socket = || UdpSocket::bind("127.0.0.1:0").unwrap();
-    let hears = socket();
-    hears
+    let receiver = socket();
+    receiver
         .set_read_timeout(Some(std::time::Duration::from_secs(10)))
         .unwrap();
-    let (mut votes, before) = Votes::open(&directory, socket()).unwrap();
-    assert_eq!(before, None);
+    let (mut votes, initial) = Votes::open(&directory, socket()).unwrap();
+    assert_eq!(initial, None);
     let second = Votes::open(&directory, socket()).err().unwrap();
     assert!(
-        matches!(&second, VotesError::Taken(at) if *at == directory),
+        matches!(&second, VotesError::InUse(at) if *at == directory),
         "{second}"
     );
     let datagrams = vec![Datagram {
-        to: hears.local_addr().unwrap(),
+        to: receiver.local_addr().unwrap(),
         bytes: b"word".to_vec(),
     }];
     votes.save(VoterSave {
         bytes: Some(b"state".to_vec()),
         datagrams,
     });
-    let mut word = [0; 8];
-    assert_eq!(hears.recv(&mut word).unwrap(), 4);
-    assert_eq!(std::fs::read(folder.join(FILE)).unwrap(), b"state");
+    let mut received = [0; 8];
+    assert_eq!(receiver.recv(&mut received).unwrap(), 4);
+    assert_eq!(std::fs::read(path.join(FILE_NAME)).unwrap(), b"state");
     drop(votes);
     let (_votes, saved) = Votes::open(&directory, socket()).unwrap();
     assert_eq!(saved.as_deref(), Some(&b"state"[..]));
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&path).unwrap();
 }
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -21,7 +21,7 @@
 
 /// An answer with rows of such a site, until the marks on loads are there.
 struct PendingCheck {
-    of: RuledOut,
+    ruled_out: RuledOut,
     query: Query,
     rows: u64,
 }
@@ -32,12 +32,12 @@
     checks: HashMap<Ticket, PendingCheck>,
     random: RandomState,
     /// False summaries found here, which are to be reported to other fronts.
-    pub found: Vec<FalseSummary>,
+    pub false_summaries: Vec<FalseSummary>,
     /// Fronts that share the budget.
-    pub fronts: usize,
+    pub front_count: usize,
 }
 
-fn terms(settings: hallmux_config::Audits) -> AuditSettings {
+fn audit_settings(settings: hallmux_config::Audits) -> AuditSettings {
     AuditSettings {
         one_in: settings.one_in,
         per_second: settings.a_minute as f64 / 60.0,
@@ -49,26 +49,26 @@
     pub fn new(settings: hallmux_config::Audits) -> SiteAudits {
         let (checks, random) = (HashMap::new(), RandomState::new());
         SiteAudits {
-            audits: Audits::new(terms(settings)),
+            audits: Audits::new(audit_settings(settings)),
             checks,
             random,
-            found: Vec::new(),
-            fronts: 1,
+            false_summaries: Vec::new(),
+            front_count: 1,
         }
     }
 
     /// The settings were read again.
-    pub fn set_terms(&mut self, settings: hallmux_config::Audits) {
-        self.audits.reconfigure(terms(settings));
+    pub fn reconfigure(&mut self, settings: hallmux_config::Audits) {
+        self.audits.reconfigure(audit_settings(settings));
     }
 
     /// Another front reports a false summary.
-    pub fn receive_report(&mut self, word: &FalseSummary) {
+    pub fn receive_report(&mut self, report: &FalseSummary) {
         let FalseSummary {
             site,
             group,
             version,
-        } = word;
+        } = report;
         log::warn!(
             "site '{site}': another front has found its summary of group {group}, version {version}, false; \
              it is asked always until its answers bear it out"
@@ -82,7 +82,7 @@
     }
 
     /// Now and then adds a site that is left out to those that are asked.
-    pub fn audit(
+    pub fn add_audit(
         &mut self,
         now: Micros,
         ticket: Ticket,
@@ -90,25 +90,31 @@
         sites: &[String],
         allowed: Option<&[&str]>,
     ) {
-        let drawn = self.random.hash_one(ticket);
-        if let Some(at) = self
-            .audits
-            .pick(now, drawn, self.fronts as f64, &plan.pruned)
+        let random = self.random.hash_one(ticket);
+        if let Some(pruned_index) =
+            self.audits
+                .pick(now, random, self.front_count as f64, &plan.pruned)
         {
-            plan.audit(at, sites, allowed);
+            plan.audit(pruned_index, sites, allowed);
         }
     }
 
     /// A site that its summary rules out has answered. True: `check` needs the marks on loads before anything is concluded.
-    pub fn answered(&mut self, check: Ticket, of: RuledOut, query: &Query, rows: u64) -> bool {
+    pub fn site_answered(
+        &mut self,
+        check: Ticket,
+        ruled_out: RuledOut,
+        query: &Query,
+        rows: u64,
+    ) -> bool {
         if rows == 0 {
-            self.conclude(&of, 0, true);
+            self.conclude(&ruled_out, 0, true);
             return false;
         }
         self.checks.insert(
             check,
             PendingCheck {
-                of,
+                ruled_out,
                 query: query.clone(),
                 rows,
             },
@@ -117,39 +123,44 @@
     }
 
     /// The marks on loads for an answer. False: it is none of these.
-    pub fn apply_marks(
+    pub fn apply_markers(
         &mut self,
         wall_ms: u64,
         check: Ticket,
-        word: &LoadInfo,
-        book: &SummaryStore,
+        load_info: &LoadInfo,
+        store: &SummaryStore,
     ) -> bool {
-        let Some(PendingCheck { of, query, rows }) = self.checks.remove(&check) else {
+        let Some(PendingCheck {
+            ruled_out,
+            query,
+            rows,
+        }) = self.checks.remove(&check)
+        else {
             return false;
         };
-        let summary = book
-            .current(wall_ms, &of.site, query.group)
-            .filter(|s| s.version == of.version);
+        let summary = store
+            .current(wall_ms, &ruled_out.site, query.group)
+            .filter(|s| s.version == ruled_out.version);
         let table = summary.and_then(|summary| Some((summary, summary.table(&query.table)?)));
-        let sure = table.is_some_and(|(summary, table)| match word {
+        let is_certain = table.is_some_and(|(summary, table)| match load_info {
             LoadInfo::Marks(marks) => marks.prove_absent(summary, table, &query.condition),
             LoadInfo::NoLoads => true,
             LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => false,
         });
-        self.conclude(&of, rows, sure);
+        self.conclude(&ruled_out, rows, is_certain);
         true
     }
 
-    fn conclude(&mut self, of: &RuledOut, rows: u64, sure: bool) {
+    fn conclude(&mut self, ruled_out: &RuledOut, rows: u64, is_certain: bool) {
         let RuledOut {
             site,
             group,
             version,
-        } = of;
-        match self.audits.answered(site, rows, sure) {
+        } = ruled_out;
+        match self.audits.answered(site, rows, is_certain) {
             Verdict::False => {
                 let counts = self.audits.counts;
-                self.found.push(FalseSummary {
+                self.false_summaries.push(FalseSummary {
                     site: site.clone(),
                     group: *group,
                     version: *version,
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -18,9 +18,9 @@
 /// The highest byte of the numbers of this part's asks: others of one front have others.
 pub const REQUEST_NUMBER_BASE: u64 = 3 << 56;
 /// Microseconds beyond a statement's end for which an execution of it may run on.
-const RUN_ON: Micros = 60_000_000;
+const EXECUTION_OVERRUN: Micros = 60_000_000;
 /// Groups of tables that a load is marked for; statements are shorter than that.
-const MOST_GROUPS: usize = 1_024;
+const MAX_TABLE_GROUPS: usize = 1_024;
 /// Microseconds between reports to the dispatcher that an execution is still held.
 const REPORT_INTERVAL: Micros = 100_000;
 
@@ -37,7 +37,7 @@
 impl Load {
     fn groups(&self) -> Vec<u32> {
         match self {
-            Load::Call(call) => tables::groups(&call.statement, MOST_GROUPS),
+            Load::Call(call) => tables::groups(&call.statement, MAX_TABLE_GROUPS),
             Load::Unit { groups, .. } => groups.clone(),
         }
     }
@@ -68,7 +68,7 @@
     marker: Marker,
     held: HashMap<ExecutionId, Held>,
     /// Workloads whose statements may write.
-    writes: Vec<String>,
+    writing_workloads: Vec<String>,
     locations: Vec<String>,
     last_report: Micros,
     /// Those that can't be marked, to be turned away.
@@ -97,11 +97,11 @@
 
 impl Loads {
     /// `writes` are the workloads whose statements may write, `locations` the sites' names.
-    pub fn new(writes: Vec<String>, locations: Vec<String>) -> Loads {
+    pub fn new(writing_workloads: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
             marker: Marker::new(REQUEST_NUMBER_BASE),
             held: HashMap::new(),
-            writes,
+            writing_workloads,
             locations,
             last_report: 0,
             unmarked: Vec::new(),
@@ -113,58 +113,59 @@
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ordered: &SendCommand,
+        command: &SendCommand,
         load: Load,
     ) -> bool {
-        let SendCommand { place, terms, .. } = *ordered;
-        let sent = ordered.id();
-        if matches!(&load, Load::Call(call) if !self.writes.contains(&call.workload)) {
+        let SendCommand { place, terms, .. } = *command;
+        let execution_id = command.id();
+        if matches!(&load, Load::Call(call) if !self.writing_workloads.contains(&call.workload)) {
             return false;
         }
         let groups = load.groups();
-        if groups.len() > MOST_GROUPS {
+        if groups.len() > MAX_TABLE_GROUPS {
             // Not all could be marked.
-            self.unmarked.push(sent);
-            dispatcher.execution_held(now, sent.ticket, sent.number);
+            self.unmarked.push(execution_id);
+            dispatcher.execution_held(now, execution_id.ticket, execution_id.number);
             return true;
         }
         if groups.is_empty() || load.text().is_some_and(|text| sql::read(text).is_ok()) {
             return false;
         }
-        let by = |group| {
+        let affected_by = |group| {
             load.text().map_or(Affected::Anything, |text| {
                 Affected::of_statement(text, group)
             })
         };
-        let of = |group| (group, by(group));
-        let only = |touched: &Affected| matches!(touched, Affected::Rows { .. });
-        let mut touched: std::collections::BTreeMap<u32, Affected> =
-            groups.iter().map(|g| of(*g)).collect();
+        let group_entry = |group| (group, affected_by(group));
+        let is_rows = |affected: &Affected| matches!(affected, Affected::Rows { .. });
+        let mut affected: std::collections::BTreeMap<u32, Affected> =
+            groups.iter().map(|g| group_entry(*g)).collect();
         // Rows for one table alone are rows for no other group.
-        if touched.values().any(only) {
-            touched.retain(|_, touched| only(touched));
+        if affected.values().any(is_rows) {
+            affected.retain(|_, affected| is_rows(affected));
         }
         let Some(site) = self.locations.get(dispatcher.site(place).location) else {
             return false;
         };
-        let ends_ms = ((terms.deadline + RUN_ON).max(0) / 1000) as u64;
+        let ends_ms = ((terms.deadline + EXECUTION_OVERRUN).max(0) / 1000) as u64;
         self.marker.add_load(
-            (u64::from(sent.ticket), sent.number),
+            (u64::from(execution_id.ticket), execution_id.number),
             site,
             ends_ms,
-            touched,
+            affected,
         );
-        self.held.insert(sent, Held { place, terms, load });
-        dispatcher.execution_held(now, sent.ticket, sent.number);
+        self.held.insert(execution_id, Held { place, terms, load });
+        dispatcher.execution_held(now, execution_id.ticket, execution_id.number);
         true
     }
 
     /// An execution is given up. True if it was held.
-    pub fn cancel(&mut self, sent: ExecutionId) -> bool {
-        self.marker.cancel((u64::from(sent.ticket), sent.number));
-        let before = self.unmarked.len();
-        self.unmarked.retain(|unmarked| *unmarked != sent);
-        self.held.remove(&sent).is_some() || self.unmarked.len() < before
+    pub fn cancel(&mut self, execution_id: ExecutionId) -> bool {
+        self.marker
+            .cancel((u64::from(execution_id.ticket), execution_id.number));
+        let previous_len = self.unmarked.len();
+        self.unmarked.retain(|unmarked| *unmarked != execution_id);
+        self.held.remove(&execution_id).is_some() || self.unmarked.len() < previous_len
     }
 
     /// A scattered statement waits for the marks of its group.
@@ -185,29 +186,32 @@
     pub fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         if self.last_report + REPORT_INTERVAL <= now {
             self.last_report = now;
-            self.held
-                .keys()
-                .for_each(|sent| dispatcher.execution_held(now, sent.ticket, sent.number));
+            self.held.keys().for_each(|execution_id| {
+                dispatcher.execution_held(now, execution_id.ticket, execution_id.number)
+            });
         }
     }
 
     /// What is to be asked of the ledger now, and what is known without asking.
-    pub fn due_requests(&mut self, now: Micros, book: &SummaryStore) -> DueRequests {
+    pub fn due_requests(&mut self, now: Micros, store: &SummaryStore) -> DueRequests {
         let wall_ms = (now / 1000) as u64;
-        let (asks, follows) = self.marker.requests(wall_ms, |site, group| {
-            book.reported_loads(wall_ms, site, group)
+        let (requests, effects) = self.marker.requests(wall_ms, |site, group| {
+            store.reported_loads(wall_ms, site, group)
         });
-        let mut outcomes: Vec<LoadOutcome> = follows.into_iter().map(|f| self.outcome(f)).collect();
+        let mut outcomes: Vec<LoadOutcome> = effects
+            .into_iter()
+            .map(|effect| self.apply_effect(effect))
+            .collect();
         outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::Reject));
         DueRequests {
-            requests: asks.into_iter().map(ask).collect(),
+            requests: requests.into_iter().map(ledger_request).collect(),
             outcomes,
         }
     }
 
     /// What follows from an answer of the ledger.
-    pub fn on_ledger_answer(&mut self, done: LedgerAnswer) -> Vec<LoadOutcome> {
-        let said = match done.outcome {
+    pub fn on_ledger_answer(&mut self, answer: LedgerAnswer) -> Vec<LoadOutcome> {
+        let reply = match answer.outcome {
             Outcome::Stands(entry) => LedgerReply::Stands {
                 version: entry.version,
                 value: entry.value,
@@ -220,15 +224,15 @@
             Outcome::Unreachable | Outcome::Full => LedgerReply::Unreachable,
         };
         self.marker
-            .on_reply(done.number, said)
+            .on_reply(answer.number, reply)
             .into_iter()
-            .map(|f| self.outcome(f))
+            .map(|effect| self.apply_effect(effect))
             .collect()
     }
 
-    fn outcome(&mut self, follows: Effect) -> LoadOutcome {
+    fn apply_effect(&mut self, effect: Effect) -> LoadOutcome {
         let sent = |(ticket, number): marker::Waiter| ExecutionId::new(ticket as u32, number);
-        match follows {
+        match effect {
             Effect::Send { load, numbers } => match self.held.remove(&sent(load)) {
                 Some(Held {
                     place,
@@ -261,8 +265,8 @@
     }
 }
 
-fn ask(ask: marker::LedgerRequest) -> LedgerRequest {
-    let operation = match ask.what {
+fn ledger_request(request: marker::LedgerRequest) -> LedgerRequest {
+    let operation = match request.what {
         marker::Operation::Read => Operation::Read,
         // It never ends: what it says of versions holds for good.
         marker::Operation::Put { expects, value } => Operation::Put {
@@ -272,10 +276,10 @@
         },
     };
     LedgerRequest {
-        number: ask.number,
+        number: request.number,
         key: Key {
             kind: Kind::Mark,
-            name: key(ask.group),
+            name: key(request.group),
         },
         operation,
     }
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -40,9 +40,9 @@
     /// Sites that may be asked; None: all.
     allowed_sites: Option<Vec<String>>,
     /// Of a join: the marks of its groups that are there.
-    group_marks: BTreeMap<u32, Option<Marks>>,
+    group_markers: BTreeMap<u32, Option<Marks>>,
     /// None while the marks of its group are awaited.
-    whole: Option<Gather>,
+    gather: Option<Gather>,
     /// Parts that are out: place and ticket.
     tickets: BTreeMap<usize, Ticket>,
     /// Sites that are asked though their summaries rule them out.
@@ -73,10 +73,10 @@
 }
 
 /// Which part of which whole a statement is.
-struct PartOf {
-    whole: Ticket,
+struct PartLink {
+    parent: Ticket,
     /// The number of the part in the whole's plan.
-    place: usize,
+    part_index: usize,
 }
 
 /// Sites asked and left out so far, for the log.
@@ -96,9 +96,9 @@
     /// Audits of sites' summaries, where they are switched on, and statements that wait for nothing else, until when.
     audits: Option<SiteAudits>,
     audit_waits: VecDeque<AuditWait>,
-    open: HashMap<Ticket, Statement>,
+    statements: HashMap<Ticket, Statement>,
     /// Whose parts they are, and in which places.
-    parts: HashMap<Ticket, PartOf>,
+    parts: HashMap<Ticket, PartLink>,
     replies: Vec<(Ticket, FinalReply)>,
     counts: SiteCounts,
     /// Of those asked, how many had no row, by why they were asked.
@@ -112,9 +112,9 @@
         settings: &Scatter,
         now: Micros,
         spread_offset: usize,
-        contract: &Settings,
+        agreement: &Settings,
     ) -> std::io::Result<ScatteredStatements> {
-        let locations = contract.names.locations.clone();
+        let locations = agreement.names.locations.clone();
         let loads = settings
             .marked
             .then(|| Loads::new(settings.writes.clone(), locations));
@@ -130,7 +130,7 @@
             settings: settings.clone(),
             audits: settings.audits.map(SiteAudits::new),
             audit_waits: VecDeque::new(),
-            open: HashMap::new(),
+            statements: HashMap::new(),
             parts: HashMap::new(),
             replies: Vec::new(),
             counts: SiteCounts::default(),
@@ -147,8 +147,8 @@
                 self.sites = settings.sites.keys().cloned().collect();
                 self.settings = settings.clone();
                 match (settings.audits, &mut self.audits) {
-                    (Some(terms), Some(audits)) => audits.set_terms(terms),
-                    (terms, audits) => *audits = terms.map(SiteAudits::new),
+                    (Some(settings), Some(audits)) => audits.reconfigure(settings),
+                    (settings, audits) => *audits = settings.map(SiteAudits::new),
                 }
             }
             Err(why) => log::error!("{why}; sites are left as they were"),
@@ -186,18 +186,18 @@
         } = request;
         let mut groups = BTreeSet::from([query.group]);
         groups.extend(query.join.as_ref().map(|join| join.group));
-        let (group_marks, tickets, ruled_out) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+        let (group_markers, tickets, ruled_out) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         let statement = Statement {
             call,
             query,
             deadline,
             allowed_sites,
-            group_marks,
-            whole: None,
+            group_markers,
+            gather: None,
             tickets,
             ruled_out,
         };
-        self.open.insert(ticket, statement);
+        self.statements.insert(ticket, statement);
         match &mut self.loads {
             Some(loads) => groups
                 .into_iter()
@@ -210,27 +210,27 @@
     pub fn apply_group_markers(
         &mut self,
         now: Micros,
-        group_marks: GroupMarkers,
+        group_markers: GroupMarkers,
         waiting: &[Ticket],
         dispatcher: &mut Dispatcher,
     ) {
-        let load_info = group_marks
+        let load_info = group_markers
             .markers
             .map_or(LoadInfo::Unknown, LoadInfo::Marks);
         for ticket in waiting {
             if self
-                .open
+                .statements
                 .get(ticket)
                 .is_some_and(|statement| statement.query.join.is_some())
             {
-                self.marks_of_join(now, *ticket, group_marks, dispatcher);
+                self.apply_join_markers(now, *ticket, group_markers, dispatcher);
                 continue;
             }
-            let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.store);
+            let (wall_ms, store) = ((now / 1000) as u64, &self.summaries.store);
             if !self
                 .audits
                 .as_mut()
-                .is_some_and(|audits| audits.apply_marks(wall_ms, *ticket, &load_info, book))
+                .is_some_and(|audits| audits.apply_markers(wall_ms, *ticket, &load_info, store))
             {
                 self.ask_sites(now, *ticket, &load_info, dispatcher);
             }
@@ -246,21 +246,21 @@
         dispatcher: &mut Dispatcher,
     ) {
         self.log_sites_asked(now, load_info);
-        let statement = self.open.get(&ticket);
-        let Some(statement) = statement.filter(|statement| statement.whole.is_none()) else {
+        let statement = self.statements.get(&ticket);
+        let Some(statement) = statement.filter(|statement| statement.gather.is_none()) else {
             return;
         };
         if statement.query.distinct.is_some() {
-            if let Some(answer) = self.by_sketch(now, statement, load_info) {
-                self.open.remove(&ticket);
+            if let Some(answer) = self.answer_from_sketches(now, statement, load_info) {
+                self.statements.remove(&ticket);
                 return self.replies.push((ticket, FinalReply::Answer(answer)));
             }
         }
         let Some(plan) = self.plan_sites(now, ticket, load_info) else {
             return;
         };
-        self.note_plan(now, ticket, &plan);
-        let Some(statement) = self.open.get_mut(&ticket) else {
+        self.record_plan(now, ticket, &plan);
+        let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
         let rules = GatherRules {
@@ -270,10 +270,10 @@
             most_bytes: self.settings.answer_bytes,
             combine: statement.query.combine.clone(),
         };
-        let (whole, acts) = Gather::new(plan.parts, plan.barred, rules);
-        statement.whole = Some(whole);
-        self.act(now, ticket, acts, dispatcher);
-        self.note_audit_wait(now, ticket);
+        let (gather, actions) = Gather::new(plan.parts, plan.barred, rules);
+        statement.gather = Some(gather);
+        self.apply_actions(now, ticket, actions, dispatcher);
+        self.queue_audit_wait(now, ticket);
     }
 
     fn log_sites_asked(&mut self, now: Micros, load_info: &LoadInfo) {
@@ -289,7 +289,7 @@
 
     /// Which sites are asked and which are left out, audits among those asked.
     fn plan_sites(&mut self, now: Micros, ticket: Ticket, load_info: &LoadInfo) -> Option<Plan> {
-        let statement = self.open.get(&ticket)?;
+        let statement = self.statements.get(&ticket)?;
         let query = &statement.query;
         let allowed: Option<Vec<&str>> = statement
             .allowed_sites
@@ -321,17 +321,17 @@
         } else if query.join.is_none() {
             // A join may be ruled out by either side, which no audit tells apart.
             if let Some(audits) = &mut self.audits {
-                audits.audit(now, ticket, &mut plan, sites, allowed);
+                audits.add_audit(now, ticket, &mut plan, sites, allowed);
             }
         }
         Some(plan)
     }
 
     /// Notes in a statement which sites are asked though they were ruled out, and counts those asked and left out.
-    fn note_plan(&mut self, now: Micros, ticket: Ticket, plan: &Plan) {
+    fn record_plan(&mut self, now: Micros, ticket: Ticket, plan: &Plan) {
         self.counts.asked += plan.parts.len() as u64;
         self.counts.left_out += plan.pruned.len() as u64;
-        let Some(statement) = self.open.get_mut(&ticket) else {
+        let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
         statement.ruled_out.clear();
@@ -340,10 +340,10 @@
             return;
         }
         let wall_ms = (now / 1000) as u64;
-        let book = &mut self.summaries.store;
+        let store = &mut self.summaries.store;
         let ruled_out = plan.parts.iter().filter(|part| part.ruled_out);
         for part in ruled_out {
-            let summary = book.current(wall_ms, &part.site, query.group);
+            let summary = store.current(wall_ms, &part.site, query.group);
             statement.ruled_out.push(RuledOut {
                 site: part.site.clone(),
                 group: query.group,
@@ -351,17 +351,17 @@
             });
         }
         for site in &plan.pruned {
-            book.record_outcome(wall_ms, query, site, false);
+            store.record_outcome(wall_ms, query, site, false);
         }
     }
 
     /// Notes a whole that waits for audits alone.
-    fn note_audit_wait(&mut self, now: Micros, ticket: Ticket) {
-        let whole = self
-            .open
+    fn queue_audit_wait(&mut self, now: Micros, ticket: Ticket) {
+        let gather = self
+            .statements
             .get(&ticket)
-            .and_then(|statement| statement.whole.as_ref());
-        if whole.is_some_and(Gather::only_audits_pending) {
+            .and_then(|statement| statement.gather.as_ref());
+        if gather.is_some_and(Gather::only_audits_pending) {
             self.audit_waits.push_back(AuditWait {
                 until: now + AUDIT_TIMEOUT,
                 ticket,
@@ -373,46 +373,55 @@
     pub fn expire_audit_waits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         while let Some(wait) = self.audit_waits.pop_front_if(|wait| wait.until <= now) {
             let ticket = wait.ticket;
-            let whole = self
-                .open
+            let gather = self
+                .statements
                 .get_mut(&ticket)
-                .and_then(|statement| statement.whole.as_mut());
-            let acts = whole.map_or(Vec::new(), Gather::skip_audits);
-            self.act(now, ticket, acts, dispatcher);
+                .and_then(|statement| statement.gather.as_mut());
+            let actions = gather.map_or(Vec::new(), Gather::skip_audits);
+            self.apply_actions(now, ticket, actions, dispatcher);
         }
     }
 
-    fn act(&mut self, now: Micros, ticket: Ticket, acts: Vec<Action>, dispatcher: &mut Dispatcher) {
-        let mut acts = VecDeque::from(acts);
-        while let Some(act) = acts.pop_front() {
-            let Some(statement) = self.open.get_mut(&ticket) else {
+    fn apply_actions(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        actions: Vec<Action>,
+        dispatcher: &mut Dispatcher,
+    ) {
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
+            let Some(statement) = self.statements.get_mut(&ticket) else {
                 return;
             };
-            match act {
-                Action::Start(place) => match submit_part(now, statement, place, dispatcher) {
-                    Ok(part) => {
-                        statement.tickets.insert(place, part);
-                        let whole = ticket;
-                        self.parts.insert(part, PartOf { whole, place });
-                    }
-                    Err(InvalidRequest::NoAllowedLocation) => {
-                        let whole = statement.whole.as_mut();
-                        let more = whole.map(|whole| whole.failed(place, PartFailure::Barred));
-                        acts.extend(more.unwrap_or_default());
+            match action {
+                Action::Start(part_index) => {
+                    match submit_part(now, statement, part_index, dispatcher) {
+                        Ok(part) => {
+                            statement.tickets.insert(part_index, part);
+                            let parent = ticket;
+                            self.parts.insert(part, PartLink { parent, part_index });
+                        }
+                        Err(InvalidRequest::NoAllowedLocation) => {
+                            let gather = statement.gather.as_mut();
+                            let further =
+                                gather.map(|gather| gather.failed(part_index, PartFailure::Barred));
+                            actions.extend(further.unwrap_or_default());
+                        }
+                        Err(invalid) => {
+                            self.abandon(now, ticket, dispatcher);
+                            return self.replies.push((ticket, FinalReply::Invalid(invalid)));
+                        }
                     }
-                    Err(invalid) => {
-                        self.abandon(now, ticket, dispatcher);
-                        return self.replies.push((ticket, FinalReply::Invalid(invalid)));
-                    }
-                },
-                Action::End(place) => {
-                    if let Some(part) = statement.tickets.remove(&place) {
+                }
+                Action::End(part_index) => {
+                    if let Some(part) = statement.tickets.remove(&part_index) {
                         self.parts.remove(&part);
                         dispatcher.client_left(now, part);
                     }
                 }
                 Action::Answer(answer) => {
-                    self.open.remove(&ticket);
+                    self.statements.remove(&ticket);
                     return self.replies.push((ticket, FinalReply::Answer(answer)));
                 }
             }
@@ -429,56 +438,56 @@
         &mut self,
         now: Micros,
         part: Ticket,
-        ended: Result<Vec<u8>, PartFailure>,
+        outcome: Result<Vec<u8>, PartFailure>,
         dispatcher: &mut Dispatcher,
     ) {
-        let Some(PartOf {
-            whole: ticket,
-            place,
+        let Some(PartLink {
+            parent: ticket,
+            part_index,
         }) = self.parts.remove(&part)
         else {
             return;
         };
-        let Some(statement) = self.open.get_mut(&ticket) else {
+        let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
-        statement.tickets.remove(&place);
-        let Some(whole) = &mut statement.whole else {
+        statement.tickets.remove(&part_index);
+        let Some(gather) = &mut statement.gather else {
             return;
         };
-        let acts = match ended {
+        let actions = match outcome {
             Ok(rows) => {
-                self.note_rows(now, ticket, place, &rows, dispatcher);
-                let statement = self.open.get_mut(&ticket);
-                let whole = statement.and_then(|statement| statement.whole.as_mut());
-                whole.map_or(Vec::new(), |whole| whole.answered(place, rows))
+                self.record_rows(now, ticket, part_index, &rows, dispatcher);
+                let statement = self.statements.get_mut(&ticket);
+                let gather = statement.and_then(|statement| statement.gather.as_mut());
+                gather.map_or(Vec::new(), |gather| gather.answered(part_index, rows))
             }
-            Err(failed) => whole.failed(place, failed),
+            Err(failure) => gather.failed(part_index, failure),
         };
-        self.act(now, ticket, acts, dispatcher);
-        self.note_audit_wait(now, ticket);
+        self.apply_actions(now, ticket, actions, dispatcher);
+        self.queue_audit_wait(now, ticket);
     }
 
     /// Learns from the rows of a part: whether its site had any, and what audits make of that.
-    fn note_rows(
+    fn record_rows(
         &mut self,
         now: Micros,
         ticket: Ticket,
-        place: usize,
+        part_index: usize,
         rows: &[u8],
         dispatcher: &mut Dispatcher,
     ) {
-        let Some(statement) = self.open.get(&ticket) else {
+        let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        let Some(whole) = &statement.whole else {
+        let Some(gather) = &statement.gather else {
             return;
         };
         let wall_ms = (now / 1000) as u64;
         let query = &statement.query;
-        let site = whole.site(place).unwrap_or_default();
+        let site = gather.site(part_index).unwrap_or_default();
         if rows.is_empty() {
-            if let Some(part) = whole.part(place) {
+            if let Some(part) = gather.part(part_index) {
                 *self.asked_without_rows.entry(part.reason).or_default() += 1;
             }
             self.summaries
@@ -489,22 +498,27 @@
         let Some((audits, ruled_out)) = self.audits.as_mut().zip(ruled_out.cloned()) else {
             return;
         };
-        let check = dispatcher.new_ticket();
-        let lines = rows.iter().filter(|byte| **byte == b'\n').count();
-        if !audits.answered(check, ruled_out, query, lines as u64) {
+        let check_ticket = dispatcher.new_ticket();
+        let row_count = rows.iter().filter(|byte| **byte == b'\n').count();
+        if !audits.site_answered(check_ticket, ruled_out, query, row_count as u64) {
             return;
         }
         match &mut self.loads {
-            Some(loads) => loads.await_markers(check, query.group),
+            Some(loads) => loads.await_markers(check_ticket, query.group),
             None => {
-                audits.apply_marks(wall_ms, check, &LoadInfo::NoLoads, &self.summaries.store);
+                audits.apply_markers(
+                    wall_ms,
+                    check_ticket,
+                    &LoadInfo::NoLoads,
+                    &self.summaries.store,
+                );
             }
         }
     }
 
     /// Nobody waits for a whole statement any more. False if it is none of these.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket, dispatcher: &mut Dispatcher) -> bool {
-        let Some(statement) = self.open.remove(&ticket) else {
+        let Some(statement) = self.statements.remove(&ticket) else {
             return false;
         };
         for part in statement.tickets.into_values() {
@@ -517,30 +531,32 @@
     /// When `tick` is next due; without other fronts there is nothing to spread.
     pub fn due(&self, has_peers: bool) -> Micros {
         let loads = self.loads.as_ref().map_or(Micros::MAX, Loads::due);
-        let hurry = self
+        let audit_due = self
             .audit_waits
             .front()
             .map_or(Micros::MAX, |wait| wait.until);
-        let chosen = self.summaries.retention_due().min(hurry);
+        let retention_due = self.summaries.retention_due().min(audit_due);
         match (self.replies.is_empty(), has_peers) {
-            (true, true) => self.summaries.due().min(loads).min(hurry),
-            (true, false) => chosen,
+            (true, true) => self.summaries.due().min(loads).min(audit_due),
+            (true, false) => retention_due,
             _ => 0,
         }
     }
 
     /// Does what is due; returns messages to other fronts.
-    pub fn tick(&mut self, now: Micros, others: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
-        let heard = std::mem::take(&mut self.summaries.found);
+    pub fn tick(&mut self, now: Micros, peers: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
+        let peer_reports = std::mem::take(&mut self.summaries.reported_false);
         if let Some(audits) = &mut self.audits {
-            audits.fronts = others.len() + 1;
-            heard.iter().for_each(|word| audits.receive_report(word));
+            audits.front_count = peers.len() + 1;
+            peer_reports
+                .iter()
+                .for_each(|report| audits.receive_report(report));
             audits
-                .found
+                .false_summaries
                 .drain(..)
-                .for_each(|word| self.summaries.report_false_word(now, &word));
+                .for_each(|summary| self.summaries.report_false_summary(now, &summary));
         }
-        self.summaries.tick(now, others)
+        self.summaries.tick(now, peers)
     }
 }
 
@@ -548,11 +564,11 @@
 fn submit_part(
     now: Micros,
     statement: &Statement,
-    place: usize,
+    part_index: usize,
     dispatcher: &mut Dispatcher,
 ) -> Result<Ticket, InvalidRequest> {
-    let whole = statement.whole.as_ref();
-    let site = whole.and_then(|whole| whole.site(place));
+    let gather = statement.gather.as_ref();
+    let site = gather.and_then(|gather| gather.site(part_index));
     let request = StatementRequest {
         workload: &statement.call.workload,
         customer: &statement.call.customer,
--- a/crates/front/src/scatter/statements/parts.rs
+++ b/crates/front/src/scatter/statements/parts.rs
@@ -15,20 +15,22 @@
 
     /// The whole that a statement is a part of.
     pub fn parent_of(&self, part: Ticket) -> Option<Ticket> {
-        self.parts.get(&part).map(|part| part.whole)
+        self.parts.get(&part).map(|part| part.parent)
     }
 
     /// What a part's client has asked for.
     pub fn call_of_part(&self, part: Ticket) -> Option<Rc<Call>> {
-        let whole = self.parent_of(part)?;
-        let statement = self.open.get(&whole)?;
+        let parent = self.parent_of(part)?;
+        let statement = self.statements.get(&parent)?;
         Some(statement.call.clone())
     }
 
     /// The parts of a whole statement that are out.
-    pub fn parts_of(&self, whole: Ticket) -> Vec<Ticket> {
-        self.open.get(&whole).map_or(Vec::new(), |statement| {
-            statement.tickets.values().copied().collect()
-        })
+    pub fn parts_of(&self, parent: Ticket) -> Vec<Ticket> {
+        self.statements
+            .get(&parent)
+            .map_or(Vec::new(), |statement| {
+                statement.tickets.values().copied().collect()
+            })
     }
 }
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -19,7 +19,7 @@
                 return Ok(Some(query));
             }
         }
-        let read = sql::read(&call.statement).and_then(|mut query| {
+        let result = sql::read(&call.statement).and_then(|mut query| {
             let (group, table) = (query.group, &query.table);
             let kind = |column: &str| self.summaries.store.column_kind(group, table, column);
             query
@@ -27,17 +27,22 @@
                 .iter_mut()
                 .flatten()
                 .try_for_each(|aggregate| aggregate.check(kind))?;
-            let of = |join: &Join| [group, join.group];
-            let there = |both: [u32; 2]| {
+            let join_groups = |join: &Join| [group, join.group];
+            let is_colocated = |both: [u32; 2]| {
                 let together = |groups: &Vec<u32>| both.iter().all(|group| groups.contains(group));
                 both[0] == both[1] || self.settings.together.iter().any(together)
             };
-            if let Some([a, b]) = query.join.as_ref().map(of).filter(|both| !there(*both)) {
+            if let Some([a, b]) = query
+                .join
+                .as_ref()
+                .map(join_groups)
+                .filter(|both| !is_colocated(*both))
+            {
                 return Err(sql::Unsupported::NotColocated(a, b));
             }
             Ok(query)
         });
-        match read {
+        match result {
             Ok(query) => Ok(Some(query)),
             Err(_) if self.settings.whole_site.is_some() => Ok(None),
             Err(why) => Err(why.to_string()),
@@ -45,45 +50,45 @@
     }
 
     /// The marks of one group of a join: its sites are asked once both are there.
-    pub(super) fn marks_of_join(
+    pub(super) fn apply_join_markers(
         &mut self,
         now: Micros,
         ticket: Ticket,
-        group_marks: GroupMarkers,
+        group_markers: GroupMarkers,
         dispatcher: &mut Dispatcher,
     ) {
-        let Some(statement) = self.open.get_mut(&ticket) else {
+        let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
-        let marks = group_marks.markers.cloned();
-        statement.group_marks.insert(group_marks.group, marks);
-        let second = statement
+        let markers = group_markers.markers.cloned();
+        statement.group_markers.insert(group_markers.group, markers);
+        let join_group = statement
             .query
             .join
             .as_ref()
             .map_or(statement.query.group, |join| join.group);
         let (Some(a), Some(b)) = (
-            statement.group_marks.get(&statement.query.group),
-            statement.group_marks.get(&second),
+            statement.group_markers.get(&statement.query.group),
+            statement.group_markers.get(&join_group),
         ) else {
             return;
         };
         let both = a.clone().zip(b.clone());
-        let word = both
+        let load_info = both
             .as_ref()
             .map_or(LoadInfo::Unknown, |(a, b)| LoadInfo::MarksOfJoin(a, b));
-        self.ask_sites(now, ticket, &word, dispatcher);
+        self.ask_sites(now, ticket, &load_info, dispatcher);
     }
 
     /// The answer to a statement for distinct values, where sketches tell it as well as its customer wants
     /// it, or where there is no other way to one. None: the site that has all rows is asked.
-    pub(super) fn by_sketch(
+    pub(super) fn answer_from_sketches(
         &self,
         now: Micros,
         statement: &Statement,
-        word: &LoadInfo,
+        load_info: &LoadInfo,
     ) -> Option<Answer> {
-        let accepted = self
+        let accepted_error = self
             .settings
             .distinct_error
             .get(&statement.call.customer)
@@ -98,18 +103,18 @@
                 .as_ref()
                 .is_some_and(|audits| audits.is_suspect(site))
         };
-        let (book, wall_ms) = (&self.summaries.store, (now / 1000) as u64);
+        let (store, wall_ms) = (&self.summaries.store, (now / 1000) as u64);
         let (sites, allowed) = (&self.sites, allowed.as_deref());
         let basis = Basis {
             sites,
             allowed,
-            summaries: book,
+            summaries: store,
             wall_ms,
-            loads: word,
+            loads: load_info,
             suspected: &is_suspect,
         };
         let estimate = sketch::distinct(&statement.query, &basis);
-        match estimate.filter(|estimate| estimate.error * 1e6 <= f64::from(accepted)) {
+        match estimate.filter(|estimate| estimate.error * 1e6 <= f64::from(accepted_error)) {
             Some(estimate) => Some(Answer::Estimate {
                 distinct: estimate.distinct,
                 error: estimate.error,
@@ -125,8 +130,8 @@
     /// Says what was asked and what for.
     pub(super) fn log_counts(&self) {
         let SiteCounts { asked, left_out } = self.counts;
-        let of = |(why, count): (&Reason, &u64)| format!(", {}: {count}", why.name());
-        let asked_without_rows: String = self.asked_without_rows.iter().map(of).collect();
+        let entry = |(reason, count): (&Reason, &u64)| format!(", {}: {count}", reason.name());
+        let asked_without_rows: String = self.asked_without_rows.iter().map(entry).collect();
         log::info!(
             "sites asked so far {asked}, left out by their summaries {left_out}; asked and without rows{}",
             if asked_without_rows.is_empty() { ", none" } else { &asked_without_rows }
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -19,22 +19,22 @@
 const LOG_INTERVAL: Micros = 60_000_000;
 
 /// Microseconds between choices of what is held.
-const CHOOSE_INTERVAL: Micros = 10_000_000;
+const RETENTION_INTERVAL: Micros = 10_000_000;
 /// Microseconds between saves of what was learned.
 const SAVE_INTERVAL: Micros = 60_000_000;
 
 /// The summaries of sites: the store, their files, and what is exchanged of them with other fronts.
 pub struct Summaries {
     pub store: SummaryStore,
-    spread: Exchange,
+    exchange: Exchange,
     /// False summaries of sites that other fronts have reported.
-    pub found: Vec<FalseSummary>,
-    last_log: Micros,
+    pub reported_false: Vec<FalseSummary>,
+    last_log_time: Micros,
     /// Files of this front's directory, by the names of what they hold; where that may be held in part.
     local_files: BTreeMap<u64, PathBuf>,
-    file: Option<PathBuf>,
-    chosen: Micros,
-    saved: Micros,
+    keep_file: Option<PathBuf>,
+    last_retention_update: Micros,
+    last_save: Micros,
 }
 
 fn budget(keep: &hallmux_config::SummaryBudget) -> Budget {
@@ -44,7 +44,7 @@
     }
 }
 
-fn terms(settings: &Scatter) -> std::io::Result<StoreSettings> {
+fn store_settings(settings: &Scatter) -> std::io::Result<StoreSettings> {
     let key = |(name, key): (&String, &[u8; 32])| match VerifyingKey::from_bytes(key) {
         Ok(key) => Ok((name.clone(), key)),
         Err(_) => Err(std::io::Error::other(format!(
@@ -72,43 +72,43 @@
         spread_offset: usize,
     ) -> std::io::Result<Summaries> {
         let mut summaries = Summaries {
-            store: SummaryStore::new(terms(settings)?),
-            spread: Exchange::new(spread_offset),
-            found: Vec::new(),
-            last_log: 0,
+            store: SummaryStore::new(store_settings(settings)?),
+            exchange: Exchange::new(spread_offset),
+            reported_false: Vec::new(),
+            last_log_time: 0,
             local_files: BTreeMap::new(),
-            file: None,
-            chosen: 0,
-            saved: now,
+            keep_file: None,
+            last_retention_update: 0,
+            last_save: now,
         };
-        summaries.keep(settings, now);
-        summaries.read(settings, now);
+        summaries.configure_retention(settings, now);
+        summaries.read_directory(settings, now);
         Ok(summaries)
     }
 
     /// The operator's file was read again.
     pub fn reload(&mut self, settings: &Scatter, now: Micros) -> std::io::Result<()> {
-        self.store.reconfigure(terms(settings)?);
-        self.keep(settings, now);
-        self.read(settings, now);
+        self.store.reconfigure(store_settings(settings)?);
+        self.configure_retention(settings, now);
+        self.read_directory(settings, now);
         Ok(())
     }
 
     /// Takes up the budget, with what was learned before.
-    fn keep(&mut self, settings: &Scatter, now: Micros) {
-        let Some(terms) = &settings.keep else {
+    fn configure_retention(&mut self, settings: &Scatter, now: Micros) {
+        let Some(keep_settings) = &settings.keep else {
             self.store.retention = None;
             return;
         };
-        self.file = terms.file.as_ref().map(PathBuf::from);
-        if let Some(keep) = &mut self.store.retention {
-            return keep.set_budget(budget(terms));
+        self.keep_file = keep_settings.file.as_ref().map(PathBuf::from);
+        if let Some(retention) = &mut self.store.retention {
+            return retention.set_budget(budget(keep_settings));
         }
-        let mut keep = Retention::new(budget(terms));
-        if let Some(file) = &self.file {
+        let mut retention = Retention::new(budget(keep_settings));
+        if let Some(file) = &self.keep_file {
             match std::fs::read(file) {
-                Ok(bytes) if keep.restore(now, &bytes) => {
-                    log::info!("{} summaries are known of before", keep.len())
+                Ok(bytes) if retention.restore(now, &bytes) => {
+                    log::info!("{} summaries are known of before", retention.len())
                 }
                 Ok(_) => log::warn!(
                     "scatter.keep.file {}: damaged, or of another version; it is learned anew",
@@ -121,18 +121,19 @@
                 ),
             }
         }
-        keep.choose(now);
-        self.store.retention = Some(keep);
+        retention.choose(now);
+        self.store.retention = Some(retention);
     }
 
     /// Writes what was learned, beside and then in place of what was there.
     pub fn save(&self) {
-        let Some((file, keep)) = self.file.as_ref().zip(self.store.retention.as_ref()) else {
+        let Some((file, retention)) = self.keep_file.as_ref().zip(self.store.retention.as_ref())
+        else {
             return;
         };
-        let beside = file.with_extension("new");
-        let written =
-            std::fs::write(&beside, keep.to_bytes()).and_then(|()| std::fs::rename(&beside, file));
+        let temporary_path = file.with_extension("new");
+        let written = std::fs::write(&temporary_path, retention.to_bytes())
+            .and_then(|()| std::fs::rename(&temporary_path, file));
         if let Err(e) = written {
             log::warn!(
                 "scatter.keep.file {}: {e}; what is learned is lost at a restart",
@@ -142,7 +143,7 @@
     }
 
     /// Takes in what lies in the directory. A file that can't be used is named with its reason, the others count.
-    fn read(&mut self, settings: &Scatter, now: Micros) {
+    fn read_directory(&mut self, settings: &Scatter, now: Micros) {
         let Some(directory) = &settings.directory else {
             return;
         };
@@ -154,9 +155,9 @@
                 )
             }
         };
-        let mut new = 0;
+        let mut new_count = 0;
         self.local_files.clear();
-        self.spread.local.clear();
+        self.exchange.local.clear();
         for path in files
             .flatten()
             .map(|file| file.path())
@@ -174,60 +175,59 @@
                     .accept((now / 1000) as u64, &bytes)
                     .map_err(|why| why.to_string())
             }) {
-                Ok(taken) => {
-                    new += usize::from(taken);
+                Ok(is_new) => {
+                    new_count += usize::from(is_new);
                     if let Some((name, version)) = self.store.id_and_version(&bytes) {
-                        if taken {
-                            self.spread.announce(name);
+                        if is_new {
+                            self.exchange.announce(name);
                         }
                         if self.store.retention.is_some() {
                             self.local_files.insert(name, path);
-                            self.spread.local.insert(name, version);
+                            self.exchange.local.insert(name, version);
                         }
                     }
                 }
-                Err(why) => log::warn!("scatter.directory: {}: {why}", path.display()),
+                Err(error) => log::warn!("scatter.directory: {}: {error}", path.display()),
             }
         }
         log::info!(
-            "{new} new summaries of sites, {} are held",
+            "{new_count} new summaries of sites, {} are held",
             self.store.len()
         );
     }
 
     /// When something of them is due, in Unix microseconds.
     pub fn due(&self) -> Micros {
-        self.spread.due()
+        self.exchange.due()
     }
 
     /// Messages to other fronts, where it is time.
-    pub fn tick(&mut self, now: Micros, others: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
-        let out = self.spread.tick(now, others, &self.store);
-        self.take(now, out)
+    pub fn tick(&mut self, now: Micros, peers: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
+        let output = self.exchange.tick(now, peers, &self.store);
+        self.apply_output(now, output)
     }
 
     /// A message of another front; returns what is to be sent back.
     pub fn receive(&mut self, now: Micros, from: PeerId, bytes: &[u8]) -> Vec<(PeerId, Vec<u8>)> {
-        let out = self
-            .spread
-            .on_message(now, (now / 1000) as u64, from, bytes, &mut self.store);
-        self.take(now, out)
+        let output =
+            self.exchange
+                .on_message(now, (now / 1000) as u64, from, bytes, &mut self.store);
+        self.apply_output(now, output)
     }
 
     /// When `update_retention` is next due.
     pub fn retention_due(&self) -> Micros {
-        self.store
-            .retention
-            .as_ref()
-            .map_or(Micros::MAX, |_| self.chosen + CHOOSE_INTERVAL)
+        self.store.retention.as_ref().map_or(Micros::MAX, |_| {
+            self.last_retention_update + RETENTION_INTERVAL
+        })
     }
 
     /// Chooses anew what is held, where it is time, and saves what was learned.
     pub fn update_retention(&mut self, now: Micros) {
-        if self.store.retention.is_none() || now < self.chosen + CHOOSE_INTERVAL {
+        if self.store.retention.is_none() || now < self.last_retention_update + RETENTION_INTERVAL {
             return;
         }
-        self.chosen = now;
+        self.last_retention_update = now;
         self.store.choose((now / 1000) as u64);
         let held: BTreeMap<u64, Detail> = self
             .store
@@ -244,47 +244,51 @@
                     .for_each(|bytes| _ = self.store.accept((now / 1000) as u64, &bytes));
             }
         }
-        if now >= self.saved + SAVE_INTERVAL {
-            self.saved = now;
+        if now >= self.last_save + SAVE_INTERVAL {
+            self.last_save = now;
             self.save();
         }
     }
 
     /// What others want of local files that are not held whole.
-    fn lend(&mut self, now: Micros, out: &mut Output) {
-        for loan in std::mem::take(&mut out.local_reads) {
+    fn send_local_files(&mut self, now: Micros, output: &mut Output) {
+        for request in std::mem::take(&mut output.local_reads) {
             let bytes = self
                 .local_files
-                .get(&loan.name)
+                .get(&request.name)
                 .and_then(|path| std::fs::read(path).ok());
-            let of = |bytes: &Vec<u8>| {
-                self.store.id_and_version(bytes) == Some((loan.name, loan.version))
+            let is_requested = |bytes: &Vec<u8>| {
+                self.store.id_and_version(bytes) == Some((request.name, request.version))
             };
-            if let Some(bytes) = bytes.filter(of) {
-                self.spread.send_piece(now, loan, &bytes, out);
+            if let Some(bytes) = bytes.filter(is_requested) {
+                self.exchange.send_piece(now, request, &bytes, output);
             }
         }
     }
 
     /// A false summary was found here: it is reported to others.
-    pub fn report_false_word(&mut self, now: Micros, word: &FalseSummary) {
-        self.spread.report_false(now, word);
+    pub fn report_false_summary(&mut self, now: Micros, summary: &FalseSummary) {
+        self.exchange.report_false(now, summary);
     }
 
-    fn take(&mut self, now: Micros, mut out: Output) -> Vec<(PeerId, Vec<u8>)> {
-        self.found.append(&mut out.false_summaries);
-        self.lend(now, &mut out);
-        let refused: Vec<Refused> = out.accepted.into_iter().filter_map(Result::err).collect();
+    fn apply_output(&mut self, now: Micros, mut output: Output) -> Vec<(PeerId, Vec<u8>)> {
+        self.reported_false.append(&mut output.false_summaries);
+        self.send_local_files(now, &mut output);
+        let refused: Vec<Refused> = output
+            .accepted
+            .into_iter()
+            .filter_map(Result::err)
+            .collect();
         if let Some(why) = refused
             .first()
-            .filter(|_| self.last_log + LOG_INTERVAL <= now)
+            .filter(|_| self.last_log_time + LOG_INTERVAL <= now)
         {
-            self.last_log = now;
+            self.last_log_time = now;
             log::warn!(
                 "from another front: {why}; refused so far: {:?}",
                 self.store.refused
             );
         }
-        out.messages
+        output.messages
     }
 }
