--- a/crates/front/src/fleet/copies.rs
+++ b/crates/front/src/fleet/copies.rs
@@ -1,6 +1,6 @@
-//! This front's copies of ledger entries on its disk: a thread makes all writes that wait durable in one commit and then
-//! sends the messages that waited for them, so that neither a slow disk holds up decisions nor a message leaves before
-//! what it promises is durable.
+//! Durable storage of this front's replicas of ledger entries. A thread commits all queued writes together and then sends
+//! the datagrams that wait for them. A slow disk therefore does not delay decisions, and no message is sent before the
+//! records that it vouches for are durable.
 
 use std::fs::File;
 use std::hash::{BuildHasher, RandomState};
@@ -14,19 +14,18 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 const RECORDS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("records");
-/// Under one key, the identity of the disk: with the records, so that it is lost only with them.
+/// The identity of the disk, under key 0. It is stored with the records, so that it is lost only together with them.
 const IDENTITY: TableDefinition<u8, u64> = TableDefinition::new("identity");
 const FILE_NAME: &str = "promises.redb";
-/// Bytes: the ledger holds all of it in memory itself.
+/// Size of the store's cache. It can be small, because the ledger holds all entries in memory itself.
 const CACHE_BYTES: usize = 4 * 1_024 * 1_024;
-/// Writes that wait for the disk: some seconds' worth.
+/// Maximum number of writes that wait for the disk: the writes of some seconds.
 const QUEUE_LENGTH: usize = 4_096;
-/// Writes in one commit at most.
 const MAX_WRITES_PER_COMMIT: usize = 256;
-/// A commit that takes longer is logged, once.
+/// The first commit that takes this long is logged.
 const SLOW_COMMIT: Duration = Duration::from_secs(1);
 
-/// Why copies can't be kept in a directory.
+/// Why replicas can't be stored in a directory.
 #[derive(Debug, thiserror::Error)]
 pub enum CopiesError {
     #[error("ledger.directory {directory}: {what}: {error}; give the front a directory that it may write, with room")]
@@ -35,25 +34,27 @@
         what: &'static str,
         error: String,
     },
-    #[error("ledger.directory {0}: another front has it; give each front one of its own")]
+    #[error("ledger.directory {0}: in use by another front; give each front one of its own")]
     InUse(String),
     #[error(
-        "ledger.directory {directory}: {error}; move it away: the front comes back as one that lost its disk"
+        "ledger.directory {directory}: {error}; move it away, and the front starts as one that lost its disk"
     )]
     Damaged { directory: String, error: String },
 }
 
-/// Records to be made durable, and the datagrams that wait for them.
+/// Records to be made durable, and the datagrams that are sent once they are.
 pub struct Write {
+    /// Numbers grow from write to write.
     pub number: u64,
+    /// Empty if only the datagrams are to be sent, in their order among the other writes.
     pub records: Vec<Record>,
     pub datagrams: Vec<Datagram>,
 }
 
-/// What became of the writes up to a number.
+/// The outcome of all writes with numbers up to `number` that had no outcome before.
 pub struct WriteOutcome {
     pub number: u64,
-    /// False where the write has failed: nothing is promised on it.
+    /// False if the writes failed: their datagrams are not sent.
     pub is_durable: bool,
 }
 
@@ -73,29 +74,31 @@
     }
 }
 
-/// What was found in a directory.
+/// The contents of a directory when it was opened.
 pub struct StoredCopies {
     pub disk: DiskId,
+    /// None for a new directory, and for one without records.
     pub saved: Option<Saved>,
 }
 
-/// The thread that writes copies, as the event loop sees it.
+/// The event loop's handle to the thread that stores replicas.
 pub struct Copies {
     writes: SyncSender<Write>,
     outcomes: Receiver<WriteOutcome>,
     outcome_sender: Sender<WriteOutcome>,
-    /// Held while this front runs: two on one directory would vote twice.
+    /// Locked while this front runs, because two fronts on one directory would vote twice.
     _lock: Option<File>,
 }
 
-/// An identity that no disk has had before.
+/// Draws an identity at random, so that no other disk has it.
 pub fn random_disk_id() -> DiskId {
     RandomState::new().hash_one(std::process::id()) | 1
 }
 
 impl Copies {
-    /// Opens the directory: its identity, drawn if it is new, and what was kept there. `wake` is called once something
-    /// is durable or has failed. `fault_file` holds the faults to inject on the disk.
+    /// Opens the directory and reads its identity and records. A new directory gets a random identity. The thread calls
+    /// `wake` after each write that became durable or failed. `fault_file` names the file of faults to inject into the
+    /// disk, if any.
     pub fn open(
         directory: &str,
         fault_file: Option<&str>,
@@ -139,7 +142,7 @@
         let (outcome_sender, outcomes) = channel();
         let disk_error = |e: std::io::Error| CopiesError::Disk {
             directory: directory.to_string(),
-            what: "its thread can't be had",
+            what: "its thread can't be started",
             error: e.to_string(),
         };
         let (name, sender) = (directory.to_string(), outcome_sender.clone());
@@ -161,25 +164,26 @@
     pub fn save(&mut self, write: Write) {
         let number = write.number;
         if self.writes.try_send(write).is_err() {
-            // The thread has said so, or the disk is seconds behind: nothing is promised on it any more.
+            // The thread ended after a failure, or the disk is seconds behind: the write counts as failed.
             let _ = self.outcome_sender.send(WriteOutcome::failed(number));
         }
     }
 
-    /// Writes that are durable, or have failed, since the last call.
+    /// Returns the outcomes of writes since the last call.
     pub fn take_outcomes(&self) -> Vec<WriteOutcome> {
         self.outcomes.try_iter().collect()
     }
 }
 
-/// What does not go out is as if it were lost on the way.
+/// Sends datagrams. One that can't be sent counts as lost on the network.
 fn send(socket: &UdpSocket, datagrams: &[Datagram]) {
     datagrams
         .iter()
         .for_each(|d| _ = socket.send_to(&d.bytes, d.to));
 }
 
-/// A database with what it holds, if it is whole. The store may panic where a file was altered from outside.
+/// Opens a database, checks its integrity and reads its contents. The store may panic on a file that was altered from
+/// outside; that counts as a damaged file.
 fn open_database(
     directory: &str,
     open: impl FnOnce() -> Result<Database, redb::DatabaseError>,
@@ -188,8 +192,8 @@
         directory: directory.to_string(),
         error,
     };
-    let open_and_read =
-        std::panic::AssertUnwindSafe(|| -> Result<(Database, StoredCopies), CopiesError> {
+    let open_and_read = std::panic::AssertUnwindSafe(
+        || -> Result<(Database, StoredCopies), CopiesError> {
             let mut database = open().map_err(|e| match e {
                 redb::DatabaseError::DatabaseAlreadyOpen => {
                     CopiesError::InUse(directory.to_string())
@@ -200,16 +204,17 @@
                 .check_integrity()
                 .map_err(|e| damaged(e.to_string()))?
             {
-                log::warn!("ledger.directory {directory}: was not closed cleanly, and is mended");
+                log::warn!("ledger.directory {directory}: its file was not closed cleanly; it is repaired and used");
             }
             let stored = read_stored(&database).map_err(|e| damaged(e.to_string()))?;
             Ok((database, stored))
-        });
+        },
+    );
     std::panic::catch_unwind(open_and_read)
         .unwrap_or_else(|_| Err(damaged("its file was altered".to_string())))
 }
 
-/// The identity and the records; where there is none, one is drawn and made durable.
+/// Reads the identity and the records. A database without an identity gets a random one, which is made durable.
 fn read_stored(database: &Database) -> Result<StoredCopies, Box<redb::Error>> {
     let boxed = |e: redb::Error| Box::new(e);
     let transaction = database.begin_write().map_err(|e| boxed(e.into()))?;
@@ -241,6 +246,8 @@
     })
 }
 
+/// Commits queued writes and sends their datagrams, until the queue is closed or a commit fails. After a failed commit all
+/// further writes fail.
 fn run_writer(
     directory: &str,
     database: &Database,
@@ -257,7 +264,7 @@
         let started = Instant::now();
         if let Err(e) = commit(database, &writes) {
             log::error!(
-                "ledger.directory {directory}: {e}; this front keeps no copies there any more in this life"
+                "ledger.directory {directory}: {e}; this front keeps no copies there any more until it is restarted"
             );
             let _ = outcome_sender.send(WriteOutcome::failed(last));
             wake();
@@ -269,7 +276,7 @@
         if started.elapsed() >= SLOW_COMMIT && !std::mem::replace(&mut slow_commit_logged, true) {
             let ms = started.elapsed().as_millis();
             log::warn!(
-                "ledger.directory {directory}: a commit took {ms} ms; promises of this front wait for it"
+                "ledger.directory {directory}: a commit took {ms} ms; ledger messages of this front wait for such commits"
             );
         }
         writes
@@ -280,7 +287,7 @@
     }
 }
 
-/// Makes all of them durable together; writes without records wait for nothing.
+/// Makes all writes durable in one transaction. Writes without records need no transaction.
 fn commit(database: &Database, writes: &[Write]) -> Result<(), Box<redb::Error>> {
     if writes.iter().all(|write| write.records.is_empty()) {
         return Ok(());
--- a/crates/front/src/fleet/copies_tests.rs
+++ b/crates/front/src/fleet/copies_tests.rs
@@ -1,3 +1,5 @@
+//! Unit tests of the `copies` module.
+
 use super::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -5,6 +7,7 @@
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
 
+/// A temporary directory that is removed when the test ends.
 struct TestDirectory(std::path::PathBuf);
 
 impl TestDirectory {
@@ -54,7 +57,7 @@
     Copies::open(&directory.name(), None, socket(), || {})
 }
 
-/// The next word on a save.
+/// Waits for the next outcome of a write, and returns its number and whether it became durable.
 fn next_outcome(copies: &Copies) -> (u64, bool) {
     let outcome = copies.outcomes.recv_timeout(Duration::from_secs(10));
     let WriteOutcome { number, is_durable } = outcome.unwrap();
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn what_was_kept_is_there_again_under_the_same_identity_and_a_new_directory_has_another() {
+fn reopened_directory_has_its_records_and_identity_and_new_directory_has_another_identity() {
     let (directory, receiver, mut byte) = (TestDirectory::new("kept"), socket(), [0; 8]);
     let (mut copies, stored) = open(&directory).unwrap();
     assert!(stored.saved.is_none() && stored.disk != 0);
@@ -76,7 +79,7 @@
     while next_outcome(&copies) != (3, true) {}
     drop(copies);
     let reopened = loop {
-        // The thread lets go of the file once it has seen that nobody writes any more.
+        // The thread closes the file after it has noticed that the queue of writes is closed.
         match open(&directory) {
             Ok((_, stored)) => break stored,
             Err(CopiesError::InUse(_)) => std::thread::yield_now(),
@@ -95,7 +98,7 @@
 }
 
 #[test]
-fn a_file_that_was_altered_or_cut_is_refused_with_its_reason() {
+fn altered_or_truncated_file_is_rejected_with_a_remedy() {
     let directory = TestDirectory::new("altered");
     std::fs::create_dir_all(&directory.0).unwrap();
     for bytes in [vec![7; 5_000], vec![0xff; 40]] {
@@ -110,7 +113,7 @@
     }
 }
 
-/// A disk that fails when told to.
+/// A storage backend whose writes fail while the flag is set.
 #[derive(Debug)]
 struct FailingBackend(InMemoryBackend, Arc<AtomicBool>);
 
@@ -149,7 +152,7 @@
 }
 
 #[test]
-fn on_a_full_disk_nothing_that_waits_for_it_leaves_and_it_is_said() {
+fn datagrams_of_failed_write_are_not_sent_and_failure_is_reported() {
     let (is_failing, receiver, mut byte) = (Arc::new(AtomicBool::new(false)), socket(), [0; 8]);
     let backend = FailingBackend(InMemoryBackend::new(), is_failing.clone());
     let stored =
@@ -170,7 +173,7 @@
 }
 
 #[test]
-fn what_is_unfit_says_where_and_what_to_do() {
+fn every_error_names_directory_and_remedy() {
     let directory = || "/data".to_string();
     for (error, advice) in [
         (
--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -1,8 +1,9 @@
-//! Why a front can't take part in the fleet as its operator's file says; each text names the key and what can be done.
+//! Errors in the fleet's sections of the operator's file and in what they name. Each message states the key, the fault and
+//! the remedy.
 
 use std::net::SocketAddr;
 
-/// Why gossip with other fronts can't begin.
+/// Why gossip with other fronts can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum PeersError {
     #[error("gossip: secret_file: {file}: {why}; name a file that this front may read")]
@@ -26,7 +27,7 @@
 }
 
 impl PeersError {
-    /// An error of the operating system.
+    /// Wraps an error of the operating system.
     pub fn system(why: impl std::fmt::Display) -> PeersError {
         PeersError::System(why.to_string())
     }
@@ -43,7 +44,7 @@
         what: &'static str,
         why: std::io::Error,
     },
-    #[error("directory: {0}: another front has it; give each front one of its own")]
+    #[error("directory: {0}: in use by another front; give each front one of its own")]
     InUse(String),
     #[error(
         "directory: {directory}: can't be locked: {why}; give the front a directory on a disk of its own"
@@ -65,10 +66,12 @@
     File { file: String, why: std::io::Error },
     #[error(transparent)]
     Invalid(#[from] hallmux_access::FileErrors),
-    #[error("{0}: what_if: asks a question, and gives no rules to begin with; take it out")]
+    #[error(
+        "{0}: what_if: a hypothetical set can't be the first rules of a front; remove what_if"
+    )]
     WhatIf(String),
     #[error(
-        "rules: this front has others, but no `gossip.ledger` that keeps rules; name its members"
+        "rules: this front has peers, but no `gossip.ledger` to store rules in; name the ledger's members"
     )]
     NoLedger,
     #[error("rules: {0}")]
--- a/crates/front/src/fleet/errors_tests.rs
+++ b/crates/front/src/fleet/errors_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn every_fault_says_where_what_and_what_to_do() {
+fn every_error_names_place_fault_and_remedy() {
     let io = || std::io::Error::other("gone");
     let (file, directory) = (|| "/f".to_string(), || "/d".to_string());
     let at = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_secret_of_another_form_is_refused_in_words_that_name_the_form() {
+fn malformed_secret_is_rejected_with_the_expected_form() {
     let text = PeersError::Secret("/f".to_string()).to_string();
     assert_eq!(
         text,
--- a/crates/front/src/fleet/faulty_disk.rs
+++ b/crates/front/src/fleet/faulty_disk.rs
@@ -1,6 +1,6 @@
-//! Fault injection for the storage of ledger copies: a disk that a test harness can fill or slow down. The file that
-//! the operator's key `ledger.drill` names holds the present fault: `full`, or `slow` and the milliseconds of each sync;
-//! empty or absent, there is none. Without that key the disk is used as it is.
+//! Fault injection for the storage of ledger replicas: a disk that a test harness can fill or slow down. The operator's
+//! key `ledger.drill` names a file with the current fault: `full`, or `slow` and the milliseconds that each sync is
+//! delayed. An empty or absent file injects no fault. Without that key this module is not used.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use redb::backends::FileBackend;
 use redb::StorageBackend;
 
-/// Milliseconds of a sync; what is slower is as good as gone.
+/// Maximum delay of a sync in milliseconds. A slower disk is no different from a lost one.
 const MAX_SYNC_DELAY_MS: u64 = 60_000;
 
 type Io<T> = std::io::Result<T>;
 
-/// Opens the store's file, with the faults that `fault_file` names.
+/// Opens the store's file and injects the faults that `fault_file` names.
 pub fn open(file: &std::path::Path, fault_file: &str) -> Result<FaultyDisk, redb::DatabaseError> {
     let store_file = std::fs::OpenOptions::new()
         .read(true)
@@ -21,14 +21,16 @@
         .create(true)
         .truncate(false)
         .open(file)?;
-    log::warn!("ledger.drill: what befalls the disk of copies is a drill's, from {fault_file}");
+    log::warn!(
+        "ledger.drill: faults named in {fault_file} are injected into the disk of ledger replicas"
+    );
     Ok(FaultyDisk {
         file: FileBackend::new(store_file)?,
         fault_file: PathBuf::from(fault_file),
     })
 }
 
-/// A file whose reads, writes and syncs fail as a test asks.
+/// A file whose writes fail and whose syncs fail or are delayed as the fault file requires.
 #[derive(Debug)]
 pub struct FaultyDisk {
     file: FileBackend,
@@ -36,12 +38,13 @@
 }
 
 impl FaultyDisk {
-    /// The fault that is to be injected now.
+    /// Reads the fault to inject now; empty if there is none.
     fn fault(&self) -> String {
         std::fs::read_to_string(&self.fault_file).unwrap_or_default()
     }
 
-    /// A full disk takes nothing, also no change of what is there: as file systems that copy on write do.
+    /// Fails if the disk is to be full. A full disk also rejects changes of existing data, as file systems that copy on
+    /// write do.
     fn check_space(&self) -> Io<()> {
         match self.fault().trim() {
             "full" => Err(std::io::ErrorKind::StorageFull.into()),
@@ -50,7 +53,7 @@
     }
 }
 
-/// Milliseconds that a sync takes longer, by an instruction of the file.
+/// Milliseconds by which a fault delays a sync; 0 if it is not a valid `slow` fault.
 fn sync_delay_ms(fault: &str) -> u64 {
     let ms = fault
         .trim()
--- a/crates/front/src/fleet/faulty_disk_tests.rs
+++ b/crates/front/src/fleet/faulty_disk_tests.rs
@@ -3,8 +3,9 @@
 use super::*;
 
 #[test]
-fn a_disk_is_full_or_slow_as_long_as_its_file_says_so() {
-    let directory = std::env::temp_dir().join(format!("hallmux-drilled-{}", std::process::id()));
+fn disk_is_full_or_slow_while_the_fault_file_requires_it() {
+    let directory =
+        std::env::temp_dir().join(format!("hallmux-faulty-disk-{}", std::process::id()));
     std::fs::create_dir_all(&directory).unwrap();
     let fault_file = directory.join("drill");
     let disk = open(&directory.join("store"), &fault_file.display().to_string()).unwrap();
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -1,4 +1,4 @@
-//! How a front joins the fleet at its start: the elections for ownership of the fleet's work, and the ledger.
+//! Joins the elections for ownership of the fleet's work, and the ledger, when a front starts.
 
 use std::net::UdpSocket;
 
@@ -15,7 +15,7 @@
 use super::votes::Votes;
 use crate::events::{LoopEvents, SocketKind};
 
-/// Joins the elections for ownership of the fleet's work. Returns the durable votes, where this front is a voter.
+/// Joins the elections for ownership of the fleet's work. Returns the storage of votes if this front is a voter.
 pub(super) fn join_ownership(
     exchange: &mut Exchange,
     ownership: &config::Ownership,
@@ -55,13 +55,13 @@
     };
     exchange.enable_ownership(clock, ownership)?;
     log::info!(
-        "takes part in ownership of the fleet's work{}",
-        if votes.is_some() { ", and votes" } else { "" }
+        "gossip.ownership: takes part in the election of the owner of the fleet's work{}",
+        if votes.is_some() { ", as a voter" } else { "" }
     );
     Ok(votes)
 }
 
-/// Joins the ledger. Returns the durable copies, where this front keeps some on disk.
+/// Joins the ledger. Returns the storage of replicas if this front is a member that keeps them on disk.
 pub(super) fn join_ledger(
     exchange: &mut Exchange,
     ledger: &config::Ledger,
@@ -93,18 +93,18 @@
     }
     let storage = match (&copies, &saved) {
         _ if !is_member => "",
-        (None, _) => ", and keeps copies in memory alone",
-        (Some(_), None) => ", and keeps copies on a disk that is new",
-        (Some(_), Some(_)) => ", and keeps copies on the disk that it had",
+        (None, _) => "; keeps replicas in memory only",
+        (Some(_), None) => "; keeps replicas on a new disk",
+        (Some(_), Some(_)) => "; keeps replicas on its disk, which has those of an earlier start",
     };
     exchange.enable_ledger(clock, setup, addresses, saved)?;
     let count = ledger.members.len();
-    log::info!("asks {count} fronts for promises{storage}");
+    log::info!("gossip.ledger: uses a ledger of {count} members{storage}");
     Ok(copies)
 }
 
-/// Opens the directory for copies, where the operator's file names one. None: copies are in memory alone, also after
-/// a failure of the disk where the file allows that.
+/// Opens the directory for replicas. Returns None if replicas are kept in memory only: the operator's file names no
+/// directory, or the disk failed and `on_disk_failure` allows that.
 fn open_copies(
     ledger: &config::Ledger,
     socket: &UdpSocket,
@@ -120,14 +120,14 @@
     match Copies::open(directory, fault_file, socket, loop_waker) {
         Ok(opened) => Ok(Some(opened)),
         Err(error @ CopiesError::Disk { .. }) if memory_on_disk_failure => {
-            log::error!("{error}; copies are in memory alone");
+            log::error!("gossip: {error}; this front keeps its ledger replicas in memory only");
             Ok(None)
         }
         Err(error) => Err(error.into()),
     }
 }
 
-/// What wakes the loop from the thread that writes copies.
+/// Returns the callback with which the thread that stores replicas wakes the event loop.
 fn loop_waker(
     handle: &LoopHandle<'static, LoopEvents>,
 ) -> std::io::Result<impl Fn() + Send + 'static> {
--- a/crates/front/src/fleet/ledger_barrier.rs
+++ b/crates/front/src/fleet/ledger_barrier.rs
@@ -1,5 +1,5 @@
-//! Executions that depend on ledger entries wait in `hallmux_fleet`'s ledger barrier until the ledger has answered; the log says
-//! what was turned away.
+//! Connects the event loop to `hallmux_fleet`'s ledger barrier, which holds executions back until their ledger entries
+//! are replicated, and logs how many statements ended because their entries could not be.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use super::rules::SendCommand;
 use crate::execution::ExecutionId;
 
-/// Microseconds between lines of the log on what was rejected.
+/// Microseconds between log lines on statements that the barrier rejected or aborted.
 const LOG_INTERVAL: Micros = 10_000_000;
 
 impl LedgerClient for Peers {
@@ -25,7 +25,7 @@
     }
 }
 
-/// The ledger barrier, and what was logged of it.
+/// The driver of the ledger barrier, and the counts of ended statements that were logged last.
 pub struct LoggedBarrier {
     driver: ledger_barrier::BarrierDriver,
     last_log_time: Micros,
@@ -33,7 +33,8 @@
 }
 
 impl LoggedBarrier {
-    /// Where there is a ledger; `now` is the Unix clock, which names this incarnation.
+    /// Creates the barrier of a front that uses a ledger with `shards` shards. `now` is the Unix time in microseconds, which
+    /// identifies this incarnation of the front.
     pub fn new(
         settings: &Settings,
         now: Micros,
@@ -48,17 +49,17 @@
         }
     }
 
-    /// When something is due though nothing happens.
+    /// When `tick` must run even if no event arrives, in Unix microseconds.
     pub fn due(&self) -> Micros {
         self.driver.due()
     }
 
-    /// Nothing is asked that has no answer yet.
+    /// Whether no request to the ledger is without an answer.
     pub fn is_idle(&self) -> bool {
         self.driver.is_idle()
     }
 
-    /// An execution is ordered. True if it is held for now.
+    /// Holds an execution if its statement requires ledger entries. Returns whether the execution is held.
     pub fn hold(
         &mut self,
         now: Micros,
@@ -84,19 +85,19 @@
         )
     }
 
-    /// Changes the priority that a held execution leaves with.
+    /// Changes the priority with which a held execution will be sent.
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
         self.driver.set_priority(ticket, priority);
     }
 
-    /// Gives an execution up. True if it was held.
+    /// Cancels an execution. Returns true if the execution was held, so it was never sent.
     pub fn cancel(&mut self, now: Micros, execution_id: ExecutionId) -> bool {
         self.driver
             .cancel(now, execution_id.ticket, execution_id.number)
     }
 
-    /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id` names a
-    /// statement wherever it is tried.
+    /// Passes the dispatcher's events and the ledger's answers to the barrier, and returns its decisions on held executions.
+    /// `id` returns the statement id that the client uses on every front where it retries a statement.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -110,7 +111,7 @@
         {
             (self.last_log_time, self.logged_rejections) = (now, self.driver.refused().clone());
             log::warn!(
-                "statements ended for want of a promise so far: {:?}",
+                "statements rejected or aborted for lack of a ledger entry so far, by reason: {:?}",
                 self.logged_rejections
             );
         }
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! The operator's settings of the ledger and of its members, as `hallmux_ledger` takes them.
+//! Converts the operator's settings of the ledger and its members to those of `hallmux_ledger`.
 
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
@@ -9,7 +9,7 @@
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Member, Setup};
 
-/// The members that keep copies, and their addresses.
+/// The members that keep replicas, and their addresses.
 pub struct LedgerMembers {
     pub members: Vec<Member>,
     pub addresses: BTreeMap<PeerId, SocketAddr>,
@@ -21,7 +21,7 @@
     pub addresses: BTreeMap<PeerId, SocketAddr>,
 }
 
-/// The members that the operator's file names.
+/// Returns the members that the operator's file names.
 pub fn ledger_members(ledger: &Ledger) -> LedgerMembers {
     let member = |m: &hallmux_config::LedgerMember| Member {
         front: peer_id(&m.key),
@@ -38,10 +38,11 @@
     }
 }
 
-/// The ledger as this front keeps it. `own` is its key, `incarnation` the Unix time of its start in milliseconds.
+/// Returns the settings of this front's ledger. `local_id` identifies the front by its key, and `incarnation` is the Unix
+/// time of its start in milliseconds.
 pub fn ledger_setup(ledger: &Ledger, local_id: PeerId, incarnation: u64) -> LedgerSetup {
     let LedgerMembers { members, addresses } = ledger_members(ledger);
-    // In memory each incarnation is a disk of its own.
+    // Replicas in memory end with the incarnation, so that each incarnation counts as another disk.
     let disk = RandomState::new().hash_one(incarnation).max(1);
     let setup = Setup {
         copies: ledger.copies,
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -1,6 +1,7 @@
-//! The front as a member of a fleet: gossip on engines over datagrams, the votes of lease elections on disk, copies of
-//! ledger entries on disk, access rules. Each is switched on by the operator's file; off, it is not there. Messages are
-//! interpreted in `crates/fleet` and the crates behind it; this module holds the sockets, files and clocks.
+//! The front as a member of a fleet: gossip about engines over datagrams, durable votes for lease elections, durable
+//! replicas of ledger entries, and access rules. The operator's file enables each of these separately; a disabled one is
+//! not created. `crates/fleet` and the crates that it uses interpret the messages; this module holds the sockets, files
+//! and clocks.
 
 mod copies;
 mod errors;
@@ -9,7 +10,7 @@
 mod ledger_barrier;
 mod members;
 mod peers;
-/// Regional access rules of customers.
+/// Access rules that limit where customers' statements may run, by region.
 pub mod rules;
 mod votes;
 
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -1,5 +1,5 @@
-//! Gossip with other fronts over datagrams: what this front has seen of engines goes out, what others have seen
-//! comes in. Switched on by the operator's file; off, it is not there.
+//! Gossip with other fronts over datagrams: sends this front's reports about engines, receives those of its peers, and
+//! carries the messages of lease elections, the ledger and summaries. Created only if the operator's file enables gossip.
 
 mod log_lines;
 mod start;
@@ -27,44 +27,45 @@
 use crate::shutdown::LedgerDuty;
 use log_lines::LogState;
 
-/// Datagrams taken before others are served.
+/// Maximum number of datagrams read in one iteration of the event loop, so that other sockets are served too.
 const DATAGRAMS_PER_ITERATION: usize = 64;
-/// Bits of an ask's number that a part of the front counts in; the byte above them says which part.
+/// Number of low bits of a ledger request's number in which a component of the front counts its requests. The byte above
+/// them identifies the component.
 const COMPONENT_SHIFT: u32 = 56;
 
-/// A message on a channel beside gossip.
+/// A message that a peer sent on a channel other than gossip.
 pub struct PeerMessage {
-    /// The front that has sent it.
+    /// The front that sent the message.
     pub from: PeerId,
     pub bytes: Vec<u8>,
 }
 
-/// This front and the others, by their keys, where a ledger is kept.
+/// The identities of this front and of all fronts that use the ledger.
 pub struct LedgerFleet {
     pub local_id: PeerId,
-    /// All fronts whose keys count.
+    /// All fronts whose keys are accepted.
     pub fronts: Vec<PeerId>,
 }
 
-/// The other fronts: the socket to them, and what is exchanged with them.
+/// This front's connection to its peers: the socket, the state of the exchange, and durable storage.
 pub struct Peers {
     socket: Rc<UdpSocket>,
     exchange: Exchange,
     peer_names: BTreeMap<PeerId, String>,
     random: RandomState,
     draws_made: u64,
-    /// The clock that leases go by: it runs evenly on, whatever becomes of the wall clock.
+    /// Origin of the monotonic clock that leases use; steps of the wall clock don't affect it.
     steady_start: Instant,
     votes: Option<Votes>,
-    /// Where copies of promises are kept; none: in memory alone.
+    /// Storage of this front's ledger replicas; None if they are in memory only.
     copies: Option<Copies>,
-    /// A disk that fails leaves them in memory.
+    /// Whether replicas continue in memory after the disk has failed.
     memory_on_disk_failure: bool,
     log_state: LogState,
     messages: BTreeMap<Channel, Vec<PeerMessage>>,
-    /// Answers of the ledger that their part of this front has not taken yet.
+    /// Answers of the ledger that the requesting component has not taken yet.
     ledger_answers: Vec<LedgerAnswer>,
-    /// A ledger is kept.
+    /// Whether this front uses a ledger.
     has_ledger: bool,
 }
 
@@ -81,7 +82,8 @@
 }
 
 impl Peers {
-    /// The file was read again: its keys count from now on.
+    /// Applies the peers' keys and the ledger members of a configuration that was read again. Members that can't be used
+    /// are logged and change nothing.
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
         self.peer_names = peer_names(gossip);
         self.exchange.set_keys(peer_keys(gossip));
@@ -94,7 +96,10 @@
                 log::error!("gossip.ledger.members is left as it was: {e}");
             }
         }
-        log::info!("{} keys of other fronts count", gossip.peers.len());
+        log::info!(
+            "gossip.peers: {} keys of fronts are accepted from now on",
+            gossip.peers.len()
+        );
     }
 
     /// When `tick` is next due, in Unix microseconds.
@@ -102,7 +107,7 @@
         self.exchange.due(self.clock_reading(now))
     }
 
-    /// Datagrams have come; true if there are more for another iteration.
+    /// Reads datagrams that have arrived. Returns true if more may be left for the next iteration.
     pub fn receive_datagrams(&mut self, now: Micros) -> bool {
         self.apply_write_outcomes(now);
         let mut bytes = [0; MAX_DATAGRAM + 1];
@@ -115,7 +120,7 @@
                     self.send(now, output);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                // A peer that is gone shows here; it will show as silent as well.
+                // The system reports an unreachable peer here. Gossip notices its silence itself.
                 Err(_) => {}
             }
         }
@@ -131,7 +136,8 @@
         }
     }
 
-    /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
+    /// Returns the messages received on a channel other than gossip. At most `DATAGRAMS_PER_ITERATION` messages of each
+    /// channel are kept until they are taken.
     pub fn take_messages(&mut self, channel: Channel) -> Vec<PeerMessage> {
         for message in self.exchange.take_received() {
             let queue = self.messages.entry(message.channel).or_default();
@@ -145,7 +151,7 @@
         self.messages.remove(&channel).unwrap_or_default()
     }
 
-    /// Sends such a message; what does not go out is as if it were lost on the way.
+    /// Sends a message on a channel other than gossip. One that can't be sent counts as lost on the network.
     pub fn send_message(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
         let clock = self.clock_reading(now);
         let datagrams = self
@@ -162,7 +168,7 @@
         );
     }
 
-    /// The other fronts whose messages count.
+    /// Returns the other fronts whose messages are accepted.
     pub fn accepted_peers(&self) -> Vec<PeerId> {
         let local_id = peer_id(&self.exchange.public_key());
         self.peer_names
@@ -172,18 +178,18 @@
             .collect()
     }
 
-    /// A number of this front's own, so that not all fronts begin with the same peer in what they send by turns.
+    /// Returns a number specific to this front, so that fronts that send to their peers in rotation start at different peers.
     pub fn spread_offset(&self) -> usize {
         peer_id(&self.exchange.public_key()) as usize
     }
 
-    /// Whether a probe on behalf of the fleet may leave now.
+    /// Whether a health check on behalf of the fleet may be sent now.
     pub fn may_probe(&self) -> bool {
         self.exchange
             .may_probe(self.steady_start.elapsed().as_micros() as Micros)
     }
 
-    /// What does not go out is as if it were lost on the way.
+    /// Sends datagrams and queues writes to disk. A datagram that can't be sent counts as lost on the network.
     fn send(&mut self, now: Micros, output: Output) {
         for Datagram { to, bytes } in output.datagrams {
             let _ = self.socket.send_to(&bytes, to);
@@ -208,7 +214,7 @@
                 });
                 continue;
             }
-            // In memory alone a copy is as lasting as it gets.
+            // Without a disk, a replica counts as durable at once.
             for Datagram { to, bytes } in datagrams {
                 let _ = self.socket.send_to(&bytes, to);
             }
@@ -219,7 +225,8 @@
         }
     }
 
-    /// Applies writes of copies that have become durable, or have failed.
+    /// Passes the outcomes of writes of replicas to the ledger. After a failed write, replicas move to memory if the settings
+    /// allow that.
     fn apply_write_outcomes(&mut self, now: Micros) {
         let outcomes = self
             .copies
@@ -232,7 +239,7 @@
             self.send(now, output);
             if !is_durable && self.memory_on_disk_failure && self.copies.take().is_some() {
                 log::error!(
-                    "copies of promises are in memory alone from now on, as a front's that remembers nothing"
+                    "gossip.ledger.directory: the disk failed; this front keeps its ledger replicas in memory only until it is restarted, under a new disk identity"
                 );
                 let output = self.exchange.reset_ledger(clock, random_disk_id());
                 self.send(now, output);
@@ -240,7 +247,7 @@
         }
     }
 
-    /// Asks the ledger; the answer comes with `promised`.
+    /// Submits a request to the ledger. `take_ledger_answers` returns its answer.
     pub fn submit_ledger_request(&mut self, now: Micros, request: LedgerRequest) {
         let output = self
             .exchange
@@ -248,7 +255,8 @@
         self.send(now, output);
     }
 
-    /// What the ledger has answered to the part of this front whose asks have that highest byte.
+    /// Returns the ledger's answers to the component whose request numbers have the same highest byte as
+    /// `request_number_base`.
     pub fn take_ledger_answers(&mut self, request_number_base: u64) -> Vec<LedgerAnswer> {
         self.ledger_answers
             .extend(self.exchange.take_ledger_answers());
@@ -261,7 +269,7 @@
         answers
     }
 
-    /// The fronts that keep the ledger and ask it; none where none is kept.
+    /// Returns the fronts that use the ledger; None if this front uses none.
     pub fn ledger_fleet(&self) -> Option<LedgerFleet> {
         let ledger_fleet = || LedgerFleet {
             local_id: peer_id(&self.exchange.public_key()),
@@ -270,7 +278,7 @@
         self.has_ledger.then(ledger_fleet)
     }
 
-    /// Does what is due; the log says what is new, and what was refused.
+    /// Runs the timers of the exchange and logs new reports, changes and rejections.
     pub fn tick(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         self.apply_write_outcomes(now);
         let previous_size = self.exchange.fleet_size();
@@ -295,7 +303,7 @@
             .log_changes(now, clock.steady, &self.exchange);
     }
 
-    /// What of the ledger depends on this front.
+    /// Returns in which way the ledger depends on this front.
     pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
         if self.exchange.is_needed_for_quorum(self.clock_reading(now)) {
             LedgerDuty::NeededForQuorum
@@ -306,7 +314,8 @@
         }
     }
 
-    /// This front ends: what it owns of the ledger is handed over, and some peers are notified, which notify the others.
+    /// Announces that this front shuts down: hands over its shards of the ledger and notifies some peers, which notify the
+    /// others.
     pub fn leave(&mut self, now: Micros) {
         let output = self.exchange.hand_over_shards(self.clock_reading(now));
         self.send(now, output);
@@ -326,7 +335,7 @@
     }
 }
 
-/// Numbers that nobody can predict.
+/// Returns a generator of numbers that other processes can't predict.
 fn random_numbers<'a>(
     random: &'a RandomState,
     draws_made: &'a mut u64,
--- a/crates/front/src/fleet/peers/log_lines.rs
+++ b/crates/front/src/fleet/peers/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the log on gossip: what is new, and what was refused.
+//! Log lines on gossip: new reports, changes of ownership and of the ledger, and rejected messages.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,23 @@
 use hallmux_gossip::PeerId;
 use hallmux_ledger::Differences;
 
-/// Microseconds between lines of the log on what was refused.
+/// Microseconds between log lines on rejected messages.
 const LOG_INTERVAL: Micros = 10_000_000;
 
-/// What was logged last, so that a line comes only where something has changed.
+/// The state that was logged last, so that only changes are logged.
 #[derive(Default)]
 pub(super) struct LogState {
     last_log_time: Micros,
     logged_rejections: BTreeMap<Refused, u64>,
     logged_ownership_rejections: BTreeMap<&'static str, u64>,
     logged_lease: Option<OwnedLease>,
-    /// Replicas of the ledger that were found to differ.
+    /// Counts of ledger replicas that differed from the majority.
     logged_differences: Differences,
 }
 
 impl LogState {
-    /// Logs what has changed in the lease of the fleet's work, in the ledger and in what was refused. `steady` is the
-    /// time that leases go by.
+    /// Logs changes in the lease of the fleet's work, in the ledger's replicas and in the counts of rejected messages.
+    /// `steady` is the reading of the monotonic clock that leases use, in microseconds.
     pub(super) fn log_changes(&mut self, now: Micros, steady: Micros, exchange: &Exchange) {
         self.log_ownership(exchange.owned_lease(steady));
         self.log_ownership_rejections(now, exchange);
@@ -52,7 +52,9 @@
         if rejected == self.logged_ownership_rejections || !self.is_log_due(now) {
             return;
         }
-        log::warn!("words on the fleet's work that count for nothing so far: {rejected:?}");
+        log::warn!(
+            "gossip.ownership: messages of other fronts rejected so far, by reason: {rejected:?}"
+        );
         self.logged_ownership_rejections = rejected;
     }
 
@@ -66,7 +68,7 @@
             repaired_here,
         } = differences;
         log::warn!(
-            "ledger: {found} copies differed from the majority so far, {repaired_here} mended here; look at the disks"
+            "ledger: {found} copies differed from the majority so far, {repaired_here} of them repaired at this front; check the disks"
         );
     }
 
@@ -78,7 +80,7 @@
         self.last_log_time = now;
         self.logged_rejections = rejected.clone();
         log::warn!(
-            "datagrams and reports of other fronts that count for nothing so far: {rejected:?}"
+            "gossip: datagrams and reports of other fronts rejected so far, by reason: {rejected:?}"
         );
     }
 
@@ -87,11 +89,16 @@
     }
 }
 
+/// Logs the number of known fronts.
 pub(super) fn log_fleet_size(size: FleetSize) {
-    log::debug!("{} fronts are known, {} of them up", size.known, size.up);
+    log::debug!(
+        "gossip: {} fronts are known, {} of them up",
+        size.known,
+        size.up
+    );
 }
 
-/// What another front has seen of an engine.
+/// Logs a peer's report about an engine. `names` maps the peers to their names in the operator's file.
 pub(super) fn log_peer_report(report: &PeerReport, names: &BTreeMap<PeerId, String>) {
     let reporter_name = names.get(&report.reporter).map_or("?", String::as_str);
     let sighting = &report.sighting;
--- a/crates/front/src/fleet/peers/start.rs
+++ b/crates/front/src/fleet/peers/start.rs
@@ -1,4 +1,4 @@
-//! The start of gossip: the secret, the socket, and what the front takes part in.
+//! Starts gossip: reads the secret, opens the socket, and joins the elections and the ledger if they are configured.
 
 use std::collections::BTreeMap;
 use std::hash::RandomState;
@@ -21,8 +21,8 @@
 use crate::transient;
 
 impl Peers {
-    /// Opens the socket and joins what the operator's file names. `now` is the Unix clock: it names this incarnation
-    /// of the front.
+    /// Opens the socket and joins the elections and the ledger that the operator's file configures. `now` is the Unix time
+    /// in microseconds, which identifies this incarnation of the front.
     pub fn new(
         gossip: &Gossip,
         now: Micros,
@@ -43,7 +43,7 @@
         let mut exchange = Exchange::new(node, (now / 1000) as u64);
         if gossip.overload.is_some() {
             exchange.enable_load_reports();
-            log::info!("sheds overload as one with the fleet");
+            log::info!("gossip.overload: sheds overload by the load of the whole fleet");
         }
         let steady_start = Instant::now();
         let votes = match &gossip.ownership {
@@ -98,7 +98,7 @@
     Ok(Rc::new(socket))
 }
 
-/// The event loop reports datagrams from now on.
+/// Registers the socket with the event loop, which reports arriving datagrams from then on.
 fn register(
     socket: &Rc<UdpSocket>,
     handle: &LoopHandle<'static, LoopEvents>,
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -1,6 +1,6 @@
-//! Regional access rules among the rest of the front: statements are judged as they are taken, wait until their hits
-//! stand, and are looked at again just before they leave. What they decide is in `crates/access`; this holds the file, the clock
-//! and the ledger that it reads. Switched on by the operator's file; off, it is not there.
+//! Applies regional access rules to statements. A statement is checked when it is admitted, waits until its hits are
+//! replicated in the ledger, and is checked again right before it is sent. `crates/access` makes the decisions; this module
+//! provides the file of rules, the clock and the ledger. Created only if the operator's file enables rules.
 
 mod file;
 mod log_lines;
@@ -21,20 +21,20 @@
 use crate::execution::ExecutionId;
 use file::read_rules;
 
-/// The highest byte of the numbers of its asks: other parts of one front have others.
+/// First number of the access rules' ledger requests. Its highest byte identifies them among the front's components.
 const REQUEST_NUMBER_BASE: u64 = 2 << 56;
-/// Groups of tables that a statement is judged by; more cannot be told.
+/// Maximum number of table groups by which a statement is checked.
 const MAX_TABLE_GROUPS: usize = 16;
-/// Microseconds between reports to the dispatcher on what is held here.
+/// Microseconds between reports to the dispatcher that executions are still held.
 const REPORT_INTERVAL: Micros = 100_000;
 
-/// The front and its sessions judge by the same.
+/// The access rules, shared by the event loop and the gateway of PostgreSQL sessions.
 pub type SharedRules = Rc<RefCell<Rules>>;
 
-/// An execution that the dispatcher has ordered to be sent.
+/// The dispatcher's command to send an execution, and the statement that the access rules checked for it.
 #[derive(Clone, Copy)]
 pub struct SendCommand {
-    /// The statement that was judged: of a part the whole.
+    /// The statement that the access rules checked: of a part of a scattered statement its parent.
     pub checked_ticket: Ticket,
     pub ticket: Ticket,
     pub execution: usize,
@@ -43,24 +43,25 @@
 }
 
 impl SendCommand {
-    /// Which execution it is.
+    /// Returns the identity of the execution.
     pub fn id(&self) -> ExecutionId {
         ExecutionId::new(self.ticket, self.execution)
     }
 }
 
-/// What becomes of a statement.
+/// A decision of the access rules on a statement that waited for one.
 pub enum RuleDecision {
-    /// Its hit stands: the execution held leaves.
+    /// The statement's hit is replicated: the held execution is sent.
     Send(SendCommand),
-    /// Denied, and its hit stands: final, and it would be denied again.
+    /// The statement is denied, and its hit is replicated if it has one. Final; a retry would be denied again.
     Deny(Ticket),
-    /// It has not run and may not leave any more: final. `may_retry`: it may be allowed later.
+    /// The statement has not run and must not be sent any more. Final; with `may_retry`, a retry may be allowed later.
     Reject { ticket: Ticket, may_retry: bool },
-    /// It may have run, where the version adopted bars: final, and nothing is promised.
+    /// The statement may have run at a location that the adopted version bars. Final; its effects are unknown.
     Abort(Ticket),
 }
 
+/// A statement that the rules checked, and its executions that are held until its hit is replicated.
 struct Statement {
     ticket: Ticket,
     waits_for_hit: bool,
@@ -69,10 +70,10 @@
     held: Vec<SendCommand>,
 }
 
-/// The access rules, and the statements that they have judged.
+/// The access rules, and the statements that they have checked.
 pub struct Rules {
     access: Access,
-    /// A front without others keeps its promises alone.
+    /// The ledger of a front without peers; None if the fleet's ledger is used.
     local_ledger: Option<Ledger>,
     steady_start: Instant,
     statements: BTreeMap<u64, Statement>,
@@ -87,7 +88,7 @@
 }
 
 impl Rules {
-    /// SIGHUP: the file is read again. One that can't be used changes nothing.
+    /// Reads the file of rules again, after SIGHUP. A file that can't be used is logged and changes nothing.
     pub fn reload(&mut self, now: Micros, rules: &hallmux_config::Rules) {
         match read_rules(&rules.file, self.access.known()) {
             Ok((_, RulesCommand::WhatIf(set))) => {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Judges a statement, once for all its tries.
+    /// Checks a statement against the rules. Called once for a statement, before its first attempt.
     pub fn check_statement(
         &mut self,
         now: Micros,
@@ -136,7 +137,8 @@
         decision
     }
 
-    /// The locations that are allowed to it; None: all. Of one that is denied nothing ever leaves.
+    /// Returns the locations where a statement may run. None means all of them, also for a denied statement, of which
+    /// nothing is sent.
     pub fn allowed_locations(&self, decision: &Decision) -> Option<Vec<String>> {
         match decision {
             Decision::Decided { verdict, .. } if verdict.denied.is_none() => {
@@ -146,7 +148,8 @@
         }
     }
 
-    /// A statement that was judged is taken under a ticket, and its end is told by `gone`; or it was not taken.
+    /// Records that a checked statement was admitted under a ticket, and asks the dispatcher to report its end. Without a
+    /// ticket the statement was not admitted and is forgotten.
     pub fn record_admission(
         &mut self,
         dispatcher: &mut Dispatcher,
@@ -196,7 +199,7 @@
         }
     }
 
-    /// A statement is over with nothing out for it.
+    /// Removes a statement that has ended and has no execution in flight.
     pub fn statement_ended(&mut self, ticket: Ticket) {
         if let Some(statement) = self.statement_numbers.remove(&ticket) {
             self.statements.remove(&statement);
@@ -204,7 +207,7 @@
         }
     }
 
-    /// An execution is ordered. False if it waits here; then a ruling follows.
+    /// Returns true if an execution may proceed. Otherwise holds it until a decision on its statement follows.
     pub fn hold_or_pass(
         &mut self,
         now: Micros,
@@ -225,7 +228,8 @@
         true
     }
 
-    /// The last look before its first byte leaves. False if it may not: then its statement ends by a ruling.
+    /// Checks an execution right before its first byte is sent. Returns false if it must not be sent; a decision then ends
+    /// its statement.
     pub fn check_before_send(
         &mut self,
         now: Micros,
@@ -252,12 +256,12 @@
             return true;
         }
         let reason = match (rules_unknown, is_limited) {
-            (true, _) => "while this front cannot know what holds",
-            (_, true) => "beyond a rule's limit",
-            _ => "by the version that holds",
+            (true, _) => "while this front cannot know which version of the rules holds",
+            (_, true) => "because it exceeds a rule's limit",
+            _ => "by the version of the rules in force here",
         };
         log::info!(
-            "statement {}: may not leave for {location} {reason}",
+            "statement {}: not sent to {location} {reason}; the statement is ended",
             statement.ticket
         );
         dispatcher.report(
@@ -279,7 +283,7 @@
         false
     }
 
-    /// Gives an execution up. True if it was held here: nothing of it has left.
+    /// Cancels an execution of a checked statement. Returns true if it was held here, so it was never sent.
     pub fn cancel(&mut self, checked_ticket: Ticket, execution_id: ExecutionId) -> bool {
         let number = self.statement_numbers.get(&checked_ticket);
         let Some(statement) = number.and_then(|number| self.statements.get_mut(number)) else {
@@ -290,7 +294,7 @@
         statement.held.len() < previous_len
     }
 
-    /// An execution has ended.
+    /// Records that an execution has ended.
     pub fn execution_ended(&mut self, checked_ticket: Ticket, execution_id: ExecutionId) {
         if let Some(number) = self.statement_numbers.get(&checked_ticket) {
             self.access
@@ -319,7 +323,7 @@
         }
     }
 
-    /// Does what is due; returns what becomes of statements.
+    /// Runs the timers of the rules, exchanges requests and answers with the ledger, and returns the decisions on statements.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -360,7 +364,7 @@
         decisions
     }
 
-    /// Asks this front's own ledger or the fleet's, and takes the answers there are.
+    /// Submits requests to the local ledger or the fleet's, and returns the answers that have arrived.
     fn submit_ledger_requests(
         &mut self,
         now: Micros,
@@ -380,7 +384,7 @@
         peers.take_ledger_answers(REQUEST_NUMBER_BASE)
     }
 
-    /// Reports to the dispatcher, now and then, that what is held here still is.
+    /// Reports to the dispatcher every `REPORT_INTERVAL` that the held executions are still held.
     fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         if self.next_report_time > now {
             return;
@@ -395,6 +399,7 @@
         }
     }
 
+    /// Logs events and turns the output of the access rules into decisions.
     fn apply_output(&mut self, clock: Moment, output: &access::Output) {
         output.events.iter().for_each(log_lines::log_event);
         for number in &output.counted {
@@ -427,7 +432,7 @@
         if self.logged_revoked_count != self.access.revoked_count {
             let newly_revoked = self.access.revoked_count - self.logged_revoked_count;
             log::warn!(
-                "{newly_revoked} statements ran where the rules bar from now on, and are ended; {} so far",
+                "{newly_revoked} statements are ended because the rules now bar the locations where they run; {} so far",
                 self.access.revoked_count
             );
             self.logged_revoked_count = self.access.revoked_count;
@@ -438,6 +443,7 @@
     }
 }
 
+/// Submits requests to the ledger of a front without peers, and returns its answers.
 fn submit_to_local_ledger(
     ledger: &mut Ledger,
     clock: Moment,
@@ -448,7 +454,7 @@
     }
     ledger.tick(clock);
     let output = ledger.take_output();
-    // Nothing is kept, and nobody else hears: what it saves is lasting as far as it goes.
+    // This ledger has no disk and no other member, so that each save counts as durable at once.
     for save in &output.saves {
         ledger.saved(clock, save.number, true);
     }
@@ -457,7 +463,8 @@
     answers
 }
 
-/// The number of an execution for `hallmux_access`; executions of different parts of a statement have different ones.
+/// Returns the number of an execution for `hallmux_access`. Executions of different parts of a statement have different
+/// numbers.
 fn execution_number(execution_id: ExecutionId) -> u64 {
     u64::from(execution_id.ticket) << 16 | execution_id.number as u64 & 0xffff
 }
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -1,10 +1,11 @@
-//! The file of rules, and what it may speak of.
+//! Reads the file of rules, and lists the names that it may use.
 
 use hallmux_access::{self as access, KnownNames, RulesCommand};
 use hallmux_config::{line_of, Settings};
 
 use crate::fleet::errors::RulesError;
 
+/// Returns the names of the settings that rules may refer to.
 pub(super) fn known_names(rules: &hallmux_config::Rules, settings: &Settings) -> KnownNames {
     let names = &settings.names;
     let workloads = names
@@ -31,7 +32,7 @@
     }
 }
 
-/// Reads the file of rules; all its faults at once.
+/// Reads and checks the file of rules, and returns its text and its command. An error lists all faults of the file.
 pub(super) fn read_rules(
     file: &str,
     known: &KnownNames,
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the log on rules, with what an operator can do.
+//! Log lines on access rules. Lines on faults state what an operator can do.
 
 use hallmux_access::{Event, FleetHits, Permission, WhatIfReport};
 use hallmux_ledger::Moment;
@@ -6,7 +6,7 @@
 use super::Rules;
 
 impl Rules {
-    /// A line for each row of the fleet's count, where it has changed.
+    /// Logs the fleet's hits, one line for each row, if they have changed.
     pub(super) fn log_hits(&mut self, clock: Moment, fleet: &FleetHits) {
         let is_unchanged = self
             .logged_hits
@@ -38,7 +38,7 @@
         self.logged_hits = Some(fleet.clone());
     }
 
-    /// What limits have turned away here, where that has changed.
+    /// Logs how many statements each rule's limit has rejected at this front, if the count has changed.
     pub(super) fn log_limits(&mut self) {
         let limited = self.access.limited().clone();
         for (rule, count) in &limited {
@@ -52,10 +52,10 @@
     }
 }
 
-/// Lines on what a set would change.
+/// Maximum number of lines on the changes of a hypothetical set.
 const MAX_LOGGED_CHANGES: usize = 100;
 
-/// What a set would decide otherwise than the one that holds.
+/// Logs which recorded statements a hypothetical set of rules would decide differently from the current version.
 pub fn log_what_if(report: &WhatIfReport) {
     let WhatIfReport {
         held,
@@ -82,12 +82,12 @@
     }
     if changes.len() > MAX_LOGGED_CHANGES {
         log::info!(
-            "what if version {version} held: {} more kinds of change",
+            "what if version {version} held: {} more kinds of change are not listed",
             changes.len() - MAX_LOGGED_CHANGES
         );
     }
     if *unknown > 0 {
-        log::warn!("of {unknown} more statements the kinds were not recorded: there are too many kinds of statements");
+        log::warn!("what if version {version} held: {unknown} more statements are not included, because there were too many kinds of statements to record");
     }
 }
 
@@ -106,7 +106,7 @@
     )
 }
 
-/// One line for each event.
+/// Logs an event of the access rules.
 pub fn log_event(event: &Event) {
     match event {
         Event::Adopted { version, rules, in_force } => {
@@ -119,18 +119,18 @@
         }
         Event::Refused(why) => log::error!("the rules are left as they were: {why}"),
         Event::RulesUnknown => {
-            log::warn!("cannot know which rules hold; statements of customers that they can be about are rejected")
+            log::warn!("cannot know which rules hold; statements of customers with rules are rejected until the ledger answers")
         }
         Event::RulesKnown { version } => log::info!("knows which rules hold: version {version}"),
         Event::Superseded => log::error!(
-            "the ledger knows a later life of this front: what hits count is held here; end this process, or set its \
-             clock right and start it anew"
+            "the ledger knows a later incarnation of this front: statements that hits count are held here; end this process, or \
+             set its clock right and restart it"
         ),
         Event::Unreadable { what } => log::error!(
-            "the fleet's rules can't be read here ({what}); give this front the settings and the build of the others"
+            "the fleet's rules can't be read here ({what}); give this front the same settings and build as the other fronts"
         ),
         Event::LedgerFull { what } => {
-            log::error!("the ledger is full for {what}; raise its bounds, or use fewer rules")
+            log::error!("the ledger is full, and {what} can't be stored; raise the ledger's limits, or use fewer rules")
         }
     }
 }
--- a/crates/front/src/fleet/rules/session_control.rs
+++ b/crates/front/src/fleet/rules/session_control.rs
@@ -1,4 +1,4 @@
-//! What a statement surely reads nothing of.
+//! Recognizes statements that control a session and read no table.
 
 const KEYWORDS: [&str; 12] = [
     "begin",
@@ -15,7 +15,7 @@
     "discard",
 ];
 
-/// A single statement that steers a session and reads no table.
+/// Whether a text is a single statement that begins with a session control keyword, so that it reads no table.
 pub fn reads_no_table(text: &[u8]) -> bool {
     let text = text.trim_ascii();
     let text = text.strip_suffix(b";").unwrap_or(text);
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -1,4 +1,4 @@
-//! The start of access rules: their file is read, and a front without others gets a ledger of its own.
+//! Starts the access rules: reads their file, and creates a ledger for a front without peers.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -16,7 +16,7 @@
 use crate::fleet::peers::{LedgerFleet, Peers};
 
 impl Rules {
-    /// The rules that the operator's file switches on, if it does; `peers` are the other fronts.
+    /// Starts the rules if the operator's file enables them; otherwise returns None. `peers` is None if gossip is disabled.
     pub fn start(
         config: &NodeConfig,
         now: Micros,
@@ -26,7 +26,7 @@
             return Ok(None);
         };
         let incarnation = (now / 1000) as u64;
-        // Without other fronts this one is the fleet.
+        // A front without peers is a fleet of one.
         let fleet = match peers {
             None => LedgerFleet {
                 local_id: 1,
@@ -43,7 +43,7 @@
         Ok(Some(Rc::new(RefCell::new(rules))))
     }
 
-    /// `own` and `fronts` are by the keys of gossip. Without other fronts this one is the fleet.
+    /// `owner` and `fronts` are identified by their gossip keys; `is_alone` means that there are no peers.
     fn new(
         rules: &hallmux_config::Rules,
         settings: &Settings,
@@ -72,7 +72,7 @@
         let mut access = Access::new(access_config);
         access.offer(&rules.file, &text, command);
         log::info!(
-            "rules of customers hold; this front stands in {}",
+            "rules: access rules are enabled; this front is in region {}",
             rules.region
         );
         Ok(Rules {
@@ -92,7 +92,7 @@
     }
 }
 
-/// The ledger of a front without others.
+/// Creates the ledger of a front without peers, in memory and with one replica.
 fn local_ledger(owner: Owner) -> Result<Ledger, RulesError> {
     let member = Member {
         front: owner.front,
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -1,5 +1,6 @@
-//! The durable state of a voter in lease elections, in a file of its own: a thread writes it and then sends the messages
-//! that waited for it, so that neither a slow disk holds up decisions nor a message leaves before its vote is durable.
+//! Durable state of a voter in lease elections, in a file of its own. A thread writes the state and then sends the
+//! datagrams that wait for it. A slow disk therefore does not delay decisions, and no message is sent before its vote is
+//! durable.
 
 use std::fs::{File, TryLockError};
 use std::io::{ErrorKind, Write};
@@ -11,21 +12,21 @@
 
 use super::errors::VotesError;
 
-/// Writes that wait for the disk: some ten seconds' worth.
+/// Maximum number of writes that wait for the disk: the writes of some ten seconds.
 const QUEUE_LENGTH: usize = 1_024;
 const FILE_NAME: &str = "votes";
 
-/// The votes of a voter, made durable by a thread.
+/// The event loop's handle to the thread that stores a voter's state.
 pub struct Votes {
     writes: SyncSender<VoterSave>,
-    /// A write was lost: no message of the voter may leave any more until the front restarts.
+    /// A write was lost: the voter sends no message until the front restarts.
     has_failed: bool,
-    /// Held while this front runs: two on one directory would vote twice.
+    /// Locked while this front runs, because two fronts on one directory would vote twice.
     _lock: File,
 }
 
 impl Votes {
-    /// Opens the directory: what was saved there, if anything.
+    /// Opens the directory and starts the thread. Returns the state that was saved there; None if there is none yet.
     pub fn open(
         directory: &str,
         socket: UdpSocket,
@@ -78,32 +79,32 @@
             self.has_failed = true;
             if matches!(e, TrySendError::Full(_)) {
                 log::error!(
-                    "the disk is too slow for votes; this front votes no more in this life"
+                    "gossip.ownership.directory: {QUEUE_LENGTH} votes wait for the disk; this front casts no more votes until it is restarted"
                 );
             }
         }
     }
 }
 
-/// Makes each vote durable, then sends what waited for it. Ends with the first write that fails: no message of the
-/// voter may leave after that.
+/// Makes each vote durable and then sends its datagrams. Returns at the first write that fails, because the voter must
+/// not send any message after that.
 fn run_writer(directory: &Path, writes: &Receiver<VoterSave>, socket: &UdpSocket) {
     for VoterSave { bytes, datagrams } in writes {
         if let Err(e) = bytes.map_or(Ok(()), |bytes| replace_file(directory, &bytes)) {
             log::error!(
-                "{}: {e}; this front votes no more in this life",
+                "gossip.ownership.directory {}: {e}; this front casts no more votes until it is restarted",
                 directory.display()
             );
             return;
         }
-        // What does not go out is as if it were lost on the way.
+        // A datagram that can't be sent counts as lost on the network.
         for datagram in datagrams {
             let _ = socket.send_to(&datagram.bytes, datagram.to);
         }
     }
 }
 
-/// Writes the whole beside the old and puts it in its place, each step lasting.
+/// Replaces the file atomically: writes and syncs a temporary file, renames it, and syncs the directory.
 fn replace_file(directory: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let temporary_path = directory.join("votes.new");
     let mut file = File::create(&temporary_path)?;
--- a/crates/front/src/fleet/votes_tests.rs
+++ b/crates/front/src/fleet/votes_tests.rs
@@ -4,7 +4,7 @@
 use hallmux_gossip::node::Datagram;
 
 #[test]
-fn what_is_saved_is_there_once_what_waited_for_it_has_come_and_nobody_else_gets_the_directory() {
+fn datagram_is_sent_after_its_vote_is_durable_and_directory_is_locked() {
     let path = std::env::temp_dir().join(format!("hallmux-votes-{}", std::process::id()));
     let directory = path.display().to_string();
     let socket = || UdpSocket::bind("127.0.0.1:0").unwrap();
