--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -1,5 +1,6 @@
-//! Audits of sites' summaries: which sites are asked although their summaries rule them out, and what their answers show. An
-//! answer with rows is checked against the marks on loads, read anew: rows that a load may have brought prove no summary false.
+//! Audits of sites' summaries: some sites are asked although their summaries rule them out, and their answers are checked.
+//! An answer with rows is compared with the load markers, which are read again for it, because rows that a load may have
+//! added do not prove a summary false.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -11,7 +12,7 @@
 use hallmux_scatter::sql::Query;
 use hallmux_scatter::store::SummaryStore;
 
-/// A site that is asked though its summary rules it out, and the version of that.
+/// A site that is asked although its summary rules it out, and the version of that summary.
 #[derive(Clone, Debug)]
 pub struct RuledOut {
     pub site: String,
@@ -19,21 +20,21 @@
     pub version: u64,
 }
 
-/// An answer with rows of such a site, until the marks on loads are there.
+/// An answer with rows from a site that was ruled out, which waits for the load markers.
 struct PendingCheck {
     ruled_out: RuledOut,
     query: Query,
     rows: u64,
 }
 
-/// Audits of sites whose summaries say that they have no rows.
+/// The audits in progress, and the sites that are suspected after earlier ones.
 pub struct SiteAudits {
     audits: Audits,
     checks: HashMap<Ticket, PendingCheck>,
     random: RandomState,
-    /// False summaries found here, which are to be reported to other fronts.
+    /// False summaries found at this front that have not been reported to other fronts yet.
     pub false_summaries: Vec<FalseSummary>,
-    /// Fronts that share the budget.
+    /// Number of fronts that share the budget of audits.
     pub front_count: usize,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl SiteAudits {
-    /// Nothing is suspected yet.
+    /// Creates the audits, with no site suspected.
     pub fn new(settings: hallmux_config::Audits) -> SiteAudits {
         let (checks, random) = (HashMap::new(), RandomState::new());
         SiteAudits {
@@ -57,12 +58,12 @@
         }
     }
 
-    /// The settings were read again.
+    /// Applies settings that were read again.
     pub fn reconfigure(&mut self, settings: hallmux_config::Audits) {
         self.audits.reconfigure(audit_settings(settings));
     }
 
-    /// Another front reports a false summary.
+    /// Handles another front's report of a false summary: its site is suspected here too.
     pub fn receive_report(&mut self, report: &FalseSummary) {
         let FalseSummary {
             site,
@@ -71,17 +72,17 @@
         } = report;
         log::warn!(
             "site '{site}': another front has found its summary of group {group}, version {version}, false; \
-             it is asked always until its answers bear it out"
+             the site is asked always until enough of its answers agree with its summaries"
         );
         self.audits.reported_by_peer(site);
     }
 
-    /// Whether a site's summaries count for nothing for now, after an audit.
+    /// Whether a site's summaries are ignored because an audit found one false.
     pub fn is_suspect(&self, site: &str) -> bool {
         self.audits.is_suspected(site)
     }
 
-    /// Now and then adds a site that is left out to those that are asked.
+    /// Adds a skipped site to the sites of a plan if an audit is due.
     pub fn add_audit(
         &mut self,
         now: Micros,
@@ -99,7 +100,8 @@
         }
     }
 
-    /// A site that its summary rules out has answered. True: `check` needs the marks on loads before anything is concluded.
+    /// Records the answer of a site that its summary rules out. Returns true if the audit needs the load markers first; then
+    /// `apply_markers` must follow with the same `check` ticket.
     pub fn site_answered(
         &mut self,
         check: Ticket,
@@ -122,7 +124,7 @@
         true
     }
 
-    /// The marks on loads for an answer. False: it is none of these.
+    /// Completes the audit that waits for load markers under the ticket `check`. Returns false if there is none.
     pub fn apply_markers(
         &mut self,
         wall_ms: u64,
@@ -151,6 +153,8 @@
         true
     }
 
+    /// Records the outcome of an audit and logs a change of the site's standing. `is_certain` means that no load can have
+    /// added the rows.
     fn conclude(&mut self, ruled_out: &RuledOut, rows: u64, is_certain: bool) {
         let RuledOut {
             site,
@@ -167,8 +171,8 @@
                 });
                 log::error!(
                     "site '{site}': its summary, version {version}, says that it has no row for a statement, and it has \
-                     {rows}; it is asked always until its answers bear it out. Mend what makes its summaries. {} false \
-                     words found by {} audits, {} rows",
+                     {rows}; the site is asked always until enough of its answers agree with its summaries. Repair what \
+                     makes its summaries. {} false summaries found by {} audits so far, {} rows",
                     counts.found,
                     counts.audits,
                     counts.rows
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -1,4 +1,5 @@
-//! Loads wait here until they are marked in the ledger, and scattered statements for the marks.
+//! Holds loads (executions that may write) until their load markers are in the ledger, and requests load markers for
+//! scattered statements.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,19 +16,19 @@
 use crate::execution::ExecutionId;
 use crate::fleet::rules::SendCommand;
 
-/// The highest byte of the numbers of this part's asks: others of one front have others.
+/// First number of the ledger requests for load markers. Its highest byte identifies them among the front's components.
 pub const REQUEST_NUMBER_BASE: u64 = 3 << 56;
-/// Microseconds beyond a statement's end for which an execution of it may run on.
+/// Microseconds beyond a statement's deadline for which an execution of it may continue to run.
 const EXECUTION_OVERRUN: Micros = 60_000_000;
-/// Groups of tables that a load is marked for; statements are shorter than that.
+/// Maximum number of table groups that a load is marked for. Statements are too short to name more.
 const MAX_TABLE_GROUPS: usize = 1_024;
 /// Microseconds between reports to the dispatcher that an execution is still held.
 const REPORT_INTERVAL: Micros = 100_000;
 
-/// What an execution may write, as the protocol that it came in tells it.
+/// What an execution may write, as far as its protocol shows.
 pub enum Load {
     Call(Rc<Call>),
-    /// A unit of a session: the groups that it may write to, and its text where that is all there is to it.
+    /// A unit of a session: the table groups that it may write to, and its text if it consists of a simple query only.
     Unit {
         groups: Vec<u32>,
         simple: Option<Vec<u8>>,
@@ -35,6 +36,7 @@
 }
 
 impl Load {
+    /// Returns the table groups that the load may write to.
     fn groups(&self) -> Vec<u32> {
         match self {
             Load::Call(call) => tables::groups(&call.statement, MAX_TABLE_GROUPS),
@@ -42,6 +44,7 @@
         }
     }
 
+    /// Returns the text of the load; None for a unit that is not a simple query.
     fn text(&self) -> Option<&[u8]> {
         match self {
             Load::Call(call) => Some(&call.statement),
@@ -50,20 +53,20 @@
     }
 }
 
-/// An execution that is held.
+/// An execution that is held until its load is marked.
 struct Held {
     place: usize,
     terms: Terms,
     load: Load,
 }
 
-/// What is to be asked of the ledger, and what became of loads meanwhile.
+/// Requests to send to the ledger, and outcomes that need no request.
 pub struct DueRequests {
     pub requests: Vec<LedgerRequest>,
     pub outcomes: Vec<LoadOutcome>,
 }
 
-/// Executions that wait until the marks of their loads are in the ledger.
+/// Executions that wait until their load markers are in the ledger.
 pub struct Loads {
     marker: Marker,
     held: HashMap<ExecutionId, Held>,
@@ -71,20 +74,20 @@
     writing_workloads: Vec<String>,
     locations: Vec<String>,
     last_report: Micros,
-    /// Those that can't be marked, to be turned away.
+    /// Executions that can't be marked, to be rejected.
     unmarked: Vec<ExecutionId>,
 }
 
 /// The form in which a load is sent.
 pub enum Outgoing {
     Call(Rc<Call>),
-    /// A session's unit, with this text where it is to have another.
+    /// A session's unit. Its text is replaced by this one, if there is one.
     Unit(Option<Vec<u8>>),
 }
 
-/// What becomes of what waited.
+/// What follows for an execution that was held, or for scattered statements that wait for load markers.
 pub enum LoadOutcome {
-    /// It leaves, as it is to be sent.
+    /// The load is marked, and its execution is sent in this form.
     Send {
         execution_id: ExecutionId,
         place: usize,
@@ -96,7 +99,7 @@
 }
 
 impl Loads {
-    /// `writes` are the workloads whose statements may write, `locations` the sites' names.
+    /// `writing_workloads` are the workloads whose statements may write, `locations` the names of the sites.
     pub fn new(writing_workloads: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
             marker: Marker::new(REQUEST_NUMBER_BASE),
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Holds an execution of what may write to groups of tables until it is marked. False: it needs no mark.
+    /// Holds an execution that may write until its load is marked. Returns false if it needs no load marker.
     pub fn hold(
         &mut self,
         now: Micros,
@@ -123,7 +126,7 @@
         }
         let groups = load.groups();
         if groups.len() > MAX_TABLE_GROUPS {
-            // Not all could be marked.
+            // Not all its groups could be marked, so that it is rejected.
             self.unmarked.push(execution_id);
             dispatcher.execution_held(now, execution_id.ticket, execution_id.number);
             return true;
@@ -140,7 +143,7 @@
         let is_rows = |affected: &Affected| matches!(affected, Affected::Rows { .. });
         let mut affected: std::collections::BTreeMap<u32, Affected> =
             groups.iter().map(|g| group_entry(*g)).collect();
-        // Rows for one table alone are rows for no other group.
+        // A statement whose affected rows are known writes to the table of those rows only, and to no other group.
         if affected.values().any(is_rows) {
             affected.retain(|_, affected| is_rows(affected));
         }
@@ -159,7 +162,7 @@
         true
     }
 
-    /// An execution is given up. True if it was held.
+    /// Cancels an execution. Returns true if it was held, so it was never sent.
     pub fn cancel(&mut self, execution_id: ExecutionId) -> bool {
         self.marker
             .cancel((u64::from(execution_id.ticket), execution_id.number));
@@ -168,12 +171,12 @@
         self.held.remove(&execution_id).is_some() || self.unmarked.len() < previous_len
     }
 
-    /// A scattered statement waits for the marks of its group.
+    /// Requests the load markers of a table group for a scattered statement.
     pub fn await_markers(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
         self.marker.await_marks(u64::from(ticket), group);
     }
 
-    /// When something is due though no answer comes, in Unix microseconds.
+    /// When `report_held` must run even if no answer arrives, in Unix microseconds.
     pub fn due(&self) -> Micros {
         if self.held.is_empty() {
             Micros::MAX
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Reports to the dispatcher, now and then, that what is held still is.
+    /// Reports to the dispatcher every `REPORT_INTERVAL` that the held executions are still held.
     pub fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         if self.last_report + REPORT_INTERVAL <= now {
             self.last_report = now;
@@ -192,7 +195,7 @@
         }
     }
 
-    /// What is to be asked of the ledger now, and what is known without asking.
+    /// Returns the requests to send to the ledger now, and the outcomes that need no request.
     pub fn due_requests(&mut self, now: Micros, store: &SummaryStore) -> DueRequests {
         let wall_ms = (now / 1000) as u64;
         let (requests, effects) = self.marker.requests(wall_ms, |site, group| {
@@ -209,7 +212,7 @@
         }
     }
 
-    /// What follows from an answer of the ledger.
+    /// Returns the outcomes that follow from an answer of the ledger.
     pub fn on_ledger_answer(&mut self, answer: LedgerAnswer) -> Vec<LoadOutcome> {
         let reply = match answer.outcome {
             Outcome::Stands(entry) => LedgerReply::Stands {
@@ -265,10 +268,11 @@
     }
 }
 
+/// Converts a marker's request to one to the ledger.
 fn ledger_request(request: marker::LedgerRequest) -> LedgerRequest {
     let operation = match request.what {
         marker::Operation::Read => Operation::Read,
-        // It never ends: what it says of versions holds for good.
+        // The entry never expires, because what it states about versions stays valid.
         marker::Operation::Put { expects, value } => Operation::Put {
             expects: Some(expects),
             ends_ms: 0,
--- a/crates/front/src/scatter/mod.rs
+++ b/crates/front/src/scatter/mod.rs
@@ -1,6 +1,7 @@
-//! Statements over data at several sites: which of them they are asked of, their parts at the dispatcher, one answer; and the
-//! summaries that say where rows could lie, from files and from other fronts. Switched on by the operator's file; off, it is
-//! not there. What is proved and how parts are joined is decided in `crates/scatter`.
+//! Scattered statements, whose data lies at several sites: selects the sites, submits one part for each to the dispatcher,
+//! and gathers the parts into one answer. The sites' summaries, which show where rows can be, come from files and from
+//! other fronts. `crates/scatter` decides which sites can be skipped and how parts are combined; this module connects it to
+//! the dispatcher, the ledger and the files. Created only if the operator's file enables it.
 
 mod audits;
 mod loads;
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -1,4 +1,4 @@
-//! Statements that are asked of several sites, from their reading to their final answer.
+//! Scattered statements, from their admission to their final answer.
 
 mod parts;
 mod sketches;
@@ -19,95 +19,95 @@
 use super::loads::Loads;
 use super::summaries::Summaries;
 
-/// Microseconds that an answer waits for an audit alone: most engines answer within it.
+/// Microseconds that a complete answer waits for audits only. Most engines answer within this time.
 const AUDIT_TIMEOUT: Micros = 250_000;
-/// Microseconds between lines of the log that say the same.
+/// Microseconds between log lines on the sites asked.
 const LOG_INTERVAL: Micros = 60_000_000;
 
-/// The final reply to a whole statement.
+/// The final reply to a scattered statement.
 #[derive(Debug, PartialEq)]
 pub enum FinalReply {
     Answer(Answer),
-    /// The dispatcher can't take its parts.
+    /// The dispatcher does not accept the statement's parts.
     Invalid(InvalidRequest),
 }
 
-/// A statement and its parts.
+/// A scattered statement and its parts.
 struct Statement {
     call: Rc<Call>,
     query: Query,
     deadline: Micros,
-    /// Sites that may be asked; None: all.
+    /// Sites that may be asked; None means all.
     allowed_sites: Option<Vec<String>>,
-    /// Of a join: the marks of its groups that are there.
+    /// Of a join: the load markers of its table groups that the ledger has answered; None if the ledger can't be reached.
     group_markers: BTreeMap<u32, Option<Marks>>,
-    /// None while the marks of its group are awaited.
+    /// None while the statement waits for load markers.
     gather: Option<Gather>,
-    /// Parts that are out: place and ticket.
+    /// Tickets of the parts that are at the dispatcher, by their index in the plan.
     tickets: BTreeMap<usize, Ticket>,
-    /// Sites that are asked though their summaries rule them out.
+    /// Sites that are asked although their summaries rule them out.
     ruled_out: Vec<RuledOut>,
 }
 
-/// A client's statement that is to be asked of several sites.
+/// A client's statement that is to be scattered.
 pub struct ScatterRequest {
     pub call: Rc<Call>,
     pub query: Query,
-    /// When an answer is of no use any more, in Unix microseconds.
+    /// When the client no longer waits for an answer, in Unix microseconds.
     pub deadline: Micros,
-    /// The sites that rules allow; none given: all.
+    /// The sites that the access rules allow; None means all.
     pub allowed_sites: Option<Vec<String>>,
 }
 
-/// A group of tables and the marks of its loads, as the ledger has them; none if it can't be reached.
+/// A table group and its load markers in the ledger; None if the ledger can't be reached.
 #[derive(Clone, Copy)]
 pub struct GroupMarkers<'a> {
     pub group: u32,
     pub markers: Option<&'a Marks>,
 }
 
-/// A statement that waits for audits alone, until the time given.
+/// A statement that waits for audits only, until the given time.
 struct AuditWait {
     until: Micros,
     ticket: Ticket,
 }
 
-/// Which part of which whole a statement is.
+/// The parent statement of a part, and the part's index in the parent's plan.
 struct PartLink {
     parent: Ticket,
-    /// The number of the part in the whole's plan.
+    /// Index of the part in the parent's plan.
     part_index: usize,
 }
 
-/// Sites asked and left out so far, for the log.
+/// Numbers of sites asked and skipped so far, for the log.
 #[derive(Clone, Copy, Default)]
 struct SiteCounts {
     asked: u64,
     left_out: u64,
 }
 
-/// Statements that are asked of several sites.
+/// All scattered statements of this front, and what they need: summaries, load markers and audits.
 pub struct ScatteredStatements {
     settings: Scatter,
     sites: Vec<String>,
     pub summaries: Summaries,
-    /// Marks of loads, where the operator has them marked.
+    /// Loads and their markers, if the operator's file enables load markers.
     pub loads: Option<Loads>,
-    /// Audits of sites' summaries, where they are switched on, and statements that wait for nothing else, until when.
+    /// Audits of sites' summaries, if enabled, and the statements that wait for audits only.
     audits: Option<SiteAudits>,
     audit_waits: VecDeque<AuditWait>,
     statements: HashMap<Ticket, Statement>,
-    /// Whose parts they are, and in which places.
+    /// The parts at the dispatcher, by their tickets.
     parts: HashMap<Ticket, PartLink>,
     replies: Vec<(Ticket, FinalReply)>,
     counts: SiteCounts,
-    /// Of those asked, how many had no row, by why they were asked.
+    /// How many of the sites asked had no rows, by the reason why they were asked.
     asked_without_rows: BTreeMap<Reason, u64>,
-    last_log: Micros,
+    last_log_time: Micros,
 }
 
 impl ScatteredStatements {
-    /// Opens the files of summaries that the operator's file names.
+    /// Reads the summaries that the operator's file names. Fails if a site's key can't be used.
     pub fn new(
         settings: &Scatter,
         now: Micros,
@@ -119,7 +119,7 @@
             .marked
             .then(|| Loads::new(settings.writes.clone(), locations));
         log::info!(
-            "statements of {:?} are asked of sites {:?}",
+            "scatter: statements of workloads {:?} are scattered over sites {:?}",
             settings.workloads,
             settings.sites.keys()
         );
@@ -135,11 +135,11 @@
             replies: Vec::new(),
             counts: SiteCounts::default(),
             asked_without_rows: BTreeMap::new(),
-            last_log: 0,
+            last_log_time: 0,
         })
     }
 
-    /// The operator's file was read again. One whose keys can't be used changes nothing.
+    /// Applies settings that were read again. Settings with a key that can't be used are logged and change nothing.
     pub fn reload(&mut self, settings: &Scatter, now: Micros) {
         self.log_counts();
         match self.summaries.reload(settings, now) {
@@ -155,22 +155,24 @@
         }
     }
 
-    /// Whether statements of a workload are asked of several sites.
+    /// Whether statements of a workload are scattered.
     pub fn is_scattered(&self, workload: &str) -> bool {
         self.settings.workloads.iter().any(|w| w == workload)
     }
 
-    /// A client's statement passes for a load that a front has numbered: its site would take its word for it.
+    /// Whether a client's statement starts with the prefix by which fronts number marked loads. Its site would take it for a
+    /// marked load.
     pub fn has_reserved_prefix(&self, call: &Call) -> bool {
         self.loads.is_some() && !numbers(&call.statement).is_empty()
     }
 
-    /// The one site that has all rows, where the operator's file names it.
+    /// Returns the site that has all rows, if the operator's file names one.
     pub fn whole_site(&self) -> Option<&str> {
         self.settings.whole_site.as_deref()
     }
 
-    /// A statement begins: its sites are asked at once, or once the marks of its group are known.
+    /// Starts a statement. Its sites are asked at once, or, if loads are marked, once the load markers of its table groups
+    /// are known.
     pub fn start(
         &mut self,
         now: Micros,
@@ -206,7 +208,7 @@
         }
     }
 
-    /// A group's marks have come from the ledger for the statements that wait for them.
+    /// Applies a table group's load markers, which the ledger has answered, to the statements that wait for them.
     pub fn apply_group_markers(
         &mut self,
         now: Micros,
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Asks the sites that could have rows, or answers by what their summaries tell.
+    /// Asks the sites that can have rows, or answers from the sketches in their summaries.
     fn ask_sites(
         &mut self,
         now: Micros,
@@ -277,17 +279,19 @@
     }
 
     fn log_sites_asked(&mut self, now: Micros, load_info: &LoadInfo) {
-        if self.last_log + LOG_INTERVAL > now {
+        if self.last_log_time + LOG_INTERVAL > now {
             return;
         }
-        self.last_log = now;
+        self.last_log_time = now;
         if matches!(load_info, LoadInfo::Unknown) {
-            log::info!("the ledger gives no word on loads, so all sites are asked");
+            log::info!(
+                "scatter: the ledger does not answer for load markers, so all sites are asked"
+            );
         }
         self.log_counts();
     }
 
-    /// Which sites are asked and which are left out, audits among those asked.
+    /// Plans which sites are asked, including audits, and which are skipped. Returns None if the statement has ended.
     fn plan_sites(&mut self, now: Micros, ticket: Ticket, load_info: &LoadInfo) -> Option<Plan> {
         let statement = self.statements.get(&ticket)?;
         let query = &statement.query;
@@ -297,7 +301,7 @@
             .map(|names| names.iter().map(String::as_str).collect());
         let (sites, allowed) = (&self.sites, allowed.as_deref());
         if query.distinct.is_some() {
-            // The one site has all rows.
+            // One site has all rows, so that the others need not be asked.
             if let Some(site) = &self.settings.whole_site {
                 return Some(Plan::single_site(site, allowed));
             }
@@ -319,7 +323,7 @@
         if query.combine.is_some() {
             plan.ensure_one(sites, allowed);
         } else if query.join.is_none() {
-            // A join may be ruled out by either side, which no audit tells apart.
+            // Either side of a join may have ruled a site out, and an audit could not tell which.
             if let Some(audits) = &mut self.audits {
                 audits.add_audit(now, ticket, &mut plan, sites, allowed);
             }
@@ -327,7 +331,7 @@
         Some(plan)
     }
 
-    /// Notes in a statement which sites are asked though they were ruled out, and counts those asked and left out.
+    /// Records in a statement which sites are asked although they were ruled out, and counts the sites asked and skipped.
     fn record_plan(&mut self, now: Micros, ticket: Ticket, plan: &Plan) {
         self.counts.asked += plan.parts.len() as u64;
         self.counts.left_out += plan.pruned.len() as u64;
@@ -355,7 +359,7 @@
         }
     }
 
-    /// Notes a whole that waits for audits alone.
+    /// Queues a statement that waits for audits only, to be answered after `AUDIT_TIMEOUT`.
     fn queue_audit_wait(&mut self, now: Micros, ticket: Ticket) {
         let gather = self
             .statements
@@ -369,7 +373,7 @@
         }
     }
 
-    /// Answers those that have waited long enough for audits alone.
+    /// Answers the statements that have waited for audits only until their timeout.
     pub fn expire_audit_waits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         while let Some(wait) = self.audit_waits.pop_front_if(|wait| wait.until <= now) {
             let ticket = wait.ticket;
@@ -382,6 +386,7 @@
         }
     }
 
+    /// Executes the actions of a statement's gather, and those that follow from them.
     fn apply_actions(
         &mut self,
         now: Micros,
@@ -428,12 +433,12 @@
         }
     }
 
-    /// Final replies since the last call.
+    /// Returns the final replies since the last call.
     pub fn take_replies(&mut self) -> Vec<(Ticket, FinalReply)> {
         std::mem::take(&mut self.replies)
     }
 
-    /// A part has its answer, or has failed for good.
+    /// Handles the rows of a part, or its final failure.
     pub fn part_ended(
         &mut self,
         now: Micros,
@@ -468,7 +473,7 @@
         self.queue_audit_wait(now, ticket);
     }
 
-    /// Learns from the rows of a part: whether its site had any, and what audits make of that.
+    /// Records whether a part's site had rows, and checks the answer if its summary had ruled the site out.
     fn record_rows(
         &mut self,
         now: Micros,
@@ -516,7 +521,7 @@
         }
     }
 
-    /// Nobody waits for a whole statement any more. False if it is none of these.
+    /// Ends a statement whose client no longer waits, and its parts. Returns false if the statement is not scattered.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket, dispatcher: &mut Dispatcher) -> bool {
         let Some(statement) = self.statements.remove(&ticket) else {
             return false;
@@ -528,7 +533,7 @@
         true
     }
 
-    /// When `tick` is next due; without other fronts there is nothing to spread.
+    /// When `tick` is next due, in Unix microseconds. Without peers there are no summaries to exchange.
     pub fn due(&self, has_peers: bool) -> Micros {
         let loads = self.loads.as_ref().map_or(Micros::MAX, Loads::due);
         let audit_due = self
@@ -543,7 +548,7 @@
         }
     }
 
-    /// Does what is due; returns messages to other fronts.
+    /// Exchanges reports of false summaries between the audits and the peers, and returns the messages to send to peers.
     pub fn tick(&mut self, now: Micros, peers: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
         let peer_reports = std::mem::take(&mut self.summaries.reported_false);
         if let Some(audits) = &mut self.audits {
@@ -560,7 +565,7 @@
     }
 }
 
-/// Hands a part to the dispatcher, for the site at this place of the plan.
+/// Submits the part with this index in the plan to the dispatcher, restricted to its site.
 fn submit_part(
     now: Micros,
     statement: &Statement,
--- a/crates/front/src/scatter/statements/parts.rs
+++ b/crates/front/src/scatter/statements/parts.rs
@@ -1,4 +1,4 @@
-//! Which statements are parts, and of which whole.
+//! Look-ups between scattered statements and their parts.
 
 use std::rc::Rc;
 
@@ -8,24 +8,24 @@
 use super::ScatteredStatements;
 
 impl ScatteredStatements {
-    /// A statement is a part of one of these.
+    /// Whether a ticket is that of a part of a scattered statement.
     pub fn is_part(&self, part: Ticket) -> bool {
         self.parts.contains_key(&part)
     }
 
-    /// The whole that a statement is a part of.
+    /// Returns the parent statement of a part; None if the ticket is not that of a part.
     pub fn parent_of(&self, part: Ticket) -> Option<Ticket> {
         self.parts.get(&part).map(|part| part.parent)
     }
 
-    /// What a part's client has asked for.
+    /// Returns the client's call of a part's parent statement; None if the ticket is not that of a part.
     pub fn call_of_part(&self, part: Ticket) -> Option<Rc<Call>> {
         let parent = self.parent_of(part)?;
         let statement = self.statements.get(&parent)?;
         Some(statement.call.clone())
     }
 
-    /// The parts of a whole statement that are out.
+    /// Returns the parts of a scattered statement that are at the dispatcher; empty if the statement is not scattered.
     pub fn parts_of(&self, parent: Ticket) -> Vec<Ticket> {
         self.statements
             .get(&parent)
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -1,4 +1,4 @@
-//! Summaries from the operator's directory and from other fronts.
+//! Reads the sites' summaries from the operator's directory, and exchanges them with other fronts.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -15,28 +15,30 @@
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
 use hallmux_scatter::summary::{Refused, MOST_BYTES};
 
-/// Microseconds between lines of the log on what other fronts sent that was refused.
+/// Microseconds between log lines on rejected summaries of other fronts.
 const LOG_INTERVAL: Micros = 60_000_000;
 
-/// Microseconds between choices of what is held.
+/// Microseconds between decisions on which summaries to retain.
 const RETENTION_INTERVAL: Micros = 10_000_000;
-/// Microseconds between saves of what was learned.
+/// Microseconds between saves of the statistics on the usefulness of summaries.
 const SAVE_INTERVAL: Micros = 60_000_000;
 
-/// The summaries of sites: the store, their files, and what is exchanged of them with other fronts.
+/// The summaries of sites: the store, their files, and their exchange with other fronts.
 pub struct Summaries {
     pub store: SummaryStore,
     exchange: Exchange,
     /// False summaries of sites that other fronts have reported.
     pub reported_false: Vec<FalseSummary>,
     last_log_time: Micros,
-    /// Files of this front's directory, by the names of what they hold; where that may be held in part.
+    /// Files of this front's directory, by the names of their summaries. Filled only if a budget limits what is retained,
+    /// because a summary may then be held in part.
     local_files: BTreeMap<u64, PathBuf>,
     keep_file: Option<PathBuf>,
     last_retention_update: Micros,
     last_save: Micros,
 }
 
+/// Returns the budget for retained summaries.
 fn budget(keep: &hallmux_config::SummaryBudget) -> Budget {
     Budget {
         memory: keep.memory_bytes as f64,
@@ -44,6 +46,7 @@
     }
 }
 
+/// Returns the settings of the store. Fails if a site's key is not a public key.
 fn store_settings(settings: &Scatter) -> std::io::Result<StoreSettings> {
     let key = |(name, key): (&String, &[u8; 32])| match VerifyingKey::from_bytes(key) {
         Ok(key) => Ok((name.clone(), key)),
@@ -65,7 +68,8 @@
 }
 
 impl Summaries {
-    /// `spread_offset`: with which of its peers this front begins to spread what it holds.
+    /// Reads the directory and the saved statistics. `spread_offset` is the index of the peer to which this front sends its
+    /// summaries first. Fails if a site's key can't be used.
     pub fn new(
         settings: &Scatter,
         now: Micros,
@@ -86,7 +90,7 @@
         Ok(summaries)
     }
 
-    /// The operator's file was read again.
+    /// Applies settings that were read again, and reads the directory again.
     pub fn reload(&mut self, settings: &Scatter, now: Micros) -> std::io::Result<()> {
         self.store.reconfigure(store_settings(settings)?);
         self.configure_retention(settings, now);
@@ -94,7 +98,8 @@
         Ok(())
     }
 
-    /// Takes up the budget, with what was learned before.
+    /// Applies the budget. If there was none before, restores the saved statistics; without a budget in the settings, all
+    /// summaries are retained.
     fn configure_retention(&mut self, settings: &Scatter, now: Micros) {
         let Some(keep_settings) = &settings.keep else {
             self.store.retention = None;
@@ -108,15 +113,15 @@
         if let Some(file) = &self.keep_file {
             match std::fs::read(file) {
                 Ok(bytes) if retention.restore(now, &bytes) => {
-                    log::info!("{} summaries are known of before", retention.len())
+                    log::info!("scatter.keep.file: statistics on {} summaries are restored", retention.len())
                 }
                 Ok(_) => log::warn!(
-                    "scatter.keep.file {}: damaged, or of another version; it is learned anew",
+                    "scatter.keep.file {}: damaged, or of another version; its statistics are learned again",
                     file.display()
                 ),
                 Err(e) if e.kind() == ErrorKind::NotFound => {}
                 Err(e) => log::warn!(
-                    "scatter.keep.file {}: {e}; it is learned anew",
+                    "scatter.keep.file {}: {e}; its statistics are learned again",
                     file.display()
                 ),
             }
@@ -125,7 +130,7 @@
         self.store.retention = Some(retention);
     }
 
-    /// Writes what was learned, beside and then in place of what was there.
+    /// Saves the statistics: writes a temporary file and renames it.
     pub fn save(&self) {
         let Some((file, retention)) = self.keep_file.as_ref().zip(self.store.retention.as_ref())
         else {
@@ -136,13 +141,13 @@
             .and_then(|()| std::fs::rename(&temporary_path, file));
         if let Err(e) = written {
             log::warn!(
-                "scatter.keep.file {}: {e}; what is learned is lost at a restart",
+                "scatter.keep.file {}: {e}; its statistics will be lost at a restart",
                 file.display()
             );
         }
     }
 
-    /// Takes in what lies in the directory. A file that can't be used is named with its reason, the others count.
+    /// Reads the summaries in the directory. A file that can't be used is logged with the reason and skipped.
     fn read_directory(&mut self, settings: &Scatter, now: Micros) {
         let Some(directory) = &settings.directory else {
             return;
@@ -163,7 +168,7 @@
             .map(|file| file.path())
             .filter(|path| path.is_file())
         {
-            // One byte more than counts: what is longer is refused for its length.
+            // One byte above the limit, so that a longer file is rejected for its length.
             let mut bytes = Vec::new();
             let read = File::open(&path).and_then(|file| {
                 file.take(MOST_BYTES as u64 + 1)
@@ -191,23 +196,23 @@
             }
         }
         log::info!(
-            "{new_count} new summaries of sites, {} are held",
+            "scatter.directory: {new_count} new summaries of sites, {} are held",
             self.store.len()
         );
     }
 
-    /// When something of them is due, in Unix microseconds.
+    /// When `tick` is next due, in Unix microseconds.
     pub fn due(&self) -> Micros {
         self.exchange.due()
     }
 
-    /// Messages to other fronts, where it is time.
+    /// Runs the timers of the exchange, and returns messages to send to peers.
     pub fn tick(&mut self, now: Micros, peers: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
         let output = self.exchange.tick(now, peers, &self.store);
         self.apply_output(now, output)
     }
 
-    /// A message of another front; returns what is to be sent back.
+    /// Handles a message of a peer, and returns the messages to send in response.
     pub fn receive(&mut self, now: Micros, from: PeerId, bytes: &[u8]) -> Vec<(PeerId, Vec<u8>)> {
         let output =
             self.exchange
@@ -215,14 +220,14 @@
         self.apply_output(now, output)
     }
 
-    /// When `update_retention` is next due.
+    /// When `update_retention` is next due, in Unix microseconds; never without a budget.
     pub fn retention_due(&self) -> Micros {
         self.store.retention.as_ref().map_or(Micros::MAX, |_| {
             self.last_retention_update + RETENTION_INTERVAL
         })
     }
 
-    /// Chooses anew what is held, where it is time, and saves what was learned.
+    /// Decides again which summaries to retain, if that is due, and saves the statistics.
     pub fn update_retention(&mut self, now: Micros) {
         if self.store.retention.is_none() || now < self.last_retention_update + RETENTION_INTERVAL {
             return;
@@ -235,7 +240,7 @@
             .map(|held| (held.name, held.detail))
             .collect();
         for (name, path) in &self.local_files {
-            // A summary that is in a local file need not come from others.
+            // A summary in a local file need not be fetched from peers.
             if held.get(name).copied() < self.store.wanted_detail(*name) {
                 let read = std::fs::read(path)
                     .ok()
@@ -250,7 +255,7 @@
         }
     }
 
-    /// What others want of local files that are not held whole.
+    /// Answers requests of peers for summaries that are in local files but not held in full.
     fn send_local_files(&mut self, now: Micros, output: &mut Output) {
         for request in std::mem::take(&mut output.local_reads) {
             let bytes = self
@@ -266,11 +271,13 @@
         }
     }
 
-    /// A false summary was found here: it is reported to others.
+    /// Reports a false summary that was found at this front to its peers.
     pub fn report_false_summary(&mut self, now: Micros, summary: &FalseSummary) {
         self.exchange.report_false(now, summary);
     }
 
+    /// Records false summaries that peers reported, answers their requests, logs rejections, and returns the messages to
+    /// send.
     fn apply_output(&mut self, now: Micros, mut output: Output) -> Vec<(PeerId, Vec<u8>)> {
         self.reported_false.append(&mut output.false_summaries);
         self.send_local_files(now, &mut output);
@@ -285,7 +292,7 @@
         {
             self.last_log_time = now;
             log::warn!(
-                "from another front: {why}; refused so far: {:?}",
+                "from another front: {why}; summaries refused so far: {:?}",
                 self.store.refused
             );
         }
