--- a/crates/fleet/src/exchange/reports.rs
+++ b/crates/fleet/src/exchange/reports.rs
@@ -6,7 +6,7 @@
 
 use hallmux_dispatcher::{Dispatcher, EngineObservation, Micros};
 use hallmux_gossip::evidence::PeerReport;
-use hallmux_gossip::message::Sighting;
+use hallmux_gossip::message::EngineStatus;
 use hallmux_gossip::PeerId;
 
 use super::Exchange;
@@ -26,7 +26,7 @@
     /// reports of other fronts.
     pub(super) fn report_observations(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let observations = dispatcher.observations(at.now);
-        let mut sightings: Vec<Sighting> = observations.iter().map(sighting).collect();
+        let mut sightings: Vec<EngineStatus> = observations.iter().map(sighting).collect();
         sightings.sort_by_key(|s| (Reverse(s.silent_ms), Reverse(s.failed), s.engine));
         let ownership = self
             .ownership
@@ -50,16 +50,16 @@
         for report in &reports {
             let known = self.known_reports.get(&reported_engine(report));
             // The number of reporters is bounded, because keys, and with them reporters, come and go.
-            if known == Some(&report.sighting) || self.reporters.len() >= MAX_REPORTERS {
+            if known == Some(&report.status) || self.reporters.len() >= MAX_REPORTERS {
                 continue;
             }
             let next = self.reporters.len();
             let reporter = *self.reporters.entry(report.reporter).or_insert(next);
             pass_report(now, dispatcher, reporter, report);
         }
-        let known: BTreeMap<ReportedEngine, Sighting> = reports
+        let known: BTreeMap<ReportedEngine, EngineStatus> = reports
             .iter()
-            .map(|report| (reported_engine(report), report.sighting))
+            .map(|report| (reported_engine(report), report.status))
             .collect();
         let before = std::mem::replace(&mut self.known_reports, known);
         reports
@@ -70,12 +70,12 @@
 }
 
 fn reported_engine(report: &PeerReport) -> ReportedEngine {
-    (report.reporter, report.sighting.engine)
+    (report.reporter, report.status.engine)
 }
 
 /// Passes a report to the dispatcher under the reporter's number.
 fn pass_report(now: Micros, dispatcher: &mut Dispatcher, reporter: usize, report: &PeerReport) {
-    let sighting = report.sighting;
+    let sighting = report.status;
     let observation = EngineObservation {
         id: "",
         failed: f64::from(sighting.failed),
@@ -85,12 +85,12 @@
         started: None,
     };
     let is_engine = |id: &str| engine_hash(id) == sighting.engine;
-    dispatcher.peer_report(now, reporter, is_engine, &observation, report.age);
+    dispatcher.record_peer_report(now, reporter, is_engine, &observation, report.age);
 }
 
 /// Converts an observation of an engine to the form sent to other fronts.
-fn sighting(observation: &EngineObservation) -> Sighting {
-    Sighting {
+fn sighting(observation: &EngineObservation) -> EngineStatus {
+    EngineStatus {
         engine: engine_hash(observation.id),
         failed: observation.failed.min(255.0) as u8,
         answered: observation.answered.min(255.0) as u8,
--- a/crates/fleet/src/ledger_barrier/key_state.rs
+++ b/crates/fleet/src/ledger_barrier/key_state.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hallmux_dispatcher::{Micros, StatementOver, Ticket};
+use hallmux_dispatcher::{Micros, StatementFinished, Ticket};
 use hallmux_ledger::Kind;
 
 use super::refusal::Refusal;
@@ -258,7 +258,7 @@
 
     /// Records that a statement has ended. The key stays reserved if an execution under it may still run, or,
     /// for keys other than order keys, if one may have run.
-    pub fn end_statement(&mut self, now: Micros, statement: StatementOver) {
+    pub fn end_statement(&mut self, now: Micros, statement: StatementFinished) {
         self.waiting.remove(&statement.ticket);
         let reserves = if self.kind == Kind::Order {
             statement.may_still_run
--- a/crates/fleet/src/ledger_barrier/tests.rs
+++ b/crates/fleet/src/ledger_barrier/tests.rs
@@ -49,7 +49,7 @@
         key,
         dedup_key,
     };
-    barrier.observe(0, PromiseEvent::Arrived(statement), |_| {
+    barrier.observe(0, LedgerEvent::Arrived(statement), |_| {
         id.map(str::to_string)
     });
     barrier.requires_entries(ticket)
@@ -58,7 +58,7 @@
 fn pending(ticket: Ticket, execution: usize, now: Micros, location: usize) -> PendingExecution {
     let terms = Terms {
         deadline: now + 4_000 * MS,
-        leave_by: Micros::MAX,
+        send_by: Micros::MAX,
         grant_mb: 0.0,
         priority: 1,
     };
@@ -163,8 +163,8 @@
     }
 }
 
-fn statement_over(ticket: Ticket, may_have_run: bool, may_still_run: bool) -> StatementOver {
-    StatementOver {
+fn statement_over(ticket: Ticket, may_have_run: bool, may_still_run: bool) -> StatementFinished {
+    StatementFinished {
         ticket,
         may_have_run,
         may_still_run,
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -12,12 +12,13 @@
 use hallmux_gossip::message::RecoveredEngine;
 use hallmux_gossip::node::Datagram;
 use hallmux_gossip::{PeerId, RandomSource};
-use hallmux_lease::disk::StateError;
 use hallmux_lease::fence::Fence;
 use hallmux_lease::holder::{Holder, Intent};
+use hallmux_lease::state::StateError;
 use hallmux_lease::voter::{self, Voter, VoterConfig};
 use hallmux_lease::{
-    fingerprint, AddressedEnvelope, AddressedRequest, Envelope, LeaseMessage, Task, Terms, Token,
+    fingerprint, AddressedEnvelope, AddressedRequest, Envelope, LeaseMessage, LeaseTerms, Task,
+    Token,
 };
 
 use crate::{engine_hash, ClockReading};
@@ -54,7 +55,7 @@
     /// The voters, in the order in which the lease is requested from them.
     pub voters: Vec<VoterAddress>,
     /// The duration of leases.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The state that this voter's previous incarnation saved last; None only if there was no earlier
     /// incarnation.
     pub saved: Option<Vec<u8>>,
@@ -121,7 +122,7 @@
         if ids.contains(&local_id) {
             let config = VoterConfig {
                 fleet,
-                own: local_id,
+                local_id,
                 voters: ids.clone(),
                 terms,
             };
@@ -197,7 +198,7 @@
             };
             self.requests.push(AddressedEnvelope { to, envelope });
         }
-        if let Some(progress) = self.holder.inherited() {
+        if let Some(progress) = self.holder.take_inherited_progress() {
             let recovered: Vec<RecoveredEngine> =
                 postcard::from_bytes(&progress).unwrap_or_default();
             let token = self.holder.token(at.steady).unwrap_or_default();
@@ -224,7 +225,7 @@
     fn recovered(&self, at: ClockReading, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
         let since_ms =
             |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
-        let recovered = dispatcher.recovered(at.now).into_iter();
+        let recovered = dispatcher.recoveries(at.now).into_iter();
         recovered
             .map(|recovery| RecoveredEngine {
                 engine: engine_hash(recovery.engine_id),
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -23,7 +23,7 @@
             && !connection.open.is_empty();
         if was_lost && connection.last_reply < connection.resumed_at {
             self.reuse
-                .lost(connection.idle_before, now - connection.resumed_at);
+                .record_loss(connection.idle_before, now - connection.resumed_at);
         }
         if let Some(engine) = self.engines.get_mut(&connection.place) {
             engine.connections.retain(|other| *other != id);
@@ -186,5 +186,5 @@
         return Some("its client's time is up");
     }
     // Guards against a repeat that comes after its engines have forgotten the first one.
-    (now >= terms.leave_by).then_some("engines may not know it for a repeat any more")
+    (now >= terms.send_by).then_some("engines may not know it for a repeat any more")
 }
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
+//! The event loop of a front: each iteration reads all available input, lets the dispatcher decide once, and sends
+//! the results.
 
 mod admission;
 mod dial_capacity;
@@ -29,61 +30,61 @@
 use crate::scatter::ScatteredStatements;
 use crate::shutdown::Shutdown;
 
-/// Rounds of decisions in an iteration at most. What one round cancels frees capacity for the next.
+/// Rounds of decisions per iteration. Executions that one round cancels free capacity for the next.
 const MAX_DECISION_ROUNDS: usize = 8;
 
-/// All that the event loop works on: the connections of each kind, the dispatcher, and the parts that the operator's file
-/// switches on.
+/// The state that the event loop works on: the connections of each kind, the dispatcher, and the components that the
+/// operator's file enables.
 pub struct EventLoopState {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     dispatcher: Dispatcher,
-    /// Microseconds that an answer may take on its way to a client.
+    /// Microseconds that an answer may take to reach a client.
     answer_slack: Micros,
-    /// Statements held at most.
+    /// Limit of the statements held.
     max_statements: usize,
-    /// Bytes of statements held at most, and of untaken answers.
+    /// Limit in bytes of the statements held, and separately of the unsent answers.
     max_bytes: usize,
-    /// Connections of clients and sessions at most.
+    /// Limit of the connections of clients and sessions together.
     max_clients: usize,
-    /// Statements were rejected for want of memory when the last one came; that has been logged.
-    memory_full: bool,
+    /// Whether memory was full when the last statement arrived. Changes are logged.
+    is_memory_full: bool,
     clients: Clients,
     engines: Engines,
     coordinator: Coordinator,
     engine_starts: EngineStarts,
-    /// PostgreSQL sessions, where the operator's file switches them on.
+    /// PostgreSQL sessions, if the operator's file enables them.
     gateway: Option<Gateway>,
-    /// Messages with other fronts, likewise.
+    /// Messages to and from other fronts, if the operator's file enables gossip.
     peers: Option<Peers>,
-    /// Regional access rules of customers, likewise.
+    /// Regional access rules of customers, if the operator's file enables them.
     rules: Option<SharedRules>,
-    /// Executions that wait for the ledger, where fronts keep one.
+    /// Executions that wait for their ledger entries, if the fronts keep a ledger.
     guard: Option<LoggedBarrier>,
-    /// Statements that are asked of several sites, likewise.
+    /// Statements that are scattered over several sites, if the operator's file enables that.
     scatter: Option<ScatteredStatements>,
-    /// What was reported to the dispatcher of how many executions can leave for each engine.
+    /// The numbers of executions that can be sent to each engine, as last reported to the dispatcher.
     send_capacity: SendCapacity,
     shutdown: Shutdown,
     clock: Clock,
-    /// Connections with more to read than one iteration takes.
-    unfinished: Vec<SocketId>,
-    /// What was decided has not left for engines yet: the connections are read first.
+    /// Connections that had more to read than one iteration reads.
+    unfinished_reads: Vec<SocketId>,
+    /// Decided commands have not been sent to engines yet, because the connections have to be read first.
     flush_deferred: bool,
 }
 
 impl EventLoopState {
-    /// How long nothing is due: the event loop may sleep for that long.
-    pub fn idle(&mut self) -> Duration {
+    /// Returns how long the event loop may sleep until something is due.
+    pub fn prepare_sleep(&mut self) -> Duration {
         self.clock.refresh();
         let due = self.next_due();
-        self.clock.sleep(due)
+        self.clock.prepare_sleep(due)
     }
 
-    /// When something is due though no socket changes, in Unix microseconds.
+    /// The time at which something is due without any socket event, in Unix microseconds; 0 if it is due now.
     fn next_due(&self) -> Micros {
         let now = self.clock.now;
-        if !self.unfinished.is_empty() || self.flush_deferred {
+        if !self.unfinished_reads.is_empty() || self.flush_deferred {
             return 0;
         }
         let always = [
@@ -108,24 +109,24 @@
             .unwrap_or(now)
     }
 
-    /// A connection has changed: takes what is there.
-    pub fn ready(&mut self, socket: SocketId) {
+    /// Reads from a socket that the event loop reported as ready.
+    pub fn handle_ready_socket(&mut self, socket: SocketId) {
         self.clock.refresh();
-        self.clock.wake();
+        self.clock.start_iteration();
         let number = socket.number;
-        let more = match socket.kind {
-            // Statements of one order key run in the order in which they were taken: each is taken as it is found.
+        let has_more = match socket.kind {
+            // Statements of one order key run in the order of their admission, so each is admitted as soon as it is read.
             SocketKind::Listener => {
-                self.listener.readable();
+                self.listener.mark_readable();
                 self.accept();
                 false
             }
             SocketKind::Client => self.read_client(number),
             SocketKind::Engine => self.engines.read(self.clock.now, number),
             SocketKind::Coordinator => {
-                let before = self.coordinator.last_index;
-                if let Some(stream) = self.coordinator.read(self.clock.now, number) {
-                    self.apply_list(&stream, before);
+                let last_index = self.coordinator.last_index;
+                if let Some(events) = self.coordinator.read(self.clock.now, number) {
+                    self.apply_list(&events, last_index);
                 }
                 false
             }
@@ -144,29 +145,30 @@
                 })
             }
         };
-        if more {
-            self.unfinished.push(socket);
+        if has_more {
+            self.unfinished_reads.push(socket);
         }
     }
 
-    /// One iteration of the event loop, after `ready` was called for each socket that it reported: reads what is left,
-    /// decides on all that was read, and sends what follows.
-    pub fn iterate(&mut self) {
-        self.read_rest();
+    /// Runs one iteration of the event loop, after `handle_ready_socket` was called for each socket that it reported:
+    /// reads the remaining input, decides on all that was read, and sends the results.
+    pub fn run_iteration(&mut self) {
+        self.read_remaining();
         self.decide();
         self.answer_clients();
         self.close_if_due();
         for client in self.clients.readable_again() {
-            self.unfinished.push(SocketKind::Client.id(client));
+            self.unfinished_reads.push(SocketKind::Client.id(client));
         }
     }
 
-    /// Accepts and reads what the last iteration left, and does what is due without the dispatcher's decisions.
-    fn read_rest(&mut self) {
+    /// Accepts and reads the input that the last iteration left, and runs the timers that need no decision of the
+    /// dispatcher.
+    fn read_remaining(&mut self) {
         self.clock.refresh();
-        self.clock.wake();
-        for socket in std::mem::take(&mut self.unfinished) {
-            self.ready(socket);
+        self.clock.start_iteration();
+        for socket in std::mem::take(&mut self.unfinished_reads) {
+            self.handle_ready_socket(socket);
         }
         self.accept();
         let admission = self.admission_state();
@@ -187,29 +189,29 @@
         self.coordinator.expire(self.clock.now);
     }
 
-    /// Lets the dispatcher decide on all that was read, and carries its orders out until none is left.
+    /// Lets the dispatcher decide on all that was read, and executes its commands until it has no more.
     fn decide(&mut self) {
         self.clock.refresh();
-        self.clock.decide();
-        self.apply_rulings();
+        self.clock.mark_decided();
+        self.apply_rule_decisions();
         self.flush_after_read();
         for _ in 0..MAX_DECISION_ROUNDS {
             self.handle_engine_events();
-            self.apply_promises();
-            self.apply_marks();
+            self.apply_ledger_decisions();
+            self.apply_load_markers();
             self.report_dial_capacity();
-            let orders = self.dispatcher.tick(self.clock.now);
-            if orders.is_empty() {
+            let commands = self.dispatcher.tick(self.clock.now);
+            if commands.is_empty() {
                 break;
             }
-            for order in orders {
-                self.carry_out(order);
+            for command in commands {
+                self.execute_command(command);
             }
-            self.apply_rulings();
-            // Cancels leave before the executions that use the freed capacity.
-            self.flush_engines();
+            self.apply_rule_decisions();
+            // Cancellations are sent before the executions that use the freed capacity.
+            self.flush_engines_if_fresh();
         }
-        self.flush_engines();
+        self.flush_engines_if_fresh();
         self.handle_engine_events();
     }
 
@@ -232,54 +234,56 @@
         if let Some(client) = unsent.slowest.filter(|_| unsent.bytes > self.max_bytes) {
             let bytes = unsent.bytes;
             log::warn!(
-                "client {client}: takes no answers, {bytes} bytes wait; its connection is closed"
+                "client {client}: does not read its answers, {bytes} bytes are unsent in total; its connection is closed"
             );
             self.clients.disconnect(client, &mut events);
         }
         self.handle_client_events(events);
     }
 
-    /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
-    /// read its connections: a client may have left meanwhile, or a drain been listed. Then it reads first, and
-    /// sends in the next iteration.
-    fn flush_engines(&mut self) {
+    /// Sends the decided commands to engines, unless this iteration's read is stale. Guards against a front that was
+    /// stalled or busy for long since it last read its connections: a client may have disconnected meanwhile, or an
+    /// engine been listed as draining. The front then reads first, and sends in the next iteration.
+    fn flush_engines_if_fresh(&mut self) {
         self.clock.refresh();
         self.flush_deferred = self.clock.is_stale();
         if !self.flush_deferred {
-            self.send_out();
+            self.flush_engine_connections();
         }
     }
 
-    /// The connections were read just now: what was held back for that leaves.
+    /// Sends the commands that `flush_engines_if_fresh` deferred, as the connections have been read by now.
     fn flush_after_read(&mut self) {
         if std::mem::take(&mut self.flush_deferred) {
             self.clock.refresh();
-            self.send_out();
+            self.flush_engine_connections();
         }
     }
 
-    fn send_out(&mut self) {
+    /// Sends all pending output to engines of both protocols.
+    fn flush_engine_connections(&mut self) {
         self.engines.flush(self.clock.now);
         self.gateway
             .iter_mut()
             .for_each(|gateway| gateway.flush_servers(self.clock.now));
     }
 
-    /// How many more clients and sessions may connect.
+    /// The number of further clients and sessions that may connect.
     fn connections_left(&self) -> usize {
         let sessions = self.gateway.as_ref().map_or(0, Gateway::len);
         self.max_clients
             .saturating_sub(self.clients.len() + sessions)
     }
 
-    /// Accepts clients that wait, as far as connections are left or idle ones can make way, and reads from each.
+    /// Accepts waiting clients while connections are left or idle ones can be evicted, and reads from each.
     fn accept(&mut self) {
         let now = self.clock.now;
         loop {
-            let (clients, gateway, most) = (&mut self.clients, &mut self.gateway, self.max_clients);
+            let (clients, gateway, max_clients) =
+                (&mut self.clients, &mut self.gateway, self.max_clients);
             let reserve = || {
                 let sessions = gateway.as_ref().map_or(0, Gateway::len);
-                let free = clients.len() + sessions < most
+                let free = clients.len() + sessions < max_clients
                     || gateway.as_mut().is_some_and(Gateway::drop_lingering)
                     || clients.evict_idle()
                     || gateway
@@ -295,10 +299,12 @@
             match Link::new(stream, &self.handle, SocketKind::Client.id(id)) {
                 Ok(link) => {
                     self.clients
-                        .accept(now, id, link, self.listener.waited(now));
-                    self.ready(SocketKind::Client.id(id));
+                        .accept(now, id, link, self.listener.unread_for(now));
+                    self.handle_ready_socket(SocketKind::Client.id(id));
+                }
+                Err(e) => {
+                    log::warn!("client {id}: its connection can't be registered: {e}; it is closed")
                 }
-                Err(e) => log::warn!("a client's connection can't be served: {e}"),
             }
         }
     }
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: statements of clients are checked and handed to the dispatcher, and clients that leave are reported to it.
+//! Admission: checks the statements of clients and submits them to the dispatcher, and reports cancelled and
+//! disconnected clients to it.
 
 use hallmux_access::Decision;
 use hallmux_dispatcher::{Ending, InvalidRequest, Micros, Protocol, StatementRequest, Ticket};
@@ -9,21 +10,21 @@
 use crate::clients::{self, ClientId, ServingStatus};
 use crate::execution::ExecutionId;
 
-/// A statement of a client that the access rules have judged.
-pub(super) struct JudgedRequest {
+/// A statement of a client with the decision of the access rules.
+pub(super) struct CheckedRequest {
     pub(super) client: ClientId,
-    /// The number that the client gave it.
+    /// The client's sequence number of the statement.
     pub(super) number: i32,
     pub(super) call: Call,
-    /// Microseconds until an answer is of no use any more.
+    /// Microseconds until an answer is of no more use to the client.
     pub(super) time_left: Micros,
-    /// The locations whose engines it may be sent to; none given: all.
+    /// The locations whose engines may run the statement; None: all.
     pub(super) allowed: Option<Vec<String>>,
-    pub(super) judged: Decision,
+    pub(super) decision: Decision,
 }
 
-impl JudgedRequest {
-    /// Leaves the one location given, or none where that is not allowed.
+impl CheckedRequest {
+    /// Restricts the statement to one location, or to no location if the rules do not allow that one.
     pub(super) fn restrict_to(&mut self, location: String) {
         let allowed = self.allowed.as_ref();
         let is_allowed = allowed.is_none_or(|allowed| allowed.contains(&location));
@@ -35,17 +36,18 @@
     }
 }
 
-/// Why a statement is not taken.
-enum NotTaken {
+/// Why a statement is not admitted.
+enum AdmissionError {
+    /// The named field is missing or malformed.
     InvalidField(&'static str),
-    /// Its text would pass for a load that a front has numbered.
-    NumberedText,
-    /// For want of capacity, or as the process ends.
+    /// Its text begins with the comment by which fronts number loads.
+    ReservedPrefix,
+    /// There is no capacity, or the process is shutting down.
     Rejected,
 }
 
 impl EventLoopState {
-    /// Reads from a client; true if there is more for another iteration.
+    /// Reads from a client. Returns true if there is more to read in another iteration.
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
         let status = if self.shutdown.is_requested() {
             ServingStatus::ShuttingDown
@@ -58,6 +60,7 @@
         has_more
     }
 
+    /// Admits the statements that clients sent, and withdraws those that they cancelled or abandoned.
     pub(super) fn handle_client_events(&mut self, events: Vec<clients::Event>) {
         for event in events {
             match event {
@@ -80,14 +83,14 @@
         }
     }
 
-    /// Nobody waits for a statement any more: its executions are cancelled.
+    /// Cancels all executions of a statement whose client no longer waits for it.
     pub(super) fn abandon(&mut self, ticket: Ticket) {
         let mut tickets = self
             .scatter
             .as_ref()
             .map_or(Vec::new(), |scatter| scatter.parts_of(ticket));
         tickets.push(ticket);
-        // What waits for a connection is not sent any more, also where cancelling is not allowed.
+        // Executions that wait for a connection are withdrawn even if the settings do not allow cancelling.
         tickets
             .iter()
             .for_each(|ticket| self.engines.abandon(*ticket));
@@ -104,31 +107,36 @@
                 .for_each(|rules| rules.borrow_mut().statement_ended(ticket)),
             false => self.dispatcher.client_left(now, ticket),
         }
-        // The statement is over first: else it could be tried anew.
-        for sent in withdrawn {
-            self.dispatcher
-                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+        // The statement is ended before this report: otherwise its execution could be retried.
+        for execution_id in withdrawn {
+            self.dispatcher.execution_ended(
+                now,
+                execution_id.ticket,
+                execution_id.number,
+                Ending::Withdrawn,
+                None,
+            );
         }
     }
 
-    /// Lets go of all that waits for rules, promises or marks for a statement and its parts. Guards against a
-    /// load that leaves once its mark stands though its client has left, and against parts that rules hold
-    /// and forget with their whole; where cancelling is not allowed no order to stop them would come before
-    /// their time is up.
+    /// Withdraws the executions of a statement and its parts that wait for rules, ledger entries or load markers.
+    /// Guards against a load that is sent once its marker is replicated although its client has disconnected, and
+    /// against parts that the rules hold and forget together with their parent statement. If cancelling is not allowed,
+    /// the dispatcher would not cancel them before their deadline.
     fn withdraw_all_held(&mut self, tickets: &[Ticket]) -> Vec<ExecutionId> {
-        let of = |ticket: &Ticket| {
+        let executions_of = |ticket: &Ticket| {
             let ticket = *ticket;
-            let out = self.dispatcher.executions_out(ticket).into_iter();
-            out.map(move |number| ExecutionId::new(ticket, number))
+            let in_flight = self.dispatcher.executions_in_flight(ticket).into_iter();
+            in_flight.map(move |number| ExecutionId::new(ticket, number))
         };
-        let mut held: Vec<ExecutionId> = tickets.iter().flat_map(of).collect();
-        held.retain(|sent| self.withdraw_held(self.clock.now, *sent));
+        let mut held: Vec<ExecutionId> = tickets.iter().flat_map(executions_of).collect();
+        held.retain(|execution_id| self.withdraw_held(self.clock.now, *execution_id));
         held
     }
 
-    /// Takes a statement that a client has sent, or answers why it is not taken. `unread_for`: microseconds for which
-    /// it may have lain unread, as its client took no answers. `ended`: statements that end as their connection is
-    /// closed.
+    /// Admits a statement that a client has sent, or answers why it is not admitted. `unread_for`: microseconds for
+    /// which it may have waited unread, because its client did not read answers. `ended` receives the statements that
+    /// end if the client's connection is closed.
     pub(super) fn admit(
         &mut self,
         client: ClientId,
@@ -137,76 +145,78 @@
         unread_for: Micros,
         ended: &mut Vec<clients::Event>,
     ) {
-        if !self.clients.admits(client, number, &call, ended) {
+        if !self.clients.check_admissible(client, number, &call, ended) {
             return;
         }
-        if let Some(reason) = self.not_taken_because(&call) {
-            return self.answer_not_taken(client, number, &reason);
+        if let Some(reason) = self.admission_error(&call) {
+            return self.answer_admission_error(client, number, &reason);
         }
         let time_left = self.time_left(&call, unread_for);
-        let judged = self.judge(&call);
-        if judged == Decision::RulesUnknown {
+        let decision = self.check_access_rules(&call);
+        if decision == Decision::RulesUnknown {
             return self.clients.reject(client, number);
         }
         let rules = self.rules.as_ref();
-        let allowed = rules.and_then(|rules| rules.borrow().allowed_locations(&judged));
-        let request = JudgedRequest {
+        let allowed = rules.and_then(|rules| rules.borrow().allowed_locations(&decision));
+        let request = CheckedRequest {
             client,
             number,
             call,
             time_left,
             allowed,
-            judged,
+            decision,
         };
-        // What is denied is never asked of anybody.
-        let whole = if request.judged.is_denied() {
+        // A denied statement is not scattered: no site is asked.
+        let unscattered = if request.decision.is_denied() {
             Some(request)
         } else {
             self.scatter(request)
         };
-        if let Some(request) = whole {
-            self.pick(request);
+        if let Some(request) = unscattered {
+            self.submit(request);
         }
     }
 
-    /// Why a statement is not taken, whatever the rules say of it.
-    fn not_taken_because(&mut self, call: &Call) -> Option<NotTaken> {
+    /// Why a statement is not admitted, regardless of the access rules; None if it is.
+    fn admission_error(&mut self, call: &Call) -> Option<AdmissionError> {
         if let Some(field) = call.invalid_field {
-            return Some(NotTaken::InvalidField(field));
+            return Some(AdmissionError::InvalidField(field));
         }
-        if self.shutdown.rejects() {
-            return Some(NotTaken::Rejected);
+        if self.shutdown.rejects_statements() {
+            return Some(AdmissionError::Rejected);
         }
         let scatter = self.scatter.as_ref();
         if scatter.is_some_and(|scatter| scatter.has_reserved_prefix(call)) {
-            return Some(NotTaken::NumberedText);
+            return Some(AdmissionError::ReservedPrefix);
         }
-        self.is_full().then_some(NotTaken::Rejected)
+        self.is_full().then_some(AdmissionError::Rejected)
     }
 
-    fn answer_not_taken(&mut self, client: ClientId, number: i32, reason: &NotTaken) {
+    fn answer_admission_error(&mut self, client: ClientId, number: i32, reason: &AdmissionError) {
         match reason {
-            NotTaken::InvalidField(field) => self.clients.answer_unusable(client, number, field),
-            NotTaken::NumberedText => {
-                let why = "its text begins as fronts number loads: leave that comment out";
-                let reply = Reply::Refused(&[("reason", why)]);
+            AdmissionError::InvalidField(field) => {
+                self.clients.answer_unusable(client, number, field)
+            }
+            AdmissionError::ReservedPrefix => {
+                let reason = "its text begins as fronts number loads: leave that comment out";
+                let reply = Reply::Refused(&[("reason", reason)]);
                 self.clients.reply(client, number, &reply);
             }
-            NotTaken::Rejected => self.clients.reject(client, number),
+            AdmissionError::Rejected => self.clients.reject(client, number),
         }
     }
 
-    /// Microseconds in which a final answer is still of use to the client.
+    /// Microseconds for which a final answer is still of use to the client.
     fn time_left(&self, call: &Call, unread_for: Micros) -> Micros {
-        // Guards against a final answer that is held up on its way: it has the slack twice, before the
-        // client's time is up and after. A result that comes in that last moment is lost to the client.
+        // Guards against a final answer that is delayed on its way: the slack applies twice, before the client's
+        // deadline and after it. A result that arrives within the slack before the deadline is lost to the client.
         let time_left = (call.time_left_ms * 1000.0) as Micros - self.answer_slack;
-        // Guards against a deadline beyond the client's: its time has run on while the statement lay unread.
-        time_left - self.clock.waited().max(unread_for)
+        // Guards against a deadline beyond the client's: its time has run on while the statement was unread.
+        time_left - self.clock.unread_time().max(unread_for)
     }
 
-    /// What the access rules say of a statement, where they are on.
-    fn judge(&self, call: &Call) -> Decision {
+    /// The decision of the access rules on a statement; unrestricted if they are disabled.
+    fn check_access_rules(&self, call: &Call) -> Decision {
         let Some(rules) = &self.rules else {
             return Decision::Unrestricted;
         };
@@ -215,37 +225,37 @@
         rules.check_statement(now, &call.customer, &call.workload, &call.statement)
     }
 
-    /// Whether no more statements can be taken: too many are held, or they take too much memory.
+    /// Whether no more statements can be admitted: too many are held, or they take too much memory.
     fn is_full(&mut self) -> bool {
         let full = self.clients.held_bytes() > self.max_bytes;
-        if full != std::mem::replace(&mut self.memory_full, full) {
+        if full != std::mem::replace(&mut self.is_memory_full, full) {
             log::warn!(
-                "statements held take {} bytes; {}",
+                "open statements take {} bytes of memory; {}",
                 self.clients.held_bytes(),
                 if full {
-                    "more are rejected"
+                    "further ones are rejected"
                 } else {
-                    "taken again"
+                    "further ones are accepted again"
                 }
             );
         }
         full || self.dispatcher.statements_held() >= self.max_statements
     }
 
-    /// Hands a statement to the dispatcher, or answers why it can't be.
-    fn pick(&mut self, request: JudgedRequest) {
-        let JudgedRequest {
+    /// Submits a statement to the dispatcher, or answers the client why that fails.
+    fn submit(&mut self, request: CheckedRequest) {
+        let CheckedRequest {
             client,
             number,
             call,
             time_left,
             allowed,
-            judged,
+            decision,
         } = request;
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
-        let ask = StatementRequest {
+        let statement_request = StatementRequest {
             workload: &call.workload,
             customer: &call.customer,
             order_key: call.order_key.as_deref(),
@@ -258,14 +268,14 @@
             sticky_engine: None,
             allowed_locations: allowed.as_deref(),
         };
-        let picked = self.dispatcher.submit(self.clock.now, &ask);
+        let submitted = self.dispatcher.submit(self.clock.now, &statement_request);
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
-                .record_admission(&mut self.dispatcher, &judged, picked.ok());
+                .record_admission(&mut self.dispatcher, &decision, submitted.ok());
         }
-        match picked {
-            Ok(ticket) => self.clients.open(client, number, ticket, call),
+        match submitted {
+            Ok(ticket) => self.clients.open_statement(client, number, ticket, call),
             Err(invalid) => self.answer_invalid(client, number, invalid),
         }
     }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -24,7 +24,7 @@
 use super::copies::{random_disk_id, Copies, Write, WriteOutcome};
 use super::members::{ledger_members, LedgerMembers};
 use super::votes::Votes;
-use crate::shutdown::LedgerDuty;
+use crate::shutdown::LedgerDependency;
 use log_lines::LogState;
 
 /// Maximum number of datagrams read in one iteration of the event loop, so that other sockets are served too.
@@ -304,13 +304,13 @@
     }
 
     /// Returns in which way the ledger depends on this front.
-    pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
+    pub fn ledger_dependency(&self, now: Micros) -> LedgerDependency {
         if self.exchange.is_needed_for_quorum(self.clock_reading(now)) {
-            LedgerDuty::NeededForQuorum
+            LedgerDependency::NeededForQuorum
         } else if self.exchange.has_shards_to_hand_over() {
-            LedgerDuty::OwnsShards
+            LedgerDependency::OwnsShards
         } else {
-            LedgerDuty::None
+            LedgerDependency::None
         }
     }
 
--- a/crates/front/src/fleet/peers/log_lines.rs
+++ b/crates/front/src/fleet/peers/log_lines.rs
@@ -6,7 +6,7 @@
 use hallmux_fleet::{Exchange, OwnedLease};
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
-use hallmux_gossip::seal::Refused;
+use hallmux_gossip::seal::VerificationError;
 use hallmux_gossip::PeerId;
 use hallmux_ledger::Differences;
 
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(super) struct LogState {
     last_log_time: Micros,
-    logged_rejections: BTreeMap<Refused, u64>,
+    logged_rejections: BTreeMap<VerificationError, u64>,
     logged_ownership_rejections: BTreeMap<&'static str, u64>,
     logged_lease: Option<OwnedLease>,
     /// Counts of ledger replicas that differed from the majority.
@@ -101,14 +101,14 @@
 /// Logs a peer's report about an engine. `names` maps the peers to their names in the operator's file.
 pub(super) fn log_peer_report(report: &PeerReport, names: &BTreeMap<PeerId, String>) {
     let reporter_name = names.get(&report.reporter).map_or("?", String::as_str);
-    let sighting = &report.sighting;
-    let drain_suffix = if sighting.drains { ", drains" } else { "" };
+    let status = &report.status;
+    let drain_suffix = if status.drains { ", drains" } else { "" };
     log::info!(
         "front {reporter_name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{drain_suffix}; {} ms ago",
-        sighting.engine,
-        sighting.failed,
-        sighting.answered,
-        sighting.silent_ms,
+        status.engine,
+        status.failed,
+        status.answered,
+        status.silent_ms,
         report.age / 1000
     );
 }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 use hallmux_access::{self as access, Access, Decision, FleetHits, Request, RulesCommand};
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
+use hallmux_dispatcher::{Dispatcher, Ending, EngineIndex, Micros, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Ledger, Moment};
 use hallmux_native_codec::tables;
 
@@ -38,7 +38,7 @@
     pub checked_ticket: Ticket,
     pub ticket: Ticket,
     pub execution: usize,
-    pub place: Place,
+    pub place: EngineIndex,
     pub terms: Terms,
 }
 
@@ -240,7 +240,7 @@
             return true;
         };
         let clock = self.clock_reading(now);
-        let location = dispatcher.site(command.place).location;
+        let location = dispatcher.engine_site(command.place).location;
         let names = &self.access.known().locations;
         let location = names.get(location).cloned().unwrap_or_default();
         let is_allowed =
@@ -264,7 +264,7 @@
             "statement {}: not sent to {location} {reason}; the statement is ended",
             statement.ticket
         );
-        dispatcher.report(
+        dispatcher.execution_ended(
             now,
             command.ticket,
             command.execution,
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -1,4 +1,4 @@
-//! hallmux on real sockets: one thread that serves clients, query engines and the coordinator.
+//! The front's process: one thread that serves clients, query engines and the coordinator over sockets.
 
 mod clients;
 mod clock;
@@ -43,14 +43,14 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("hallmux-front: {}", OneLine(why));
+        Err(error) => {
+            eprintln!("hallmux-front: {}", OneLine(error));
             ExitCode::FAILURE
         }
     }
 }
 
-/// The environment. Guards against a variable, whichever it is, that is no UTF-8: to ask for text would panic.
+/// The environment variables. Guards against a panic on any variable that is not valid UTF-8, whether it is used or not.
 fn environment() -> HashMap<String, String> {
     let text = |bytes: OsString| bytes.to_string_lossy().into_owned();
     std::env::vars_os()
@@ -58,25 +58,27 @@
         .collect()
 }
 
+/// Starts the front and serves until a graceful shutdown is complete.
 fn run() -> Result<(), StartError> {
     let variables = environment();
     let config = NodeConfig::read(&variables)?;
     logger::start(&config.name, config.log_level);
     if let Some(path) = &config.clock_file {
         log::warn!(
-            "HALLMUX_CLOCK: the time is a drill's, from {}",
+            "HALLMUX_CLOCK: the time is read from the test clock {}",
             path.display()
         );
     }
-    let known = hallmux_native_codec::coordinator::events(config.known_events.as_bytes());
-    let known = known.map_err(|what| StartError::known(&variables, &what.to_string()))?;
+    let known_events = hallmux_native_codec::coordinator::events(config.known_events.as_bytes());
+    let known_events =
+        known_events.map_err(|error| StartError::known_events(&variables, &error.to_string()))?;
     let mut event_loop = event_loop_with_signals()?;
-    let listen_error = |why| StartError::listen(&variables, config.listen, why);
+    let listen_error = |error| StartError::listen(&variables, config.listen, error);
     let listener = transient::retry(|| TcpListener::bind(config.listen)).map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
-    let mut front = EventLoopState::new(&config, &known, listener, event_loop.handle())?;
+    let mut front = EventLoopState::new(&config, &known_events, listener, event_loop.handle())?;
     log::info!("takes statements at {address}");
-    serve(&mut event_loop, &mut front, &variables)?;
+    run_event_loop(&mut event_loop, &mut front, &variables)?;
     log::info!("all is answered");
     Ok(())
 }
@@ -86,27 +88,27 @@
     let event_loop = transient::retry(|| Ok(EventLoop::try_new()?)).map_err(polling_error)?;
     let signals = transient::retry(|| Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])?))
         .map_err(polling_error)?;
-    let queue =
+    let push_signal =
         |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
     event_loop
         .handle()
-        .insert_source(signals, queue)
+        .insert_source(signals, push_signal)
         .map_err(|e| polling_error(e.error.into()))?;
     Ok(event_loop)
 }
 
-/// Runs the event loop until a graceful shutdown is complete. Each iteration handles signals, then sockets, then
-/// what follows from both.
-fn serve(
+/// Runs the event loop until a graceful shutdown is complete. Each iteration handles signals, then sockets, then the
+/// decisions that follow from both.
+fn run_event_loop(
     event_loop: &mut EventLoop<'static, LoopEvents>,
     front: &mut EventLoopState,
     variables: &HashMap<String, String>,
 ) -> Result<(), StartError> {
     let mut events = LoopEvents::default();
     while !front.is_done() {
-        let idle = front.idle();
+        let sleep_time = front.prepare_sleep();
         event_loop
-            .dispatch(idle, &mut events)
+            .dispatch(sleep_time, &mut events)
             .map_err(|e| polling_error(e.into()))?;
         for signal in events.signals.drain(..) {
             match signal {
@@ -115,13 +117,13 @@
             }
         }
         for socket in events.ready.drain(..) {
-            front.ready(socket);
+            front.handle_ready_socket(socket);
         }
-        front.iterate();
+        front.run_iteration();
     }
     Ok(())
 }
 
-fn polling_error(why: std::io::Error) -> StartError {
-    StartError::system("polling", &why)
+fn polling_error(error: std::io::Error) -> StartError {
+    StartError::system("polling", &error)
 }
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -147,7 +147,7 @@
         if affected.values().any(is_rows) {
             affected.retain(|_, affected| is_rows(affected));
         }
-        let Some(site) = self.locations.get(dispatcher.site(place).location) else {
+        let Some(site) = self.locations.get(dispatcher.engine_site(place).location) else {
             return false;
         };
         let ends_ms = ((terms.deadline + EXECUTION_OVERRUN).max(0) / 1000) as u64;
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -3,17 +3,17 @@
 use super::*;
 
 fn report(reporter: PeerId, started_ms: u64, version: u32, failed: u8) -> Report {
-    let sightings = vec![Sighting {
+    let statuses = vec![EngineStatus {
         engine: 1,
         failed,
-        ..Sighting::default()
+        ..EngineStatus::default()
     }];
     Report {
         reporter,
         started_ms,
         version,
         created_ms: 0,
-        sightings,
+        statuses,
         ownership: OwnershipReport::default(),
     }
 }
@@ -25,8 +25,8 @@
     }
 }
 
-/// What is known after reports came in this order.
-fn known(order: &[Report]) -> Vec<(PeerId, u8)> {
+/// The reporter and failure count of each status held after merging reports in this order.
+fn merged(order: &[Report]) -> Vec<(PeerId, u8)> {
     let mut evidence = Evidence::default();
     order
         .iter()
@@ -34,12 +34,12 @@
     evidence
         .peer_reports(1, 99)
         .into_iter()
-        .map(|n| (n.reporter, n.sighting.failed))
+        .map(|n| (n.reporter, n.status.failed))
         .collect()
 }
 
 #[test]
-fn any_order_repeats_and_losses_before_the_latest_come_to_the_same() {
+fn merging_is_independent_of_order_repetition_and_loss_of_earlier_reports() {
     let all = [
         report(1, 5, 1, 1),
         report(1, 5, 2, 2),
@@ -47,7 +47,7 @@
         report(2, 1, 9, 4),
     ];
     let expected = [(1, 3), (2, 4)];
-    // Every order of the four, with each of them repeated at the end.
+    // Every order of the four reports, also with all of them repeated.
     let mut orders = vec![vec![]];
     for _ in 0..4 {
         orders = orders
@@ -63,20 +63,20 @@
     assert_eq!(orders.len(), 24);
     for order in orders {
         let mut reports: Vec<Report> = order.iter().map(|n| all[*n].clone()).collect();
-        assert_eq!(known(&reports), expected);
+        assert_eq!(merged(&reports), expected);
         reports.extend(reports.clone());
-        assert_eq!(known(&reports), expected);
-        // Without what was made before the latest of each.
+        assert_eq!(merged(&reports), expected);
+        // Without the reports that precede the latest one of each reporter.
         let latest: Vec<Report> = reports
             .into_iter()
             .filter(|r| r.started_ms > 5 || r.reporter == 2)
             .collect();
-        assert_eq!(known(&latest), expected);
+        assert_eq!(merged(&latest), expected);
     }
 }
 
 #[test]
-fn what_is_not_renewed_fades_and_does_not_come_back() {
+fn reports_not_renewed_expire_and_stay_expired() {
     let mut evidence = Evidence::default();
     assert!(evidence.merge(0, report(1, 1, 2, 1), signed(), 3_000_000));
     assert_eq!(evidence.peer_reports(EXPIRY - 3_000_001, 9).len(), 1);
@@ -87,14 +87,14 @@
     );
     assert!(
         !evidence.merge(EXPIRY, report(2, 1, 1, 1), signed(), EXPIRY),
-        "older than it lasts"
+        "older than the expiry"
     );
     evidence.expire(3 * EXPIRY);
     assert!(evidence.is_empty());
 }
 
 #[test]
-fn one_voice_on_an_engine_is_passed_on_before_the_many_on_another() {
+fn a_single_report_on_an_engine_is_sent_before_many_on_another() {
     let mut evidence = Evidence::default();
     let signed = |reporter: u64| Signed {
         report: vec![reporter as u8; 40],
@@ -109,29 +109,39 @@
         );
     }
     let mut other = report(200, 1, 1, 1);
-    other.sightings[0].engine = 2;
-    // The earliest and the last in number: by age and place it would come after all others.
+    other.statuses[0].engine = 2;
+    // This report is the oldest and has the highest reporter id: by age and id it would be sent
+    // last.
     evidence.merge(0, other, signed(200), 0);
-    let mut firsts = Vec::new();
+    let mut reporters = Vec::new();
     for _ in 0..3 {
-        firsts.extend(evidence.pass_on(1_000, 9, 216).iter().map(|s| s.report[0]));
+        reporters.extend(
+            evidence
+                .pick_to_send(1_000, 9, 216)
+                .iter()
+                .map(|signed| signed.report[0]),
+        );
     }
-    assert!(firsts[..2].contains(&200), "{firsts:?}");
+    assert!(reporters[..2].contains(&200), "{reporters:?}");
     assert!(
-        firsts.iter().filter(|reporter| **reporter == 200).count() >= 2,
-        "{firsts:?}"
+        reporters
+            .iter()
+            .filter(|reporter| **reporter == 200)
+            .count()
+            >= 2,
+        "{reporters:?}"
     );
 }
 
 #[test]
-fn makers_and_bytes_are_bounded() {
+fn reporters_and_bytes_are_bounded() {
     let mut evidence = Evidence::default();
     for reporter in 0..10_000 {
         evidence.merge(reporter as Micros, report(reporter, 1, 1, 1), signed(), 0);
     }
     assert_eq!(evidence.len(), MAX_REPORTERS);
-    assert_eq!(evidence.pass_on(10_000, 4, 400).len(), 3);
+    assert_eq!(evidence.pick_to_send(10_000, 4, 400).len(), 3);
     let mut long = report(1, 1, 1, 1);
-    long.sightings = vec![Sighting::default(); MAX_SIGHTINGS + 1];
+    long.statuses = vec![EngineStatus::default(); MAX_ENGINE_STATUSES + 1];
     assert!(!Evidence::default().merge(0, long, signed(), 0));
 }
--- a/crates/gossip/src/node/receiving.rs
+++ b/crates/gossip/src/node/receiving.rs
@@ -1,27 +1,27 @@
-//! What a front does with a datagram that comes in.
+//! Handles received datagrams.
 
 use std::net::SocketAddr;
 
 use crate::channels::Channel;
 use crate::members::Outgoing;
 use crate::message::{self, Message, Report, Signed};
-use crate::seal::Refused;
+use crate::seal::VerificationError;
 use crate::{Micros, PeerId};
 
 use super::sending::Purpose;
 use super::{Datagram, Node};
 
-/// What has to be sent because of a datagram.
-struct Received {
-    /// Probes on behalf of others, and answers to probes.
+/// The messages to send in response to a datagram.
+struct Responses {
+    /// Probes on behalf of other fronts, and answers to probes.
     outgoing: Vec<Outgoing>,
-    /// Where a front listens that was not known before.
+    /// The address of the sender if it was not in the view before.
     newcomer: Option<SocketAddr>,
 }
 
 impl Node {
-    /// Takes in a datagram from the address `from` and returns what is to be sent in answer. What is refused
-    /// is counted.
+    /// Handles a datagram received from the address `from` and returns the datagrams to send in
+    /// response. Rejected datagrams and reports are counted.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -29,40 +29,42 @@
         from: SocketAddr,
         bytes: &[u8],
     ) -> Vec<Datagram> {
-        let received = match self.open(now, wall_ms, from, bytes) {
-            Ok(received) => received,
-            Err(why) => {
-                self.count_refused(why);
+        let responses = match self.open(now, wall_ms, from, bytes) {
+            Ok(responses) => responses,
+            Err(error) => {
+                self.count_rejected(error);
                 return Vec::new();
             }
         };
         let mut datagrams = Vec::new();
-        for outgoing in received.outgoing {
+        for outgoing in responses.outgoing {
             datagrams.extend(self.send(now, wall_ms, outgoing, Purpose::Answer));
         }
-        // A newcomer learns of others at once: else it would meet them one by one.
-        if let Some(to) = received.newcomer {
+        // A new front receives many membership updates at once; otherwise it would discover the
+        // members one by one.
+        if let Some(to) = responses.newcomer {
             let outgoing = Outgoing::without_probe(to);
             datagrams.extend(self.send(now, wall_ms, outgoing, Purpose::Welcome));
         }
         datagrams
     }
 
-    /// Opens a datagram and takes in what it holds.
+    /// Opens a datagram and handles its content.
     fn open(
         &mut self,
         now: Micros,
         wall_ms: u64,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<Received, Refused> {
+    ) -> Result<Responses, VerificationError> {
         let opened = self.peers.open(now, wall_ms, from.ip(), bytes)?;
         let sender = opened.sender;
-        let message: Message = message::read(opened.content).ok_or(Refused::Form)?;
-        if sender == self.own.id {
-            return Err(Refused::Replay); // this front's own, come back
+        let message: Message = message::decode(opened.content).ok_or(VerificationError::Form)?;
+        if sender == self.identity.id {
+            return Err(VerificationError::Replay); // a datagram of this front, sent back to it
         }
-        // Answers go where the sender says that it listens, which need not be where it sends from.
+        // Answers are sent to the address that the sender announces, which may differ from its
+        // source address.
         let own_update = message
             .updates
             .iter()
@@ -70,8 +72,8 @@
         let address = own_update.map_or(from, |update| update.address);
         let is_new = self.members.health(sender).is_none();
         for update in message.updates {
-            // Only fronts with a known key count: they could refute the update.
-            if self.peers.knows(update.member) {
+            // Only updates on fronts with a known key are applied: those fronts can refute them.
+            if self.peers.has_key(update.member) {
                 self.members.apply(now, sender, update);
             }
         }
@@ -80,14 +82,15 @@
             .receive(now, sender, address, message.probe, &mut outgoing);
         self.receive_payload(now, wall_ms, from, sender, address, message.payload);
         self.merge_reports(now, wall_ms, from, message.reports);
-        let welcomes = is_new && self.members.len() > 1;
-        Ok(Received {
+        let needs_welcome = is_new && self.members.len() > 1;
+        Ok(Responses {
             outgoing,
-            newcomer: welcomes.then_some(address),
+            newcomer: needs_welcome.then_some(address),
         })
     }
 
-    /// Takes in a subsystem's message: load reports here, others when they are asked for.
+    /// Handles a subsystem's message: load reports at once, others are stored until the caller
+    /// takes them.
     fn receive_payload(
         &mut self,
         now: Micros,
@@ -100,17 +103,17 @@
         if payload.first() == Some(&(Channel::Load as u8)) {
             self.receive_load_reports(now, wall_ms, from.ip(), &payload[1..]);
         } else if !self.mailbox.deliver(sender, address, payload) {
-            self.count_refused(Refused::Form);
+            self.count_rejected(VerificationError::Form);
         }
     }
 
     fn merge_reports(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, reports: Vec<Signed>) {
         for signed in reports {
-            let Some(report) = message::read::<Report>(&signed.report) else {
+            let Some(report) = message::decode::<Report>(&signed.report) else {
                 continue;
             };
-            // Guards against the cost of what is known already, which is most of what comes.
-            let is_own = report.reporter == self.own.id;
+            // Most received reports are known already: skip the cost of verifying their signatures.
+            let is_own = report.reporter == self.identity.id;
             if is_own
                 || !self
                     .evidence
@@ -125,12 +128,12 @@
                         self.evidence.merge(now, report, signed, age);
                     }
                 }
-                Err(why) => self.count_refused(why),
+                Err(error) => self.count_rejected(error),
             }
         }
     }
 
-    pub(super) fn count_refused(&mut self, why: Refused) {
-        *self.refused.entry(why).or_default() += 1;
+    pub(super) fn count_rejected(&mut self, error: VerificationError) {
+        *self.rejected.entry(error).or_default() += 1;
     }
 }
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -7,7 +7,7 @@
 use hallmux_fleet::{Exchange, OwnershipConfig, VoterAddress};
 use hallmux_gossip::node::NodeConfig;
 use hallmux_gossip::seal::{peer_id, Identity};
-use hallmux_lease::Terms;
+use hallmux_lease::LeaseTerms;
 use rand::Rng;
 
 use super::connections::Connections;
@@ -45,7 +45,7 @@
                     })
                     .collect();
                 let scenario = &self.scenario.fleet;
-                let terms = Terms {
+                let terms = LeaseTerms {
                     length: scenario.lease_ms as i64 * 1000,
                     drift_ppm: DRIFT_PPM,
                 };
@@ -152,7 +152,7 @@
             Command::Send {
                 ticket,
                 execution,
-                place,
+                engine: place,
                 terms,
             } => {
                 let own = self.own(n);
@@ -174,7 +174,10 @@
                     self.leaves(n, sent, place);
                 }
             }
-            Command::Probe { place, for_fleet } => {
+            Command::Probe {
+                engine: place,
+                for_fleet,
+            } => {
                 let steady = self.now;
                 let exchange = self.members[n]
                     .life
@@ -221,12 +224,13 @@
                     .is_some_and(|guard| guard.cancel(own, ticket, execution));
                 let ending = if held { Ending::Withdrawn } else { ending };
                 life.connections.ended((ticket, execution), ending);
-                life.dispatcher.report(own, ticket, execution, ending, None);
+                life.dispatcher
+                    .execution_ended(own, ticket, execution, ending, None);
             }
             Command::SetConnectionRate { connections } => {
                 let own = self.own(n);
                 let life = self.members[n].life.iter_mut();
-                life.for_each(|life| life.connections.pacer.pace(own, connections));
+                life.for_each(|life| life.connections.pacer.set_rate(own, connections));
             }
             Command::SetPriority { .. } => {}
         }
@@ -242,7 +246,7 @@
                 return;
             };
             life.dispatcher
-                .report(own, sent.0, sent.1, Ending::Withdrawn, None);
+                .execution_ended(own, sent.0, sent.1, Ending::Withdrawn, None);
             return;
         }
         let opened = self.account.relayed.len() > before;
@@ -268,7 +272,7 @@
             let report = active.filter(|_| inline).map(|active| vec![active as f64]);
             if life
                 .dispatcher
-                .report(now, ticket, execution, ending, report)
+                .execution_ended(now, ticket, execution, ending, report)
             {
                 self.answer(n, ticket, Outcome::Completed { rows: 1 });
             }
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,14 +1,14 @@
-//! One line of the simulator, taken apart into its message and its fields.
+//! Parses one line of the simulator into its message and fields.
 
 use std::str::FromStr;
 
-use hallmux::interface::{Micros, Report};
+use hallmux::interface::{LoadReport, Micros};
 use hallmux_config::micros;
 
 use crate::error::LineError;
 use crate::wire_names::field;
 
-/// One line, taken apart into its message and its fields.
+/// A line, split into its message and its `name=value` fields.
 pub struct Line<'a> {
     pub message: &'a str,
     fields: &'a str,
@@ -26,18 +26,18 @@
             .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// A field that reaches to the end of the line.
+    /// The text of a field that extends to the end of the line.
     pub fn text(&self, name: &'static str) -> Result<&'a str, LineError> {
         let label = format!("{name}=");
-        let begins_field = |at: usize| at == 0 || self.fields.as_bytes()[at - 1] == b' ';
-        let mut places = self.fields.match_indices(&label).map(|(at, _)| at);
-        let at = places
-            .find(|at| begins_field(*at))
+        let starts_field = |at: usize| at == 0 || self.fields.as_bytes()[at - 1] == b' ';
+        let mut matches = self.fields.match_indices(&label).map(|(at, _)| at);
+        let at = matches
+            .find(|at| starts_field(*at))
             .ok_or(LineError::MissingField(name))?;
         Ok(&self.fields[at + label.len()..])
     }
 
-    /// A field that may be missing.
+    /// The value of an optional field; None if it is missing.
     pub fn optional<T: FromStr>(&self, name: &'static str) -> Result<Option<T>, LineError> {
         let Some(value) = self.find(name) else {
             return Ok(None);
@@ -49,20 +49,21 @@
         value.parse().map(Some).map_err(unreadable)
     }
 
+    /// The value of a required field.
     pub fn field<T: FromStr>(&self, name: &'static str) -> Result<T, LineError> {
         self.optional(name)?.ok_or(LineError::MissingField(name))
     }
 
-    /// A finite number.
+    /// The value of a required field that holds a finite number.
     pub fn number(&self, name: &'static str) -> Result<f64, LineError> {
         let value: f64 = self.field(name)?;
         if !value.is_finite() {
-            return Err(LineError::NoNumber(name));
+            return Err(LineError::NotANumber(name));
         }
         Ok(value)
     }
 
-    /// A finite number; `absent` where the field is missing.
+    /// The value of a field that holds a finite number; `absent` if it is missing.
     pub fn number_or(&self, name: &'static str, absent: f64) -> Result<f64, LineError> {
         if self.find(name).is_none() {
             return Ok(absent);
@@ -70,33 +71,36 @@
         self.number(name)
     }
 
-    /// A time, which the line has in milliseconds.
+    /// The value of a required field that holds a time in milliseconds.
     pub fn time(&self, name: &'static str) -> Result<Micros, LineError> {
         self.number(name).map(micros)
     }
 
-    /// 0 or 1; 0 where the field is missing.
+    /// The value of a field that holds 0 or 1; false if it is missing.
     pub fn flag(&self, name: &'static str) -> Result<bool, LineError> {
         match self.find(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(LineError::NoFlag {
+            Some(other) => Err(LineError::NotAFlag {
                 field: name,
                 value: other.to_string(),
             }),
         }
     }
 
-    /// The load report of an engine, where the line has one.
-    pub fn load_report(&self) -> Result<Option<Report>, LineError> {
-        let Some(row) = self.find(field::LOAD_REPORT).filter(|row| !row.is_empty()) else {
+    /// The load report of an engine; None if the line has none.
+    pub fn load_report(&self) -> Result<Option<LoadReport>, LineError> {
+        let Some(text) = self
+            .find(field::LOAD_REPORT)
+            .filter(|text| !text.is_empty())
+        else {
             return Ok(None);
         };
         let figure = |text: &str| text.parse::<f64>().ok().filter(|value| value.is_finite());
-        let report: Option<Report> = row.split(',').map(figure).collect();
+        let report: Option<LoadReport> = text.split(',').map(figure).collect();
         let unreadable = || LineError::UnreadableField {
             field: field::LOAD_REPORT,
-            value: row.to_string(),
+            value: text.to_string(),
         };
         report.map(Some).ok_or_else(unreadable)
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,9 @@
-//! Plays hallmux on the simulator's protocol, over standard input and output: batches of events in, one reply for each
-//! out. `adapter` holds the protocol's state, `simulated_front` one front and its decisions, `line` and `reply` read
-//! and write lines, and `wire_names` maps the protocol's names to the terms of the code.
+//! Runs hallmux schedulers for the simulator over standard input and output: reads batches of
+//! events and writes one reply to each.
+//!
+//! `adapter` holds the protocol's state, `simulated_front` the state of one front and its
+//! decisions. `line` parses lines, `error` lists what can be wrong with them, and `reply` writes
+//! decisions. `wire_names` maps the protocol's names to the terms of the code.
 
 mod adapter;
 mod error;
@@ -11,7 +14,7 @@
 
 use std::io::{self, BufRead, Write};
 
-use adapter::{Adapter, Taken};
+use adapter::{Adapter, NextStep};
 use error::LineError;
 
 fn main() -> io::Result<()> {
@@ -27,20 +30,20 @@
         }
         line_number += 1;
         let Ok(text) = std::str::from_utf8(&bytes) else {
-            adapter.complain(line_number, "", &LineError::NotUtf8);
+            adapter.report_bad_line(line_number, "", &LineError::NotUtf8);
             continue;
         };
         let text = text.trim_end_matches(['\r', '\n']);
         if text.is_empty() {
             continue;
         }
-        match adapter.take(text) {
-            Ok(Taken::Line) => {}
-            Ok(Taken::Batch) => {
+        match adapter.handle_line(text) {
+            Ok(NextStep::ReadLine) => {}
+            Ok(NextStep::SendReply) => {
                 output.write_all(adapter.take_reply().as_bytes())?;
                 output.flush()?;
             }
-            Err(error) => adapter.complain(line_number, text, &error),
+            Err(error) => adapter.report_bad_line(line_number, text, &error),
         }
     }
 }
--- a/src/policy/slow_start_tests.rs
+++ b/src/policy/slow_start_tests.rs
@@ -1,4 +1,4 @@
-//! What a warming engine may be sent.
+//! Tests of the work that a warming engine is sent.
 
 use crate::interface::Agreement;
 
@@ -6,15 +6,15 @@
 
 const SECOND: i64 = 1_000_000;
 
-/// An engine that starts at 0 with half of its capacity and is warm after 10 s; with one front and 8 cores it bears
-/// 0.1 s of its capacity at once.
+/// A state with one engine that starts at time 0 with half of its capacity and is warm after 10 s.
+/// With one front and 8 cores its burst is 0.1 s of its capacity.
 fn warming(fronts: f64) -> SlowStart {
     let mut slow_start = SlowStart::new(
         &Agreement {
-            cold_from: 0.5,
-            warm_within: 10 * SECOND,
+            initial_capacity_share: 0.5,
+            warm_up_time: 10 * SECOND,
             overload_factor: 1.5,
-            fall_window: SECOND,
+            overload_window: SECOND,
             ..Agreement::default()
         },
         0.0,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_capacity_grows_evenly_until_the_engine_is_warm() {
+fn capacity_grows_linearly_until_the_engine_is_warm() {
     let slow_start = warming(1.0);
     assert_eq!(slow_start.capacity_share(0, 0), 0.5);
     assert_eq!(slow_start.capacity_share(0, 5 * SECOND), 0.75);
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn what_is_sent_counts_until_the_engine_has_done_it() {
+fn sent_work_counts_as_outstanding_until_the_engine_completes_it() {
     let mut slow_start = warming(1.0);
-    // The burst is a tenth of a second of four cores' work: 400,000 us.
+    // The burst is 0.1 s of the work of four cores: 400,000 us.
     let first = slow_start.check(&request(300_000.0, 1.0, 0));
     let outstanding_work = 300_000.0;
     assert_eq!(first, SlowStartOutcome::Allowed { outstanding_work });
-    slow_start.sent(0, first, 0);
+    slow_start.record_sent(0, first, 0);
     let second = request(300_000.0, 1.0, 0);
     assert_eq!(slow_start.check(&second), SlowStartOutcome::Denied);
     let later = slow_start.check(&request(300_000.0, 1.0, SECOND / 10));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_front_that_has_just_started_has_nothing_left_at_first() {
+fn a_front_that_just_started_assumes_its_budget_is_used_up() {
     let mut slow_start = warming(1.0);
     slow_start.start(0, 0, &request(0.0, 1.0, 0), EarlierWork::Unknown);
     let outcome = slow_start.check(&request(300_000.0, 1.0, 0));
@@ -74,7 +74,8 @@
 #[test]
 fn among_many_fronts_a_long_statement_waits_for_its_slot() {
     let slow_start = warming(100.0);
-    // This front's part of four cores is 0.04 threads: a statement of 100,000 us has a slot every 2.5 s at most.
+    // This front's part of four cores is 0.04 threads, so slots for a statement of 100,000 us are
+    // up to 2.5 s apart.
     let at_start = slow_start.check(&request(100_000.0, 100.0, 0));
     assert_ne!(at_start, SlowStartOutcome::Denied);
     let between = slow_start.check(&request(100_000.0, 100.0, SECOND));
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -1,26 +1,27 @@
-//! The notation of the scenarios: words become settings, engines and events, actions become text.
+//! The scenario notation: parses words into settings, engines and events, and formats actions as
+//! text.
 
 use std::collections::BTreeMap;
 
 use hallmux::interface::{
-    Action, Agreement, Arrival, DedupGroup, Demand, Effect, Ended, EngineBudgets, EngineEntry,
-    Event, FleetDemand, KeyId, Micros, Mode, Note, Outcome, PeerReport, RetryAllowance,
-    StatementId, Workload,
+    Action, Agreement, Arrival, DedupGroup, Demand, Effect, EngineBudgets, EngineEntry, Event,
+    ExecutionEnded, FleetDemand, KeyId, Micros, Mode, Outcome, PeerReport, ProgressReport,
+    RetryAllowance, StatementId, Workload,
 };
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Micros = 1000;
 
-/// The window of the retry budget.
+/// Window of the retry budget.
 const RETRY_WINDOW: Micros = 10_000 * MS;
 
-/// A number.
+/// Parses a number; panics on anything else.
 pub fn number(text: &str) -> f64 {
     text.parse()
-        .unwrap_or_else(|_| panic!("'{text}' is no number"))
+        .unwrap_or_else(|_| panic!("'{text}' is not a number"))
 }
 
-/// A time in milliseconds.
+/// Parses a time in milliseconds.
 pub fn micros(text: &str) -> Micros {
     (number(text) * MS as f64) as Micros
 }
@@ -29,36 +30,36 @@
     text.split(',').map(number).collect()
 }
 
-/// Names, by the place in the order in which they are first met.
+/// Names, indexed in the order of first use.
 #[derive(Default)]
 pub struct Names(Vec<String>);
 
 impl Names {
-    /// The place of a name, which may be a new one.
-    pub fn place(&mut self, name: &str) -> usize {
-        let known = self.0.iter().position(|n| n == name);
-        known.unwrap_or_else(|| {
+    /// The index of a name, which is added if it is new.
+    pub fn index_of(&mut self, name: &str) -> usize {
+        let index = self.0.iter().position(|n| n == name);
+        index.unwrap_or_else(|| {
             self.0.push(name.to_string());
             self.0.len() - 1
         })
     }
 
-    /// The place of a name that is known.
-    fn known(&self, name: &str) -> Option<usize> {
+    /// The index of a known name; `None` if the name is new.
+    fn find(&self, name: &str) -> Option<usize> {
         self.0.iter().position(|n| n == name)
     }
 
-    /// The name at a place.
-    fn at(&self, place: usize) -> &str {
-        &self.0[place]
+    /// The name at an index.
+    fn name_at(&self, index: usize) -> &str {
+        &self.0[index]
     }
 }
 
-/// The `name=value` parts of a line; a bare word has the value "yes".
+/// The `name=value` options of a line; a bare word has the value "yes".
 pub struct Options<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Options<'a> {
-    /// Of these words.
+    /// Parses the options from words.
     pub fn of(words: &[&'a str]) -> Self {
         let parts = words.iter();
         Options(
@@ -88,21 +89,21 @@
         self.get(name).map_or(absent_ms * MS, micros)
     }
 
-    fn place(&self, name: &str) -> usize {
+    fn index(&self, name: &str) -> usize {
         self.number(name) as usize
     }
 }
 
-/// What `site` lines agree.
+/// The settings of `site` lines.
 pub struct Site {
-    /// The settings.
-    pub agreed: Agreement,
+    /// The agreement.
+    pub agreement: Agreement,
     /// The seed of the random draws.
     pub seed: u64,
 }
 
 impl Site {
-    /// Takes in a `site` line.
+    /// Applies the options of a `site` line.
     pub fn set(&mut self, options: &Options) {
         for (name, value) in &options.0 {
             self.set_one(name, value);
@@ -110,32 +111,32 @@
     }
 
     fn set_one(&mut self, name: &str, value: &str) {
-        let agreed = &mut self.agreed;
+        let agreement = &mut self.agreement;
         match name {
-            "fronts" => agreed.fronts = number(value),
-            "cores" => agreed.cores = numbers(value),
-            "memory" => agreed.memory_mb = numbers(value),
-            "executions" => agreed.max_attempts = number(value) as usize,
-            "retry-after" => agreed.longest_retry_after = Some(micros(value)),
-            "notes" => agreed.progress_every = micros(value),
-            "cancel" => agreed.cancel = true,
-            "probes" => agreed.probes = true,
-            "priorities" => agreed.priorities = true,
-            "grants" => agreed.grants = true,
-            "active" => agreed.report.active = Some(0),
-            "busy" => agreed.report.busy = Some(0),
-            "turn-gap" => agreed.order_gap = micros(value),
+            "fronts" => agreement.fronts = number(value),
+            "cores" => agreement.cores = numbers(value),
+            "memory" => agreement.memory_mb = numbers(value),
+            "executions" => agreement.max_attempts = number(value) as usize,
+            "retry-after" => agreement.max_retry_after = Some(micros(value)),
+            "notes" => agreement.progress_interval = micros(value),
+            "cancel" => agreement.cancel = true,
+            "probes" => agreement.probes = true,
+            "priorities" => agreement.priorities = true,
+            "grants" => agreement.grants = true,
+            "active" => agreement.report.active = Some(0),
+            "busy" => agreement.report.busy = Some(0),
+            "turn-gap" => agreement.order_gap = micros(value),
             "seed" => self.seed = number(value) as u64,
-            "cold-from" => agreed.cold_from = number(value),
-            "warm-within" => agreed.warm_within = micros(value),
-            "overload" => agreed.overload_factor = number(value),
-            "fall" => agreed.fall_window = micros(value),
-            "zone-quorum" => agreed.zone_quorum = number(value) as usize,
-            "on-probe" => agreed.report_on_probe = true,
-            "budgets" => agreed.budgets = Some(engine_budgets(value)),
-            "customers" => agreed.customers = numbers(value),
+            "cold-from" => agreement.initial_capacity_share = number(value),
+            "warm-within" => agreement.warm_up_time = micros(value),
+            "overload" => agreement.overload_factor = number(value),
+            "fall" => agreement.overload_window = micros(value),
+            "zone-quorum" => agreement.zone_quorum = number(value) as usize,
+            "on-probe" => agreement.report_on_probe = true,
+            "budgets" => agreement.budgets = Some(engine_budgets(value)),
+            "customers" => agreement.customers = numbers(value),
             "spare" => {
-                agreed.retry_allowance = Some(RetryAllowance {
+                agreement.retry_allowance = Some(RetryAllowance {
                     spare: number(value),
                     ratio: 0.1,
                     window: RETRY_WINDOW,
@@ -154,11 +155,11 @@
     }
 }
 
-/// What a `workload` line agrees.
+/// The workload described by the options of a `workload` line.
 pub fn workload(options: &Options) -> Workload {
     Workload {
         importance: options.number_or("importance", 1.0),
-        late_share: options.number("late"),
+        late_value_share: options.number("late"),
         slo_time: options.micros_or("slo", 1000),
         slo_stretch: options.number("stretch"),
         statement_timeout: options.micros_or("timeout", 5000),
@@ -182,27 +183,27 @@
     }
 }
 
-/// The names that a scenario uses.
+/// The names used in a scenario.
 #[derive(Default)]
 pub struct ScenarioNames {
-    /// Of workloads, in the order of the settings.
+    /// Names of workloads, in the order of the settings.
     pub workloads: Names,
-    /// Of engines.
+    /// Names of engines.
     pub engines: Names,
-    /// Of statements.
+    /// Names of statements.
     pub statements: Names,
-    /// Of order keys.
+    /// Names of order keys.
     pub keys: Names,
 }
 
 impl ScenarioNames {
-    /// What an `engine` line lists.
+    /// The list entry described by an `engine` line.
     pub fn engine(&mut self, name: &str, options: &Options) -> EngineEntry {
         EngineEntry {
-            engine: self.engines.place(name),
-            location: options.place("location"),
-            kind: options.place("kind"),
-            cell: options.place("cell"),
+            engine: self.engines.index_of(name),
+            location: options.index("location"),
+            kind: options.index("kind"),
+            cell: options.index("cell"),
             mode: match options.get("mode") {
                 Some("draining") => Mode::Draining,
                 Some("gone") => Mode::Gone,
@@ -214,7 +215,7 @@
         }
     }
 
-    /// The event of a line; None where it can't be read.
+    /// The event described by a line; `None` if the line is not valid.
     pub fn event(&mut self, words: &[&str]) -> Option<Event> {
         match words[0] {
             "take" => self.arrival(words),
@@ -222,12 +223,12 @@
             "note" => self.note(words),
             "leave" => {
                 let statement = self.statement(words[1]);
-                Some(Event::ClientLeft(statement))
+                Some(Event::StatementWithdrawn(statement))
             }
             "hear" => self.peer_report(words),
             "asked" => Some(self.fleet_demand(&Options::of(&words[1..]))),
             "room" => Some(Event::SendCapacity {
-                engine: self.engines.known(words[1])?,
+                engine: self.engines.find(words[1])?,
                 executions: number(words[2]) as usize,
             }),
             "fleet" => {
@@ -238,12 +239,12 @@
                 })
             }
             "probed" => Some(Event::Probed {
-                engine: self.engines.known(words[1])?,
+                engine: self.engines.find(words[1])?,
                 alive: Options::of(&words[2..]).has("alive"),
                 report: None,
             }),
-            "free" => Some(Event::OrderKeyFreed {
-                key: self.keys.known(words[1])? as KeyId,
+            "free" => Some(Event::OrderKeyReleased {
+                key: self.keys.find(words[1])? as KeyId,
                 pauses: Options::of(&words[2..]).has("rests"),
             }),
             _ => None,
@@ -251,7 +252,7 @@
     }
 
     fn statement(&mut self, name: &str) -> StatementId {
-        self.statements.place(name) as StatementId
+        self.statements.index_of(name) as StatementId
     }
 
     fn arrival(&mut self, words: &[&str]) -> Option<Event> {
@@ -260,19 +261,19 @@
             let named = list.split(',').filter(|location| !location.is_empty());
             named.map(|location| number(location) as usize).collect()
         };
-        let key = options.get("key").map(|key| self.keys.place(key));
+        let key = options.get("key").map(|key| self.keys.index_of(key));
         let sticky_engine = options.get("pinned");
         Some(Event::Arrived(Arrival {
             statement: self.statement(words[1]),
-            workload: self.workloads.known(words[2])?,
-            customer: options.place("customer"),
+            workload: self.workloads.find(words[2])?,
+            customer: options.index("customer"),
             order_key: key.map(|key| key as KeyId),
             time_left: options.micros_or("left", 5000),
             work: options.number("work") * MS as f64,
             memory_mb: options.number("memory"),
             data_set: options.get("data").map(|d| number(d) as u32),
             protocols: options.number_or("speech", 1.0) as u8,
-            sticky_engine: sticky_engine.and_then(|name| self.engines.known(name)),
+            sticky_engine: sticky_engine.and_then(|name| self.engines.find(name)),
             allowed_locations: options.get("allowed").map(locations),
         }))
     }
@@ -281,10 +282,10 @@
         let options = Options::of(&words[2..]);
         let outcome = outcome(words[3])?;
         let report = options.get("active").or(options.get("busy"));
-        Some(Event::Ended(Ended {
+        Some(Event::ExecutionEnded(ExecutionEnded {
             statement: self.statement(words[1]),
-            execution: options.place("execution"),
-            engine: self.engines.known(words[2])?,
+            execution: options.index("execution"),
+            engine: self.engines.find(words[2])?,
             outcome,
             took: options.micros_or("took", 100),
             settled: outcome == Outcome::Completed || options.has("settled"),
@@ -295,16 +296,16 @@
 
     fn note(&mut self, words: &[&str]) -> Option<Event> {
         let options = Options::of(&words[2..]);
-        let note = match options.get("spills") {
-            Some(lacks) => Note::SpillsMb(number(lacks)),
-            None if options.has("waits") => Note::WaitsForData,
-            None => Note::ShareDone(options.number("done")),
+        let progress = match options.get("spills") {
+            Some(lacks) => ProgressReport::SpillsMb(number(lacks)),
+            None if options.has("waits") => ProgressReport::WaitsForData,
+            None => ProgressReport::ShareDone(options.number("done")),
         };
-        Some(Event::Noted {
+        Some(Event::Progress {
             statement: self.statement(words[1]),
-            execution: options.place("execution"),
-            engine: self.engines.known(words[2])?,
-            note,
+            execution: options.index("execution"),
+            engine: self.engines.find(words[2])?,
+            progress,
         })
     }
 
@@ -312,7 +313,7 @@
         let options = Options::of(&words[2..]);
         Some(Event::PeerReport(PeerReport {
             reporter: number(words[1]) as usize,
-            engine: self.engines.known(words[2])?,
+            engine: self.engines.find(words[2])?,
             failed: options.number("failed"),
             answered: options.number("answered"),
             silent: options.micros_or("silent", 0),
@@ -320,7 +321,8 @@
         }))
     }
 
-    /// Each workload as `NAME=ASKED/ENDED/TIMELY`, each statement of a second on one thread.
+    /// The fleet demand with each workload as `NAME=ARRIVED/ENDED/TIMELY`. Each statement has one
+    /// second of work on one thread.
     fn fleet_demand(&self, options: &Options) -> Event {
         let demand = |name: &String| {
             let counts = options.get(name).unwrap_or_default();
@@ -329,9 +331,9 @@
                 .filter(|count| !count.is_empty())
                 .map(number)
                 .collect();
-            let count = |place: usize| counts.get(place).copied().unwrap_or(0.0);
+            let count = |index: usize| counts.get(index).copied().unwrap_or(0.0);
             Demand {
-                asked: count(0),
+                arrived: count(0),
                 ended: count(1),
                 timely: count(2),
                 work: 1e6,
@@ -345,17 +347,17 @@
         })
     }
 
-    /// An action as scenarios expect it; a wake has no text.
+    /// The text of an action in the notation; `None` for a wake.
     pub fn action(&self, action: &Action) -> Option<String> {
-        let statement = |id: &StatementId| self.statements.at(*id as usize);
-        let engine = |place: &usize| self.engines.at(*place);
+        let statement = |id: &StatementId| self.statements.name_at(*id as usize);
+        let engine = |index: &usize| self.engines.name_at(*index);
         Some(match action {
             Action::Wake { .. } => return None,
             Action::Execute {
                 statement: id,
-                engine: place,
-            } => format!("execute {} {}", statement(id), engine(place)),
-            Action::Terms {
+                engine: index,
+            } => format!("execute {} {}", statement(id), engine(index)),
+            Action::SetResources {
                 statement: id,
                 grant_mb,
                 priority,
@@ -379,11 +381,11 @@
                 statement: id,
                 reason,
             } => format!("abort {}: {reason}", statement(id)),
-            Action::Probe { engine: place } => format!("probe {}", engine(place)),
-            Action::ProbeEvacuated { engine: place } => {
-                format!("probe-evacuated {}", engine(place))
+            Action::Probe { engine: index } => format!("probe {}", engine(index)),
+            Action::ProbeEvacuated { engine: index } => {
+                format!("probe-evacuated {}", engine(index))
             }
-            Action::Pace { connections } => format!("pace {connections:.2}"),
+            Action::SetConnectionRate { connections } => format!("pace {connections:.2}"),
             Action::Subscribe => "subscribe".to_string(),
         })
     }
