--- a/crates/front/src/fleet/copies.rs
+++ b/crates/front/src/fleet/copies.rs
@@ -1,6 +1,6 @@
-//! Durable storage of this front's replicas of ledger entries. A thread commits all queued writes together and then sends
-//! the datagrams that wait for them. A slow disk therefore does not delay decisions, and no message is sent before the
-//! records that it vouches for are durable.
+//! Durable storage of this front's replicas of ledger entries. A thread commits all queued writes
+//! together and then sends the datagrams that wait for them. A slow disk therefore does not delay
+//! decisions, and no message is sent before the records that it vouches for are durable.
 
 use std::fs::File;
 use std::hash::{BuildHasher, RandomState};
@@ -14,7 +14,8 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 const RECORDS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("records");
-/// The identity of the disk, under key 0. It is stored with the records, so that it is lost only together with them.
+/// The identity of the disk, under key 0. It is stored with the records, so that it is lost only
+/// together with them.
 const IDENTITY: TableDefinition<u8, u64> = TableDefinition::new("identity");
 const FILE_NAME: &str = "promises.redb";
 /// Size of the store's cache. It can be small, because the ledger holds all entries in memory itself.
@@ -96,9 +97,9 @@
 }
 
 impl Copies {
-    /// Opens the directory and reads its identity and records. A new directory gets a random identity. The thread calls
-    /// `wake` after each write that became durable or failed. `fault_file` names the file of faults to inject into the
-    /// disk, if any.
+    /// Opens the directory and reads its identity and records. A new directory gets a random
+    /// identity. The thread calls `wake` after each write that became durable or failed.
+    /// `fault_file` names the file of faults to inject into the disk, if any.
     pub fn open(
         directory: &str,
         fault_file: Option<&str>,
@@ -164,7 +165,8 @@
     pub fn save(&mut self, write: Write) {
         let number = write.number;
         if self.writes.try_send(write).is_err() {
-            // The thread ended after a failure, or the disk is seconds behind: the write counts as failed.
+            // The thread ended after a failure, or the disk is seconds behind: the write counts as
+            // failed.
             let _ = self.outcome_sender.send(WriteOutcome::failed(number));
         }
     }
@@ -182,8 +184,8 @@
         .for_each(|d| _ = socket.send_to(&d.bytes, d.to));
 }
 
-/// Opens a database, checks its integrity and reads its contents. The store may panic on a file that was altered from
-/// outside; that counts as a damaged file.
+/// Opens a database, checks its integrity and reads its contents. The store may panic on a file
+/// that was altered from outside; that counts as a damaged file.
 fn open_database(
     directory: &str,
     open: impl FnOnce() -> Result<Database, redb::DatabaseError>,
@@ -214,7 +216,8 @@
         .unwrap_or_else(|_| Err(damaged("its file was altered".to_string())))
 }
 
-/// Reads the identity and the records. A database without an identity gets a random one, which is made durable.
+/// Reads the identity and the records. A database without an identity gets a random one, which is
+/// made durable.
 fn read_stored(database: &Database) -> Result<StoredCopies, Box<redb::Error>> {
     let boxed = |e: redb::Error| Box::new(e);
     let transaction = database.begin_write().map_err(|e| boxed(e.into()))?;
@@ -246,8 +249,8 @@
     })
 }
 
-/// Commits queued writes and sends their datagrams, until the queue is closed or a commit fails. After a failed commit all
-/// further writes fail.
+/// Commits queued writes and sends their datagrams, until the queue is closed or a commit fails.
+/// After a failed commit all further writes fail.
 fn run_writer(
     directory: &str,
     database: &Database,
--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -1,5 +1,5 @@
-//! Errors in the fleet's sections of the operator's file and in what they name. Each message states the key, the fault and
-//! the remedy.
+//! Errors in the fleet's sections of the operator's file and in what they name. Each message states
+//! the key, the fault and the remedy.
 
 use std::net::SocketAddr;
 
--- a/crates/front/src/fleet/faulty_disk.rs
+++ b/crates/front/src/fleet/faulty_disk.rs
@@ -1,6 +1,7 @@
-//! Fault injection for the storage of ledger replicas: a disk that a test harness can fill or slow down. The operator's
-//! key `ledger.drill` names a file with the current fault: `full`, or `slow` and the milliseconds that each sync is
-//! delayed. An empty or absent file injects no fault. Without that key this module is not used.
+//! Fault injection for the storage of ledger replicas: a disk that a test harness can fill or slow
+//! down. The operator's key `ledger.drill` names a file with the current fault: `full`, or `slow`
+//! and the milliseconds that each sync is delayed. An empty or absent file injects no fault.
+//! Without that key this module is not used.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -43,8 +44,8 @@
         std::fs::read_to_string(&self.fault_file).unwrap_or_default()
     }
 
-    /// Fails if the disk is to be full. A full disk also rejects changes of existing data, as file systems that copy on
-    /// write do.
+    /// Fails if the disk is to be full. A full disk also rejects changes of existing data, as file
+    /// systems that copy on write do.
     fn check_space(&self) -> Io<()> {
         match self.fault().trim() {
             "full" => Err(std::io::ErrorKind::StorageFull.into()),
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -15,7 +15,8 @@
 use super::votes::Votes;
 use crate::events::{LoopEvents, SocketKind};
 
-/// Joins the elections for ownership of the fleet's work. Returns the storage of votes if this front is a voter.
+/// Joins the elections for ownership of the fleet's work. Returns the storage of votes if this
+/// front is a voter.
 pub(super) fn join_ownership(
     exchange: &mut Exchange,
     ownership: &config::Ownership,
@@ -103,8 +104,8 @@
     Ok(copies)
 }
 
-/// Opens the directory for replicas. Returns None if replicas are kept in memory only: the operator's file names no
-/// directory, or the disk failed and `on_disk_failure` allows that.
+/// Opens the directory for replicas. Returns None if replicas are kept in memory only: the
+/// operator's file names no directory, or the disk failed and `on_disk_failure` allows that.
 fn open_copies(
     ledger: &config::Ledger,
     socket: &UdpSocket,
--- a/crates/front/src/fleet/ledger_barrier.rs
+++ b/crates/front/src/fleet/ledger_barrier.rs
@@ -1,5 +1,6 @@
-//! Connects the event loop to `hallmux_fleet`'s ledger barrier, which holds executions back until their ledger entries
-//! are replicated, and logs how many statements ended because their entries could not be.
+//! Connects the event loop to `hallmux_fleet`'s ledger barrier, which holds executions back until
+//! their ledger entries are replicated, and logs how many statements ended because their entries
+//! could not be.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +34,8 @@
 }
 
 impl LoggedBarrier {
-    /// Creates the barrier of a front that uses a ledger with `shards` shards. `now` is the Unix time in microseconds, which
-    /// identifies this incarnation of the front.
+    /// Creates the barrier of a front that uses a ledger with `shards` shards. `now` is the Unix
+    /// time in microseconds, which identifies this incarnation of the front.
     pub fn new(
         settings: &Settings,
         now: Micros,
@@ -59,7 +60,8 @@
         self.driver.is_idle()
     }
 
-    /// Holds an execution if its statement requires ledger entries. Returns whether the execution is held.
+    /// Holds an execution if its statement requires ledger entries. Returns whether the execution
+    /// is held.
     pub fn hold(
         &mut self,
         now: Micros,
@@ -96,8 +98,9 @@
             .cancel(now, execution_id.ticket, execution_id.number)
     }
 
-    /// Passes the dispatcher's events and the ledger's answers to the barrier, and returns its decisions on held executions.
-    /// `id` returns the statement id that the client uses on every front where it retries a statement.
+    /// Passes the dispatcher's events and the ledger's answers to the barrier, and returns its
+    /// decisions on held executions. `id` returns the statement id that the client uses on every
+    /// front where it retries a statement.
     pub fn tick(
         &mut self,
         now: Micros,
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Returns the settings of this front's ledger. `local_id` identifies the front by its key, and `incarnation` is the Unix
-/// time of its start in milliseconds.
+/// Returns the settings of this front's ledger. `local_id` identifies the front by its key, and
+/// `incarnation` is the Unix time of its start in milliseconds.
 pub fn ledger_setup(ledger: &Ledger, local_id: PeerId, incarnation: u64) -> LedgerSetup {
     let LedgerMembers { members, addresses } = ledger_members(ledger);
     // Replicas in memory end with the incarnation, so that each incarnation counts as another disk.
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! The front as a member of a fleet: gossip about engines over datagrams, durable votes for lease elections, durable
-//! replicas of ledger entries, and access rules. The operator's file enables each of these separately; a disabled one is
-//! not created. `crates/fleet` and the crates that it uses interpret the messages; this module holds the sockets, files
-//! and clocks.
+//! The front as a member of a fleet: gossip about engines over datagrams, durable votes for lease
+//! elections, durable replicas of ledger entries, and access rules. The operator's file enables
+//! each of these separately; a disabled one is not created. `crates/fleet` and the crates that it
+//! uses interpret the messages; this module holds the sockets, files and clocks.
 
 mod copies;
 mod errors;
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -1,5 +1,6 @@
-//! Gossip with other fronts over datagrams: sends this front's reports about engines, receives those of its peers, and
-//! carries the messages of lease elections, the ledger and summaries. Created only if the operator's file enables gossip.
+//! Gossip with other fronts over datagrams: sends this front's reports about engines, receives
+//! those of its peers, and carries the messages of lease elections, the ledger and summaries.
+//! Created only if the operator's file enables gossip.
 
 mod log_lines;
 mod start;
@@ -27,10 +28,11 @@
 use crate::shutdown::LedgerDependency;
 use log_lines::LogState;
 
-/// Maximum number of datagrams read in one iteration of the event loop, so that other sockets are served too.
+/// Maximum number of datagrams read in one iteration of the event loop, so that other sockets are
+/// served too.
 const DATAGRAMS_PER_ITERATION: usize = 64;
-/// Number of low bits of a ledger request's number in which a component of the front counts its requests. The byte above
-/// them identifies the component.
+/// Number of low bits of a ledger request's number in which a component of the front counts its
+/// requests. The byte above them identifies the component.
 const COMPONENT_SHIFT: u32 = 56;
 
 /// A message that a peer sent on a channel other than gossip.
@@ -82,8 +84,8 @@
 }
 
 impl Peers {
-    /// Applies the peers' keys and the ledger members of a configuration that was read again. Members that can't be used
-    /// are logged and change nothing.
+    /// Applies the peers' keys and the ledger members of a configuration that was read again.
+    /// Members that can't be used are logged and change nothing.
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
         self.peer_names = peer_names(gossip);
         self.exchange.set_keys(peer_keys(gossip));
@@ -136,8 +138,8 @@
         }
     }
 
-    /// Returns the messages received on a channel other than gossip. At most `DATAGRAMS_PER_ITERATION` messages of each
-    /// channel are kept until they are taken.
+    /// Returns the messages received on a channel other than gossip. At most
+    /// `DATAGRAMS_PER_ITERATION` messages of each channel are kept until they are taken.
     pub fn take_messages(&mut self, channel: Channel) -> Vec<PeerMessage> {
         for message in self.exchange.take_received() {
             let queue = self.messages.entry(message.channel).or_default();
@@ -151,7 +153,8 @@
         self.messages.remove(&channel).unwrap_or_default()
     }
 
-    /// Sends a message on a channel other than gossip. One that can't be sent counts as lost on the network.
+    /// Sends a message on a channel other than gossip. One that can't be sent counts as lost on the
+    /// network.
     pub fn send_message(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
         let clock = self.clock_reading(now);
         let datagrams = self
@@ -178,7 +181,8 @@
             .collect()
     }
 
-    /// Returns a number specific to this front, so that fronts that send to their peers in rotation start at different peers.
+    /// Returns a number specific to this front, so that fronts that send to their peers in rotation
+    /// start at different peers.
     pub fn spread_offset(&self) -> usize {
         peer_id(&self.exchange.public_key()) as usize
     }
@@ -189,7 +193,8 @@
             .may_probe(self.steady_start.elapsed().as_micros() as Micros)
     }
 
-    /// Sends datagrams and queues writes to disk. A datagram that can't be sent counts as lost on the network.
+    /// Sends datagrams and queues writes to disk. A datagram that can't be sent counts as lost on
+    /// the network.
     fn send(&mut self, now: Micros, output: Output) {
         for Datagram { to, bytes } in output.datagrams {
             let _ = self.socket.send_to(&bytes, to);
@@ -225,8 +230,8 @@
         }
     }
 
-    /// Passes the outcomes of writes of replicas to the ledger. After a failed write, replicas move to memory if the settings
-    /// allow that.
+    /// Passes the outcomes of writes of replicas to the ledger. After a failed write, replicas move
+    /// to memory if the settings allow that.
     fn apply_write_outcomes(&mut self, now: Micros) {
         let outcomes = self
             .copies
@@ -255,8 +260,8 @@
         self.send(now, output);
     }
 
-    /// Returns the ledger's answers to the component whose request numbers have the same highest byte as
-    /// `request_number_base`.
+    /// Returns the ledger's answers to the component whose request numbers have the same highest
+    /// byte as `request_number_base`.
     pub fn take_ledger_answers(&mut self, request_number_base: u64) -> Vec<LedgerAnswer> {
         self.ledger_answers
             .extend(self.exchange.take_ledger_answers());
@@ -314,8 +319,8 @@
         }
     }
 
-    /// Announces that this front shuts down: hands over its shards of the ledger and notifies some peers, which notify the
-    /// others.
+    /// Announces that this front shuts down: hands over its shards of the ledger and notifies some
+    /// peers, which notify the others.
     pub fn leave(&mut self, now: Micros) {
         let output = self.exchange.hand_over_shards(self.clock_reading(now));
         self.send(now, output);
--- a/crates/front/src/fleet/peers/log_lines.rs
+++ b/crates/front/src/fleet/peers/log_lines.rs
@@ -25,8 +25,9 @@
 }
 
 impl LogState {
-    /// Logs changes in the lease of the fleet's work, in the ledger's replicas and in the counts of rejected messages.
-    /// `steady` is the reading of the monotonic clock that leases use, in microseconds.
+    /// Logs changes in the lease of the fleet's work, in the ledger's replicas and in the counts of
+    /// rejected messages. `steady` is the reading of the monotonic clock that leases use, in
+    /// microseconds.
     pub(super) fn log_changes(&mut self, now: Micros, steady: Micros, exchange: &Exchange) {
         self.log_ownership(exchange.owned_lease(steady));
         self.log_ownership_rejections(now, exchange);
--- a/crates/front/src/fleet/peers/start.rs
+++ b/crates/front/src/fleet/peers/start.rs
@@ -1,4 +1,5 @@
-//! Starts gossip: reads the secret, opens the socket, and joins the elections and the ledger if they are configured.
+//! Starts gossip: reads the secret, opens the socket, and joins the elections and the ledger if
+//! they are configured.
 
 use std::collections::BTreeMap;
 use std::hash::RandomState;
@@ -21,8 +22,8 @@
 use crate::transient;
 
 impl Peers {
-    /// Opens the socket and joins the elections and the ledger that the operator's file configures. `now` is the Unix time
-    /// in microseconds, which identifies this incarnation of the front.
+    /// Opens the socket and joins the elections and the ledger that the operator's file configures.
+    /// `now` is the Unix time in microseconds, which identifies this incarnation of the front.
     pub fn new(
         gossip: &Gossip,
         now: Micros,
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -1,6 +1,7 @@
-//! Applies regional access rules to statements. A statement is checked when it is admitted, waits until its hits are
-//! replicated in the ledger, and is checked again right before it is sent. `crates/access` makes the decisions; this module
-//! provides the file of rules, the clock and the ledger. Created only if the operator's file enables rules.
+//! Applies regional access rules to statements. A statement is checked when it is admitted, waits
+//! until its hits are replicated in the ledger, and is checked again right before it is sent.
+//! `crates/access` makes the decisions; this module provides the file of rules, the clock and the
+//! ledger. Created only if the operator's file enables rules.
 
 mod file;
 mod log_lines;
@@ -21,7 +22,8 @@
 use crate::execution::ExecutionId;
 use file::read_rules;
 
-/// First number of the access rules' ledger requests. Its highest byte identifies them among the front's components.
+/// First number of the access rules' ledger requests. Its highest byte identifies them among the
+/// front's components.
 const REQUEST_NUMBER_BASE: u64 = 2 << 56;
 /// Maximum number of table groups by which a statement is checked.
 const MAX_TABLE_GROUPS: usize = 16;
@@ -31,7 +33,8 @@
 /// The access rules, shared by the event loop and the gateway of PostgreSQL sessions.
 pub type SharedRules = Rc<RefCell<Rules>>;
 
-/// The dispatcher's command to send an execution, and the statement that the access rules checked for it.
+/// The dispatcher's command to send an execution, and the statement that the access rules checked
+/// for it.
 #[derive(Clone, Copy)]
 pub struct SendCommand {
     /// The statement that the access rules checked: of a part of a scattered statement its parent.
@@ -53,11 +56,14 @@
 pub enum RuleDecision {
     /// The statement's hit is replicated: the held execution is sent.
     Send(SendCommand),
-    /// The statement is denied, and its hit is replicated if it has one. Final; a retry would be denied again.
+    /// The statement is denied, and its hit is replicated if it has one. Final; a retry would be
+    /// denied again.
     Deny(Ticket),
-    /// The statement has not run and must not be sent any more. Final; with `may_retry`, a retry may be allowed later.
+    /// The statement has not run and must not be sent any more. Final; with `may_retry`, a retry
+    /// may be allowed later.
     Reject { ticket: Ticket, may_retry: bool },
-    /// The statement may have run at a location that the adopted version bars. Final; its effects are unknown.
+    /// The statement may have run at a location that the adopted version bars. Final; its effects
+    /// are unknown.
     Abort(Ticket),
 }
 
@@ -88,7 +94,8 @@
 }
 
 impl Rules {
-    /// Reads the file of rules again, after SIGHUP. A file that can't be used is logged and changes nothing.
+    /// Reads the file of rules again, after SIGHUP. A file that can't be used is logged and changes
+    /// nothing.
     pub fn reload(&mut self, now: Micros, rules: &hallmux_config::Rules) {
         match read_rules(&rules.file, self.access.known()) {
             Ok((_, RulesCommand::WhatIf(set))) => {
@@ -137,8 +144,8 @@
         decision
     }
 
-    /// Returns the locations where a statement may run. None means all of them, also for a denied statement, of which
-    /// nothing is sent.
+    /// Returns the locations where a statement may run. None means all of them, also for a denied
+    /// statement, of which nothing is sent.
     pub fn allowed_locations(&self, decision: &Decision) -> Option<Vec<String>> {
         match decision {
             Decision::Decided { verdict, .. } if verdict.denied.is_none() => {
@@ -148,8 +155,8 @@
         }
     }
 
-    /// Records that a checked statement was admitted under a ticket, and asks the dispatcher to report its end. Without a
-    /// ticket the statement was not admitted and is forgotten.
+    /// Records that a checked statement was admitted under a ticket, and asks the dispatcher to
+    /// report its end. Without a ticket the statement was not admitted and is forgotten.
     pub fn record_admission(
         &mut self,
         dispatcher: &mut Dispatcher,
@@ -207,7 +214,8 @@
         }
     }
 
-    /// Returns true if an execution may proceed. Otherwise holds it until a decision on its statement follows.
+    /// Returns true if an execution may proceed. Otherwise holds it until a decision on its
+    /// statement follows.
     pub fn hold_or_pass(
         &mut self,
         now: Micros,
@@ -228,8 +236,8 @@
         true
     }
 
-    /// Checks an execution right before its first byte is sent. Returns false if it must not be sent; a decision then ends
-    /// its statement.
+    /// Checks an execution right before its first byte is sent. Returns false if it must not be
+    /// sent; a decision then ends its statement.
     pub fn check_before_send(
         &mut self,
         now: Micros,
@@ -283,7 +291,8 @@
         false
     }
 
-    /// Cancels an execution of a checked statement. Returns true if it was held here, so it was never sent.
+    /// Cancels an execution of a checked statement. Returns true if it was held here, so it was
+    /// never sent.
     pub fn cancel(&mut self, checked_ticket: Ticket, execution_id: ExecutionId) -> bool {
         let number = self.statement_numbers.get(&checked_ticket);
         let Some(statement) = number.and_then(|number| self.statements.get_mut(number)) else {
@@ -323,7 +332,8 @@
         }
     }
 
-    /// Runs the timers of the rules, exchanges requests and answers with the ledger, and returns the decisions on statements.
+    /// Runs the timers of the rules, exchanges requests and answers with the ledger, and returns
+    /// the decisions on statements.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -463,8 +473,8 @@
     answers
 }
 
-/// Returns the number of an execution for `hallmux_access`. Executions of different parts of a statement have different
-/// numbers.
+/// Returns the number of an execution for `hallmux_access`. Executions of different parts of a
+/// statement have different numbers.
 fn execution_number(execution_id: ExecutionId) -> u64 {
     u64::from(execution_id.ticket) << 16 | execution_id.number as u64 & 0xffff
 }
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// Reads and checks the file of rules, and returns its text and its command. An error lists all faults of the file.
+/// Reads and checks the file of rules, and returns its text and its command. An error lists all
+/// faults of the file.
 pub(super) fn read_rules(
     file: &str,
     known: &KnownNames,
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -55,7 +55,8 @@
 /// Maximum number of lines on the changes of a hypothetical set.
 const MAX_LOGGED_CHANGES: usize = 100;
 
-/// Logs which recorded statements a hypothetical set of rules would decide differently from the current version.
+/// Logs which recorded statements a hypothetical set of rules would decide differently from the
+/// current version.
 pub fn log_what_if(report: &WhatIfReport) {
     let WhatIfReport {
         held,
--- a/crates/front/src/fleet/rules/session_control.rs
+++ b/crates/front/src/fleet/rules/session_control.rs
@@ -15,7 +15,8 @@
     "discard",
 ];
 
-/// Whether a text is a single statement that begins with a session control keyword, so that it reads no table.
+/// Whether a text is a single statement that begins with a session control keyword, so that it
+/// reads no table.
 pub fn reads_no_table(text: &[u8]) -> bool {
     let text = text.trim_ascii();
     let text = text.strip_suffix(b";").unwrap_or(text);
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -16,7 +16,8 @@
 use crate::fleet::peers::{LedgerFleet, Peers};
 
 impl Rules {
-    /// Starts the rules if the operator's file enables them; otherwise returns None. `peers` is None if gossip is disabled.
+    /// Starts the rules if the operator's file enables them; otherwise returns None. `peers` is
+    /// None if gossip is disabled.
     pub fn start(
         config: &NodeConfig,
         now: Micros,
@@ -43,7 +44,8 @@
         Ok(Some(Rc::new(RefCell::new(rules))))
     }
 
-    /// `owner` and `fronts` are identified by their gossip keys; `is_alone` means that there are no peers.
+    /// `owner` and `fronts` are identified by their gossip keys; `is_alone` means that there are no
+    /// peers.
     fn new(
         rules: &hallmux_config::Rules,
         settings: &Settings,
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -1,6 +1,6 @@
-//! Durable state of a voter in lease elections, in a file of its own. A thread writes the state and then sends the
-//! datagrams that wait for it. A slow disk therefore does not delay decisions, and no message is sent before its vote is
-//! durable.
+//! Durable state of a voter in lease elections, in a file of its own. A thread writes the state and
+//! then sends the datagrams that wait for it. A slow disk therefore does not delay decisions, and
+//! no message is sent before its vote is durable.
 
 use std::fs::{File, TryLockError};
 use std::io::{ErrorKind, Write};
@@ -26,7 +26,8 @@
 }
 
 impl Votes {
-    /// Opens the directory and starts the thread. Returns the state that was saved there; None if there is none yet.
+    /// Opens the directory and starts the thread. Returns the state that was saved there; None if
+    /// there is none yet.
     pub fn open(
         directory: &str,
         socket: UdpSocket,
@@ -86,8 +87,8 @@
     }
 }
 
-/// Makes each vote durable and then sends its datagrams. Returns at the first write that fails, because the voter must
-/// not send any message after that.
+/// Makes each vote durable and then sends its datagrams. Returns at the first write that fails,
+/// because the voter must not send any message after that.
 fn run_writer(directory: &Path, writes: &Receiver<VoterSave>, socket: &UdpSocket) {
     for VoterSave { bytes, datagrams } in writes {
         if let Err(e) = bytes.map_or(Ok(()), |bytes| replace_file(directory, &bytes)) {
@@ -104,7 +105,8 @@
     }
 }
 
-/// Replaces the file atomically: writes and syncs a temporary file, renames it, and syncs the directory.
+/// Replaces the file atomically: writes and syncs a temporary file, renames it, and syncs the
+/// directory.
 fn replace_file(directory: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let temporary_path = directory.join("votes.new");
     let mut file = File::create(&temporary_path)?;
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -1,6 +1,6 @@
-//! Audits of sites' summaries: some sites are asked although their summaries rule them out, and their answers are checked.
-//! An answer with rows is compared with the load markers, which are read again for it, because rows that a load may have
-//! added do not prove a summary false.
+//! Audits of sites' summaries: some sites are asked although their summaries rule them out, and
+//! their answers are checked. An answer with rows is compared with the load markers, which are read
+//! again for it, because rows that a load may have added do not prove a summary false.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Records the answer of a site that its summary rules out. Returns true if the audit needs the load markers first; then
-    /// `apply_markers` must follow with the same `check` ticket.
+    /// Records the answer of a site that its summary rules out. Returns true if the audit needs the
+    /// load markers first; then `apply_markers` must follow with the same `check` ticket.
     pub fn site_answered(
         &mut self,
         check: Ticket,
@@ -124,7 +124,8 @@
         true
     }
 
-    /// Completes the audit that waits for load markers under the ticket `check`. Returns false if there is none.
+    /// Completes the audit that waits for load markers under the ticket `check`. Returns false if
+    /// there is none.
     pub fn apply_markers(
         &mut self,
         wall_ms: u64,
@@ -153,8 +154,8 @@
         true
     }
 
-    /// Records the outcome of an audit and logs a change of the site's standing. `is_certain` means that no load can have
-    /// added the rows.
+    /// Records the outcome of an audit and logs a change of the site's standing. `is_certain` means
+    /// that no load can have added the rows.
     fn conclude(&mut self, ruled_out: &RuledOut, rows: u64, is_certain: bool) {
         let RuledOut {
             site,
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -1,5 +1,5 @@
-//! Holds loads (executions that may write) until their load markers are in the ledger, and requests load markers for
-//! scattered statements.
+//! Holds loads (executions that may write) until their load markers are in the ledger, and requests
+//! load markers for scattered statements.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,7 +16,8 @@
 use crate::execution::ExecutionId;
 use crate::fleet::rules::SendCommand;
 
-/// First number of the ledger requests for load markers. Its highest byte identifies them among the front's components.
+/// First number of the ledger requests for load markers. Its highest byte identifies them among the
+/// front's components.
 pub const REQUEST_NUMBER_BASE: u64 = 3 << 56;
 /// Microseconds beyond a statement's deadline for which an execution of it may continue to run.
 const EXECUTION_OVERRUN: Micros = 60_000_000;
@@ -28,7 +29,8 @@
 /// What an execution may write, as far as its protocol shows.
 pub enum Load {
     Call(Rc<Call>),
-    /// A unit of a session: the table groups that it may write to, and its text if it consists of a simple query only.
+    /// A unit of a session: the table groups that it may write to, and its text if it consists of a
+    /// simple query only.
     Unit {
         groups: Vec<u32>,
         simple: Option<Vec<u8>>,
@@ -99,7 +101,8 @@
 }
 
 impl Loads {
-    /// `writing_workloads` are the workloads whose statements may write, `locations` the names of the sites.
+    /// `writing_workloads` are the workloads whose statements may write, `locations` the names of
+    /// the sites.
     pub fn new(writing_workloads: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
             marker: Marker::new(REQUEST_NUMBER_BASE),
@@ -111,7 +114,8 @@
         }
     }
 
-    /// Holds an execution that may write until its load is marked. Returns false if it needs no load marker.
+    /// Holds an execution that may write until its load is marked. Returns false if it needs no
+    /// load marker.
     pub fn hold(
         &mut self,
         now: Micros,
@@ -143,7 +147,8 @@
         let is_rows = |affected: &Affected| matches!(affected, Affected::Rows { .. });
         let mut affected: std::collections::BTreeMap<u32, Affected> =
             groups.iter().map(|g| group_entry(*g)).collect();
-        // A statement whose affected rows are known writes to the table of those rows only, and to no other group.
+        // A statement whose affected rows are known writes to the table of those rows only, and to
+        // no other group.
         if affected.values().any(is_rows) {
             affected.retain(|_, affected| is_rows(affected));
         }
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -39,7 +39,8 @@
     deadline: Micros,
     /// Sites that may be asked; None means all.
     allowed_sites: Option<Vec<String>>,
-    /// Of a join: the load markers of its table groups that the ledger has answered; None if the ledger can't be reached.
+    /// Of a join: the load markers of its table groups that the ledger has answered; None if the
+    /// ledger can't be reached.
     group_markers: BTreeMap<u32, Option<Marks>>,
     /// None while the statement waits for load markers.
     gather: Option<Gather>,
@@ -139,7 +140,8 @@
         })
     }
 
-    /// Applies settings that were read again. Settings with a key that can't be used are logged and change nothing.
+    /// Applies settings that were read again. Settings with a key that can't be used are logged and
+    /// change nothing.
     pub fn reload(&mut self, settings: &Scatter, now: Micros) {
         self.log_counts();
         match self.summaries.reload(settings, now) {
@@ -160,8 +162,8 @@
         self.settings.workloads.iter().any(|w| w == workload)
     }
 
-    /// Whether a client's statement starts with the prefix by which fronts number marked loads. Its site would take it for a
-    /// marked load.
+    /// Whether a client's statement starts with the prefix by which fronts number marked loads. Its
+    /// site would take it for a marked load.
     pub fn has_reserved_prefix(&self, call: &Call) -> bool {
         self.loads.is_some() && !numbers(&call.statement).is_empty()
     }
@@ -171,8 +173,8 @@
         self.settings.whole_site.as_deref()
     }
 
-    /// Starts a statement. Its sites are asked at once, or, if loads are marked, once the load markers of its table groups
-    /// are known.
+    /// Starts a statement. Its sites are asked at once, or, if loads are marked, once the load
+    /// markers of its table groups are known.
     pub fn start(
         &mut self,
         now: Micros,
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Applies a table group's load markers, which the ledger has answered, to the statements that wait for them.
+    /// Applies the load markers of a table group to the statements and the audits that wait for them.
     pub fn apply_group_markers(
         &mut self,
         now: Micros,
@@ -265,14 +267,14 @@
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
-        let rules = GatherRules {
+        let gather_rules = GatherRules {
             limit: statement.query.limit,
             partial: self.settings.partial.contains(&statement.call.customer),
             at_once: self.settings.at_once,
             most_bytes: self.settings.answer_bytes,
             combine: statement.query.combine.clone(),
         };
-        let (gather, actions) = Gather::new(plan.parts, plan.barred, rules);
+        let (gather, actions) = Gather::new(plan.parts, plan.barred, gather_rules);
         statement.gather = Some(gather);
         self.apply_actions(now, ticket, actions, dispatcher);
         self.queue_audit_wait(now, ticket);
@@ -291,7 +293,8 @@
         self.log_counts();
     }
 
-    /// Plans which sites are asked, including audits, and which are skipped. Returns None if the statement has ended.
+    /// Plans which sites are asked, including audits, and which are skipped. Returns None if the
+    /// statement has ended.
     fn plan_sites(&mut self, now: Micros, ticket: Ticket, load_info: &LoadInfo) -> Option<Plan> {
         let statement = self.statements.get(&ticket)?;
         let query = &statement.query;
@@ -331,7 +334,8 @@
         Some(plan)
     }
 
-    /// Records in a statement which sites are asked although they were ruled out, and counts the sites asked and skipped.
+    /// Records in a statement which sites are asked although they were ruled out, and counts the
+    /// sites asked and skipped.
     fn record_plan(&mut self, now: Micros, ticket: Ticket, plan: &Plan) {
         self.counts.asked += plan.parts.len() as u64;
         self.counts.left_out += plan.pruned.len() as u64;
@@ -473,7 +477,8 @@
         self.queue_audit_wait(now, ticket);
     }
 
-    /// Records whether a part's site had rows, and checks the answer if its summary had ruled the site out.
+    /// Records whether a part's site had rows, and checks the answer if its summary had ruled the
+    /// site out.
     fn record_rows(
         &mut self,
         now: Micros,
@@ -521,7 +526,8 @@
         }
     }
 
-    /// Ends a statement whose client no longer waits, and its parts. Returns false if the statement is not scattered.
+    /// Ends a statement whose client no longer waits, and its parts. Returns false if the statement
+    /// is not scattered.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket, dispatcher: &mut Dispatcher) -> bool {
         let Some(statement) = self.statements.remove(&ticket) else {
             return false;
@@ -548,7 +554,8 @@
         }
     }
 
-    /// Exchanges reports of false summaries between the audits and the peers, and returns the messages to send to peers.
+    /// Exchanges reports of false summaries between the audits and the peers, and returns the
+    /// messages to send to peers.
     pub fn tick(&mut self, now: Micros, peers: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
         let peer_reports = std::mem::take(&mut self.summaries.reported_false);
         if let Some(audits) = &mut self.audits {
--- a/crates/front/src/scatter/statements/parts.rs
+++ b/crates/front/src/scatter/statements/parts.rs
@@ -18,14 +18,16 @@
         self.parts.get(&part).map(|part| part.parent)
     }
 
-    /// Returns the client's call of a part's parent statement; None if the ticket is not that of a part.
+    /// Returns the client's call of a part's parent statement; None if the ticket is not that of a
+    /// part.
     pub fn call_of_part(&self, part: Ticket) -> Option<Rc<Call>> {
         let parent = self.parent_of(part)?;
         let statement = self.statements.get(&parent)?;
         Some(statement.call.clone())
     }
 
-    /// Returns the parts of a scattered statement that are at the dispatcher; empty if the statement is not scattered.
+    /// Returns the parts of a scattered statement that are at the dispatcher; empty if the
+    /// statement is not scattered.
     pub fn parts_of(&self, parent: Ticket) -> Vec<Ticket> {
         self.statements
             .get(&parent)
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -1,5 +1,5 @@
-//! Parsing of scattered statements, joins' load markers, answers for distinct counts from sketches, and the log line on the
-//! sites asked.
+//! Parsing of scattered statements, joins' load markers, answers for distinct counts from sketches,
+//! and the log line on the sites asked.
 
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
 use hallmux_native_codec::statement::Call;
@@ -12,8 +12,8 @@
 use super::{GroupMarkers, ScatteredStatements, SiteCounts, Statement};
 
 impl ScatteredStatements {
-    /// Parses a statement. Returns None if it can't be scattered and is to be sent to the site that has all rows. An error
-    /// states why it can't be answered.
+    /// Parses a statement. Returns None if it can't be scattered and is to be sent to the site that
+    /// has all rows. An error states why it can't be answered.
     pub fn parse_query(&self, call: &Call) -> Result<Option<Query>, String> {
         if self.settings.distinct_error.contains_key(&call.customer) {
             if let Some(query) = sql::read_distinct(&call.statement) {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Applies the load markers of one of a join's table groups. Its sites are asked once those of both groups are known.
+    /// Applies the load markers of one of a join's table groups. Its sites are asked once those of
+    /// both groups are known.
     pub(super) fn apply_join_markers(
         &mut self,
         now: Micros,
@@ -81,8 +82,9 @@
         self.ask_sites(now, ticket, &load_info, dispatcher);
     }
 
-    /// Returns the answer to a statement that counts distinct values, if the sketches' error is within what its customer
-    /// accepts. Otherwise returns None if a site has all rows and can be asked, and `NotEstimated` if there is none.
+    /// Returns the answer to a statement that counts distinct values, if the sketches' error is
+    /// within what its customer accepts. Otherwise returns None if a site has all rows and can be
+    /// asked, and `NotEstimated` if there is none.
     pub(super) fn answer_from_sketches(
         &self,
         now: Micros,
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Logs how many sites were asked and skipped so far, and for what reasons sites without rows were asked.
+    /// Logs how many sites were asked and skipped so far, and for what reasons sites without rows
+    /// were asked.
     pub(super) fn log_counts(&self) {
         let SiteCounts { asked, left_out } = self.counts;
         let entry = |(reason, count): (&Reason, &u64)| format!(", {}: {count}", reason.name());
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -30,8 +30,8 @@
     /// False summaries of sites that other fronts have reported.
     pub reported_false: Vec<FalseSummary>,
     last_log_time: Micros,
-    /// Files of this front's directory, by the names of their summaries. Filled only if a budget limits what is retained,
-    /// because a summary may then be held in part.
+    /// Files of this front's directory, by the names of their summaries. Filled only if a budget
+    /// limits what is retained, because a summary may then be held in part.
     local_files: BTreeMap<u64, PathBuf>,
     keep_file: Option<PathBuf>,
     last_retention_update: Micros,
@@ -68,8 +68,8 @@
 }
 
 impl Summaries {
-    /// Reads the directory and the saved statistics. `spread_offset` is the index of the peer to which this front sends its
-    /// summaries first. Fails if a site's key can't be used.
+    /// Reads the directory and the saved statistics. `spread_offset` is the index of the peer to
+    /// which this front sends its summaries first. Fails if a site's key can't be used.
     pub fn new(
         settings: &Scatter,
         now: Micros,
@@ -98,8 +98,8 @@
         Ok(())
     }
 
-    /// Applies the budget. If there was none before, restores the saved statistics; without a budget in the settings, all
-    /// summaries are retained.
+    /// Applies the budget. If there was none before, restores the saved statistics; without a
+    /// budget in the settings, all summaries are retained.
     fn configure_retention(&mut self, settings: &Scatter, now: Micros) {
         let Some(keep_settings) = &settings.keep else {
             self.store.retention = None;
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Reads the summaries in the directory. A file that can't be used is logged with the reason and skipped.
+    /// Reads the summaries in the directory. A file that can't be used is logged with the reason
+    /// and skipped.
     fn read_directory(&mut self, settings: &Scatter, now: Micros) {
         let Some(directory) = &settings.directory else {
             return;
@@ -276,8 +277,8 @@
         self.exchange.report_false(now, summary);
     }
 
-    /// Records false summaries that peers reported, answers their requests, logs rejections, and returns the messages to
-    /// send.
+    /// Records false summaries that peers reported, answers their requests, logs rejections, and
+    /// returns the messages to send.
     fn apply_output(&mut self, now: Micros, mut output: Output) -> Vec<(PeerId, Vec<u8>)> {
         self.reported_false.append(&mut output.false_summaries);
         self.send_local_files(now, &mut output);
