--- a/crates/front/src/fleet/peers/start.rs
+++ b/crates/front/src/fleet/peers/start.rs
@@ -1,4 +1,5 @@
-//! The start of gossip: the secret, the socket, and what the front takes part in.
+//! Starts gossip: reads the secret, opens the socket, and joins the elections and the ledger if
+//! they are configured.
 
 use std::collections::BTreeMap;
 use std::hash::RandomState;
@@ -14,15 +15,15 @@
 use hallmux_gossip::node::NodeConfig;
 
 use super::log_lines::LogState;
-use super::{keys, names, Peers};
+use super::{peer_keys, peer_names, Peers};
 use crate::events::{LoopEvents, SocketKind};
 use crate::fleet::errors::PeersError;
 use crate::fleet::join::{join_ledger, join_ownership};
 use crate::transient;
 
 impl Peers {
-    /// Opens the socket and joins what the operator's file names. `now` is the Unix clock: it names this incarnation
-    /// of the front.
+    /// Opens the socket and joins the elections and the ledger that the operator's file configures.
+    /// `now` is the Unix time in microseconds, which identifies this incarnation of the front.
     pub fn new(
         gossip: &Gossip,
         now: Micros,
@@ -36,16 +37,16 @@
         register(&socket, handle)?;
         let node = NodeConfig {
             secret,
-            keys: keys(gossip),
+            keys: peer_keys(gossip),
             address: gossip.advertise.unwrap_or(local_address),
             seeds: gossip.seeds.clone(),
         };
         let mut exchange = Exchange::new(node, (now / 1000) as u64);
         if gossip.overload.is_some() {
             exchange.enable_load_reports();
-            log::info!("sheds overload as one with the fleet");
+            log::info!("gossip.overload: sheds overload by the load of the whole fleet");
         }
-        let started = Instant::now();
+        let steady_start = Instant::now();
         let votes = match &gossip.ownership {
             Some(ownership) => join_ownership(&mut exchange, ownership, now, &socket)?,
             None => None,
@@ -59,16 +60,16 @@
         Ok(Peers {
             socket,
             exchange,
-            names: names(gossip),
+            peer_names: peer_names(gossip),
             random: RandomState::new(),
             draws_made: 0,
-            started,
+            steady_start,
             votes,
             copies,
             memory_on_disk_failure: ledger
                 .is_some_and(|ledger| ledger.on_disk_failure == OnDiskFailure::Memory),
-            log: LogState::default(),
-            done: Vec::new(),
+            log_state: LogState::default(),
+            ledger_answers: Vec::new(),
             has_ledger: ledger.is_some(),
             messages: BTreeMap::new(),
         })
@@ -98,7 +99,7 @@
     Ok(Rc::new(socket))
 }
 
-/// The event loop reports datagrams from now on.
+/// Registers the socket with the event loop, which reports arriving datagrams from then on.
 fn register(
     socket: &Rc<UdpSocket>,
     handle: &LoopHandle<'static, LoopEvents>,
@@ -113,13 +114,13 @@
 }
 
 fn log_start(gossip: &Gossip, exchange: &Exchange, local_address: SocketAddr) {
-    let public: String = exchange
+    let public_key: String = exchange
         .public_key()
         .iter()
         .map(|byte| format!("{byte:02x}"))
         .collect();
     log::info!(
-        "talks with other fronts, {} keys count; its own is {public}, its address {local_address}",
+        "talks with other fronts, {} keys count; its own is {public_key}, its address {local_address}",
         gossip.peers.len()
     );
 }
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -1,4 +1,4 @@
-//! The start of access rules: their file is read, and a front without others gets a ledger of its own.
+//! Starts the access rules: reads their file, and creates a ledger for a front without peers.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -10,54 +10,56 @@
 use hallmux_dispatcher::Micros;
 use hallmux_ledger::{self as ledger, ClockReading, Ledger, Member};
 
-use super::file::{known, read};
-use super::{Rules, Shared, ASK_NUMBERS};
+use super::file::{known_names, read_rules};
+use super::{Rules, SharedRules, REQUEST_NUMBER_BASE};
 use crate::fleet::errors::RulesError;
 use crate::fleet::peers::{LedgerFleet, Peers};
 
 impl Rules {
-    /// The rules that the operator's file switches on, if it does; `peers` are the other fronts.
+    /// Starts the rules if the operator's file enables them; otherwise returns None. `peers` is
+    /// None if gossip is disabled.
     pub fn start(
         config: &NodeConfig,
         now: Micros,
         peers: Option<&Peers>,
-    ) -> Result<Option<Shared>, RulesError> {
+    ) -> Result<Option<SharedRules>, RulesError> {
         let Some(rules) = &config.operator.rules else {
             return Ok(None);
         };
         let incarnation = (now / 1000) as u64;
-        // Without other fronts this one is the fleet.
+        // A front without peers is a fleet of one.
         let fleet = match peers {
             None => LedgerFleet {
-                own: 1,
+                local_id: 1,
                 fronts: vec![1],
             },
             Some(peers) => peers.ledger_fleet().ok_or(RulesError::NoLedger)?,
         };
-        let own = Owner {
-            front: fleet.own,
+        let owner = Owner {
+            front: fleet.local_id,
             incarnation,
         };
         let is_alone = peers.is_none();
-        let rules = Rules::new(rules, &config.settings, own, fleet.fronts, is_alone)?;
+        let rules = Rules::new(rules, &config.settings, owner, fleet.fronts, is_alone)?;
         Ok(Some(Rc::new(RefCell::new(rules))))
     }
 
-    /// `own` and `fronts` are by the keys of gossip. Without other fronts this one is the fleet.
+    /// `owner` and `fronts` are identified by their gossip keys; `is_alone` means that there are no
+    /// peers.
     fn new(
         rules: &hallmux_config::Rules,
         settings: &Settings,
-        own: Owner,
+        owner: Owner,
         fronts: Vec<u64>,
-        alone: bool,
+        is_alone: bool,
     ) -> Result<Rules, RulesError> {
-        let known = known(rules, settings);
-        let (text, command) = read(&rules.file, &known)?;
+        let known = known_names(rules, settings);
+        let (text, command) = read_rules(&rules.file, &known)?;
         if matches!(command, RulesCommand::WhatIf(_)) {
-            return Err(RulesError::Question(rules.file.clone()));
+            return Err(RulesError::WhatIf(rules.file.clone()));
         }
-        let setup = AccessConfig {
-            owner: own,
+        let access_config = AccessConfig {
+            owner,
             fronts,
             region: rules.region.clone(),
             known,
@@ -66,47 +68,47 @@
                 drift_ppm: rules.drift_ppm,
             },
             record_window: rules.remembers,
-            first_request_number: ASK_NUMBERS,
+            first_request_number: REQUEST_NUMBER_BASE,
         };
-        let alone = alone.then(|| own_ledger(own)).transpose()?;
-        let mut access = Access::new(setup);
+        let local_ledger = is_alone.then(|| local_ledger(owner)).transpose()?;
+        let mut access = Access::new(access_config);
         access.propose(&rules.file, &text, command);
         log::info!(
-            "rules of customers hold; this front stands in {}",
+            "rules: access rules are enabled; this front is in region {}",
             rules.region
         );
         Ok(Rules {
             access,
-            alone,
-            steady: Instant::now(),
+            local_ledger,
+            steady_start: Instant::now(),
             statements: BTreeMap::new(),
-            tickets: HashMap::new(),
-            rulings: Vec::new(),
-            next_report: 0,
-            next_log: rules.tell_every,
-            log_every: rules.tell_every,
-            ended: 0,
+            statement_numbers: HashMap::new(),
+            decisions: Vec::new(),
+            next_report_time: 0,
+            next_log_time: rules.tell_every,
+            log_interval: rules.tell_every,
+            logged_revoked_count: 0,
             logged_hits: None,
             logged_limits: BTreeMap::new(),
         })
     }
 }
 
-/// The ledger of a front without others.
-fn own_ledger(own: Owner) -> Result<Ledger, RulesError> {
+/// Creates the ledger of a front without peers, in memory and with one replica.
+fn local_ledger(owner: Owner) -> Result<Ledger, RulesError> {
     let member = Member {
-        front: own.front,
+        front: owner.front,
         zone: String::new(),
     };
-    let disk = own.incarnation | 1;
+    let disk = owner.incarnation | 1;
     let setup = ledger::Setup {
         replication_factor: 1,
         shards: 1,
-        ..ledger::Setup::new("alone", own.front, own.incarnation, disk, vec![member])
+        ..ledger::Setup::new("alone", owner.front, owner.incarnation, disk, vec![member])
     };
-    let at = ClockReading {
+    let clock = ClockReading {
         steady: 0,
-        wall_ms: own.incarnation,
+        wall_ms: owner.incarnation,
     };
-    Ok(Ledger::new(at, setup, None)?)
+    Ok(Ledger::new(clock, setup, None)?)
 }
