--- a/crates/front/src/dial_pacer.rs
+++ b/crates/front/src/dial_pacer.rs
@@ -10,7 +10,7 @@
 pub type DialPacer = Rc<RefCell<ConnectionPacer>>;
 
 /// The pacer that the configuration asks for; without a budget any time is fine.
-pub fn configured(config: &NodeConfig, now: Micros) -> DialPacer {
+pub fn from_config(config: &NodeConfig, now: Micros) -> DialPacer {
     let paced = config.settings.agreement.budgets.is_some();
     Rc::new(RefCell::new(ConnectionPacer::new(paced, now, config.seed)))
 }
--- a/crates/front/src/engine_protocols.rs
+++ b/crates/front/src/engine_protocols.rs
@@ -15,12 +15,12 @@
 
 impl EngineProtocols {
     /// Whether it takes statements as lines.
-    pub fn lines(self) -> bool {
+    pub fn speaks_lines(self) -> bool {
         self != EngineProtocols::Postgres
     }
 
     /// Whether it takes PostgreSQL sessions.
-    pub fn postgres(self) -> bool {
+    pub fn speaks_postgres(self) -> bool {
         self != EngineProtocols::Lines
     }
 
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -35,7 +35,7 @@
 /// What engines have answered, and how executions have ended.
 pub enum Event {
     /// An execution is over.
-    Ended {
+    ExecutionEnded {
         execution_id: ExecutionId,
         ending: Ending,
         /// The engine's load report, where one came with the answer.
@@ -44,13 +44,13 @@
         result: Vec<u8>,
     },
     /// An execution goes on.
-    Noted {
+    Progress {
         execution_id: ExecutionId,
-        note: ProgressReport,
+        progress: ProgressReport,
     },
     /// The outcome of a health check.
-    Probed {
-        place: EngineIndex,
+    ProbeEnded {
+        engine_index: EngineIndex,
         alive: bool,
         report: Option<Vec<f64>>,
     },
@@ -118,8 +118,8 @@
     }
 
     /// Sets the descriptors for connections to engines: those given, less what the rest of the front needs.
-    pub fn limit(&mut self, sockets: usize) {
-        self.max_connections = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
+    pub fn set_descriptor_limit(&mut self, descriptors: usize) {
+        self.max_connections = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(1);
     }
 
     fn report_end(&mut self, execution_id: ExecutionId, ending: Ending) {
@@ -129,7 +129,7 @@
             execution_id.number
         );
         self.executions.remove(&execution_id);
-        self.events.push(Event::Ended {
+        self.events.push(Event::ExecutionEnded {
             execution_id,
             ending,
             report: None,
@@ -139,14 +139,14 @@
 
     /// An engine of the list, new or changed. One at another address or start is another: nothing more is sent over
     /// the connections to the former.
-    pub fn list(&mut self, place: EngineIndex, listed: ListedEngine) {
-        let known = self.engines.get(&place);
+    pub fn update_engine(&mut self, engine_index: EngineIndex, listed: ListedEngine) {
+        let known = self.engines.get(&engine_index);
         let known = known.filter(|engine| engine.is(&listed));
         let failing = known.is_some_and(|engine| engine.failing);
         if known.is_none() || !listed.available {
-            self.retire(place);
+            self.retire(engine_index);
         }
-        let former = self.engines.remove(&place);
+        let former = self.engines.remove(&engine_index);
         let engine = Engine {
             id: listed.id.to_string(),
             at: listed.address,
@@ -155,23 +155,25 @@
             connections: former.map(|engine| engine.connections).unwrap_or_default(),
             failing,
         };
-        self.engines.insert(place, engine);
+        self.engines.insert(engine_index, engine);
     }
 
     /// A whole list has come: engines that it does not name are gone.
-    pub fn retire_others(&mut self, listed: &[EngineIndex]) {
-        let places: Vec<EngineIndex> = self
+    pub fn retire_unlisted(&mut self, listed: &[EngineIndex]) {
+        let engine_indexes: Vec<EngineIndex> = self
             .engines
             .keys()
             .copied()
             .filter(|p| !listed.contains(p))
             .collect();
-        places.into_iter().for_each(|place| self.retire(place));
+        engine_indexes
+            .into_iter()
+            .for_each(|engine_index| self.retire(engine_index));
     }
 
     /// What has not left for an engine stays here; what is out may still be answered.
-    pub fn retire(&mut self, place: EngineIndex) {
-        let Some(engine) = self.engines.get_mut(&place) else {
+    pub fn retire(&mut self, engine_index: EngineIndex) {
+        let Some(engine) = self.engines.get_mut(&engine_index) else {
             return;
         };
         engine.available = false;
@@ -197,7 +199,7 @@
     }
 
     /// Nobody waits for a statement any more: what has not left for an engine never will.
-    pub fn abandon(&mut self, ticket: Ticket) {
+    pub fn withdraw_queued(&mut self, ticket: Ticket) {
         let of_ticket = self
             .executions
             .range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
@@ -217,7 +219,7 @@
         let engine = self
             .connections
             .get(&connection)
-            .and_then(|l| self.engines.get(&l.place));
+            .and_then(|l| self.engines.get(&l.engine_index));
         engine.map_or("?", |e| &e.id)
     }
 }
--- a/crates/front/src/engines/capacity.rs
+++ b/crates/front/src/engines/capacity.rs
@@ -7,8 +7,8 @@
 
 impl Engines {
     /// Executions that the connections to an engine take, and one more connection where it may be made now.
-    pub fn capacity(&self, now: Micros, place: EngineIndex) -> usize {
-        let Some(engine) = self.engines.get(&place).filter(|e| e.available) else {
+    pub fn capacity(&self, now: Micros, engine_index: EngineIndex) -> usize {
+        let Some(engine) = self.engines.get(&engine_index).filter(|e| e.available) else {
             return 0;
         };
         let per_connection = self.allowance.executions_per_connection;
@@ -18,7 +18,8 @@
             .filter(|connection| connection.takes_executions())
             .map(|connection| per_connection.saturating_sub(self.occupied(connection)))
             .sum();
-        let dials = self.may_dial(engine) && self.dials.borrow().next_slot_at(now, place) <= now;
+        let dials =
+            self.may_dial(engine) && self.dials.borrow().next_slot_at(now, engine_index) <= now;
         existing + if dials { per_connection } else { 0 }
     }
 
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -25,11 +25,11 @@
         ..NetworkSettings::default()
     };
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
-    engines.limit(256);
+    engines.set_descriptor_limit(256);
     let mut dials = ConnectionPacer::new(true, 0, 0);
     dials.set_rate(0, 1.0);
     engines.dials.replace(dials);
-    engines.list(0, listed(listener.local_addr().unwrap()));
+    engines.update_engine(0, listed(listener.local_addr().unwrap()));
     let send = |engines: &mut Engines, now: Micros, ticket: Ticket| {
         let call = Rc::new(Call {
             id: ticket.to_string(),
@@ -55,7 +55,7 @@
     let withdrawn = |event: Option<Event>| {
         matches!(
             event,
-            Some(Event::Ended {
+            Some(Event::ExecutionEnded {
                 ending: Ending::Withdrawn,
                 ..
             })
--- a/crates/front/src/engines/connection.rs
+++ b/crates/front/src/engines/connection.rs
@@ -15,7 +15,7 @@
 
 pub(super) struct EngineConnection {
     pub(super) link: Link,
-    pub(super) place: EngineIndex,
+    pub(super) engine_index: EngineIndex,
     pub(super) up: bool,
     /// It takes no more executions: its engine is another by now, or it was silent too long.
     pub(super) retired: bool,
@@ -58,10 +58,15 @@
 
 impl EngineConnection {
     /// A connection that was dialled just now and has to be up by `dial_by`.
-    pub(super) fn dialled(link: Link, place: EngineIndex, now: Micros, dial_by: Micros) -> Self {
+    pub(super) fn dialled(
+        link: Link,
+        engine_index: EngineIndex,
+        now: Micros,
+        dial_by: Micros,
+    ) -> Self {
         EngineConnection {
             link,
-            place,
+            engine_index,
             up: false,
             retired: false,
             dial_by,
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -39,7 +39,7 @@
         ..NetworkSettings::default()
     };
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
-    engines.list(0, listed(listener.local_addr().unwrap()));
+    engines.update_engine(0, listed(listener.local_addr().unwrap()));
     let call = Rc::new(Call {
         id: "1".into(),
         workload: "lookup".into(),
@@ -64,14 +64,14 @@
     }
     engines.cancel(0, ExecutionId::new(1, 0), Ending::GivenUp);
     // It was decided long before the command leaves: the front stood still.
-    engines.expire(5 * CANCEL_LAG);
+    engines.expire_timeouts(5 * CANCEL_LAG);
     assert!(engines.events.is_empty());
     engines.flush(0);
     let mut heard = String::new();
     (0..3).for_each(|_| _ = peer.read_line(&mut heard).unwrap());
     assert!(heard.ends_with("never_mind 1\r\n"), "{heard}");
-    engines.expire(CANCEL_LAG - 1);
-    assert!(engines.events.is_empty() && engines.due() == CANCEL_LAG);
+    engines.expire_timeouts(CANCEL_LAG - 1);
+    assert!(engines.events.is_empty() && engines.next_timeout() == CANCEL_LAG);
     // A time that is up is: its client is owed the answer now.
     let call = Rc::new(Call {
         id: "2".into(),
@@ -95,7 +95,7 @@
     let ended = |event: &Event| {
         matches!(
             event,
-            Event::Ended {
+            Event::ExecutionEnded {
                 execution_id: ExecutionId {
                     ticket: 2,
                     number: 0
@@ -106,11 +106,11 @@
         )
     };
     assert!(engines.events.pop().is_some_and(|event| ended(&event)));
-    engines.expire(CANCEL_LAG);
+    engines.expire_timeouts(CANCEL_LAG);
     let over = |event: &Event| {
         matches!(
             event,
-            Event::Ended {
+            Event::ExecutionEnded {
                 execution_id: ExecutionId {
                     ticket: 1,
                     number: 0
@@ -134,7 +134,7 @@
         ..NetworkSettings::default()
     };
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
-    engines.list(0, listed(listener.local_addr().unwrap()));
+    engines.update_engine(0, listed(listener.local_addr().unwrap()));
     let call = Rc::new(Call {
         id: "1".into(),
         workload: "lookup".into(),
@@ -154,7 +154,7 @@
     );
     let mut peer = BufReader::new(listener.accept().unwrap().0);
     // It was not looked at for a second: what has come up is not reported as never up.
-    engines.expire(1_000_000);
+    engines.expire_timeouts(1_000_000);
     assert!(engines.events.is_empty());
     engines.read(1_000_000, 1);
     engines.flush(1_000_000);
@@ -202,7 +202,7 @@
             ..NetworkSettings::default()
         };
         let mut engines = Engines::new(events.handle(), allowance, &Names::default());
-        engines.list(0, listed(listener.local_addr().unwrap()));
+        engines.update_engine(0, listed(listener.local_addr().unwrap()));
         sends(&mut engines, 1, b"select 1".to_vec());
         let peer = listener.accept().unwrap().0;
         let begun = Instant::now();
@@ -252,7 +252,7 @@
     /// How executions have ended since the last look.
     fn ended(&mut self) -> Vec<(Ticket, Ending)> {
         let ended = |event: Event| match event {
-            Event::Ended {
+            Event::ExecutionEnded {
                 execution_id,
                 ending,
                 ..
@@ -271,15 +271,15 @@
     let mut deaf = Deaf::new();
     deaf.gives_up_into_a_full_socket(0);
     // Its engine has not been told: nothing may go out by this end.
-    deaf.engines.expire(DIAL_TIMEOUT - 1);
+    deaf.engines.expire_timeouts(DIAL_TIMEOUT - 1);
     assert_eq!(deaf.ended(), [], "its command has not left");
     // What has come to the connection only now is read some round trips later.
     let left_at = DIAL_TIMEOUT - 1;
     deaf.reads_all(left_at);
-    deaf.engines.expire(left_at + CANCEL_LAG - 1);
+    deaf.engines.expire_timeouts(left_at + CANCEL_LAG - 1);
     assert_eq!(deaf.ended(), [], "its engine may not have read the command");
-    assert_eq!(deaf.engines.due(), left_at + CANCEL_LAG);
-    deaf.engines.expire(left_at + CANCEL_LAG);
+    assert_eq!(deaf.engines.next_timeout(), left_at + CANCEL_LAG);
+    deaf.engines.expire_timeouts(left_at + CANCEL_LAG);
     assert_eq!(deaf.ended(), [(1, Ending::GivenUp)]);
     assert_eq!(deaf.engines.connections.len(), 1);
 }
@@ -289,18 +289,18 @@
     let mut deaf = Deaf::new();
     deaf.gives_up_into_a_full_socket(1_000);
     sends(&mut deaf.engines, 2, b"select 2".to_vec());
-    deaf.engines.expire(1_000 + DIAL_TIMEOUT - 1);
+    deaf.engines.expire_timeouts(1_000 + DIAL_TIMEOUT - 1);
     assert_eq!(deaf.ended(), []);
-    assert_eq!(deaf.engines.due(), 1_000 + DIAL_TIMEOUT);
+    assert_eq!(deaf.engines.next_timeout(), 1_000 + DIAL_TIMEOUT);
     let closed_at = 1_000 + DIAL_TIMEOUT;
-    deaf.engines.expire(closed_at);
+    deaf.engines.expire_timeouts(closed_at);
     assert!(deaf.engines.connections.is_empty());
     deaf.engines.flush(closed_at);
     // What had not begun to leave surely never ran; the other may have.
     assert_eq!(deaf.ended(), [(2, Ending::Withdrawn)]);
-    deaf.engines.expire(closed_at + CANCEL_LAG - 1);
+    deaf.engines.expire_timeouts(closed_at + CANCEL_LAG - 1);
     assert_eq!(deaf.ended(), []);
-    deaf.engines.expire(closed_at + CANCEL_LAG);
+    deaf.engines.expire_timeouts(closed_at + CANCEL_LAG);
     assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
 }
 
@@ -322,7 +322,7 @@
         engines.flush(1);
     }
     let lost = |event: &Event| {
-        let Event::Ended {
+        let Event::ExecutionEnded {
             execution_id,
             ending,
             ..
@@ -333,7 +333,7 @@
         *execution_id == ExecutionId::new(1, 0) && matches!(ending, Ending::Reset | Ending::Closed)
     };
     assert!(engines.events.len() == 1 && lost(&engines.events[0]));
-    engines.expire(DIAL_TIMEOUT);
+    engines.expire_timeouts(DIAL_TIMEOUT);
     assert_eq!(engines.events.len(), 1, "an execution ends once");
 }
 
@@ -348,7 +348,7 @@
         .cancel(2, ExecutionId::new(1, 0), Ending::TimeUp);
     assert_eq!(deaf.ended(), [(1, Ending::TimeUp)]);
     deaf.reads_all(3);
-    deaf.engines.expire(3 + CANCEL_LAG);
+    deaf.engines.expire_timeouts(3 + CANCEL_LAG);
     assert_eq!(deaf.ended(), [], "an execution ends once");
 }
 
@@ -367,7 +367,7 @@
     while deaf.engines.connections[&1].link.unsent() > 0 {
         assert!(begun.elapsed() < PATIENCE, "not all comes");
         let _ = deaf.peer.read(&mut chunk);
-        deaf.engines.expire(1);
+        deaf.engines.expire_timeouts(1);
     }
     deaf.engines
         .cancel(2, ExecutionId::new(2, 0), Ending::TimeUp);
@@ -389,7 +389,7 @@
         [],
         "its engine has yet to read that the connection is closed"
     );
-    deaf.engines.expire(CANCEL_LAG);
+    deaf.engines.expire_timeouts(CANCEL_LAG);
     assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
 }
 
@@ -398,8 +398,8 @@
     let mut deaf = Deaf::new();
     deaf.engines.close(0, 1, replies::ending_of(Broken::Lost));
     deaf.engines.flush(0);
-    deaf.engines.expire(CANCEL_LAG - 1);
+    deaf.engines.expire_timeouts(CANCEL_LAG - 1);
     assert_eq!(deaf.ended(), [], "its engine may run it still");
-    deaf.engines.expire(CANCEL_LAG);
+    deaf.engines.expire_timeouts(CANCEL_LAG);
     assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
 }
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -82,7 +82,7 @@
             return;
         };
         connection.up = true;
-        let engine = self.engines.get_mut(&connection.place);
+        let engine = self.engines.get_mut(&connection.engine_index);
         if let Some(engine) = engine.filter(|engine| engine.failing) {
             engine.failing = false;
             log::info!("engine {}: reached again", engine.id);
@@ -126,8 +126,11 @@
             return;
         };
         execution.last_reply = now;
-        if let Some(note) = note_of(&line.kind) {
-            return self.events.push(Event::Noted { execution_id, note });
+        if let Some(progress) = progress_of(&line.kind) {
+            return self.events.push(Event::Progress {
+                execution_id,
+                progress,
+            });
         }
         match execution.take_reply(now, &line, connection.link.output()) {
             None => {}
@@ -147,8 +150,8 @@
             return;
         };
         if connection.probes.remove(line.id).is_some() {
-            self.events.push(Event::Probed {
-                place: connection.place,
+            self.events.push(Event::ProbeEnded {
+                engine_index: connection.engine_index,
                 alive: healthy,
                 report: line.report,
             });
@@ -221,7 +224,7 @@
             Ending::Answered => pages.into_bytes(),
             _ => Vec::new(),
         };
-        self.events.push(Event::Ended {
+        self.events.push(Event::ExecutionEnded {
             execution_id,
             ending,
             report,
@@ -292,7 +295,7 @@
 }
 
 /// What a reply notes of an execution that goes on.
-fn note_of(kind: &ReplyKind) -> Option<ProgressReport> {
+fn progress_of(kind: &ReplyKind) -> Option<ProgressReport> {
     match *kind {
         ReplyKind::ShareDone(share) => Some(ProgressReport::ShareDone(share)),
         ReplyKind::SpillsMb(mb) => Some(ProgressReport::SpillsMb(mb)),
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -26,11 +26,11 @@
         &mut self,
         now: Micros,
         execution_id: ExecutionId,
-        place: EngineIndex,
+        engine_index: EngineIndex,
         call: Rc<Call>,
         terms: Terms,
     ) {
-        let id = match self.choose_connection(now, place, &call.id) {
+        let id = match self.choose_connection(now, engine_index, &call.id) {
             Ok(id) => id,
             Err(ending) => return self.report_end(execution_id, ending),
         };
@@ -55,10 +55,10 @@
     fn choose_connection(
         &mut self,
         now: Micros,
-        place: EngineIndex,
+        engine_index: EngineIndex,
         id: &str,
     ) -> Result<ConnectionId, Ending> {
-        let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
+        let engine = self.engines.get(&engine_index).ok_or(Ending::Withdrawn)?;
         let fitting: Vec<ConnectionId> = engine
             .connections
             .iter()
@@ -81,11 +81,11 @@
         match least_used {
             Some(connection) if !self.may_dial(engine) => Ok(connection),
             // No new connection may be made now: what is there is used, else it stays here.
-            _ if !self.dials.borrow_mut().try_take_slot(now, place) => {
+            _ if !self.dials.borrow_mut().try_take_slot(now, engine_index) => {
                 least_used.ok_or(Ending::Withdrawn)
             }
             _ => self
-                .dial(now, place)
+                .dial(now, engine_index)
                 .or_else(|ending| least_used.ok_or(ending)),
         }
     }
@@ -100,8 +100,11 @@
             && self.occupied(connection) < self.allowance.executions_per_connection
     }
 
-    fn dial(&mut self, now: Micros, place: EngineIndex) -> Result<ConnectionId, Ending> {
-        let engine = self.engines.get_mut(&place).ok_or(Ending::Withdrawn)?;
+    fn dial(&mut self, now: Micros, engine_index: EngineIndex) -> Result<ConnectionId, Ending> {
+        let engine = self
+            .engines
+            .get_mut(&engine_index)
+            .ok_or(Ending::Withdrawn)?;
         self.next += 1;
         let id = self.next;
         let link = match Link::dial(engine.at, &self.handle, SocketKind::Engine.id(id)) {
@@ -113,7 +116,7 @@
         };
         engine.connections.push(id);
         let dial_by = now + self.allowance.dial_timeout;
-        let connection = EngineConnection::dialled(link, place, now, dial_by);
+        let connection = EngineConnection::dialled(link, engine_index, now, dial_by);
         self.connections.insert(id, connection);
         Ok(id)
     }
@@ -190,17 +193,17 @@
     }
 
     /// Sends a health check to an engine; its outcome comes as an event.
-    pub fn probe(&mut self, now: Micros, place: EngineIndex) {
+    pub fn probe(&mut self, now: Micros, engine_index: EngineIndex) {
         self.next += 1;
         let tag = format!("p{}", self.next);
-        let connection = match self.choose_connection(now, place, &tag) {
+        let connection = match self.choose_connection(now, engine_index, &tag) {
             // No new connection may be made now: that says nothing of the engine.
             Err(Ending::Withdrawn) => return,
             chosen => chosen.ok().and_then(|id| self.connections.get_mut(&id)),
         };
         let Some(connection) = connection else {
-            return self.events.push(Event::Probed {
-                place,
+            return self.events.push(Event::ProbeEnded {
+                engine_index,
                 alive: false,
                 report: None,
             });
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -14,7 +14,7 @@
 
 impl Engines {
     /// When `expire` is next due, in Unix microseconds.
-    pub fn due(&self) -> Micros {
+    pub fn next_timeout(&self) -> Micros {
         let connections = self.connections.values();
         let due = connections.filter_map(|connection| self.connection_due(connection));
         due.min().unwrap_or(Micros::MAX).min(self.cancels_due())
@@ -55,7 +55,7 @@
     }
 
     /// Ends what has waited too long: connections not up, health checks not answered, idle connections.
-    pub fn expire(&mut self, now: Micros) {
+    pub fn expire_timeouts(&mut self, now: Micros) {
         self.end_cancelled(now);
         let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in ids {
@@ -131,8 +131,8 @@
         let was_silent = connection.last_reply < now - self.allowance.dial_timeout;
         connection.retired |= overdue > 0 && was_silent;
         for _ in 0..overdue {
-            self.events.push(Event::Probed {
-                place: connection.place,
+            self.events.push(Event::ProbeEnded {
+                engine_index: connection.engine_index,
                 alive: false,
                 report: None,
             });
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -25,7 +25,7 @@
             self.reuse
                 .lost(connection.idle_before, now - connection.resumed_at);
         }
-        if let Some(engine) = self.engines.get_mut(&connection.place) {
+        if let Some(engine) = self.engines.get_mut(&connection.engine_index) {
             engine.connections.retain(|other| *other != id);
             log_end(engine, &connection, ending);
         }
@@ -48,8 +48,8 @@
             self.end_execution(execution_id, ending, None);
         }
         for _ in connection.probes {
-            self.events.push(Event::Probed {
-                place: connection.place,
+            self.events.push(Event::ProbeEnded {
+                engine_index: connection.engine_index,
                 alive: false,
                 report: None,
             });
@@ -119,7 +119,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let engine = self.engines.get(&connection.place);
+        let engine = self.engines.get(&connection.engine_index);
         if let Some(why) = withheld_because(now, engine, &execution.terms) {
             let ticket = execution_id.ticket;
             log::debug!("statement {ticket}: its execution stays here: {why}");
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -88,7 +88,7 @@
         }
         let always = [
             self.dispatcher.next_tick(),
-            self.engines.due(),
+            self.engines.next_timeout(),
             self.coordinator.due(),
             self.listener.due(),
             self.shutdown.due(now),
@@ -183,7 +183,7 @@
             peers.tick(self.clock.now, &mut self.dispatcher);
         }
         self.tick_scatter();
-        self.engines.expire(self.clock.now);
+        self.engines.expire_timeouts(self.clock.now);
         self.coordinator.expire(self.clock.now);
     }
 
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -90,7 +90,7 @@
         // What waits for a connection is not sent any more, also where cancelling is not allowed.
         tickets
             .iter()
-            .for_each(|ticket| self.engines.abandon(*ticket));
+            .for_each(|ticket| self.engines.withdraw_queued(*ticket));
         let withdrawn = self.withdraw_all_held(&tickets);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         match self
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -23,23 +23,26 @@
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
-                engines::Event::Ended {
+                engines::Event::ExecutionEnded {
                     execution_id,
                     ending,
                     report,
                     result,
                 } => self.execution_ended(execution_id, ending, report, &result),
-                engines::Event::Noted { execution_id, note } => {
+                engines::Event::Progress {
+                    execution_id,
+                    progress,
+                } => {
                     let ExecutionId { ticket, number } = execution_id;
-                    self.dispatcher.note(ticket, number, note);
+                    self.dispatcher.note(ticket, number, progress);
                 }
-                engines::Event::Probed {
-                    place,
+                engines::Event::ProbeEnded {
+                    engine_index,
                     alive,
                     report,
                 } => {
                     self.dispatcher
-                        .probe_ended(self.clock.now, place, alive, report);
+                        .probe_ended(self.clock.now, engine_index, alive, report);
                 }
             }
         }
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -40,7 +40,7 @@
         };
         let places = self.dispatcher.update_engines(scope, &listings);
         if list.is_full {
-            self.engines.retire_others(&places);
+            self.engines.retire_unlisted(&places);
             if let Some(gateway) = &mut self.gateway {
                 gateway.servers().retire_others(&places);
             }
@@ -68,7 +68,11 @@
             started_ms: engine.started_ms,
             available,
         };
-        if let Some(gateway) = self.gateway.as_mut().filter(|_| protocols.postgres()) {
+        if let Some(gateway) = self
+            .gateway
+            .as_mut()
+            .filter(|_| protocols.speaks_postgres())
+        {
             match &address {
                 Ok(address) => {
                     let address = protocols.postgres_address(*address);
@@ -77,11 +81,11 @@
                 Err(_) => gateway.servers().retire(place),
             }
         }
-        if !protocols.lines() {
+        if !protocols.speaks_lines() {
             return;
         }
         match address {
-            Ok(address) => self.engines.list(place, listed(address)),
+            Ok(address) => self.engines.update_engine(place, listed(address)),
             Err(_) if !available => self.engines.retire(place),
             Err(error) => log::error!(
                 "engine {}: address '{}': {error}",
--- a/crates/front/src/event_loop/limits.rs
+++ b/crates/front/src/event_loop/limits.rs
@@ -24,9 +24,9 @@
                 let lingering = (limits.sockets / LINGERING_DIVISOR).min(MAX_LINGERING);
                 let engines = engines - lingering;
                 gateway.limit(engines / 2, lingering);
-                self.engines.limit(engines - engines / 2);
+                self.engines.set_descriptor_limit(engines - engines / 2);
             }
-            None => self.engines.limit(engines),
+            None => self.engines.set_descriptor_limit(engines),
         }
     }
 }
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -75,7 +75,7 @@
 
     /// Engines of both protocols keep to one budget of new connections.
     fn share_dial_pacer(&mut self, config: &NodeConfig) {
-        self.engines.dials = dial_pacer::configured(config, self.clock.now);
+        self.engines.dials = dial_pacer::from_config(config, self.clock.now);
         if let Some(gateway) = &mut self.gateway {
             gateway.servers().dials = self.engines.dials.clone();
         }
--- a/crates/front/src/lingering.rs
+++ b/crates/front/src/lingering.rs
@@ -34,7 +34,7 @@
 impl Lingering {
     /// Shuts the write side of a connection that has sent all it owes.
     pub fn close(&mut self, now: Micros, id: u64, link: Link) {
-        if link.shut_writes().is_ok() {
+        if link.shutdown_write().is_ok() {
             self.connections.insert(
                 id,
                 Closing {
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -226,7 +226,7 @@
     }
 
     /// Ends what is sent: the other side reads all that has left, then the end.
-    pub fn shut_writes(&self) -> std::io::Result<()> {
+    pub fn shutdown_write(&self) -> std::io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
