--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -25,10 +25,10 @@
 use crate::reuse::Reuse;
 use connection::{ConnectionId, EngineConnection};
 use execution::{Execution, Stage};
-use pending_cancel::AwaitingCancel;
+use pending_cancel::PendingCancel;
 
 /// Descriptors that are neither clients' nor engines'; the rest is for engines.
-const OTHER_DESCRIPTORS: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Microseconds by which an idle connection is closed before its engine would close it.
 const IDLE_MARGIN: Micros = 1_000_000;
 
@@ -58,38 +58,40 @@
 
 struct Engine {
     id: String,
-    at: SocketAddr,
-    started: f64,
+    address: SocketAddr,
+    started_ms: f64,
     /// Executions may go there.
     available: bool,
     connections: Vec<ConnectionId>,
     /// Its last connection did not come up.
-    failing: bool,
+    is_unreachable: bool,
 }
 
 impl Engine {
     /// Whether the list still means this engine.
-    fn is(&self, listed: &ListedEngine) -> bool {
-        self.id == listed.id && self.at == listed.address && self.started == listed.started_ms
+    fn matches(&self, listed: &ListedEngine) -> bool {
+        self.id == listed.id
+            && self.address == listed.address
+            && self.started_ms == listed.started_ms
     }
 }
 
 /// All engines of the list, the connections to them and the executions on these.
 pub struct Engines {
     handle: LoopHandle<'static, LoopEvents>,
-    allowance: NetworkSettings,
+    network: NetworkSettings,
     report_names: Vec<String>,
     engines: BTreeMap<EngineIndex, Engine>,
     connections: BTreeMap<ConnectionId, EngineConnection>,
     executions: BTreeMap<ExecutionId, Execution>,
     /// The number given last, to a connection or a health check.
-    next: u64,
+    last_number: u64,
     max_connections: usize,
     /// When connections may be made; any time where nothing else is set.
     pub dials: DialPacer,
     reuse: Reuse,
     /// Cancelled, but their engines may not have read so yet, in the order in which they were.
-    awaiting_cancel: Vec<AwaitingCancel>,
+    pending_cancels: Vec<PendingCancel>,
     /// What has happened since the events were last taken.
     pub events: Vec<Event>,
 }
@@ -98,28 +100,28 @@
     /// No engines yet; `limit` and `list` come before anything is sent.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
-        allowance: NetworkSettings,
+        network: NetworkSettings,
         names: &Names,
     ) -> Self {
         Engines {
             handle,
-            reuse: Reuse::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
-            allowance,
+            reuse: Reuse::new((network.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
+            network,
             report_names: names.report.clone(),
             engines: BTreeMap::new(),
             connections: BTreeMap::new(),
             executions: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
             max_connections: 0,
             dials: dial_pacer::unlimited(),
-            awaiting_cancel: Vec::new(),
+            pending_cancels: Vec::new(),
             events: Vec::new(),
         }
     }
 
     /// Sets the descriptors for connections to engines: those given, less what the rest of the front needs.
     pub fn set_descriptor_limit(&mut self, descriptors: usize) {
-        self.max_connections = descriptors.saturating_sub(OTHER_DESCRIPTORS).max(1);
+        self.max_connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(1);
     }
 
     fn report_end(&mut self, execution_id: ExecutionId, ending: Ending) {
@@ -141,19 +143,19 @@
     /// the connections to the former.
     pub fn update_engine(&mut self, engine_index: EngineIndex, listed: ListedEngine) {
         let known = self.engines.get(&engine_index);
-        let known = known.filter(|engine| engine.is(&listed));
-        let failing = known.is_some_and(|engine| engine.failing);
+        let known = known.filter(|engine| engine.matches(&listed));
+        let is_unreachable = known.is_some_and(|engine| engine.is_unreachable);
         if known.is_none() || !listed.available {
             self.retire(engine_index);
         }
         let former = self.engines.remove(&engine_index);
         let engine = Engine {
             id: listed.id.to_string(),
-            at: listed.address,
-            started: listed.started_ms,
+            address: listed.address,
+            started_ms: listed.started_ms,
             available: listed.available,
             connections: former.map(|engine| engine.connections).unwrap_or_default(),
-            failing,
+            is_unreachable,
         };
         self.engines.insert(engine_index, engine);
     }
@@ -164,7 +166,7 @@
             .engines
             .keys()
             .copied()
-            .filter(|p| !listed.contains(p))
+            .filter(|index| !listed.contains(index))
             .collect();
         engine_indexes
             .into_iter()
@@ -200,16 +202,16 @@
 
     /// Nobody waits for a statement any more: what has not left for an engine never will.
     pub fn withdraw_queued(&mut self, ticket: Ticket) {
-        let of_ticket = self
+        let ticket_executions = self
             .executions
             .range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
-        let queued = of_ticket.filter(|(_, execution)| execution.stage == Stage::Queued);
+        let queued = ticket_executions.filter(|(_, execution)| execution.stage == Stage::Queued);
         let queued: Vec<(ExecutionId, ConnectionId)> = queued
             .map(|(execution_id, execution)| (*execution_id, execution.connection))
             .collect();
         for (execution_id, id) in queued {
             if let Some(connection) = self.connections.get_mut(&id) {
-                connection.queue.retain(|other| *other != execution_id);
+                connection.queue.retain(|queued| *queued != execution_id);
             }
             self.withdraw(id, execution_id);
         }
@@ -219,8 +221,8 @@
         let engine = self
             .connections
             .get(&connection)
-            .and_then(|l| self.engines.get(&l.engine_index));
-        engine.map_or("?", |e| &e.id)
+            .and_then(|connection| self.engines.get(&connection.engine_index));
+        engine.map_or("?", |engine| &engine.id)
     }
 }
 
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -3,12 +3,12 @@
 use hallmux_dispatcher::{Ending, Micros};
 
 use super::connection::ConnectionId;
-use super::pending_cancel::{AwaitingCancel, CancelCommand, CancelState};
+use super::pending_cancel::{CancelCommand, CancelState, PendingCancel};
 use super::Engines;
 use crate::execution::ExecutionId;
 
 /// Microseconds until an engine has surely read a command: some round trips.
-pub(super) const CANCEL_LAG: Micros = 10_000;
+pub(super) const CANCEL_DELIVERY_TIME: Micros = 10_000;
 
 impl Engines {
     /// Ends an execution. One that this front gave up is reported as ended only once its engine has surely read the
@@ -35,7 +35,7 @@
             close_by: None,
         };
         let state = command.map_or(CancelState::Closed, unsent);
-        self.awaiting_cancel.push(AwaitingCancel {
+        self.pending_cancels.push(PendingCancel {
             execution_id,
             ending,
             state,
@@ -44,11 +44,11 @@
 
     /// An execution that is cancelled is to end at once if its client's time is up, read or not. Guards
     /// against a final answer that waits for an engine that reads nothing.
-    pub(super) fn end_awaited(&mut self, execution_id: ExecutionId, ending: Ending) {
-        let before = self.awaiting_cancel.len();
-        self.awaiting_cancel
-            .retain(|awaited| ending != Ending::TimeUp || awaited.execution_id != execution_id);
-        if self.awaiting_cancel.len() < before {
+    pub(super) fn end_pending_cancel(&mut self, execution_id: ExecutionId, ending: Ending) {
+        let count_before = self.pending_cancels.len();
+        self.pending_cancels
+            .retain(|pending| ending != Ending::TimeUp || pending.execution_id != execution_id);
+        if self.pending_cancels.len() < count_before {
             self.report_end(execution_id, ending);
         }
     }
@@ -56,10 +56,10 @@
     /// What could leave has left. An engine's time to read a command counts from when its last byte has left:
     /// not from when it was decided, as a front may stand still in between, nor from a flush that a full
     /// socket did not take all of.
-    pub(super) fn cancels_flushed(&mut self, now: Micros) {
-        let timeout = self.allowance.dial_timeout;
-        for awaited in &mut self.awaiting_cancel {
-            awaited.state = match awaited.state {
+    pub(super) fn mark_cancels_sent(&mut self, now: Micros) {
+        let timeout = self.network.dial_timeout;
+        for pending in &mut self.pending_cancels {
+            pending.state = match pending.state {
                 CancelState::Unsent {
                     connection,
                     end,
@@ -67,7 +67,7 @@
                 } if self
                     .connections
                     .get(&connection)
-                    .is_some_and(|l| !l.link.has_sent_up_to(end)) =>
+                    .is_some_and(|connection| !connection.link.has_sent_up_to(end)) =>
                 {
                     let close_by = close_by.or(Some(now.saturating_add(timeout)));
                     CancelState::Unsent {
@@ -76,22 +76,22 @@
                         close_by,
                     }
                 }
-                CancelState::Unsent { .. } | CancelState::Closed => CancelState::Left {
-                    read_by: now + CANCEL_LAG,
+                CancelState::Unsent { .. } | CancelState::Closed => CancelState::Sent {
+                    delivered_by: now + CANCEL_DELIVERY_TIME,
                 },
-                left @ CancelState::Left { .. } => left,
+                sent @ CancelState::Sent { .. } => sent,
             };
         }
     }
 
     /// When the next wait for an engine to read of an end is over, or its connection is to be closed.
-    pub(super) fn cancels_due(&self) -> Micros {
-        let due = |awaited: &AwaitingCancel| match awaited.state {
+    pub(super) fn next_cancel_timeout(&self) -> Micros {
+        let due = |pending: &PendingCancel| match pending.state {
             CancelState::Unsent { close_by, .. } => close_by,
-            CancelState::Left { read_by } => Some(read_by),
+            CancelState::Sent { delivered_by } => Some(delivered_by),
             CancelState::Closed => None,
         };
-        self.awaiting_cancel
+        self.pending_cancels
             .iter()
             .filter_map(due)
             .min()
@@ -99,14 +99,16 @@
     }
 
     /// Reports the ends that their engines have surely read by now.
-    pub(super) fn end_cancelled(&mut self, now: Micros) {
-        let is_read = |awaited: &mut AwaitingCancel| match awaited.state {
-            CancelState::Left { read_by } => read_by <= now,
+    pub(super) fn report_delivered_cancels(&mut self, now: Micros) {
+        let is_delivered = |pending: &mut PendingCancel| match pending.state {
+            CancelState::Sent { delivered_by } => delivered_by <= now,
             _ => false,
         };
-        let read: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., is_read).collect();
-        read.into_iter()
-            .for_each(|awaited| self.report_end(awaited.execution_id, awaited.ending));
+        let delivered: Vec<PendingCancel> =
+            self.pending_cancels.extract_if(.., is_delivered).collect();
+        delivered
+            .into_iter()
+            .for_each(|pending| self.report_end(pending.execution_id, pending.ending));
     }
 
     /// Whether a connection has not taken a command that ends an execution for as long as one has to come up.
@@ -115,16 +117,16 @@
         let Some(connection) = self.connections.get(&id) else {
             return false;
         };
-        self.awaiting_cancel
+        self.pending_cancels
             .iter()
-            .any(|awaited| match awaited.state {
+            .any(|pending| match pending.state {
                 CancelState::Unsent {
-                    connection: on,
+                    connection: cancel_connection,
                     end,
                     close_by,
                 } => {
-                    on == id
-                        && close_by.is_some_and(|by| by <= now)
+                    cancel_connection == id
+                        && close_by.is_some_and(|close_by| close_by <= now)
                         && !connection.link.has_sent_up_to(end)
                 }
                 _ => false,
@@ -132,13 +134,16 @@
     }
 
     /// A connection is over: what was cancelled on it, but not told, ends as what was still out there.
-    pub(super) fn settle_unsent_cancels(&mut self, connection: ConnectionId, ending: Ending) {
-        let unsent = |awaited: &mut AwaitingCancel| match awaited.state {
-            CancelState::Unsent { connection: on, .. } => on == connection,
+    pub(super) fn end_unsent_cancels(&mut self, connection: ConnectionId, ending: Ending) {
+        let unsent = |pending: &mut PendingCancel| match pending.state {
+            CancelState::Unsent {
+                connection: cancel_connection,
+                ..
+            } => cancel_connection == connection,
             _ => false,
         };
-        let unsent: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., unsent).collect();
-        for AwaitingCancel { execution_id, .. } in unsent {
+        let unsent: Vec<PendingCancel> = self.pending_cancels.extract_if(.., unsent).collect();
+        for PendingCancel { execution_id, .. } in unsent {
             let ending = match ending {
                 Ending::Reset | Ending::Closed | Ending::Unreadable => ending,
                 // From here, for whatever reason: it may have run, and its engine may read of the end only
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -15,16 +15,16 @@
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn connections_are_made_at_their_pace_and_those_that_are_there_are_used_at_any_time() {
+fn new_connections_are_paced_and_existing_ones_are_used_at_any_time() {
     let event_loop: calloop::EventLoop<'static, LoopEvents> =
         calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowance = NetworkSettings {
+    let network = NetworkSettings {
         cancel: true,
         executions_per_connection: 2,
         ..NetworkSettings::default()
     };
-    let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
+    let mut engines = Engines::new(event_loop.handle(), network, &Names::default());
     engines.set_descriptor_limit(256);
     let mut dials = ConnectionPacer::new(true, 0, 0);
     dials.set_rate(0, 1.0);
--- a/crates/front/src/engines/connection.rs
+++ b/crates/front/src/engines/connection.rs
@@ -8,7 +8,7 @@
 use crate::link::Link;
 
 /// Ids that a connection remembers of executions that are over; then it takes no more executions.
-const MOST_FORMER_IDS: usize = 128;
+const MAX_FINISHED_IDS: usize = 128;
 
 /// A connection, by its number among all that were dialled.
 pub(super) type ConnectionId = u64;
@@ -20,7 +20,7 @@
     /// It takes no more executions: its engine is another by now, or it was silent too long.
     pub(super) retired: bool,
     pub(super) dial_by: Micros,
-    pub(super) last_reply: Micros,
+    pub(super) last_reply_at: Micros,
     /// Since when the rest of a line is awaited.
     pub(super) partial_line_since: Option<Micros>,
     pub(super) idle_since: Micros,
@@ -70,7 +70,7 @@
             up: false,
             retired: false,
             dial_by,
-            last_reply: now,
+            last_reply_at: now,
             partial_line_since: None,
             idle_since: now,
             idle_before: 0,
@@ -85,12 +85,12 @@
     }
 
     /// Whether it is of use for more executions.
-    pub(super) fn takes_executions(&self) -> bool {
-        !self.retired && self.cancelled.len() + self.finished.len() < MOST_FORMER_IDS
+    pub(super) fn accepts_executions(&self) -> bool {
+        !self.retired && self.cancelled.len() + self.finished.len() < MAX_FINISHED_IDS
     }
 
     /// Whether the id is or was used on this connection.
-    pub(super) fn knows(&self, id: &str) -> bool {
+    pub(super) fn has_used_id(&self, id: &str) -> bool {
         self.open.contains_key(id) || self.cancelled.contains(id) || self.finished.contains(id)
     }
 
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -9,13 +9,13 @@
 use hallmux_native_codec::statement::Call;
 use socket2::SockRef;
 
-use super::cancels::CANCEL_LAG;
-use super::writes::MOST_UNSENT;
+use super::cancels::CANCEL_DELIVERY_TIME;
+use super::writes::MAX_UNSENT_BYTES;
 use super::*;
 use crate::link::Broken;
 
-const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
-const RECEIVE_BUFFER: usize = 4 << 10; // bytes asked for at an engine: little that it leaves unread fits
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
+const RECEIVE_BUFFER_BYTES: usize = 4 << 10; // bytes asked for at an engine: little that it leaves unread fits
 const DIAL_TIMEOUT: Micros = 250_000;
 
 /// An engine that is there.
@@ -29,16 +29,16 @@
 }
 
 #[test]
-fn what_is_given_up_ends_once_its_engine_has_read_so() {
+fn a_cancelled_execution_ends_once_its_engine_has_read_the_cancel() {
     let event_loop: calloop::EventLoop<'static, LoopEvents> =
         calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowance = NetworkSettings {
+    let network = NetworkSettings {
         cancel: true,
         executions_per_connection: 32,
         ..NetworkSettings::default()
     };
-    let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
+    let mut engines = Engines::new(event_loop.handle(), network, &Names::default());
     engines.update_engine(0, listed(listener.local_addr().unwrap()));
     let call = Rc::new(Call {
         id: "1".into(),
@@ -58,20 +58,20 @@
         },
     );
     let mut peer = BufReader::new(listener.accept().unwrap().0);
-    while engines.executions[&ExecutionId::new(1, 0)].stage != Stage::Out {
+    while engines.executions[&ExecutionId::new(1, 0)].stage != Stage::Sent {
         engines.read(0, 1);
         engines.flush(0);
     }
     engines.cancel(0, ExecutionId::new(1, 0), Ending::GivenUp);
     // It was decided long before the command leaves: the front stood still.
-    engines.expire_timeouts(5 * CANCEL_LAG);
+    engines.expire_timeouts(5 * CANCEL_DELIVERY_TIME);
     assert!(engines.events.is_empty());
     engines.flush(0);
-    let mut heard = String::new();
-    (0..3).for_each(|_| _ = peer.read_line(&mut heard).unwrap());
-    assert!(heard.ends_with("never_mind 1\r\n"), "{heard}");
-    engines.expire_timeouts(CANCEL_LAG - 1);
-    assert!(engines.events.is_empty() && engines.next_timeout() == CANCEL_LAG);
+    let mut received = String::new();
+    (0..3).for_each(|_| _ = peer.read_line(&mut received).unwrap());
+    assert!(received.ends_with("never_mind 1\r\n"), "{received}");
+    engines.expire_timeouts(CANCEL_DELIVERY_TIME - 1);
+    assert!(engines.events.is_empty() && engines.next_timeout() == CANCEL_DELIVERY_TIME);
     // A time that is up is: its client is owed the answer now.
     let call = Rc::new(Call {
         id: "2".into(),
@@ -92,7 +92,7 @@
     );
     engines.flush(0);
     engines.cancel(0, ExecutionId::new(2, 0), Ending::TimeUp);
-    let ended = |event: &Event| {
+    let timed_out = |event: &Event| {
         matches!(
             event,
             Event::ExecutionEnded {
@@ -105,9 +105,9 @@
             }
         )
     };
-    assert!(engines.events.pop().is_some_and(|event| ended(&event)));
-    engines.expire_timeouts(CANCEL_LAG);
-    let over = |event: &Event| {
+    assert!(engines.events.pop().is_some_and(|event| timed_out(&event)));
+    engines.expire_timeouts(CANCEL_DELIVERY_TIME);
+    let cancelled = |event: &Event| {
         matches!(
             event,
             Event::ExecutionEnded {
@@ -120,20 +120,20 @@
             }
         )
     };
-    assert!(engines.events.len() == 1 && over(&engines.events[0]));
+    assert!(engines.events.len() == 1 && cancelled(&engines.events[0]));
 }
 
 #[test]
-fn a_connection_that_came_up_while_the_front_stood_still_is_not_given_up() {
+fn a_connection_that_came_up_during_a_stall_is_not_timed_out() {
     let event_loop: calloop::EventLoop<'static, LoopEvents> =
         calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowance = NetworkSettings {
+    let network = NetworkSettings {
         dial_timeout: 250_000,
         executions_per_connection: 32,
         ..NetworkSettings::default()
     };
-    let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
+    let mut engines = Engines::new(event_loop.handle(), network, &Names::default());
     engines.update_engine(0, listed(listener.local_addr().unwrap()));
     let call = Rc::new(Call {
         id: "1".into(),
@@ -158,19 +158,19 @@
     assert!(engines.events.is_empty());
     engines.read(1_000_000, 1);
     engines.flush(1_000_000);
-    let mut heard = String::new();
-    peer.read_line(&mut heard).unwrap();
-    assert!(heard.starts_with("want 1 "), "{heard}");
+    let mut received = String::new();
+    peer.read_line(&mut received).unwrap();
+    assert!(received.starts_with("want 1 "), "{received}");
 }
 
 /// Connections to one engine, which takes connections but reads nothing unless the test does.
-struct Deaf {
+struct StalledEngine {
     _events: calloop::EventLoop<'static, LoopEvents>,
     engines: Engines,
     peer: TcpStream,
 }
 
-fn sends(engines: &mut Engines, ticket: Ticket, statement: Vec<u8>) {
+fn send_statement(engines: &mut Engines, ticket: Ticket, statement: Vec<u8>) {
     let call = Call {
         id: ticket.to_string(),
         workload: "lookup".into(),
@@ -186,32 +186,35 @@
     engines.send(0, ExecutionId::new(ticket, 0), 0, Rc::new(call), terms);
 }
 
-impl Deaf {
+impl StalledEngine {
     /// With statement 1 out there.
-    fn new() -> Deaf {
+    fn new() -> StalledEngine {
         let events: calloop::EventLoop<'static, LoopEvents> =
             calloop::EventLoop::try_new().unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         SockRef::from(&listener)
-            .set_recv_buffer_size(RECEIVE_BUFFER)
+            .set_recv_buffer_size(RECEIVE_BUFFER_BYTES)
             .unwrap();
-        let allowance = NetworkSettings {
+        let network = NetworkSettings {
             cancel: true,
             dial_timeout: DIAL_TIMEOUT,
             executions_per_connection: 32,
             ..NetworkSettings::default()
         };
-        let mut engines = Engines::new(events.handle(), allowance, &Names::default());
+        let mut engines = Engines::new(events.handle(), network, &Names::default());
         engines.update_engine(0, listed(listener.local_addr().unwrap()));
-        sends(&mut engines, 1, b"select 1".to_vec());
+        send_statement(&mut engines, 1, b"select 1".to_vec());
         let peer = listener.accept().unwrap().0;
-        let begun = Instant::now();
-        while engines.executions[&ExecutionId::new(1, 0)].stage != Stage::Out {
-            assert!(begun.elapsed() < PATIENCE, "the statement does not leave");
+        let started = Instant::now();
+        while engines.executions[&ExecutionId::new(1, 0)].stage != Stage::Sent {
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "the statement does not leave"
+            );
             engines.read(0, 1);
             engines.flush(0);
         }
-        Deaf {
+        StalledEngine {
             _events: events,
             engines,
             peer,
@@ -220,10 +223,13 @@
 
     /// Gives statement 1 up behind so many small commands that the socket is full, and flushes at the time
     /// given: the command is written, but its bytes have not left.
-    fn gives_up_into_a_full_socket(&mut self, now: Micros) {
-        let begun = Instant::now();
+    fn cancel_into_full_socket(&mut self, now: Micros) {
+        let started = Instant::now();
         while self.engines.connections[&1].link.unsent() == 0 {
-            assert!(begun.elapsed() < PATIENCE, "the socket takes everything");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "the socket takes everything"
+            );
             (0..1_000).for_each(|_| self.engines.set_priority(ExecutionId::new(1, 0), 2));
             self.engines.flush(now);
         }
@@ -234,23 +240,23 @@
     }
 
     /// The engine reads until the front has nothing left to send, which it flushes at the time given: what is
-    /// heard.
-    fn reads_all(&mut self, now: Micros) -> String {
+    /// received.
+    fn read_until_cancel(&mut self, now: Micros) -> String {
         self.peer.set_nonblocking(true).unwrap();
-        let (begun, mut heard, mut chunk) = (Instant::now(), Vec::new(), vec![0; 64 << 10]);
-        while !heard.ends_with(b"never_mind 1\r\n") {
-            assert!(begun.elapsed() < PATIENCE, "not all comes");
+        let (started, mut received, mut chunk) = (Instant::now(), Vec::new(), vec![0; 64 << 10]);
+        while !received.ends_with(b"never_mind 1\r\n") {
+            assert!(started.elapsed() < WAIT_TIMEOUT, "not all comes");
             match self.peer.read(&mut chunk) {
-                Ok(len) => heard.extend_from_slice(&chunk[..len]),
+                Ok(len) => received.extend_from_slice(&chunk[..len]),
                 Err(e) => assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}"),
             }
             self.engines.flush(now);
         }
-        String::from_utf8(heard).unwrap()
+        String::from_utf8(received).unwrap()
     }
 
     /// How executions have ended since the last look.
-    fn ended(&mut self) -> Vec<(Ticket, Ending)> {
+    fn take_endings(&mut self) -> Vec<(Ticket, Ending)> {
         let ended = |event: Event| match event {
             Event::ExecutionEnded {
                 execution_id,
@@ -267,58 +273,76 @@
 }
 
 #[test]
-fn what_is_given_up_into_a_full_socket_ends_once_the_command_has_left_and_was_read() {
-    let mut deaf = Deaf::new();
-    deaf.gives_up_into_a_full_socket(0);
+fn a_cancel_into_a_full_socket_ends_the_execution_once_it_was_sent_and_read() {
+    let mut stalled = StalledEngine::new();
+    stalled.cancel_into_full_socket(0);
     // Its engine has not been told: nothing may go out by this end.
-    deaf.engines.expire_timeouts(DIAL_TIMEOUT - 1);
-    assert_eq!(deaf.ended(), [], "its command has not left");
+    stalled.engines.expire_timeouts(DIAL_TIMEOUT - 1);
+    assert_eq!(stalled.take_endings(), [], "its command has not left");
     // What has come to the connection only now is read some round trips later.
-    let left_at = DIAL_TIMEOUT - 1;
-    deaf.reads_all(left_at);
-    deaf.engines.expire_timeouts(left_at + CANCEL_LAG - 1);
-    assert_eq!(deaf.ended(), [], "its engine may not have read the command");
-    assert_eq!(deaf.engines.next_timeout(), left_at + CANCEL_LAG);
-    deaf.engines.expire_timeouts(left_at + CANCEL_LAG);
-    assert_eq!(deaf.ended(), [(1, Ending::GivenUp)]);
-    assert_eq!(deaf.engines.connections.len(), 1);
+    let sent_at = DIAL_TIMEOUT - 1;
+    stalled.read_until_cancel(sent_at);
+    stalled
+        .engines
+        .expire_timeouts(sent_at + CANCEL_DELIVERY_TIME - 1);
+    assert_eq!(
+        stalled.take_endings(),
+        [],
+        "its engine may not have read the command"
+    );
+    assert_eq!(
+        stalled.engines.next_timeout(),
+        sent_at + CANCEL_DELIVERY_TIME
+    );
+    stalled
+        .engines
+        .expire_timeouts(sent_at + CANCEL_DELIVERY_TIME);
+    assert_eq!(stalled.take_endings(), [(1, Ending::GivenUp)]);
+    assert_eq!(stalled.engines.connections.len(), 1);
 }
 
 #[test]
-fn an_engine_that_never_takes_that_an_execution_is_given_up_is_told_by_the_end_of_its_connection() {
-    let mut deaf = Deaf::new();
-    deaf.gives_up_into_a_full_socket(1_000);
-    sends(&mut deaf.engines, 2, b"select 2".to_vec());
-    deaf.engines.expire_timeouts(1_000 + DIAL_TIMEOUT - 1);
-    assert_eq!(deaf.ended(), []);
-    assert_eq!(deaf.engines.next_timeout(), 1_000 + DIAL_TIMEOUT);
+fn an_engine_that_never_reads_a_cancel_has_its_connection_closed() {
+    let mut stalled = StalledEngine::new();
+    stalled.cancel_into_full_socket(1_000);
+    send_statement(&mut stalled.engines, 2, b"select 2".to_vec());
+    stalled.engines.expire_timeouts(1_000 + DIAL_TIMEOUT - 1);
+    assert_eq!(stalled.take_endings(), []);
+    assert_eq!(stalled.engines.next_timeout(), 1_000 + DIAL_TIMEOUT);
     let closed_at = 1_000 + DIAL_TIMEOUT;
-    deaf.engines.expire_timeouts(closed_at);
-    assert!(deaf.engines.connections.is_empty());
-    deaf.engines.flush(closed_at);
-    // What had not begun to leave surely never ran; the other may have.
-    assert_eq!(deaf.ended(), [(2, Ending::Withdrawn)]);
-    deaf.engines.expire_timeouts(closed_at + CANCEL_LAG - 1);
-    assert_eq!(deaf.ended(), []);
-    deaf.engines.expire_timeouts(closed_at + CANCEL_LAG);
-    assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
+    stalled.engines.expire_timeouts(closed_at);
+    assert!(stalled.engines.connections.is_empty());
+    stalled.engines.flush(closed_at);
+    // What had not started to leave surely never ran; the other may have.
+    assert_eq!(stalled.take_endings(), [(2, Ending::Withdrawn)]);
+    stalled
+        .engines
+        .expire_timeouts(closed_at + CANCEL_DELIVERY_TIME - 1);
+    assert_eq!(stalled.take_endings(), []);
+    stalled
+        .engines
+        .expire_timeouts(closed_at + CANCEL_DELIVERY_TIME);
+    assert_eq!(stalled.take_endings(), [(1, Ending::ClosedHere)]);
 }
 
 #[test]
-fn what_is_given_up_on_a_connection_that_is_lost_before_the_command_has_left_ends_with_it() {
-    let mut deaf = Deaf::new();
-    deaf.gives_up_into_a_full_socket(0);
+fn a_cancelled_execution_ends_if_its_connection_is_lost_before_the_cancel_is_sent() {
+    let mut stalled = StalledEngine::new();
+    stalled.cancel_into_full_socket(0);
     // The engine leaves with much unread: whether that is found as a reset or as the end depends on who looks
     // first.
-    let Deaf {
+    let StalledEngine {
         engines,
         peer,
         _events,
-    } = deaf;
+    } = stalled;
     drop(peer);
-    let (begun, mut engines) = (Instant::now(), engines);
+    let (started, mut engines) = (Instant::now(), engines);
     while !engines.connections.is_empty() {
-        assert!(begun.elapsed() < PATIENCE, "the connection is not lost");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "the connection is not lost"
+        );
         engines.flush(1);
     }
     let lost = |event: &Event| {
@@ -338,68 +362,84 @@
 }
 
 #[test]
-fn a_time_that_is_up_does_not_wait_for_an_engine_to_take_the_command() {
-    let mut deaf = Deaf::new();
-    deaf.gives_up_into_a_full_socket(0);
-    deaf.engines
+fn an_execution_past_its_deadline_ends_without_waiting_for_the_cancel() {
+    let mut stalled = StalledEngine::new();
+    stalled.cancel_into_full_socket(0);
+    stalled
+        .engines
         .cancel(1, ExecutionId::new(1, 0), Ending::GivenUp);
-    assert_eq!(deaf.ended(), [], "given up once more it is still out");
-    deaf.engines
+    assert_eq!(
+        stalled.take_endings(),
+        [],
+        "given up once more it is still out"
+    );
+    stalled
+        .engines
         .cancel(2, ExecutionId::new(1, 0), Ending::TimeUp);
-    assert_eq!(deaf.ended(), [(1, Ending::TimeUp)]);
-    deaf.reads_all(3);
-    deaf.engines.expire_timeouts(3 + CANCEL_LAG);
-    assert_eq!(deaf.ended(), [], "an execution ends once");
+    assert_eq!(stalled.take_endings(), [(1, Ending::TimeUp)]);
+    stalled.read_until_cancel(3);
+    stalled.engines.expire_timeouts(3 + CANCEL_DELIVERY_TIME);
+    assert_eq!(stalled.take_endings(), [], "an execution ends once");
 }
 
 #[test]
-fn a_statement_whose_end_left_as_timeouts_were_looked_at_may_have_run() {
-    let mut deaf = Deaf::new();
-    sends(&mut deaf.engines, 2, vec![b'x'; MOST_UNSENT - 1_000]);
-    deaf.engines.flush(0);
+fn a_statement_fully_sent_while_timeouts_are_checked_may_have_run() {
+    let mut stalled = StalledEngine::new();
+    send_statement(
+        &mut stalled.engines,
+        2,
+        vec![b'x'; MAX_UNSENT_BYTES - 1_000],
+    );
+    stalled.engines.flush(0);
     assert!(
-        deaf.engines.connections[&1].link.unsent() > 0,
+        stalled.engines.connections[&1].link.unsent() > 0,
         "its end has not left"
     );
     // The engine reads as fast as it can; each look at the timeouts sends on, until its end has left.
-    deaf.peer.set_nonblocking(true).unwrap();
-    let (begun, mut chunk) = (Instant::now(), vec![0; 64 << 10]);
-    while deaf.engines.connections[&1].link.unsent() > 0 {
-        assert!(begun.elapsed() < PATIENCE, "not all comes");
-        let _ = deaf.peer.read(&mut chunk);
-        deaf.engines.expire_timeouts(1);
+    stalled.peer.set_nonblocking(true).unwrap();
+    let (started, mut chunk) = (Instant::now(), vec![0; 64 << 10]);
+    while stalled.engines.connections[&1].link.unsent() > 0 {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "not all comes");
+        let _ = stalled.peer.read(&mut chunk);
+        stalled.engines.expire_timeouts(1);
     }
-    deaf.engines
+    stalled
+        .engines
         .cancel(2, ExecutionId::new(2, 0), Ending::TimeUp);
-    assert_eq!(deaf.ended(), [(2, Ending::TimeUp)]);
-    assert_eq!(deaf.engines.connections.len(), 1, "others go on there");
+    assert_eq!(stalled.take_endings(), [(2, Ending::TimeUp)]);
+    assert_eq!(stalled.engines.connections.len(), 1, "others go on there");
 }
 
 #[test]
-fn an_engine_that_leaves_too_much_untaken_has_its_executions_end_once_it_may_know() {
-    let mut deaf = Deaf::new();
-    let begun = Instant::now();
-    while !deaf.engines.connections.is_empty() {
-        assert!(begun.elapsed() < PATIENCE, "the socket takes everything");
-        (0..20_000).for_each(|_| deaf.engines.set_priority(ExecutionId::new(1, 0), 2));
-        deaf.engines.flush(0);
+fn executions_on_a_connection_closed_for_unsent_output_end_after_the_engine_can_know() {
+    let mut stalled = StalledEngine::new();
+    let started = Instant::now();
+    while !stalled.engines.connections.is_empty() {
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "the socket takes everything"
+        );
+        (0..20_000).for_each(|_| stalled.engines.set_priority(ExecutionId::new(1, 0), 2));
+        stalled.engines.flush(0);
     }
     assert_eq!(
-        deaf.ended(),
+        stalled.take_endings(),
         [],
         "its engine has yet to read that the connection is closed"
     );
-    deaf.engines.expire_timeouts(CANCEL_LAG);
-    assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
+    stalled.engines.expire_timeouts(CANCEL_DELIVERY_TIME);
+    assert_eq!(stalled.take_endings(), [(1, Ending::ClosedHere)]);
 }
 
 #[test]
-fn what_was_out_on_a_connection_that_this_system_gave_up_ends_once_its_engine_can_have_read_so() {
-    let mut deaf = Deaf::new();
-    deaf.engines.close(0, 1, replies::ending_of(Broken::Lost));
-    deaf.engines.flush(0);
-    deaf.engines.expire_timeouts(CANCEL_LAG - 1);
-    assert_eq!(deaf.ended(), [], "its engine may run it still");
-    deaf.engines.expire_timeouts(CANCEL_LAG);
-    assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
+fn executions_on_a_lost_connection_end_once_the_engine_can_have_noticed() {
+    let mut stalled = StalledEngine::new();
+    stalled
+        .engines
+        .close(0, 1, replies::ending_of(Broken::Lost));
+    stalled.engines.flush(0);
+    stalled.engines.expire_timeouts(CANCEL_DELIVERY_TIME - 1);
+    assert_eq!(stalled.take_endings(), [], "its engine may run it still");
+    stalled.engines.expire_timeouts(CANCEL_DELIVERY_TIME);
+    assert_eq!(stalled.take_endings(), [(1, Ending::ClosedHere)]);
 }
--- a/crates/front/src/engines/execution.rs
+++ b/crates/front/src/engines/execution.rs
@@ -16,7 +16,7 @@
     /// It is the one being written.
     Writing,
     /// All of it has left.
-    Out,
+    Sent,
 }
 
 pub(super) struct Execution {
@@ -26,7 +26,7 @@
     pub(super) stage: Stage,
     /// When it was begun to be written; before that, when it was queued.
     pub(super) sent_at: Micros,
-    pub(super) last_reply: Micros,
+    pub(super) last_reply_at: Micros,
     /// The result, from its first page on.
     pub(super) pages: Option<ResultPages>,
 }
--- a/crates/front/src/engines/pending_cancel.rs
+++ b/crates/front/src/engines/pending_cancel.rs
@@ -13,7 +13,7 @@
 }
 
 /// An execution that was ended from here, but whose engine may not have read so yet.
-pub(super) struct AwaitingCancel {
+pub(super) struct PendingCancel {
     pub(super) execution_id: ExecutionId,
     pub(super) ending: Ending,
     pub(super) state: CancelState,
@@ -32,5 +32,5 @@
     /// The connection was closed: this goes out with the next flush.
     Closed,
     /// It has left: its engine has surely read it by then.
-    Left { read_by: Micros },
+    Sent { delivered_by: Micros },
 }
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -8,14 +8,14 @@
 
 use super::connection::{ConnectionId, EngineConnection};
 use super::execution::{Execution, Stage};
-use super::result_pages::{PageOutcome, ResultPages, MOST_PAGES};
+use super::result_pages::{PageOutcome, ResultPages, MAX_PAGES};
 use super::{Engines, Event};
 use crate::execution::ExecutionId;
 use crate::link::{Broken, ReadOutcome};
 
-/// How far the lines of an input were taken.
-enum LinesTaken {
-    /// So many bytes were taken; the rest is less than a line.
+/// How far the lines of an input were consumed.
+enum LinesOutcome {
+    /// So many bytes were consumed; the rest is less than a line.
     UpTo(usize),
     Unreadable(ParseError),
     /// A line has closed the connection.
@@ -33,19 +33,19 @@
         };
         let ReadOutcome { has_more, broken } = connection.link.read();
         let input = std::mem::take(&mut connection.link.input);
-        match self.take_lines(now, id, &input) {
-            LinesTaken::ConnectionClosed => return false,
-            LinesTaken::Unreadable(what) => {
+        match self.handle_lines(now, id, &input) {
+            LinesOutcome::ConnectionClosed => return false,
+            LinesOutcome::Unreadable(error) => {
                 log::warn!(
-                    "engine {}: {what}; its connection is closed",
+                    "engine {}: {error}; its connection is closed",
                     self.engine_name(id)
                 );
                 self.close(now, id, Ending::Unreadable);
             }
-            LinesTaken::UpTo(taken) => {
+            LinesOutcome::UpTo(consumed) => {
                 if let Some(connection) = self.connections.get_mut(&id) {
                     connection.link.input = input;
-                    connection.keep_partial_line(now, taken);
+                    connection.keep_partial_line(now, consumed);
                 }
             }
         }
@@ -65,26 +65,26 @@
         }
         match connection.link.is_up() {
             Ok(true) => {
-                self.came_up(id);
+                self.mark_connected(id);
                 true
             }
             Ok(false) => false,
             Err(error) => {
-                self.close(now, id, ending_of_dial(&error));
+                self.close(now, id, ending_of_broken_dial(&error));
                 false
             }
         }
     }
 
     /// A connection has come up: health checks that wait for it are written.
-    fn came_up(&mut self, id: ConnectionId) {
+    fn mark_connected(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         connection.up = true;
         let engine = self.engines.get_mut(&connection.engine_index);
-        if let Some(engine) = engine.filter(|engine| engine.failing) {
-            engine.failing = false;
+        if let Some(engine) = engine.filter(|engine| engine.is_unreachable) {
+            engine.is_unreachable = false;
             log::info!("engine {}: reached again", engine.id);
         }
         for tag in connection.probes.keys() {
@@ -93,46 +93,46 @@
     }
 
     /// Takes all whole lines of an input.
-    fn take_lines(&mut self, now: Micros, id: ConnectionId, input: &[u8]) -> LinesTaken {
-        let mut taken = 0;
+    fn handle_lines(&mut self, now: Micros, id: ConnectionId, input: &[u8]) -> LinesOutcome {
+        let mut consumed = 0;
         loop {
-            match engine::read(&input[taken..], &self.report_names) {
-                Ok(None) => return LinesTaken::UpTo(taken),
-                Err(what) => return LinesTaken::Unreadable(what),
+            match engine::read(&input[consumed..], &self.report_names) {
+                Ok(None) => return LinesOutcome::UpTo(consumed),
+                Err(error) => return LinesOutcome::Unreadable(error),
                 Ok(Some(Decoded { len, message })) => {
-                    taken += len;
-                    self.take_line(now, id, message);
+                    consumed += len;
+                    self.handle_line(now, id, message);
                     if !self.connections.contains_key(&id) {
-                        return LinesTaken::ConnectionClosed;
+                        return LinesOutcome::ConnectionClosed;
                     }
                 }
             }
         }
     }
 
-    fn take_line(&mut self, now: Micros, id: ConnectionId, line: Reply) {
+    fn handle_line(&mut self, now: Micros, id: ConnectionId, line: Reply) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.last_reply = now;
+        connection.last_reply_at = now;
         if let ReplyKind::ProbeAnswer { healthy } = line.kind {
-            return self.take_probe_answer(id, healthy, line);
+            return self.handle_probe_answer(id, healthy, line);
         }
         let Some(&execution_id) = connection.open.get(line.id) else {
-            return self.take_late_reply(now, id, &line);
+            return self.handle_late_reply(now, id, &line);
         };
         let execution = self.executions.get_mut(&execution_id);
-        let Some(execution) = execution.filter(|execution| execution.stage == Stage::Out) else {
+        let Some(execution) = execution.filter(|execution| execution.stage == Stage::Sent) else {
             return;
         };
-        execution.last_reply = now;
+        execution.last_reply_at = now;
         if let Some(progress) = progress_of(&line.kind) {
             return self.events.push(Event::Progress {
                 execution_id,
                 progress,
             });
         }
-        match execution.take_reply(now, &line, connection.link.output()) {
+        match execution.apply_reply(now, &line, connection.link.output()) {
             None => {}
             Some(Ending::Unreadable) => {
                 log::warn!(
@@ -145,7 +145,7 @@
         }
     }
 
-    fn take_probe_answer(&mut self, id: ConnectionId, healthy: bool, line: Reply) {
+    fn handle_probe_answer(&mut self, id: ConnectionId, healthy: bool, line: Reply) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -160,8 +160,8 @@
 
     /// What is said of an execution that was given up or is unknown means nothing any more, but that it runs on
     /// no longer.
-    fn take_late_reply(&mut self, now: Micros, id: ConnectionId, line: &Reply) {
-        let is_over = matches!(
+    fn handle_late_reply(&mut self, now: Micros, id: ConnectionId, line: &Reply) {
+        let has_ended = matches!(
             line.kind,
             ReplyKind::FirstPage { .. }
                 | ReplyKind::Rejected
@@ -171,7 +171,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if is_over && !self.allowance.cancel && connection.cancelled.remove(line.id) {
+        if has_ended && !self.network.cancel && connection.cancelled.remove(line.id) {
             connection.idle_since = now;
             engine::write(
                 connection.link.output(),
@@ -207,12 +207,12 @@
         if ending == Ending::Answered {
             self.reuse.answered();
         } else {
-            let former_ids = if self.allowance.cancel {
+            let ended_ids = if self.network.cancel {
                 &mut connection.cancelled
             } else {
                 &mut connection.finished
             };
-            former_ids.insert(line.id.to_string());
+            ended_ids.insert(line.id.to_string());
         }
         log::debug!(
             "statement {}: execution {} ended: {ending:?}",
@@ -234,22 +234,22 @@
 }
 
 impl EngineConnection {
-    /// So many bytes of the input were taken; the rest is kept, and since when it is awaited.
-    fn keep_partial_line(&mut self, now: Micros, taken: usize) {
-        self.link.consume(taken);
-        let awaited_before = self.partial_line_since.filter(|_| taken == 0);
+    /// So many bytes of the input were consumed; the rest is kept, and since when it is awaited.
+    fn keep_partial_line(&mut self, now: Micros, consumed: usize) {
+        self.link.consume(consumed);
+        let since_earlier = self.partial_line_since.filter(|_| consumed == 0);
         let is_partial = !self.link.input.is_empty();
-        self.partial_line_since = is_partial.then(|| awaited_before.unwrap_or(now));
+        self.partial_line_since = is_partial.then(|| since_earlier.unwrap_or(now));
     }
 }
 
 impl Execution {
     /// Takes a reply that is no note; how the execution ends by it, if it does. Commands for further pages go to
     /// `output`.
-    fn take_reply(&mut self, now: Micros, line: &Reply, output: &mut Vec<u8>) -> Option<Ending> {
+    fn apply_reply(&mut self, now: Micros, line: &Reply, output: &mut Vec<u8>) -> Option<Ending> {
         match line.kind {
-            ReplyKind::FirstPage { pages } => self.take_first_page(now, pages, line, output),
-            ReplyKind::Page { number } => self.take_page(now, number, line.bytes),
+            ReplyKind::FirstPage { pages } => self.add_first_page(now, pages, line, output),
+            ReplyKind::Page { number } => self.add_page(now, number, line.bytes),
             ReplyKind::Rejected if self.pages.is_none() => Some(Ending::Rejected),
             ReplyKind::Stale if self.pages.is_none() => Some(Ending::Stale),
             ReplyKind::Failed if self.pages.is_none() => Some(Ending::EngineFailed),
@@ -264,7 +264,7 @@
     }
 
     /// Takes the first page of a result of `count` pages and asks for the others; or a second copy of it.
-    fn take_first_page(
+    fn add_first_page(
         &mut self,
         now: Micros,
         count: usize,
@@ -272,7 +272,7 @@
         output: &mut Vec<u8>,
     ) -> Option<Ending> {
         match &self.pages {
-            None if count <= MOST_PAGES => {
+            None if count <= MAX_PAGES => {
                 self.pages = Some(ResultPages::new(now, count, line.report.clone()));
                 for page in 1..count {
                     engine::write(output, &Command::FetchPage { id: line.id, page });
@@ -281,12 +281,12 @@
             Some(pages) if pages.count() == count => {}
             _ => return Some(Ending::Unreadable),
         }
-        self.take_page(now, 0, line.bytes)
+        self.add_page(now, 0, line.bytes)
     }
 
     /// Takes a page; one that nobody asked for is passed over.
-    fn take_page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
-        match self.pages.as_mut()?.take(now, number, bytes) {
+    fn add_page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
+        match self.pages.as_mut()?.add(now, number, bytes) {
             PageOutcome::Incomplete => None,
             PageOutcome::Complete => Some(Ending::Answered),
             PageOutcome::Malformed => Some(Ending::Unreadable),
@@ -306,7 +306,7 @@
 }
 
 /// How executions end whose connection did not come up.
-fn ending_of_dial(error: &Error) -> Ending {
+fn ending_of_broken_dial(error: &Error) -> Ending {
     match error.kind() {
         ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
         // Whoever resets a connection is there.
--- a/crates/front/src/engines/result_pages.rs
+++ b/crates/front/src/engines/result_pages.rs
@@ -4,16 +4,16 @@
 use hallmux_native_codec::engine;
 
 /// Pages of a result at most; those agreed have eight.
-pub(super) const MOST_PAGES: usize = 64;
+pub(super) const MAX_PAGES: usize = 64;
 /// Bytes of a result at most, as the protocol has it.
-const LONGEST_RESULT: usize = 48_000;
+const MAX_RESULT_BYTES: usize = 48_000;
 
 #[derive(Default)]
 pub(super) struct ResultPages {
     pages: Vec<Option<Vec<u8>>>,
     missing: usize,
     bytes: usize,
-    pub(super) last_page: Micros,
+    pub(super) last_page_at: Micros,
     /// The load report that came with the first page.
     pub(super) report: Option<Vec<f64>>,
 }
@@ -35,7 +35,7 @@
             pages: vec![None; count],
             missing: count,
             bytes: 0,
-            last_page: now,
+            last_page_at: now,
             report,
         }
     }
@@ -47,18 +47,18 @@
 
     /// Takes a page. A second copy is passed over. Guards against a part or a wrong page that passes for the whole:
     /// one page that is not agreed spoils the result.
-    pub(super) fn take(&mut self, now: Micros, number: usize, bytes: &[u8]) -> PageOutcome {
+    pub(super) fn add(&mut self, now: Micros, number: usize, bytes: &[u8]) -> PageOutcome {
         match self.pages.get_mut(number) {
-            Some(Some(known)) if known == bytes => return PageOutcome::Incomplete,
+            Some(Some(existing)) if existing == bytes => return PageOutcome::Incomplete,
             Some(page @ None)
-                if engine::are_rows(bytes) && self.bytes + bytes.len() <= LONGEST_RESULT =>
+                if engine::are_rows(bytes) && self.bytes + bytes.len() <= MAX_RESULT_BYTES =>
             {
                 *page = Some(bytes.to_vec());
             }
             _ => return PageOutcome::Malformed,
         }
         self.bytes += bytes.len();
-        self.last_page = now;
+        self.last_page_at = now;
         self.missing -= 1;
         if self.missing == 0 {
             PageOutcome::Complete
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -16,7 +16,7 @@
 use crate::link::Link;
 
 /// Executions on a connection before another is dialled: what a spoilt answer costs.
-const MOST_SHARED: usize = 4;
+const MAX_SHARED_EXECUTIONS: usize = 4;
 /// Microseconds without a reply on an execution that is cancelled: longer than notes take.
 const SILENCE_TIMEOUT: Micros = 1_500_000;
 
@@ -45,7 +45,7 @@
             terms,
             stage: Stage::Queued,
             sent_at: now,
-            last_reply: now,
+            last_reply_at: now,
             pages: None,
         };
         self.executions.insert(execution_id, execution);
@@ -59,23 +59,23 @@
         id: &str,
     ) -> Result<ConnectionId, Ending> {
         let engine = self.engines.get(&engine_index).ok_or(Ending::Withdrawn)?;
-        let fitting: Vec<ConnectionId> = engine
+        let candidates: Vec<ConnectionId> = engine
             .connections
             .iter()
             .copied()
-            .filter(|connection| self.takes(*connection, id))
+            .filter(|connection| self.has_capacity_for(*connection, id))
             .collect();
         // Guards against losing many executions with one connection: few share one as far as descriptors go,
         // and those that have some come first, so that the others may end as idle.
         let rank = |connection: &ConnectionId| self.connections[connection].rank();
-        let shared_by_few = fitting
+        let lightly_shared = candidates
             .iter()
             .copied()
-            .filter(|connection| rank(connection).in_flight < MOST_SHARED);
-        if let Some(connection) = shared_by_few.max_by_key(rank) {
+            .filter(|connection| rank(connection).in_flight < MAX_SHARED_EXECUTIONS);
+        if let Some(connection) = lightly_shared.max_by_key(rank) {
             return Ok(connection);
         }
-        let least_used = fitting
+        let least_used = candidates
             .into_iter()
             .min_by_key(|connection| rank(connection).in_flight);
         match least_used {
@@ -91,13 +91,13 @@
     }
 
     /// Whether a connection has capacity for one more execution, and the id is new there.
-    fn takes(&self, connection: ConnectionId, id: &str) -> bool {
+    fn has_capacity_for(&self, connection: ConnectionId, id: &str) -> bool {
         let Some(connection) = self.connections.get(&connection) else {
             return false;
         };
-        connection.takes_executions()
-            && !connection.knows(id)
-            && self.occupied(connection) < self.allowance.executions_per_connection
+        connection.accepts_executions()
+            && !connection.has_used_id(id)
+            && self.occupied(connection) < self.network.executions_per_connection
     }
 
     fn dial(&mut self, now: Micros, engine_index: EngineIndex) -> Result<ConnectionId, Ending> {
@@ -105,9 +105,9 @@
             .engines
             .get_mut(&engine_index)
             .ok_or(Ending::Withdrawn)?;
-        self.next += 1;
-        let id = self.next;
-        let link = match Link::dial(engine.at, &self.handle, SocketKind::Engine.id(id)) {
+        self.last_number += 1;
+        let id = self.last_number;
+        let link = match Link::dial(engine.address, &self.handle, SocketKind::Engine.id(id)) {
             Ok(link) => link,
             Err(error) => {
                 log::warn!("engine {}: no connection can be made: {error}", engine.id);
@@ -115,7 +115,7 @@
             }
         };
         engine.connections.push(id);
-        let dial_by = now + self.allowance.dial_timeout;
+        let dial_by = now + self.network.dial_timeout;
         let connection = EngineConnection::dialled(link, engine_index, now, dial_by);
         self.connections.insert(id, connection);
         Ok(id)
@@ -142,27 +142,27 @@
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
     pub fn cancel(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let Some(execution) = self.executions.get(&execution_id) else {
-            return self.end_awaited(execution_id, ending);
+            return self.end_pending_cancel(execution_id, ending);
         };
         let id = execution.connection;
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         // A connection silent since then, longer than one takes to come up, may be to a machine that is gone.
-        let silent_since_sent = connection.up && connection.last_reply < execution.sent_at;
+        let no_reply_since_sent = connection.up && connection.last_reply_at < execution.sent_at;
         connection.retired |=
-            silent_since_sent && now - execution.sent_at > self.allowance.dial_timeout;
+            no_reply_since_sent && now - execution.sent_at > self.network.dial_timeout;
         // Nor is one of use on which the answer never came.
-        let is_out = execution.stage == Stage::Out;
-        connection.retired |= is_out && now - execution.last_reply > SILENCE_TIMEOUT;
+        let is_sent = execution.stage == Stage::Sent;
+        connection.retired |= is_sent && now - execution.last_reply_at > SILENCE_TIMEOUT;
         match execution.stage {
             Stage::Queued => {
-                connection.queue.retain(|other| *other != execution_id);
+                connection.queue.retain(|queued| *queued != execution_id);
                 self.withdraw(id, execution_id);
             }
             // It would reach its engine whole after its end: rather the connection goes.
             Stage::Writing => self.close(now, id, Ending::ClosedHere),
-            Stage::Out => self.cancel_at_engine(now, execution_id, ending),
+            Stage::Sent => self.cancel_at_engine(now, execution_id, ending),
         }
     }
 
@@ -179,7 +179,7 @@
         let output = connection.link.output();
         if execution.pages.is_some() {
             engine::write(output, &Command::ReleaseResult { id: &id });
-        } else if self.allowance.cancel {
+        } else if self.network.cancel {
             engine::write(output, &Command::Cancel { id: &id });
         }
         connection.idle_since = now;
@@ -194,12 +194,12 @@
 
     /// Sends a health check to an engine; its outcome comes as an event.
     pub fn probe(&mut self, now: Micros, engine_index: EngineIndex) {
-        self.next += 1;
-        let tag = format!("p{}", self.next);
+        self.last_number += 1;
+        let tag = format!("p{}", self.last_number);
         let connection = match self.choose_connection(now, engine_index, &tag) {
             // No new connection may be made now: that says nothing of the engine.
             Err(Ending::Withdrawn) => return,
-            chosen => chosen.ok().and_then(|id| self.connections.get_mut(&id)),
+            result => result.ok().and_then(|id| self.connections.get_mut(&id)),
         };
         let Some(connection) = connection else {
             return self.events.push(Event::ProbeEnded {
@@ -213,7 +213,7 @@
         }
         connection
             .probes
-            .insert(tag, now + self.allowance.dial_timeout);
+            .insert(tag, now + self.network.dial_timeout);
     }
 }
 
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -16,13 +16,16 @@
     /// When `expire` is next due, in Unix microseconds.
     pub fn next_timeout(&self) -> Micros {
         let connections = self.connections.values();
-        let due = connections.filter_map(|connection| self.connection_due(connection));
-        due.min().unwrap_or(Micros::MAX).min(self.cancels_due())
+        let timeouts = connections.filter_map(|connection| self.connection_timeout(connection));
+        timeouts
+            .min()
+            .unwrap_or(Micros::MAX)
+            .min(self.next_cancel_timeout())
     }
 
-    fn connection_due(&self, connection: &EngineConnection) -> Option<Micros> {
+    fn connection_timeout(&self, connection: &EngineConnection) -> Option<Micros> {
         let partial_line = connection.partial_line_since;
-        let due = [
+        let timeouts = [
             (!connection.up).then_some(connection.dial_by),
             connection.probes.values().copied().min(),
             partial_line.map(|since| since + READ_TIMEOUT),
@@ -30,7 +33,7 @@
                 .map(|since| since + WRITE_TIMEOUT),
             self.idle_until(connection),
         ];
-        due.into_iter().flatten().min()
+        timeouts.into_iter().flatten().min()
     }
 
     /// When a connection is to be closed as idle; none while it is in use.
@@ -40,15 +43,15 @@
         }
         let has_unsent = connection.link.unsent() > 0;
         // Closing it would give up what runs on there.
-        let runs_on = !self.allowance.cancel && !connection.cancelled.is_empty();
-        if connection.retired && !runs_on {
+        let has_cancelled_running = !self.network.cancel && !connection.cancelled.is_empty();
+        if connection.retired && !has_cancelled_running {
             // What is still to leave has as long as a connection has to come up.
-            let patience = if has_unsent {
-                self.allowance.dial_timeout
+            let wait_limit = if has_unsent {
+                self.network.dial_timeout
             } else {
                 0
             };
-            return Some(connection.idle_since + patience);
+            return Some(connection.idle_since + wait_limit);
         }
         let is_idle = connection.up && !has_unsent;
         is_idle.then_some(connection.idle_since + self.reuse.max_idle())
@@ -56,7 +59,7 @@
 
     /// Ends what has waited too long: connections not up, health checks not answered, idle connections.
     pub fn expire_timeouts(&mut self, now: Micros) {
-        self.end_cancelled(now);
+        self.report_delivered_cancels(now);
         let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in ids {
             self.expire_connection(now, id);
@@ -78,9 +81,9 @@
         // Guards against a deadline that its engine would read late: what has begun to leave can't be
         // written anew, and what has not left whole has not run.
         let _ = self.flush_connection(id);
-        if let Some(what) = self.untaken(now, id) {
+        if let Some(problem) = self.stalled_write(now, id) {
             log::warn!(
-                "engine {}: {what}; its connection is closed",
+                "engine {}: {problem}; its connection is closed",
                 self.engine_name(id)
             );
             self.read(now, id);
@@ -96,7 +99,7 @@
     }
 
     /// What the engine has not taken in its time, if anything.
-    fn untaken(&self, now: Micros, id: ConnectionId) -> Option<&'static str> {
+    fn stalled_write(&self, now: Micros, id: ConnectionId) -> Option<&'static str> {
         let connection = self.connections.get(&id)?;
         let writing_since = self.writing_since(connection);
         if writing_since.is_some_and(|since| since + WRITE_TIMEOUT <= now) {
@@ -109,10 +112,13 @@
     /// Guards against an answer that stops short: nothing comes over such a connection any more. What has
     /// come by now is read first.
     fn expire_incomplete_answer(&mut self, now: Micros, id: ConnectionId) {
-        let has_more = self.overdue(now, id).is_some() && self.read(now, id);
-        if let Some(what) = self.overdue(now, id).or(has_more.then_some("an end")) {
+        let has_more = self.overdue_answer(now, id).is_some() && self.read(now, id);
+        if let Some(missing) = self
+            .overdue_answer(now, id)
+            .or(has_more.then_some("an end"))
+        {
             log::warn!(
-                "engine {}: {what} that never came; its connection is closed",
+                "engine {}: {missing} that never came; its connection is closed",
                 self.engine_name(id)
             );
             self.close(now, id, Ending::Unreadable);
@@ -125,11 +131,11 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let before = connection.probes.len();
-        connection.probes.retain(|_, due| *due > now);
-        let overdue = before - connection.probes.len();
-        let was_silent = connection.last_reply < now - self.allowance.dial_timeout;
-        connection.retired |= overdue > 0 && was_silent;
+        let count_before = connection.probes.len();
+        connection.probes.retain(|_, overdue_at| *overdue_at > now);
+        let overdue = count_before - connection.probes.len();
+        let had_no_replies = connection.last_reply_at < now - self.network.dial_timeout;
+        connection.retired |= overdue > 0 && had_no_replies;
         for _ in 0..overdue {
             self.events.push(Event::ProbeEnded {
                 engine_index: connection.engine_index,
@@ -150,7 +156,7 @@
     }
 
     /// What has begun to come over a connection and takes too long.
-    fn overdue(&self, now: Micros, id: ConnectionId) -> Option<&'static str> {
+    fn overdue_answer(&self, now: Micros, id: ConnectionId) -> Option<&'static str> {
         let connection = self.connections.get(&id)?;
         let partial_line = connection.partial_line_since;
         if partial_line.is_some_and(|since| since + READ_TIMEOUT <= now) {
@@ -159,7 +165,7 @@
         let awaits_page = |execution_id: &ExecutionId| {
             let execution = self.executions.get(execution_id);
             let pages = execution.and_then(|execution| execution.pages.as_ref());
-            pages.is_some_and(|pages| pages.last_page + READ_TIMEOUT <= now)
+            pages.is_some_and(|pages| pages.last_page_at + READ_TIMEOUT <= now)
         };
         let mut open = connection.open.values();
         open.any(awaits_page).then_some("a page")
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -9,8 +9,8 @@
 use crate::execution::ExecutionId;
 use crate::link::Broken;
 
-/// Bytes that an engine may leave untaken: a thousand small statements.
-pub(super) const MOST_UNSENT: usize = 1 << 20;
+/// Bytes that an engine may leave stalled_write: a thousand small statements.
+pub(super) const MAX_UNSENT_BYTES: usize = 1 << 20;
 
 impl Engines {
     /// A connection is over: each execution on it ends by how much of it has left.
@@ -21,16 +21,16 @@
         let was_lost = matches!(ending, Ending::Reset | Ending::Closed)
             && connection.up
             && !connection.open.is_empty();
-        if was_lost && connection.last_reply < connection.resumed_at {
+        if was_lost && connection.last_reply_at < connection.resumed_at {
             self.reuse
                 .lost(connection.idle_before, now - connection.resumed_at);
         }
         if let Some(engine) = self.engines.get_mut(&connection.engine_index) {
             engine.connections.retain(|other| *other != id);
-            log_end(engine, &connection, ending);
+            log_close(engine, &connection, ending);
         }
         self.end_open_executions(connection, ending);
-        self.settle_unsent_cancels(id, ending);
+        self.end_unsent_cancels(id, ending);
     }
 
     fn end_open_executions(&mut self, connection: EngineConnection, ending: Ending) {
@@ -43,7 +43,7 @@
             let ending = match execution.stage {
                 Stage::Queued if connection.up => Ending::Withdrawn,
                 Stage::Writing => Ending::HalfWritten,
-                Stage::Queued | Stage::Out => ending,
+                Stage::Queued | Stage::Sent => ending,
             };
             self.end_execution(execution_id, ending, None);
         }
@@ -66,7 +66,7 @@
                 self.close(now, id, ending);
             }
         }
-        self.cancels_flushed(now);
+        self.mark_cancels_sent(now);
     }
 
     /// Sends what the network takes over a connection that is up. A statement may have run once its last byte
@@ -84,7 +84,7 @@
             .take_if(|writing| link.has_sent_up_to(writing.end));
         let execution = written.and_then(|written| self.executions.get_mut(&written.execution_id));
         if let Some(execution) = execution {
-            execution.stage = Stage::Out;
+            execution.stage = Stage::Sent;
         }
         flushed
     }
@@ -97,7 +97,7 @@
             let Some(connection) = connection.filter(|connection| connection.up) else {
                 return Ok(());
             };
-            if connection.link.unsent() > MOST_UNSENT {
+            if connection.link.unsent() > MAX_UNSENT_BYTES {
                 // Closed from here: its engine has yet to read so, as of anything that is given up.
                 return Err(Ending::ClosedHere);
             }
@@ -120,9 +120,9 @@
             return;
         };
         let engine = self.engines.get(&connection.engine_index);
-        if let Some(why) = withheld_because(now, engine, &execution.terms) {
+        if let Some(reason) = withhold_reason(now, engine, &execution.terms) {
             let ticket = execution_id.ticket;
-            log::debug!("statement {ticket}: its execution stays here: {why}");
+            log::debug!("statement {ticket}: its execution stays here: {reason}");
             return self.withdraw(id, execution_id);
         }
         let request = ExecutionRequest {
@@ -135,7 +135,7 @@
             statement: &execution.call.statement,
         };
         if connection.open.len() == 1 {
-            connection.resume(now, self.allowance.dial_timeout);
+            connection.resume(now, self.network.dial_timeout);
         }
         engine::write(connection.link.output(), &Command::Execute(request));
         execution.stage = Stage::Writing;
@@ -158,10 +158,10 @@
 }
 
 /// Logs the end of a connection. An engine that can't be reached is named once, until it is reached again.
-fn log_end(engine: &mut Engine, connection: &EngineConnection, ending: Ending) {
+fn log_close(engine: &mut Engine, connection: &EngineConnection, ending: Ending) {
     if !connection.up && (connection.retired || ending == Ending::ResetWhileConnecting) {
         log::debug!("engine {}: connection lost while it came up", engine.id);
-    } else if !connection.up && !std::mem::replace(&mut engine.failing, true) {
+    } else if !connection.up && !std::mem::replace(&mut engine.is_unreachable, true) {
         log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
     } else if connection.up && !connection.open.is_empty() {
         let count = connection.open.len();
@@ -173,12 +173,12 @@
 }
 
 /// Why an execution that has waited for its connection may not leave any more, if so.
-fn withheld_because(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
+fn withhold_reason(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
     let Some(_) = engine.filter(|engine| engine.available) else {
         // It is withdrawn as soon as the list says so; if it is found here, a drain would not have been kept.
         log::error!(
             "engine {}: an execution was still queued for it",
-            engine.map_or("?", |e| &e.id)
+            engine.map_or("?", |engine| &engine.id)
         );
         return Some("its engine drains or is gone");
     };
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -11,18 +11,18 @@
 
 use crate::events::{LoopEvents, SocketId};
 
-/// Bytes taken at once.
-const READ_CHUNK: usize = 64 << 10;
-/// Bytes on their way that can't be taken back: some hundred statements.
-const SEND_BUFFER: usize = 64 << 10;
-/// Bytes taken from a connection before others are served.
-const BYTES_PER_ITERATION: usize = 256 << 10;
+/// Bytes read at once.
+const READ_CHUNK_BYTES: usize = 64 << 10;
+/// Bytes on their way that can't be read back: some hundred statements.
+const SEND_BUFFER_BYTES: usize = 64 << 10;
+/// Bytes read from a connection before others are served.
+const MAX_BYTES_PER_ITERATION: usize = 256 << 10;
 /// EINPROGRESS, which the standard library has no kind for.
-const IN_PROGRESS: i32 = 115;
+const EINPROGRESS: i32 = 115;
 
 thread_local! {
     /// What is read goes through here, so that a connection holds no more than it needs.
-    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_CHUNK]);
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_CHUNK_BYTES]);
 }
 
 /// How a connection ended from the other side.
@@ -36,7 +36,7 @@
 
 impl Broken {
     /// What an error of a connection that was up tells of its other side.
-    fn by(error: &std::io::Error) -> Broken {
+    fn from_error(error: &std::io::Error) -> Broken {
         match error.kind() {
             ErrorKind::ConnectionReset | ErrorKind::BrokenPipe | ErrorKind::ConnectionAborted => {
                 Broken::Reset
@@ -51,7 +51,7 @@
 pub struct ReadOutcome {
     /// More may be readable: the connection is to be read again without waiting for the event loop.
     pub has_more: bool,
-    /// How the other side ended the connection, if it did; what came before that was taken.
+    /// How the other side ended the connection, if it did; what came before that was read.
     pub broken: Option<Broken>,
 }
 
@@ -84,7 +84,7 @@
     /// Bytes of `output` that were sent.
     sent_bytes: usize,
     /// Bytes sent before those of `output`, over the connection's whole life.
-    cleared_bytes: usize,
+    flushed_bytes: usize,
 }
 
 impl Link {
@@ -114,22 +114,26 @@
             input,
             output,
             sent_bytes: 0,
-            cleared_bytes: 0,
+            flushed_bytes: 0,
         })
     }
 
     /// Begins a connection to an address; `is_up` says when it has come up.
     pub fn dial(
-        to: SocketAddr,
+        address: SocketAddr,
         handle: &LoopHandle<'static, LoopEvents>,
         id: SocketId,
     ) -> std::io::Result<Link> {
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_nonblocking(true)?;
-        socket.set_send_buffer_size(SEND_BUFFER)?;
-        match socket.connect(&to.into()) {
+        socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
+        match socket.connect(&address.into()) {
             Err(e)
-                if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock =>
+                if e.raw_os_error() != Some(EINPROGRESS) && e.kind() != ErrorKind::WouldBlock =>
             {
                 Err(e)
             }
@@ -151,23 +155,23 @@
 
     /// Takes what is readable, up to the bytes of one iteration.
     pub fn read(&mut self) -> ReadOutcome {
-        self.read_some(BYTES_PER_ITERATION)
+        self.read_some(MAX_BYTES_PER_ITERATION)
     }
 
     /// The same up to so many bytes and one chunk.
     pub fn read_some(&mut self, limit: usize) -> ReadOutcome {
         READ_BUFFER.with_borrow_mut(|chunk| {
-            let mut taken = 0;
-            while taken < limit {
+            let mut read = 0;
+            while read < limit {
                 match (&*self.stream).read(chunk) {
                     Ok(0) => return ReadOutcome::broken(Broken::Closed),
                     Ok(n) => {
                         self.input.extend_from_slice(&chunk[..n]);
-                        taken += n;
+                        read += n;
                     }
                     Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::DRAINED,
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(e) => return ReadOutcome::broken(Broken::by(&e)),
+                    Err(e) => return ReadOutcome::broken(Broken::from_error(&e)),
                 }
             }
             ReadOutcome::HAS_MORE
@@ -199,13 +203,13 @@
 
     /// Where what is written by now ends among all bytes of the connection, sent or not.
     pub fn end_of_output(&self) -> usize {
-        self.cleared_bytes + self.output.len()
+        self.flushed_bytes + self.output.len()
     }
 
     /// Whether all bytes were sent up to an end that `end_of_output` gave. Guards against an end from before
     /// the output was last cleared, which `has_sent` would look for in what was written since.
     pub fn has_sent_up_to(&self, end: usize) -> bool {
-        self.cleared_bytes + self.sent_bytes >= end
+        self.flushed_bytes + self.sent_bytes >= end
     }
 
     /// Sends as much as the network takes.
@@ -215,12 +219,12 @@
                 Ok(n) => self.sent_bytes += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(Broken::by(&e)),
+                Err(e) => return Err(Broken::from_error(&e)),
             }
         }
-        self.cleared_bytes += self.output.len();
+        self.flushed_bytes += self.output.len();
         self.output.clear();
-        self.output.shrink_to(READ_CHUNK);
+        self.output.shrink_to(READ_CHUNK_BYTES);
         self.sent_bytes = 0;
         Ok(())
     }
@@ -233,8 +237,8 @@
     /// Drops the first bytes of the input, which were read.
     pub fn consume(&mut self, len: usize) {
         self.input.drain(..len);
-        if self.input.capacity() > self.input.len() + 2 * READ_CHUNK {
-            self.input.shrink_to(self.input.len() + READ_CHUNK);
+        if self.input.capacity() > self.input.len() + 2 * READ_CHUNK_BYTES {
+            self.input.shrink_to(self.input.len() + READ_CHUNK_BYTES);
         }
     }
 }
--- a/crates/front/src/link_tests.rs
+++ b/crates/front/src/link_tests.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 
 #[test]
-fn what_has_left_is_known_also_when_the_rest_never_will() {
+fn sent_bytes_are_known_after_the_connection_breaks() {
     let events: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -15,28 +15,28 @@
         crate::events::SocketKind::Engine.id(1),
     )
     .unwrap();
-    const MORE: usize = 64 << 20; // more than the network takes from one who is not read
-    link.output().resize(MORE, b'x');
+    const UNSENDABLE_BYTES: usize = 64 << 20; // more than the network takes from one who is not read
+    link.output().resize(UNSENDABLE_BYTES, b'x');
     assert_eq!(link.flush(), Ok(()));
-    assert!(link.has_sent(1) && !link.has_sent(MORE));
+    assert!(link.has_sent(1) && !link.has_sent(UNSENDABLE_BYTES));
     drop(peer);
     while link.flush().is_ok() {
         std::thread::yield_now();
     }
-    assert!(link.has_sent(1) && !link.has_sent(MORE));
+    assert!(link.has_sent(1) && !link.has_sent(UNSENDABLE_BYTES));
 }
 
 #[test]
-fn a_connection_that_this_system_gives_up_is_not_known_to_be_over_at_its_other_side() {
-    let by = |kind: ErrorKind| Broken::by(&kind.into());
+fn a_connection_given_up_by_this_system_is_lost_not_reset() {
+    let broken_by = |kind: ErrorKind| Broken::from_error(&kind.into());
     assert_eq!(
-        [ErrorKind::ConnectionReset, ErrorKind::BrokenPipe].map(by),
+        [ErrorKind::ConnectionReset, ErrorKind::BrokenPipe].map(broken_by),
         [Broken::Reset; 2]
     );
-    let given_up = [
+    let lost = [
         ErrorKind::TimedOut,
         ErrorKind::HostUnreachable,
         ErrorKind::NetworkUnreachable,
     ];
-    assert_eq!(given_up.map(by), [Broken::Lost; 3]);
+    assert_eq!(lost.map(broken_by), [Broken::Lost; 3]);
 }
