--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -1,4 +1,4 @@
-//! Connections to query engines: executions out, answers put together from their pages.
+//! Connections to query engines: sends executions and assembles results from their pages.
 
 mod cancels;
 mod capacity;
@@ -27,28 +27,28 @@
 use execution::{Execution, Stage};
 use pending_cancel::PendingCancel;
 
-/// Descriptors that are neither clients' nor engines'; the rest is for engines.
+/// File descriptors reserved for uses other than connections to clients and engines.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Microseconds by which an idle connection is closed before its engine would close it.
+/// Microseconds before the engine's keepalive ends at which an idle connection is closed here.
 const IDLE_MARGIN: Micros = 1_000_000;
 
-/// What engines have answered, and how executions have ended.
+/// A reply of an engine, or the end of an execution, for the event loop to handle.
 pub enum Event {
-    /// An execution is over.
+    /// An execution has ended.
     ExecutionEnded {
         execution_id: ExecutionId,
         ending: Ending,
-        /// The engine's load report, where one came with the answer.
+        /// The engine's load report, if the answer carried one.
         report: Option<Vec<f64>>,
-        /// The rows; empty unless it was answered.
+        /// The rows of the result; empty unless the ending is `Answered`.
         result: Vec<u8>,
     },
-    /// An execution goes on.
+    /// An execution is still running and its engine has reported its progress.
     Progress {
         execution_id: ExecutionId,
         progress: ProgressReport,
     },
-    /// The outcome of a health check.
+    /// A health check has been answered or has timed out.
     ProbeEnded {
         engine_index: EngineIndex,
         alive: bool,
@@ -60,15 +60,15 @@
     id: String,
     address: SocketAddr,
     started_ms: f64,
-    /// Executions may go there.
+    /// Executions may be sent to this engine.
     available: bool,
     connections: Vec<ConnectionId>,
-    /// Its last connection did not come up.
+    /// The last connection attempt failed, and none has succeeded since.
     is_unreachable: bool,
 }
 
 impl Engine {
-    /// Whether the list still means this engine.
+    /// Whether an entry of the list denotes this engine: same id, address and start time.
     fn matches(&self, listed: &ListedEngine) -> bool {
         self.id == listed.id
             && self.address == listed.address
@@ -76,7 +76,7 @@
     }
 }
 
-/// All engines of the list, the connections to them and the executions on these.
+/// All engines of the list, the connections to them, and the executions on these connections.
 pub struct Engines {
     handle: LoopHandle<'static, LoopEvents>,
     network: NetworkSettings,
@@ -84,20 +84,20 @@
     engines: BTreeMap<EngineIndex, Engine>,
     connections: BTreeMap<ConnectionId, EngineConnection>,
     executions: BTreeMap<ExecutionId, Execution>,
-    /// The number given last, to a connection or a health check.
+    /// The number last assigned to a connection or a health check.
     last_number: u64,
     max_connections: usize,
-    /// When connections may be made; any time where nothing else is set.
+    /// Limits the rate of new connections; unlimited unless replaced.
     pub dials: DialPacer,
     reuse: Reuse,
-    /// Cancelled, but their engines may not have read so yet, in the order in which they were.
+    /// Cancelled executions whose engines may not have read the cancel yet, in order of cancellation.
     pending_cancels: Vec<PendingCancel>,
-    /// What has happened since the events were last taken.
+    /// Events since the event loop last took them.
     pub events: Vec<Event>,
 }
 
 impl Engines {
-    /// No engines yet; `limit` and `list` come before anything is sent.
+    /// Creates an empty set. Call `set_descriptor_limit` and `update_engine` before sending anything.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
         network: NetworkSettings,
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Sets the descriptors for connections to engines: those given, less what the rest of the front needs.
+    /// Limits the connections to engines to the given descriptors less `RESERVED_DESCRIPTORS`, but to no
+    /// fewer than one.
     pub fn set_descriptor_limit(&mut self, descriptors: usize) {
         self.max_connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(1);
     }
@@ -139,8 +140,8 @@
         });
     }
 
-    /// An engine of the list, new or changed. One at another address or start is another: nothing more is sent over
-    /// the connections to the former.
+    /// Adds an engine of the list or applies a change to it. A changed id, address or start time means another
+    /// engine: nothing more is sent over the connections to the former one.
     pub fn update_engine(&mut self, engine_index: EngineIndex, listed: ListedEngine) {
         let known = self.engines.get(&engine_index);
         let known = known.filter(|engine| engine.matches(&listed));
@@ -160,7 +161,7 @@
         self.engines.insert(engine_index, engine);
     }
 
-    /// A whole list has come: engines that it does not name are gone.
+    /// Retires every engine that a complete list does not name.
     pub fn retire_unlisted(&mut self, listed: &[EngineIndex]) {
         let engine_indexes: Vec<EngineIndex> = self
             .engines
@@ -173,7 +174,7 @@
             .for_each(|engine_index| self.retire(engine_index));
     }
 
-    /// What has not left for an engine stays here; what is out may still be answered.
+    /// Sends nothing more to an engine. Queued executions are withdrawn; those in flight may still be answered.
     pub fn retire(&mut self, engine_index: EngineIndex) {
         let Some(engine) = self.engines.get_mut(&engine_index) else {
             return;
@@ -190,6 +191,7 @@
         }
     }
 
+    /// Ends an execution that was not sent, as withdrawn.
     fn withdraw(&mut self, connection: ConnectionId, execution_id: ExecutionId) {
         if let (Some(connection), Some(execution)) = (
             self.connections.get_mut(&connection),
@@ -200,7 +202,7 @@
         self.report_end(execution_id, Ending::Withdrawn);
     }
 
-    /// Nobody waits for a statement any more: what has not left for an engine never will.
+    /// Withdraws the queued executions of a statement that no client waits for any more.
     pub fn withdraw_queued(&mut self, ticket: Ticket) {
         let ticket_executions = self
             .executions
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -1,4 +1,4 @@
-//! Executions that this front gave up, until their engines have surely read the cancel.
+//! Executions that this front cancelled, until their engines have certainly read the cancel.
 
 use hallmux_dispatcher::{Ending, Micros};
 
@@ -7,15 +7,15 @@
 use super::Engines;
 use crate::execution::ExecutionId;
 
-/// Microseconds until an engine has surely read a command: some round trips.
+/// Microseconds after which an engine has certainly read a command that was sent: several round trips.
 pub(super) const CANCEL_DELIVERY_TIME: Micros = 10_000;
 
 impl Engines {
-    /// Ends an execution. One that this front gave up is reported as ended only once its engine has surely read the
-    /// cancel. Guards against two executions
-    /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
-    /// cancel of the first. Where the time is up the client is answered at once. `command` says so to the
-    /// engine; none where the connection was closed.
+    /// Ends an execution. One that this front cancelled is reported as ended only once its engine has certainly
+    /// read the cancel: otherwise two executions of a statement, or of an order key, could run at once, as one
+    /// connection may deliver the next execution sooner than another delivers the cancel of the first. If the
+    /// client's deadline has passed, the end is reported at once. `command` is the cancel sent to the engine;
+    /// `None` if the connection was closed.
     pub(super) fn end_execution(
         &mut self,
         execution_id: ExecutionId,
@@ -42,8 +42,8 @@
         });
     }
 
-    /// An execution that is cancelled is to end at once if its client's time is up, read or not. Guards
-    /// against a final answer that waits for an engine that reads nothing.
+    /// Ends a cancelled execution at once if its client's deadline has passed, whether or not the cancel was read,
+    /// so that the final answer does not wait for an engine that reads nothing.
     pub(super) fn end_pending_cancel(&mut self, execution_id: ExecutionId, ending: Ending) {
         let count_before = self.pending_cancels.len();
         self.pending_cancels
@@ -53,9 +53,9 @@
         }
     }
 
-    /// What could leave has left. An engine's time to read a command counts from when its last byte has left:
-    /// not from when it was decided, as a front may stand still in between, nor from a flush that a full
-    /// socket did not take all of.
+    /// Updates the pending cancels after a flush. The time in which an engine reads a command counts from when
+    /// its last byte was sent: not from the decision to cancel, as this process may stall in between, nor from a
+    /// flush after which a full socket left part of the command unsent.
     pub(super) fn mark_cancels_sent(&mut self, now: Micros) {
         let timeout = self.network.dial_timeout;
         for pending in &mut self.pending_cancels {
@@ -84,7 +84,8 @@
         }
     }
 
-    /// When the next wait for an engine to read of an end is over, or its connection is to be closed.
+    /// When the next cancel counts as read or the connection of an unsent one is to be closed; `Micros::MAX` if
+    /// none is pending.
     pub(super) fn next_cancel_timeout(&self) -> Micros {
         let due = |pending: &PendingCancel| match pending.state {
             CancelState::Unsent { close_by, .. } => close_by,
@@ -98,7 +99,7 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// Reports the ends that their engines have surely read by now.
+    /// Reports the end of executions whose engines have certainly read the cancel by now.
     pub(super) fn report_delivered_cancels(&mut self, now: Micros) {
         let is_delivered = |pending: &mut PendingCancel| match pending.state {
             CancelState::Sent { delivered_by } => delivered_by <= now,
@@ -111,8 +112,8 @@
             .for_each(|pending| self.report_end(pending.execution_id, pending.ending));
     }
 
-    /// Whether a connection has not taken a command that ends an execution for as long as one has to come up.
-    /// Closing it gives up what is open on it, which is all that is left to tell its engine.
+    /// Whether a cancel has stayed unsent on a connection for as long as the dial timeout. Closing the connection
+    /// is then the only way left to cancel at the engine; it cancels everything open on that connection.
     pub(super) fn is_cancel_overdue(&self, now: Micros, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(&id) else {
             return false;
@@ -133,7 +134,7 @@
             })
     }
 
-    /// A connection is over: what was cancelled on it, but not told, ends as what was still out there.
+    /// Ends the executions whose cancels were still unsent when their connection ended, like those in flight on it.
     pub(super) fn end_unsent_cancels(&mut self, connection: ConnectionId, ending: Ending) {
         let unsent = |pending: &mut PendingCancel| match pending.state {
             CancelState::Unsent {
@@ -146,8 +147,8 @@
         for PendingCancel { execution_id, .. } in unsent {
             let ending = match ending {
                 Ending::Reset | Ending::Closed | Ending::Unreadable => ending,
-                // From here, for whatever reason: it may have run, and its engine may read of the end only
-                // now.
+                // Closed by this front for any reason: the execution may have run, and its engine may notice the
+                // close only now.
                 _ => Ending::ClosedHere,
             };
             self.end_execution(execution_id, ending, None);
--- a/crates/front/src/engines/capacity.rs
+++ b/crates/front/src/engines/capacity.rs
@@ -1,4 +1,4 @@
-//! How many executions can leave for an engine without more connections than this front may make.
+//! The number of executions that an engine's connections can accept within this front's connection limits.
 
 use hallmux_dispatcher::{EngineIndex, Micros};
 
@@ -6,7 +6,8 @@
 use super::{Engine, Engines};
 
 impl Engines {
-    /// Executions that the connections to an engine take, and one more connection where it may be made now.
+    /// The number of further executions that the connections to an engine accept, including a new connection if
+    /// one may be dialled now; zero for an engine that is unknown or not available.
     pub fn capacity(&self, now: Micros, engine_index: EngineIndex) -> usize {
         let Some(engine) = self
             .engines
@@ -27,8 +28,8 @@
         existing + if can_dial { per_connection } else { 0 }
     }
 
-    /// Executions that a connection has no capacity for, as others are in flight. Where cancelling is not allowed,
-    /// what was given up runs on there.
+    /// The capacity in use on a connection. Where cancelling is not allowed, this includes the executions that
+    /// this front gave up and that still run at the engine.
     pub(super) fn occupied(&self, connection: &EngineConnection) -> usize {
         let cancelled_running = if self.network.cancel {
             0
@@ -38,7 +39,7 @@
         connection.in_flight() + cancelled_running
     }
 
-    /// Whether descriptors are left for another connection to an engine.
+    /// Whether the descriptor limit allows another connection to an engine: its equal share, and the total.
     pub(super) fn may_dial(&self, engine: &Engine) -> bool {
         let available = self
             .engines
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -49,7 +49,7 @@
             },
         );
     };
-    // The first connection may be made a second after the start.
+    // The first connection may be dialled one second after the start.
     assert_eq!(engines.capacity(SECOND - 1, 0), 0);
     send(&mut engines, SECOND - 1, 1);
     let withdrawn = |event: Option<Event>| {
@@ -68,7 +68,8 @@
         (engines.capacity(SECOND, 0), engines.connections.len()),
         (1, 1)
     );
-    // The connection takes another at once; a probe does not wait until a connection may be made: it is not sent then.
+    // The existing connection accepts another execution at once. A probe that would need a new connection is not
+    // sent instead of waiting for one.
     send(&mut engines, SECOND + 1, 3);
     assert_eq!(
         (engines.capacity(SECOND + 1, 0), engines.connections.len()),
--- a/crates/front/src/engines/connection.rs
+++ b/crates/front/src/engines/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an engine: what is open on it, what waits to be written, and how old it is.
+//! One connection to an engine: its open and queued executions, its health checks, and when it was last used.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -7,48 +7,49 @@
 use crate::execution::ExecutionId;
 use crate::link::Link;
 
-/// Ids that a connection remembers of executions that are over; then it takes no more executions.
+/// Maximum number of ids of ended executions that a connection remembers; beyond it accepts no more executions.
 const MAX_FINISHED_IDS: usize = 128;
 
-/// A connection, by its number among all that were dialled.
+/// Identifies a connection by its number among all that were dialled.
 pub(super) type ConnectionId = u64;
 
+/// A connection to an engine and the executions and health checks on it.
 pub(super) struct EngineConnection {
     pub(super) link: Link,
     pub(super) engine_index: EngineIndex,
     pub(super) up: bool,
-    /// It takes no more executions: its engine is another by now, or it was silent too long.
+    /// Accepts no more executions: the engine was replaced or removed, or the connection was silent too long.
     pub(super) retired: bool,
     pub(super) dial_by: Micros,
     pub(super) last_reply_at: Micros,
-    /// Since when the rest of a line is awaited.
+    /// Since when an incomplete line has been waiting for its remaining bytes.
     pub(super) partial_line_since: Option<Micros>,
     pub(super) idle_since: Micros,
-    /// How long it had rested when it was last taken up, and when that was.
+    /// How long the connection had been idle when it was last used again, and when that was.
     pub(super) idle_before: Micros,
     pub(super) resumed_at: Micros,
     pub(super) queue: VecDeque<ExecutionId>,
-    /// The execution that is being written; commands may follow it.
+    /// The execution that is being written; commands may follow it in the output.
     pub(super) writing: Option<PendingWrite>,
     pub(super) open: HashMap<String, ExecutionId>,
-    /// Ids that are over here; what is still said of them means nothing. Where cancelling is not allowed, these may
-    /// run on.
+    /// Ids of executions that this front ended; further replies about them are ignored. Where cancelling is not
+    /// allowed, the executions may still be running.
     pub(super) cancelled: HashSet<String>,
-    /// Ids that their engine has ended, where cancelling is not allowed: an engine that answers twice
-    /// must not end a further execution of the statement, so none of it comes over this connection.
+    /// Ids of executions that their engine ended, where cancelling is not allowed. A further execution of such a
+    /// statement uses another connection, so that a duplicate answer can't end it.
     pub(super) finished: HashSet<String>,
-    /// Health checks without an answer, by tag, and when each is overdue.
+    /// Unanswered health checks by tag, and when each is overdue.
     pub(super) probes: HashMap<String, Micros>,
 }
 
-/// An execution whose bytes are in the output and have not all left.
+/// An execution that is in the output and not completely sent.
 pub(super) struct PendingWrite {
     pub(super) execution_id: ExecutionId,
-    /// Where it ends in the output, as `Link::end_of_output` counts.
+    /// The end of the execution in the output, as `Link::end_of_output` counts.
     pub(super) end: usize,
 }
 
-/// By what connections of an engine are compared: the greatest is used first.
+/// The order in which connections of an engine are preferred: the greatest first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     has_sent_all: bool,
@@ -57,7 +58,7 @@
 }
 
 impl EngineConnection {
-    /// A connection that was dialled just now and has to be up by `dial_by`.
+    /// Creates the state of a connection that was dialled at `now` and has to be up by `dial_by`.
     pub(super) fn dialled(
         link: Link,
         engine_index: EngineIndex,
@@ -84,17 +85,17 @@
         }
     }
 
-    /// Whether it is of use for more executions.
+    /// Whether the connection may be used for further executions.
     pub(super) fn accepts_executions(&self) -> bool {
         !self.retired && self.cancelled.len() + self.finished.len() < MAX_FINISHED_IDS
     }
 
-    /// Whether the id is or was used on this connection.
+    /// Whether an execution with this id is or was on this connection.
     pub(super) fn has_used_id(&self, id: &str) -> bool {
         self.open.contains_key(id) || self.cancelled.contains(id) || self.finished.contains(id)
     }
 
-    /// Executions and health checks without an answer.
+    /// The number of unanswered executions and health checks.
     pub(super) fn in_flight(&self) -> usize {
         self.open.len() + self.probes.len()
     }
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -14,11 +14,11 @@
 use super::*;
 use crate::link::Broken;
 
-const WAIT_TIMEOUT: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
-const RECEIVE_BUFFER_BYTES: usize = 4 << 10; // bytes asked for at an engine: little that it leaves unread fits
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20); // for one wait, on a busy machine
+const RECEIVE_BUFFER_BYTES: usize = 4 << 10; // small, so that the socket fills soon while the engine does not read
 const DIAL_TIMEOUT: Micros = 250_000;
 
-/// An engine that is there.
+/// An available engine at an address.
 pub(super) fn listed(address: SocketAddr) -> ListedEngine<'static> {
     ListedEngine {
         id: "a",
@@ -63,7 +63,7 @@
         engines.flush(0);
     }
     engines.cancel(0, ExecutionId::new(1, 0), Ending::GivenUp);
-    // It was decided long before the command leaves: the front stood still.
+    // The cancel is flushed long after it was decided, as after a stall of the process.
     engines.expire_timeouts(5 * CANCEL_DELIVERY_TIME);
     assert!(engines.events.is_empty());
     engines.flush(0);
@@ -72,7 +72,7 @@
     assert!(received.ends_with("never_mind 1\r\n"), "{received}");
     engines.expire_timeouts(CANCEL_DELIVERY_TIME - 1);
     assert!(engines.events.is_empty() && engines.next_timeout() == CANCEL_DELIVERY_TIME);
-    // A time that is up is: its client is owed the answer now.
+    // An execution past its deadline ends at once, as its client must be answered now.
     let call = Rc::new(Call {
         id: "2".into(),
         workload: "lookup".into(),
@@ -153,7 +153,7 @@
         },
     );
     let mut peer = BufReader::new(listener.accept().unwrap().0);
-    // It was not looked at for a second: what has come up is not reported as never up.
+    // The connection was not checked for a second and came up in between: it must not time out.
     engines.expire_timeouts(1_000_000);
     assert!(engines.events.is_empty());
     engines.read(1_000_000, 1);
@@ -163,7 +163,7 @@
     assert!(received.starts_with("want 1 "), "{received}");
 }
 
-/// Connections to one engine, which takes connections but reads nothing unless the test does.
+/// Connections to one engine that accepts connections but reads only when the test does.
 struct StalledEngine {
     _events: calloop::EventLoop<'static, LoopEvents>,
     engines: Engines,
@@ -187,7 +187,7 @@
 }
 
 impl StalledEngine {
-    /// With statement 1 out there.
+    /// Creates the engine with statement 1 in flight.
     fn new() -> StalledEngine {
         let events: calloop::EventLoop<'static, LoopEvents> =
             calloop::EventLoop::try_new().unwrap();
@@ -209,7 +209,7 @@
         while engines.executions[&ExecutionId::new(1, 0)].stage != Stage::Sent {
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "the statement does not leave"
+                "the statement is not sent"
             );
             engines.read(0, 1);
             engines.flush(0);
@@ -221,14 +221,14 @@
         }
     }
 
-    /// Gives statement 1 up behind so many small commands that the socket is full, and flushes at the time
-    /// given: the command is written, but its bytes have not left.
+    /// Cancels statement 1 behind so many small commands that the socket is full, and flushes at the given time:
+    /// the cancel is in the output, but its bytes are not sent.
     fn cancel_into_full_socket(&mut self, now: Micros) {
         let started = Instant::now();
         while self.engines.connections[&1].link.unsent() == 0 {
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "the socket takes everything"
+                "the socket never fills up"
             );
             (0..1_000).for_each(|_| self.engines.set_priority(ExecutionId::new(1, 0), 2));
             self.engines.flush(now);
@@ -239,13 +239,13 @@
         assert!(self.engines.connections[&1].link.unsent() > 0 && self.engines.events.is_empty());
     }
 
-    /// The engine reads until the front has nothing left to send, which it flushes at the time given: what is
-    /// received.
+    /// Lets the engine read up to the cancel of statement 1 while the front flushes at the given time; returns
+    /// what the engine received.
     fn read_until_cancel(&mut self, now: Micros) -> String {
         self.peer.set_nonblocking(true).unwrap();
         let (started, mut received, mut chunk) = (Instant::now(), Vec::new(), vec![0; 64 << 10]);
         while !received.ends_with(b"never_mind 1\r\n") {
-            assert!(started.elapsed() < WAIT_TIMEOUT, "not all comes");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "not all output arrives");
             match self.peer.read(&mut chunk) {
                 Ok(len) => received.extend_from_slice(&chunk[..len]),
                 Err(e) => assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}"),
@@ -255,7 +255,7 @@
         String::from_utf8(received).unwrap()
     }
 
-    /// How executions have ended since the last look.
+    /// Takes the endings of executions that were reported since the last call.
     fn take_endings(&mut self) -> Vec<(Ticket, Ending)> {
         let ended = |event: Event| match event {
             Event::ExecutionEnded {
@@ -276,10 +276,10 @@
 fn a_cancel_into_a_full_socket_ends_the_execution_once_it_was_sent_and_read() {
     let mut stalled = StalledEngine::new();
     stalled.cancel_into_full_socket(0);
-    // Its engine has not been told: nothing may go out by this end.
+    // The engine has not received the cancel, so the execution must not be reported as ended.
     stalled.engines.expire_timeouts(DIAL_TIMEOUT - 1);
-    assert_eq!(stalled.take_endings(), [], "its command has not left");
-    // What has come to the connection only now is read some round trips later.
+    assert_eq!(stalled.take_endings(), [], "the cancel was not sent");
+    // The engine reads the cancel some round trips after it was sent.
     let sent_at = DIAL_TIMEOUT - 1;
     stalled.read_until_cancel(sent_at);
     stalled
@@ -288,7 +288,7 @@
     assert_eq!(
         stalled.take_endings(),
         [],
-        "its engine may not have read the command"
+        "its engine may not have read the cancel"
     );
     assert_eq!(
         stalled.engines.next_timeout(),
@@ -313,7 +313,7 @@
     stalled.engines.expire_timeouts(closed_at);
     assert!(stalled.engines.connections.is_empty());
     stalled.engines.flush(closed_at);
-    // What had not started to leave surely never ran; the other may have.
+    // Statement 2 was not written and certainly never ran; statement 1 may have run.
     assert_eq!(stalled.take_endings(), [(2, Ending::Withdrawn)]);
     stalled
         .engines
@@ -329,8 +329,7 @@
 fn a_cancelled_execution_ends_if_its_connection_is_lost_before_the_cancel_is_sent() {
     let mut stalled = StalledEngine::new();
     stalled.cancel_into_full_socket(0);
-    // The engine leaves with much unread: whether that is found as a reset or as the end depends on who looks
-    // first.
+    // The engine closes with much unread. Whether the front sees a reset or a close depends on timing.
     let StalledEngine {
         engines,
         peer,
@@ -371,7 +370,7 @@
     assert_eq!(
         stalled.take_endings(),
         [],
-        "given up once more it is still out"
+        "a second cancel does not end it"
     );
     stalled
         .engines
@@ -393,13 +392,13 @@
     stalled.engines.flush(0);
     assert!(
         stalled.engines.connections[&1].link.unsent() > 0,
-        "its end has not left"
+        "its last byte was sent"
     );
-    // The engine reads as fast as it can; each look at the timeouts sends on, until its end has left.
+    // The engine reads as fast as it can; each check of the timeouts flushes until the last byte was sent.
     stalled.peer.set_nonblocking(true).unwrap();
     let (started, mut chunk) = (Instant::now(), vec![0; 64 << 10]);
     while stalled.engines.connections[&1].link.unsent() > 0 {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "not all comes");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "not all output arrives");
         let _ = stalled.peer.read(&mut chunk);
         stalled.engines.expire_timeouts(1);
     }
@@ -407,7 +406,11 @@
         .engines
         .cancel(2, ExecutionId::new(2, 0), Ending::TimeUp);
     assert_eq!(stalled.take_endings(), [(2, Ending::TimeUp)]);
-    assert_eq!(stalled.engines.connections.len(), 1, "others go on there");
+    assert_eq!(
+        stalled.engines.connections.len(),
+        1,
+        "the connection stays open for others"
+    );
 }
 
 #[test]
@@ -417,7 +420,7 @@
     while !stalled.engines.connections.is_empty() {
         assert!(
             started.elapsed() < WAIT_TIMEOUT,
-            "the socket takes everything"
+            "the socket never fills up"
         );
         (0..20_000).for_each(|_| stalled.engines.set_priority(ExecutionId::new(1, 0), 2));
         stalled.engines.flush(0);
@@ -425,7 +428,7 @@
     assert_eq!(
         stalled.take_endings(),
         [],
-        "its engine has yet to read that the connection is closed"
+        "its engine may not have noticed the close"
     );
     stalled.engines.expire_timeouts(CANCEL_DELIVERY_TIME);
     assert_eq!(stalled.take_endings(), [(1, Ending::ClosedHere)]);
@@ -439,7 +442,7 @@
         .close(0, 1, replies::ending_of(Broken::Lost));
     stalled.engines.flush(0);
     stalled.engines.expire_timeouts(CANCEL_DELIVERY_TIME - 1);
-    assert_eq!(stalled.take_endings(), [], "its engine may run it still");
+    assert_eq!(stalled.take_endings(), [], "its engine may still run it");
     stalled.engines.expire_timeouts(CANCEL_DELIVERY_TIME);
     assert_eq!(stalled.take_endings(), [(1, Ending::ClosedHere)]);
 }
--- a/crates/front/src/engines/pending_cancel.rs
+++ b/crates/front/src/engines/pending_cancel.rs
@@ -1,36 +1,36 @@
-//! An execution that was ended from here, and how far the command that says so has come.
+//! An execution cancelled by this front, and the delivery state of the command that cancels it.
 
 use hallmux_dispatcher::{Ending, Micros};
 
 use super::connection::ConnectionId;
 use crate::execution::ExecutionId;
 
-/// A command that ends an execution, on its way to the engine.
+/// A command that ends an execution, written to the output of a connection.
 pub(super) struct CancelCommand {
     pub(super) connection: ConnectionId,
-    /// Where it ends in the connection's output, as `Link::end_of_output` counts.
+    /// The end of the command in the connection's output, as `Link::end_of_output` counts.
     pub(super) end: usize,
 }
 
-/// An execution that was ended from here, but whose engine may not have read so yet.
+/// A cancelled execution whose engine may not have read the cancel yet.
 pub(super) struct PendingCancel {
     pub(super) execution_id: ExecutionId,
     pub(super) ending: Ending,
     pub(super) state: CancelState,
 }
 
-/// How far the cancel of an execution has come.
+/// The delivery state of the cancel of an execution.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum CancelState {
-    /// A command on a connection, which ends there in the output and has not left whole; from `close_by` on
-    /// its connection is closed, once a flush has found that the network does not take it.
+    /// The command ends at `end` in the output of a connection and is not completely sent. `close_by` is set
+    /// once a flush could not send all of it; from then on its connection is closed.
     Unsent {
         connection: ConnectionId,
         end: usize,
         close_by: Option<Micros>,
     },
-    /// The connection was closed: this goes out with the next flush.
+    /// The connection was closed, which counts as sent from the next flush on.
     Closed,
-    /// It has left: its engine has surely read it by then.
+    /// The command was sent; its engine has certainly read it by `delivered_by`.
     Sent { delivered_by: Micros },
 }
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of engines: results put together from their pages, progress notes, answers to health checks.
+//! Replies of engines: results assembled from their pages, progress reports, answers to health checks.
 
 use std::io::{Error, ErrorKind};
 
@@ -13,17 +13,17 @@
 use crate::execution::ExecutionId;
 use crate::link::{Broken, ReadOutcome};
 
-/// How far the lines of an input were consumed.
+/// The outcome of handling the lines of an input.
 enum LinesOutcome {
-    /// So many bytes were consumed; the rest is less than a line.
+    /// This many bytes were consumed; the remaining bytes are an incomplete line.
     UpTo(usize),
     Unreadable(ParseError),
-    /// A line has closed the connection.
+    /// Handling a line closed the connection.
     ConnectionClosed,
 }
 
 impl Engines {
-    /// A connection has changed; true if there is more for another iteration.
+    /// Reads a connection that the event loop reported as ready; true if more is left for another iteration.
     pub fn read(&mut self, now: Micros, id: ConnectionId) -> bool {
         if !self.is_up(now, id) {
             return false;
@@ -55,7 +55,7 @@
         has_more
     }
 
-    /// Whether a connection is up. One that has just come up is noted so; one that failed is closed.
+    /// Whether a connection is up. One that has just come up is marked connected; one that failed is closed.
     fn is_up(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A connection has come up: health checks that wait for it are written.
+    /// Marks a connection as up and writes the health checks that waited for it.
     fn mark_connected(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes all whole lines of an input.
+    /// Handles all complete lines of an input.
     fn handle_lines(&mut self, now: Micros, id: ConnectionId, input: &[u8]) -> LinesOutcome {
         let mut consumed = 0;
         loop {
@@ -136,7 +136,7 @@
             None => {}
             Some(Ending::Unreadable) => {
                 log::warn!(
-                    "engine {}: a spoilt result; its connection is closed",
+                    "engine {}: invalid result; its connection is closed",
                     self.engine_name(id)
                 );
                 self.close(now, id, Ending::Unreadable);
@@ -158,8 +158,8 @@
         }
     }
 
-    /// What is said of an execution that was given up or is unknown means nothing any more, but that it runs on
-    /// no longer.
+    /// Handles a reply about an execution that was cancelled or is unknown. It only shows whether the execution
+    /// still runs; where cancelling is not allowed, one that has ended frees its place on the connection.
     fn handle_late_reply(&mut self, now: Micros, id: ConnectionId, line: &Reply) {
         let has_ended = matches!(
             line.kind,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// An execution ends as its engine has said.
+    /// Ends an execution with the ending that its engine's reply determines.
     fn end_by_reply(
         &mut self,
         now: Micros,
@@ -234,7 +234,7 @@
 }
 
 impl EngineConnection {
-    /// So many bytes of the input were consumed; the rest is kept, and since when it is awaited.
+    /// Drops the consumed bytes of the input and records since when the remaining partial line is incomplete.
     fn keep_partial_line(&mut self, now: Micros, consumed: usize) {
         self.link.consume(consumed);
         let since_earlier = self.partial_line_since.filter(|_| consumed == 0);
@@ -244,8 +244,8 @@
 }
 
 impl Execution {
-    /// Takes a reply that is no note; how the execution ends by it, if it does. Commands for further pages go to
-    /// `output`.
+    /// Applies a reply that is no progress report; returns how the execution ends by it, if it does. Requests for
+    /// further pages are written to `output`.
     fn apply_reply(&mut self, now: Micros, line: &Reply, output: &mut Vec<u8>) -> Option<Ending> {
         match line.kind {
             ReplyKind::FirstPage { pages } => self.add_first_page(now, pages, line, output),
@@ -263,7 +263,8 @@
         }
     }
 
-    /// Takes the first page of a result of `count` pages and asks for the others; or a second copy of it.
+    /// Adds the first page of a result of `count` pages and requests the others. A second copy of the first page
+    /// requests nothing.
     fn add_first_page(
         &mut self,
         now: Micros,
@@ -284,7 +285,7 @@
         self.add_page(now, 0, line.bytes)
     }
 
-    /// Takes a page; one that nobody asked for is passed over.
+    /// Adds a page; one without a first page before it is ignored.
     fn add_page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
         match self.pages.as_mut()?.add(now, number, bytes) {
             PageOutcome::Incomplete => None,
@@ -294,7 +295,7 @@
     }
 }
 
-/// What a reply notes of an execution that goes on.
+/// The progress that a reply reports of a running execution, if it is a progress report.
 fn progress_of(kind: &ReplyKind) -> Option<ProgressReport> {
     match *kind {
         ReplyKind::ShareDone(share) => Some(ProgressReport::ShareDone(share)),
@@ -305,18 +306,18 @@
     }
 }
 
-/// How executions end whose connection did not come up.
+/// How executions end whose connection failed to come up.
 fn ending_of_broken_dial(error: &Error) -> Ending {
     match error.kind() {
         ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
-        // Whoever resets a connection is there.
+        // A reset proves that the engine's machine is reachable.
         ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::ResetWhileConnecting,
         _ => Ending::ConnectTimeout,
     }
 }
 
-/// How executions end that are out on a connection which broke. One that this system gave up is closed from here: its
-/// engine may run them until it has read so.
+/// How executions in flight end when their connection breaks. A connection that this system gave up counts as
+/// closed by this front: the engine may run the executions until it notices.
 pub(super) fn ending_of(broken: Broken) -> Ending {
     match broken {
         Broken::Closed => Ending::Closed,
--- a/crates/front/src/engines/result_pages.rs
+++ b/crates/front/src/engines/result_pages.rs
@@ -1,11 +1,11 @@
-//! A result that is put together from the pages that its engine sends.
+//! Assembly of a result from the pages that its engine sends.
 
 use hallmux_dispatcher::Micros;
 use hallmux_native_codec::engine;
 
-/// Pages of a result at most; those agreed have eight.
+/// Maximum number of pages of a result; the protocol's results have eight.
 pub(super) const MAX_PAGES: usize = 64;
-/// Bytes of a result at most, as the protocol has it.
+/// Maximum size of a result in bytes, as the protocol defines it.
 const MAX_RESULT_BYTES: usize = 48_000;
 
 #[derive(Default)]
@@ -18,18 +18,18 @@
     pub(super) report: Option<Vec<f64>>,
 }
 
-/// What a page has made of a result.
+/// The state of a result after a page was added.
 #[derive(PartialEq)]
 pub(super) enum PageOutcome {
-    /// Pages are missing still.
+    /// Pages are still missing.
     Incomplete,
     Complete,
-    /// A page that is not agreed, or other than its first copy.
+    /// The page violates the protocol or differs from its first copy.
     Malformed,
 }
 
 impl ResultPages {
-    /// A result of so many pages, none of which was taken yet.
+    /// Creates a result of `count` pages, all of them missing.
     pub(super) fn new(now: Micros, count: usize, report: Option<Vec<f64>>) -> ResultPages {
         ResultPages {
             pages: vec![None; count],
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Pages of the whole result.
+    /// The number of pages of the complete result.
     pub(super) fn count(&self) -> usize {
         self.pages.len()
     }
 
-    /// Takes a page. A second copy is passed over. Guards against a part or a wrong page that passes for the whole:
-    /// one page that is not agreed spoils the result.
+    /// Adds a page; a second copy is ignored. One malformed page makes the whole result malformed, so that a
+    /// partial or wrong result is never passed on as complete.
     pub(super) fn add(&mut self, now: Micros, number: usize, bytes: &[u8]) -> PageOutcome {
         match self.pages.get_mut(number) {
             Some(Some(existing)) if existing == bytes => return PageOutcome::Incomplete,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The bytes of all pages taken, in order.
+    /// The bytes of all received pages, in page order.
     pub(super) fn into_bytes(self) -> Vec<u8> {
         self.pages.into_iter().flatten().flatten().collect()
     }
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -1,4 +1,4 @@
-//! Executions on their way out: the choice of a connection, dials, cancels, health checks.
+//! Sending of executions: the choice of a connection, dials, cancels, health checks.
 
 use std::io::{Error, ErrorKind};
 use std::rc::Rc;
@@ -15,13 +15,15 @@
 use crate::execution::ExecutionId;
 use crate::link::Link;
 
-/// Executions on a connection before another is dialled: what a spoilt answer costs.
+/// Executions on a connection before another one is dialled. An invalid answer loses all of them, as it closes
+/// the connection.
 const MAX_SHARED_EXECUTIONS: usize = 4;
-/// Microseconds without a reply on an execution that is cancelled: longer than notes take.
+/// Microseconds without a reply to a cancelled execution after which its connection is retired; longer than the
+/// interval of progress reports.
 const SILENCE_TIMEOUT: Micros = 1_500_000;
 
 impl Engines {
-    /// Sends an execution over a connection that has capacity for it, a new one if need be.
+    /// Queues an execution on a connection that has capacity for it, dialling a new one if necessary.
     pub fn send(
         &mut self,
         now: Micros,
@@ -51,7 +53,7 @@
         self.executions.insert(execution_id, execution);
     }
 
-    /// A connection to an engine for an execution or a health check of this id. An error is how it ends.
+    /// Chooses a connection to an engine for an execution or a health check with this id. An error is its ending.
     fn choose_connection(
         &mut self,
         now: Micros,
@@ -65,8 +67,8 @@
             .copied()
             .filter(|connection| self.has_capacity_for(*connection, id))
             .collect();
-        // Guards against losing many executions with one connection: few share one as far as descriptors go,
-        // and those that have some come first, so that the others may end as idle.
+        // As long as descriptors allow, few executions share a connection, so that few are lost with it. The
+        // busiest of these connections are preferred, so that the others become idle and are closed.
         let rank = |connection: &ConnectionId| self.connections[connection].rank();
         let lightly_shared = candidates
             .iter()
@@ -80,7 +82,7 @@
             .min_by_key(|connection| rank(connection).in_flight);
         match least_used {
             Some(connection) if !self.may_dial(engine) => Ok(connection),
-            // No new connection may be made now: what is there is used, else it stays here.
+            // The pacer allows no new connection now: an existing one is used, or the execution is withdrawn.
             _ if !self.dials.borrow_mut().try_take_slot(now, engine_index) => {
                 least_used.ok_or(Ending::Withdrawn)
             }
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Whether a connection has capacity for one more execution, and the id is new there.
+    /// Whether a connection has capacity for one more execution and has not seen the id yet.
     fn has_capacity_for(&self, connection: ConnectionId, id: &str) -> bool {
         let Some(connection) = self.connections.get(&connection) else {
             return false;
@@ -121,7 +123,7 @@
         Ok(id)
     }
 
-    /// Changes the priority of an execution, at its engine too where it has left and has no result yet.
+    /// Changes the priority of an execution; also at its engine if it was written and has no result yet.
     pub fn set_priority(&mut self, execution_id: ExecutionId, priority: u8) {
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
+    /// Cancels an execution. It ends with the given ending, or as withdrawn if none of it was written.
     pub fn cancel(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let Some(execution) = self.executions.get(&execution_id) else {
             return self.end_pending_cancel(execution_id, ending);
@@ -148,11 +150,11 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        // A connection silent since then, longer than one takes to come up, may be to a machine that is gone.
+        // Without a reply since then, for longer than the dial timeout, the engine's machine may be gone.
         let no_reply_since_sent = connection.up && connection.last_reply_at < execution.sent_at;
         connection.retired |=
             no_reply_since_sent && now - execution.sent_at > self.network.dial_timeout;
-        // Nor is one of use on which the answer never came.
+        // A connection whose execution got no reply for `SILENCE_TIMEOUT` is not used again either.
         let is_sent = execution.stage == Stage::Sent;
         connection.retired |= is_sent && now - execution.last_reply_at > SILENCE_TIMEOUT;
         match execution.stage {
@@ -160,13 +162,13 @@
                 connection.queue.retain(|queued| *queued != execution_id);
                 self.withdraw(id, execution_id);
             }
-            // It would reach its engine whole after its end: rather the connection goes.
+            // The remaining bytes would complete the execution after its end, so the connection is closed.
             Stage::Writing => self.close(now, id, Ending::ClosedHere),
             Stage::Sent => self.cancel_at_engine(now, execution_id, ending),
         }
     }
 
-    /// Cancels an execution all of which has left; its engine is told.
+    /// Cancels an execution that was completely sent, and sends its engine the cancel if that is allowed.
     fn cancel_at_engine(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let Some(execution) = self.executions.get(&execution_id) else {
             return;
@@ -192,12 +194,13 @@
         self.end_execution(execution_id, ending, Some(command));
     }
 
-    /// Sends a health check to an engine; its outcome comes as an event.
+    /// Sends a health check to an engine; the outcome is reported as `Event::ProbeEnded`, unless no new
+    /// connection may be dialled now.
     pub fn probe(&mut self, now: Micros, engine_index: EngineIndex) {
         self.last_number += 1;
         let tag = format!("p{}", self.last_number);
         let connection = match self.choose_connection(now, engine_index, &tag) {
-            // No new connection may be made now: that says nothing of the engine.
+            // No new connection may be dialled now, which proves nothing about the engine.
             Err(Ending::Withdrawn) => return,
             result => result.ok().and_then(|id| self.connections.get_mut(&id)),
         };
@@ -217,7 +220,7 @@
     }
 }
 
-/// How an execution ends for which no connection could be begun.
+/// How an execution ends for which no connection could be started.
 fn ending_of_failed_dial(error: &Error) -> Ending {
     match error.kind() {
         ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -1,5 +1,5 @@
-//! Timeouts of connections to engines: dials, health checks, half-written statements, half-read answers, idle
-//! connections.
+//! Timeouts of connections to engines: dials, health checks, partly written statements, partly received answers
+//! and idle connections.
 
 use hallmux_dispatcher::{Ending, Micros};
 
@@ -7,13 +7,14 @@
 use super::{Engines, Event};
 use crate::execution::ExecutionId;
 
-/// For a statement that has begun to leave: its deadline goes with it.
+/// Limit in microseconds for sending a statement once its first byte was written: the deadline it carries was
+/// computed at that time.
 const WRITE_TIMEOUT: Micros = 100_000;
-/// For a line that has begun, or a page that was asked for; both take a few milliseconds.
+/// Limit in microseconds for the rest of a line or for a requested page; both normally take a few milliseconds.
 const READ_TIMEOUT: Micros = 500_000;
 
 impl Engines {
-    /// When `expire` is next due, in Unix microseconds.
+    /// When `expire_timeouts` is next due, in Unix microseconds; `Micros::MAX` if nothing is pending.
     pub fn next_timeout(&self) -> Micros {
         let connections = self.connections.values();
         let timeouts = connections.filter_map(|connection| self.connection_timeout(connection));
@@ -36,16 +37,16 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// When a connection is to be closed as idle; none while it is in use.
+    /// When a connection is to be closed as idle; `None` while it is in use.
     fn idle_until(&self, connection: &EngineConnection) -> Option<Micros> {
         if !connection.is_idle() {
             return None;
         }
         let has_unsent = connection.link.unsent() > 0;
-        // Closing it would give up what runs on there.
+        // Closing the connection would cancel the executions that still run on it.
         let has_cancelled_running = !self.network.cancel && !connection.cancelled.is_empty();
         if connection.retired && !has_cancelled_running {
-            // What is still to leave has as long as a connection has to come up.
+            // Unsent output is given as long as a connection is given to come up.
             let wait_limit = if has_unsent {
                 self.network.dial_timeout
             } else {
@@ -57,7 +58,7 @@
         is_idle.then_some(connection.idle_since + self.reuse.max_idle())
     }
 
-    /// Ends what has waited too long: connections not up, health checks not answered, idle connections.
+    /// Closes connections and fails health checks whose timeouts have passed.
     pub fn expire_timeouts(&mut self, now: Micros) {
         self.report_delivered_cancels(now);
         let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
@@ -71,15 +72,15 @@
             return;
         };
         if !connection.up && connection.dial_by <= now {
-            // Guards against a front that stood still between its look at the connections and this one: one that
-            // has come up meanwhile is found as up in the next iteration.
+            // After a stall of this process the connection may have come up unnoticed; it is then kept, and the
+            // next iteration finds it up.
             if !connection.link.is_up().is_ok_and(|up| up) {
                 self.close(now, id, Ending::ConnectTimeout);
             }
             return;
         }
-        // Guards against a deadline that its engine would read late: what has begun to leave can't be
-        // written anew, and what has not left whole has not run.
+        // An engine that stops reading in the middle of a statement would later read a deadline that is out of
+        // date. A partly sent statement can't be rewritten, but it has not run either.
         let _ = self.flush_connection(id);
         if let Some(problem) = self.stalled_write(now, id) {
             log::warn!(
@@ -98,35 +99,35 @@
         }
     }
 
-    /// What the engine has not taken in its time, if anything.
+    /// Describes the output that the engine has not read in time, if any.
     fn stalled_write(&self, now: Micros, id: ConnectionId) -> Option<&'static str> {
         let connection = self.connections.get(&id)?;
         let writing_since = self.writing_since(connection);
         if writing_since.is_some_and(|since| since + WRITE_TIMEOUT <= now) {
-            return Some("takes no more of a statement");
+            return Some("stopped reading in the middle of a statement");
         }
         self.is_cancel_overdue(now, id)
-            .then_some("does not take that an execution is given up")
+            .then_some("did not read the cancel of an execution in time")
     }
 
-    /// Guards against an answer that stops short: nothing comes over such a connection any more. What has
-    /// come by now is read first.
+    /// Closes a connection whose answer stopped before its end, as nothing more is expected over it. Input that
+    /// has arrived by now is read first.
     fn expire_incomplete_answer(&mut self, now: Micros, id: ConnectionId) {
         let has_more = self.overdue_answer(now, id).is_some() && self.read(now, id);
         if let Some(missing) = self
             .overdue_answer(now, id)
-            .or(has_more.then_some("an end"))
+            .or(has_more.then_some("the end of the input"))
         {
             log::warn!(
-                "engine {}: {missing} that never came; its connection is closed",
+                "engine {}: {missing} did not arrive in time; its connection is closed",
                 self.engine_name(id)
             );
             self.close(now, id, Ending::Unreadable);
         }
     }
 
-    /// Health checks that were not answered in time have failed. A connection that was silent as well takes nothing
-    /// more.
+    /// Fails the health checks that were not answered in time. A connection without any reply in that time is
+    /// retired.
     fn expire_probes(&mut self, now: Micros, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Since when a statement has begun to leave over a connection and has not left whole.
+    /// When the front began to write the statement that is partly sent over a connection; `None` if there is none.
     fn writing_since(&self, connection: &EngineConnection) -> Option<Micros> {
         let writing = connection.writing.as_ref()?;
         if connection.link.has_sent_up_to(writing.end) {
@@ -155,12 +156,12 @@
         Some(execution.sent_at)
     }
 
-    /// What has begun to come over a connection and takes too long.
+    /// Names the part of an answer that is overdue on a connection, if any.
     fn overdue_answer(&self, now: Micros, id: ConnectionId) -> Option<&'static str> {
         let connection = self.connections.get(&id)?;
         let partial_line = connection.partial_line_since;
         if partial_line.is_some_and(|since| since + READ_TIMEOUT <= now) {
-            return Some("a line");
+            return Some("the rest of a line");
         }
         let awaits_page = |execution_id: &ExecutionId| {
             let execution = self.executions.get(execution_id);
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -1,4 +1,4 @@
-//! Writes to engines, and the end of a connection.
+//! Writes to engines, and the closing of connections.
 
 use hallmux_dispatcher::{Ending, Micros, Terms};
 use hallmux_native_codec::engine::{self, Command, ExecutionRequest};
@@ -9,11 +9,11 @@
 use crate::execution::ExecutionId;
 use crate::link::Broken;
 
-/// Bytes that an engine may leave stalled_write: a thousand small statements.
+/// Maximum unsent output of a connection in bytes: about a thousand small statements.
 pub(super) const MAX_UNSENT_BYTES: usize = 1 << 20;
 
 impl Engines {
-    /// A connection is over: each execution on it ends by how much of it has left.
+    /// Closes a connection. Each execution on it ends according to how much of it was sent.
     pub(super) fn close(&mut self, now: Micros, id: ConnectionId, ending: Ending) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends what is to leave. Of what is queued only as much is begun as the network takes.
+    /// Sends pending output. Queued executions are written only as far as the sockets accept them.
     pub fn flush(&mut self, now: Micros) {
         let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in ids {
@@ -69,9 +69,9 @@
         self.mark_cancels_sent(now);
     }
 
-    /// Sends what the network takes over a connection that is up. A statement may have run once its last byte
-    /// has left, whatever becomes of the commands behind it. Guards against one that has left and passes for
-    /// half written: that would prove that it has not run.
+    /// Sends what the socket accepts over a connection that is up. A statement may have run once its last byte was
+    /// sent, even if the commands behind it were not. It is marked as sent here, because a partly written
+    /// statement is treated as one that has not run.
     pub(super) fn flush_connection(&mut self, id: ConnectionId) -> Result<(), Broken> {
         let connection = self.connections.get_mut(&id);
         let Some(connection) = connection.filter(|connection| connection.up) else {
@@ -89,7 +89,7 @@
         flushed
     }
 
-    /// Begins what is queued as far as the network takes it. An error is how the connection ends.
+    /// Writes queued executions as far as the socket accepts them. An error is the ending of the connection.
     fn write_queue(&mut self, now: Micros, id: ConnectionId) -> Result<(), Ending> {
         loop {
             self.flush_connection(id).map_err(replies::ending_of)?;
@@ -98,7 +98,7 @@
                 return Ok(());
             };
             if connection.link.unsent() > MAX_UNSENT_BYTES {
-                // Closed from here: its engine has yet to read so, as of anything that is given up.
+                // Closed by this front: as with any cancel, the engine has yet to notice.
                 return Err(Ending::ClosedHere);
             }
             if connection.link.unsent() > 0 {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Writes an execution to the output of its connection, or keeps it here where it may not leave any more.
+    /// Writes an execution to the output of its connection, or withdraws it if it may no longer be sent.
     fn write_or_withdraw(&mut self, now: Micros, id: ConnectionId, execution_id: ExecutionId) {
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
@@ -122,7 +122,7 @@
         let engine = self.engines.get(&connection.engine_index);
         if let Some(reason) = withhold_reason(now, engine, &execution.terms) {
             let ticket = execution_id.ticket;
-            log::debug!("statement {ticket}: its execution stays here: {reason}");
+            log::debug!("statement {ticket}: its execution is withdrawn unsent: {reason}");
             return self.withdraw(id, execution_id);
         }
         let request = ExecutionRequest {
@@ -148,7 +148,8 @@
 }
 
 impl EngineConnection {
-    /// It is taken up for its only execution: notes how long it had been idle since an earlier one, if any.
+    /// Records that an idle connection is used again, and how long it was idle since an earlier execution; zero if
+    /// there was none.
     fn resume(&mut self, now: Micros, dial_timeout: Micros) {
         let dialled_at = self.dial_by - dial_timeout;
         let was_used = self.idle_since > dialled_at;
@@ -157,10 +158,13 @@
     }
 }
 
-/// Logs the end of a connection. An engine that can't be reached is named once, until it is reached again.
+/// Logs the end of a connection. An engine that can't be reached is logged once until it is reached again.
 fn log_close(engine: &mut Engine, connection: &EngineConnection, ending: Ending) {
     if !connection.up && (connection.retired || ending == Ending::ResetWhileConnecting) {
-        log::debug!("engine {}: connection lost while it came up", engine.id);
+        log::debug!(
+            "engine {}: connection lost while it was being set up",
+            engine.id
+        );
     } else if !connection.up && !std::mem::replace(&mut engine.is_unreachable, true) {
         log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
     } else if connection.up && !connection.open.is_empty() {
@@ -172,19 +176,19 @@
     }
 }
 
-/// Why an execution that has waited for its connection may not leave any more, if so.
+/// Why an execution that waited for its connection may no longer be sent; `None` if it may.
 fn withhold_reason(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
     let Some(_) = engine.filter(|engine| engine.available) else {
-        // It is withdrawn as soon as the list says so; if it is found here, a drain would not have been kept.
+        // Retiring an engine withdraws its queued executions; one that is found here would have broken a drain.
         log::error!(
-            "engine {}: an execution was still queued for it",
+            "engine {}: an execution was still queued for it although it drains or is gone; it is withdrawn",
             engine.map_or("?", |engine| &engine.id)
         );
-        return Some("its engine drains or is gone");
+        return Some("its engine drains or was removed");
     };
     if now >= terms.deadline {
-        return Some("its client's time is up");
+        return Some("its client's deadline has passed");
     }
-    // Guards against a repeat that comes after its engines have forgotten the first one.
-    (now >= terms.send_by).then_some("engines may not know it for a repeat any more")
+    // After this time engines no longer deduplicate a repeat of the first execution.
+    (now >= terms.send_by).then_some("engines may no longer deduplicate it")
 }
--- a/crates/front/src/execution.rs
+++ b/crates/front/src/execution.rs
@@ -2,7 +2,8 @@
 
 use hallmux_dispatcher::Ticket;
 
-/// An execution, by its statement's ticket and its number among that statement's executions. Ordered by ticket first.
+/// Identifies an execution by its statement's ticket and its number among that statement's executions. Ordered by
+/// ticket first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ExecutionId {
     pub ticket: Ticket,
@@ -10,7 +11,7 @@
 }
 
 impl ExecutionId {
-    /// The execution of this number of a statement.
+    /// Creates the id of the execution with this number of a statement.
     pub fn new(ticket: Ticket, number: usize) -> ExecutionId {
         ExecutionId { ticket, number }
     }
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection: a socket that never blocks, what was received over it and what is still to be sent.
+//! One TCP connection: a non-blocking socket with its input and output buffers.
 
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
@@ -11,31 +11,33 @@
 
 use crate::events::{LoopEvents, SocketId};
 
-/// Bytes read at once.
+/// Bytes per call of `read`.
 const READ_CHUNK_BYTES: usize = 64 << 10;
-/// Bytes on their way that can't be read back: some hundred statements.
+/// Size of the socket's send buffer: some hundred statements. Bytes in it can't be withdrawn any more.
 const SEND_BUFFER_BYTES: usize = 64 << 10;
-/// Bytes read from a connection before others are served.
+/// Bytes read from one connection before other connections are served.
 const MAX_BYTES_PER_ITERATION: usize = 256 << 10;
-/// EINPROGRESS, which the standard library has no kind for.
+/// The error code of a pending connect on Linux; `ErrorKind` has no stable variant for it.
 const EINPROGRESS: i32 = 115;
 
 thread_local! {
-    /// What is read goes through here, so that a connection holds no more than it needs.
+    /// Shared by all connections, so that each holds only the bytes that it has received.
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_CHUNK_BYTES]);
 }
 
-/// How a connection ended from the other side.
+/// How a connection broke, as far as this side can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
+    /// The peer closed the connection in order.
     Closed,
+    /// The peer reset the connection.
     Reset,
-    /// This system has given it up (no answers, no route); the other side may not know yet.
+    /// The operating system here gave the connection up (no acknowledgements, no route); the peer may not know yet.
     Lost,
 }
 
 impl Broken {
-    /// What an error of a connection that was up tells of its other side.
+    /// Classifies an error of a connection that was up.
     fn from_error(error: &std::io::Error) -> Broken {
         match error.kind() {
             ErrorKind::ConnectionReset | ErrorKind::BrokenPipe | ErrorKind::ConnectionAborted => {
@@ -46,12 +48,12 @@
     }
 }
 
-/// What one read of a connection has found.
+/// The outcome of one read of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadOutcome {
-    /// More may be readable: the connection is to be read again without waiting for the event loop.
+    /// More may be readable: read the connection again without waiting for another readiness event.
     pub has_more: bool,
-    /// How the other side ended the connection, if it did; what came before that was read.
+    /// How the connection broke, if it did; the bytes received before that are in the input.
     pub broken: Option<Broken>,
 }
 
@@ -73,22 +75,22 @@
     }
 }
 
-/// One TCP connection: its socket, what was received and not read yet, and what is still to be sent.
+/// One TCP connection: its socket, the input that was not consumed yet, and the output that was not sent yet.
 pub struct Link {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
     handle: LoopHandle<'static, LoopEvents>,
-    /// What was received and is not read yet.
+    /// Bytes that were received and not consumed yet.
     pub input: Vec<u8>,
     output: Vec<u8>,
-    /// Bytes of `output` that were sent.
+    /// The number of bytes at the start of `output` that were sent.
     sent_bytes: usize,
-    /// Bytes sent before those of `output`, over the connection's whole life.
+    /// Bytes sent over the connection before the first byte of `output`.
     flushed_bytes: usize,
 }
 
 impl Link {
-    /// Serves a connection that is up or coming up; the event loop reports it under the id given.
+    /// Registers a connected or connecting socket with the event loop, which reports it under the given id.
     pub fn new(
         stream: TcpStream,
         handle: &LoopHandle<'static, LoopEvents>,
@@ -97,7 +99,7 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        // Reported once for each change (edge-triggered), so that a connection that is not read for now costs nothing.
+        // Edge-triggered: a connection that is deliberately not read wakes the event loop only once.
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let token = handle
             .insert_source(source, move |_, _, events| {
@@ -118,7 +120,7 @@
         })
     }
 
-    /// Begins a connection to an address; `is_up` says when it has come up.
+    /// Starts to connect to an address; `is_up` reports when the connection has come up.
     pub fn dial(
         address: SocketAddr,
         handle: &LoopHandle<'static, LoopEvents>,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Whether a dialled connection is up by now, or why it never will be.
+    /// Whether a dialled connection is up; an error if the attempt has failed.
     pub fn is_up(&self) -> std::io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
@@ -153,12 +155,12 @@
         }
     }
 
-    /// Takes what is readable, up to the bytes of one iteration.
+    /// Reads what is available, up to `MAX_BYTES_PER_ITERATION`.
     pub fn read(&mut self) -> ReadOutcome {
         self.read_some(MAX_BYTES_PER_ITERATION)
     }
 
-    /// The same up to so many bytes and one chunk.
+    /// Reads what is available until at least `limit` bytes were read; exceeds the limit by less than one chunk.
     pub fn read_some(&mut self, limit: usize) -> ReadOutcome {
         READ_BUFFER.with_borrow_mut(|chunk| {
             let mut read = 0;
@@ -178,7 +180,7 @@
         })
     }
 
-    /// Releases memory that an idle connection does not need.
+    /// Releases buffer memory that an idle connection does not need.
     pub fn release_memory(&mut self) {
         self.input.shrink_to(self.input.len());
         if self.unsent() == 0 {
@@ -186,33 +188,33 @@
         }
     }
 
-    /// What is to leave with the next `flush`.
+    /// The output buffer, which `flush` sends.
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Bytes of the output that were not sent yet.
+    /// The number of bytes of the output that were not sent yet.
     pub fn unsent(&self) -> usize {
         self.output.len() - self.sent_bytes
     }
 
-    /// Whether the first bytes of the output were sent, up to the offset given.
+    /// Whether the current output was sent up to the offset `end`.
     pub fn has_sent(&self, end: usize) -> bool {
         self.unsent() == 0 || self.sent_bytes >= end
     }
 
-    /// Where what is written by now ends among all bytes of the connection, sent or not.
+    /// The end of the output so far, as an offset in all bytes of the connection, sent or not.
     pub fn end_of_output(&self) -> usize {
         self.flushed_bytes + self.output.len()
     }
 
-    /// Whether all bytes were sent up to an end that `end_of_output` gave. Guards against an end from before
-    /// the output was last cleared, which `has_sent` would look for in what was written since.
+    /// Whether all bytes were sent up to an offset that `end_of_output` returned. Unlike `has_sent`, the offset stays
+    /// valid when the output is cleared after a complete flush.
     pub fn has_sent_up_to(&self, end: usize) -> bool {
         self.flushed_bytes + self.sent_bytes >= end
     }
 
-    /// Sends as much as the network takes.
+    /// Sends as much of the output as the socket accepts.
     pub fn flush(&mut self) -> Result<(), Broken> {
         while self.unsent() > 0 {
             match (&*self.stream).write(&self.output[self.sent_bytes..]) {
@@ -229,12 +231,12 @@
         Ok(())
     }
 
-    /// Ends what is sent: the other side reads all that has left, then the end.
+    /// Shuts down the sending side: the peer reads all bytes that were sent, then the end of the stream.
     pub fn shutdown_write(&self) -> std::io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// Drops the first bytes of the input, which were read.
+    /// Removes the first `len` bytes of the input.
     pub fn consume(&mut self, len: usize) {
         self.input.drain(..len);
         if self.input.capacity() > self.input.len() + 2 * READ_CHUNK_BYTES {
--- a/crates/front/src/link_tests.rs
+++ b/crates/front/src/link_tests.rs
@@ -15,7 +15,7 @@
         crate::events::SocketKind::Engine.id(1),
     )
     .unwrap();
-    const UNSENDABLE_BYTES: usize = 64 << 20; // more than the network takes from one who is not read
+    const UNSENDABLE_BYTES: usize = 64 << 20; // more than the sockets buffer while the peer reads nothing
     link.output().resize(UNSENDABLE_BYTES, b'x');
     assert_eq!(link.flush(), Ok(()));
     assert!(link.has_sent(1) && !link.has_sent(UNSENDABLE_BYTES));
--- a/crates/front/src/listed_engine.rs
+++ b/crates/front/src/listed_engine.rs
@@ -1,14 +1,14 @@
-//! An engine as the coordinator's list has it, for the connections to it.
+//! An engine as listed by the coordinator, as far as connections to it need it.
 
 use std::net::SocketAddr;
 
-/// Where an engine is, and whether anything may still be sent to it.
+/// The address of an engine, and whether executions may be sent to it.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEngine<'a> {
     pub id: &'a str,
     pub address: SocketAddr,
-    /// Unix time of its start in milliseconds, as the coordinator has it; 0 for not lately.
+    /// Unix time of the engine's start in milliseconds, as the coordinator reports it; 0 if it did not start recently.
     pub started_ms: f64,
-    /// False while it drains or once it is removed.
+    /// False while the engine drains and once it is removed.
     pub available: bool,
 }
