--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -11,9 +11,9 @@
 use hallmux_gossip::channels::{Channel, ChannelMessage};
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
-use hallmux_gossip::message::Sighting;
+use hallmux_gossip::message::EngineStatus;
 use hallmux_gossip::node::{Datagram, Node, NodeConfig};
-use hallmux_gossip::seal::{Keys, Refused};
+use hallmux_gossip::seal::{Keys, VerificationError};
 use hallmux_gossip::{PeerId, RandomSource};
 
 use crate::ledger::LedgerNode;
@@ -42,7 +42,7 @@
     node: Node,
     next_report: Micros,
     /// The latest report of each peer on each engine, so that each change is passed to the dispatcher once.
-    known_reports: BTreeMap<ReportedEngine, Sighting>,
+    known_reports: BTreeMap<ReportedEngine, EngineStatus>,
     /// The dispatcher's numbers for reporters, assigned in the order of their first reports.
     reporters: BTreeMap<PeerId, usize>,
     /// The fleet size that was last passed to the dispatcher.
@@ -87,7 +87,7 @@
         &mut self,
         at: ClockReading,
         config: OwnershipConfig,
-    ) -> Result<(), hallmux_lease::disk::StateError> {
+    ) -> Result<(), hallmux_lease::state::StateError> {
         self.ownership = Some(Ownership::new(at, self.node.peer_id(), config)?);
         Ok(())
     }
@@ -137,8 +137,8 @@
     }
 
     /// The number of refused datagrams and reports, by reason.
-    pub fn refused(&self) -> &BTreeMap<Refused, u64> {
-        &self.node.refused
+    pub fn refused(&self) -> &BTreeMap<VerificationError, u64> {
+        &self.node.rejected
     }
 
     /// When `tick` is next due, on the dispatcher's clock.
@@ -166,7 +166,7 @@
             datagrams,
             ..Output::default()
         };
-        for message in self.node.received() {
+        for message in self.node.take_messages() {
             self.receive_message(at, message);
         }
         if let Some(ownership) = &mut self.ownership {
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -22,7 +22,7 @@
 use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
 use crate::listed_engine::ListedEngine;
-use crate::reuse::Reuse;
+use crate::reuse::ReusePolicy;
 use connection::{ConnectionId, EngineConnection};
 use execution::{Execution, Stage};
 use pending_cancel::PendingCancel;
@@ -89,7 +89,7 @@
     max_connections: usize,
     /// Limits the rate of new connections; unlimited unless replaced.
     pub dials: DialPacer,
-    reuse: Reuse,
+    reuse: ReusePolicy,
     /// Cancelled executions whose engines may not have read the cancel yet, in order of cancellation.
     pending_cancels: Vec<PendingCancel>,
     /// Events since the event loop last took them.
@@ -105,7 +105,7 @@
     ) -> Self {
         Engines {
             handle,
-            reuse: Reuse::new((network.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
+            reuse: ReusePolicy::new((network.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
             network,
             report_names: names.report.clone(),
             engines: BTreeMap::new(),
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -205,7 +205,7 @@
             );
         }
         if ending == Ending::Answered {
-            self.reuse.answered();
+            self.reuse.record_answer();
         } else {
             let ended_ids = if self.network.cancel {
                 &mut connection.cancelled
--- a/crates/front/src/event_loop_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -22,22 +22,22 @@
 #[path = "postgres/session_units_tests.rs"]
 mod session_units;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 const START: Micros = 1_800_000_000_000_000; // Unix microseconds
-const LATER: Micros = START + 700_000; // the end was asked for at the start, and the listener is due to close
-const AIM_MS: u32 = 2000; // milliseconds that statements are meant to take, where a test says nothing else
-const BEFORE: usize = 3; // iterations after that in which it is still open
+const CLOSE_TIME: Micros = START + 700_000; // after SIGTERM at START, the listener is due to close
+const SLO_TIME_MS: u32 = 2000; // default SLO time of statements in milliseconds
+const ITERATIONS_BEFORE_CLOSE: usize = 3; // iterations after CLOSE_TIME in which the listener is still open
 
-/// A front that no loop drives, with a clock that the test moves.
-pub(super) struct Driven {
+/// A front whose iterations and clock are driven by the test instead of an event loop.
+pub(super) struct FrontHarness {
     pub(super) front: EventLoopState,
     events: EventLoop<'static, LoopEvents>,
-    pub(super) listens: SocketAddr,
-    sessions: SocketAddr,
+    pub(super) listen_address: SocketAddr,
+    session_address: SocketAddr,
     files: [PathBuf; 2],
 }
 
-impl Drop for Driven {
+impl Drop for FrontHarness {
     fn drop(&mut self) {
         self.files
             .iter()
@@ -45,30 +45,44 @@
     }
 }
 
-impl Driven {
-    /// With an engine that speaks PostgreSQL.
-    fn new(name: &str, engine: SocketAddr, cancelling: bool) -> Driven {
-        Driven::with_limits(name, engine, cancelling, "")
+impl FrontHarness {
+    /// Starts a front with one engine that speaks PostgreSQL.
+    fn new(name: &str, engine: SocketAddr, cancelling: bool) -> FrontHarness {
+        FrontHarness::with_limits(name, engine, cancelling, "")
     }
 
-    /// The same with limits of sessions, as the operator's file has them.
-    fn with_limits(name: &str, engine: SocketAddr, cancelling: bool, limits: &str) -> Driven {
-        let agreed = (json!({"cancelling": cancelling}), lookup(AIM_MS));
-        Driven::start(name, &[engine], &sessions(limits), agreed).unwrap()
+    /// Starts a front like `new`, with session limits in the notation of the operator's file.
+    fn with_limits(name: &str, engine: SocketAddr, cancelling: bool, limits: &str) -> FrontHarness {
+        let settings = (
+            json!({"cancelling": cancelling}),
+            lookup_workload(SLO_TIME_MS),
+        );
+        FrontHarness::start(name, &[engine], &operator_file(limits), settings).unwrap()
     }
 
-    /// With several engines, what is agreed of bounds, and the time that statements are meant to take.
-    fn with_engines(name: &str, engines: &[SocketAddr], bounds: Value, aim_ms: u32) -> Driven {
-        Driven::start(name, engines, &sessions(""), (bounds, lookup(aim_ms))).unwrap()
+    /// Starts a front with several engines, the settings' bounds, and the SLO time of statements.
+    fn with_engines(
+        name: &str,
+        engines: &[SocketAddr],
+        bounds: Value,
+        slo_time_ms: u32,
+    ) -> FrontHarness {
+        FrontHarness::start(
+            name,
+            engines,
+            &operator_file(""),
+            (bounds, lookup_workload(slo_time_ms)),
+        )
+        .unwrap()
     }
 
-    /// With an operator's file, and bounds and workloads of the test's own.
+    /// Starts a front with an operator's file, and the settings' bounds and workloads.
     pub(super) fn start(
         name: &str,
         engines: &[SocketAddr],
         operator: &str,
         (bounds, workloads): (Value, Value),
-    ) -> Result<Driven, StartError> {
+    ) -> Result<FrontHarness, StartError> {
         let file = |kind: &str| {
             std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()))
         };
@@ -98,84 +112,84 @@
             hallmux_native_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
         let events = EventLoop::try_new().unwrap();
         let listener = TcpListener::bind(config.listen).unwrap();
-        let listens = listener.local_addr().unwrap();
+        let listen_address = listener.local_addr().unwrap();
         let front = EventLoopState::new(&config, &known, listener, events.handle())?;
-        let sessions = front
+        let session_address = front
             .gateway
             .as_ref()
             .and_then(Gateway::address)
-            .unwrap_or(listens);
-        Ok(Driven {
+            .unwrap_or(listen_address);
+        Ok(FrontHarness {
             front,
             events,
-            listens,
-            sessions,
+            listen_address,
+            session_address,
             files,
         })
     }
 
-    /// Up to the iteration in which it closes its listeners.
-    fn is_about_to_close(&mut self) {
+    /// Runs the graceful shutdown up to the iteration before the listeners are closed.
+    fn advance_to_listener_close(&mut self) {
         self.front.shut_down();
-        write_clock(&self.files[0], LATER);
-        (0..BEFORE).for_each(|_| self.front.iterate());
+        write_clock(&self.files[0], CLOSE_TIME);
+        (0..ITERATIONS_BEFORE_CLOSE).for_each(|_| self.front.run_iteration());
         assert!(self.front.listener.is_open());
     }
 
-    /// Finds what has come, but does not go on with the iteration: on sockets of which kinds something has.
-    fn finds(&mut self) -> Vec<SocketKind> {
-        let mut changes = self.has_something_to_tell();
+    /// Waits for input and reads it without running the rest of the iteration. Returns the kinds of the ready sockets.
+    fn read_ready_sockets(&mut self) -> Vec<SocketKind> {
+        let mut changes = self.wait_for_events();
         let found = changes.ready.iter().map(|socket| socket.kind).collect();
         changes
             .ready
             .drain(..)
-            .for_each(|socket| self.front.ready(socket));
+            .for_each(|socket| self.front.handle_ready_socket(socket));
         found
     }
 
-    /// One iteration, as `run` has it.
-    pub(super) fn goes_on(&mut self) {
+    /// Runs one iteration, as `main` does.
+    pub(super) fn run_iteration(&mut self) {
         let mut changes = LoopEvents::default();
         self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
         changes
             .ready
             .drain(..)
-            .for_each(|socket| self.front.ready(socket));
-        self.front.iterate();
+            .for_each(|socket| self.front.handle_ready_socket(socket));
+        self.front.run_iteration();
     }
 
-    /// Waits until the loop has a change to tell, which the front has not heard of.
-    fn has_something_to_tell(&mut self) -> LoopEvents {
-        let (begun, mut changes) = (Instant::now(), LoopEvents::default());
+    /// Waits for ready sockets without handling them.
+    fn wait_for_events(&mut self) -> LoopEvents {
+        let (started, mut changes) = (Instant::now(), LoopEvents::default());
         while changes.ready.is_empty() {
-            assert!(begun.elapsed() < PATIENCE, "nothing has come");
+            assert!(started.elapsed() < WAIT_LIMIT, "no socket became ready");
             self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
         }
         changes
     }
 
-    /// Goes on until there is what is waited for.
-    pub(super) fn until<T>(
+    /// Runs iterations until a condition holds, and returns its value.
+    pub(super) fn run_until<T>(
         &mut self,
         what: &str,
-        mut there: impl FnMut(&EventLoopState) -> Option<T>,
+        mut condition: impl FnMut(&EventLoopState) -> Option<T>,
     ) -> T {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            if let Some(found) = there(&self.front) {
+            if let Some(found) = condition(&self.front) {
                 return found;
             }
-            assert!(begun.elapsed() < PATIENCE, "{what}");
-            self.goes_on();
+            assert!(started.elapsed() < WAIT_LIMIT, "{what}");
+            self.run_iteration();
         }
     }
 
-    /// Goes on until a peer has something to read: the first bytes of that, none at its end.
-    fn hears(&mut self, peer: &mut TcpStream) -> Vec<u8> {
+    /// Runs iterations until a peer can read. Returns the bytes read, none at the end of the connection.
+    fn receive(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         peer.set_nonblocking(true).unwrap();
-        let mut heard = vec![0; 4096];
-        self.until("an answer", |_| match peer.read(&mut heard) {
-            Ok(len) => Some(heard[..len].to_vec()),
+        let mut received = vec![0; 4096];
+        self.run_until("an answer", |_| match peer.read(&mut received) {
+            Ok(len) => Some(received[..len].to_vec()),
             Err(e) => {
                 assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}");
                 None
@@ -183,63 +197,63 @@
         })
     }
 
-    /// The same until certain bytes have come, which not all before them have to be.
-    pub(super) fn hears_text(&mut self, peer: &mut TcpStream, text: &str) -> String {
+    /// Runs iterations until a peer has received `text`. Returns all received text, lossily decoded.
+    pub(super) fn receive_until(&mut self, peer: &mut TcpStream, text: &str) -> String {
         let mut all = String::new();
         while !all.contains(text) {
-            let heard = self.hears(peer);
+            let received = self.receive(peer);
             assert!(
-                !heard.is_empty(),
-                "{text} did not come, but the end behind {all:?}"
+                !received.is_empty(),
+                "the connection ended without {text} after {all:?}"
             );
-            all += &String::from_utf8_lossy(&heard);
+            all += &String::from_utf8_lossy(&received);
         }
         all
     }
 
-    /// A session that has come in.
-    fn enters(&mut self) -> TcpStream {
-        let mut session = TcpStream::connect(self.sessions).unwrap();
-        starts_up(&mut session, "portal");
-        self.hears_text(&mut session, "Z\0\0\0\x05I");
+    /// Opens a session and completes its startup.
+    fn open_session(&mut self) -> TcpStream {
+        let mut session = TcpStream::connect(self.session_address).unwrap();
+        send_startup(&mut session, "portal");
+        self.receive_until(&mut session, "Z\0\0\0\x05I");
         session
     }
 
-    /// The front's next connection to the engine, which waits for its login.
-    fn dials(&mut self, engine: &TcpListener) -> TcpStream {
+    /// Accepts the front's next connection to the engine and reads its startup message, without answering it.
+    fn accept_dial(&mut self, engine: &TcpListener) -> TcpStream {
         engine.set_nonblocking(true).unwrap();
-        let mut stream = self.until("a dial", |_| engine.accept().ok()).0;
-        self.hears_text(&mut stream, "user");
+        let mut stream = self.run_until("a dial", |_| engine.accept().ok()).0;
+        self.receive_until(&mut stream, "user");
         stream
     }
 }
 
-/// An operator's file that lets sessions in, with limits of theirs.
-fn sessions(limits: &str) -> String {
+/// An operator's file that enables sessions, with limits for them.
+fn operator_file(limits: &str) -> String {
     format!(
         "{{ postgres: {{ listen: '127.0.0.1:0', engines: [{{ kinds: ['std'] }}], \
          users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }}, limits: {{ {limits} }} }} }}"
     )
 }
 
-/// A workload whose statements are meant to take so long.
-fn lookup(aim_ms: u32) -> Value {
-    json!([{"name": "lookup", "aimMs": aim_ms, "deadlineMs": 8000, "repeat": "repeatable"}])
+/// A workload with an SLO time.
+fn lookup_workload(slo_time_ms: u32) -> Value {
+    json!([{"name": "lookup", "aimMs": slo_time_ms, "deadlineMs": 8000, "repeat": "repeatable"}])
 }
 
-fn starts_up(session: &mut TcpStream, user: &str) {
+fn send_startup(session: &mut TcpStream, user: &str) {
     let mut out = Vec::new();
     wire::write_start_up(&mut out, &[("user", user), ("database", "x")]);
     session.write_all(&out).unwrap();
 }
 
-fn asks(session: &mut TcpStream, text: &str) {
+fn send_query(session: &mut TcpStream, text: &str) {
     let mut out = Vec::new();
     wire::write_query(&mut out, text.as_bytes());
     session.write_all(&out).unwrap();
 }
 
-fn lets_in(engine: &mut TcpStream) {
+fn accept_login(engine: &mut TcpStream) {
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
     wire::write_key(
@@ -253,7 +267,7 @@
     engine.write_all(&out).unwrap();
 }
 
-fn answers(engine: &mut TcpStream, tag: &str, status: u8) {
+fn send_completion(engine: &mut TcpStream, tag: &str, status: u8) {
     let mut out = Vec::new();
     wire::write_complete(&mut out, tag);
     wire::write_ready(&mut out, status);
@@ -271,17 +285,17 @@
 }
 
 #[test]
-fn who_connects_right_before_the_listener_closes_is_answered() {
+fn client_connecting_just_before_listener_close_is_answered() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("last-client", at, true);
-    driven.is_about_to_close();
-    // The loop has not told of it: it is in the listener's queue alone.
-    let mut client = TcpStream::connect(driven.listens).unwrap();
+    let mut harness = FrontHarness::new("last-client", at, true);
+    harness.advance_to_listener_close();
+    // The event loop has not reported the client: it is only in the listener's queue.
+    let mut client = TcpStream::connect(harness.listen_address).unwrap();
     client.write_all(&frame(7, "select 7")).unwrap();
-    driven.front.iterate();
-    assert!(!driven.front.listener.is_open());
-    let heard = driven.hears(&mut client);
-    // A reply to number 7, whose second field is there: rejected.
+    harness.front.run_iteration();
+    assert!(!harness.front.listener.is_open());
+    let received = harness.receive(&mut client);
+    // A reply to number 7 with its second field: rejected.
     let reply = [
         &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
         b"serve",
@@ -289,32 +303,32 @@
     ]
     .concat();
     assert!(
-        heard.len() > 4 && heard[4..].starts_with(&reply),
-        "{heard:?}"
+        received.len() > 4 && received[4..].starts_with(&reply),
+        "{received:?}"
     );
-    // And the end, in order.
-    assert!(driven.hears(&mut client).is_empty());
+    // An orderly end of the connection follows.
+    assert!(harness.receive(&mut client).is_empty());
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_its_resting_connection_is_answered() {
+fn request_racing_close_of_idle_connection_is_answered() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("resting-client", at, true);
-    let mut client = TcpStream::connect(driven.listens).unwrap();
-    // One that can't be used is answered at once; then the connection rests.
+    let mut harness = FrontHarness::new("resting-client", at, true);
+    let mut client = TcpStream::connect(harness.listen_address).unwrap();
+    // An unusable statement is answered at once; then the connection is idle.
     client.write_all(&frame(6, "")).unwrap();
-    assert!(!driven.hears(&mut client).is_empty());
-    driven.is_about_to_close();
-    // It is there before the front closes what rests, but the loop tells of it only afterwards.
+    assert!(!harness.receive(&mut client).is_empty());
+    harness.advance_to_listener_close();
+    // The request has arrived before the front closes idle connections, but the event loop reports it only afterwards.
     client.write_all(&frame(7, "select 7")).unwrap();
-    let mut changes = driven.has_something_to_tell();
-    driven.front.iterate();
-    assert!(!driven.front.listener.is_open());
+    let mut changes = harness.wait_for_events();
+    harness.front.run_iteration();
+    assert!(!harness.front.listener.is_open());
     changes
         .ready
         .drain(..)
-        .for_each(|socket| driven.front.ready(socket));
-    let heard = driven.hears(&mut client);
+        .for_each(|socket| harness.front.handle_ready_socket(socket));
+    let received = harness.receive(&mut client);
     let reply = [
         &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
         b"serve",
@@ -322,120 +336,126 @@
     ]
     .concat();
     assert!(
-        heard.len() > 4 && heard[4..].starts_with(&reply),
-        "{heard:?}"
+        received.len() > 4 && received[4..].starts_with(&reply),
+        "{received:?}"
     );
-    assert!(driven.hears(&mut client).is_empty());
+    assert!(harness.receive(&mut client).is_empty());
 }
 
 #[test]
-fn a_session_that_connects_right_before_the_listener_closes_is_told_of_the_end() {
+fn session_connecting_just_before_listener_close_receives_shutdown_error() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("last-session", at, true);
-    driven.is_about_to_close();
-    let mut session = TcpStream::connect(driven.sessions).unwrap();
-    driven.front.iterate();
-    let heard = driven.hears(&mut session);
+    let mut harness = FrontHarness::new("last-session", at, true);
+    harness.advance_to_listener_close();
+    let mut session = TcpStream::connect(harness.session_address).unwrap();
+    harness.front.run_iteration();
+    let received = harness.receive(&mut session);
     assert!(
-        heard.starts_with(b"E") && heard.windows(5).any(|code| code == b"57P01"),
-        "{heard:?}"
+        received.starts_with(b"E") && received.windows(5).any(|code| code == b"57P01"),
+        "{received:?}"
     );
-    assert!(driven.hears(&mut session).is_empty());
+    assert!(harness.receive(&mut session).is_empty());
 }
 
 #[test]
-fn a_unit_that_comes_right_before_its_idle_session_is_closed_is_answered() {
+fn unit_arriving_just_before_idle_session_close_is_answered() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("last-unit", at, true);
-    let mut session = driven.enters();
-    driven.is_about_to_close();
-    asks(&mut session, "SET hallmux.workload = 'lookup'");
-    driven.front.iterate();
-    let heard = driven.hears_text(&mut session, "57P01");
-    assert!(heard.starts_with("C\0\0\0\x08SET\0Z"), "{heard:?}");
-    assert!(driven.hears(&mut session).is_empty());
+    let mut harness = FrontHarness::new("last-unit", at, true);
+    let mut session = harness.open_session();
+    harness.advance_to_listener_close();
+    send_query(&mut session, "SET hallmux.workload = 'lookup'");
+    harness.front.run_iteration();
+    let received = harness.receive_until(&mut session, "57P01");
+    assert!(received.starts_with("C\0\0\0\x08SET\0Z"), "{received:?}");
+    assert!(harness.receive(&mut session).is_empty());
 }
 
 #[test]
-fn a_unit_that_waits_for_its_connection_is_not_sent_once_its_session_has_left() {
+fn unit_waiting_for_engine_connection_is_not_sent_after_session_disconnects() {
     let (engine, at) = listener();
-    // Engines are not told to give anything up.
-    let mut driven = Driven::new("left-session", at, false);
-    let mut first = driven.enters();
-    asks(&mut first, "select 1");
-    let mut link = driven.dials(&engine);
+    // The settings do not allow cancelling executions.
+    let mut harness = FrontHarness::new("left-session", at, false);
+    let mut first = harness.open_session();
+    send_query(&mut first, "select 1");
+    let mut link = harness.accept_dial(&engine);
     drop(first);
-    driven.until("its end is known", |front| {
+    harness.run_until("the session is closed", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
     });
-    lets_in(&mut link);
-    let mut second = driven.enters();
-    asks(&mut second, "select 2");
-    let heard = driven.hears_text(&mut link, "select");
+    accept_login(&mut link);
+    let mut second = harness.open_session();
+    send_query(&mut second, "select 2");
+    let received = harness.receive_until(&mut link, "select");
     assert!(
-        heard.contains("select 2") && !heard.contains("select 1"),
-        "{heard:?}"
+        received.contains("select 2") && !received.contains("select 1"),
+        "{received:?}"
     );
 }
 
 #[test]
-fn a_unit_decided_on_by_an_old_look_is_not_sent_once_its_session_has_left() {
+fn unit_dispatched_on_stale_read_is_not_sent_after_session_disconnects() {
     let (engine, at) = listener();
-    let mut driven = Driven::new("stale-session", at, true);
-    let mut session = driven.enters();
-    asks(&mut session, "select 1");
-    let mut link = driven.dials(&engine);
-    lets_in(&mut link);
-    driven.hears_text(&mut link, "select 1");
-    answers(&mut link, "SELECT 0", b'I');
-    driven.hears_text(&mut session, "SELECT 0");
-    asks(&mut session, "select 2");
-    // It is found, then the front is held up, and decides.
-    driven.finds();
-    write_clock(&driven.files[0], START + 30_000);
-    driven.front.iterate();
-    assert!(driven.front.flush_deferred);
+    let mut harness = FrontHarness::new("stale-session", at, true);
+    let mut session = harness.open_session();
+    send_query(&mut session, "select 1");
+    let mut link = harness.accept_dial(&engine);
+    accept_login(&mut link);
+    harness.receive_until(&mut link, "select 1");
+    send_completion(&mut link, "SELECT 0", b'I');
+    harness.receive_until(&mut session, "SELECT 0");
+    send_query(&mut session, "select 2");
+    // The statement is read, then the front is stalled, and then it decides.
+    harness.read_ready_sockets();
+    write_clock(&harness.files[0], START + 30_000);
+    harness.front.run_iteration();
+    assert!(harness.front.flush_deferred);
     drop(session);
-    // The connection that it was written to goes with it.
-    let heard = driven.hears(&mut link);
-    assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
+    // The connection that the unit was written to is closed with the session.
+    let received = harness.receive(&mut link);
+    assert!(
+        received.is_empty(),
+        "{}",
+        String::from_utf8_lossy(&received)
+    );
 }
 
 #[test]
-fn a_unit_that_comes_right_before_its_resting_session_makes_room_is_answered() {
+fn unit_arriving_just_before_idle_session_eviction_is_answered() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("room", at, true);
-    let mut session = driven.enters();
-    driven.front.max_clients = 1;
-    write_clock(&driven.files[0], START + 2_000_000);
-    asks(&mut session, "SET hallmux.workload = 'lookup'");
-    let _newcomer = TcpStream::connect(driven.sessions).unwrap();
-    // The loop tells of the newcomer alone.
-    driven.front.ready(SocketKind::SessionListener.id(0));
-    driven.front.iterate();
-    assert_eq!(driven.front.gateway.as_ref().map(Gateway::len), Some(1));
-    driven.hears_text(&mut session, "SET\0");
+    let mut harness = FrontHarness::new("room", at, true);
+    let mut session = harness.open_session();
+    harness.front.max_clients = 1;
+    write_clock(&harness.files[0], START + 2_000_000);
+    send_query(&mut session, "SET hallmux.workload = 'lookup'");
+    let _newcomer = TcpStream::connect(harness.session_address).unwrap();
+    // The event loop reports only the new connection.
+    harness
+        .front
+        .handle_ready_socket(SocketKind::SessionListener.id(0));
+    harness.front.run_iteration();
+    assert_eq!(harness.front.gateway.as_ref().map(Gateway::len), Some(1));
+    harness.receive_until(&mut session, "SET\0");
 }
 
 #[test]
-fn a_session_that_has_said_half_a_message_does_not_hold_up_the_end() {
+fn session_with_partial_message_does_not_delay_shutdown() {
     let (_engine, at) = listener();
-    let mut driven = Driven::new("half-unit", at, true);
-    let mut session = driven.enters();
+    let mut harness = FrontHarness::new("half-unit", at, true);
+    let mut session = harness.open_session();
     session.write_all(b"Q\0\0\0\x20select").unwrap();
-    driven.until("it is read", |front| {
+    harness.run_until("the partial message is read", |front| {
         (front.gateway.as_ref()?.held_bytes() > 0).then_some(())
     });
-    driven.is_about_to_close();
-    driven.front.iterate();
-    write_clock(&driven.files[0], LATER + 2_500_000);
-    driven.hears_text(&mut session, "57P01");
-    // Its client does not close: that holds the end up as long as the connection may linger, and no longer.
-    assert!(driven.hears(&mut session).is_empty());
+    harness.advance_to_listener_close();
+    harness.front.run_iteration();
+    write_clock(&harness.files[0], CLOSE_TIME + 2_500_000);
+    harness.receive_until(&mut session, "57P01");
+    // The client does not close its side, which delays the shutdown no longer than the connection may linger.
+    assert!(harness.receive(&mut session).is_empty());
     write_clock(
-        &driven.files[0],
-        LATER + 2_500_000 + session_close::LINGERS_AT_END,
+        &harness.files[0],
+        CLOSE_TIME + 2_500_000 + session_close::LINGERS_AT_END,
     );
-    driven.goes_on();
-    assert!(driven.front.is_done());
+    harness.run_iteration();
+    assert!(harness.front.is_done());
 }
