--- a/crates/front/tests/refused/main.rs
+++ b/crates/front/tests/refused/main.rs
@@ -8,10 +8,10 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10); // for a start to end; a busy machine takes some of it
-const LOOK: Duration = Duration::from_millis(2); // between looks whether it has
+const START_TIMEOUT: Duration = Duration::from_secs(10); // for a start to end; a busy machine takes some of it
+const POLL_INTERVAL: Duration = Duration::from_millis(2); // between looks whether it has
 
-const GOOD: &str = r#"{
+const VALID_CONFIG: &str = r#"{
   "name": "n1",
   "listen": "127.0.0.1:0",
   "seed": "8c1f30d27a5be964",
@@ -31,11 +31,12 @@
 }
 "#;
 
-const OPERATOR: &str = "{\n  // comments count as lines\n  load_signal:\n    'utilization',\n}\n";
+const OPERATOR_FILE_WITH_ERROR: &str =
+    "{\n  // comments count as lines\n  load_signal:\n    'utilization',\n}\n";
 
-struct Folder(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn file(&self, name: &str, bytes: &[u8]) -> PathBuf {
         let path = self.0.join(name);
         std::fs::write(&path, bytes).unwrap();
@@ -43,58 +44,58 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// What a process has left that ends by itself. One that goes on is killed, and fails the test: it would hang.
-fn ended(mut process: Child) -> Output {
-    let begun = Instant::now();
+fn wait_for_exit(mut process: Child) -> Output {
+    let started = Instant::now();
     while process.try_wait().unwrap().is_none() {
-        if begun.elapsed() > PATIENCE {
+        if started.elapsed() > START_TIMEOUT {
             process.kill().unwrap();
             panic!("it started: {:?}", process.wait_with_output().unwrap());
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     process.wait_with_output().unwrap()
 }
 
-/// What it says; it has ended by then.
-fn refused(config: &Path, operator: Option<&Path>) -> String {
+/// What it says; it has wait_for_exit by then.
+fn start_error(config: &Path, operator: Option<&Path>) -> String {
     let operator = operator.map(|path| ("HALLMUX_OPERATOR", path.as_os_str()));
-    refused_with(config, operator.as_slice())
+    start_error_with(config, operator.as_slice())
 }
 
 /// The same, with some variables set.
-fn refused_with(config: &Path, variables: &[(&str, &OsStr)]) -> String {
+fn start_error_with(config: &Path, variables: &[(&str, &OsStr)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallmux-front"));
     command
         .env_clear()
         .env("NODE_CONFIG", config)
         .envs(variables.iter().copied());
-    let output = ended(
+    let output = wait_for_exit(
         command
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap(),
     );
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert_eq!(said.matches('\n').count(), 1, "one line: {said}");
-    assert!(said.contains("; "), "no remedy: {said}");
-    said
+    let message = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{message}");
+    assert_eq!(message.matches('\n').count(), 1, "one line: {message}");
+    assert!(message.contains("; "), "no remedy: {message}");
+    message
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_ends_the_start_with_its_line_and_key() {
+fn an_invalid_configuration_stops_the_start_with_its_line_and_key() {
     let folder =
-        Folder(std::env::temp_dir().join(format!("hallmux-refused-{}", std::process::id())));
+        TempFolder(std::env::temp_dir().join(format!("hallmux-refused-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
-    for (from, to, says) in [
+    for (from, to, expected) in [
         (
             "500, \"dead",
             "\"soon\", \"dead",
@@ -137,68 +138,78 @@
         ("\n  }\n}", "\n  }\n", "line 19, column 0: EOF while parsing an object"),
         ("\"north\"", "north", "line 8, column 16: settings: expected ident"),
     ] {
-        assert!(GOOD.contains(from), "{from}");
-        let config = folder.file("front.json", GOOD.replacen(from, to, 1).as_bytes());
-        let said = refused(&config, None);
-        let begins = format!("hallmux-front: NODE_CONFIG: {}: {says}", config.display());
-        assert!(said.starts_with(&begins), "{said}\nis not\n{begins}");
+        assert!(VALID_CONFIG.contains(from), "{from}");
+        let config = folder.file("front.json", VALID_CONFIG.replacen(from, to, 1).as_bytes());
+        let message = start_error(&config, None);
+        let expected_start = format!("hallmux-front: NODE_CONFIG: {}: {expected}", config.display());
+        assert!(message.starts_with(&expected_start), "{message}\nis not\n{expected_start}");
     }
-    let mut bytes = GOOD.as_bytes().to_vec();
+    let mut bytes = VALID_CONFIG.as_bytes().to_vec();
     bytes[40] = 0xff;
-    let said = refused(&folder.file("front.json", &bytes), None);
+    let message = start_error(&folder.file("front.json", &bytes), None);
     assert!(
-        said.contains("front.json: line 3, column 23: not UTF-8; "),
-        "{said}"
+        message.contains("front.json: line 3, column 23: not UTF-8; "),
+        "{message}"
     );
-    let said = refused(&folder.file("front.json", b""), None);
-    assert!(said.contains("front.json: line 1, column 0: EOF"), "{said}");
-    let said = refused(&folder.0.join("gone.json"), None);
-    assert!(said.contains("gone.json: can't be read: "), "{said}");
-    let config = folder.file("front.json", GOOD.as_bytes());
-    for (text, says) in [
+    let message = start_error(&folder.file("front.json", b""), None);
+    assert!(
+        message.contains("front.json: line 1, column 0: EOF"),
+        "{message}"
+    );
+    let message = start_error(&folder.0.join("gone.json"), None);
+    assert!(message.contains("gone.json: can't be read: "), "{message}");
+    let config = folder.file("front.json", VALID_CONFIG.as_bytes());
+    for (text, expected) in [
         (
-            OPERATOR.to_string(),
+            OPERATOR_FILE_WITH_ERROR.to_string(),
             "line 3: load_signal: 'utilization' needs 'cpu' among the settings' report.names",
         ),
         (
-            OPERATOR.replace("load_signal", "lode_signal"),
+            OPERATOR_FILE_WITH_ERROR.replace("load_signal", "lode_signal"),
             "line 3: lode_signal: unknown field `lode_signal`",
         ),
         (
-            OPERATOR.replace("'utilization'", "{}"),
+            OPERATOR_FILE_WITH_ERROR.replace("'utilization'", "{}"),
             "line 3: load_signal: expected string; ",
         ),
         (
-            OPERATOR.replace(":\n", "\n"),
+            OPERATOR_FILE_WITH_ERROR.replace(":\n", "\n"),
             "line 4, column 5: expected colon",
         ),
         ("[".repeat(100_000), "line 1: brackets stand open 64 deep"),
     ] {
         let operator = folder.file("operator.json5", text.as_bytes());
-        let said = refused(&config, Some(&operator));
-        let begins = format!(
-            "hallmux-front: HALLMUX_OPERATOR: {}: {says}",
+        let message = start_error(&config, Some(&operator));
+        let expected_start = format!(
+            "hallmux-front: HALLMUX_OPERATOR: {}: {expected}",
             operator.display()
         );
-        assert!(said.starts_with(&begins), "{said}\nis not\n{begins}");
+        assert!(
+            message.starts_with(&expected_start),
+            "{message}\nis not\n{expected_start}"
+        );
     }
 }
 
-fn folder(name: &str) -> Folder {
+fn folder(name: &str) -> TempFolder {
     let folder =
-        Folder(std::env::temp_dir().join(format!("hallmux-{name}-{}", std::process::id())));
+        TempFolder(std::env::temp_dir().join(format!("hallmux-{name}-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
     folder
 }
 
 #[test]
-fn what_the_program_itself_finds_wrong_is_named_with_file_and_key() {
+fn errors_found_after_parsing_name_the_file_and_key() {
     let folder = folder("refused-keys");
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = taken.local_addr().unwrap().to_string();
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = occupied.local_addr().unwrap().to_string();
     let name = folder.0.join("front.json");
-    for (from, to, says) in [
-        ("127.0.0.1:0", at.as_str(), format!("listen: {at}: ")),
+    for (from, to, expected) in [
+        (
+            "127.0.0.1:0",
+            address.as_str(),
+            format!("listen: {address}: "),
+        ),
         (
             "{\"index\": 0,",
             "{\"index\": \"none\",",
@@ -215,50 +226,50 @@
             "known: invalid type: integer `7`".to_string(),
         ),
     ] {
-        assert!(GOOD.contains(from), "{from}");
-        let said = refused(
-            &folder.file("front.json", GOOD.replacen(from, to, 1).as_bytes()),
+        assert!(VALID_CONFIG.contains(from), "{from}");
+        let message = start_error(
+            &folder.file("front.json", VALID_CONFIG.replacen(from, to, 1).as_bytes()),
             None,
         );
-        let begins = format!("hallmux-front: NODE_CONFIG: {}: {says}", name.display());
+        let expected_start = format!("hallmux-front: NODE_CONFIG: {}: {expected}", name.display());
         assert!(
-            said.starts_with(&begins) && !said.contains("line 1"),
-            "{said}\nis not\n{begins}"
+            message.starts_with(&expected_start) && !message.contains("line 1"),
+            "{message}\nis not\n{expected_start}"
         );
     }
-    let config = folder.file("front.json", GOOD.as_bytes());
-    let said = refused_with(&config, &[("NODE_LISTEN", OsStr::new(&at))]);
+    let config = folder.file("front.json", VALID_CONFIG.as_bytes());
+    let message = start_error_with(&config, &[("NODE_LISTEN", OsStr::new(&address))]);
     assert!(
-        said.starts_with(&format!("hallmux-front: NODE_LISTEN: {at}: ")),
-        "{said}"
+        message.starts_with(&format!("hallmux-front: NODE_LISTEN: {address}: ")),
+        "{message}"
     );
 }
 
 #[test]
-fn a_variable_that_is_no_text_ends_no_start_but_its_own() {
+fn only_variables_of_the_front_must_be_valid_utf8() {
     let folder = folder("refused-variables");
     let config = folder.file(
         "front.json",
-        GOOD.replacen("\"once\"", "\"twice\"", 1).as_bytes(),
+        VALID_CONFIG.replacen("\"once\"", "\"twice\"", 1).as_bytes(),
     );
-    let no_text = OsStr::from_bytes(b"x\xff");
+    let not_utf8 = OsStr::from_bytes(b"x\xff");
     // One that is none of the front's changes nothing: the file is read.
-    let said = refused_with(&config, &[("LABEL", no_text)]);
+    let message = start_error_with(&config, &[("LABEL", not_utf8)]);
     assert!(
-        said.contains("line 16: settings.requestClasses[1].repeat: unknown word 'twice'"),
-        "{said}"
+        message.contains("line 16: settings.requestClasses[1].repeat: unknown word 'twice'"),
+        "{message}"
     );
-    let config = folder.file("front.json", GOOD.as_bytes());
-    for (variable, says) in [
+    let config = folder.file("front.json", VALID_CONFIG.as_bytes());
+    for (variable, expected) in [
         ("NODE_CONFIG", "can't be read: "),
         ("HALLMUX_OPERATOR", "can't be read: "),
         ("NODE_LISTEN", "invalid socket address"),
         ("HALLMUX_LOG", "give one of off, error,"),
     ] {
-        let said = refused_with(&config, &[(variable, no_text)]);
+        let message = start_error_with(&config, &[(variable, not_utf8)]);
         assert!(
-            said.contains(&format!("{variable}: ")) && said.contains(says),
-            "{said}"
+            message.contains(&format!("{variable}: ")) && message.contains(expected),
+            "{message}"
         );
     }
 }
--- a/crates/front/tests/scatter/main.rs
+++ b/crates/front/tests/scatter/main.rs
@@ -10,35 +10,37 @@
 use std::time::{Duration, Instant};
 
 use ed25519_dalek::SigningKey;
-use process::{hexadecimal, operator, room, Front};
+use process::{operator_file, temp_folder, to_hex, Front};
 use site::Site;
 
-const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
 
-fn says(held: &[u8], text: &str) -> bool {
-    held.windows(text.len()).any(|w| w == text.as_bytes())
+fn contains(reply: &[u8], text: &str) -> bool {
+    reply.windows(text.len()).any(|w| w == text.as_bytes())
 }
 
 /// The sites asked since the last look, in order of names.
-fn asked(sites: &[Site]) -> Vec<&'static str> {
+fn sites_asked(sites: &[Site]) -> Vec<&'static str> {
     sites
         .iter()
-        .filter(|site| site.asked() > 0)
+        .filter(|site| site.take_query_count() > 0)
         .map(|site| site.name)
         .collect()
 }
 
 #[test]
-fn only_sites_that_could_have_rows_are_asked_and_their_rows_stand_in_the_order_of_sites() {
-    let folder = room("sites");
+fn only_sites_that_may_have_rows_are_asked_and_rows_are_joined_in_site_order() {
+    let folder = temp_folder("sites");
     let sites = [
         Site::new("ash", &[1, 2, 3, 20]),
         Site::new("elm", &[11, 12]),
         Site::new("oak", &[21, 22, 3]),
     ];
-    let summaries = room("sites-summaries");
-    sites.iter().for_each(|site| site.writes(&summaries, 1));
-    let file = operator(
+    let summaries = temp_folder("sites-summaries");
+    sites
+        .iter()
+        .for_each(|site| site.write_summary(&summaries, 1));
+    let file = operator_file(
         &sites,
         &summaries,
         "loads: 'none', partial: ['lax'], distinct_error: { acme: 0.05 }, at_once: 1",
@@ -65,7 +67,7 @@
             rows,
             "{condition}"
         );
-        assert_eq!(asked(&sites), of, "{condition}");
+        assert_eq!(sites_asked(&sites), of, "{condition}");
     }
     // Aggregates are put together, also where no site has a row; one site at least tells how it says that.
     let count = "select count(*), sum(id), max(id) from sales_17.orders";
@@ -74,13 +76,13 @@
         (" where id = 3", "2\t6\t3\n", vec!["ash", "oak"]),
         (" where id = 500", "0\t\t\n", vec!["ash"]),
     ] {
-        let held = front.asks("acme", &format!("{count}{condition}"));
+        let reply = front.query("acme", &format!("{count}{condition}"));
         assert!(
-            says(&held, row),
+            contains(&reply, row),
             "{condition}: {:?}",
-            String::from_utf8_lossy(&held)
+            String::from_utf8_lossy(&reply)
         );
-        assert_eq!(asked(&sites), of, "{condition}");
+        assert_eq!(sites_asked(&sites), of, "{condition}");
     }
     // A join is asked where both sides have rows; of two groups only where they lie together.
     let join = "select o.id, o.a, o.b from sales_17.orders o join sales_17.orders p on o.id = p.id";
@@ -88,9 +90,9 @@
         front.rows("acme", &format!("{join} where o.id = 3")),
         [3, 3]
     );
-    assert_eq!(asked(&sites), ["ash", "oak"]);
-    assert!(says(
-        &front.asks(
+    assert_eq!(sites_asked(&sites), ["ash", "oak"]);
+    assert!(contains(
+        &front.query(
             "acme",
             &join.replace("sales_17.orders p", "sales_18.items p")
         ),
@@ -98,38 +100,38 @@
     ));
     // Distinct values are told by sketches, with the error, to a customer that takes it.
     let distinct = "select count(distinct id) from sales_17.orders";
-    let held = front.asks("acme", distinct);
+    let reply = front.query("acme", distinct);
     assert!(
-        says(&held, "8\t\t\n") && says(&held, "error"),
+        contains(&reply, "8\t\t\n") && contains(&reply, "error"),
         "{:?}",
-        String::from_utf8_lossy(&held)
+        String::from_utf8_lossy(&reply)
     );
-    assert!(says(&front.asks("lax", distinct), "DISTINCT"));
-    assert_eq!(asked(&sites), Vec::<&str>::new());
+    assert!(contains(&front.query("lax", distinct), "DISTINCT"));
+    assert_eq!(sites_asked(&sites), Vec::<&str>::new());
     // What parts can't make up is refused with its reason, and nothing is asked.
-    let held = front.asks("acme", "select avg(id) from sales_17.orders");
-    assert!(held.starts_with(&[12, 0, 1]) && says(&held, "function 'avg'"));
-    assert_eq!(asked(&sites), Vec::<&str>::new());
+    let reply = front.query("acme", "select avg(id) from sales_17.orders");
+    assert!(reply.starts_with(&[12, 0, 1]) && contains(&reply, "function 'avg'"));
+    assert_eq!(sites_asked(&sites), Vec::<&str>::new());
     // A site that fails for good fails the whole, or is named as missing where the customer takes that.
-    sites[1].fails();
-    let held = front.asks_within("1500", "acme", &format!("{select} where id in (1, 11)"));
+    sites[1].set_failing();
+    let reply = front.query_within("1500", "acme", &format!("{select} where id in (1, 11)"));
     assert!(
-        held.starts_with(&[12, 0, 2]) || held.starts_with(&[12, 0, 1]),
-        "{held:?}"
+        reply.starts_with(&[12, 0, 2]) || reply.starts_with(&[12, 0, 1]),
+        "{reply:?}"
     );
     let text = format!("{select} where id in (1, 11)");
-    let held = front.asks_within("1500", "lax", &text);
+    let reply = front.query_within("1500", "lax", &text);
     assert!(
-        held.starts_with(&[12, 0, 0]) && says(&held, "missing") && says(&held, "elm"),
-        "{held:?}"
+        reply.starts_with(&[12, 0, 0]) && contains(&reply, "missing") && contains(&reply, "elm"),
+        "{reply:?}"
     );
 }
 
 #[test]
-fn what_parts_can_not_make_up_goes_to_the_site_that_has_all_rows() {
-    let folder = room("whole");
+fn a_statement_that_cannot_be_scattered_runs_at_the_site_with_all_rows() {
+    let folder = temp_folder("whole");
     let sites = [Site::new("ash", &[1, 2]), Site::new("oak", &[1, 2, 3])];
-    let file = operator(
+    let file = operator_file(
         &sites,
         &folder.join("none"),
         "loads: 'none', whole_site: 'oak'",
@@ -140,7 +142,7 @@
         front.rows("acme", "select distinct id, a, b from sales_17.orders"),
         [1, 2, 3]
     );
-    assert_eq!(asked(&sites), ["oak"]);
+    assert_eq!(sites_asked(&sites), ["oak"]);
     // Without summaries every site is asked.
     let file = file.replace(", whole_site: 'oak'", "");
     let mut front = Front::start("n2", &folder, &sites, &file);
@@ -148,54 +150,54 @@
         front.rows("acme", "select id, a, b from sales_17.orders where id = 3"),
         [3]
     );
-    assert_eq!(asked(&sites), ["ash", "oak"]);
+    assert_eq!(sites_asked(&sites), ["ash", "oak"]);
 }
 
 /// Three fronts that talk with each other, each with its own directory of summaries; with a ledger where `marked`.
-fn fleet(name: &str, sites: &[Site], directories: &[PathBuf], marked: bool) -> Vec<Front> {
-    fleet_beside(name, sites, directories, marked, None)
+fn fleet(name: &str, sites: &[Site], directories: &[PathBuf], with_ledger: bool) -> Vec<Front> {
+    fleet_with_portal(name, sites, directories, with_ledger, None)
 }
 
 /// The same, each with settings of its own.
-fn fleet_set(
+fn fleet_with_settings(
     name: &str,
     sites: &[Site],
     directories: &[PathBuf],
     set: &dyn Fn(usize) -> String,
 ) -> Vec<Front> {
-    fleet_whole(name, sites, directories, (false, None), set)
+    start_fleet(name, sites, directories, (false, None), set)
 }
 
 /// The same with an engine that speaks PostgreSQL, and sessions.
-fn fleet_beside(
+fn fleet_with_portal(
     name: &str,
     sites: &[Site],
     directories: &[PathBuf],
-    marked: bool,
+    with_ledger: bool,
     portal: Option<SocketAddr>,
 ) -> Vec<Front> {
-    fleet_whole(name, sites, directories, (marked, portal), &|_| {
+    start_fleet(name, sites, directories, (with_ledger, portal), &|_| {
         String::new()
     })
 }
 
-fn fleet_whole(
+fn start_fleet(
     name: &str,
     sites: &[Site],
     directories: &[PathBuf],
-    (marked, portal): (bool, Option<SocketAddr>),
+    (with_ledger, portal): (bool, Option<SocketAddr>),
     set: &dyn Fn(usize) -> String,
 ) -> Vec<Front> {
-    let folder = room(name);
+    let folder = temp_folder(name);
     // The ports are the system's: bound once to learn them, then left to the fronts.
     let sockets: Vec<UdpSocket> = (0..3)
         .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
-    let at: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
+    let addresses: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
     drop(sockets);
     let secret = |n: usize| [n as u8 + 60; 32];
     let public = |n: usize| {
-        hexadecimal(
+        to_hex(
             SigningKey::from_bytes(&secret(n))
                 .verifying_key()
                 .as_bytes(),
@@ -203,9 +205,9 @@
     };
     let peers: Vec<String> = (0..3).map(|n| format!("n{n}: '{}'", public(n))).collect();
     let members: Vec<String> = (0..3)
-        .map(|n| format!("n{n}: {{ at: '{}' }}", at[n]))
+        .map(|n| format!("n{n}: {{ at: '{}' }}", addresses[n]))
         .collect();
-    let (ledger, loads) = match marked {
+    let (ledger, loads) = match with_ledger {
         true => (
             format!(
                 "ledger: {{ fleet: 'test', members: {{ {} }} }},",
@@ -217,13 +219,13 @@
     };
     let front = |n: usize| {
         let key = folder.join(format!("secret-{n}"));
-        std::fs::write(&key, hexadecimal(&secret(n))).unwrap();
+        std::fs::write(&key, to_hex(&secret(n))).unwrap();
         let gossip = format!(
             "gossip: {{ listen: '{}', secret_file: '{}', {ledger} peers: {{ {} }}, seeds: ['{}'] }}",
-            at[n],
+            addresses[n],
             key.display(),
             peers.join(", "),
-            at[(n + 1) % 3]
+            addresses[(n + 1) % 3]
         );
         let sessions =
             "postgres: { listen: '127.0.0.1:0', engines: [{ kinds: ['pg'] }], users: { loader: \
@@ -233,13 +235,13 @@
         } else {
             gossip
         };
-        let file = operator(
+        let file = operator_file(
             sites,
             &directories[n],
             &format!("loads: '{loads}', together: [[17, 18]]{}", set(n)),
             &more,
         );
-        Front::start_beside(&format!("n{n}"), &folder, sites, &file, portal)
+        Front::start_with_portal(&format!("n{n}"), &folder, sites, &file, portal)
     };
     (0..3).map(front).collect()
 }
@@ -247,15 +249,15 @@
 const SELECT: &str = "select id, a, b from sales_17.orders where id = ";
 
 /// Asks until only the sites named are asked; the rows are to be right at each try.
-fn settles(front: &mut Front, sites: &[Site], id: i64, rows: &[i64], of: &[&str]) {
-    let until = Instant::now() + PATIENCE;
+fn wait_until_asked(front: &mut Front, sites: &[Site], id: i64, rows: &[i64], of: &[&str]) {
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         assert_eq!(
             front.rows("acme", &format!("{SELECT}{id}")),
             rows,
             "never a row missing"
         );
-        let asked = asked(sites);
+        let asked = sites_asked(sites);
         if asked == of {
             return;
         }
@@ -265,40 +267,44 @@
 }
 
 #[test]
-fn summaries_come_from_other_fronts_and_what_is_forged_or_damaged_is_not_used() {
+fn summaries_spread_between_fronts_and_forged_or_damaged_ones_are_ignored() {
     let sites = [Site::new("ash", &[1, 2]), Site::new("oak", &[21, 22])];
-    let directories: Vec<PathBuf> = (0..3).map(|n| room(&format!("forged-{n}"))).collect();
+    let directories: Vec<PathBuf> = (0..3)
+        .map(|n| temp_folder(&format!("forged-{n}")))
+        .collect();
     sites
         .iter()
-        .for_each(|site| site.writes(&directories[0], 1));
+        .for_each(|site| site.write_summary(&directories[0], 1));
     // Signed by another than its site, and cut short: in this front's own directory.
-    Site::new("ash", &[]).signs_as(9).writes(&directories[1], 7);
+    Site::new("ash", &[])
+        .with_signing_key(9)
+        .write_summary(&directories[1], 7);
     std::fs::write(directories[1].join("short"), [1, 2, 3]).unwrap();
     for front in &mut fleet("forged", &sites, &directories, false) {
-        settles(front, &sites, 22, &[22], &["oak"]);
-        settles(front, &sites, 1, &[1], &["ash"]);
+        wait_until_asked(front, &sites, 22, &[22], &["oak"]);
+        wait_until_asked(front, &sites, 1, &[1], &["ash"]);
     }
 }
 
 #[test]
-fn a_load_at_one_front_is_seen_by_a_scatter_at_another_whatever_summaries_say() {
+fn a_load_at_one_front_is_seen_by_a_scatter_at_another_despite_old_summaries() {
     let sites = [Site::new("ash", &[1, 2]), Site::new("oak", &[21, 22])];
-    let directories = vec![room("loads-summaries"); 3];
+    let directories = vec![temp_folder("loads-summaries"); 3];
     sites
         .iter()
-        .for_each(|site| site.writes(&directories[0], 1));
+        .for_each(|site| site.write_summary(&directories[0], 1));
     let mut fronts = fleet("loads", &sites, &directories, true);
-    settles(&mut fronts[1], &sites, 22, &[22], &["oak"]);
-    let held = fronts[0].loads("insert into sales_17.orders (id) values (500)");
-    assert!(held.starts_with(&[12, 0, 0]), "{held:?}");
+    wait_until_asked(&mut fronts[1], &sites, 22, &[22], &["oak"]);
+    let reply = fronts[0].load("insert into sales_17.orders (id) values (500)");
+    assert!(reply.starts_with(&[12, 0, 0]), "{reply:?}");
     let site = sites.iter().position(|site| site.has(500)).unwrap();
-    sites.iter().for_each(|site| _ = site.asked());
+    sites.iter().for_each(|site| _ = site.take_query_count());
     // No summary has it; the mark stands at every front, and asks the one site for what the load may have touched.
     for front in &mut fronts {
         assert_eq!(front.rows("acme", &format!("{SELECT}500")), [500]);
-        assert_eq!(asked(&sites), [sites[site].name]);
+        assert_eq!(sites_asked(&sites), [sites[site].name]);
         assert_eq!(front.rows("acme", &format!("{SELECT}600")), [0; 0]);
-        assert_eq!(asked(&sites), [""; 0], "the load's keys are known");
+        assert_eq!(sites_asked(&sites), [""; 0], "the load's keys are known");
         // A join waits for the word on both groups; the one side alone rules the other site out.
         for other in ["sales_17.orders", "sales_18.items"] {
             let join = format!(
@@ -308,123 +314,123 @@
                 front.rows("acme", &format!("{join} where o.id = 500")),
                 [500]
             );
-            assert_eq!(asked(&sites), [sites[site].name]);
+            assert_eq!(sites_asked(&sites), [sites[site].name]);
         }
     }
     // Of a load whose keys are not known nothing is proved at its site, until its summary speaks of it.
-    let held =
-        fronts[2].loads("insert into sales_17.orders select v from sales_17.new -- values (700)");
-    assert!(held.starts_with(&[12, 0, 0]), "{held:?}");
-    let touched = sites.iter().position(|site| site.has(700)).unwrap();
-    sites.iter().for_each(|site| _ = site.asked());
+    let reply =
+        fronts[2].load("insert into sales_17.orders select v from sales_17.new -- values (700)");
+    assert!(reply.starts_with(&[12, 0, 0]), "{reply:?}");
+    let loaded_site = sites.iter().position(|site| site.has(700)).unwrap();
+    sites.iter().for_each(|site| _ = site.take_query_count());
     assert_eq!(fronts[0].rows("acme", &format!("{SELECT}600")), [0; 0]);
-    assert_eq!(asked(&sites), [sites[touched].name]);
+    assert_eq!(sites_asked(&sites), [sites[loaded_site].name]);
     sites
         .iter()
-        .for_each(|site| site.writes(&directories[0], 2));
+        .for_each(|site| site.write_summary(&directories[0], 2));
     fronts.iter().for_each(|front| front.signal("-HUP"));
     for front in &mut fronts {
-        settles(front, &sites, 600, &[], &[]);
-        settles(front, &sites, 700, &[700], &[sites[touched].name]);
+        wait_until_asked(front, &sites, 600, &[], &[]);
+        wait_until_asked(front, &sites, 700, &[700], &[sites[loaded_site].name]);
     }
     // Without a majority there is no word on loads: every site is asked, and no load runs.
     fronts.drain(..2);
     assert_eq!(fronts[0].rows("acme", &format!("{SELECT}600")), [0; 0]);
-    assert_eq!(asked(&sites), ["ash", "oak"]);
-    let held = fronts[0].loads("insert into sales_17.orders (id) values (800)");
-    assert!(held.starts_with(&[12, 0, 1]), "{held:?}");
+    assert_eq!(sites_asked(&sites), ["ash", "oak"]);
+    let reply = fronts[0].load("insert into sales_17.orders (id) values (800)");
+    assert!(reply.starts_with(&[12, 0, 1]), "{reply:?}");
     assert!(!sites.iter().any(|site| site.has(800)));
 }
 
 #[test]
 fn loads_through_sessions_are_seen_by_scatters_at_other_fronts() {
     let sites = [Site::new("ash", &[1, 2]), Site::new("oak", &[21, 22])];
-    let directories = vec![room("sessions-summaries"); 3];
+    let directories = vec![temp_folder("sessions-summaries"); 3];
     sites
         .iter()
-        .for_each(|site| site.writes(&directories[0], 1));
+        .for_each(|site| site.write_summary(&directories[0], 1));
     let portal = sites[1].portal();
-    let mut fronts = fleet_beside("sessions", &sites, &directories, true, Some(portal));
-    settles(&mut fronts[1], &sites, 1, &[1], &["ash"]);
+    let mut fronts = fleet_with_portal("sessions", &sites, &directories, true, Some(portal));
+    wait_until_asked(&mut fronts[1], &sites, 1, &[1], &["ash"]);
     let mut client = portal::Client::new(fronts[0].sessions);
     // One statement outside of a transaction: its rows are known, and the site hears its number.
-    assert!(client.says("insert into sales_17.orders (id) values (500)"));
+    assert!(client.query("insert into sales_17.orders (id) values (500)"));
     assert_eq!(fronts[1].rows("acme", &format!("{SELECT}500")), [500]);
-    assert_eq!(asked(&sites), ["oak"]);
-    settles(&mut fronts[1], &sites, 600, &[], &[]);
+    assert_eq!(sites_asked(&sites), ["oak"]);
+    wait_until_asked(&mut fronts[1], &sites, 600, &[], &[]);
     sites
         .iter()
-        .for_each(|site| site.writes(&directories[0], 2));
+        .for_each(|site| site.write_summary(&directories[0], 2));
     fronts.iter().for_each(|front| front.signal("-HUP"));
-    settles(&mut fronts[1], &sites, 500, &[500], &["oak"]);
+    wait_until_asked(&mut fronts[1], &sites, 500, &[500], &["oak"]);
     // A transaction's rows are there from its end on, whatever summaries were made meanwhile.
     for text in ["begin", "insert into sales_17.orders (id) values (700)"] {
-        assert!(client.says(text));
+        assert!(client.query(text));
     }
     assert_eq!(fronts[1].rows("acme", &format!("{SELECT}700")), [0; 0]);
-    assert_eq!(asked(&sites), ["oak"], "what can't be known is asked");
+    assert_eq!(sites_asked(&sites), ["oak"], "what can't be known is asked");
     sites
         .iter()
-        .for_each(|site| site.writes(&directories[0], 3));
+        .for_each(|site| site.write_summary(&directories[0], 3));
     fronts.iter().for_each(|front| front.signal("-HUP"));
-    settles(&mut fronts[1], &sites, 21, &[21], &["oak"]);
-    assert!(client.says("commit"));
+    wait_until_asked(&mut fronts[1], &sites, 21, &[21], &["oak"]);
+    assert!(client.query("commit"));
     for front in &mut fronts {
         assert_eq!(front.rows("acme", &format!("{SELECT}700")), [700]);
     }
-    sites.iter().for_each(|site| _ = site.asked());
+    sites.iter().for_each(|site| _ = site.take_query_count());
     // What passes for a numbered load, and what names tables too late, is turned away.
-    assert!(!client.says("/* load 17:9 */ insert into sales_17.orders (id) values (800)"));
-    assert!(!client.says_in_parts(
+    assert!(!client.query("/* load 17:9 */ insert into sales_17.orders (id) values (800)"));
+    assert!(!client.query_in_two_parses(
         "insert into sales_17.orders (id) values (1)",
         "delete from sales_18.t"
     ));
-    let held = fronts[0].loads("/* load 17:9 */ insert into sales_17.orders (id) values (800)");
+    let reply = fronts[0].load("/* load 17:9 */ insert into sales_17.orders (id) values (800)");
     assert!(
-        held.starts_with(&[12, 0, 1]) && says(&held, "leave that comment out"),
-        "{held:?}"
+        reply.starts_with(&[12, 0, 1]) && contains(&reply, "leave that comment out"),
+        "{reply:?}"
     );
     // Without a majority no load of a session runs.
     fronts.drain(1..);
-    assert!(!client.says("insert into sales_17.orders (id) values (900)"));
+    assert!(!client.query("insert into sales_17.orders (id) values (900)"));
     assert!(!sites[1].has(800) && !sites[1].has(900));
 }
 
 #[test]
-fn a_site_whose_summary_is_false_is_found_by_audits_and_asked_until_its_answers_bear_it_out() {
-    let folder = room("audits");
+fn a_false_summary_is_found_by_audits_and_not_used_until_answers_confirm_it() {
+    let folder = temp_folder("audits");
     let sites = [Site::new("ash", &[1, 2]), Site::new("oak", &[21, 22])];
-    let summaries = room("audits-summaries");
-    sites[0].writes(&summaries, 1);
+    let summaries = temp_folder("audits-summaries");
+    sites[0].write_summary(&summaries, 1);
     // It says nothing of a row that it has.
-    Site::new("oak", &[21]).writes(&summaries, 1);
-    let file = operator(
+    Site::new("oak", &[21]).write_summary(&summaries, 1);
+    let file = operator_file(
         &sites,
         &summaries,
         "loads: 'none', audits: { one_in: 1, a_minute: 60000 }",
         "",
     );
     let mut front = Front::start("n1", &folder, &sites, &file);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while front.rows("acme", &format!("{SELECT}22")) != [22] {
         assert!(Instant::now() < until, "an audit is to find it");
     }
-    front.logs("site 'oak': its summary, version 1, says that it has no row");
+    front.wait_for_log("site 'oak': its summary, version 1, says that it has no row");
     // From now on it is asked whatever it says, until forty answers have borne it out: it was found twice.
     assert_eq!(front.rows("acme", &format!("{SELECT}22")), [22]);
-    sites.iter().for_each(|site| _ = site.asked());
+    sites.iter().for_each(|site| _ = site.take_query_count());
     for _ in 0..45 {
         assert_eq!(front.rows("acme", &format!("{SELECT}1")), [1]);
     }
-    front.logs("site 'oak': its summaries count again");
+    front.wait_for_log("site 'oak': its summaries count again");
 }
 
 #[test]
-fn a_false_word_that_one_front_finds_counts_for_nothing_at_the_others() {
+fn a_false_summary_found_by_one_front_is_ignored_by_the_others() {
     let sites = [Site::new("ash", &[1, 2]), Site::new("oak", &[21, 22])];
-    let directories: Vec<PathBuf> = (0..3).map(|n| room(&format!("false-{n}"))).collect();
-    sites[0].writes(&directories[0], 1);
-    Site::new("oak", &[21]).writes(&directories[0], 1);
+    let directories: Vec<PathBuf> = (0..3).map(|n| temp_folder(&format!("false-{n}"))).collect();
+    sites[0].write_summary(&directories[0], 1);
+    Site::new("oak", &[21]).write_summary(&directories[0], 1);
     // Only the first one audits at all.
     let set = |n: usize| {
         format!(
@@ -432,33 +438,34 @@
             if n == 0 { 1 } else { 1_000_000 }
         )
     };
-    let mut fronts = fleet_set("false", &sites, &directories, &set);
-    let until = Instant::now() + PATIENCE;
+    let mut fronts = fleet_with_settings("false", &sites, &directories, &set);
+    let until = Instant::now() + WAIT_TIMEOUT;
     let text = format!("{SELECT}22");
-    for (at, rows) in [(1, &[][..]), (2, &[]), (0, &[22])] {
+    for (front, rows) in [(1, &[][..]), (2, &[]), (0, &[22])] {
         // The first two come to hold the false summary, then the third finds it out.
-        while fronts[at].rows("acme", &text) != rows {
-            assert!(Instant::now() < until, "front {at}");
+        while fronts[front].rows("acme", &text) != rows {
+            assert!(Instant::now() < until, "front {front}");
         }
     }
-    for at in [1, 2] {
-        fronts[at].logs("another front has found its summary of group 17, version 1, false");
-        assert_eq!(fronts[at].rows("acme", &format!("{SELECT}22")), [22]);
+    for front in [1, 2] {
+        fronts[front]
+            .wait_for_log("another front has found its summary of group 17, version 1, false");
+        assert_eq!(fronts[front].rows("acme", &format!("{SELECT}22")), [22]);
     }
 }
 
 #[test]
-fn under_a_budget_a_front_fetches_from_another_what_it_has_found_to_spare_sites() {
+fn under_a_memory_budget_a_front_fetches_useful_filters_from_a_peer() {
     // Neither bounds nor runs tell the two apart, filters do.
     let rows = |odd: i64| (0..400).map(|n| 2 * n + odd).collect::<Vec<i64>>();
     let sites = [Site::new("ash", &rows(0)), Site::new("oak", &rows(1))];
-    let directories: Vec<PathBuf> = (0..3).map(|n| room(&format!("keep-{n}"))).collect();
+    let directories: Vec<PathBuf> = (0..3).map(|n| temp_folder(&format!("keep-{n}"))).collect();
     sites
         .iter()
-        .for_each(|site| site.writes_in_sheets(&directories[0], 1));
+        .for_each(|site| site.write_layered_summary(&directories[0], 1));
     let set = |_| ", keep: { memory_kb: 64, bytes_a_second: 10000 }".to_string();
-    let mut fronts = fleet_set("keep", &sites, &directories, &set);
-    settles(&mut fronts[1], &sites, 5_000, &[], &[]);
-    settles(&mut fronts[1], &sites, 633, &[633], &["oak"]);
-    settles(&mut fronts[1], &sites, 634, &[634], &["ash"]);
+    let mut fronts = fleet_with_settings("keep", &sites, &directories, &set);
+    wait_until_asked(&mut fronts[1], &sites, 5_000, &[], &[]);
+    wait_until_asked(&mut fronts[1], &sites, 633, &[633], &["oak"]);
+    wait_until_asked(&mut fronts[1], &sites, 634, &[634], &["ash"]);
 }
--- a/crates/front/tests/scatter/portal.rs
+++ b/crates/front/tests/scatter/portal.rs
@@ -6,8 +6,8 @@
 
 use hallmux_postgres::wire;
 
-use super::site::Held;
-use super::PATIENCE;
+use super::site::SiteState;
+use super::WAIT_TIMEOUT;
 
 /// One message: its kind and its body.
 fn message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
@@ -20,19 +20,19 @@
 }
 
 /// Takes sessions for a site's rows; what a transaction writes is there from its COMMIT on.
-pub fn serves(held: std::sync::Arc<std::sync::Mutex<Held>>) -> SocketAddr {
+pub fn serve(state: std::sync::Arc<std::sync::Mutex<SiteState>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let held = held.clone();
-            std::thread::spawn(move || session(stream, &held));
+            let state = state.clone();
+            std::thread::spawn(move || session(stream, &state));
         }
     });
     at
 }
 
-fn session(mut stream: TcpStream, held: &std::sync::Mutex<Held>) -> Option<()> {
+fn session(mut stream: TcpStream, state: &std::sync::Mutex<SiteState>) -> Option<()> {
     let mut len = [0; 4];
     stream.read_exact(&mut len).ok()?;
     stream
@@ -57,12 +57,12 @@
         }
         let text = String::from_utf8(body[..body.len() - 1].to_vec()).ok()?;
         let mut out = Vec::new();
-        for one in text.split(';') {
-            match one.trim().to_ascii_lowercase().as_str() {
+        for statement in text.split(';') {
+            match statement.trim().to_ascii_lowercase().as_str() {
                 "begin" => open = true,
                 "commit" => {
                     open = false;
-                    held.lock().unwrap().load("", std::mem::take(&mut pending));
+                    state.lock().unwrap().load("", std::mem::take(&mut pending));
                 }
                 other => {
                     let values = other
@@ -74,7 +74,8 @@
                         .and_then(|id| id.trim().parse().ok());
                     pending.extend(row);
                     if !open {
-                        held.lock()
+                        state
+                            .lock()
                             .unwrap()
                             .load(&text, std::mem::take(&mut pending));
                     }
@@ -93,7 +94,7 @@
 impl Client {
     pub fn new(at: SocketAddr) -> Client {
         let mut stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut out = Vec::new();
         wire::write_start_up(&mut out, &[("user", "loader"), ("database", "d")]);
         stream.write_all(&out).unwrap();
@@ -115,7 +116,7 @@
     }
 
     /// A simple query; false if it is answered with an error.
-    pub fn says(&mut self, text: &str) -> bool {
+    pub fn query(&mut self, text: &str) -> bool {
         let mut out = Vec::new();
         wire::write_query(&mut out, text.as_bytes());
         self.0.write_all(&out).unwrap();
@@ -123,15 +124,15 @@
     }
 
     /// Parses a text, flushes, and goes on with another: the two parts of one unit. False if either is answered with an error.
-    pub fn says_in_parts(&mut self, first: &str, second: &str) -> bool {
-        let parse = |text: &str, behind: &[u8]| {
+    pub fn query_in_two_parses(&mut self, first: &str, second: &str) -> bool {
+        let parse = |text: &str, then: &[u8]| {
             let mut out = Vec::new();
             wire::write(&mut out, b'P', |out| {
                 wire::write_string(out, b"");
                 wire::write_string(out, text.as_bytes());
                 out.extend_from_slice(&[0; 2]);
             });
-            out.extend_from_slice(behind);
+            out.extend_from_slice(then);
             out
         };
         self.0.write_all(&parse(first, wire::FLUSH)).unwrap();
--- a/crates/front/tests/scatter/process.rs
+++ b/crates/front/tests/scatter/process.rs
@@ -10,15 +10,15 @@
 use serde_json::json;
 
 use super::site::Site;
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 
 /// A front's process, ended with the test.
 pub struct Front {
     pub process: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub sessions: SocketAddr,
     pub log: Receiver<String>,
-    pub asked: u32,
+    pub statements_sent: u32,
 }
 
 impl Drop for Front {
@@ -28,22 +28,22 @@
     }
 }
 
-pub fn hexadecimal(bytes: &[u8]) -> String {
+pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-pub fn room(name: &str) -> PathBuf {
+pub fn temp_folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("hallmux-scatter-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// The operator's file: the sites, what is set otherwise, and the part for other fronts, where there are any.
-pub fn operator(sites: &[Site], directory: &Path, more: &str, gossip: &str) -> String {
+/// The operator_file's file: the sites, what is set otherwise, and the part for other fronts, where there are any.
+pub fn operator_file(sites: &[Site], directory: &Path, more: &str, gossip: &str) -> String {
     let keys: Vec<String> = sites
         .iter()
-        .map(|s| format!("{}: '{}'", s.name, hexadecimal(s.public().as_bytes())))
+        .map(|s| format!("{}: '{}'", s.name, to_hex(s.public_key().as_bytes())))
         .collect();
     format!(
         "{{ scatter: {{ workloads: ['lookup'], sites: {{ {} }}, directory: '{}', {more} }}, {gossip} }}",
@@ -53,16 +53,16 @@
 }
 
 impl Front {
-    pub fn start(name: &str, folder: &Path, sites: &[Site], operator: &str) -> Front {
-        Front::start_beside(name, folder, sites, operator, None)
+    pub fn start(name: &str, folder: &Path, sites: &[Site], operator_file: &str) -> Front {
+        Front::start_with_portal(name, folder, sites, operator_file, None)
     }
 
     /// With an engine beside that speaks PostgreSQL, at the last site.
-    pub fn start_beside(
+    pub fn start_with_portal(
         name: &str,
         folder: &Path,
         sites: &[Site],
-        operator: &str,
+        operator_file: &str,
         portal: Option<SocketAddr>,
     ) -> Front {
         let server = |id: &str, at: SocketAddr, zone: &str, kind: &str| {
@@ -71,7 +71,7 @@
         };
         let mut servers: Vec<_> = sites
             .iter()
-            .map(|s| server(s.name, s.at, s.name, "std"))
+            .map(|s| server(s.name, s.address, s.name, "std"))
             .collect();
         servers.extend(portal.map(|at| server("pg", at, sites[sites.len() - 1].name, "pg")));
         let areas: Vec<&str> = sites.iter().map(|s| s.name).collect();
@@ -83,48 +83,48 @@
                 {"name": "pay", "aimMs": 10000.0, "deadlineMs": 15000.0, "repeat": "once"}]});
         let config = json!({"name": name, "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "settings": settings,
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"version": 1, "full": true, "servers": servers}}]}});
-        let (station, file) = (
+        let (config_path, operator_path) = (
             folder.join(format!("{name}.json")),
             folder.join(format!("{name}.json5")),
         );
-        std::fs::write(&station, config.to_string()).unwrap();
-        std::fs::write(&file, operator).unwrap();
+        std::fs::write(&config_path, config.to_string()).unwrap();
+        std::fs::write(&operator_path, operator_file).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_hallmux-front"));
         command
-            .env("NODE_CONFIG", station)
-            .env("HALLMUX_OPERATOR", file)
+            .env("NODE_CONFIG", config_path)
+            .env("HALLMUX_OPERATOR", operator_path)
             .env("HALLMUX_LOG", "debug");
         let mut process = command.stderr(Stdio::piped()).spawn().unwrap();
-        let (says, log) = channel();
+        let (sender, log) = channel();
         let lines = BufReader::new(process.stderr.take().unwrap())
             .lines()
             .map_while(Result::ok);
         std::thread::spawn(move || {
             lines.for_each(|line| {
                 println!("{line}");
-                let _ = says.send(line);
+                let _ = sender.send(line);
             })
         });
-        let none: SocketAddr = ([127, 0, 0, 1], 0).into();
+        let unknown: SocketAddr = ([127, 0, 0, 1], 0).into();
         let mut front = Front {
             process,
-            at: none,
-            sessions: none,
+            address: unknown,
+            sessions: unknown,
             log,
-            asked: 0,
+            statements_sent: 0,
         };
         if portal.is_some() {
-            let line = front.logs("takes PostgreSQL sessions at ");
+            let line = front.wait_for_log("takes PostgreSQL sessions at ");
             front.sessions = line.rsplit(' ').next().unwrap().parse().unwrap();
         }
-        let line = front.logs("takes statements at ");
-        front.at = line.rsplit(' ').next().unwrap().parse().unwrap();
+        let line = front.wait_for_log("takes statements at ");
+        front.address = line.rsplit(' ').next().unwrap().parse().unwrap();
         front
     }
 
     /// The next line of the log that holds a text.
-    pub fn logs(&self, text: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_log(&self, text: &str) -> String {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let line = self.log.recv_timeout(until - Instant::now()).expect(text);
             if line.contains(text) {
@@ -142,29 +142,29 @@
     }
 
     /// Asks a statement; the reply as the client reads it, without what comes before its struct.
-    pub fn asks(&mut self, customer: &str, statement: &str) -> Vec<u8> {
-        self.asks_within("10000", customer, statement)
+    pub fn query(&mut self, customer: &str, statement: &str) -> Vec<u8> {
+        self.query_within("10000", customer, statement)
     }
 
     /// The same, with so many milliseconds for it.
-    pub fn asks_within(&mut self, limit: &str, customer: &str, statement: &str) -> Vec<u8> {
-        self.says("lookup", limit, customer, statement)
+    pub fn query_within(&mut self, limit: &str, customer: &str, statement: &str) -> Vec<u8> {
+        self.send_statement("lookup", limit, customer, statement)
     }
 
     /// A statement that writes.
-    pub fn loads(&mut self, statement: &str) -> Vec<u8> {
-        self.says("pay", "5000", "acme", statement)
+    pub fn load(&mut self, statement: &str) -> Vec<u8> {
+        self.send_statement("pay", "5000", "acme", statement)
     }
 
-    pub fn says(
+    pub fn send_statement(
         &mut self,
         workload: &str,
         limit: &str,
         customer: &str,
         statement: &str,
     ) -> Vec<u8> {
-        self.asked += 1;
-        let txn = format!("{:016x}", self.asked + self.process.id() * 1000);
+        self.statements_sent += 1;
+        let txn = format!("{:016x}", self.statements_sent + self.process.id() * 1000);
         let fields = [
             ("txn", txn.as_str()),
             ("verb", workload),
@@ -181,12 +181,12 @@
         fields
             .iter()
             .flat_map(|(name, value)| [name, value])
-            .for_each(|word| text(&mut message, word));
+            .for_each(|value| text(&mut message, value));
         message.extend([11, 0, 2]);
         text(&mut message, statement);
         message.push(0);
-        let mut stream = TcpStream::connect(self.at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let mut stream = TcpStream::connect(self.address).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
             .write_all(&[&(message.len() as u32).to_be_bytes()[..], &message].concat())
             .unwrap();
@@ -199,14 +199,14 @@
 
     /// The rows that a statement is answered with, as their first columns.
     pub fn rows(&mut self, customer: &str, statement: &str) -> Vec<i64> {
-        let held = self.asks(customer, statement);
+        let reply = self.query(customer, statement);
         assert!(
-            held.starts_with(&[12, 0, 0]),
+            reply.starts_with(&[12, 0, 0]),
             "{statement}: {:?}",
-            String::from_utf8_lossy(&held)
+            String::from_utf8_lossy(&reply)
         );
-        let len = u32::from_be_bytes(held[6..10].try_into().unwrap()) as usize;
-        let text = String::from_utf8(held[10..10 + len].to_vec()).unwrap();
+        let len = u32::from_be_bytes(reply[6..10].try_into().unwrap()) as usize;
+        let text = String::from_utf8(reply[10..10 + len].to_vec()).unwrap();
         text.lines()
             .map(|row| row.split('\t').next().unwrap().parse().unwrap())
             .collect()
--- a/crates/front/tests/scatter/site.rs
+++ b/crates/front/tests/scatter/site.rs
@@ -13,84 +13,84 @@
 use hallmux_scatter::value::{Kind, Value};
 
 #[derive(Default)]
-pub struct Held {
+pub struct SiteState {
     rows: Vec<i64>,
     loads: Loads,
-    asked: usize,
-    fails: bool,
+    query_count: usize,
+    is_failing: bool,
 }
 
 pub struct Site {
     pub name: &'static str,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     key: u8,
-    held: Arc<Mutex<Held>>,
+    state: Arc<Mutex<SiteState>>,
 }
 
 impl Site {
     pub fn new(name: &'static str, rows: &[i64]) -> Site {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let held = Arc::new(Mutex::new(Held {
+        let address = listener.local_addr().unwrap();
+        let state = Arc::new(Mutex::new(SiteState {
             rows: rows.to_vec(),
-            ..Held::default()
+            ..SiteState::default()
         }));
-        let shared = held.clone();
+        let shared = state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let held = shared.clone();
-                std::thread::spawn(move || serve(stream, &held));
+                let state = shared.clone();
+                std::thread::spawn(move || serve(stream, &state));
             }
         });
         Site {
             name,
-            at,
+            address,
             key: name.as_bytes()[0],
-            held,
+            state,
         }
     }
 
     /// Under another key than its own.
-    pub fn signs_as(self, key: u8) -> Site {
+    pub fn with_signing_key(self, key: u8) -> Site {
         Site { key, ..self }
     }
 
-    pub fn public(&self) -> VerifyingKey {
+    pub fn public_key(&self) -> VerifyingKey {
         SigningKey::from_bytes(&[self.key; 32]).verifying_key()
     }
 
     /// Statements it was asked since the last look.
-    pub fn asked(&self) -> usize {
-        std::mem::take(&mut self.held.lock().unwrap().asked)
+    pub fn take_query_count(&self) -> usize {
+        std::mem::take(&mut self.state.lock().unwrap().query_count)
     }
 
     /// Whether it holds a row.
     pub fn has(&self, id: i64) -> bool {
-        self.held.lock().unwrap().rows.contains(&id)
+        self.state.lock().unwrap().rows.contains(&id)
     }
 
-    pub fn fails(&self) {
-        self.held.lock().unwrap().fails = true;
+    pub fn set_failing(&self) {
+        self.state.lock().unwrap().is_failing = true;
     }
 
     /// Where it takes PostgreSQL sessions.
     pub fn portal(&self) -> SocketAddr {
-        super::portal::serves(self.held.clone())
+        super::portal::serve(self.state.clone())
     }
 
     /// Writes a summary of what it holds into a directory.
-    pub fn writes(&self, directory: &Path, version: u64) {
-        let (about, table) = self.summed(version);
+    pub fn write_summary(&self, directory: &Path, version: u64) {
+        let (header, table) = self.build_summary(version);
         let bytes =
-            summary(about, vec![table], MOST_BYTES).sign(&SigningKey::from_bytes(&[self.key; 32]));
+            summary(header, vec![table], MOST_BYTES).sign(&SigningKey::from_bytes(&[self.key; 32]));
         std::fs::write(directory.join(self.name), bytes).unwrap();
     }
 
     /// The same in sheets, of which fronts may hold a part.
-    pub fn writes_in_sheets(&self, directory: &Path, version: u64) {
-        let (about, table) = self.summed(version);
+    pub fn write_layered_summary(&self, directory: &Path, version: u64) {
+        let (header, table) = self.build_summary(version);
         let bytes = layered(
-            about,
+            header,
             vec![table],
             MOST_BYTES,
             &SigningKey::from_bytes(&[self.key; 32]),
@@ -98,18 +98,19 @@
         std::fs::write(directory.join(self.name), bytes).unwrap();
     }
 
-    fn summed(&self, version: u64) -> (SummaryHeader, TableBuilder) {
-        let held = self.held.lock().unwrap();
+    fn build_summary(&self, version: u64) -> (SummaryHeader, TableBuilder) {
+        let state = self.state.lock().unwrap();
         let mut table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })])
             .with_sketches(&["id"]);
-        held.rows
+        state
+            .rows
             .iter()
             .for_each(|id| table.add_row(&[Some(Value::Number(i128::from(*id)))]));
         let made_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap()
             .as_millis() as u64;
-        let (site, loads) = (self.name.to_string(), held.loads.clone());
+        let (site, loads) = (self.name.to_string(), state.loads.clone());
         (
             SummaryHeader {
                 site,
@@ -124,7 +125,7 @@
     }
 }
 
-fn serve(stream: TcpStream, held: &Mutex<Held>) -> Option<()> {
+fn serve(stream: TcpStream, state: &Mutex<SiteState>) -> Option<()> {
     let mut input = BufReader::new(stream.try_clone().ok()?);
     let mut output = stream;
     loop {
@@ -136,7 +137,7 @@
                 let mut body = vec![0; len.parse::<usize>().ok()? + 2];
                 input.read_exact(&mut body).ok()?;
                 let text = String::from_utf8(body[..body.len() - 2].to_vec()).ok()?;
-                let answer = held.lock().unwrap().answers(&text);
+                let answer = state.lock().unwrap().execute(&text);
                 match answer {
                     Some(rows) => {
                         write!(output, "{id} ACK batches=1 {}\r\n{rows}\r\n", rows.len()).ok()?
@@ -150,7 +151,7 @@
     }
 }
 
-impl Held {
+impl SiteState {
     /// Rows come, by a text that may carry its numbers.
     pub fn load(&mut self, text: &str, rows: Vec<i64>) {
         self.rows.extend(rows);
@@ -159,8 +160,8 @@
             .for_each(|(_, n)| self.loads.insert(*n));
     }
 
-    fn answers(&mut self, text: &str) -> Option<String> {
-        if self.fails {
+    fn execute(&mut self, text: &str) -> Option<String> {
+        if self.is_failing {
             return None;
         }
         if let Some((_, values)) = text.split_once("values (") {
@@ -168,21 +169,28 @@
             self.load(text, vec![row]);
             return Some(String::new());
         }
-        self.asked += 1;
+        self.query_count += 1;
         let (text, limit) = text.split_once(" limit ").unwrap_or((text, "1000"));
         let condition = text
             .split_once(" where ")
             .map_or("", |(_, condition)| condition);
-        let rows = self
-            .rows
-            .iter()
-            .filter(|id| condition.split(" and id ").all(|part| holds(part, **id)));
+        let rows = self.rows.iter().filter(|id| {
+            condition
+                .split(" and id ")
+                .all(|part| matches_condition(part, **id))
+        });
         if text.contains("count(*)") {
             let rows: Vec<i64> = rows.copied().collect();
-            let say = |value: Option<i64>| value.map_or(String::new(), |value| value.to_string());
+            let format_value =
+                |value: Option<i64>| value.map_or(String::new(), |value| value.to_string());
             let sum = (!rows.is_empty()).then(|| rows.iter().sum());
             let greatest = rows.iter().max().copied();
-            return Some(format!("{}\t{}\t{}\n", rows.len(), say(sum), say(greatest)));
+            return Some(format!(
+                "{}\t{}\t{}\n",
+                rows.len(),
+                format_value(sum),
+                format_value(greatest)
+            ));
         }
         let rows: Vec<String> = rows
             .take(limit.parse().ok()?)
@@ -193,7 +201,7 @@
 }
 
 /// One comparison of `id`, in the few forms that these tests use.
-fn holds(part: &str, id: i64) -> bool {
+fn matches_condition(part: &str, id: i64) -> bool {
     let numbers: Vec<i64> = part
         .split(|c: char| !c.is_ascii_digit())
         .filter_map(|n| n.parse().ok())
