--- a/crates/front/tests/scripted/client.rs
+++ b/crates/front/tests/scripted/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::outcomes::result;
-use crate::{id, Scenario, BIG};
+use crate::{id, Scenario, BIG_TEXT_BYTES};
 
 impl Scenario {
     pub fn frame(&self, number: &str, fields: &[&str], statement: &str) -> Vec<u8> {
@@ -48,7 +48,7 @@
         frame
     }
 
-    pub fn forget(&self, number: &str) -> Vec<u8> {
+    pub fn forget_message(&self, number: &str) -> Vec<u8> {
         let which = number.parse::<u32>().unwrap().to_be_bytes();
         self.message(4, "forget", "0", &[&[8, 0, 1][..], &which].concat())
     }
@@ -65,13 +65,18 @@
         stream.read_exact(&mut frame).ok()?;
         let name_len = u32::from_be_bytes(frame[4..8].try_into().unwrap()) as usize;
         let name = String::from_utf8(frame[8..8 + name_len].to_vec()).unwrap();
-        let at = 8 + name_len;
-        let number = u32::from_be_bytes(frame[at..at + 4].try_into().unwrap());
-        Some((frame[3], name, number.to_string(), frame[at + 4..].to_vec()))
+        let number_at = 8 + name_len;
+        let number = u32::from_be_bytes(frame[number_at..number_at + 4].try_into().unwrap());
+        Some((
+            frame[3],
+            name,
+            number.to_string(),
+            frame[number_at + 4..].to_vec(),
+        ))
     }
 
     /// What a client was told and no line has named.
-    pub fn unread(&mut self, client: &str) -> (String, Vec<(String, String)>) {
+    pub fn take_unread(&mut self, client: &str) -> (String, Vec<(String, String)>) {
         let stream = &self.clients[client];
         stream
             .set_read_timeout(Some(Duration::from_millis(1)))
@@ -80,55 +85,55 @@
         (
             client.to_string(),
             replies
-                .map(|(_, _, n, held)| (n, String::from_utf8_lossy(&held).into_owned()))
+                .map(|(_, _, n, body)| (n, String::from_utf8_lossy(&body).into_owned()))
                 .collect(),
         )
     }
 
-    pub fn well(&mut self, client: &str, expected: bool) {
-        let asks = self.message(1, "isWell", "900", &[2, 0, 1, 0]);
+    pub fn check_health(&mut self, client: &str, expected: bool) {
+        let request = self.message(1, "isWell", "900", &[2, 0, 1, 0]);
         self.clients
             .get_mut(client)
             .unwrap()
-            .write_all(&asks)
+            .write_all(&request)
             .unwrap();
-        let (_, name, _, held) = self.reply(client).expect("an answer");
+        let (_, name, _, body) = self.reply(client).expect("an answer");
         assert_eq!(name, "isWell", "nothing else was to come");
         assert!(
-            held.ends_with(&[2, 0, 3, u8::from(expected), 0, 0]),
-            "{held:?}"
+            body.ends_with(&[2, 0, 3, u8::from(expected), 0, 0]),
+            "{body:?}"
         );
     }
 
-    pub fn hears(&mut self, client: &str, number: &str, kind: &str, text: &str) {
-        let (message, name, heard, held) = self.reply(client).expect("an answer");
-        assert_eq!(heard, number);
-        let field = |id: u8| held.starts_with(&[12, 0, id]);
+    pub fn expect_answer(&mut self, client: &str, number: &str, kind: &str, text: &str) {
+        let (message, name, answered_number, body) = self.reply(client).expect("an answer");
+        assert_eq!(answered_number, number);
+        let field = |id: u8| body.starts_with(&[12, 0, id]);
         match kind {
             "completed" => {
-                let len = u32::from_be_bytes(held[6..10].try_into().unwrap()) as usize;
-                assert!(message == 2 && field(0), "{held:?}");
-                assert_eq!(String::from_utf8_lossy(&held[10..10 + len]), result(text));
-                assert!(held.ends_with(&[2, 0, 3, 1, 0, 0]), "{held:?}");
+                let len = u32::from_be_bytes(body[6..10].try_into().unwrap()) as usize;
+                assert!(message == 2 && field(0), "{body:?}");
+                assert_eq!(String::from_utf8_lossy(&body[10..10 + len]), result(text));
+                assert!(body.ends_with(&[2, 0, 3, 1, 0, 0]), "{body:?}");
             }
             "rejected" => {
-                let later = held.windows(5).any(|w| w == b"later");
+                let later = body.windows(5).any(|w| w == b"later");
                 assert!(
                     message == 2 && field(1) && (later || text.is_empty()),
-                    "{name} {held:?}"
+                    "{name} {body:?}"
                 );
             }
-            "aborted" => assert!(message == 2 && field(2), "{name} {held:?}"),
+            "aborted" => assert!(message == 2 && field(2), "{name} {body:?}"),
             "exception" => {
-                let said = String::from_utf8_lossy(&held).into_owned();
-                assert!(message == 3 && said.contains(text), "{said}");
+                let error_text = String::from_utf8_lossy(&body).into_owned();
+                assert!(message == 3 && error_text.contains(text), "{error_text}");
             }
             other => panic!("unknown answer '{other}'"),
         }
     }
 
-    pub fn many(&mut self, count: usize, client: &str, engine: &str) {
-        let mut early = 0;
+    pub fn run_many(&mut self, count: usize, client: &str, engine: &str) {
+        let mut early_kb = 0;
         for i in 1..=count {
             let number = i.to_string();
             self.statements
@@ -144,34 +149,38 @@
                 .unwrap()
                 .write_all(&frame)
                 .unwrap();
-            self.engine_hears(engine, "want", &[&number], &[]);
-            self.says(engine, &number, "ACK", "batches=1", "x");
-            self.hears(client, &number, "completed", "x");
+            self.expect_command(engine, "want", &[&number], &[]);
+            self.send_reply(engine, &number, "ACK", "batches=1", "x");
+            self.expect_answer(client, &number, "completed", "x");
             self.statements.remove(&number);
-            self.engines.get_mut(engine).unwrap().asked.clear();
+            self.engines
+                .get_mut(engine)
+                .unwrap()
+                .statement_connections
+                .clear();
             if i % 100 == 0 {
-                self.passes(100);
+                self.advance(100);
             }
             if i == count / 4 {
-                early = self.memory_kb();
+                early_kb = self.memory_kb();
             }
         }
-        let late = self.memory_kb();
+        let late_kb = self.memory_kb();
         assert!(
-            late <= early + early / 10,
-            "{early} kB after a quarter, {late} kB at the end"
+            late_kb <= early_kb + early_kb / 10,
+            "{early_kb} kB after a quarter, {late_kb} kB at the end"
         );
     }
 
     pub fn flood(&mut self, client: &str) {
         // A method that is unknown: its long name is in the answer, twice.
-        let frame = self.message(1, &"x".repeat(BIG / 2), "1", &[]);
+        let frame = self.message(1, &"x".repeat(BIG_TEXT_BYTES / 2), "1", &[]);
         let stream = self.clients.get_mut(client).unwrap();
         stream
             .set_write_timeout(Some(Duration::from_millis(500)))
             .unwrap();
-        let read_no_more = (0..2000).any(|_| stream.write_all(&frame).is_err());
-        assert!(read_no_more, "200 MB of answers that nobody takes");
+        let is_no_longer_read = (0..2000).any(|_| stream.write_all(&frame).is_err());
+        assert!(is_no_longer_read, "200 MB of answers that nobody takes");
         let memory_kb = self.memory_kb();
         assert!(memory_kb < 50_000, "{memory_kb} kB");
     }
--- a/crates/front/tests/scripted/clock.rs
+++ b/crates/front/tests/scripted/clock.rs
@@ -6,15 +6,15 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 
-const START: i64 = 1_800_000_000_000_000; // Unix microseconds
-const LEAST: i64 = 1_000; // microseconds of a step, where the front has more to do at once
+const START_US: i64 = 1_800_000_000_000_000; // Unix microseconds
+const MIN_STEP_US: i64 = 1_000; // microseconds of a step, where the front has more to do at once
 
 pub struct Clock {
     file: File,
     time: i64,
-    asked: i64,
+    queries: i64,
 }
 
 impl Clock {
@@ -27,10 +27,10 @@
             .unwrap();
         let clock = Clock {
             file,
-            time: START,
-            asked: 0,
+            time: START_US,
+            queries: 0,
         };
-        [clock.time, clock.asked, i64::MAX, 0]
+        [clock.time, clock.queries, i64::MAX, 0]
             .iter()
             .zip(0..)
             .for_each(|(n, at)| clock.write(at, *n));
@@ -51,18 +51,21 @@
 
     /// Waits until the front has done all it can at this time; when it next has something to do. One that has ended
     /// has nothing more.
-    fn asks(&mut self, front: &mut Option<Child>) -> i64 {
-        self.asked += 1;
-        self.write(1, self.asked);
-        let begun = Instant::now();
-        while self.read(3) < self.asked {
+    fn wait_until_idle(&mut self, front: &mut Option<Child>) -> i64 {
+        self.queries += 1;
+        self.write(1, self.queries);
+        let started = Instant::now();
+        while self.read(3) < self.queries {
             if front
                 .as_mut()
                 .is_some_and(|front| front.try_wait().unwrap().is_some())
             {
                 return i64::MAX;
             }
-            assert!(begun.elapsed() < PATIENCE, "a front that goes to sleep");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "a front that goes to sleep"
+            );
             std::thread::sleep(Duration::from_micros(200));
         }
         self.read(2)
@@ -70,21 +73,21 @@
 
     /// Lets time pass from one thing that the front has to do to the next, so that it is late for none; how many
     /// those were.
-    pub fn passes(&mut self, ms: i64, front: &mut Option<Child>) -> usize {
-        let (end, mut turns) = (self.time + ms * 1000, 0);
+    pub fn advance(&mut self, ms: i64, front: &mut Option<Child>) -> usize {
+        let (end, mut iterations) = (self.time + ms * 1000, 0);
         while self.time < end {
-            let due = self.asks(front);
-            self.time = due.max(self.time + LEAST).min(end);
+            let next_due = self.wait_until_idle(front);
+            self.time = next_due.max(self.time + MIN_STEP_US).min(end);
             self.write(0, self.time);
-            turns += 1;
+            iterations += 1;
         }
-        self.asks(front);
-        turns
+        self.wait_until_idle(front);
+        iterations
     }
 
     /// Waits until the front has taken in and done all it can at this time.
-    pub fn settles(&mut self, front: &mut Option<Child>) {
-        self.asks(front);
+    pub fn settle(&mut self, front: &mut Option<Child>) {
+        self.wait_until_idle(front);
     }
 
     /// Microseconds of Unix time.
@@ -93,7 +96,7 @@
     }
 
     /// Lets time pass at once: for a front that stands still.
-    pub fn jumps(&mut self, ms: i64) {
+    pub fn jump(&mut self, ms: i64) {
         self.time += ms * 1000;
         self.write(0, self.time);
     }
--- a/crates/front/tests/scripted/coordinator.rs
+++ b/crates/front/tests/scripted/coordinator.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use socket2::SockRef;
 
-use crate::{Scenario, PATIENCE};
+use crate::{Scenario, WAIT_TIMEOUT};
 
 #[derive(Default)]
 pub struct CoordinatorState {
@@ -21,14 +21,14 @@
     pub connections: usize,
     pub silent: usize,
     pub sent: usize,
-    /// Where questions are taken, and the connections that are there.
+    /// Where polls are taken, and the connections that are there.
     open: Vec<TcpStream>,
     listener: Option<TcpListener>,
 }
 
 impl CoordinatorState {
     /// The number of a new connection.
-    fn joins(&mut self, stream: &TcpStream) -> usize {
+    fn add_connection(&mut self, stream: &TcpStream) -> usize {
         self.open.extend(stream.try_clone());
         self.connections += 1;
         self.connections
@@ -37,17 +37,17 @@
 
 impl Scenario {
     /// The coordinator: each question is answered once there is something later than what it names.
-    pub fn serve_list(&mut self) {
+    pub fn start_coordinator(&mut self) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         self.coordinator = Some(listener.local_addr().unwrap());
-        let (state, (sender, questions)) = (self.coordinator_state.clone(), channel());
-        self.questions = Some(questions);
+        let (state, (sender, polls)) = (self.coordinator_state.clone(), channel());
+        self.polls = Some(polls);
         self.update_coordinator(|state| state.listener = listener.try_clone().ok());
         let moves = state.0.lock().unwrap().moves;
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let (state, sender) = (state.clone(), sender.clone());
-                let number = state.0.lock().unwrap().joins(&stream);
+                let number = state.0.lock().unwrap().add_connection(&stream);
                 std::thread::spawn(move || {
                     stream.set_nodelay(true).ok()?;
                     let mut input = BufReader::new(stream.try_clone().ok()?);
@@ -63,27 +63,27 @@
                             .collect();
                         let follow: usize = digits.parse().ok()?;
                         sender.send(follow).ok()?;
-                        let waits = |t: &mut CoordinatorState| {
-                            t.updates.len() <= follow && t.answers.is_empty()
+                        let must_wait = |state: &mut CoordinatorState| {
+                            state.updates.len() <= follow && state.answers.is_empty()
                         };
                         let guard = state.0.lock().unwrap();
-                        let mut held = state.1.wait_while(guard, waits).unwrap();
-                        while held.moves > moves || number <= held.silent {
-                            held = state.1.wait(held).unwrap();
+                        let mut state_guard = state.1.wait_while(guard, must_wait).unwrap();
+                        while state_guard.moves > moves || number <= state_guard.silent {
+                            state_guard = state.1.wait(state_guard).unwrap();
                         }
-                        if let Some(answer) = held.answers.pop_front() {
+                        if let Some(answer) = state_guard.answers.pop_front() {
                             (&stream).write_all(answer.as_bytes()).ok()?;
-                            held.answered += 1;
+                            state_guard.answered += 1;
                             state.1.notify_all();
                             continue;
                         }
-                        let later = held.updates.get(follow..).unwrap_or_default();
-                        let body =
-                            json!({"index": held.updates.len(), "updates": later}).to_string();
+                        let later = state_guard.updates.get(follow..).unwrap_or_default();
+                        let body = json!({"index": state_guard.updates.len(), "updates": later})
+                            .to_string();
                         let head =
                             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                         (&stream).write_all((head + &body).as_bytes()).ok()?;
-                        held.sent = held.updates.len();
+                        state_guard.sent = state_guard.updates.len();
                         state.1.notify_all();
                     }
                     #[allow(unreachable_code)]
@@ -94,9 +94,9 @@
     }
 
     /// Waits for the next question, or for the one from the number given on: what came before is taken in.
-    pub fn asked(&mut self, number: Option<usize>) {
-        let questions = self.questions.as_ref().unwrap();
-        let next = || questions.recv_timeout(PATIENCE).expect("a question");
+    pub fn wait_for_poll(&mut self, number: Option<usize>) {
+        let polls = self.polls.as_ref().unwrap();
+        let next = || polls.recv_timeout(WAIT_TIMEOUT).expect("a question");
         while number.is_some_and(|number| number != next()) {}
         if number.is_none() {
             next();
@@ -104,32 +104,40 @@
     }
 
     /// Gives the next answer as it is, and waits until it has left.
-    pub fn answers(&mut self, answer: String) {
+    pub fn answer_poll(&mut self, answer: String) {
         let before = self.coordinator_state.0.lock().unwrap().answered;
         self.update_coordinator(|state| state.answers.push_back(answer));
-        let waits = |state: &mut CoordinatorState| state.answered == before;
+        let must_wait = |state: &mut CoordinatorState| state.answered == before;
         let guard = self.coordinator_state.0.lock().unwrap();
-        let (held, wait) = self
+        let (state_guard, wait) = self
             .coordinator_state
             .1
-            .wait_timeout_while(guard, PATIENCE, waits)
+            .wait_timeout_while(guard, WAIT_TIMEOUT, must_wait)
             .unwrap();
-        assert!(!wait.timed_out(), "no question for {:?}", held.answers);
+        assert!(
+            !wait.timed_out(),
+            "no question for {:?}",
+            state_guard.answers
+        );
     }
 
     /// Waits until the latest change has left.
-    pub fn coordinator_has_sent(&mut self) {
-        let waits = |state: &mut CoordinatorState| state.sent < state.updates.len();
-        let (held, wait) = self
+    pub fn wait_until_list_sent(&mut self) {
+        let must_wait = |state: &mut CoordinatorState| state.sent < state.updates.len();
+        let (state_guard, wait) = self
             .coordinator_state
             .1
-            .wait_timeout_while(self.coordinator_state.0.lock().unwrap(), PATIENCE, waits)
+            .wait_timeout_while(
+                self.coordinator_state.0.lock().unwrap(),
+                WAIT_TIMEOUT,
+                must_wait,
+            )
             .unwrap();
-        assert!(!wait.timed_out(), "no question after {}", held.sent);
+        assert!(!wait.timed_out(), "no question after {}", state_guard.sent);
     }
 
     /// Nobody listens any more where the coordinator was: its connections end, new ones are refused.
-    pub fn coordinator_goes(&mut self) {
+    pub fn stop_coordinator(&mut self) {
         self.update_coordinator(|state| {
             let listener = state.listener.take().unwrap();
             SockRef::from(&listener).shutdown(Shutdown::Both).unwrap();
@@ -138,9 +146,9 @@
                 .drain(..)
                 .for_each(|stream| _ = stream.shutdown(Shutdown::Both));
         });
-        let (at, begun) = (self.coordinator.unwrap(), Instant::now());
-        while TcpStream::connect(at).is_ok() {
-            assert!(begun.elapsed() < PATIENCE, "a coordinator that goes");
+        let (address, started) = (self.coordinator.unwrap(), Instant::now());
+        while TcpStream::connect(address).is_ok() {
+            assert!(started.elapsed() < WAIT_TIMEOUT, "a coordinator that goes");
         }
     }
 
--- a/crates/front/tests/scripted/engine.rs
+++ b/crates/front/tests/scripted/engine.rs
@@ -10,117 +10,125 @@
 use socket2::SockRef;
 
 use crate::dials::DialGate;
-use crate::{id, rows, Scenario, PATIENCE};
+use crate::{id, rows, Scenario, WAIT_TIMEOUT};
 
-pub const NARROW: usize = 2048; // bytes of a narrow machine's buffer, as far as the system keeps to it
+pub const NARROW_BUFFER_BYTES: usize = 2048; // bytes of a narrow machine's buffer, as far as the system keeps to it
 
-/// A command as an engine heard it, and the connection that brought it.
-pub struct Heard {
+/// A command as an engine command it, and the connection that brought it.
+pub struct ReceivedCommand {
     words: Vec<String>,
     body: Vec<u8>,
-    from: Arc<TcpStream>,
+    connection: Arc<TcpStream>,
 }
 
 /// Whether engines read at all.
-pub type Listens = Arc<(Mutex<bool>, Condvar)>;
+pub type ReadGate = Arc<(Mutex<bool>, Condvar)>;
 
-/// A connection that is read only while its engine listens: of what is on its way one read may still be taken.
-struct Ear {
+/// A connection that is read only while its engine read_gate: of what is on its way one read may still be taken.
+struct GatedReader {
     stream: Arc<TcpStream>,
-    listens: Listens,
+    read_gate: ReadGate,
 }
 
-impl Read for Ear {
+impl Read for GatedReader {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         drop(
-            self.listens
+            self.read_gate
                 .1
-                .wait_while(self.listens.0.lock().unwrap(), |listens| !*listens),
+                .wait_while(self.read_gate.0.lock().unwrap(), |is_reading| !*is_reading),
         );
         (&*self.stream).read(buffer)
     }
 }
 
 pub struct Engine {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub listener: Option<TcpListener>,
-    pub listens: Listens,
+    pub read_gate: ReadGate,
     pub dial_gate: Arc<DialGate>,
-    heard: Receiver<Heard>,
-    /// Heard by now, and no line has named it yet.
-    waiting: Vec<Heard>,
-    pub latest: Option<Arc<TcpStream>>,
-    pub before: Option<SocketAddr>,
-    pub asked: HashMap<String, Arc<TcpStream>>,
+    commands: Receiver<ReceivedCommand>,
+    /// ReceivedCommand by now, and no line has named it yet.
+    unclaimed: Vec<ReceivedCommand>,
+    pub latest_connection: Option<Arc<TcpStream>>,
+    pub previous_address: Option<SocketAddr>,
+    pub statement_connections: HashMap<String, Arc<TcpStream>>,
     /// Where a statement came the time before, if it came more than once.
-    pub asked_before: HashMap<String, Arc<TcpStream>>,
+    pub earlier_connections: HashMap<String, Arc<TcpStream>>,
 }
 
 impl Engine {
     /// `narrow`: its machine holds no more than some kilobytes for it that it has not read.
-    pub fn new(deaf: bool, narrow: bool) -> Engine {
+    pub fn new(paused: bool, narrow: bool) -> Engine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         if narrow {
             SockRef::from(&listener)
-                .set_recv_buffer_size(NARROW)
+                .set_recv_buffer_size(NARROW_BUFFER_BYTES)
                 .unwrap();
         }
-        let at = listener.local_addr().unwrap();
-        let (sender, heard) = channel();
-        let (listens, dial_gate) = (
-            Arc::new((Mutex::new(!deaf), Condvar::new())),
+        let address = listener.local_addr().unwrap();
+        let (sender, commands) = channel();
+        let (read_gate, dial_gate) = (
+            Arc::new((Mutex::new(!paused), Condvar::new())),
             Arc::new(DialGate::default()),
         );
-        let (ears, accepts, passes) = (
-            listens.clone(),
+        let (thread_read_gate, thread_listener, thread_dial_gate) = (
+            read_gate.clone(),
             listener.try_clone().unwrap(),
             dial_gate.clone(),
         );
         std::thread::spawn(move || {
-            for stream in accepts.incoming().map_while(Result::ok) {
-                passes.pass();
-                let (sender, listens) = (sender.clone(), ears.clone());
-                std::thread::spawn(move || Engine::listen(Arc::new(stream), listens, &sender));
+            for stream in thread_listener.incoming().map_while(Result::ok) {
+                thread_dial_gate.wait_until_open();
+                let (sender, read_gate) = (sender.clone(), thread_read_gate.clone());
+                std::thread::spawn(move || Engine::listen(Arc::new(stream), read_gate, &sender));
             }
         });
         Engine {
-            at,
+            address,
             listener: Some(listener),
-            listens,
+            read_gate,
             dial_gate,
-            heard,
-            waiting: Vec::new(),
-            latest: None,
-            before: None,
-            asked: HashMap::new(),
-            asked_before: HashMap::new(),
+            commands,
+            unclaimed: Vec::new(),
+            latest_connection: None,
+            previous_address: None,
+            statement_connections: HashMap::new(),
+            earlier_connections: HashMap::new(),
         }
     }
 
-    /// Answers each statement at once, and notes when it was heard.
-    pub fn answers(self, notes: Arc<Mutex<HashMap<String, Vec<Instant>>>>) {
+    /// Answers each statement at once, and notes when it was command.
+    pub fn answer_each(self, times: Arc<Mutex<HashMap<String, Vec<Instant>>>>) {
         std::thread::spawn(move || {
-            for heard in self.heard.iter().filter(|heard| heard.words[0] == "want") {
-                let (id, body) = (heard.words[1].clone(), rows("x"));
+            for command in self
+                .commands
+                .iter()
+                .filter(|command| command.words[0] == "want")
+            {
+                let (id, body) = (command.words[1].clone(), rows("x"));
                 let line = format!("{id} ACK batches=1 {}\r\n{body}\r\n", body.len());
-                notes
+                times
                     .lock()
                     .unwrap()
                     .entry(id)
                     .or_default()
                     .push(Instant::now());
-                let _ = (&*heard.from).write_all(line.as_bytes());
+                let _ = (&*command.connection).write_all(line.as_bytes());
             }
         });
     }
 
-    fn listen(stream: Arc<TcpStream>, listens: Listens, heard: &Sender<Heard>) -> Option<()> {
+    fn listen(
+        stream: Arc<TcpStream>,
+        read_gate: ReadGate,
+        sender: &Sender<ReceivedCommand>,
+    ) -> Option<()> {
         // Two small writes in a row: the second would wait for the first one's receipt, some 40 ms of the machine's
         // time, in which the scenario's own may pass by any length.
         stream.set_nodelay(true).ok()?;
-        let mut input = BufReader::new(Ear {
+        let mut input = BufReader::new(GatedReader {
             stream: stream.clone(),
-            listens,
+            read_gate,
         });
         loop {
             let mut line = String::new();
@@ -132,27 +140,27 @@
                 input.read_exact(&mut body).ok()?;
                 body.truncate(body.len() - 2);
             }
-            heard
-                .send(Heard {
+            sender
+                .send(ReceivedCommand {
                     words,
                     body,
-                    from: stream.clone(),
+                    connection: stream.clone(),
                 })
                 .ok()?;
         }
     }
 
     /// Where the first command of each connection waits.
-    fn first_of_each(&self) -> impl Iterator<Item = usize> + '_ {
-        let by = |heard: &Heard| heard.from.peer_addr().ok();
-        let counts = |heard: &&Heard| heard.words[0] != "hurry";
-        (0..self.waiting.len()).filter(move |at| {
-            let (before, heard) = (&self.waiting[..*at], &self.waiting[*at]);
-            counts(&heard)
+    fn first_of_each_connection(&self) -> impl Iterator<Item = usize> + '_ {
+        let by = |command: &ReceivedCommand| command.connection.peer_addr().ok();
+        let counts = |command: &&ReceivedCommand| command.words[0] != "hurry";
+        (0..self.unclaimed.len()).filter(move |at| {
+            let (before, command) = (&self.unclaimed[..*at], &self.unclaimed[*at]);
+            counts(&command)
                 && !before
                     .iter()
                     .filter(counts)
-                    .any(|other| by(other) == by(heard))
+                    .any(|other| by(other) == by(command))
         })
     }
 }
@@ -160,7 +168,7 @@
 impl Scenario {
     /// The next command that is one of those named, by its word (`want|turn` for either) and its statement. Connections are read side by side, so the order is that of
     /// each: what comes by another connection may come sooner or later.
-    pub fn engine_hears(
+    pub fn expect_command(
         &mut self,
         name: &str,
         command: &str,
@@ -169,69 +177,88 @@
     ) -> String {
         let engine = self.engines.get_mut(name).unwrap();
         let ids: Vec<String> = numbers.iter().map(|n| id(n)).collect();
-        let fits = |h: &Heard| {
-            command.split('|').any(|c| h.words[0] == c)
-                && (ids.is_empty() || ids.contains(&h.words[1]))
+        let matches = |received: &ReceivedCommand| {
+            command.split('|').any(|name| received.words[0] == name)
+                && (ids.is_empty() || ids.contains(&received.words[1]))
         };
-        let heard = loop {
-            let at = engine.first_of_each().find(|at| fits(&engine.waiting[*at]));
-            if let Some(at) = at {
-                break engine.waiting.remove(at);
+        let received = loop {
+            let index = engine
+                .first_of_each_connection()
+                .find(|index| matches(&engine.unclaimed[*index]));
+            if let Some(index) = index {
+                break engine.unclaimed.remove(index);
             }
-            match engine.heard.recv_timeout(PATIENCE) {
-                Ok(heard) => engine.waiting.push(heard),
+            match engine.commands.recv_timeout(WAIT_TIMEOUT) {
+                Ok(received) => engine.unclaimed.push(received),
                 Err(_) => {
-                    let waiting: Vec<String> =
-                        engine.waiting.iter().map(|h| h.words.join(" ")).collect();
-                    let heard: Vec<_> = self.clients.keys().cloned().collect();
-                    let heard = heard.iter().map(|c| self.unread(c)).collect::<Vec<_>>();
+                    let unclaimed: Vec<String> = engine
+                        .unclaimed
+                        .iter()
+                        .map(|waiting| waiting.words.join(" "))
+                        .collect();
+                    let clients: Vec<_> = self.clients.keys().cloned().collect();
+                    let client_replies = clients
+                        .iter()
+                        .map(|client| self.take_unread(client))
+                        .collect::<Vec<_>>();
                     panic!(
-                        "{command} {numbers:?} did not come, but {waiting:?}; clients: {heard:?}"
+                        "{command} {numbers:?} did not come, but {unclaimed:?}; clients: {client_replies:?}"
                     );
                 }
             }
         };
-        let rest = heard.words[2..].join(",");
-        let number = heard.words[1].trim_start_matches('0').to_string();
+        let fields = received.words[2..].join(",");
+        let number = received.words[1].trim_start_matches('0').to_string();
         for word in words {
-            assert!(self.holds(&rest, &number, word), "{word} in {rest}");
+            assert!(
+                self.field_matches(&fields, &number, word),
+                "{word} in {fields}"
+            );
         }
         let engine = self.engines.get_mut(name).unwrap();
-        if heard.words[0] == "want" {
+        if received.words[0] == "want" {
             let number = number.as_str();
             assert_eq!(
-                String::from_utf8(heard.body).unwrap(),
+                String::from_utf8(received.body).unwrap(),
                 self.statements[number]
             );
-            let before = engine.asked.insert(number.to_string(), heard.from.clone());
-            before
-                .into_iter()
-                .for_each(|from| _ = engine.asked_before.insert(number.to_string(), from));
+            let earlier = engine
+                .statement_connections
+                .insert(number.to_string(), received.connection.clone());
+            earlier.into_iter().for_each(|connection| {
+                _ = engine
+                    .earlier_connections
+                    .insert(number.to_string(), connection)
+            });
         }
-        engine.before = engine
-            .latest
+        engine.previous_address = engine
+            .latest_connection
             .as_ref()
             .and_then(|latest| latest.peer_addr().ok());
-        engine.latest = Some(heard.from);
+        engine.latest_connection = Some(received.connection);
         number
     }
 
     /// Takes the next command without naming it first, if it is a statement that has come by now.
-    pub fn heard_by_now(&mut self, name: &str, number: &str) -> bool {
+    pub fn take_if_received(&mut self, name: &str, number: &str) -> bool {
         let engine = self.engines.get_mut(name).unwrap();
-        engine.waiting.extend(engine.heard.try_iter());
-        let is = |h: &Heard| h.words[0] == "want" && h.words[1] == id(number);
-        let there = engine.first_of_each().any(|at| is(&engine.waiting[at]));
-        there && !self.engine_hears(name, "want", &[number], &[]).is_empty()
+        engine.unclaimed.extend(engine.commands.try_iter());
+        let is = |h: &ReceivedCommand| h.words[0] == "want" && h.words[1] == id(number);
+        let there = engine
+            .first_of_each_connection()
+            .any(|at| is(&engine.unclaimed[at]));
+        there && !self.expect_command(name, "want", &[number], &[]).is_empty()
     }
 
     /// Resets an engine's latest connection: nothing of the machine's holds it any more.
-    pub fn resets(&mut self, name: &str) {
+    pub fn reset_connection(&mut self, name: &str) {
         let engine = self.engines.get_mut(name).unwrap();
-        let latest = engine.latest.take().unwrap();
+        let latest = engine.latest_connection.take().unwrap();
         let is_other = |other: &Arc<TcpStream>| !Arc::ptr_eq(other, &latest);
-        engine.asked.retain(|_, from| is_other(from));
-        engine.asked_before.retain(|_, from| is_other(from));
+        engine
+            .statement_connections
+            .retain(|_, from| is_other(from));
+        engine.earlier_connections.retain(|_, from| is_other(from));
         SockRef::from(&*latest)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
@@ -239,7 +266,7 @@
         let begun = Instant::now();
         while Arc::strong_count(&latest) > 1 {
             assert!(
-                begun.elapsed() < PATIENCE,
+                begun.elapsed() < WAIT_TIMEOUT,
                 "a command of this connection was not named"
             );
             std::thread::yield_now();
@@ -247,21 +274,22 @@
     }
 
     /// Nothing but what the scenario named has come by now.
-    pub fn nothing_else_came(&mut self) {
+    pub fn assert_nothing_else_received(&mut self) {
         for (name, engine) in &mut self.engines {
-            engine.waiting.extend(engine.heard.try_iter());
-            engine.waiting.retain(|h| h.words[0] != "hurry");
-            let waiting: Vec<String> = engine.waiting.iter().map(|h| h.words.join(" ")).collect();
-            assert!(waiting.is_empty(), "{name} also heard {waiting:?}");
+            engine.unclaimed.extend(engine.commands.try_iter());
+            engine.unclaimed.retain(|h| h.words[0] != "hurry");
+            let unclaimed: Vec<String> =
+                engine.unclaimed.iter().map(|h| h.words.join(" ")).collect();
+            assert!(unclaimed.is_empty(), "{name} also command {unclaimed:?}");
         }
     }
 
-    pub fn says(&mut self, name: &str, number: &str, word: &str, fields: &str, text: &str) {
-        let asked = self.engines[name].asked[number].clone();
-        self.says_on(&asked, number, word, fields, text);
+    pub fn send_reply(&mut self, name: &str, number: &str, word: &str, fields: &str, text: &str) {
+        let asked = self.engines[name].statement_connections[number].clone();
+        self.send_reply_on(&asked, number, word, fields, text);
     }
 
-    pub fn says_on(
+    pub fn send_reply_on(
         &mut self,
         mut link: &TcpStream,
         number: &str,
--- a/crates/front/tests/scripted/engine_list.rs
+++ b/crates/front/tests/scripted/engine_list.rs
@@ -7,21 +7,21 @@
 
 impl Scenario {
     /// True if the line is one of these.
-    pub fn engine_list_line(&mut self, words: &[&str]) -> bool {
+    pub fn run_engine_list_line(&mut self, words: &[&str]) -> bool {
         match words[..] {
-            ["list", "only", ..] => self.lists_only(&words[2..].join(" ")),
+            ["list", "only", ..] => self.publish_complete_list(&words[2..].join(" ")),
             ["list", name, state, ..] => {
-                let at = words
+                let other = words
                     .iter()
                     .position(|word| *word == "at")
-                    .map(|at| words[at + 1]);
-                let server = self.listed(name, state, at);
-                self.lists(false, vec![server], words.last() != Some(&"unheard"));
+                    .map(|index| words[index + 1]);
+                let server = self.list_entry(name, state, other);
+                self.publish_list(false, vec![server], words.last() != Some(&"unheard"));
             }
             ["known", name, state] => {
-                let server = self.listed(name, state, None);
-                self.lists(false, vec![server], false);
-                self.known = self.coordinator_state.0.lock().unwrap().updates.len();
+                let server = self.list_entry(name, state, None);
+                self.publish_list(false, vec![server], false);
+                self.known_updates = self.coordinator_state.0.lock().unwrap().updates.len();
             }
             ["coordinator", "is", "silent"] => {
                 self.update_coordinator(|state| state.silent = usize::MAX)
@@ -29,25 +29,25 @@
             ["coordinator", "speaks"] => {
                 self.update_coordinator(|state| state.silent = state.connections)
             }
-            ["coordinator", "has", "told"] => self.coordinator_has_sent(),
-            ["coordinator", "goes"] => self.coordinator_goes(),
+            ["coordinator", "has", "told"] => self.wait_until_list_sent(),
+            ["coordinator", "goes"] => self.stop_coordinator(),
             _ => return false,
         }
         true
     }
 
     /// A line of the list; an engine that is not known yet listens from now on.
-    fn listed(&mut self, name: &str, state: &str, at: Option<&str>) -> Value {
+    fn list_entry(&mut self, name: &str, state: &str, address_of: Option<&str>) -> Value {
         if !self.engines.contains_key(name) {
             self.engines
                 .insert(name.to_string(), Engine::new(false, false));
         }
-        let at = self.engines[at.unwrap_or(name)].at;
-        self.server(name, state, at, state == "up")
+        let address = self.engines[address_of.unwrap_or(name)].address;
+        self.server(name, state, address, state == "up")
     }
 
     /// The next update; if it is `heard`, waits until the front asks for what follows it.
-    fn lists(&mut self, full: bool, servers: Vec<Value>, heard: bool) {
+    fn publish_list(&mut self, full: bool, servers: Vec<Value>, wait_for_front: bool) {
         let index = self.coordinator_state.0.lock().unwrap().updates.len() + 1;
         let list = json!({"version": index, "full": full, "servers": servers});
         self.update_coordinator(|state| {
@@ -55,23 +55,23 @@
                 .updates
                 .push(json!({"index": index, "endpoints": list}))
         });
-        if heard {
-            self.asked(Some(index));
+        if wait_for_front {
+            self.wait_for_poll(Some(index));
         }
     }
 
-    fn lists_only(&mut self, engines: &str) {
-        let named = |engine: &str| {
+    fn publish_complete_list(&mut self, engines: &str) {
+        let parse_entry = |engine: &str| {
             engine
                 .split_once(' ')
                 .map(|(n, s)| (n.to_string(), s.to_string()))
                 .unwrap()
         };
-        let engines: Vec<(String, String)> = engines.split(", ").map(named).collect();
+        let engines: Vec<(String, String)> = engines.split(", ").map(parse_entry).collect();
         let servers = engines
             .iter()
-            .map(|(name, state)| self.listed(name, state, None))
+            .map(|(name, state)| self.list_entry(name, state, None))
             .collect();
-        self.lists(true, servers, true);
+        self.publish_list(true, servers, true);
     }
 }
--- a/crates/front/tests/scripted/fronts.rs
+++ b/crates/front/tests/scripted/fronts.rs
@@ -5,11 +5,11 @@
 
 use ed25519_dalek::SigningKey;
 
-use crate::{usual_settings, Scenario, FILES};
+use crate::{default_settings, Scenario, FILES};
 
 const FRONTS: usize = 3;
 
-fn hexadecimal(bytes: &[u8; 32]) -> String {
+fn to_hex(bytes: &[u8; 32]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -17,60 +17,60 @@
 pub fn fleet(rules: &str) -> Vec<Scenario> {
     let secrets: Vec<[u8; 32]> = (1..=FRONTS as u8).map(|n| [n; 32]).collect();
     let key =
-        |secret: &[u8; 32]| hexadecimal(&SigningKey::from_bytes(secret).verifying_key().to_bytes());
+        |secret: &[u8; 32]| to_hex(&SigningKey::from_bytes(secret).verifying_key().to_bytes());
     // All are free at once; each is let go of just before its front takes it.
-    let free: Vec<UdpSocket> = secrets
+    let sockets: Vec<UdpSocket> = secrets
         .iter()
         .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
-    let at: Vec<String> = free
+    let addresses: Vec<String> = sockets
         .iter()
         .map(|socket| socket.local_addr().unwrap().to_string())
         .collect();
-    let each =
+    let join_fronts =
         |line: &dyn Fn(usize) -> String| (0..FRONTS).map(line).collect::<Vec<_>>().join(", ");
-    let peers = each(&|n| format!("f{n}: '{}'", key(&secrets[n])));
-    let members = each(&|n| format!("f{n}: {{ at: '{}', zone: 'z{n}' }}", at[n]));
-    let seeds = each(&|n| format!("'{}'", at[n]));
-    drop(free);
+    let peers = join_fronts(&|n| format!("f{n}: '{}'", key(&secrets[n])));
+    let members = join_fronts(&|n| format!("f{n}: {{ at: '{}', zone: 'z{n}' }}", addresses[n]));
+    let seeds = join_fronts(&|n| format!("'{}'", addresses[n]));
+    drop(sockets);
     let start = |n: usize| {
         let number = AtomicUsize::fetch_add(&FILES, 1, Ordering::SeqCst);
         let secret = std::env::temp_dir().join(format!(
             "hallmux-play-{}-{number}.secret",
             std::process::id()
         ));
-        std::fs::write(&secret, hexadecimal(&secrets[n])).unwrap();
+        std::fs::write(&secret, to_hex(&secrets[n])).unwrap();
         let mut scenario = Scenario::default();
-        scenario.settings = usual_settings();
+        scenario.settings = default_settings();
         scenario.files.push(secret.clone());
-        scenario.line("agreed areas [\"here\", \"there\"]");
-        scenario.line("engine a");
-        scenario.line("engine b@there");
-        scenario.line(&format!("rules {rules}"));
-        scenario.line(&format!(
+        scenario.run_line("agreed areas [\"here\", \"there\"]");
+        scenario.run_line("engine a");
+        scenario.run_line("engine b@there");
+        scenario.run_line(&format!("rules {rules}"));
+        scenario.run_line(&format!(
             "operator {{ gossip: {{ listen: '{}', secret_file: '{}', peers: {{ {peers} }}, seeds: [{seeds}], \
              ledger: {{ fleet: 'test', shards: 2, members: {{ {members} }} }} }}, \
              rules: {{ file: 'RULES', region: 'here', lease_ms: 1500, tell_every_ms: 3600000 }} }}",
-            at[n],
+            addresses[n],
             secret.display()
         ));
-        scenario.line("start");
+        scenario.run_line("start");
         scenario
     };
     (0..FRONTS).map(start).collect()
 }
 
 #[test]
-fn a_front_that_was_stopped_while_a_rule_tightened_lets_nothing_through_that_it_bars() {
+fn a_front_stopped_while_a_rule_was_tightened_rejects_what_the_new_rule_denies() {
     let rules = |version: u64, region: &str| {
         format!("{{ version: {version}, default: 'allow', rules: [ {{ name: 'only', regions: ['{region}'] }} ] }}")
     };
     let mut fleet = fleet(&rules(1, "there"));
     fleet
         .iter_mut()
-        .for_each(|front| front.line("logs version 1 of the rules is in force"));
+        .for_each(|front| front.run_line("logs version 1 of the rules is in force"));
     let lines =
-        |front: &mut Scenario, lines: &[&str]| lines.iter().for_each(|line| front.line(line));
+        |front: &mut Scenario, lines: &[&str]| lines.iter().for_each(|line| front.run_line(line));
     lines(
         &mut fleet[2],
         &[
@@ -83,8 +83,8 @@
         ],
     );
     // It lies in the socket of a front that stands still.
-    fleet[2].line("c asks 2 select 2");
-    fleet[0].line(&format!("rules {}", rules(2, "here")));
+    fleet[2].run_line("c asks 2 select 2");
+    fleet[0].run_line(&format!("rules {}", rules(2, "here")));
     lines(
         &mut fleet[0],
         &[
--- a/crates/front/tests/scripted/limits.rs
+++ b/crates/front/tests/scripted/limits.rs
@@ -9,21 +9,21 @@
 use crate::fronts::fleet;
 use crate::{id, Scenario};
 
-const MOST: usize = 20;
+const MAX_EXECUTIONS: usize = 20;
 const WINDOW: Duration = Duration::from_secs(6);
-const EVERY: Duration = Duration::from_millis(60); // between statements of a client
-const AFTER: u32 = 40; // statements of each front after it goes on
-const PATIENCE: Duration = Duration::from_secs(60);
+const STATEMENT_INTERVAL: Duration = Duration::from_millis(60); // between statements of a client
+const STATEMENTS_AFTER_RESUME: u32 = 40; // statements of each front after it goes on
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-type Heard = Arc<Mutex<HashMap<String, Vec<Instant>>>>;
+type ReceivedTimes = Arc<Mutex<HashMap<String, Vec<Instant>>>>;
 
 /// The front that a statement was asked of.
-fn of(id: &str) -> u32 {
+fn front_of(id: &str) -> u32 {
     id.parse::<u32>().map_or(0, |number| number / 1_000)
 }
 
 /// Asks a front for a statement; when.
-fn ask(front: &mut Scenario, number: u32) -> Instant {
+fn send_statement(front: &mut Scenario, number: u32) -> Instant {
     let number = number.to_string();
     let frame = front.frame(&number, &[], &format!("select {number}"));
     let sent = Instant::now();
@@ -37,74 +37,78 @@
 }
 
 #[test]
-fn never_more_executions_than_a_limit_though_a_front_is_stopped_past_its_lease() {
+fn a_limit_holds_for_the_fleet_while_a_front_is_stopped_past_its_lease() {
     let rules = format!(
-        "{{ version: 1, default: 'allow', rules: [ {{ name: 'few', customer: 'acme', at_most: {MOST}, in_ms: {} }} ] }}",
+        "{{ version: 1, default: 'allow', rules: [ {{ name: 'few', customer: 'acme', at_most: {MAX_EXECUTIONS}, in_ms: {} }} ] }}",
         WINDOW.as_millis()
     );
     let mut fleet = fleet(&rules);
-    let heard = Heard::default();
+    let received = ReceivedTimes::default();
     for front in &mut fleet {
-        front.line("logs version 1 of the rules is in force");
-        front.line("c connects");
+        front.run_line("logs version 1 of the rules is in force");
+        front.run_line("c connects");
         let engines = std::mem::take(&mut front.engines);
         engines
             .into_values()
-            .for_each(|engine| engine.answers(heard.clone()));
+            .for_each(|engine| engine.answer_each(received.clone()));
     }
     let mut sent = HashMap::new();
-    let began = Instant::now();
-    let by = |front: u32| {
-        heard
+    let started = Instant::now();
+    let received_by = |front: u32| {
+        received
             .lock()
             .unwrap()
             .keys()
-            .filter(|id| of(id) == front)
+            .filter(|id| front_of(id) == front)
             .count()
     };
-    let (mut n, mut halted, mut goes_on) = (0, false, None);
-    while goes_on.is_none_or(|since| n < since + AFTER) {
-        let turn = Instant::now();
+    let (mut n, mut is_halted, mut resumed_at) = (0, false, None);
+    while resumed_at.is_none_or(|since| n < since + STATEMENTS_AFTER_RESUME) {
+        let iteration_start = Instant::now();
         n += 1;
-        if !halted && by(3) == MOST {
-            fleet[2].line("halt");
-            halted = true;
+        if !is_halted && received_by(3) == MAX_EXECUTIONS {
+            fleet[2].run_line("halt");
+            is_halted = true;
         }
         // What it had spent was taken back, and is spent again: now it wakes.
-        if goes_on.is_none() && by(1) > 0 && by(2) > 0 {
-            fleet[2].line("goes on");
-            goes_on = Some(n);
+        if resumed_at.is_none() && received_by(1) > 0 && received_by(2) > 0 {
+            fleet[2].run_line("goes on");
+            resumed_at = Some(n);
         }
         assert!(
-            began.elapsed() < PATIENCE,
+            started.elapsed() < TEST_TIMEOUT,
             "what a stopped front holds was not taken back"
         );
-        for (at, front) in fleet
+        for (index, front) in fleet
             .iter_mut()
             .enumerate()
-            .filter(|(at, _)| *at == 2 || halted)
+            .filter(|(index, _)| *index == 2 || is_halted)
         {
-            let number = 1_000 * (at as u32 + 1) + n;
-            sent.insert(id(&number.to_string()), ask(front, number));
+            let number = 1_000 * (index as u32 + 1) + n;
+            sent.insert(id(&number.to_string()), send_statement(front, number));
         }
-        std::thread::sleep(EVERY.saturating_sub(turn.elapsed()));
+        std::thread::sleep(STATEMENT_INTERVAL.saturating_sub(iteration_start.elapsed()));
     }
-    let by = [by(1), by(2), by(3)];
-    // Each left between its asking and its being heard: those that surely all left within one window.
-    let heard = heard.lock().unwrap().clone();
-    let left: Vec<(Instant, Instant)> = heard
+    let counts = [received_by(1), received_by(2), received_by(3)];
+    // Each left between its asking and its being received: those that surely all left within one window.
+    let received = received.lock().unwrap().clone();
+    let intervals: Vec<(Instant, Instant)> = received
         .iter()
-        .flat_map(|(id, all)| all.iter().map(|at| (sent[id], *at)))
+        .flat_map(|(id, all)| all.iter().map(|received_at| (sent[id], *received_at)))
         .collect();
-    let most = left.iter().map(|(from, _)| {
-        left.iter()
-            .filter(|(sent, heard)| sent >= from && *heard < *from + WINDOW)
+    let max_in_window = intervals.iter().map(|(from, _)| {
+        intervals
+            .iter()
+            .filter(|(sent, received)| sent >= from && *received < *from + WINDOW)
             .count()
     });
-    let most = most.max().unwrap_or(0);
+    let max_in_window = max_in_window.max().unwrap_or(0);
     println!(
-        "{} executions, {by:?} by front, {most} at most in a window",
-        left.len()
+        "{} executions, {counts:?} by front, {max_in_window} at most in a window",
+        intervals.len()
+    );
+    assert!(
+        max_in_window <= MAX_EXECUTIONS,
+        "{max_in_window} executions in one window"
     );
-    assert!(most <= MOST, "{most} executions in one window");
 }
--- a/crates/front/tests/scripted/main.rs
+++ b/crates/front/tests/scripted/main.rs
@@ -111,13 +111,13 @@
 use engine::Engine;
 use resources::Resources;
 
-const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
 
 const MAX_RUNS: usize = 5; // of a scenario whose order of events does not come about
-const BIG: usize = 100_000; // bytes that `BIG` in a statement stands for
+const BIG_TEXT_BYTES: usize = 100_000; // bytes that `BIG` in a statement stands for
 
 /// What a step panics with where the machine was too busy for the order of events that the scenario is about.
-struct NotForced;
+struct OrderNotReached;
 
 #[derive(Default)]
 struct Scenario {
@@ -128,22 +128,22 @@
     clients: HashMap<String, TcpStream>,
     statements: HashMap<String, String>,
     coordinator_state: Arc<(Mutex<CoordinatorState>, Condvar)>,
-    questions: Option<Receiver<usize>>,
+    polls: Option<Receiver<usize>>,
     coordinator: Option<SocketAddr>,
     front: Option<Child>,
     log: Option<Receiver<String>>,
-    listens: String,
+    front_address: String,
     config: PathBuf,
-    time: PathBuf,
+    clock_path: PathBuf,
     clock: Option<Clock>,
     /// Faults of the machine that the front alone has.
     machine_faults: Option<MachineFaults>,
     operator: Option<PathBuf>,
     rules: Option<PathBuf>,
     /// Updates that the configuration holds; the first one where none is named.
-    known: usize,
+    known_updates: usize,
     /// The Unix millisecond at which the client of a statement waits no longer.
-    limits: HashMap<String, i64>,
+    deadlines_ms: HashMap<String, i64>,
     /// What a client has still to write of a statement that it has begun.
     unsent: HashMap<String, Vec<u8>>,
     /// Connections that keep an engine from taking others.
@@ -155,7 +155,7 @@
     format!("{:0>16}", number)
 }
 
-fn unescaped(text: &str) -> String {
+fn unescape(text: &str) -> String {
     text.replace("\\t", "\t")
         .replace("\\r", "\r")
         .replace("\\n", "\n")
@@ -164,7 +164,7 @@
 /// A word alone stands for a row that begins with it.
 fn rows(text: &str) -> String {
     let word = !text.is_empty() && !text.contains('\\');
-    unescaped(&if word {
+    unescape(&if word {
         format!("{text}\\t-\\t-\\n")
     } else {
         text.to_string()
@@ -185,7 +185,7 @@
     }
 }
 
-fn usual_settings() -> Value {
+fn default_settings() -> Value {
     json!({"instances": 1, "areas": ["here"], "kinds": ["std"], "discovery": "automatic",
         "customers": [{"name": "acme", "allowancePerS": 10000.0}],
         "bounds": {"cancelling": true, "dialTimeoutMs": 250.0, "keepaliveMs": 15000.0, "mostHeld": 100,
@@ -215,32 +215,34 @@
     }
     assert!(!paths.is_empty());
     // Each is run whatever becomes of the others, so that one run names all that fail.
-    let failed: Vec<PathBuf> = paths.into_iter().filter(fails).collect();
+    let failed: Vec<PathBuf> = paths.into_iter().filter(scenario_fails).collect();
     assert!(failed.is_empty(), "failed: {failed:#?}");
 }
 
 /// Whether a scenario fails. One whose order of events did not come about says nothing of the front and is run again,
 /// a few times: then it fails, too.
-fn fails(path: &PathBuf) -> bool {
+fn scenario_fails(path: &PathBuf) -> bool {
     for _ in 0..MAX_RUNS {
-        match std::panic::catch_unwind(|| scenario(path)) {
+        match std::panic::catch_unwind(|| run_scenario(path)) {
             Ok(()) => return false,
-            Err(why) if why.is::<NotForced>() => println!("the order of events did not come about"),
+            Err(why) if why.is::<OrderNotReached>() => {
+                println!("the order of events did not come about")
+            }
             Err(_) => return true,
         }
     }
     true
 }
 
-fn scenario(path: &PathBuf) {
+fn run_scenario(path: &PathBuf) {
     println!("{}", path.display());
     let mut scenario = Scenario::default();
-    scenario.settings = usual_settings();
+    scenario.settings = default_settings();
     for (number, line) in std::fs::read_to_string(path).unwrap().lines().enumerate() {
         if !line.is_empty() && !line.starts_with('#') {
             println!("{}: {line}", number + 1);
-            scenario.line(line);
+            scenario.run_line(line);
         }
     }
-    scenario.nothing_else_came();
+    scenario.assert_nothing_else_received();
 }
--- a/crates/front/tests/scripted/ordering.rs
+++ b/crates/front/tests/scripted/ordering.rs
@@ -7,22 +7,25 @@
 
 use socket2::{Domain, SockAddr, Socket, Type};
 
-use crate::engine::NARROW;
-use crate::{Scenario, PATIENCE};
+use crate::engine::NARROW_BUFFER_BYTES;
+use crate::{Scenario, WAIT_TIMEOUT};
 
-const LEAST_FLOOD: usize = 1_000; // statements that a socket must hold, or they are no flood
-const TOLERANCE: i64 = 150; // milliseconds by which a deadline may come late to an engine
+const MIN_FLOOD_STATEMENTS: usize = 1_000; // statements that a socket must hold, or they are no flood
+const DEADLINE_TOLERANCE_MS: i64 = 150; // milliseconds by which a deadline may come late to an engine
 
 impl Scenario {
     /// True if the line is one of these.
-    pub fn ordered_line(&mut self, words: &[&str]) -> bool {
+    pub fn run_ordering_line(&mut self, words: &[&str]) -> bool {
         let rest = |n: usize| words[n..].join(" ");
         match words[..] {
-            ["passes", ms, "in", "at", "most", most, "turns"] => {
-                let turns = self.passes(ms.parse().unwrap());
-                assert!(turns <= most.parse().unwrap(), "{turns} turns");
+            ["passes", ms, "in", "at", "most", max, "turns"] => {
+                let iterations = self.advance(ms.parse().unwrap());
+                assert!(
+                    iterations <= max.parse().unwrap(),
+                    "{iterations} iterations"
+                );
             }
-            ["settles"] => self.settles(),
+            ["settles"] => self.settle(),
             ["gets", "busy"] => self.fill_with_work(),
             ["halts", "at", "work"] => self.halt_at_work(""),
             ["halts", "at", "work", "by", ..] => self.halt_at_work(&rest(4)),
@@ -33,23 +36,23 @@
             }
             ["starts", "anew"] => {
                 self.configuration_overrides
-                    .push(("listen".to_string(), self.listens.as_str().into()));
+                    .push(("listen".to_string(), self.front_address.as_str().into()));
                 self.start();
             }
             [client, "connects", "narrowly"] => {
-                let stream = narrow(&self.listens);
-                self.connected(client, stream);
+                let stream = connect_narrowly(&self.front_address);
+                self.add_client(client, stream);
             }
             [client, "connects", count, "times"] => {
                 for n in 1..=count.parse().unwrap() {
-                    let stream = TcpStream::connect(&self.listens).unwrap();
-                    self.connected(&format!("{client}{n}"), stream);
+                    let stream = TcpStream::connect(&self.front_address).unwrap();
+                    self.add_client(&format!("{client}{n}"), stream);
                 }
             }
-            [client, "begins", number, ..] => self.begins(client, number, &rest(3)),
+            [client, "begins", number, ..] => self.begin_statement(client, number, &rest(3)),
             [client, "finishes"] => {
                 let bytes = self.unsent.remove(client).unwrap();
-                self.trickles(client, &bytes);
+                self.write_bytewise(client, &bytes);
             }
             [client, "finishes", "at", "once"] => {
                 let bytes = self.unsent.remove(client).unwrap();
@@ -60,70 +63,75 @@
                     .unwrap();
             }
             [client, "floods", count, "and", "leaves"] => {
-                self.floods_and_leaves(client, count.parse().unwrap())
+                self.flood_and_disconnect(client, count.parse().unwrap())
             }
-            [client, "is", "closed", "well"] => self.is_closed_well(client),
+            [client, "is", "closed", "well"] => self.expect_clean_close(client),
             [client, "is", "served", number, "by", engine] => {
-                self.is_served(client, number, engine, false)
+                self.expect_served(client, number, engine, false)
             }
             [client, "is", "served", number, "by", engine, "or", "ends"] => {
-                self.is_served(client, number, engine, true);
+                self.expect_served(client, number, engine, true);
             }
             [client, "is", "answered", which, "completed", text] => {
-                self.is_answered(client, which, text)
+                self.expect_answers(client, which, text)
             }
-            [client, "is", "well", "past", number] => self.is_well_past(client, number),
-            [engine, "answers", which, text] => self.answers_all(engine, which, text),
+            [client, "is", "well", "past", number] => self.expect_health_after(client, number),
+            [engine, "answers", which, text] => self.answer_all(engine, which, text),
             [engine, "repeats", number, word, fields, ..] => {
-                let before = self.engines[engine].asked_before[number].clone();
-                self.says_on(&before, number, word, fields, &rest(5));
+                let earlier = self.engines[engine].earlier_connections[number].clone();
+                self.send_reply_on(&earlier, number, word, fields, &rest(5));
             }
-            [engine, "accepts", "nothing"] => self.accepts_nothing(engine),
-            [engine, "accepts", "again"] => self.accepts_again(engine),
-            [engine, "is", "being", "dialled"] => self.is_dialled(engine, true),
-            [engine, "is", "dialled", "no", "more"] => self.is_dialled(engine, false),
+            [engine, "accepts", "nothing"] => self.stop_accepting(engine),
+            [engine, "accepts", "again"] => self.resume_accepting(engine),
+            [engine, "is", "being", "dialled"] => self.wait_for_dial_state(engine, true),
+            [engine, "is", "dialled", "no", "more"] => self.wait_for_dial_state(engine, false),
             [engine, "is", "reached", "as", "before"] => {
                 let engine = &self.engines[engine];
-                let latest = engine.latest.as_ref().unwrap().peer_addr().unwrap();
-                assert_eq!(engine.before, Some(latest));
+                let latest = engine
+                    .latest_connection
+                    .as_ref()
+                    .unwrap()
+                    .peer_addr()
+                    .unwrap();
+                assert_eq!(engine.previous_address, Some(latest));
             }
             [engine, "stops", "listening"] => {
-                *self.engines[engine].listens.0.lock().unwrap() = false
+                *self.engines[engine].read_gate.0.lock().unwrap() = false
             }
-            [engine, "resets"] => self.resets(engine),
+            [engine, "resets"] => self.reset_connection(engine),
             _ => return false,
         }
         true
     }
 
-    pub fn passes(&mut self, ms: i64) -> usize {
-        self.clock.as_mut().unwrap().passes(ms, &mut self.front)
+    pub fn advance(&mut self, ms: i64) -> usize {
+        self.clock.as_mut().unwrap().advance(ms, &mut self.front)
     }
 
-    pub fn settles(&mut self) {
-        self.clock.as_mut().unwrap().settles(&mut self.front);
+    pub fn settle(&mut self) {
+        self.clock.as_mut().unwrap().settle(&mut self.front);
     }
 
-    fn connected(&mut self, client: &str, stream: TcpStream) {
+    fn add_client(&mut self, client: &str, stream: TcpStream) {
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         self.clients.insert(client.to_string(), stream);
     }
 
     /// Notes when a statement is asked for, and how long its client waits.
-    pub fn takes_note(&mut self, number: &str, fields: &[&str], statement: String) {
+    pub fn record_statement(&mut self, number: &str, fields: &[&str], statement: String) {
         let limit = fields
             .iter()
             .find_map(|field| field.strip_prefix("limit=")?.parse().ok());
         let now = self.clock.as_ref().map_or(0, |clock| clock.now());
-        self.limits
+        self.deadlines_ms
             .insert(number.to_string(), now / 1000 + limit.unwrap_or(15_000));
         self.statements.insert(number.to_string(), statement);
     }
 
     /// Whether a command's fields hold a word: one of them, `NAME<FIGURE`, or `in-time` where the engine is to wait
     /// no longer than the client does.
-    pub fn holds(&self, fields: &str, number: &str, word: &str) -> bool {
+    pub fn field_matches(&self, fields: &str, number: &str, word: &str) -> bool {
         let figure = |name: &str| {
             let named = fields
                 .split(',')
@@ -132,37 +140,37 @@
         };
         if word == "in-time" {
             let now = self.clock.as_ref().unwrap().now() / 1000;
-            return figure("wait") <= self.limits[number] - now + TOLERANCE;
+            return figure("wait") <= self.deadlines_ms[number] - now + DEADLINE_TOLERANCE_MS;
         }
         match word.split_once('<') {
-            Some((name, most)) => figure(name) < most.parse().unwrap(),
+            Some((name, max)) => figure(name) < max.parse().unwrap(),
             None => fields.split(',').any(|field| field == word),
         }
     }
 
     /// Half of a statement, byte by byte; the rest is for later.
-    fn begins(&mut self, client: &str, number: &str, statement: &str) {
+    fn begin_statement(&mut self, client: &str, number: &str, statement: &str) {
         let frame = self.frame(number, &[], statement);
-        self.takes_note(number, &[], statement.to_string());
-        let (half, rest) = frame.split_at(frame.len() / 2);
-        self.trickles(client, half);
-        self.unsent.insert(client.to_string(), rest.to_vec());
+        self.record_statement(number, &[], statement.to_string());
+        let (half, remaining) = frame.split_at(frame.len() / 2);
+        self.write_bytewise(client, half);
+        self.unsent.insert(client.to_string(), remaining.to_vec());
     }
 
     /// Each byte is read by the front before the next one is written.
-    fn trickles(&mut self, client: &str, bytes: &[u8]) {
+    fn write_bytewise(&mut self, client: &str, bytes: &[u8]) {
         for byte in bytes {
             self.clients
                 .get_mut(client)
                 .unwrap()
                 .write_all(&[*byte])
                 .unwrap();
-            self.settles();
+            self.settle();
         }
     }
 
     /// As many of so many statements as the socket takes, and the end behind them.
-    fn floods_and_leaves(&mut self, client: &str, count: usize) {
+    fn flood_and_disconnect(&mut self, client: &str, count: usize) {
         let stream = self.clients.remove(client).unwrap();
         stream.set_nonblocking(true).unwrap();
         let frame =
@@ -171,17 +179,17 @@
             .map(frame)
             .take_while(|frame| (&stream).write_all(frame).is_ok())
             .count();
-        assert!(written >= LEAST_FLOOD, "{written}");
+        assert!(written >= MIN_FLOOD_STATEMENTS, "{written}");
     }
 }
 
 /// A connection of a client whose machine holds no more than some kilobytes that it has not read.
-fn narrow(to: &str) -> TcpStream {
+fn connect_narrowly(address: &str) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.set_recv_buffer_size(NARROW).unwrap();
-    let at: std::net::SocketAddr = to.parse().unwrap();
+    socket.set_recv_buffer_size(NARROW_BUFFER_BYTES).unwrap();
+    let address: std::net::SocketAddr = address.parse().unwrap();
     socket
-        .connect_timeout(&SockAddr::from(at), Duration::from_secs(5))
+        .connect_timeout(&SockAddr::from(address), Duration::from_secs(5))
         .unwrap();
     socket.into()
 }
--- a/crates/front/tests/scripted/process.rs
+++ b/crates/front/tests/scripted/process.rs
@@ -11,15 +11,15 @@
 use serde_json::{json, Value};
 
 use crate::clock::Clock;
-use crate::{Scenario, FILES, PATIENCE};
+use crate::{Scenario, FILES, WAIT_TIMEOUT};
 
-const LINGERS_MS: i64 = 10; // milliseconds of the front's time between looks at whether it has ended
-const LOOK: Duration = Duration::from_millis(2);
+const EXIT_POLL_STEP_MS: i64 = 10; // milliseconds of the front's time between looks at whether it has ended
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Scenario {
-    pub fn server(&self, name: &str, state: &str, at: SocketAddr, started: bool) -> Value {
-        let started_ms = if started { 1_700_000_000_000u64 } else { 0 };
-        json!({"id": name, "addr": at.to_string(), "zone": name.split_once('@').map_or("here", |(_, zone)| zone), "kind": "std", "cell": 0,
+    pub fn server(&self, name: &str, state: &str, address: SocketAddr, has_started: bool) -> Value {
+        let started_ms = if has_started { 1_700_000_000_000u64 } else { 0 };
+        json!({"id": name, "addr": address.to_string(), "zone": name.split_once('@').map_or("here", |(_, zone)| zone), "kind": "std", "cell": 0,
                "state": state, "weight": 1, "started_ms": started_ms})
     }
 
@@ -35,17 +35,17 @@
         let servers: Vec<Value> = self
             .engines
             .iter()
-            .map(|(name, e)| self.server(name, "up", e.at, false))
+            .map(|(name, engine)| self.server(name, "up", engine.address, false))
             .collect();
         let known =
             json!({"index": 1, "endpoints": {"version": 1, "full": true, "servers": servers}});
         self.coordinator_state.0.lock().unwrap().updates.push(known);
-        self.serve_list();
+        self.start_coordinator();
         self.config = self.file("json");
-        self.configure();
+        self.write_configuration();
         if self.clock.is_none() {
-            self.time = self.file("clock");
-            self.clock = Some(Clock::new(&self.time));
+            self.clock_path = self.file("clock");
+            self.clock = Some(Clock::new(&self.clock_path));
         }
         let mut command = self.command();
         command
@@ -56,7 +56,7 @@
             .env_remove("HALLMUX_OPERATOR")
             .env_remove("HALLMUX_CLOCK");
         if !self.resources.real_time {
-            command.env("HALLMUX_CLOCK", &self.time);
+            command.env("HALLMUX_CLOCK", &self.clock_path);
         }
         if let Some(faults) = &self.machine_faults {
             command.envs(faults.environment());
@@ -70,21 +70,21 @@
     /// The front's program; where it has its own limit of descriptors, by a shell whose process it takes over.
     fn command(&self) -> Command {
         const FRONT: &str = env!("CARGO_BIN_EXE_hallmux-front");
-        let Some(most) = self.resources.granted_descriptors else {
+        let Some(limit) = self.resources.granted_descriptors else {
             return Command::new(FRONT);
         };
         let mut shell = Command::new("sh");
-        shell.args(["-c", &format!("ulimit -n {most} && exec \"$0\""), FRONT]);
+        shell.args(["-c", &format!("ulimit -n {limit} && exec \"$0\""), FRONT]);
         shell
     }
 
     /// Writes the configuration to the latest file.
-    pub fn configure(&self) {
+    pub fn write_configuration(&self) {
         let updates = &self.coordinator_state.0.lock().unwrap().updates;
-        let known = &updates[..self.known.max(1)];
+        let known = &updates[..self.known_updates.max(1)];
         let mut config = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "coordinator": self.coordinator.map(|at| at.to_string()),
+            "coordinator": self.coordinator.map(|address| address.to_string()),
             "known": {"index": known.len(), "updates": known}, "settings": self.settings});
         for (key, value) in &self.configuration_overrides {
             config[key] = value.clone();
@@ -103,16 +103,16 @@
 
     /// Waits until the front has ended well. Time passes meanwhile, as connections that it has closed are kept for
     /// clients that have yet to close theirs.
-    pub fn ends(&mut self) {
+    pub fn wait_for_exit(&mut self) {
         let mut front = self.front.take().unwrap();
-        let begun = Instant::now();
+        let started = Instant::now();
         let status = loop {
             if let Some(status) = front.try_wait().unwrap() {
                 break status;
             }
-            assert!(begun.elapsed() < PATIENCE, "a front that ends");
-            self.clock.as_mut().unwrap().jumps(LINGERS_MS);
-            std::thread::sleep(LOOK);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "a front that ends");
+            self.clock.as_mut().unwrap().jump(EXIT_POLL_STEP_MS);
+            std::thread::sleep(POLL_INTERVAL);
         };
         assert!(status.success());
     }
@@ -129,7 +129,7 @@
 
     pub fn start(&mut self) {
         let mut front = self.spawn();
-        let ((sender, ready), (says, said)) = (channel(), channel());
+        let ((sender, ready), (log_sender, log_lines)) = (channel(), channel());
         let mut log = BufReader::new(front.stderr.take().unwrap())
             .lines()
             .map_while(Result::ok);
@@ -140,12 +140,12 @@
             let _ = sender.send(found);
             log.for_each(|line| {
                 println!("{line}");
-                let _ = says.send(line);
+                let _ = log_sender.send(line);
             });
         });
-        (self.front, self.log) = (Some(front), Some(said));
-        self.listens = ready
-            .recv_timeout(PATIENCE)
+        (self.front, self.log) = (Some(front), Some(log_lines));
+        self.front_address = ready
+            .recv_timeout(WAIT_TIMEOUT)
             .unwrap()
             .expect("a front that starts");
     }
