--- a/crates/front/tests/scatter/portal.rs
+++ b/crates/front/tests/scatter/portal.rs
@@ -1,4 +1,4 @@
-//! A site's engine that speaks PostgreSQL, as far as these tests ask, and a client's session.
+//! A site's engine that speaks the part of PostgreSQL that these tests need, and a client session.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 use super::site::SiteState;
 use super::WAIT_TIMEOUT;
 
-/// One message: its kind and its body.
+/// Reads one message: its type byte and its body.
 fn message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
@@ -19,7 +19,7 @@
     Some((head[0], body))
 }
 
-/// Takes sessions for a site's rows; what a transaction writes is there from its COMMIT on.
+/// Accepts sessions for a site's rows. Rows written in a transaction become visible at its COMMIT.
 pub fn serve(state: std::sync::Arc<std::sync::Mutex<SiteState>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -88,7 +88,7 @@
     }
 }
 
-/// A client's session.
+/// A client's PostgreSQL session.
 pub struct Client(TcpStream);
 
 impl Client {
@@ -103,7 +103,7 @@
         client
     }
 
-    /// The kinds of messages up to the next word that it is ready.
+    /// Reads messages up to the next ReadyForQuery; returns their type bytes.
     fn until_ready(&mut self) -> String {
         let mut kinds = String::new();
         loop {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A simple query; false if it is answered with an error.
+    /// Sends a simple query; false if it is answered with an error.
     pub fn query(&mut self, text: &str) -> bool {
         let mut out = Vec::new();
         wire::write_query(&mut out, text.as_bytes());
@@ -123,7 +123,8 @@
         !self.until_ready().contains('E')
     }
 
-    /// Parses a text, flushes, and goes on with another: the two parts of one unit. False if either is answered with an error.
+    /// Parses a text, flushes, and parses a second one in the same unit. False if either is answered with an
+    /// error.
     pub fn query_in_two_parses(&mut self, first: &str, second: &str) -> bool {
         let parse = |text: &str, then: &[u8]| {
             let mut out = Vec::new();
--- a/crates/front/tests/scatter/process.rs
+++ b/crates/front/tests/scatter/process.rs
@@ -1,4 +1,4 @@
-//! A front's process, as these tests start and ask it.
+//! A front's process: its configuration, its start, its log and statements sent to it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 use super::site::Site;
 use super::WAIT_TIMEOUT;
 
-/// A front's process, ended with the test.
+/// A front's process, killed when dropped.
 pub struct Front {
     pub process: Child,
     pub address: SocketAddr,
@@ -39,7 +39,7 @@
     path
 }
 
-/// The operator_file's file: the sites, what is set otherwise, and the part for other fronts, where there are any.
+/// The operator's file: the sites, further keys of `scatter`, and the keys for gossip, if any.
 pub fn operator_file(sites: &[Site], directory: &Path, more: &str, gossip: &str) -> String {
     let keys: Vec<String> = sites
         .iter()
@@ -57,7 +57,7 @@
         Front::start_with_portal(name, folder, sites, operator_file, None)
     }
 
-    /// With an engine beside that speaks PostgreSQL, at the last site.
+    /// Like `start`, with an engine at the last site that speaks PostgreSQL, if an address is given.
     pub fn start_with_portal(
         name: &str,
         folder: &Path,
@@ -122,7 +122,7 @@
         front
     }
 
-    /// The next line of the log that holds a text.
+    /// Waits for the next log line that contains a text and returns it.
     pub fn wait_for_log(&self, text: &str) -> String {
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -141,17 +141,18 @@
             .success());
     }
 
-    /// Asks a statement; the reply as the client reads it, without what comes before its struct.
+    /// Sends a statement of the workload `lookup`; returns the fields of the reply, without the Thrift
+    /// message header.
     pub fn query(&mut self, customer: &str, statement: &str) -> Vec<u8> {
         self.query_within("10000", customer, statement)
     }
 
-    /// The same, with so many milliseconds for it.
+    /// Like `query`, with a time limit in milliseconds.
     pub fn query_within(&mut self, limit: &str, customer: &str, statement: &str) -> Vec<u8> {
         self.send_statement("lookup", limit, customer, statement)
     }
 
-    /// A statement that writes.
+    /// Sends a statement that writes.
     pub fn load(&mut self, statement: &str) -> Vec<u8> {
         self.send_statement("pay", "5000", "acme", statement)
     }
@@ -197,7 +198,7 @@
         frame.split_off(8 + 5 + 4)
     }
 
-    /// The rows that a statement is answered with, as their first columns.
+    /// The first column of each row of a statement's answer.
     pub fn rows(&mut self, customer: &str, statement: &str) -> Vec<i64> {
         let reply = self.query(customer, statement);
         assert!(
--- a/crates/front/tests/scatter/site.rs
+++ b/crates/front/tests/scatter/site.rs
@@ -1,4 +1,5 @@
-//! A site: one engine that holds rows, answers statements over them by its own plain reading, and signs a summary of them.
+//! A site: one engine that holds rows, evaluates the few forms of statements that the tests use, and signs a
+//! summary of its rows.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Under another key than its own.
+    /// Signs summaries with another key than the site's own.
     pub fn with_signing_key(self, key: u8) -> Site {
         Site { key, ..self }
     }
@@ -59,12 +60,12 @@
         SigningKey::from_bytes(&[self.key; 32]).verifying_key()
     }
 
-    /// Statements it was asked since the last look.
+    /// The number of statements that the site was asked since the last call.
     pub fn take_query_count(&self) -> usize {
         std::mem::take(&mut self.state.lock().unwrap().query_count)
     }
 
-    /// Whether it holds a row.
+    /// Whether the site holds a row.
     pub fn has(&self, id: i64) -> bool {
         self.state.lock().unwrap().rows.contains(&id)
     }
@@ -73,12 +74,12 @@
         self.state.lock().unwrap().is_failing = true;
     }
 
-    /// Where it takes PostgreSQL sessions.
+    /// Starts an engine that accepts PostgreSQL sessions for this site; returns its address.
     pub fn portal(&self) -> SocketAddr {
         super::portal::serve(self.state.clone())
     }
 
-    /// Writes a summary of what it holds into a directory.
+    /// Writes a summary of the site's rows into a directory.
     pub fn write_summary(&self, directory: &Path, version: u64) {
         let (header, table) = self.build_summary(version);
         let bytes =
@@ -86,7 +87,7 @@
         std::fs::write(directory.join(self.name), bytes).unwrap();
     }
 
-    /// The same in sheets, of which fronts may hold a part.
+    /// Like `write_summary`, in separately signed sheets of which fronts may hold only some.
     pub fn write_layered_summary(&self, directory: &Path, version: u64) {
         let (header, table) = self.build_summary(version);
         let bytes = layered(
@@ -152,7 +153,7 @@
 }
 
 impl SiteState {
-    /// Rows come, by a text that may carry its numbers.
+    /// Adds rows loaded by a statement, and the load numbers that its text carries, if any.
     pub fn load(&mut self, text: &str, rows: Vec<i64>) {
         self.rows.extend(rows);
         numbers(text.as_bytes())
@@ -200,7 +201,7 @@
     }
 }
 
-/// One comparison of `id`, in the few forms that these tests use.
+/// Whether a row matches one comparison of `id`, in the few forms that these tests use.
 fn matches_condition(part: &str, id: i64) -> bool {
     let numbers: Vec<i64> = part
         .split(|c: char| !c.is_ascii_digit())
--- a/crates/front/tests/scripted/engine_list.rs
+++ b/crates/front/tests/scripted/engine_list.rs
@@ -1,4 +1,4 @@
-//! Lines by which the coordinator and the configuration tell of engines.
+//! Scenario lines that change the engine list of the coordinator or of the configuration.
 
 use serde_json::{json, Value};
 
@@ -6,7 +6,7 @@
 use crate::Scenario;
 
 impl Scenario {
-    /// True if the line is one of these.
+    /// Runs a line of this group; false if the line is none of them.
     pub fn run_engine_list_line(&mut self, words: &[&str]) -> bool {
         match words[..] {
             ["list", "only", ..] => self.publish_complete_list(&words[2..].join(" ")),
@@ -36,7 +36,7 @@
         true
     }
 
-    /// A line of the list; an engine that is not known yet listens from now on.
+    /// An entry of the engine list; a new engine is started.
     fn list_entry(&mut self, name: &str, state: &str, address_of: Option<&str>) -> Value {
         if !self.engines.contains_key(name) {
             self.engines
@@ -46,7 +46,7 @@
         self.server(name, state, address, state == "up")
     }
 
-    /// The next update; if it is `heard`, waits until the front asks for what follows it.
+    /// Publishes the next update; with `wait_for_front`, waits until the front polls for what follows it.
     fn publish_list(&mut self, full: bool, servers: Vec<Value>, wait_for_front: bool) {
         let index = self.coordinator_state.0.lock().unwrap().updates.len() + 1;
         let list = json!({"version": index, "full": full, "servers": servers});
--- a/crates/front/tests/scripted/fronts.rs
+++ b/crates/front/tests/scripted/fronts.rs
@@ -1,4 +1,5 @@
-//! Several fronts at once, each with engines and clients of its own: what they promise each other.
+//! Several fronts, each with its own engines and clients, that replicate access rules and grant each other
+//! leases.
 
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,12 +14,12 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Fronts that gossip, and keep promises on all of them.
+/// Starts fronts that gossip and keep a ledger replicated on all of them.
 pub fn fleet(rules: &str) -> Vec<Scenario> {
     let secrets: Vec<[u8; 32]> = (1..=FRONTS as u8).map(|n| [n; 32]).collect();
     let key =
         |secret: &[u8; 32]| to_hex(&SigningKey::from_bytes(secret).verifying_key().to_bytes());
-    // All are free at once; each is let go of just before its front takes it.
+    // The ports are free when they are reserved; they are released just before the fronts bind them.
     let sockets: Vec<UdpSocket> = secrets
         .iter()
         .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
@@ -82,7 +83,7 @@
             "halt",
         ],
     );
-    // It lies in the socket of a front that stands still.
+    // The statement lies unread in the socket of the halted front.
     fleet[2].run_line("c asks 2 select 2");
     fleet[0].run_line(&format!("rules {}", rules(2, "here")));
     lines(
@@ -93,7 +94,8 @@
             "logs version 2 of the rules is in force",
         ],
     );
-    // Its lease ended long ago: what it knew counts for nothing, and the next statement goes where it may.
+    // The front's lease expired long ago: it must not use its old rules, and sends the next statement where
+    // version 2 allows.
     lines(
         &mut fleet[2],
         &[
@@ -107,7 +109,7 @@
             "c hears 3 completed y",
         ],
     );
-    // Its old file brings nothing back; any front tells the hits of all.
+    // The front's old file does not restore version 1; any front reports the hits of the whole fleet.
     lines(
         &mut fleet[2],
         &[
