--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -143,10 +143,10 @@
     /// Adds an engine of the list or applies a change to it. A changed id, address or start time means another
     /// engine: nothing more is sent over the connections to the former one.
     pub fn update_engine(&mut self, engine_index: EngineIndex, listed: ListedEngine) {
-        let known = self.engines.get(&engine_index);
-        let known = known.filter(|engine| engine.matches(&listed));
-        let is_unreachable = known.is_some_and(|engine| engine.is_unreachable);
-        if known.is_none() || !listed.available {
+        let current = self.engines.get(&engine_index);
+        let current = current.filter(|engine| engine.matches(&listed));
+        let is_unreachable = current.is_some_and(|engine| engine.is_unreachable);
+        if current.is_none() || !listed.available {
             self.retire(engine_index);
         }
         let former = self.engines.remove(&engine_index);
--- a/crates/front/src/execution.rs
+++ b/crates/front/src/execution.rs
@@ -6,7 +6,9 @@
 /// ticket first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ExecutionId {
+    /// The ticket of the statement.
     pub ticket: Ticket,
+    /// The execution's number among those of the statement.
     pub number: usize,
 }
 
--- a/crates/front/tests/scripted/engine.rs
+++ b/crates/front/tests/scripted/engine.rs
@@ -154,7 +154,7 @@
 
     /// The indexes of the first unclaimed command of each connection.
     fn first_of_each_connection(&self) -> impl Iterator<Item = usize> + '_ {
-        let by = |command: &ReceivedCommand| command.connection.peer_addr().ok();
+        let sender_of = |command: &ReceivedCommand| command.connection.peer_addr().ok();
         let counts = |command: &&ReceivedCommand| command.words[0] != "hurry";
         (0..self.unclaimed.len()).filter(move |at| {
             let (before, command) = (&self.unclaimed[..*at], &self.unclaimed[*at]);
@@ -162,7 +162,7 @@
                 && !before
                     .iter()
                     .filter(counts)
-                    .any(|other| by(other) == by(command))
+                    .any(|other| sender_of(other) == sender_of(command))
         })
     }
 }
@@ -265,10 +265,10 @@
             .set_linger(Some(Duration::ZERO))
             .unwrap();
         latest.shutdown(Shutdown::Read).unwrap();
-        let begun = Instant::now();
+        let started = Instant::now();
         while Arc::strong_count(&latest) > 1 {
             assert!(
-                begun.elapsed() < WAIT_TIMEOUT,
+                started.elapsed() < WAIT_TIMEOUT,
                 "a command of this connection was not claimed"
             );
             std::thread::yield_now();
@@ -287,13 +287,13 @@
     }
 
     pub fn send_reply(&mut self, name: &str, number: &str, word: &str, fields: &str, text: &str) {
-        let asked = self.engines[name].statement_connections[number].clone();
-        self.send_reply_on(&asked, number, word, fields, text);
+        let connection = self.engines[name].statement_connections[number].clone();
+        self.send_reply_on(&connection, number, word, fields, text);
     }
 
     pub fn send_reply_on(
         &mut self,
-        mut link: &TcpStream,
+        mut connection: &TcpStream,
         number: &str,
         word: &str,
         fields: &str,
@@ -305,6 +305,6 @@
             id(number),
             body.len()
         );
-        link.write_all(line.as_bytes()).unwrap();
+        connection.write_all(line.as_bytes()).unwrap();
     }
 }
--- a/crates/front/tests/scripted/machine.rs
+++ b/crates/front/tests/scripted/machine.rs
@@ -101,10 +101,10 @@
     ["c connects", "c asks 1 select 1", "stop"]
         .iter()
         .for_each(|line| scenario.run_line(line));
-    let asked = Instant::now();
+    let started = Instant::now();
     std::thread::sleep(AFTER_LISTENER_CLOSE);
     scenario.machine_faults().fail(Call::Accept, 0).unwrap();
-    if asked.elapsed() > LATEST_RECOVERY {
+    if started.elapsed() > LATEST_RECOVERY {
         return false;
     }
     scenario.run_line("c hears 1 rejected");
