--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -112,7 +112,10 @@
         let link = match Link::dial(engine.address, &self.handle, SocketKind::Engine.id(id)) {
             Ok(link) => link,
             Err(error) => {
-                log::warn!("engine {}: no connection can be made: {error}", engine.id);
+                log::warn!(
+                    "engine {}: no connection can be made: {error}; existing connections are used if there are any",
+                    engine.id
+                );
                 return Err(ending_of_failed_dial(&error));
             }
         };
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -33,6 +33,7 @@
         self.end_unsent_cancels(id, ending);
     }
 
+    /// Ends the executions that are open on a closed connection, and fails its health checks.
     fn end_open_executions(&mut self, connection: EngineConnection, ending: Ending) {
         let mut open: Vec<ExecutionId> = connection.open.into_values().collect();
         open.sort_unstable();
@@ -166,11 +167,14 @@
             engine.id
         );
     } else if !connection.up && !std::mem::replace(&mut engine.is_unreachable, true) {
-        log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
+        log::warn!(
+            "engine {}: can't be reached: {ending:?}; further failures are not logged until it is reached",
+            engine.id
+        );
     } else if connection.up && !connection.open.is_empty() {
         let count = connection.open.len();
         log::warn!(
-            "engine {}: connection lost with {count} executions: {ending:?}",
+            "engine {}: connection lost with {count} executions: {ending:?}; those already sent may have run",
             engine.id
         );
     }
