--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -1,4 +1,4 @@
-//! Connections to query engines: executions out, answers put together from their pages.
+//! Connections to query engines: sends executions and assembles results from their pages.
 
 mod cancels;
 mod capacity;
@@ -25,32 +25,32 @@
 use crate::reuse::ReusePolicy;
 use connection::{ConnectionId, EngineConnection};
 use execution::{Execution, Stage};
-use pending_cancel::AwaitingCancel;
+use pending_cancel::PendingCancel;
 
-/// Descriptors that are neither clients' nor engines'; the rest is for engines.
-const OTHER_DESCRIPTORS: usize = 32;
-/// Microseconds by which an idle connection is closed before its engine would close it.
+/// File descriptors reserved for uses other than connections to clients and engines.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Microseconds before the engine's keepalive ends at which an idle connection is closed here.
 const IDLE_MARGIN: Micros = 1_000_000;
 
-/// What engines have answered, and how executions have ended.
+/// A reply of an engine, or the end of an execution, for the event loop to handle.
 pub enum Event {
-    /// An execution is over.
-    Ended {
+    /// An execution has ended.
+    ExecutionEnded {
         execution_id: ExecutionId,
         ending: Ending,
-        /// The engine's load report, where one came with the answer.
+        /// The engine's load report, if the answer carried one.
         report: Option<Vec<f64>>,
-        /// The rows; empty unless it was answered.
+        /// The rows of the result; empty unless the ending is `Answered`.
         result: Vec<u8>,
     },
-    /// An execution goes on.
-    Noted {
+    /// An execution is still running and its engine has reported its progress.
+    Progress {
         execution_id: ExecutionId,
-        note: ProgressReport,
+        progress: ProgressReport,
     },
-    /// The outcome of a health check.
-    Probed {
-        place: EngineIndex,
+    /// A health check has been answered or has timed out.
+    ProbeEnded {
+        engine_index: EngineIndex,
         alive: bool,
         report: Option<Vec<f64>>,
     },
@@ -58,68 +58,71 @@
 
 struct Engine {
     id: String,
-    at: SocketAddr,
-    started: f64,
-    /// Executions may go there.
+    address: SocketAddr,
+    started_ms: f64,
+    /// Executions may be sent to this engine.
     available: bool,
     connections: Vec<ConnectionId>,
-    /// Its last connection did not come up.
-    failing: bool,
+    /// The last connection attempt failed, and none has succeeded since.
+    is_unreachable: bool,
 }
 
 impl Engine {
-    /// Whether the list still means this engine.
-    fn is(&self, listed: &ListedEngine) -> bool {
-        self.id == listed.id && self.at == listed.address && self.started == listed.started_ms
+    /// Whether an entry of the list denotes this engine: same id, address and start time.
+    fn matches(&self, listed: &ListedEngine) -> bool {
+        self.id == listed.id
+            && self.address == listed.address
+            && self.started_ms == listed.started_ms
     }
 }
 
-/// All engines of the list, the connections to them and the executions on these.
+/// All engines of the list, the connections to them, and the executions on these connections.
 pub struct Engines {
     handle: LoopHandle<'static, LoopEvents>,
-    allowance: NetworkSettings,
+    network: NetworkSettings,
     report_names: Vec<String>,
     engines: BTreeMap<EngineIndex, Engine>,
     connections: BTreeMap<ConnectionId, EngineConnection>,
     executions: BTreeMap<ExecutionId, Execution>,
-    /// The number given last, to a connection or a health check.
-    next: u64,
+    /// The number last assigned to a connection or a health check.
+    last_number: u64,
     max_connections: usize,
-    /// When connections may be made; any time where nothing else is set.
+    /// Limits the rate of new connections; unlimited unless replaced.
     pub dials: DialPacer,
     reuse: ReusePolicy,
-    /// Cancelled, but their engines may not have read so yet, in the order in which they were.
-    awaiting_cancel: Vec<AwaitingCancel>,
-    /// What has happened since the events were last taken.
+    /// Cancelled executions whose engines may not have read the cancel yet, in order of cancellation.
+    pending_cancels: Vec<PendingCancel>,
+    /// Events since the event loop last took them.
     pub events: Vec<Event>,
 }
 
 impl Engines {
-    /// No engines yet; `limit` and `list` come before anything is sent.
+    /// Creates an empty set. Call `set_descriptor_limit` and `update_engine` before sending anything.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
-        allowance: NetworkSettings,
+        network: NetworkSettings,
         names: &Names,
     ) -> Self {
         Engines {
             handle,
-            reuse: ReusePolicy::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
-            allowance,
+            reuse: ReusePolicy::new((network.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
+            network,
             report_names: names.report.clone(),
             engines: BTreeMap::new(),
             connections: BTreeMap::new(),
             executions: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
             max_connections: 0,
             dials: dial_pacer::unlimited(),
-            awaiting_cancel: Vec::new(),
+            pending_cancels: Vec::new(),
             events: Vec::new(),
         }
     }
 
-    /// Sets the descriptors for connections to engines: those given, less what the rest of the front needs.
-    pub fn limit(&mut self, sockets: usize) {
-        self.max_connections = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
+    /// Limits the connections to engines to the given descriptors less `RESERVED_DESCRIPTORS`, but to no
+    /// fewer than one.
+    pub fn set_descriptor_limit(&mut self, descriptors: usize) {
+        self.max_connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(1);
     }
 
     fn report_end(&mut self, execution_id: ExecutionId, ending: Ending) {
@@ -129,7 +132,7 @@
             execution_id.number
         );
         self.executions.remove(&execution_id);
-        self.events.push(Event::Ended {
+        self.events.push(Event::ExecutionEnded {
             execution_id,
             ending,
             report: None,
@@ -137,41 +140,43 @@
         });
     }
 
-    /// An engine of the list, new or changed. One at another address or start is another: nothing more is sent over
-    /// the connections to the former.
-    pub fn list(&mut self, place: EngineIndex, listed: ListedEngine) {
-        let known = self.engines.get(&place);
-        let known = known.filter(|engine| engine.is(&listed));
-        let failing = known.is_some_and(|engine| engine.failing);
-        if known.is_none() || !listed.available {
-            self.retire(place);
+    /// Adds an engine of the list or applies a change to it. A changed id, address or start time means another
+    /// engine: nothing more is sent over the connections to the former one.
+    pub fn update_engine(&mut self, engine_index: EngineIndex, listed: ListedEngine) {
+        let current = self.engines.get(&engine_index);
+        let current = current.filter(|engine| engine.matches(&listed));
+        let is_unreachable = current.is_some_and(|engine| engine.is_unreachable);
+        if current.is_none() || !listed.available {
+            self.retire(engine_index);
         }
-        let former = self.engines.remove(&place);
+        let former = self.engines.remove(&engine_index);
         let engine = Engine {
             id: listed.id.to_string(),
-            at: listed.address,
-            started: listed.started_ms,
+            address: listed.address,
+            started_ms: listed.started_ms,
             available: listed.available,
             connections: former.map(|engine| engine.connections).unwrap_or_default(),
-            failing,
+            is_unreachable,
         };
-        self.engines.insert(place, engine);
+        self.engines.insert(engine_index, engine);
     }
 
-    /// A whole list has come: engines that it does not name are gone.
-    pub fn retire_others(&mut self, listed: &[EngineIndex]) {
-        let places: Vec<EngineIndex> = self
+    /// Retires every engine that a complete list does not name.
+    pub fn retire_unlisted(&mut self, listed: &[EngineIndex]) {
+        let engine_indexes: Vec<EngineIndex> = self
             .engines
             .keys()
             .copied()
-            .filter(|p| !listed.contains(p))
+            .filter(|index| !listed.contains(index))
             .collect();
-        places.into_iter().for_each(|place| self.retire(place));
+        engine_indexes
+            .into_iter()
+            .for_each(|engine_index| self.retire(engine_index));
     }
 
-    /// What has not left for an engine stays here; what is out may still be answered.
-    pub fn retire(&mut self, place: EngineIndex) {
-        let Some(engine) = self.engines.get_mut(&place) else {
+    /// Sends nothing more to an engine. Queued executions are withdrawn; those in flight may still be answered.
+    pub fn retire(&mut self, engine_index: EngineIndex) {
+        let Some(engine) = self.engines.get_mut(&engine_index) else {
             return;
         };
         engine.available = false;
@@ -186,6 +191,7 @@
         }
     }
 
+    /// Ends an execution that was not sent, as withdrawn.
     fn withdraw(&mut self, connection: ConnectionId, execution_id: ExecutionId) {
         if let (Some(connection), Some(execution)) = (
             self.connections.get_mut(&connection),
@@ -196,18 +202,18 @@
         self.report_end(execution_id, Ending::Withdrawn);
     }
 
-    /// Nobody waits for a statement any more: what has not left for an engine never will.
-    pub fn abandon(&mut self, ticket: Ticket) {
-        let of_ticket = self
+    /// Withdraws the queued executions of a statement that no client waits for any more.
+    pub fn withdraw_queued(&mut self, ticket: Ticket) {
+        let ticket_executions = self
             .executions
             .range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
-        let queued = of_ticket.filter(|(_, execution)| execution.stage == Stage::Queued);
+        let queued = ticket_executions.filter(|(_, execution)| execution.stage == Stage::Queued);
         let queued: Vec<(ExecutionId, ConnectionId)> = queued
             .map(|(execution_id, execution)| (*execution_id, execution.connection))
             .collect();
         for (execution_id, id) in queued {
             if let Some(connection) = self.connections.get_mut(&id) {
-                connection.queue.retain(|other| *other != execution_id);
+                connection.queue.retain(|queued| *queued != execution_id);
             }
             self.withdraw(id, execution_id);
         }
@@ -217,8 +223,8 @@
         let engine = self
             .connections
             .get(&connection)
-            .and_then(|l| self.engines.get(&l.place));
-        engine.map_or("?", |e| &e.id)
+            .and_then(|connection| self.engines.get(&connection.engine_index));
+        engine.map_or("?", |engine| &engine.id)
     }
 }
 
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -93,7 +93,7 @@
         // Executions that wait for a connection are withdrawn even if the settings do not allow cancelling.
         tickets
             .iter()
-            .for_each(|ticket| self.engines.abandon(*ticket));
+            .for_each(|ticket| self.engines.withdraw_queued(*ticket));
         let withdrawn = self.withdraw_all_held(&tickets);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         match self
