--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -175,7 +175,7 @@
         let sessions_left = self.connections_left();
         if let Some(gateway) = &mut self.gateway {
             gateway.accept(self.clock.now, sessions_left);
-            gateway.take(self.clock.now, admission, &mut self.dispatcher);
+            gateway.read_unfinished(self.clock.now, admission, &mut self.dispatcher);
             gateway.expire(self.clock.now, admission, &mut self.dispatcher);
         }
         let mut events = Vec::new();
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -74,11 +74,11 @@
     /// The current state that the admission of sessions' units depends on.
     pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
-        let full =
+        let at_capacity =
             held > self.max_bytes || self.dispatcher.statements_held() >= self.max_statements;
         AdmissionState {
-            waited: self.clock.unread_time(),
-            full,
+            unread_time: self.clock.unread_time(),
+            at_capacity,
         }
     }
 
@@ -86,14 +86,14 @@
     pub(super) fn is_session_statement(&self, ticket: Ticket) -> bool {
         self.gateway
             .as_ref()
-            .is_some_and(|gateway| gateway.owns(ticket))
+            .is_some_and(|gateway| gateway.owns_statement(ticket))
     }
 
     /// Whether an execution belongs to a PostgreSQL session.
     pub(super) fn is_session_execution(&self, execution_id: ExecutionId) -> bool {
         self.gateway
             .as_ref()
-            .is_some_and(|gateway| gateway.has(execution_id))
+            .is_some_and(|gateway| gateway.has_execution(execution_id))
     }
 
     /// Applies the decisions of the access rules: releases executions that they held, or ends statements.
@@ -233,7 +233,7 @@
     fn load(&mut self, ticket: Ticket) -> Option<Load> {
         self.scatter.as_ref()?.loads.as_ref()?;
         if self.is_session_statement(ticket) {
-            return self.gateway.as_mut()?.load(ticket);
+            return self.gateway.as_mut()?.unit_load(ticket);
         }
         self.call(ticket).map(Load::Call)
     }
@@ -289,7 +289,7 @@
             // The session is notified of the reason, although nothing was sent.
             self.gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.stop(now, execution_id, ending));
+                .for_each(|gateway| gateway.cancel_execution(now, execution_id, ending));
             self.dispatcher.execution_ended(
                 now,
                 execution_id.ticket,
@@ -300,7 +300,7 @@
         } else if self.is_session_execution(execution_id) {
             self.gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.stop(now, execution_id, ending));
+                .for_each(|gateway| gateway.cancel_execution(now, execution_id, ending));
         } else {
             self.engines.cancel(now, execution_id, ending);
         }
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -42,7 +42,7 @@
         if list.is_full {
             self.engines.retire_others(&places);
             if let Some(gateway) = &mut self.gateway {
-                gateway.servers().retire_others(&places);
+                gateway.servers().retire_unlisted(&places);
             }
         }
         for ((engine, place), start) in list.engines.iter().zip(places).zip(starts) {
@@ -72,7 +72,9 @@
             match &address {
                 Ok(address) => {
                     let address = protocols.postgres_address(*address);
-                    gateway.servers().list(place, listed_engine(address));
+                    gateway
+                        .servers()
+                        .update_engine(place, listed_engine(address));
                 }
                 Err(_) => gateway.servers().retire(place),
             }
--- a/crates/front/src/event_loop/limits.rs
+++ b/crates/front/src/event_loop/limits.rs
@@ -23,7 +23,7 @@
             Some(gateway) => {
                 let lingering = (limits.sockets / LINGERING_DIVISOR).min(MAX_LINGERING);
                 let engines = engines - lingering;
-                gateway.limit(engines / 2, lingering);
+                gateway.set_descriptor_limits(engines / 2, lingering);
                 self.engines.limit(engines - engines / 2);
             }
             None => self.engines.limit(engines),
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -122,7 +122,7 @@
     let mut gateway = gateway.map_err(|error| StartError::component(&error))?;
     let scatter = config.operator.scatter.as_ref();
     if let Some(scatter) = scatter.filter(|scatter| scatter.marked) {
-        gateway.writes = scatter.writes.clone();
+        gateway.writing_workloads = scatter.writes.clone();
     }
     Ok(Some(gateway))
 }
--- a/crates/front/src/postgres/admission_state.rs
+++ b/crates/front/src/postgres/admission_state.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy)]
 pub struct AdmissionState {
     /// Microseconds for which what is found now may have waited.
-    pub waited: Micros,
+    pub unread_time: Micros,
     /// No more statements can be taken.
-    pub full: bool,
+    pub at_capacity: bool,
 }
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -40,7 +40,7 @@
     /// Regional access rules, where they are switched on.
     rules: Option<Shared>,
     /// Workloads whose units may write, where loads are marked.
-    pub writes: Vec<String>,
+    pub writing_workloads: Vec<String>,
     shut: Option<Micros>,
     /// Connections with more to read than one iteration takes, that the event loop does not report again.
     unfinished: Vec<SocketId>,
@@ -83,7 +83,7 @@
             retry_after_ms: settings.agreement.max_retry_after.map(|time| time / 1000),
             shut: None,
             rules,
-            writes: Vec::new(),
+            writing_workloads: Vec::new(),
             unfinished: Vec::new(),
             handle,
         };
@@ -93,7 +93,7 @@
 
     /// Descriptors that its engine connections may use, and those that sessions which are being closed have
     /// beside those of clients.
-    pub fn limit(&mut self, descriptors: usize, lingering: usize) {
+    pub fn set_descriptor_limits(&mut self, descriptors: usize, lingering: usize) {
         self.servers.limit(descriptors);
         self.sessions.limit(lingering);
     }
@@ -119,13 +119,13 @@
     }
 
     /// Whether a statement is a session's.
-    pub fn owns(&self, ticket: Ticket) -> bool {
+    pub fn owns_statement(&self, ticket: Ticket) -> bool {
         self.sessions.owns(ticket)
     }
 
     /// Whether an execution is out for a session, or was when it left.
-    pub fn has(&self, execution_id: ExecutionId) -> bool {
-        self.servers.has(execution_id)
+    pub fn has_execution(&self, execution_id: ExecutionId) -> bool {
+        self.servers.has_execution(execution_id)
     }
 
     /// What engines of a kind speak: sessions at a port of their own beside lines, or in their place.
@@ -194,7 +194,12 @@
     }
 
     /// Reads on where an iteration has left more, and takes the units that have come.
-    pub fn take(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
+    pub fn read_unfinished(
+        &mut self,
+        now: Micros,
+        admission: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) {
         for socket in std::mem::take(&mut self.unfinished) {
             self.read_on(now, socket);
         }
@@ -306,7 +311,7 @@
     }
 
     /// Ends an execution, wherever it is.
-    pub fn stop(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
+    pub fn cancel_execution(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let running = self
             .sessions
             .by_ticket(execution_id.ticket)
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -26,7 +26,7 @@
     /// Workloads, and how long their clients wait, in microseconds.
     timeouts: &'a [(String, Micros)],
     /// Workloads whose units may write, where loads are marked.
-    writes: &'a [String],
+    writing_workloads: &'a [String],
     /// Microseconds that an answer may take on its way to a client.
     answer_slack: Micros,
     retry_after_ms: Option<i64>,
@@ -52,15 +52,15 @@
     ) -> Result<AdmittedUnit, ClientError> {
         let label = open_session.session.label(part);
         let terms = terms(&label, &open_session.user, self.timeouts)?;
-        if loads::passes_for_numbered(self.writes, part) {
+        if loads::passes_for_numbered(self.writing_workloads, part) {
             return Err(loads::NUMBERED);
         }
-        if admission.full {
+        if admission.at_capacity {
             return Err(self.rejected());
         }
         let own_timeout = open_session.session.statement_timeout(&label);
         let timeout = terms.timeout.min(own_timeout.unwrap_or(Micros::MAX));
-        let waited = (now - since).max(admission.waited);
+        let waited = (now - since).max(admission.unread_time);
         let judged = self.judge(now, &terms, part);
         if judged == Decision::RulesUnknown {
             return Err(self.rejected());
@@ -140,7 +140,7 @@
         let policy = AdmissionPolicy {
             rules: self.rules.as_ref(),
             timeouts: &self.timeouts,
-            writes: &self.writes,
+            writing_workloads: &self.writing_workloads,
             answer_slack: self.answer_slack,
             retry_after_ms: self.retry_after_ms,
         };
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -28,7 +28,7 @@
 
 impl Gateway {
     /// What an execution of a unit may write. None: nothing that needs a mark.
-    pub fn load(&mut self, ticket: Ticket) -> Option<Load> {
+    pub fn unit_load(&mut self, ticket: Ticket) -> Option<Load> {
         let (_, open_session) = self.sessions.by_ticket(ticket)?;
         let held = open_session.session.transaction != Transaction::None;
         if !held {
@@ -37,7 +37,7 @@
         let parts = open_session.running.as_ref()?.parts.clone();
         if parts
             .first()
-            .is_some_and(|part| writes(&self.writes, open_session, part))
+            .is_some_and(|part| writes(&self.writing_workloads, open_session, part))
         {
             let named = parts.iter().flat_map(|part| part.texts()).flat_map(groups);
             open_session.touched.extend(named);
@@ -51,7 +51,7 @@
 
     /// Whether more of a unit that is out names groups that nothing of it has named before.
     pub(super) fn names_unmarked_groups(&mut self, ticket: Ticket, part: &UnitPart) -> bool {
-        if self.writes.is_empty() {
+        if self.writing_workloads.is_empty() {
             return false;
         }
         let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
@@ -63,7 +63,9 @@
         let Some(first) = running.parts.first() else {
             return false;
         };
-        if !writes(&self.writes, open_session, first) && !writes(&self.writes, open_session, part) {
+        if !writes(&self.writing_workloads, open_session, first)
+            && !writes(&self.writing_workloads, open_session, part)
+        {
             return false;
         }
         // The last part is this one.
--- a/crates/front/src/postgres/gateway/server_events.rs
+++ b/crates/front/src/postgres/gateway/server_events.rs
@@ -38,7 +38,7 @@
             }
             self.handle_session_events(now, admission, dispatcher);
         }
-        self.take(now, admission, dispatcher);
+        self.read_unfinished(now, admission, dispatcher);
     }
 
     fn handle_server_event(&mut self, now: Micros, dispatcher: &mut Dispatcher, event: Event) {
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -220,7 +220,7 @@
     }
 
     /// Whether an execution is one of its own, also where it only waits for its request to cancel.
-    pub fn has(&self, execution_id: ExecutionId) -> bool {
+    pub fn has_execution(&self, execution_id: ExecutionId) -> bool {
         let ends = |cancel: &Cancel| {
             cancel
                 .ends
@@ -235,7 +235,7 @@
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
-    pub fn list(&mut self, place: EngineIndex, listed: ListedEngine) {
+    pub fn update_engine(&mut self, place: EngineIndex, listed: ListedEngine) {
         let ListedEngine {
             id,
             address: at,
@@ -267,7 +267,7 @@
     }
 
     /// A whole list has come: engines that it does not name are gone.
-    pub fn retire_others(&mut self, listed: &[EngineIndex]) {
+    pub fn retire_unlisted(&mut self, listed: &[EngineIndex]) {
         let places: Vec<EngineIndex> = self
             .engines
             .keys()
--- a/crates/front/src/postgres/servers_cancel_tests.rs
+++ b/crates/front/src/postgres/servers_cancel_tests.rs
@@ -92,10 +92,10 @@
     driven.servers.cancel_execution(0, FIRST, Ending::GivenUp);
     let mut cancel = engine.accept().unwrap().0;
     driven.hears(0, &mut cancel, &cancel_request());
-    assert!(driven.servers.has(FIRST));
+    assert!(driven.servers.has_execution(FIRST));
     driven.servers.cancel_execution(1, FIRST, Ending::TimeUp);
     assert_eq!(driven.ended(), [(FIRST, Ending::TimeUp)]);
-    assert!(!driven.servers.has(FIRST));
+    assert!(!driven.servers.has_execution(FIRST));
     driven.servers.cancel_execution(2, FIRST, Ending::TimeUp);
     driven.servers.expire(CANCEL_TIMEOUT);
     assert_eq!(driven.ended(), []);
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -53,7 +53,7 @@
             connection_age: 60_000_000,
         };
         let mut servers = Servers::new(events.handle(), allowance, limits);
-        servers.list(PLACE, listed(engine, true));
+        servers.update_engine(PLACE, listed(engine, true));
         Driven { events, servers }
     }
 
@@ -284,7 +284,7 @@
     driven.servers.expire(2 * DIAL_TIMEOUT);
     assert_eq!(driven.ended(), []);
     assert!(driven.servers.links.is_empty() && driven.servers.connecting.is_empty());
-    assert!(!driven.servers.has(FIRST));
+    assert!(!driven.servers.has_execution(FIRST));
 }
 
 #[test]
@@ -331,7 +331,7 @@
     driven.hears(0, &mut link, b"search_path");
     let left = |event: &Event| matches!(event, Event::Irrevocable(_));
     assert!(!driven.servers.events.iter().any(left));
-    driven.servers.list(PLACE, listed(at, false));
+    driven.servers.update_engine(PLACE, listed(at, false));
     assert_eq!(driven.ended(), [(FIRST, Ending::Withdrawn)]);
     let heard = driven.hears(0, &mut link, b"");
     assert!(
--- a/crates/front/src/postgres/session_close_tests.rs
+++ b/crates/front/src/postgres/session_close_tests.rs
@@ -43,7 +43,11 @@
     /// Its sessions may be so many, and so many of those that are being closed have descriptors beside that.
     fn has_room(&mut self, sessions: usize, lingering: usize) {
         self.front.max_clients = sessions;
-        self.front.gateway.as_mut().unwrap().limit(64, lingering);
+        self.front
+            .gateway
+            .as_mut()
+            .unwrap()
+            .set_descriptor_limits(64, lingering);
     }
 }
 
