--- a/crates/front/src/event_loop_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -454,7 +454,7 @@
     assert!(harness.receive(&mut session).is_empty());
     write_clock(
         &harness.files[0],
-        CLOSE_TIME + 2_500_000 + session_close::LINGERS_AT_END,
+        CLOSE_TIME + 2_500_000 + session_close::SHUTDOWN_LINGER_TIME,
     );
     harness.run_iteration();
     assert!(harness.front.is_done());
--- a/crates/front/src/postgres/cancel_endings_tests.rs
+++ b/crates/front/src/postgres/cancel_endings_tests.rs
@@ -2,32 +2,32 @@
 
 use super::*;
 
-const STEP: Micros = 100_000; // microseconds: more at once would pass for a front that stood still
+const CLOCK_STEP: Micros = 100_000; // microseconds: more at once would pass for a front that stood still
 const LONG_DIAL_TIMEOUT_MS: u32 = 5_000; // milliseconds: a request to cancel has longer than a client waits
 
 impl FrontHarness {
     /// Asks for a unit, and goes on until it is given up: its engine is silent, and does not take the request
     /// to cancel either. Says which engine that is, with its other connections, and when it was.
-    fn gives_up(
+    fn run_until_cancelled(
         &mut self,
         engines: &[&TcpListener],
         session: &mut TcpStream,
     ) -> (usize, Vec<TcpStream>, Micros) {
         send_query(session, "select 1");
-        let (silent, mut link) = self.dials_one(engines);
+        let (silent, mut link) = self.accept_dial_from_any(engines);
         accept_login(&mut link);
         self.receive_until(&mut link, "select 1");
         let request = cancel_request(wire::CancelKey {
             process: 1,
             secret: 1,
         });
-        let (mut peers, mut heard, mut time) = (Vec::new(), Vec::new(), START);
-        while heard != request {
-            time += STEP;
-            assert!(time < START + STATEMENT_TIME, "it is not given up");
+        let (mut peers, mut received, mut time) = (Vec::new(), Vec::new(), START);
+        while received != request {
+            time += CLOCK_STEP;
+            assert!(time < START + STATEMENT_TIMEOUT, "it is not given up");
             self.set_time(time);
             while let Ok((mut peer, _)) = engines[silent].accept() {
-                heard = self.receive(&mut peer);
+                received = self.receive(&mut peer);
                 peers.push(peer);
             }
         }
@@ -35,8 +35,8 @@
     }
 
     /// Goes on until the front knows that its connection to its one engine, which rested, is gone.
-    fn has_no_connection(&mut self) {
-        let begun = Instant::now();
+    fn wait_until_connection_closed(&mut self) {
+        let started = Instant::now();
         // It may make one.
         while self
             .front
@@ -47,7 +47,7 @@
             .capacity(START, 0)
             > 1
         {
-            assert!(begun.elapsed() < WAIT_LIMIT);
+            assert!(started.elapsed() < WAIT_LIMIT);
             self.run_iteration();
         }
     }
@@ -67,7 +67,7 @@
     let mut out = Vec::new();
     wire::write_start_up(&mut out, &[("user", "portal"), ("database", "x")]);
     session.write_all(&out).unwrap();
-    let welcome = harness.hears_messages(&mut session);
+    let welcome = harness.receive_messages(&mut session);
     let key = welcome.iter().find(|message| message[0] == b'K').unwrap();
     let number = |at: usize| u32::from_be_bytes(key[at..at + 4].try_into().unwrap());
     send_query(&mut session, "select 1");
@@ -78,14 +78,14 @@
         secret: number(9),
     };
     canceller.write_all(&cancel_request(key)).unwrap();
-    harness.hears_error(&mut session, "57014");
+    harness.assert_error(&mut session, "57014");
     accept_login(&mut link);
     // It is not sent once the connection is there: the next one is.
     send_query(&mut session, "select 2");
-    let heard = harness.receive_until(&mut link, "select 2");
-    assert!(!heard.contains("select 1"), "{heard:?}");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    let received = harness.receive_until(&mut link, "select 2");
+    assert!(!received.contains("select 1"), "{received:?}");
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
 }
 
 #[test]
@@ -95,33 +95,33 @@
     let mut harness = FrontHarness::with_two("time-up", [at_one, at_other], DIAL_TIMEOUT_MS);
     let mut session = harness.open_session();
     send_query(&mut session, "select 1");
-    let (silent, mut link) = harness.dials_one(&engines);
+    let (silent, mut link) = harness.accept_dial_from_any(&engines);
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 1");
-    harness.set_time(START + STATEMENT_TIME);
+    harness.set_time(START + STATEMENT_TIMEOUT);
     // No time passes any more.
-    harness.hears_error(&mut session, "57014");
-    assert!(harness.hears_to_the_end(&mut link).is_empty());
+    harness.assert_error(&mut session, "57014");
+    assert!(harness.receive_to_end(&mut link).is_empty());
     // It is pinged by a login as well: it had been silent.
     let request = cancel_request(wire::CancelKey {
         process: 1,
         secret: 1,
     });
-    let mut heard = Vec::new();
-    while heard != request {
+    let mut received = Vec::new();
+    while received != request {
         let mut peer = harness
             .run_until("a request to cancel", |_| engines[silent].accept().ok())
             .0;
-        heard = harness.receive(&mut peer);
+        received = harness.receive(&mut peer);
     }
     send_query(&mut session, "select 2");
-    let (number, mut link) = harness.dials_one(&engines);
+    let (number, mut link) = harness.accept_dial_from_any(&engines);
     assert_ne!(number, silent);
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 2");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-    harness.goes_on_usably(&mut session, &mut link);
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+    harness.assert_session_usable(&mut session, &mut link);
 }
 
 #[test]
@@ -130,10 +130,10 @@
     let mut harness =
         FrontHarness::with_two("time-up-given-up", [at_one, at_other], LONG_DIAL_TIMEOUT_MS);
     let mut session = harness.open_session();
-    let (_, _peers, time) = harness.gives_up(&[&one, &other], &mut session);
-    assert!(time < START + STATEMENT_TIME);
-    harness.set_time(START + STATEMENT_TIME);
-    harness.hears_error(&mut session, "57014");
+    let (_, _peers, time) = harness.run_until_cancelled(&[&one, &other], &mut session);
+    assert!(time < START + STATEMENT_TIMEOUT);
+    harness.set_time(START + STATEMENT_TIMEOUT);
+    harness.assert_error(&mut session, "57014");
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let mut harness =
         FrontHarness::with_two("cancel-not-taken", [at_one, at_other], DIAL_TIMEOUT_MS);
     let mut session = harness.open_session();
-    let (silent, peers, time) = harness.gives_up(&engines, &mut session);
+    let (silent, peers, time) = harness.run_until_cancelled(&engines, &mut session);
     // It may still run there: nobody else has it until the request has had its time.
     let cancel_by = time + 2 * Micros::from(DIAL_TIMEOUT_MS) * 1000;
     harness.set_time(cancel_by - 1);
@@ -153,9 +153,9 @@
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 1");
     drop(peers);
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-    harness.goes_on_usably(&mut session, &mut link);
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+    harness.assert_session_usable(&mut session, &mut link);
 }
 
 #[test]
@@ -164,26 +164,29 @@
     let mut harness = FrontHarness::new("time-up-waiting", at, true);
     let mut session = harness.open_session();
     // It is up before a login would be late.
-    let mut link = harness.has_out(&engine, &mut session, "SET statement_timeout = 1000");
-    answers(&mut link, "SET");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    let mut link = harness.start_unit(&engine, &mut session, "SET statement_timeout = 1000");
+    send_idle_completion(&mut link, "SET");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
     drop(link);
-    harness.has_no_connection();
+    harness.wait_until_connection_closed();
     send_query(&mut session, COMMIT);
     let _link = harness.accept_dial(&engine);
-    harness.set_time(START + LOGIN_TIME / 2);
-    harness.hears_error(&mut session, "57014");
+    harness.set_time(START + LOGIN_TIMEOUT / 2);
+    harness.assert_error(&mut session, "57014");
 }
 
 /// A session with a setting, whose unit waits for that to be brought over to the connection that it has.
-fn waits_for_settings(harness: &mut FrontHarness, engine: &TcpListener) -> (TcpStream, TcpStream) {
+fn start_settings_transfer(
+    harness: &mut FrontHarness,
+    engine: &TcpListener,
+) -> (TcpStream, TcpStream) {
     let mut session = harness.open_session();
-    let mut link = harness.has_out(engine, &mut session, "SET statement_timeout = 1000");
-    answers(&mut link, "SET");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    let mut link = harness.start_unit(engine, &mut session, "SET statement_timeout = 1000");
+    send_idle_completion(&mut link, "SET");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
     send_query(&mut session, COMMIT);
-    let heard = harness.receive_until(&mut link, "statement_timeout");
-    assert!(!heard.contains("insert"), "{heard:?}");
+    let received = harness.receive_until(&mut link, "statement_timeout");
+    assert!(!received.contains("insert"), "{received:?}");
     (session, link)
 }
 
@@ -191,13 +194,13 @@
 fn a_commit_whose_settings_are_still_brought_over_is_not_in_doubt_once_its_time_is_up() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("time-up-with-settings", at, true);
-    let (mut session, mut link) = waits_for_settings(&mut harness, &engine);
+    let (mut session, mut link) = start_settings_transfer(&mut harness, &engine);
     harness.set_time(START + 1_000_000);
-    harness.hears_error(&mut session, "57014");
-    let heard = harness.hears_to_the_end(&mut link);
+    harness.assert_error(&mut session, "57014");
+    let received = harness.receive_to_end(&mut link);
     assert!(
-        !String::from_utf8_lossy(&heard).contains("insert"),
-        "{heard:?}"
+        !String::from_utf8_lossy(&received).contains("insert"),
+        "{received:?}"
     );
 }
 
@@ -206,13 +209,17 @@
     let (engine, at) = listener();
     // Engines are not told to give anything up.
     let mut harness = FrontHarness::new("left-with-settings", at, false);
-    let (session, mut link) = waits_for_settings(&mut harness, &engine);
+    let (session, mut link) = start_settings_transfer(&mut harness, &engine);
     drop(session);
     harness.run_until("its end is known", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
     });
-    answers(&mut link, "SET");
+    send_idle_completion(&mut link, "SET");
     // Its connection goes with it.
-    let heard = harness.receive(&mut link);
-    assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
+    let received = harness.receive(&mut link);
+    assert!(
+        received.is_empty(),
+        "{}",
+        String::from_utf8_lossy(&received)
+    );
 }
--- a/crates/front/src/postgres/engine_endings_tests.rs
+++ b/crates/front/src/postgres/engine_endings_tests.rs
@@ -6,17 +6,17 @@
 #[path = "cancel_endings_tests.rs"]
 mod cancel_endings;
 
-const LOGIN_TIME: Micros = 2_000_000; // microseconds that an engine has for a login
-const STATEMENT_TIME: Micros = 8_000_000; // microseconds that a client of `FrontHarness` waits
+const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds that an engine has for a login
+const STATEMENT_TIMEOUT: Micros = 8_000_000; // microseconds that a client of `FrontHarness` waits
 const DIAL_TIMEOUT_MS: u32 = 250; // milliseconds; a request to cancel has twice as long
 const LATE_ITERATIONS: usize = 3; // the late one, the one behind it, and one that is on time
-const MORE_THAN_HELD: usize = 200 << 10; // bytes of an answer, of which a part goes on before the rest
+const UNBUFFERED_BYTES: usize = 200 << 10; // bytes of an answer, of which a part goes on before the rest
 const COMMIT: &str = "begin; insert into t values (1); commit"; // a unit that may not run twice
 
 impl FrontHarness {
     /// With two engines, and further attempts until a client's time is up.
     fn with_two(name: &str, engines: [SocketAddr; 2], dial_timeout_ms: u32) -> FrontHarness {
-        let slo_time_ms = (STATEMENT_TIME / 1000) as u32;
+        let slo_time_ms = (STATEMENT_TIMEOUT / 1000) as u32;
         let bounds = json!({"cancelling": true, "mostTries": 3, "dialTimeoutMs": dial_timeout_ms});
         FrontHarness::with_engines(name, &engines, bounds, slo_time_ms)
     }
@@ -33,7 +33,7 @@
     }
 
     /// The front's next connection to one of the engines, which waits for its login, and the engine's number.
-    fn dials_one(&mut self, engines: &[&TcpListener]) -> (usize, TcpStream) {
+    fn accept_dial_from_any(&mut self, engines: &[&TcpListener]) -> (usize, TcpStream) {
         engines
             .iter()
             .for_each(|engine| engine.set_nonblocking(true).unwrap());
@@ -49,19 +49,24 @@
     }
 
     /// All that a peer hears up to the end of its connection.
-    fn hears_to_the_end(&mut self, peer: &mut TcpStream) -> Vec<u8> {
+    fn receive_to_end(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         let mut all = Vec::new();
         loop {
-            let heard = self.receive(peer);
-            if heard.is_empty() {
+            let received = self.receive(peer);
+            if received.is_empty() {
                 return all;
             }
-            all.extend(heard);
+            all.extend(received);
         }
     }
 
     /// A connection on which the session's unit is out.
-    fn has_out(&mut self, engine: &TcpListener, session: &mut TcpStream, text: &str) -> TcpStream {
+    fn start_unit(
+        &mut self,
+        engine: &TcpListener,
+        session: &mut TcpStream,
+        text: &str,
+    ) -> TcpStream {
         send_query(session, text);
         let mut link = self.accept_dial(engine);
         accept_login(&mut link);
@@ -70,30 +75,30 @@
     }
 
     /// The session asks, the engine answers, and nothing else comes: what came before was final.
-    fn goes_on_usably(&mut self, session: &mut TcpStream, link: &mut TcpStream) {
+    fn assert_session_usable(&mut self, session: &mut TcpStream, link: &mut TcpStream) {
         send_query(session, "select 'further'");
         self.receive_until(link, "further");
-        answers(link, "FURTHER");
+        send_idle_completion(link, "FURTHER");
         assert_eq!(
-            self.hears_unit(session),
+            self.receive_message_kinds(session),
             [b'C', b'Z'],
             "one answer, and no other before it"
         );
     }
 
     /// The kinds of the messages that a client hears up to ReadyForQuery.
-    fn hears_unit(&mut self, session: &mut TcpStream) -> Vec<u8> {
-        self.hears_messages(session)
+    fn receive_message_kinds(&mut self, session: &mut TcpStream) -> Vec<u8> {
+        self.receive_messages(session)
             .into_iter()
             .map(|message| message[0])
             .collect()
     }
 
     /// The messages that a client hears up to ReadyForQuery.
-    fn hears_messages(&mut self, session: &mut TcpStream) -> Vec<Vec<u8>> {
-        let mut heard = Vec::new();
+    fn receive_messages(&mut self, session: &mut TcpStream) -> Vec<Vec<u8>> {
+        let mut received = Vec::new();
         loop {
-            let messages = whole_messages(&heard);
+            let messages = complete_messages(&received);
             if messages.last().is_some_and(|message| message[0] == b'Z') {
                 return messages;
             }
@@ -101,24 +106,24 @@
             assert!(
                 !more.is_empty(),
                 "the end behind {:?}",
-                String::from_utf8_lossy(&heard)
+                String::from_utf8_lossy(&received)
             );
-            heard.extend(more);
+            received.extend(more);
         }
     }
 
     /// One error of that code, and that the session is ready: nothing else.
-    fn hears_error(&mut self, session: &mut TcpStream, code: &str) {
-        let messages = self.hears_messages(session);
+    fn assert_error(&mut self, session: &mut TcpStream, code: &str) {
+        let messages = self.receive_messages(session);
         let kinds: Vec<u8> = messages.iter().map(|message| message[0]).collect();
         assert_eq!(kinds, [b'E', b'Z'], "{messages:?}");
-        let heard = wire::field(&messages[0][5..], b'C').unwrap();
-        assert_eq!(String::from_utf8_lossy(heard), code);
+        let received = wire::field(&messages[0][5..], b'C').unwrap();
+        assert_eq!(String::from_utf8_lossy(received), code);
     }
 }
 
 /// The whole messages that some bytes begin with.
-fn whole_messages(bytes: &[u8]) -> Vec<Vec<u8>> {
+fn complete_messages(bytes: &[u8]) -> Vec<Vec<u8>> {
     let mut rest = bytes;
     let mut messages = Vec::new();
     while let Some(header) = wire::header(rest)
@@ -131,7 +136,7 @@
     messages
 }
 
-fn answers(engine: &mut TcpStream, tag: &str) {
+fn send_idle_completion(engine: &mut TcpStream, tag: &str) {
     let mut out = Vec::new();
     wire::write_complete(&mut out, tag);
     wire::write_ready(&mut out, b'I');
@@ -139,7 +144,7 @@
 }
 
 /// An error of an engine, with what follows it.
-fn fails(engine: &mut TcpStream, severity: &str, code: &str, ready: bool) {
+fn send_error(engine: &mut TcpStream, severity: &str, code: &str, ready: bool) {
     let mut out = Vec::new();
     wire::write(&mut out, b'E', |out| {
         for (kind, value) in [
@@ -181,17 +186,17 @@
     let mut harness = FrontHarness::with_two("late-login", [at_one, at_other], DIAL_TIMEOUT_MS);
     let mut session = harness.open_session();
     send_query(&mut session, "select 1");
-    let (slow, mut link) = harness.dials_one(&[&one, &other]);
-    harness.set_time(START + LOGIN_TIME);
-    let heard = harness.hears_to_the_end(&mut link);
-    assert!(heard.is_empty(), "{heard:?}");
-    let (number, mut link) = harness.dials_one(&[&one, &other]);
+    let (slow, mut link) = harness.accept_dial_from_any(&[&one, &other]);
+    harness.set_time(START + LOGIN_TIMEOUT);
+    let received = harness.receive_to_end(&mut link);
+    assert!(received.is_empty(), "{received:?}");
+    let (number, mut link) = harness.accept_dial_from_any(&[&one, &other]);
     assert_ne!(number, slow);
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 1");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-    harness.goes_on_usably(&mut session, &mut link);
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+    harness.assert_session_usable(&mut session, &mut link);
 }
 
 #[test]
@@ -202,13 +207,13 @@
         let mut session = harness.open_session();
         send_query(&mut session, text);
         let mut link = harness.accept_dial(&engine);
-        harness.set_time(START + LOGIN_TIME);
-        assert!(harness.hears_to_the_end(&mut link).is_empty());
-        harness.set_time(START + STATEMENT_TIME);
+        harness.set_time(START + LOGIN_TIMEOUT);
+        assert!(harness.receive_to_end(&mut link).is_empty());
+        harness.set_time(START + STATEMENT_TIMEOUT);
         // It surely never ran.
-        harness.hears_error(&mut session, "53000");
+        harness.assert_error(&mut session, "53000");
         send_query(&mut session, "SET hallmux.workload = 'lookup'");
-        assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+        assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
     }
 }
 
@@ -224,17 +229,17 @@
         );
         let mut session = harness.open_session();
         send_query(&mut session, "select 1");
-        let (refusing, mut link) = harness.dials_one(&[&one, &other]);
-        fails(&mut link, "FATAL", code, false);
-        let heard = harness.hears_to_the_end(&mut link);
-        assert!(heard.is_empty(), "{heard:?}");
-        let (number, mut link) = harness.dials_one(&[&one, &other]);
+        let (refusing, mut link) = harness.accept_dial_from_any(&[&one, &other]);
+        send_error(&mut link, "FATAL", code, false);
+        let received = harness.receive_to_end(&mut link);
+        assert!(received.is_empty(), "{received:?}");
+        let (number, mut link) = harness.accept_dial_from_any(&[&one, &other]);
         assert_ne!(number, refusing, "{code}");
         accept_login(&mut link);
         harness.receive_until(&mut link, "select 1");
-        answers(&mut link, "SELECT 0");
-        assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-        harness.goes_on_usably(&mut session, &mut link);
+        send_idle_completion(&mut link, "SELECT 0");
+        assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+        harness.assert_session_usable(&mut session, &mut link);
     }
 }
 
@@ -245,13 +250,13 @@
     let mut session = harness.open_session();
     send_query(&mut session, "select 1");
     let mut link = harness.accept_dial(&engine);
-    fails(&mut link, "FATAL", "28P01", false);
-    harness.hears_error(&mut session, "28P01");
-    assert!(harness.hears_to_the_end(&mut link).is_empty());
-    let mut link = harness.has_out(&engine, &mut session, "select 2");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-    harness.goes_on_usably(&mut session, &mut link);
+    send_error(&mut link, "FATAL", "28P01", false);
+    harness.assert_error(&mut session, "28P01");
+    assert!(harness.receive_to_end(&mut link).is_empty());
+    let mut link = harness.start_unit(&engine, &mut session, "select 2");
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+    harness.assert_session_usable(&mut session, &mut link);
 }
 
 #[test]
@@ -259,29 +264,29 @@
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("refused-settings", at, true);
     let mut session = harness.open_session();
-    let mut link = harness.has_out(&engine, &mut session, "SET search_path = 'own'");
-    answers(&mut link, "SET");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    let mut link = harness.start_unit(&engine, &mut session, "SET search_path = 'own'");
+    send_idle_completion(&mut link, "SET");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
     // What a session sets is brought over again before its next unit.
     send_query(&mut session, "select 1");
     harness.receive_until(&mut link, "search_path");
-    fails(&mut link, "ERROR", "42704", true);
-    harness.hears_error(&mut session, "42704");
+    send_error(&mut link, "ERROR", "42704", true);
+    harness.assert_error(&mut session, "42704");
     // The connection ends: what is set there is not known.
-    let heard = harness.hears_to_the_end(&mut link);
+    let received = harness.receive_to_end(&mut link);
     assert!(
-        !String::from_utf8_lossy(&heard).contains("select 1"),
-        "{heard:?}"
+        !String::from_utf8_lossy(&received).contains("select 1"),
+        "{received:?}"
     );
     send_query(&mut session, "select 2");
     let mut link = harness.accept_dial(&engine);
     accept_login(&mut link);
     harness.receive_until(&mut link, "search_path");
-    answers(&mut link, "SET");
+    send_idle_completion(&mut link, "SET");
     harness.receive_until(&mut link, "select 2");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-    harness.goes_on_usably(&mut session, &mut link);
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+    harness.assert_session_usable(&mut session, &mut link);
 }
 
 #[test]
@@ -289,17 +294,17 @@
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-in-a-row", at, true);
     let mut session = harness.open_session();
-    let mut link = harness.has_out(&engine, &mut session, "select 1");
-    let result = rows(2 * MORE_THAN_HELD);
-    link.write_all(&result[..MORE_THAN_HELD]).unwrap();
-    let mut heard = harness.receive(&mut session);
+    let mut link = harness.start_unit(&engine, &mut session, "select 1");
+    let result = rows(2 * UNBUFFERED_BYTES);
+    link.write_all(&result[..UNBUFFERED_BYTES]).unwrap();
+    let mut received = harness.receive(&mut session);
     drop(link);
-    heard.extend(harness.hears_to_the_end(&mut session));
+    received.extend(harness.receive_to_end(&mut session));
     // What came of it, and nothing that would pass for a part of it.
     assert!(
-        !heard.is_empty() && result.starts_with(&heard),
+        !received.is_empty() && result.starts_with(&received),
         "{} bytes",
-        heard.len()
+        received.len()
     );
     harness.run_until("its session is over", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
@@ -311,18 +316,18 @@
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-between", at, true);
     let mut session = harness.open_session();
-    let mut link = harness.has_out(&engine, &mut session, "select 1");
-    link.write_all(&rows(MORE_THAN_HELD)).unwrap();
-    let mut heard = harness.receive(&mut session);
-    while whole_messages(&heard).len() < 2 {
-        heard.extend(harness.receive(&mut session));
+    let mut link = harness.start_unit(&engine, &mut session, "select 1");
+    link.write_all(&rows(UNBUFFERED_BYTES)).unwrap();
+    let mut received = harness.receive(&mut session);
+    while complete_messages(&received).len() < 2 {
+        received.extend(harness.receive(&mut session));
     }
     drop(link);
-    harness.hears_error(&mut session, "08006");
-    let mut link = harness.has_out(&engine, &mut session, "select 2");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-    harness.goes_on_usably(&mut session, &mut link);
+    harness.assert_error(&mut session, "08006");
+    let mut link = harness.start_unit(&engine, &mut session, "select 2");
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+    harness.assert_session_usable(&mut session, &mut link);
 }
 
 #[test]
@@ -331,18 +336,18 @@
     let mut harness = FrontHarness::with_two("lost-unseen", [at_one, at_other], DIAL_TIMEOUT_MS);
     let mut session = harness.open_session();
     send_query(&mut session, "select 1");
-    let (_, mut link) = harness.dials_one(&[&one, &other]);
+    let (_, mut link) = harness.accept_dial_from_any(&[&one, &other]);
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 1");
     // It is held: an answer that is small goes on as a whole.
     link.write_all(&rows(10)).unwrap();
     drop(link);
-    let (_, mut link) = harness.dials_one(&[&one, &other]);
+    let (_, mut link) = harness.accept_dial_from_any(&[&one, &other]);
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 1");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-    harness.goes_on_usably(&mut session, &mut link);
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+    harness.assert_session_usable(&mut session, &mut link);
 }
 
 #[test]
@@ -350,12 +355,12 @@
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-commit", at, true);
     let mut session = harness.open_session();
-    let link = harness.has_out(&engine, &mut session, COMMIT);
+    let link = harness.start_unit(&engine, &mut session, COMMIT);
     drop(link);
-    harness.hears_error(&mut session, "08007");
-    let mut link = harness.has_out(&engine, &mut session, "select 2");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    harness.assert_error(&mut session, "08007");
+    let mut link = harness.start_unit(&engine, &mut session, "select 2");
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
 }
 
 #[test]
@@ -363,28 +368,28 @@
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-in-transaction", at, true);
     let mut session = harness.open_session();
-    let mut link = harness.has_out(&engine, &mut session, "begin");
+    let mut link = harness.start_unit(&engine, &mut session, "begin");
     let mut out = Vec::new();
     wire::write_complete(&mut out, "BEGIN");
     wire::write_ready(&mut out, b'T');
     link.write_all(&out).unwrap();
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
     send_query(&mut session, "select 1");
     harness.receive_until(&mut link, "select 1");
-    link.write_all(&rows(MORE_THAN_HELD)).unwrap();
-    let mut heard = harness.receive(&mut session);
-    while whole_messages(&heard).len() < 2 {
-        heard.extend(harness.receive(&mut session));
+    link.write_all(&rows(UNBUFFERED_BYTES)).unwrap();
+    let mut received = harness.receive(&mut session);
+    while complete_messages(&received).len() < 2 {
+        received.extend(harness.receive(&mut session));
     }
     drop(link);
-    harness.hears_error(&mut session, "40001");
+    harness.assert_error(&mut session, "40001");
     send_query(&mut session, "select 2");
-    harness.hears_error(&mut session, "25P02");
+    harness.assert_error(&mut session, "25P02");
     send_query(&mut session, "rollback");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
-    let mut link = harness.has_out(&engine, &mut session, "select 3");
-    answers(&mut link, "SELECT 0");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
+    let mut link = harness.start_unit(&engine, &mut session, "select 3");
+    send_idle_completion(&mut link, "SELECT 0");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
 }
 
 #[test]
@@ -392,13 +397,13 @@
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-with-settings", at, true);
     let mut session = harness.open_session();
-    let mut link = harness.has_out(&engine, &mut session, "SET search_path = 'own'");
-    answers(&mut link, "SET");
-    assert_eq!(harness.hears_unit(&mut session), [b'C', b'Z']);
+    let mut link = harness.start_unit(&engine, &mut session, "SET search_path = 'own'");
+    send_idle_completion(&mut link, "SET");
+    assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
     send_query(&mut session, COMMIT);
-    let heard = harness.receive_until(&mut link, "search_path");
-    assert!(!heard.contains("insert"), "{heard:?}");
+    let received = harness.receive_until(&mut link, "search_path");
+    assert!(!received.contains("insert"), "{received:?}");
     drop(link);
     // It surely never ran.
-    harness.hears_error(&mut session, "53000");
+    harness.assert_error(&mut session, "53000");
 }
--- a/crates/front/src/postgres/error_tests.rs
+++ b/crates/front/src/postgres/error_tests.rs
@@ -7,9 +7,9 @@
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = taken.local_addr().unwrap();
     let why = std::net::TcpListener::bind(at).unwrap_err();
-    let told = std::io::Error::from(ListenError::Listen { at, why });
-    assert_eq!(told.kind(), std::io::ErrorKind::AddrInUse);
-    let (wrong, remedy) = told
+    let error = std::io::Error::from(ListenError::Listen { at, why });
+    assert_eq!(error.kind(), std::io::ErrorKind::AddrInUse);
+    let (wrong, remedy) = error
         .to_string()
         .split_once("; ")
         .map(|(a, b)| (a.to_string(), b.to_string()))
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -33,7 +33,7 @@
     sessions: Sessions,
     servers: Servers,
     users: Users,
-    allowed: Postgres,
+    config: Postgres,
     answer_slack: Micros,
     timeouts: Vec<(String, Micros)>,
     retry_after_ms: Option<i64>,
@@ -41,9 +41,9 @@
     rules: Option<Shared>,
     /// Workloads whose units may write, where loads are marked.
     pub writing_workloads: Vec<String>,
-    shut: Option<Micros>,
+    shutdown_since: Option<Micros>,
     /// Connections with more to read than one iteration takes, that the event loop does not report again.
-    unfinished: Vec<SocketId>,
+    unfinished_reads: Vec<SocketId>,
 }
 
 impl Gateway {
@@ -75,16 +75,16 @@
                 postgres.limits.clone(),
             ),
             users: Users::new(&postgres.users),
-            allowed: postgres.clone(),
+            config: postgres.clone(),
             answer_slack: settings.network.answer_slack,
             timeouts: workloads
                 .map(|(name, w)| (name.clone(), w.statement_timeout))
                 .collect(),
             retry_after_ms: settings.agreement.max_retry_after.map(|time| time / 1000),
-            shut: None,
+            shutdown_since: None,
             rules,
             writing_workloads: Vec::new(),
-            unfinished: Vec::new(),
+            unfinished_reads: Vec::new(),
             handle,
         };
         log::info!("takes PostgreSQL sessions at {address}");
@@ -94,8 +94,8 @@
     /// Descriptors that its engine connections may use, and those that sessions which are being closed have
     /// beside those of clients.
     pub fn set_descriptor_limits(&mut self, descriptors: usize, lingering: usize) {
-        self.servers.limit(descriptors);
-        self.sessions.limit(lingering);
+        self.servers.set_connection_limit(descriptors);
+        self.sessions.set_lingering_descriptors(lingering);
     }
 
     /// Sessions that are connected, or take a descriptor until they are closed.
@@ -131,7 +131,7 @@
     /// What engines of a kind speak: sessions at a port of their own beside lines, or in their place.
     pub fn protocols(&self, kind: &str) -> EngineProtocols {
         let speaks = |e: &&hallmux_config::PostgresEngines| e.kinds.iter().any(|k| k == kind);
-        let engines = self.allowed.engines.iter().find(speaks);
+        let engines = self.config.engines.iter().find(speaks);
         match engines.map(|engines| engines.port) {
             None => EngineProtocols::Lines,
             Some(None) => EngineProtocols::Postgres,
@@ -147,7 +147,7 @@
     /// When something is due though no socket changes, in Unix microseconds.
     pub fn due(&self) -> Micros {
         let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
-        let more = more || !self.unfinished.is_empty();
+        let more = more || !self.unfinished_reads.is_empty();
         let ready = if more { 0 } else { Micros::MAX };
         self.listener
             .due()
@@ -164,14 +164,14 @@
         admission: AdmissionState,
         dispatcher: &mut Dispatcher,
     ) -> bool {
-        let more = self.ready(now, socket);
+        let more = self.read_socket(now, socket);
         if socket.kind == SocketKind::Session {
-            self.take_units(now, admission, dispatcher);
+            self.advance_sessions(now, admission, dispatcher);
         }
         more
     }
 
-    fn ready(&mut self, now: Micros, socket: SocketId) -> bool {
+    fn read_socket(&mut self, now: Micros, socket: SocketId) -> bool {
         match socket.kind {
             SocketKind::SessionListener => self.listener.mark_readable(),
             SocketKind::Session => return self.sessions.read(now, socket.number),
@@ -187,9 +187,9 @@
     }
 
     /// Reads a connection that the event loop has not reported; what one iteration leaves is read in the next.
-    fn read_on(&mut self, now: Micros, socket: SocketId) {
-        if self.ready(now, socket) {
-            self.unfinished.push(socket);
+    fn read_deferring_rest(&mut self, now: Micros, socket: SocketId) {
+        if self.read_socket(now, socket) {
+            self.unfinished_reads.push(socket);
         }
     }
 
@@ -200,13 +200,18 @@
         admission: AdmissionState,
         dispatcher: &mut Dispatcher,
     ) {
-        for socket in std::mem::take(&mut self.unfinished) {
-            self.read_on(now, socket);
+        for socket in std::mem::take(&mut self.unfinished_reads) {
+            self.read_deferring_rest(now, socket);
         }
-        self.take_units(now, admission, dispatcher);
+        self.advance_sessions(now, admission, dispatcher);
     }
 
-    fn take_units(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
+    fn advance_sessions(
+        &mut self,
+        now: Micros,
+        admission: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) {
         for id in std::mem::take(&mut self.sessions.ready) {
             self.sessions
                 .advance(now, id, &self.users, &mut self.servers);
@@ -236,26 +241,28 @@
                     {
                         self.sessions
                             .fail(now, ticket, &loads::UNMARKED_GROUPS, None);
-                        self.left(now, dispatcher, ticket);
+                        self.abandon_statement(now, dispatcher, ticket);
                     }
                     sessions::Event::UnitPart { ticket, part } => {
                         let execution_id = self.sessions.by_ticket(ticket);
                         let execution_id =
                             execution_id.and_then(|(_, i)| i.running.as_ref()?.execution_id);
-                        execution_id
-                            .into_iter()
-                            .for_each(|execution_id| self.servers.more(execution_id, part.clone()));
+                        execution_id.into_iter().for_each(|execution_id| {
+                            self.servers.append_part(execution_id, part.clone())
+                        });
+                    }
+                    sessions::Event::Abandoned(ticket) => {
+                        self.abandon_statement(now, dispatcher, ticket)
                     }
-                    sessions::Event::Abandoned(ticket) => self.left(now, dispatcher, ticket),
-                    sessions::Event::TransactionOver {
+                    sessions::Event::TransactionEnded {
                         pin,
                         keys,
-                        may_go_on,
+                        may_still_run,
                     } => {
                         pin.into_iter()
                             .for_each(|pin| self.servers.release(now, pin));
                         keys.iter()
-                            .for_each(|key| dispatcher.release_order_key(now, key, may_go_on));
+                            .for_each(|key| dispatcher.release_order_key(now, key, may_still_run));
                     }
                     sessions::Event::Cancel(session) => self.cancel(now, dispatcher, session),
                 }
@@ -268,7 +275,7 @@
         &mut self,
         now: Micros,
         execution_id: ExecutionId,
-        place: EngineIndex,
+        engine_index: EngineIndex,
         text: Option<Vec<u8>>,
     ) {
         let Some((session, open_session)) = self.sessions.by_ticket(execution_id.ticket) else {
@@ -298,14 +305,14 @@
         self.servers.send(
             now,
             execution_id,
-            place,
+            engine_index,
             Unit {
                 session,
                 parts,
                 settings,
                 account,
                 pin,
-                once,
+                no_retry: once,
             },
         );
     }
@@ -332,32 +339,32 @@
         &mut self,
         now: Micros,
         admission: AdmissionState,
-        most: usize,
+        max_unsent_bytes: usize,
         dispatcher: &mut Dispatcher,
     ) {
         for execution_id in self.sessions.flush(now) {
             if let Some(server) = self.servers.resume(execution_id) {
-                self.read_on(now, SocketKind::Server.id(server));
+                self.read_deferring_rest(now, SocketKind::Server.id(server));
             }
         }
         let unsent = self.unsent();
-        if let Some(id) = unsent.slowest.filter(|_| unsent.bytes > most) {
+        if let Some(id) = unsent.slowest.filter(|_| unsent.bytes > max_unsent_bytes) {
             let bytes = unsent.bytes;
             log::warn!(
                 "session {id}: takes no answers, {bytes} bytes wait; its connection is closed"
             );
             self.sessions.disconnect(id);
         }
-        for id in self.sessions.unstalled() {
-            self.read_on(now, SocketKind::Session.id(id));
+        for id in self.sessions.take_readable() {
+            self.read_deferring_rest(now, SocketKind::Session.id(id));
         }
         self.handle_session_events(now, admission, dispatcher);
     }
 
     pub fn expire(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
-        self.sessions.expire(now, self.shut);
+        self.sessions.expire(now, self.shutdown_since);
         let unfinished = self.servers.expire(now);
-        self.unfinished
+        self.unfinished_reads
             .extend(unfinished.into_iter().map(|id| SocketKind::Server.id(id)));
         self.handle_session_events(now, admission, dispatcher);
     }
@@ -371,7 +378,7 @@
         sessions_left: usize,
         dispatcher: &mut Dispatcher,
     ) {
-        self.shut.get_or_insert(now);
+        self.shutdown_since.get_or_insert(now);
         // Whoever has connected by now is told of the end: closing the listener resets what waits there.
         self.listener.mark_readable();
         self.accept(now, sessions_left);
--- a/crates/front/src/postgres/gateway/accept.rs
+++ b/crates/front/src/postgres/gateway/accept.rs
@@ -20,10 +20,11 @@
     /// Accepts connections; `connections_left` is how many more may be connected.
     pub fn accept(&mut self, now: Micros, mut connections_left: usize) {
         loop {
-            let (sessions, most) = (&mut self.sessions, self.allowed.limits.sessions);
+            let (sessions, max_sessions) = (&mut self.sessions, self.config.limits.sessions);
             let reserve = || {
                 let has_descriptor = connections_left > 0 || sessions.drop_lingering();
-                let free = has_descriptor && sessions.open_len() < most || sessions.evict_idle(now);
+                let free = has_descriptor && sessions.open_count() < max_sessions
+                    || sessions.evict_idle(now);
                 free.then_some(())
                     .ok_or_else(|| format!("{} sessions are connected", sessions.len()))
             };
@@ -35,7 +36,7 @@
             match Link::new(stream, &self.handle, SocketKind::Session.id(id)) {
                 Ok(link) => {
                     self.sessions.accept(now, id, link);
-                    self.read_on(now, SocketKind::Session.id(id));
+                    self.read_deferring_rest(now, SocketKind::Session.id(id));
                 }
                 Err(e) => log::warn!("a session's connection can't be served: {e}"),
             }
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -18,7 +18,7 @@
 use crate::refusal::Refusal;
 
 /// Of an estimate, in any unit; beyond all that engines could do.
-const MOST_FIGURE: f64 = 1e12;
+const MAX_ESTIMATE: f64 = 1e12;
 
 /// What the admission of units goes by, whatever their session.
 struct AdmissionPolicy<'a> {
@@ -51,26 +51,28 @@
         since: Micros,
     ) -> Result<AdmittedUnit, ClientError> {
         let label = open_session.session.label(part);
-        let terms = terms(&label, &open_session.user, self.timeouts)?;
-        if loads::passes_for_numbered(self.writing_workloads, part) {
-            return Err(loads::NUMBERED);
+        let terms = unit_terms(&label, &open_session.user, self.timeouts)?;
+        if loads::has_reserved_prefix(self.writing_workloads, part) {
+            return Err(loads::RESERVED_PREFIX);
         }
         if admission.at_capacity {
             return Err(self.rejected());
         }
-        let own_timeout = open_session.session.statement_timeout(&label);
-        let timeout = terms.timeout.min(own_timeout.unwrap_or(Micros::MAX));
+        let session_timeout = open_session.session.statement_timeout(&label);
+        let timeout = terms.timeout.min(session_timeout.unwrap_or(Micros::MAX));
         let waited = (now - since).max(admission.unread_time);
-        let judged = self.judge(now, &terms, part);
-        if judged == Decision::RulesUnknown {
+        let decision = self.check_access_rules(now, &terms, part);
+        if decision == Decision::RulesUnknown {
             return Err(self.rejected());
         }
-        let allowed = self.rules.and_then(|rules| rules.borrow().allowed(&judged));
+        let allowed = self
+            .rules
+            .and_then(|rules| rules.borrow().allowed(&decision));
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
         // The session's transaction keeps the turns of its keys.
-        let is_held = |key: &&str| open_session.held_keys.iter().any(|held| held == key);
+        let is_held = |key: &&str| open_session.held_order_keys.iter().any(|held| held == key);
         let request = StatementRequest {
             workload: terms.workload,
             customer: terms.member,
@@ -81,22 +83,22 @@
             memory_mb: terms.memory_mb,
             data_set: tables::group(part.text()),
             protocol: Protocol::Postgres,
-            sticky_engine: open_session.pin.map(|pin| pin.place),
+            sticky_engine: open_session.pin.map(|pin| pin.engine_index),
             allowed_locations: allowed.as_deref(),
         };
-        let picked = dispatcher.submit(now, &request);
+        let submitted = dispatcher.submit(now, &request);
         if let Some(rules) = self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(dispatcher, &judged, picked.ok());
+                .statement_picked(dispatcher, &decision, submitted.ok());
         }
-        let ticket = picked.map_err(invalid_request)?;
+        let ticket = submitted.map_err(invalid_request)?;
         let key = request.order_key.map(str::to_string);
         Ok(AdmittedUnit { ticket, key })
     }
 
     /// What the access rules say of a unit, where they are on.
-    fn judge(&self, now: Micros, terms: &UnitTerms, part: &UnitPart) -> Decision {
+    fn check_access_rules(&self, now: Micros, terms: &UnitTerms, part: &UnitPart) -> Decision {
         let Some(rules) = self.rules else {
             return Decision::Unrestricted;
         };
@@ -117,9 +119,15 @@
         InvalidRequest::NoAllowedLocation => ClientError::Rejected {
             retry_after_ms: None,
         },
-        InvalidRequest::UnknownWorkload => unfit("hallmux.workload", "no such workload was agreed"),
-        InvalidRequest::UnknownCustomer => unfit("hallmux.member", "no such member is known"),
-        InvalidRequest::MissingDedupKey => unfit("hallmux.dedup_key", "this workload needs one"),
+        InvalidRequest::UnknownWorkload => {
+            invalid_setting("hallmux.workload", "no such workload was agreed")
+        }
+        InvalidRequest::UnknownCustomer => {
+            invalid_setting("hallmux.member", "no such member is known")
+        }
+        InvalidRequest::MissingDedupKey => {
+            invalid_setting("hallmux.dedup_key", "this workload needs one")
+        }
     }
 }
 
@@ -147,7 +155,7 @@
         let admitted = policy.submit(now, admission, dispatcher, open_session, &part, since);
         match admitted {
             Ok(AdmittedUnit { ticket, key }) => self.sessions.open_unit(id, ticket, part, key),
-            Err(why) => self.sessions.answer_unusable(id, part, &why),
+            Err(why) => self.sessions.reject_unit(id, part, &why),
         }
     }
 
@@ -161,7 +169,12 @@
     }
 
     /// Nobody waits for a statement any more.
-    pub(super) fn left(&mut self, now: Micros, dispatcher: &mut Dispatcher, ticket: Ticket) {
+    pub(super) fn abandon_statement(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        ticket: Ticket,
+    ) {
         // What waits for a connection is not sent any more, also where engines can't be told to give it up.
         self.servers.abandon(now, ticket);
         dispatcher.client_left(now, ticket);
@@ -184,12 +197,12 @@
         if !execution_id.is_some_and(|execution_id| self.servers.cancel(now, execution_id)) {
             self.sessions
                 .fail(now, ticket, &ClientError::Cancelled, None);
-            self.left(now, dispatcher, ticket);
+            self.abandon_statement(now, dispatcher, ticket);
         }
     }
 }
 
-fn unfit(field: &'static str, why: &'static str) -> ClientError {
+fn invalid_setting(field: &'static str, why: &'static str) -> ClientError {
     ClientError::InvalidSetting { field, why }
 }
 
@@ -203,17 +216,18 @@
 }
 
 /// Reads what a unit's labels and its user say; the first field that can't be used otherwise.
-fn terms<'a>(
+fn unit_terms<'a>(
     label: &'a Label,
     user: &'a User,
     timeouts: &[(String, Micros)],
 ) -> Result<UnitTerms<'a>, ClientError> {
     let workload = label.workload.as_deref().or(user.workload.as_deref());
-    let workload =
-        workload.ok_or_else(|| unfit("hallmux.workload", "is not set, and there is no default"))?;
+    let workload = workload.ok_or_else(|| {
+        invalid_setting("hallmux.workload", "is not set, and there is no default")
+    })?;
     let timeout = timeouts.iter().find(|(name, _)| name == workload);
     let timeout = timeout
-        .ok_or_else(|| unfit("hallmux.workload", "no such workload was agreed"))?
+        .ok_or_else(|| invalid_setting("hallmux.workload", "no such workload was agreed"))?
         .1;
     // Whom a user belongs to is the operator's word where it is given.
     let member = user
@@ -224,11 +238,11 @@
     let number =
         |field: &'static str, text: &Option<String>| match text.as_deref().map(str::parse::<f64>) {
             None => Ok(0.0),
-            Some(Ok(value)) if (0.0..=MOST_FIGURE).contains(&value) => Ok(value),
-            Some(_) => Err(unfit(field, "is no number that can be used")),
+            Some(Ok(value)) if (0.0..=MAX_ESTIMATE).contains(&value) => Ok(value),
+            Some(_) => Err(invalid_setting(field, "is no number that can be used")),
         };
     let long = |field: &'static str, text: &Option<String>| match text {
-        Some(text) if text.len() > 256 => Err(unfit(field, "is longer than 256 bytes")),
+        Some(text) if text.len() > 256 => Err(invalid_setting(field, "is longer than 256 bytes")),
         _ => Ok(()),
     };
     long("hallmux.key", &label.key)?;
@@ -248,7 +262,7 @@
         return ClientError::ResultLost;
     };
     let in_transaction = open_session.session.transaction != Transaction::None;
-    if running.commits && running.ran {
+    if running.commits && running.may_have_run {
         return ClientError::Unresolved;
     }
     if running.cancelled {
@@ -269,8 +283,8 @@
         Refusal::Rejected { retry_after } => ClientError::Rejected {
             retry_after_ms: retry_after.map(|time| time / 1000),
         },
-        Refusal::Aborted if running.begun => ClientError::ResultLost,
-        Refusal::Aborted if running.ran => ClientError::Unresolved,
+        Refusal::Aborted if running.answer_started => ClientError::ResultLost,
+        Refusal::Aborted if running.may_have_run => ClientError::Unresolved,
         Refusal::Aborted => ClientError::Rejected {
             retry_after_ms: None,
         },
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -12,7 +12,7 @@
 use crate::scatter::Load;
 
 /// Groups of a text that are looked for; more than that can't be marked.
-const MOST_GROUPS: usize = 1_024;
+const MAX_GROUPS: usize = 1_024;
 
 /// The answer to a unit that goes on, after a Flush, with tables that are not marked.
 pub const UNMARKED_GROUPS: ClientError = ClientError::InvalidSetting {
@@ -21,7 +21,7 @@
 };
 
 /// The answer to text that passes for a load that a front has numbered.
-pub const NUMBERED: ClientError = ClientError::InvalidSetting {
+pub const RESERVED_PREFIX: ClientError = ClientError::InvalidSetting {
     field: "hallmux.workload",
     why: "writes, and its text begins as fronts number loads: leave that comment out",
 };
@@ -32,20 +32,20 @@
         let (_, open_session) = self.sessions.by_ticket(ticket)?;
         let held = open_session.session.transaction != Transaction::None;
         if !held {
-            open_session.touched.clear();
+            open_session.touched_groups.clear();
         }
         let parts = open_session.running.as_ref()?.parts.clone();
         if parts
             .first()
-            .is_some_and(|part| writes(&self.writing_workloads, open_session, part))
+            .is_some_and(|part| may_write(&self.writing_workloads, open_session, part))
         {
             let named = parts.iter().flat_map(|part| part.texts()).flat_map(groups);
-            open_session.touched.extend(named);
+            open_session.touched_groups.extend(named);
         }
         let [part, ..] = &parts[..] else { return None };
         let alone = !held && !part.begins && parts.len() == 1;
         let simple = part.simple().filter(|_| alone).map(<[u8]>::to_vec);
-        let groups: Vec<u32> = open_session.touched.iter().copied().collect();
+        let groups: Vec<u32> = open_session.touched_groups.iter().copied().collect();
         (!groups.is_empty()).then_some(Load::Unit { groups, simple })
     }
 
@@ -63,8 +63,8 @@
         let Some(first) = running.parts.first() else {
             return false;
         };
-        if !writes(&self.writing_workloads, open_session, first)
-            && !writes(&self.writing_workloads, open_session, part)
+        if !may_write(&self.writing_workloads, open_session, first)
+            && !may_write(&self.writing_workloads, open_session, part)
         {
             return false;
         }
@@ -78,17 +78,18 @@
             .flat_map(|part| part.texts())
             .flat_map(groups)
             .collect();
-        let known = |group: &u32| named.contains(group) || open_session.touched.contains(group);
+        let known =
+            |group: &u32| named.contains(group) || open_session.touched_groups.contains(group);
         part.texts().flat_map(groups).any(|group| !known(&group))
     }
 }
 
 /// Whether a unit's text passes for a numbered load, where loads are marked.
-pub(super) fn passes_for_numbered(writes: &[String], part: &UnitPart) -> bool {
+pub(super) fn has_reserved_prefix(writes: &[String], part: &UnitPart) -> bool {
     !writes.is_empty() && part.texts().any(|text| !numbers(text).is_empty())
 }
 
-fn writes(workloads: &[String], open_session: &OpenSession, part: &UnitPart) -> bool {
+fn may_write(workloads: &[String], open_session: &OpenSession, part: &UnitPart) -> bool {
     let label = open_session.session.label(part);
     let workload = label
         .workload
@@ -98,5 +99,5 @@
 }
 
 fn groups(text: &[u8]) -> Vec<u32> {
-    tables::groups(text, MOST_GROUPS)
+    tables::groups(text, MAX_GROUPS)
 }
--- a/crates/front/src/postgres/gateway/server_events.rs
+++ b/crates/front/src/postgres/gateway/server_events.rs
@@ -47,10 +47,13 @@
             Event::PartialAnswer {
                 execution_id,
                 bytes,
-                whole,
+                ends_message,
             } => {
                 dispatcher.answer_started(execution_id.ticket);
-                if self.sessions.pass(execution_id.ticket, &bytes, whole) {
+                if self
+                    .sessions
+                    .forward_answer(execution_id.ticket, &bytes, ends_message)
+                {
                     self.servers.pause(execution_id);
                 }
             }
@@ -105,15 +108,20 @@
             return;
         };
         let running = open_session.running.as_mut();
-        let key = running.and_then(|running| running.key.take());
-        open_session.held_keys.extend(key.filter(|_| keeps_key));
+        let key = running.and_then(|running| running.order_key.take());
+        open_session
+            .held_order_keys
+            .extend(key.filter(|_| keeps_key));
         let pin = held.and_then(|server| self.pin(server));
         self.sessions.answer(now, ticket, &bytes, &done, pin);
     }
 
     fn pin(&self, server: ServerId) -> Option<Pin> {
-        let place = self.servers.place(server)?;
-        Some(Pin { place, server })
+        let engine_index = self.servers.engine_index(server)?;
+        Some(Pin {
+            engine_index,
+            server,
+        })
     }
 
     /// An engine has not executed a unit; its error goes to the client.
@@ -140,7 +148,7 @@
         ending: Ending,
     ) {
         let ExecutionId { ticket, number } = execution_id;
-        let is_cancelled = self.note_ending(ticket, ending);
+        let is_cancelled = self.record_ending(ticket, ending);
         let is_over = dispatcher.execution_ended(now, ticket, number, ending, None);
         if is_over || is_cancelled {
             // One whose client has asked for its end is not tried again.
@@ -150,13 +158,13 @@
     }
 
     /// Notes in a session how an execution of its unit has ended. True if its client has asked for its end.
-    fn note_ending(&mut self, ticket: Ticket, ending: Ending) -> bool {
+    fn record_ending(&mut self, ticket: Ticket, ending: Ending) -> bool {
         let session = self.sessions.by_ticket(ticket);
         let running = session.and_then(|(_, open_session)| open_session.running.as_mut());
         let Some(running) = running else {
             return false;
         };
-        running.ran |= ending.may_have_run();
+        running.may_have_run |= ending.may_have_run();
         running.execution_id = None;
         running.cancelled
     }
--- a/crates/front/src/postgres/ids.rs
+++ b/crates/front/src/postgres/ids.rs
@@ -11,6 +11,6 @@
 /// The connection that holds the open transaction of a session (it is sticky), and its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pin {
-    pub place: EngineIndex,
+    pub engine_index: EngineIndex,
     pub server: ServerId,
 }
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -26,7 +26,7 @@
 /// Microseconds between checks of connections that have been idle for long.
 const CHECK_INTERVAL: Micros = 100_000;
 /// Accounts at the engines, by user and database; beyond them none come in.
-const MOST_ACCOUNTS: usize = 1_000;
+const MAX_ACCOUNTS: usize = 1_000;
 
 /// Replies of engines, and how executions have ended.
 pub enum Event {
@@ -36,7 +36,7 @@
     PartialAnswer {
         execution_id: ExecutionId,
         bytes: Vec<u8>,
-        whole: bool,
+        ends_message: bool,
     },
     /// The rest of its answer, and the connection that holds its transaction, if one is open.
     Answered {
@@ -70,7 +70,7 @@
     /// The connection that holds its transaction.
     pub pin: Option<ServerId>,
     /// It is not to be repeated once it has left.
-    pub once: bool,
+    pub no_retry: bool,
 }
 
 #[derive(PartialEq, Clone, Copy)]
@@ -78,18 +78,18 @@
     /// It waits for a connection, or for a cancel on its own to be over.
     Waiting,
     Writing,
-    Out,
+    Sent,
 }
 
 struct Execution {
     unit: Unit,
-    place: EngineIndex,
-    link: Option<ServerId>,
+    engine_index: EngineIndex,
+    connection: Option<ServerId>,
     stage: Stage,
     /// What has come of its answer and not gone on.
     unsent_answer: Vec<u8>,
     /// Some of its answer has gone on.
-    begun: bool,
+    answer_started: bool,
     /// Its client does not take more for now.
     paused: bool,
 }
@@ -97,11 +97,11 @@
 struct Server {
     link: Link,
     engine: EngineConnection,
-    place: EngineIndex,
+    engine_index: EngineIndex,
     up: bool,
-    serves: Option<ExecutionId>,
+    serving: Option<ExecutionId>,
     /// The session whose transaction is open here.
-    holds: Option<SessionId>,
+    transaction_of: Option<SessionId>,
     /// Up to where in the output the unit goes that leaves.
     write_end: usize,
     /// Requests to cancel that are on their way to it.
@@ -109,16 +109,16 @@
     /// It ends with its unit: a request to cancel could still reach the next.
     closes_after_unit: bool,
     /// What comes belongs to a unit that was given up.
-    discards: bool,
+    discards_replies: bool,
 }
 
 /// A connection that carries one request to cancel.
 struct Cancel {
     link: Link,
     server: ServerId,
-    by: Micros,
+    deadline: Micros,
     /// What is over once the engine has taken it.
-    ends: Option<PendingEnd>,
+    pending_end: Option<PendingEnd>,
 }
 
 /// An execution that is over once its engine has taken the request to cancel it, and how it ends.
@@ -130,7 +130,7 @@
 
 struct EngineEntry {
     id: String,
-    at: SocketAddr,
+    address: SocketAddr,
     started: f64,
     up: bool,
     failing: bool,
@@ -142,18 +142,18 @@
 /// The connections to engines that speak PostgreSQL, and the executions on them.
 pub struct Servers {
     handle: LoopHandle<'static, LoopEvents>,
-    allowance: NetworkSettings,
+    network: NetworkSettings,
     limits: SessionLimits,
     engines: BTreeMap<EngineIndex, EngineEntry>,
     accounts: Vec<Account>,
-    links: BTreeMap<ServerId, Server>,
+    connections: BTreeMap<ServerId, Server>,
     cancels: BTreeMap<u64, Cancel>,
     connecting: BTreeMap<ServerId, Micros>,
     executions: HashMap<ExecutionId, Execution>,
     pools: Pools<ExecutionId>,
-    changed: BTreeSet<ServerId>,
-    next: u64,
-    max_links: usize,
+    flush_pending: BTreeSet<ServerId>,
+    last_id: u64,
+    max_connections: usize,
     /// When connections may be made; any time where nothing else is set.
     pub dials: DialPacer,
     next_check: Micros,
@@ -166,7 +166,7 @@
     /// No engines yet; `limit` and `list` come before anything is sent.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
-        allowance: NetworkSettings,
+        network: NetworkSettings,
         limits: SessionLimits,
     ) -> Self {
         let bounds = pool::Bounds {
@@ -176,18 +176,18 @@
         };
         Servers {
             handle,
-            allowance,
+            network,
             limits,
             engines: BTreeMap::new(),
             accounts: Vec::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             cancels: BTreeMap::new(),
             connecting: BTreeMap::new(),
             executions: HashMap::new(),
             pools: Pools::new(bounds),
-            changed: BTreeSet::new(),
-            next: 0,
-            max_links: usize::MAX,
+            flush_pending: BTreeSet::new(),
+            last_id: 0,
+            max_connections: usize::MAX,
             dials: dial_pacer::unlimited(),
             next_check: 0,
             parameters: Vec::new(),
@@ -196,23 +196,23 @@
     }
 
     /// Descriptors that it may use.
-    pub fn limit(&mut self, descriptors: usize) {
-        self.max_links = descriptors.max(1);
+    pub fn set_connection_limit(&mut self, descriptors: usize) {
+        self.max_connections = descriptors.max(1);
     }
 
     /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
-    pub fn capacity(&self, now: Micros, place: EngineIndex) -> usize {
-        let dials =
-            self.pools.has_capacity(place) && self.dials.borrow().next_slot_at(now, place) <= now;
-        self.pools.available(place)
-            + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
+    pub fn capacity(&self, now: Micros, engine_index: EngineIndex) -> usize {
+        let dials = self.pools.has_capacity(engine_index)
+            && self.dials.borrow().next_slot_at(now, engine_index) <= now;
+        self.pools.available(engine_index)
+            + usize::from(dials && self.engines.get(&engine_index).is_some_and(|e| e.up))
     }
 
     /// The number of an account at the engines.
     pub fn account(&mut self, account: Account) -> Option<pool::AccountId> {
         let known = self.accounts.iter().position(|a| *a == account);
         // Guards against names of databases without end.
-        if known.is_none() && self.accounts.len() < MOST_ACCOUNTS {
+        if known.is_none() && self.accounts.len() < MAX_ACCOUNTS {
             self.accounts.push(account);
             return Some(self.accounts.len() - 1);
         }
@@ -223,40 +223,41 @@
     pub fn has_execution(&self, execution_id: ExecutionId) -> bool {
         let ends = |cancel: &Cancel| {
             cancel
-                .ends
+                .pending_end
                 .is_some_and(|end| end.execution_id == execution_id)
         };
         self.executions.contains_key(&execution_id) || self.cancels.values().any(ends)
     }
 
     /// The engine that a connection is to.
-    pub fn place(&self, id: ServerId) -> Option<EngineIndex> {
-        self.links.get(&id).map(|l| l.place)
+    pub fn engine_index(&self, id: ServerId) -> Option<EngineIndex> {
+        self.connections.get(&id).map(|l| l.engine_index)
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
-    pub fn update_engine(&mut self, place: EngineIndex, listed: ListedEngine) {
+    pub fn update_engine(&mut self, engine_index: EngineIndex, listed: ListedEngine) {
         let ListedEngine {
             id,
-            address: at,
+            address,
             started_ms: started,
             available: up,
         } = listed;
-        let known = self.engines.get(&place);
-        let same = known.is_some_and(|e| e.id == id && e.at == at && e.started == started);
+        let known = self.engines.get(&engine_index);
+        let same =
+            known.is_some_and(|e| e.id == id && e.address == address && e.started == started);
         let failing = same && known.is_some_and(|e| e.failing);
         let (last_reply, last_ping) = known
             .filter(|_| same)
             .map_or((0, 0), |e| (e.last_reply, e.last_ping));
         if known.is_some() && (!same || !up) {
-            self.retire(place);
+            self.retire(engine_index);
         }
         let id = id.to_string();
         self.engines.insert(
-            place,
+            engine_index,
             EngineEntry {
                 id,
-                at,
+                address,
                 started,
                 up,
                 failing,
@@ -268,32 +269,34 @@
 
     /// A whole list has come: engines that it does not name are gone.
     pub fn retire_unlisted(&mut self, listed: &[EngineIndex]) {
-        let places: Vec<EngineIndex> = self
+        let engine_indexes: Vec<EngineIndex> = self
             .engines
             .keys()
             .copied()
             .filter(|p| !listed.contains(p))
             .collect();
-        places.into_iter().for_each(|place| self.retire(place));
+        engine_indexes
+            .into_iter()
+            .for_each(|engine_index| self.retire(engine_index));
     }
 
     /// What has not left for an engine stays here, open transactions that stand idle there are over; what is
     /// out may still be answered.
-    pub fn retire(&mut self, place: EngineIndex) {
-        if let Some(engine) = self.engines.get_mut(&place) {
+    pub fn retire(&mut self, engine_index: EngineIndex) {
+        if let Some(engine) = self.engines.get_mut(&engine_index) {
             engine.up = false;
         }
-        let (waited, resting) = self.pools.retire_engine(place);
+        let (waited, idle) = self.pools.retire_engine(engine_index);
         waited
             .into_iter()
             .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
-        resting.into_iter().for_each(|id| self.close(id));
+        idle.into_iter().for_each(|id| self.close(id));
         // What waits for its settings there has not left either.
         let setting = |(id, l): (&ServerId, &Server)| {
-            (l.place == place && l.engine.is_setting()).then_some((*id, l.serves))
+            (l.engine_index == engine_index && l.engine.is_setting()).then_some((*id, l.serving))
         };
         let setting: Vec<(ServerId, Option<ExecutionId>)> =
-            self.links.iter().filter_map(setting).collect();
+            self.connections.iter().filter_map(setting).collect();
         for (id, waits) in setting {
             self.close(id);
             waits
@@ -302,18 +305,18 @@
         }
         let held = |(id, l): (&ServerId, &Server)| {
             let idle = match l
-                .serves
+                .serving
                 .and_then(|execution_id| self.executions.get(&execution_id))
             {
                 Some(execution) => execution.stage == Stage::Waiting,
                 None => true,
             };
-            (l.place == place && l.holds.is_some() && idle).then_some(*id)
+            (l.engine_index == engine_index && l.transaction_of.is_some() && idle).then_some(*id)
         };
-        let held: Vec<ServerId> = self.links.iter().filter_map(held).collect();
+        let held: Vec<ServerId> = self.connections.iter().filter_map(held).collect();
         for id in held {
-            let link = self.links.get(&id);
-            let (session, waits) = link.map_or((None, None), |l| (l.holds, l.serves));
+            let link = self.connections.get(&id);
+            let (session, waits) = link.map_or((None, None), |l| (l.transaction_of, l.serving));
             self.close(id);
             waits
                 .into_iter()
@@ -332,9 +335,9 @@
     }
 
     fn engine_name(&self, id: ServerId) -> &str {
-        let place = self.links.get(&id).map(|l| l.place);
-        place
-            .and_then(|place| self.engines.get(&place))
+        let engine_index = self.connections.get(&id).map(|l| l.engine_index);
+        engine_index
+            .and_then(|engine_index| self.engines.get(&engine_index))
             .map_or("?", |e| &e.id)
     }
 
@@ -349,7 +352,7 @@
         let cancels = self
             .cancels
             .values()
-            .map(|c| c.by)
+            .map(|c| c.deadline)
             .min()
             .unwrap_or(Micros::MAX);
         let next_check = if self.pools.is_empty() {
@@ -367,7 +370,7 @@
         let late: Vec<u64> = self
             .cancels
             .iter()
-            .filter(|(_, c)| c.by <= now)
+            .filter(|(_, c)| c.deadline <= now)
             .map(|(n, _)| *n)
             .collect();
         late.into_iter()
@@ -379,9 +382,9 @@
                 self.close(id);
             }
             // What waits for descriptors that others have let go of.
-            for place in self.engines.keys().copied().collect::<Vec<_>>() {
-                let step = self.pools.next_action(place);
-                self.step(now, place, step);
+            for engine_index in self.engines.keys().copied().collect::<Vec<_>>() {
+                let action = self.pools.next_action(engine_index);
+                self.run_pool_action(now, engine_index, action);
             }
         }
         unfinished
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -14,11 +14,11 @@
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
     pub fn cancel_execution(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let Some(execution) = self.executions.get(&execution_id) else {
-            return self.end_before_cancelled(execution_id, ending);
+            return self.end_while_cancelling(execution_id, ending);
         };
-        let (place, link) = (execution.place, execution.link);
+        let (engine_index, link) = (execution.engine_index, execution.connection);
         let Some(id) = link else {
-            self.pools.withdraw(place, execution_id);
+            self.pools.withdraw(engine_index, execution_id);
             // One that waits for a cancel to be over lets its transaction go, which it could not end.
             let pinned = execution.unit.pin;
             // Also where its time is up. Guards against a commit that passes for one in doubt and never left.
@@ -28,7 +28,11 @@
         };
         // Guards against a commit that passes for one in doubt, and a unit that leaves though it is given up:
         // behind settings that are being brought over nothing of it has left.
-        if self.links.get(&id).is_some_and(|l| l.engine.is_setting()) {
+        if self
+            .connections
+            .get(&id)
+            .is_some_and(|l| l.engine.is_setting())
+        {
             self.report_end(execution_id, Ending::Withdrawn);
             return self.close(id);
         }
@@ -41,13 +45,16 @@
             ending
         };
         self.executions.remove(&execution_id);
-        let held = self.links.get(&id).is_some_and(|l| l.holds.is_some());
-        if self.allowance.cancel || held {
-            let ends = (!at_once).then_some(PendingEnd {
+        let held = self
+            .connections
+            .get(&id)
+            .is_some_and(|l| l.transaction_of.is_some());
+        if self.network.cancel || held {
+            let pending_end = (!at_once).then_some(PendingEnd {
                 execution_id,
                 ending,
             });
-            let asked = self.allowance.cancel && self.ask_to_cancel(now, id, ends);
+            let asked = self.network.cancel && self.send_cancel_request(now, id, pending_end);
             self.close(id);
             if at_once || !asked {
                 self.events.push(Event::Ended {
@@ -56,8 +63,8 @@
                 });
             }
         } else {
-            if let Some(link) = self.links.get_mut(&id) {
-                (link.serves, link.discards) = (None, true);
+            if let Some(link) = self.connections.get_mut(&id) {
+                (link.serving, link.discards_replies) = (None, true);
             }
             self.events.push(Event::Ended {
                 execution_id,
@@ -68,17 +75,17 @@
 
     /// An execution that waits for its request to cancel has its client's time up. Guards against a client
     /// that is answered late, as it waits for an engine that takes no requests.
-    fn end_before_cancelled(&mut self, execution_id: ExecutionId, ending: Ending) {
+    fn end_while_cancelling(&mut self, execution_id: ExecutionId, ending: Ending) {
         if ending != Ending::TimeUp {
             return;
         }
         let waits = |cancel: &&mut Cancel| {
             cancel
-                .ends
+                .pending_end
                 .is_some_and(|end| end.execution_id == execution_id)
         };
         if let Some(cancel) = self.cancels.values_mut().find(waits) {
-            cancel.ends = None;
+            cancel.pending_end = None;
             self.events.push(Event::Ended {
                 execution_id,
                 ending,
@@ -93,7 +100,7 @@
             .iter()
             .filter(|(execution_id, _)| execution_id.ticket == ticket);
         let here: Vec<(ExecutionId, Option<ServerId>)> = of_ticket
-            .map(|(execution_id, execution)| (*execution_id, execution.link))
+            .map(|(execution_id, execution)| (*execution_id, execution.connection))
             .collect();
         for (execution_id, link) in here {
             let Some(id) = link else {
@@ -103,12 +110,12 @@
             // What is written and has yet to leave goes with its connection, also what waits for its settings.
             let stays = |l: &Server| !l.link.has_sent(1) || l.engine.is_setting();
             let unsent = self
-                .links
+                .connections
                 .get(&id)
-                .is_some_and(|l| l.serves == Some(execution_id) && stays(l));
-            if let Some(place) = self.place(id).filter(|_| unsent) {
+                .is_some_and(|l| l.serving == Some(execution_id) && stays(l));
+            if let Some(engine_index) = self.engine_index(id).filter(|_| unsent) {
                 self.report_end(execution_id, Ending::Withdrawn);
-                self.close_and_refill(now, id, place);
+                self.close_and_refill(now, id, engine_index);
             }
         }
     }
@@ -122,39 +129,48 @@
         else {
             return false;
         };
-        let Some(id) = execution.link.filter(|_| self.allowance.cancel) else {
+        let Some(id) = execution.connection.filter(|_| self.network.cancel) else {
             return false;
         };
-        if let Some(link) = self.links.get_mut(&id) {
+        if let Some(link) = self.connections.get_mut(&id) {
             link.closes_after_unit = true;
         }
-        self.ask_to_cancel(now, id, None)
+        self.send_cancel_request(now, id, None)
     }
 
     /// Sends a request to cancel over a connection of its own.
-    fn ask_to_cancel(&mut self, now: Micros, id: ServerId, ends: Option<PendingEnd>) -> bool {
-        let Some(server) = self.links.get_mut(&id) else {
+    fn send_cancel_request(
+        &mut self,
+        now: Micros,
+        id: ServerId,
+        pending_end: Option<PendingEnd>,
+    ) -> bool {
+        let Some(server) = self.connections.get_mut(&id) else {
             return false;
         };
-        let Some((key, engine)) = server.engine.key.zip(self.engines.get(&server.place)) else {
+        let Some((key, engine)) = server
+            .engine
+            .key
+            .zip(self.engines.get(&server.engine_index))
+        else {
             return false;
         };
-        let number = self.next + 1;
-        let Ok(mut link) = Link::dial(engine.at, &self.handle, SocketKind::Cancel.id(number))
+        let number = self.last_id + 1;
+        let Ok(mut link) = Link::dial(engine.address, &self.handle, SocketKind::Cancel.id(number))
         else {
             return false;
         };
-        self.next = number;
+        self.last_id = number;
         wire::write_cancel(link.output(), key);
         server.cancels += 1;
-        let by = now + 2 * self.allowance.dial_timeout;
+        let deadline = now + 2 * self.network.dial_timeout;
         self.cancels.insert(
             number,
             Cancel {
                 link,
                 server: id,
-                by,
-                ends,
+                deadline,
+                pending_end,
             },
         );
         true
@@ -168,12 +184,12 @@
         match cancel.link.is_up() {
             Ok(false) => return,
             Ok(true) => {}
-            Err(_) => return self.cancelled(number),
+            Err(_) => return self.finish_cancel(number),
         }
         let execution_id = cancel.link.flush();
         let broken = cancel.link.read().broken;
         if execution_id.is_err() || broken.is_some() || !cancel.link.input.is_empty() {
-            self.cancelled(number);
+            self.finish_cancel(number);
         }
     }
 
@@ -188,35 +204,35 @@
         self.read_cancel(number);
         match self.cancels.get_mut(&number) {
             Some(cancel) if was_unsent && cancel.link.unsent() == 0 => {
-                cancel.by = now + self.allowance.dial_timeout
+                cancel.deadline = now + self.network.dial_timeout
             }
-            _ => self.cancelled(number),
+            _ => self.finish_cancel(number),
         }
     }
 
     /// The engine has taken the request, or never will.
-    pub(super) fn cancelled(&mut self, number: u64) {
+    pub(super) fn finish_cancel(&mut self, number: u64) {
         let Some(cancel) = self.cancels.remove(&number) else {
             return;
         };
         if let Some(PendingEnd {
             execution_id,
             ending,
-        }) = cancel.ends
+        }) = cancel.pending_end
         {
             self.events.push(Event::Ended {
                 execution_id,
                 ending,
             });
         }
-        if let Some(link) = self.links.get_mut(&cancel.server) {
+        if let Some(link) = self.connections.get_mut(&cancel.server) {
             link.cancels -= 1;
             let waits = |execution_id: &ExecutionId| {
                 self.executions
                     .get(execution_id)
                     .is_some_and(|execution| execution.stage == Stage::Waiting)
             };
-            if let Some(execution_id) = link.serves.filter(waits).filter(|_| link.cancels == 0) {
+            if let Some(execution_id) = link.serving.filter(waits).filter(|_| link.cancels == 0) {
                 self.start(execution_id, cancel.server);
             }
         }
@@ -224,60 +240,65 @@
 
     /// A session lets go of the connection that holds its transaction: the engine rolls it back.
     pub fn release(&mut self, now: Micros, id: ServerId) {
-        if let Some(place) = self.place(id) {
-            self.close_and_refill(now, id, place);
+        if let Some(engine_index) = self.engine_index(id) {
+            self.close_and_refill(now, id, engine_index);
         }
     }
 
     /// Closes a connection that has nothing out that anyone waits for.
     pub(super) fn close(&mut self, id: ServerId) {
-        if let Some(mut server) = self.links.remove(&id) {
-            if server.up && server.link.unsent() == 0 && server.serves.is_none() {
+        if let Some(mut server) = self.connections.remove(&id) {
+            if server.up && server.link.unsent() == 0 && server.serving.is_none() {
                 server.link.output().extend_from_slice(wire::TERMINATE);
                 // It ends whether that message gets through or not.
                 let _ = server.link.flush();
             }
-            self.forget(id);
+            self.remove_from_pools(id);
         }
     }
 
-    pub(super) fn forget(&mut self, id: ServerId) -> Vec<ExecutionId> {
+    pub(super) fn remove_from_pools(&mut self, id: ServerId) -> Vec<ExecutionId> {
         self.connecting.remove(&id);
-        self.changed.remove(&id);
+        self.flush_pending.remove(&id);
         self.pools.remove(id)
     }
 
-    pub(super) fn close_and_refill(&mut self, now: Micros, id: ServerId, place: EngineIndex) {
+    pub(super) fn close_and_refill(
+        &mut self,
+        now: Micros,
+        id: ServerId,
+        engine_index: EngineIndex,
+    ) {
         self.close(id);
-        let step = self.pools.next_action(place);
-        self.step(now, place, step);
+        let action = self.pools.next_action(engine_index);
+        self.run_pool_action(now, engine_index, action);
     }
 
     /// A connection is free: for the next unit, or to be closed.
     pub(super) fn release_idle(&mut self, now: Micros, id: ServerId) {
-        let Some(server) = self.links.get_mut(&id) else {
+        let Some(server) = self.connections.get_mut(&id) else {
             return;
         };
-        let place = server.place;
+        let engine_index = server.engine_index;
         if server.closes_after_unit || server.cancels > 0 {
-            return self.close_and_refill(now, id, place);
+            return self.close_and_refill(now, id, engine_index);
         }
         match self.pools.release(now, id) {
             Released::Idle => {}
-            Released::Action(step) => self.step(now, place, Some(step)),
-            Released::Close => self.close_and_refill(now, id, place),
+            Released::Action(action) => self.run_pool_action(now, engine_index, Some(action)),
+            Released::Close => self.close_and_refill(now, id, engine_index),
         }
     }
 
     /// A connection is over: its execution ends by how much of it has left.
     pub(super) fn connection_lost(&mut self, now: Micros, id: ServerId, ending: Ending) {
-        let Some(server) = self.links.remove(&id) else {
+        let Some(server) = self.connections.remove(&id) else {
             return;
         };
-        let waited = self.forget(id);
-        let place = server.place;
-        if let Some(engine) = self.engines.get_mut(&place) {
-            log_lost(engine, &server, ending);
+        let waited = self.remove_from_pools(id);
+        let engine_index = server.engine_index;
+        if let Some(engine) = self.engines.get_mut(&engine_index) {
+            log_lost_connection(engine, &server, ending);
         }
         let ending_of_waiting = if server.up && ending == Ending::Unreadable {
             Ending::ConnectionRefused
@@ -287,37 +308,37 @@
         for execution_id in waited {
             self.report_end(execution_id, ending_of_waiting);
         }
-        if let Some(execution_id) = server.serves {
+        if let Some(execution_id) = server.serving {
             let execution = self.executions.get(&execution_id);
             let ending =
-                execution.map_or(ending, |execution| ending_of(execution, &server, ending));
+                execution.map_or(ending, |execution| lost_ending(execution, &server, ending));
             self.report_end(execution_id, ending);
         }
         self.events.extend(
             server
-                .holds
+                .transaction_of
                 .map(|session| Event::TransactionLost { session }),
         );
-        let step = self.pools.next_action(place);
-        self.step(now, place, step);
+        let action = self.pools.next_action(engine_index);
+        self.run_pool_action(now, engine_index, action);
     }
 }
 
 /// How an execution ends whose connection was lost, by how much of it has left.
-fn ending_of(execution: &Execution, server: &Server, lost: Ending) -> Ending {
+fn lost_ending(execution: &Execution, server: &Server, lost: Ending) -> Ending {
     let has_left = server.link.has_sent(server.write_end);
     match execution.stage {
         Stage::Waiting => Ending::Withdrawn,
         // It waits here for its settings.
         _ if server.engine.is_setting() => Ending::HalfWritten,
         // Without its Sync nothing that it does is kept, but for a commit of its own.
-        Stage::Writing if !has_left && !execution.unit.once => Ending::HalfWritten,
-        Stage::Writing | Stage::Out => lost,
+        Stage::Writing if !has_left && !execution.unit.no_retry => Ending::HalfWritten,
+        Stage::Writing | Stage::Sent => lost,
     }
 }
 
 /// Logs a lost connection. An engine that can't be reached is named once, until it is reached again.
-fn log_lost(engine: &mut EngineEntry, server: &Server, ending: Ending) {
+fn log_lost_connection(engine: &mut EngineEntry, server: &Server, ending: Ending) {
     if !server.engine.is_up() {
         if !std::mem::replace(&mut engine.failing, true) {
             log::warn!(
@@ -325,7 +346,7 @@
                 engine.id
             );
         }
-    } else if server.serves.is_some() {
+    } else if server.serving.is_some() {
         log::warn!(
             "engine {}: connection lost with a unit: {ending:?}",
             engine.id
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -22,7 +22,7 @@
 const READ_SIZE: usize = 64 << 10;
 
 /// How far the replies of an input were taken.
-enum RepliesTaken {
+enum ReplyProgress {
     /// So many bytes were taken; the rest is less than a reply.
     UpTo(usize),
     Unreadable(ProtocolError),
@@ -32,24 +32,26 @@
 
 impl Servers {
     /// Hands on what has come of an answer, if it is due: too much to hold, or a client that waits for it.
-    pub(super) fn pass(&mut self, execution_id: ExecutionId, caught: bool) {
+    pub(super) fn forward_answer(&mut self, execution_id: ExecutionId, client_waits: bool) {
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
         };
         let flushed = execution.unit.parts.last().is_some_and(|part| !part.ends);
-        let due = execution.begun
+        let due = execution.answer_started
             || flushed
             || execution.unsent_answer.len() > self.limits.buffer_bytes
-            || caught;
+            || client_waits;
         if due && !execution.unsent_answer.is_empty() {
-            execution.begun = true;
+            execution.answer_started = true;
             let bytes = std::mem::take(&mut execution.unsent_answer);
-            let link = execution.link.and_then(|id| self.links.get(&id));
-            let whole = link.is_some_and(|l| l.engine.is_between_messages());
+            let link = execution
+                .connection
+                .and_then(|id| self.connections.get(&id));
+            let ends_message = link.is_some_and(|l| l.engine.is_between_messages());
             self.events.push(Event::PartialAnswer {
                 execution_id,
                 bytes,
-                whole,
+                ends_message,
             });
         }
     }
@@ -65,7 +67,7 @@
     pub fn resume(&mut self, execution_id: ExecutionId) -> Option<ServerId> {
         let execution = self.executions.get_mut(&execution_id)?;
         let was_paused = std::mem::replace(&mut execution.paused, false);
-        execution.link.filter(|_| was_paused)
+        execution.connection.filter(|_| was_paused)
     }
 
     /// A connection has changed; true if there is more for another iteration.
@@ -73,27 +75,27 @@
         if !self.is_up(now, id) {
             return false;
         }
-        let Some(server) = self.links.get_mut(&id) else {
+        let Some(server) = self.connections.get_mut(&id) else {
             return false;
         };
-        self.changed.insert(id);
-        if let Some(engine) = self.engines.get_mut(&server.place) {
+        self.flush_pending.insert(id);
+        if let Some(engine) = self.engines.get_mut(&server.engine_index) {
             engine.last_reply = now;
         }
-        let execution = server.serves.and_then(|id| self.executions.get(&id));
+        let execution = server.serving.and_then(|id| self.executions.get(&id));
         if execution.is_some_and(|execution| execution.paused) {
             return false;
         }
         let ReadOutcome { has_more, broken } = server.link.read_some(READ_SIZE);
         let mut input = std::mem::take(&mut server.link.input);
-        match self.take_replies(now, id, &input) {
-            RepliesTaken::ConnectionClosed => return false,
-            RepliesTaken::Unreadable(what) => {
+        match self.process_replies(now, id, &input) {
+            ReplyProgress::ConnectionClosed => return false,
+            ReplyProgress::Unreadable(what) => {
                 self.close_unreadable(now, id, &what, broken);
                 return false;
             }
-            RepliesTaken::UpTo(taken) => {
-                if let Some(server) = self.links.get_mut(&id) {
+            ReplyProgress::UpTo(taken) => {
+                if let Some(server) = self.connections.get_mut(&id) {
                     input.drain(..taken);
                     server.link.input = input;
                 }
@@ -110,7 +112,7 @@
 
     /// Whether a connection is up. One that has just come up begins its login; one that failed is closed.
     fn is_up(&mut self, now: Micros, id: ServerId) -> bool {
-        let Some(server) = self.links.get_mut(&id) else {
+        let Some(server) = self.connections.get_mut(&id) else {
             return false;
         };
         if server.up {
@@ -121,7 +123,7 @@
             Ok(true) => {
                 server.up = true;
                 self.connecting.insert(id, now + LOGIN_TIMEOUT);
-                let engine = self.engines.get_mut(&server.place);
+                let engine = self.engines.get_mut(&server.engine_index);
                 if let Some(engine) = engine.filter(|engine| engine.failing) {
                     engine.failing = false;
                     log::info!("engine {}: reached again", engine.id);
@@ -136,13 +138,13 @@
     }
 
     /// Takes all replies of an input; answers go on as they are due.
-    fn take_replies(&mut self, now: Micros, id: ServerId, input: &[u8]) -> RepliesTaken {
+    fn process_replies(&mut self, now: Micros, id: ServerId, input: &[u8]) -> ReplyProgress {
         let mut taken = 0;
         loop {
-            let Some(server) = self.links.get_mut(&id) else {
-                return RepliesTaken::ConnectionClosed;
+            let Some(server) = self.connections.get_mut(&id) else {
+                return ReplyProgress::ConnectionClosed;
             };
-            let execution_id = server.serves;
+            let execution_id = server.serving;
             let execution = execution_id.and_then(|id| self.executions.get_mut(&id));
             let mut dropped = Vec::new();
             let unsent_answer =
@@ -159,18 +161,18 @@
             }
             let (used, reply) = match read {
                 Ok(read) => read,
-                Err(what) => return RepliesTaken::Unreadable(what),
+                Err(what) => return ReplyProgress::Unreadable(what),
             };
             taken += used;
             let is_incomplete = reply.is_none() && used == 0;
             if let Some(execution_id) = execution_id {
-                self.pass(execution_id, false);
+                self.forward_answer(execution_id, false);
             }
             if let Some(reply) = reply {
                 self.handle_reply(now, id, reply);
             }
             if is_incomplete || taken == input.len() {
-                return RepliesTaken::UpTo(taken);
+                return ReplyProgress::UpTo(taken);
             }
         }
     }
@@ -194,53 +196,54 @@
     }
 
     fn handle_reply(&mut self, now: Micros, id: ServerId, reply: EngineEvent) {
-        let Some(server) = self.links.get_mut(&id) else {
+        let Some(server) = self.connections.get_mut(&id) else {
             return;
         };
-        let place = server.place;
+        let engine_index = server.engine_index;
         match reply {
-            EngineEvent::PingAnswered => self.report_alive(place),
+            EngineEvent::PingAnswered => self.report_alive(engine_index),
             EngineEvent::Ready => {
                 self.connecting.remove(&id);
                 if !server.engine.parameters.is_empty() {
                     self.parameters = std::mem::take(&mut server.engine.parameters);
                 }
-                self.report_alive(place);
+                self.report_alive(engine_index);
                 self.release_idle(now, id);
             }
             EngineEvent::LoginRefused { code, error } => {
                 log::warn!("engine {}: no login: {code}", self.engine_name(id));
-                let lost = self.forget(id);
-                self.links.remove(&id);
+                let lost = self.remove_from_pools(id);
+                self.connections.remove(&id);
                 for execution_id in lost {
                     match code.as_str() {
                         "53300" => self.report_end(execution_id, Ending::Rejected),
                         code if is_engine_fault(code.as_bytes()) => {
                             self.report_end(execution_id, Ending::ConnectionRefused)
                         }
-                        _ => self.refused(execution_id, error.clone()),
+                        _ => self.report_refused(execution_id, error.clone()),
                     }
                 }
-                let step = self.pools.next_action(place);
-                self.step(now, place, step);
+                let action = self.pools.next_action(engine_index);
+                self.run_pool_action(now, engine_index, action);
             }
             EngineEvent::SettingsRefused { error } => {
-                let execution_id = server.serves.take();
+                let execution_id = server.serving.take();
                 self.close(id);
                 execution_id
                     .into_iter()
-                    .for_each(|execution_id| self.refused(execution_id, error.clone()));
-                let step = self.pools.next_action(place);
-                self.step(now, place, step);
+                    .for_each(|execution_id| self.report_refused(execution_id, error.clone()));
+                let action = self.pools.next_action(engine_index);
+                self.run_pool_action(now, engine_index, action);
             }
-            EngineEvent::UnitDone(done) => self.unit_done(now, id, done),
+            EngineEvent::UnitDone(done) => self.finish_unit(now, id, done),
         }
     }
 
     /// An engine has answered: what is out there is not held up by its silence.
-    fn report_alive(&mut self, place: EngineIndex) {
-        let out =
-            |execution: &Execution| execution.place == place && execution.stage != Stage::Waiting;
+    fn report_alive(&mut self, engine_index: EngineIndex) {
+        let out = |execution: &Execution| {
+            execution.engine_index == engine_index && execution.stage != Stage::Waiting
+        };
         let one = self
             .executions
             .iter()
@@ -255,44 +258,46 @@
     pub(super) fn ping_silent(&mut self, now: Micros) {
         let mut quiet: BTreeMap<EngineIndex, pool::AccountId> = BTreeMap::new();
         let setting = |execution: &Execution| {
-            let link = execution.link.and_then(|id| self.links.get(&id));
+            let link = execution
+                .connection
+                .and_then(|id| self.connections.get(&id));
             link.is_some_and(|l| l.engine.is_setting())
         };
         for execution in self
             .executions
             .values()
-            .filter(|execution| execution.stage == Stage::Out || setting(execution))
+            .filter(|execution| execution.stage == Stage::Sent || setting(execution))
         {
-            let engine = self.engines.get(&execution.place);
+            let engine = self.engines.get(&execution.engine_index);
             if engine.is_some_and(|e| e.up && now - e.last_reply.max(e.last_ping) >= PING_AFTER) {
                 quiet
-                    .entry(execution.place)
+                    .entry(execution.engine_index)
                     .or_insert(execution.unit.account);
             }
         }
-        for (place, account) in quiet {
-            if let Some(engine) = self.engines.get_mut(&place) {
+        for (engine_index, account) in quiet {
+            if let Some(engine) = self.engines.get_mut(&engine_index) {
                 engine.last_ping = now;
             }
-            match self.pools.idle_connection(place) {
+            match self.pools.idle_connection(engine_index) {
                 Some(id) => {
-                    if let Some(server) = self.links.get_mut(&id) {
+                    if let Some(server) = self.connections.get_mut(&id) {
                         server.engine.ping(server.link.output());
-                        self.changed.insert(id);
+                        self.flush_pending.insert(id);
                     }
                 }
                 // A login is an answer as well.
-                None if self.pools.may_dial(place)
-                    && self.dials.borrow_mut().try_take_slot(now, place) =>
+                None if self.pools.may_dial(engine_index)
+                    && self.dials.borrow_mut().try_take_slot(now, engine_index) =>
                 {
-                    _ = self.dial(now, place, account)
+                    _ = self.dial(now, engine_index, account)
                 }
                 None => {}
             }
         }
     }
 
-    fn refused(&mut self, execution_id: ExecutionId, error: Vec<u8>) {
+    fn report_refused(&mut self, execution_id: ExecutionId, error: Vec<u8>) {
         self.executions.remove(&execution_id);
         self.events.push(Event::Refused {
             execution_id,
@@ -300,31 +305,34 @@
         });
     }
 
-    fn unit_done(&mut self, now: Micros, id: ServerId, done: UnitOutcome) {
-        let Some(server) = self.links.get_mut(&id) else {
+    fn finish_unit(&mut self, now: Micros, id: ServerId, done: UnitOutcome) {
+        let Some(server) = self.connections.get_mut(&id) else {
             return;
         };
-        let (place, execution_id, session) =
-            (server.place, server.serves.take(), server.holds.take());
-        server.discards = false;
+        let (engine_index, execution_id, session) = (
+            server.engine_index,
+            server.serving.take(),
+            server.transaction_of.take(),
+        );
+        server.discards_replies = false;
         let open = done.status != b'I';
-        let listed = self.engines.get(&place).is_some_and(|e| e.up);
+        let listed = self.engines.get(&engine_index).is_some_and(|e| e.up);
         let execution = execution_id.and_then(|execution_id| self.executions.remove(&execution_id));
         let Some((execution_id, execution)) = execution_id.zip(execution) else {
             // Of one that was given up, or of none: a transaction that it left open is nobody's.
             return if open {
-                self.close_and_refill(now, id, place)
+                self.close_and_refill(now, id, engine_index)
             } else {
                 self.release_idle(now, id)
             };
         };
-        if done.fault && !execution.begun && execution.unit.pin.is_none() {
+        if done.fault && !execution.answer_started && execution.unit.pin.is_none() {
             self.events.push(Event::Ended {
                 execution_id,
                 ending: Ending::EngineFailed,
             });
             return if open {
-                self.close_and_refill(now, id, place)
+                self.close_and_refill(now, id, engine_index)
             } else {
                 self.release_idle(now, id)
             };
@@ -338,13 +346,13 @@
             held,
         });
         if keeps {
-            if let Some(server) = self.links.get_mut(&id) {
-                server.holds = session.or(Some(holder));
+            if let Some(server) = self.connections.get_mut(&id) {
+                server.transaction_of = session.or(Some(holder));
             }
         } else if open {
             // Its engine drains: the transaction has no further statement there.
             self.events.push(Event::TransactionLost { session: holder });
-            self.close_and_refill(now, id, place);
+            self.close_and_refill(now, id, engine_index);
         } else {
             self.release_idle(now, id);
         }
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -15,12 +15,18 @@
 use crate::postgres::ids::ServerId;
 
 /// Bytes that an engine may leave untaken: some units of the largest size.
-const MOST_UNSENT: usize = 4 << 20;
+const MAX_UNSENT_BYTES: usize = 4 << 20;
 
 impl Servers {
     /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
-    pub fn send(&mut self, now: Micros, execution_id: ExecutionId, place: EngineIndex, unit: Unit) {
-        if !self.engines.get(&place).is_some_and(|e| e.up) {
+    pub fn send(
+        &mut self,
+        now: Micros,
+        execution_id: ExecutionId,
+        engine_index: EngineIndex,
+        unit: Unit,
+    ) {
+        if !self.engines.get(&engine_index).is_some_and(|e| e.up) {
             return self.events.push(Event::Ended {
                 execution_id,
                 ending: Ending::Withdrawn,
@@ -29,22 +35,22 @@
         let (pin, account, settings) = (unit.pin, unit.account, unit.settings.clone());
         let execution = Execution {
             unit,
-            place,
-            link: None,
+            engine_index,
+            connection: None,
             stage: Stage::Waiting,
             unsent_answer: Vec::new(),
-            begun: false,
+            answer_started: false,
             paused: false,
         };
         match pin {
             Some(id) => match self
-                .links
+                .connections
                 .get_mut(&id)
-                .filter(|l| l.place == place && l.holds.is_some())
+                .filter(|l| l.engine_index == engine_index && l.transaction_of.is_some())
             {
                 Some(link) => {
                     self.executions.insert(execution_id, execution);
-                    link.serves = Some(execution_id);
+                    link.serving = Some(execution_id);
                     if link.cancels == 0 {
                         self.start(execution_id, id);
                     }
@@ -57,29 +63,33 @@
             None => {
                 self.executions.insert(execution_id, execution);
                 let suits = |id: u64| {
-                    self.links
+                    self.connections
                         .get(&id)
                         .map_or(0, |l| u32::from(l.engine.suits(&settings)))
                 };
-                let step = self.pools.submit(place, account, execution_id, suits);
-                self.step(now, place, step);
+                let action = self
+                    .pools
+                    .submit(engine_index, account, execution_id, suits);
+                self.run_pool_action(now, engine_index, action);
             }
         }
     }
 
     /// Does what the pools have decided, and what follows from that.
-    pub(super) fn step(
+    pub(super) fn run_pool_action(
         &mut self,
         now: Micros,
-        place: EngineIndex,
-        step: Option<PoolAction<ExecutionId>>,
+        engine_index: EngineIndex,
+        action: Option<PoolAction<ExecutionId>>,
     ) {
-        let mut step = step;
-        while let Some(next) = step.take() {
+        let mut action = action;
+        while let Some(next) = action.take() {
             match next {
                 PoolAction::Use { unit, connection } => self.start(unit, connection),
                 // What waits is served as connections come free, or at the next look when a connection may be made.
-                PoolAction::Dial { .. } if !self.dials.borrow_mut().try_take_slot(now, place) => {
+                PoolAction::Dial { .. }
+                    if !self.dials.borrow_mut().try_take_slot(now, engine_index) =>
+                {
                     return
                 }
                 PoolAction::Dial {
@@ -87,32 +97,37 @@
                     instead_of,
                 } => {
                     instead_of.into_iter().for_each(|id| self.close(id));
-                    if self.links.len() + self.cancels.len() >= self.max_links {
+                    if self.connections.len() + self.cancels.len() >= self.max_connections {
                         match self.pools.oldest_idle() {
                             Some(id) => self.close(id),
                             // What waits is served as connections come free; with none at all it ends.
-                            None if !self.links.is_empty() => return,
+                            None if !self.connections.is_empty() => return,
                             None => {}
                         }
                     }
-                    if let Err(ending) = self.dial(now, place, account) {
-                        let waited: Vec<ExecutionId> = self.waiting(place, account);
+                    if let Err(ending) = self.dial(now, engine_index, account) {
+                        let waited: Vec<ExecutionId> =
+                            self.waiting_executions(engine_index, account);
                         for execution_id in waited {
-                            self.pools.withdraw(place, execution_id);
+                            self.pools.withdraw(engine_index, execution_id);
                             self.report_end(execution_id, ending);
                         }
                         return;
                     }
-                    step = self.pools.next_action(place);
+                    action = self.pools.next_action(engine_index);
                 }
             }
         }
     }
 
-    fn waiting(&self, place: EngineIndex, account: pool::AccountId) -> Vec<ExecutionId> {
+    fn waiting_executions(
+        &self,
+        engine_index: EngineIndex,
+        account: pool::AccountId,
+    ) -> Vec<ExecutionId> {
         let waits = |execution: &Execution| {
-            execution.place == place
-                && execution.link.is_none()
+            execution.engine_index == engine_index
+                && execution.connection.is_none()
                 && execution.unit.pin.is_none()
                 && execution.unit.account == account
         };
@@ -129,18 +144,18 @@
     pub(super) fn dial(
         &mut self,
         now: Micros,
-        place: EngineIndex,
+        engine_index: EngineIndex,
         account: pool::AccountId,
     ) -> Result<(), Ending> {
-        let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
+        let engine = self.engines.get(&engine_index).ok_or(Ending::Withdrawn)?;
         let who = self
             .accounts
             .get(account)
             .cloned()
             .ok_or(Ending::Withdrawn)?;
-        self.next += 1;
-        let id = self.next;
-        let mut link = match Link::dial(engine.at, &self.handle, SocketKind::Server.id(id)) {
+        self.last_id += 1;
+        let id = self.last_id;
+        let mut link = match Link::dial(engine.address, &self.handle, SocketKind::Server.id(id)) {
             Ok(link) => link,
             Err(e) => {
                 log::warn!("engine {}: no connection can be made: {e}", engine.id);
@@ -148,22 +163,22 @@
             }
         };
         let engine = EngineConnection::new(who, self.limits.prepared, link.output());
-        let dial_by = now + self.allowance.dial_timeout;
-        self.pools.connecting(now, place, account, id);
+        let dial_by = now + self.network.dial_timeout;
+        self.pools.connecting(now, engine_index, account, id);
         self.connecting.insert(id, dial_by);
         let server = Server {
             link,
             engine,
-            place,
+            engine_index,
             up: false,
-            serves: None,
-            holds: None,
+            serving: None,
+            transaction_of: None,
             write_end: 0,
             cancels: 0,
             closes_after_unit: false,
-            discards: false,
+            discards_replies: false,
         };
-        self.links.insert(id, server);
+        self.connections.insert(id, server);
         Ok(())
     }
 
@@ -171,12 +186,12 @@
     pub(super) fn start(&mut self, execution_id: ExecutionId, id: ServerId) {
         let (Some(execution), Some(link)) = (
             self.executions.get_mut(&execution_id),
-            self.links.get_mut(&id),
+            self.connections.get_mut(&id),
         ) else {
             return;
         };
-        link.serves = Some(execution_id);
-        (execution.link, execution.stage) = (Some(id), Stage::Writing);
+        link.serving = Some(execution_id);
+        (execution.connection, execution.stage) = (Some(id), Stage::Writing);
         let own = execution.unit.pin.is_some();
         for (n, part) in execution.unit.parts.iter().enumerate() {
             link.engine.send(
@@ -188,17 +203,19 @@
             );
         }
         link.write_end = link.link.output().len();
-        self.changed.insert(id);
+        self.flush_pending.insert(id);
     }
 
     /// More of a unit that is out has come.
-    pub fn more(&mut self, execution_id: ExecutionId, part: Rc<UnitPart>) {
+    pub fn append_part(&mut self, execution_id: ExecutionId, part: Rc<UnitPart>) {
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
         };
         execution.unit.parts.push(part.clone());
-        let Some(id) = execution.link else { return };
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(id) = execution.connection else {
+            return;
+        };
+        let Some(link) = self.connections.get_mut(&id) else {
             return;
         };
         link.engine.send(
@@ -210,19 +227,19 @@
         );
         link.write_end = link.link.output().len();
         execution.stage = Stage::Writing;
-        self.changed.insert(id);
-        self.pass(execution_id, false);
+        self.flush_pending.insert(id);
+        self.forward_answer(execution_id, false);
     }
 
     /// Sends what is to leave.
     pub fn flush(&mut self, now: Micros) {
-        for id in std::mem::take(&mut self.changed) {
-            let Some(server) = self.links.get_mut(&id).filter(|l| l.up) else {
+        for id in std::mem::take(&mut self.flush_pending) {
+            let Some(server) = self.connections.get_mut(&id).filter(|l| l.up) else {
                 continue;
             };
             let flushed = server.link.flush();
             let left = server.link.has_sent(server.write_end);
-            let execution_id = server.serves;
+            let execution_id = server.serving;
             let unsent = server.link.unsent();
             if let Some(execution) =
                 execution_id.and_then(|execution_id| self.executions.get_mut(&execution_id))
@@ -230,15 +247,15 @@
                 // Guards against a commit that passes for one in doubt: behind settings that are being brought
                 // over nothing of it has left.
                 if left && execution.stage == Stage::Writing && !server.engine.is_setting() {
-                    execution.stage = Stage::Out;
-                    let once = execution.unit.once || execution.unit.pin.is_some();
+                    execution.stage = Stage::Sent;
+                    let once = execution.unit.no_retry || execution.unit.pin.is_some();
                     self.events
                         .extend(execution_id.filter(|_| once).map(Event::Irrevocable));
                 }
             }
             if flushed.is_err() {
                 self.connection_lost(now, id, Ending::Reset);
-            } else if unsent > MOST_UNSENT {
+            } else if unsent > MAX_UNSENT_BYTES {
                 self.connection_lost(now, id, Ending::Unreadable);
             }
         }
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -16,22 +16,22 @@
 #[path = "servers_cancel_tests.rs"]
 mod cancel;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 const DIAL_TIMEOUT: Micros = 250_000; // microseconds
-const PLACE: EngineIndex = 0;
+const ENGINE_INDEX: EngineIndex = 0;
 const KEY: wire::CancelKey = wire::CancelKey {
     process: 7,
     secret: 8,
 };
 
 /// Connections to one engine that no front drives, with a time that the test gives.
-struct Driven {
+struct ServersHarness {
     events: EventLoop<'static, LoopEvents>,
     servers: Servers,
 }
 
-impl Driven {
-    fn new(engine: SocketAddr) -> Driven {
+impl ServersHarness {
+    fn new(engine: SocketAddr) -> ServersHarness {
         let events = EventLoop::try_new().unwrap();
         let allowance = NetworkSettings {
             dial_timeout: DIAL_TIMEOUT,
@@ -53,12 +53,18 @@
             connection_age: 60_000_000,
         };
         let mut servers = Servers::new(events.handle(), allowance, limits);
-        servers.update_engine(PLACE, listed(engine, true));
-        Driven { events, servers }
+        servers.update_engine(ENGINE_INDEX, listed(engine, true));
+        ServersHarness { events, servers }
     }
 
     /// A unit of one statement goes out, in the transaction that a connection holds if one is named.
-    fn sends(&mut self, now: Micros, execution_id: ExecutionId, text: &str, pin: Option<ServerId>) {
+    fn send_unit(
+        &mut self,
+        now: Micros,
+        execution_id: ExecutionId,
+        text: &str,
+        pin: Option<ServerId>,
+    ) {
         let account = self.servers.account(Account::default()).unwrap();
         let (settings, parts) = (Rc::default(), vec![query(text)]);
         let unit = Unit {
@@ -67,30 +73,30 @@
             settings,
             account,
             pin,
-            once: false,
+            no_retry: false,
         };
-        self.servers.send(now, execution_id, PLACE, unit);
+        self.servers.send(now, execution_id, ENGINE_INDEX, unit);
     }
 
     /// Takes what the loop reports, and sends what is to leave, until there is what is waited for.
-    fn until<T>(
+    fn run_until<T>(
         &mut self,
         now: Micros,
         what: &str,
-        mut there: impl FnMut(&mut Servers) -> Option<T>,
+        mut condition: impl FnMut(&mut Servers) -> Option<T>,
     ) -> T {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            self.takes_what_is_reported(now);
-            if let Some(found) = there(&mut self.servers) {
+            self.handle_ready_sockets(now);
+            if let Some(found) = condition(&mut self.servers) {
                 return found;
             }
-            assert!(begun.elapsed() < PATIENCE, "{what}");
+            assert!(started.elapsed() < WAIT_LIMIT, "{what}");
         }
     }
 
-    fn takes_what_is_reported(&mut self, now: Micros) {
-        for socket in self.reported() {
+    fn handle_ready_sockets(&mut self, now: Micros) {
+        for socket in self.ready_sockets() {
             match socket.kind {
                 SocketKind::Cancel => self.servers.read_cancel(socket.number),
                 _ => _ = self.servers.read(now, socket.number),
@@ -99,27 +105,27 @@
         self.servers.flush(now);
     }
 
-    fn reported(&mut self) -> Vec<SocketId> {
+    fn ready_sockets(&mut self) -> Vec<SocketId> {
         let mut changes = LoopEvents::default();
         self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
         changes.ready
     }
 
     /// Waits until a connection has changed; the front is not told of it, as if it stood still.
-    fn stands_still_until_reported(&mut self) {
-        let begun = Instant::now();
-        while self.reported().is_empty() {
-            assert!(begun.elapsed() < PATIENCE, "no connection has changed");
+    fn wait_for_unhandled_socket(&mut self) {
+        let started = Instant::now();
+        while self.ready_sockets().is_empty() {
+            assert!(started.elapsed() < WAIT_LIMIT, "no connection has changed");
         }
     }
 
     /// Goes on until an engine has heard a text, or its connection's end where the text is empty.
-    fn hears(&mut self, now: Micros, engine: &mut TcpStream, text: &[u8]) -> Vec<u8> {
+    fn receive_until(&mut self, now: Micros, engine: &mut TcpStream, text: &[u8]) -> Vec<u8> {
         engine.set_nonblocking(true).unwrap();
         let mut all = Vec::new();
-        self.until(now, "what the engine is to hear", |_| {
-            let mut heard = [0; 4096];
-            match engine.read(&mut heard) {
+        self.run_until(now, "what the engine is to hear", |_| {
+            let mut received = [0; 4096];
+            match engine.read(&mut received) {
                 Ok(0) => {
                     assert!(
                         text.is_empty(),
@@ -128,7 +134,7 @@
                     );
                     return Some(());
                 }
-                Ok(len) => all.extend_from_slice(&heard[..len]),
+                Ok(len) => all.extend_from_slice(&received[..len]),
                 Err(e) => assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}"),
             }
             (!text.is_empty() && all.windows(text.len()).any(|part| part == text)).then_some(())
@@ -137,28 +143,24 @@
     }
 
     /// An engine's connection which is up and waits for its login, with a unit that waits for it.
-    fn waits_for_its_login(
-        &mut self,
-        engine: &TcpListener,
-        execution_id: ExecutionId,
-    ) -> TcpStream {
-        self.sends(0, execution_id, "select 1", None);
+    fn dial_until_startup(&mut self, engine: &TcpListener, execution_id: ExecutionId) -> TcpStream {
+        self.send_unit(0, execution_id, "select 1", None);
         let mut link = engine.accept().unwrap().0;
-        self.hears(0, &mut link, b"user");
+        self.receive_until(0, &mut link, b"user");
         link
     }
 
     /// An engine's connection on which the first unit is out.
-    fn has_out(&mut self, engine: &TcpListener, execution_id: ExecutionId) -> TcpStream {
-        let mut link = self.waits_for_its_login(engine, execution_id);
-        lets_in(&mut link);
-        self.hears(0, &mut link, b"select 1");
+    fn start_unit(&mut self, engine: &TcpListener, execution_id: ExecutionId) -> TcpStream {
+        let mut link = self.dial_until_startup(engine, execution_id);
+        accept_login(&mut link);
+        self.receive_until(0, &mut link, b"select 1");
         self.servers.events.clear();
         link
     }
 
     /// How executions have ended since the last look.
-    fn ended(&mut self) -> Vec<(ExecutionId, Ending)> {
+    fn take_endings(&mut self) -> Vec<(ExecutionId, Ending)> {
         let ended = |event: Event| match event {
             Event::Ended {
                 execution_id,
@@ -181,7 +183,7 @@
     Rc::new(part)
 }
 
-fn lets_in(engine: &mut TcpStream) {
+fn accept_login(engine: &mut TcpStream) {
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
     wire::write_key(&mut out, KEY);
@@ -196,7 +198,7 @@
 }
 
 /// A port at which nobody listens, and nobody else can: dials are refused.
-fn bound() -> (Socket, SocketAddr) {
+fn bound_socket() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -207,13 +209,13 @@
 
 /// A listener whose queue is full with the connection that comes with it: a further dial does not come up.
 fn full_listener() -> (Socket, TcpStream, SocketAddr) {
-    let (socket, at) = bound();
+    let (socket, at) = bound_socket();
     socket.listen(0).unwrap();
     let first = TcpStream::connect(at).unwrap();
     (socket, first, at)
 }
 
-const FIRST: ExecutionId = ExecutionId {
+const FIRST_EXECUTION: ExecutionId = ExecutionId {
     ticket: 1,
     number: 0,
 };
@@ -231,111 +233,125 @@
 #[test]
 fn a_connection_that_came_up_while_the_front_stood_still_is_not_given_up() {
     let (engine, at) = listener();
-    let mut driven = Driven::new(at);
-    driven.sends(0, FIRST, "select 1", None);
+    let mut harness = ServersHarness::new(at);
+    harness.send_unit(0, FIRST_EXECUTION, "select 1", None);
     let mut link = engine.accept().unwrap().0;
-    driven.stands_still_until_reported();
-    driven.servers.expire(DIAL_TIMEOUT);
-    assert_eq!(driven.ended(), []);
-    driven.hears(DIAL_TIMEOUT, &mut link, b"user");
-    lets_in(&mut link);
-    driven.hears(DIAL_TIMEOUT, &mut link, b"select 1");
-    assert_eq!(driven.ended(), []);
+    harness.wait_for_unhandled_socket();
+    harness.servers.expire(DIAL_TIMEOUT);
+    assert_eq!(harness.take_endings(), []);
+    harness.receive_until(DIAL_TIMEOUT, &mut link, b"user");
+    accept_login(&mut link);
+    harness.receive_until(DIAL_TIMEOUT, &mut link, b"select 1");
+    assert_eq!(harness.take_endings(), []);
 }
 
 #[test]
 fn a_login_that_came_while_the_front_stood_still_is_not_given_up() {
     let (engine, at) = listener();
-    let mut driven = Driven::new(at);
-    let mut link = driven.waits_for_its_login(&engine, FIRST);
-    driven.reported();
-    lets_in(&mut link);
-    driven.stands_still_until_reported();
-    driven.servers.expire(LOGIN_TIMEOUT);
-    assert_eq!(driven.ended(), []);
-    driven.hears(LOGIN_TIMEOUT, &mut link, b"select 1");
-    assert_eq!(driven.ended(), []);
+    let mut harness = ServersHarness::new(at);
+    let mut link = harness.dial_until_startup(&engine, FIRST_EXECUTION);
+    harness.ready_sockets();
+    accept_login(&mut link);
+    harness.wait_for_unhandled_socket();
+    harness.servers.expire(LOGIN_TIMEOUT);
+    assert_eq!(harness.take_endings(), []);
+    harness.receive_until(LOGIN_TIMEOUT, &mut link, b"select 1");
+    assert_eq!(harness.take_endings(), []);
 }
 
 #[test]
 fn a_dial_that_failed_while_the_front_stood_still_ends_as_what_it_is() {
-    let (_closed, at) = bound();
-    let mut driven = Driven::new(at);
-    driven.sends(0, FIRST, "select 1", None);
+    let (_closed, at) = bound_socket();
+    let mut harness = ServersHarness::new(at);
+    harness.send_unit(0, FIRST_EXECUTION, "select 1", None);
     // Some systems tell of it at once.
-    if driven.servers.events.is_empty() {
-        driven.stands_still_until_reported();
+    if harness.servers.events.is_empty() {
+        harness.wait_for_unhandled_socket();
     }
-    driven.servers.expire(1_000_000);
-    assert_eq!(driven.ended(), [(FIRST, Ending::ConnectionRefused)]);
+    harness.servers.expire(1_000_000);
+    assert_eq!(
+        harness.take_endings(),
+        [(FIRST_EXECUTION, Ending::ConnectionRefused)]
+    );
 }
 
 #[test]
 fn a_dial_that_is_not_up_in_time_ends_once_what_waits_for_it() {
     let (_engine, _first, at) = full_listener();
-    let mut driven = Driven::new(at);
-    driven.sends(0, FIRST, "select 1", None);
-    driven.takes_what_is_reported(0);
-    driven.servers.expire(DIAL_TIMEOUT - 1);
-    assert_eq!(driven.ended(), []);
-    assert!(driven.servers.due() <= DIAL_TIMEOUT);
-    driven.servers.expire(DIAL_TIMEOUT);
-    assert_eq!(driven.ended(), [(FIRST, Ending::ConnectTimeout)]);
-    driven.servers.expire(2 * DIAL_TIMEOUT);
-    assert_eq!(driven.ended(), []);
-    assert!(driven.servers.links.is_empty() && driven.servers.connecting.is_empty());
-    assert!(!driven.servers.has_execution(FIRST));
+    let mut harness = ServersHarness::new(at);
+    harness.send_unit(0, FIRST_EXECUTION, "select 1", None);
+    harness.handle_ready_sockets(0);
+    harness.servers.expire(DIAL_TIMEOUT - 1);
+    assert_eq!(harness.take_endings(), []);
+    assert!(harness.servers.due() <= DIAL_TIMEOUT);
+    harness.servers.expire(DIAL_TIMEOUT);
+    assert_eq!(
+        harness.take_endings(),
+        [(FIRST_EXECUTION, Ending::ConnectTimeout)]
+    );
+    harness.servers.expire(2 * DIAL_TIMEOUT);
+    assert_eq!(harness.take_endings(), []);
+    assert!(harness.servers.connections.is_empty() && harness.servers.connecting.is_empty());
+    assert!(!harness.servers.has_execution(FIRST_EXECUTION));
 }
 
 #[test]
 fn a_login_that_is_not_over_in_time_ends_once_what_waits_for_it() {
     let (engine, at) = listener();
-    let mut driven = Driven::new(at);
-    let mut link = driven.waits_for_its_login(&engine, FIRST);
-    driven.servers.expire(LOGIN_TIMEOUT - 1);
-    assert_eq!(driven.ended(), []);
-    driven.servers.expire(LOGIN_TIMEOUT);
-    assert_eq!(driven.ended(), [(FIRST, Ending::ConnectTimeout)]);
-    driven.servers.expire(2 * LOGIN_TIMEOUT);
-    assert_eq!(driven.ended(), []);
+    let mut harness = ServersHarness::new(at);
+    let mut link = harness.dial_until_startup(&engine, FIRST_EXECUTION);
+    harness.servers.expire(LOGIN_TIMEOUT - 1);
+    assert_eq!(harness.take_endings(), []);
+    harness.servers.expire(LOGIN_TIMEOUT);
+    assert_eq!(
+        harness.take_endings(),
+        [(FIRST_EXECUTION, Ending::ConnectTimeout)]
+    );
+    harness.servers.expire(2 * LOGIN_TIMEOUT);
+    assert_eq!(harness.take_endings(), []);
     // Nothing of it has left.
-    let heard = driven.hears(LOGIN_TIMEOUT, &mut link, b"");
+    let received = harness.receive_until(LOGIN_TIMEOUT, &mut link, b"");
     assert!(
-        !String::from_utf8_lossy(&heard).contains("select"),
-        "{heard:?}"
+        !String::from_utf8_lossy(&received).contains("select"),
+        "{received:?}"
     );
 }
 
 #[test]
 fn a_unit_whose_settings_are_still_brought_over_is_withdrawn_once_its_engine_drains() {
     let (engine, at) = listener();
-    let mut driven = Driven::new(at);
+    let mut harness = ServersHarness::new(at);
     let set = BTreeMap::from([(
         "search_path".to_string(),
         "SET search_path = 'own'".to_string(),
     )]);
     let (settings, parts) = (Rc::new(SessionSettings(set)), vec![query("select 1")]);
-    let account = driven.servers.account(Account::default()).unwrap();
+    let account = harness.servers.account(Account::default()).unwrap();
     let unit = Unit {
         session: 1,
         parts,
         settings,
         account,
         pin: None,
-        once: true,
+        no_retry: true,
     };
-    driven.servers.send(0, FIRST, PLACE, unit);
+    harness.servers.send(0, FIRST_EXECUTION, ENGINE_INDEX, unit);
     let mut link = engine.accept().unwrap().0;
-    driven.hears(0, &mut link, b"user");
-    lets_in(&mut link);
-    driven.hears(0, &mut link, b"search_path");
+    harness.receive_until(0, &mut link, b"user");
+    accept_login(&mut link);
+    harness.receive_until(0, &mut link, b"search_path");
     let left = |event: &Event| matches!(event, Event::Irrevocable(_));
-    assert!(!driven.servers.events.iter().any(left));
-    driven.servers.update_engine(PLACE, listed(at, false));
-    assert_eq!(driven.ended(), [(FIRST, Ending::Withdrawn)]);
-    let heard = driven.hears(0, &mut link, b"");
+    assert!(!harness.servers.events.iter().any(left));
+    harness
+        .servers
+        .update_engine(ENGINE_INDEX, listed(at, false));
+    assert_eq!(
+        harness.take_endings(),
+        [(FIRST_EXECUTION, Ending::Withdrawn)]
+    );
+    let received = harness.receive_until(0, &mut link, b"");
     assert!(
-        !String::from_utf8_lossy(&heard).contains("select 1"),
-        "{heard:?}"
+        !String::from_utf8_lossy(&received).contains("select 1"),
+        "{received:?}"
     );
 }
--- a/crates/front/src/postgres/session_close_tests.rs
+++ b/crates/front/src/postgres/session_close_tests.rs
@@ -3,20 +3,20 @@
 
 use super::*;
 
-const MUCH: usize = 1 << 20; // bytes; several iterations take them
-const LINGERS: Micros = 1_000_000; // microseconds, as the module has it
-pub(super) const LINGERS_AT_END: Micros = 500_000; // microseconds; half of what it is else
+const GARBAGE_BYTES: usize = 1 << 20; // bytes; several iterations take them
+const LINGER_TIME: Micros = 1_000_000; // microseconds, as the module has it
+pub(super) const SHUTDOWN_LINGER_TIME: Micros = 500_000; // microseconds; half of what it is else
 
 impl FrontHarness {
     /// Goes on until the connection ends: all that was heard till then.
-    pub(super) fn hears_end(&mut self, peer: &mut TcpStream) -> String {
+    pub(super) fn receive_text_to_end(&mut self, peer: &mut TcpStream) -> String {
         let mut all = String::new();
         loop {
-            let heard = self.receive(peer);
-            if heard.is_empty() {
+            let received = self.receive(peer);
+            if received.is_empty() {
                 break;
             }
-            all += &String::from_utf8_lossy(&heard);
+            all += &String::from_utf8_lossy(&received);
         }
         // Neither does a reset come behind the end.
         assert!(peer.take_error().unwrap().is_none());
@@ -24,7 +24,7 @@
     }
 
     /// Goes on until all bytes are written.
-    pub(super) fn is_sent(&mut self, peer: &mut TcpStream, bytes: &[u8]) {
+    pub(super) fn write_all_bytes(&mut self, peer: &mut TcpStream, bytes: &[u8]) {
         peer.set_nonblocking(true).unwrap();
         let mut rest = bytes;
         self.run_until("what is sent", |_| {
@@ -36,12 +36,12 @@
         });
     }
 
-    fn sessions(&self) -> usize {
+    fn session_count(&self) -> usize {
         self.front.gateway.as_ref().map_or(0, Gateway::len)
     }
 
     /// Its sessions may be so many, and so many of those that are being closed have descriptors beside that.
-    fn has_room(&mut self, sessions: usize, lingering: usize) {
+    fn set_capacity(&mut self, sessions: usize, lingering: usize) {
         self.front.max_clients = sessions;
         self.front
             .gateway
@@ -55,18 +55,18 @@
 fn bytes_that_cross_the_end_of_a_front_do_not_reset_a_session() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("crossed-end", at, true);
-    let (mut session, mut stays) = (harness.open_session(), harness.open_session());
+    let (mut session, mut other_session) = (harness.open_session(), harness.open_session());
     harness.advance_to_listener_close();
     // It reads them a last time, and their last message leaves with the next iteration.
     harness.front.run_iteration();
     send_query(&mut session, "select 1");
-    send_query(&mut stays, "select 1");
+    send_query(&mut other_session, "select 1");
     harness.front.run_iteration();
-    for session in [&mut session, &mut stays] {
-        let heard = harness.hears_end(session);
+    for session in [&mut session, &mut other_session] {
+        let received = harness.receive_text_to_end(session);
         assert!(
-            heard.starts_with('E') && heard.contains("57P01"),
-            "{heard:?}"
+            received.starts_with('E') && received.contains("57P01"),
+            "{received:?}"
         );
     }
     // The front's end waits for the clients' own, but not for ever.
@@ -74,10 +74,10 @@
     harness.run_until("one to be closed", |front| {
         (!front.gateway.as_ref()?.is_done()).then_some(())
     });
-    write_clock(&harness.files[0], CLOSE_TIME + LINGERS_AT_END - 1);
+    write_clock(&harness.files[0], CLOSE_TIME + SHUTDOWN_LINGER_TIME - 1);
     harness.run_iteration();
     assert!(!harness.front.is_done());
-    write_clock(&harness.files[0], CLOSE_TIME + LINGERS_AT_END);
+    write_clock(&harness.files[0], CLOSE_TIME + SHUTDOWN_LINGER_TIME);
     harness.run_iteration();
     assert!(harness.front.is_done());
 }
@@ -89,7 +89,7 @@
     let mut session = harness.open_session();
     harness.advance_to_listener_close();
     harness.front.run_iteration();
-    assert!(harness.hears_end(&mut session).contains("57P01"));
+    assert!(harness.receive_text_to_end(&mut session).contains("57P01"));
     assert!(!harness.front.is_done());
     drop(session);
     harness.run_until("the end", |front| front.is_done().then_some(()));
@@ -111,10 +111,10 @@
     send_query(&mut session, "select 1");
     // The loop has not told of that.
     harness.front.run_iteration();
-    let heard = harness.hears_end(&mut session);
+    let received = harness.receive_text_to_end(&mut session);
     assert!(
-        heard.starts_with('E') && heard.contains("25P03"),
-        "{heard:?}"
+        received.starts_with('E') && received.contains("25P03"),
+        "{received:?}"
     );
 }
 
@@ -130,9 +130,9 @@
     write_clock(&harness.files[0], START + 500_000);
     send_startup(&mut session, "portal");
     harness.front.run_iteration();
-    assert_eq!(harness.hears_end(&mut session), "");
+    assert_eq!(harness.receive_text_to_end(&mut session), "");
     // Its client does not close: the loop wakes as the bound is over, and drops it.
-    let bound = START + 500_000 + LINGERS;
+    let bound = START + 500_000 + LINGER_TIME;
     let (done, open) = ((true, Micros::MAX), (false, bound));
     let gateway = |harness: &FrontHarness| {
         harness
@@ -156,15 +156,15 @@
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("crossed-room", at, true);
     let mut session = harness.open_session();
-    harness.has_room(1, 1);
+    harness.set_capacity(1, 1);
     write_clock(&harness.files[0], START + 2_000_000);
     let _newcomer = harness.open_session();
-    assert_eq!(harness.sessions(), 1);
+    assert_eq!(harness.session_count(), 1);
     send_query(&mut session, "select 1");
-    let heard = harness.hears_end(&mut session);
+    let received = harness.receive_text_to_end(&mut session);
     assert!(
-        heard.starts_with('E') && heard.contains("57P01"),
-        "{heard:?}"
+        received.starts_with('E') && received.contains("57P01"),
+        "{received:?}"
     );
 }
 
@@ -172,27 +172,27 @@
 fn a_session_that_is_being_closed_makes_room_where_descriptors_are_short() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("lingering-room", at, true);
-    harness.has_room(2, 0);
+    harness.set_capacity(2, 0);
     // One that rests would go, were there none that is being closed.
-    let mut rests = harness.open_session();
+    let mut idle = harness.open_session();
     write_clock(&harness.files[0], START + 2_000_000);
     let mut session = harness.open_session();
     session.write_all(wire::TERMINATE).unwrap();
-    assert_eq!(harness.hears_end(&mut session), "");
-    assert_eq!(harness.sessions(), 2);
+    assert_eq!(harness.receive_text_to_end(&mut session), "");
+    assert_eq!(harness.session_count(), 2);
     let _newcomer = harness.open_session();
-    assert_eq!(harness.sessions(), 2);
-    send_query(&mut rests, "SET hallmux.workload = 'lookup'");
-    harness.receive_until(&mut rests, "SET\0");
+    assert_eq!(harness.session_count(), 2);
+    send_query(&mut idle, "SET hallmux.workload = 'lookup'");
+    harness.receive_until(&mut idle, "SET\0");
     // Likewise for a client of the other protocol.
-    let mut session = rests;
+    let mut session = idle;
     session.write_all(wire::TERMINATE).unwrap();
-    assert_eq!(harness.hears_end(&mut session), "");
+    assert_eq!(harness.receive_text_to_end(&mut session), "");
     let _client = TcpStream::connect(harness.listen_address).unwrap();
     harness.run_until("it is taken", |front| {
         (front.clients.len() == 1).then_some(())
     });
-    assert_eq!(harness.sessions(), 1);
+    assert_eq!(harness.session_count(), 1);
 }
 
 #[test]
@@ -200,7 +200,7 @@
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("no-room", at, true);
     let mut session = harness.open_session();
-    harness.has_room(1, 0);
+    harness.set_capacity(1, 0);
     write_clock(&harness.files[0], START + 2_000_000);
     let _newcomer = harness.open_session();
     assert!(harness
@@ -208,9 +208,9 @@
         .gateway
         .as_mut()
         .is_some_and(|gateway| !gateway.drop_lingering()));
-    assert_eq!(harness.sessions(), 1);
-    let heard = harness.hears_end(&mut session);
-    assert!(heard.contains("57P01"), "{heard:?}");
+    assert_eq!(harness.session_count(), 1);
+    let received = harness.receive_text_to_end(&mut session);
+    assert!(received.contains("57P01"), "{received:?}");
 }
 
 #[test]
@@ -220,11 +220,14 @@
     // A message whose length can't be, and one that is too long.
     for (head, code) in [(b"Q\0\0\0\x03", "08P01"), (b"Q\x7f\0\0\0", "54000")] {
         let mut session = harness.open_session();
-        let much = [head.to_vec(), vec![b'x'; MUCH]].concat();
-        harness.is_sent(&mut session, &much);
-        let heard = harness.hears_end(&mut session);
-        assert!(heard.starts_with('E') && heard.contains(code), "{heard:?}");
-        assert_eq!(heard.matches("FATAL").count(), 2, "{heard:?}");
+        let garbage = [head.to_vec(), vec![b'x'; GARBAGE_BYTES]].concat();
+        harness.write_all_bytes(&mut session, &garbage);
+        let received = harness.receive_text_to_end(&mut session);
+        assert!(
+            received.starts_with('E') && received.contains(code),
+            "{received:?}"
+        );
+        assert_eq!(received.matches("FATAL").count(), 2, "{received:?}");
     }
 }
 
@@ -236,8 +239,8 @@
     session.write_all(b"Q\0\0\0\x03").unwrap();
     session.set_nonblocking(true).unwrap();
     // The time stands still: the bytes alone are too many.
-    let much = vec![b'x'; MUCH];
-    let ended = harness.run_until("its end", |_| match session.write(&much) {
+    let garbage = vec![b'x'; GARBAGE_BYTES];
+    let ended = harness.run_until("its end", |_| match session.write(&garbage) {
         Ok(_) => None,
         Err(e) if e.kind() == ErrorKind::WouldBlock => None,
         Err(e) => Some(e.kind()),
@@ -279,10 +282,10 @@
     while !harness.read_ready_sockets().contains(&SocketKind::Session) {}
     send_query(&mut session, "select 1");
     harness.front.run_iteration();
-    let heard = harness.hears_end(&mut session);
+    let received = harness.receive_text_to_end(&mut session);
     assert!(
-        heard.starts_with('E') && heard.contains("28P01"),
-        "{heard:?}"
+        received.starts_with('E') && received.contains("28P01"),
+        "{received:?}"
     );
 }
 
@@ -297,16 +300,16 @@
     harness.receive_until(&mut link, "select 1");
     // A row that is announced as longer than what comes of it.
     let mut row = b"D".to_vec();
-    row.extend((MUCH as u32).to_be_bytes());
-    row.extend(vec![b'x'; MUCH / 2]);
-    harness.is_sent(&mut link, &row);
-    let mut heard = 0;
-    while heard < row.len() {
-        heard += harness.receive(&mut session).len();
+    row.extend((GARBAGE_BYTES as u32).to_be_bytes());
+    row.extend(vec![b'x'; GARBAGE_BYTES / 2]);
+    harness.write_all_bytes(&mut link, &row);
+    let mut received = 0;
+    while received < row.len() {
+        received += harness.receive(&mut session).len();
     }
     drop(link);
     while !harness.read_ready_sockets().contains(&SocketKind::Server) {}
     send_query(&mut session, "select 2");
     harness.front.run_iteration();
-    assert_eq!(harness.hears_end(&mut session), "");
+    assert_eq!(harness.receive_text_to_end(&mut session), "");
 }
--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -7,21 +7,21 @@
 use super::*;
 
 const CANCEL_REQUEST: [u8; 8] = [0, 0, 0, 16, 4, 210, 22, 46]; // as it begins
-const READY: &[u8] = b"Z\0\0\0\x05I"; // the end of a unit
-const ROW: usize = 32 << 10; // bytes of a row, header included
-const MOST_ROWS: usize = 4_096; // far more than any socket takes
-const LITTLE: usize = 700 << 10; // bytes that the one which leaves less has left
-const NARROW: usize = 256 << 10; // bytes asked for of a client's buffer: no more comes to fit as it reads
-const MOST_UNTAKEN: usize = 2 << 20; // bytes that answers may leave untaken
+const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I"; // the end of a unit
+const ROW_BYTES: usize = 32 << 10; // bytes of a row, header included
+const MAX_ROWS: usize = 4_096; // far more than any socket takes
+const SLOW_CLIENT_UNSENT: usize = 700 << 10; // bytes that the one which leaves less has left
+const RECEIVE_BUFFER: usize = 256 << 10; // bytes asked for of a client's buffer: no more comes to fit as it reads
+const MAX_UNSENT_BYTES: usize = 2 << 20; // bytes that answers may leave untaken
 
 /// The key by which a session is cancelled, out of what it hears as it comes in.
-fn key_in(mut greeting: &[u8]) -> CancelKey {
+fn cancel_key_in(mut greeting: &[u8]) -> CancelKey {
     while let Ok(Some(message)) = wire::message(greeting, greeting.len()) {
-        let word = |at: usize| u32::from_be_bytes(message.body[at..at + 4].try_into().unwrap());
+        let number = |at: usize| u32::from_be_bytes(message.body[at..at + 4].try_into().unwrap());
         if message.tag == b'K' {
             return CancelKey {
-                process: word(0),
-                secret: word(4),
+                process: number(0),
+                secret: number(4),
             };
         }
         greeting = &greeting[message.len..];
@@ -31,26 +31,26 @@
 
 impl FrontHarness {
     /// A session that has come in, and its key.
-    fn enters_with_key(&mut self) -> (TcpStream, CancelKey) {
+    fn open_session_with_key(&mut self) -> (TcpStream, CancelKey) {
         let mut session = TcpStream::connect(self.session_address).unwrap();
         send_startup(&mut session, "portal");
-        let greeting = self.hears_unit_bytes(&mut session);
-        (session, key_in(&greeting))
+        let greeting = self.receive_unit_bytes(&mut session);
+        (session, cancel_key_in(&greeting))
     }
 
     /// All up to the end of a unit: however much that is, each byte is looked at once.
-    fn hears_unit_bytes(&mut self, session: &mut TcpStream) -> Vec<u8> {
+    fn receive_unit_bytes(&mut self, session: &mut TcpStream) -> Vec<u8> {
         let mut all = Vec::new();
-        while !all.ends_with(READY) {
-            let heard = self.receive(session);
-            assert!(!heard.is_empty(), "the end behind {} bytes", all.len());
-            all.extend(heard);
+        while !all.ends_with(READY_FOR_QUERY) {
+            let received = self.receive(session);
+            assert!(!received.is_empty(), "the end behind {} bytes", all.len());
+            all.extend(received);
         }
         all
     }
 
     /// A request to cancel is taken: its connection has ended.
-    fn cancels(&mut self, key: CancelKey) {
+    fn send_cancel_request(&mut self, key: CancelKey) {
         let mut request = TcpStream::connect(self.session_address).unwrap();
         let mut out = Vec::new();
         wire::write_cancel(&mut out, key);
@@ -59,9 +59,11 @@
     }
 
     /// A session that has come in, little of whose answers fits into its socket.
-    fn enters_narrowly(&mut self) -> TcpStream {
+    fn open_session_with_small_buffer(&mut self) -> TcpStream {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        SockRef::from(&socket).set_recv_buffer_size(NARROW).unwrap();
+        SockRef::from(&socket)
+            .set_recv_buffer_size(RECEIVE_BUFFER)
+            .unwrap();
         socket.connect(&self.session_address.into()).unwrap();
         let mut session = TcpStream::from(socket);
         send_startup(&mut session, "portal");
@@ -70,7 +72,12 @@
     }
 
     /// A session's unit that is out: over which connection.
-    fn is_out(&mut self, session: &mut TcpStream, engine: &TcpListener, text: &str) -> TcpStream {
+    fn start_unit_on(
+        &mut self,
+        session: &mut TcpStream,
+        engine: &TcpListener,
+        text: &str,
+    ) -> TcpStream {
         send_query(session, text);
         let mut link = self.accept_dial(engine);
         accept_login(&mut link);
@@ -85,26 +92,26 @@
         let (engine, at) = listener();
         let mut harness =
             FrontHarness::new(&format!("cancel-waiting-{cancelling}"), at, cancelling);
-        let (mut session, key) = harness.enters_with_key();
+        let (mut session, key) = harness.open_session_with_key();
         send_query(&mut session, "select 1");
         let mut link = harness.accept_dial(&engine);
         // The engine has the start-up, and has not answered it. A second request finds nothing.
-        harness.cancels(key);
-        harness.cancels(key);
-        let heard = harness.receive_until(&mut session, "Z\0\0\0\x05I");
+        harness.send_cancel_request(key);
+        harness.send_cancel_request(key);
+        let received = harness.receive_until(&mut session, "Z\0\0\0\x05I");
         assert!(
-            heard.starts_with('E') && heard.matches("C57014").count() == 1,
-            "{heard:?}"
+            received.starts_with('E') && received.matches("C57014").count() == 1,
+            "{received:?}"
         );
         accept_login(&mut link);
         send_query(&mut session, "select 2");
-        let heard = harness.receive_until(&mut link, "select 2");
-        assert!(!heard.contains("select 1"), "{heard:?}");
+        let received = harness.receive_until(&mut link, "select 2");
+        assert!(!received.contains("select 1"), "{received:?}");
         send_completion(&mut link, "SELECT 2", b'I');
-        let heard = harness.receive_until(&mut session, "Z\0\0\0\x05I");
+        let received = harness.receive_until(&mut session, "Z\0\0\0\x05I");
         assert!(
-            heard.starts_with('C') && heard.contains("SELECT 2"),
-            "{heard:?}"
+            received.starts_with('C') && received.contains("SELECT 2"),
+            "{received:?}"
         );
         // Nothing was asked of the engine beside that.
         harness.run_iteration();
@@ -129,7 +136,7 @@
             harness.receive_until(&mut link, "select 1");
             link
         } else {
-            let link = harness.is_out(&mut session, &engine, "select 1");
+            let link = harness.start_unit_on(&mut session, &engine, "select 1");
             session.write_all(garbage).unwrap();
             link
         };
@@ -145,65 +152,68 @@
             ErrorKind::WouldBlock
         );
         send_completion(&mut link, "SELECT 1", b'I');
-        let heard = harness.hears_end(&mut session);
-        let error = heard
+        let received = harness.receive_text_to_end(&mut session);
+        let error = received
             .strip_prefix("C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I")
-            .unwrap_or(&heard);
+            .unwrap_or(&received);
         let errors = error.matches("SFATAL").count();
         assert!(
             error.starts_with('E') && error.contains("C08P01") && errors == 1,
-            "{heard:?}"
+            "{received:?}"
         );
         drop(session);
         // The engine is not asked to give up what it has answered, and its connection serves on.
         let mut next = harness.open_session();
         send_query(&mut next, "select 3");
-        let heard = harness.receive_until(&mut link, "select 3");
-        assert!(!heard.contains("select 2"), "{heard:?}");
+        let received = harness.receive_until(&mut link, "select 3");
+        assert!(!received.contains("select 2"), "{received:?}");
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
     }
 }
 
 #[test]
 fn of_clients_that_take_no_answers_the_one_that_leaves_most_is_closed_and_its_unit_given_up() {
-    the_one_that_leaves_most_is_closed(true);
+    assert_slowest_client_is_closed(true);
 }
 
 #[test]
 fn of_clients_that_take_no_answers_the_one_that_leaves_most_is_closed_also_without_cancelling() {
-    the_one_that_leaves_most_is_closed(false);
+    assert_slowest_client_is_closed(false);
 }
 
-fn the_one_that_leaves_most_is_closed(cancelling: bool) {
+fn assert_slowest_client_is_closed(cancelling: bool) {
     let (engine, at) = listener();
     // More of an answer is read than may be left untaken.
-    let limits = format!("buffer_bytes: {}", 2 * MOST_UNTAKEN);
+    let limits = format!("buffer_bytes: {}", 2 * MAX_UNSENT_BYTES);
     let mut harness =
         FrontHarness::with_limits(&format!("untaken-{cancelling}"), at, cancelling, &limits);
-    harness.front.max_bytes = MOST_UNTAKEN;
-    let (mut most, mut little) = (harness.enters_narrowly(), harness.enters_narrowly());
-    let mut link_of_little = harness.is_out(&mut little, &engine, "select 'little'");
-    let mut link_of_most = harness.is_out(&mut most, &engine, "select 'most'");
+    harness.front.max_bytes = MAX_UNSENT_BYTES;
+    let (mut most, mut little) = (
+        harness.open_session_with_small_buffer(),
+        harness.open_session_with_small_buffer(),
+    );
+    let mut link_of_little = harness.start_unit_on(&mut little, &engine, "select 'little'");
+    let mut link_of_most = harness.start_unit_on(&mut most, &engine, "select 'most'");
     let mut row = Vec::new();
-    wire::write(&mut row, b'D', |out| out.resize(ROW, b'x'));
+    wire::write(&mut row, b'D', |out| out.resize(ROW_BYTES, b'x'));
     // Rows come until so much of them does not fit into the sockets that some will stay.
     let unsent = |harness: &FrontHarness| harness.front.gateway.as_ref().unwrap().unsent().bytes;
     let mut rows = 0;
-    while unsent(&harness) < LITTLE {
-        assert!(rows < MOST_ROWS, "all fits into the sockets");
-        harness.is_sent(&mut link_of_little, &row);
+    while unsent(&harness) < SLOW_CLIENT_UNSENT {
+        assert!(rows < MAX_ROWS, "all fits into the sockets");
+        harness.write_all_bytes(&mut link_of_little, &row);
         rows += 1;
         harness.run_iteration();
     }
     assert!(
-        unsent(&harness) < MOST_UNTAKEN / 2,
+        unsent(&harness) < MAX_UNSENT_BYTES / 2,
         "{} bytes",
         unsent(&harness)
     );
     let tag = format!("SELECT {rows}");
     send_completion(&mut link_of_little, &tag, b'I');
     harness.run_until("its answer", |front| {
-        (front.gateway.as_ref()?.held_bytes() == most_holds()).then_some(())
+        (front.gateway.as_ref()?.held_bytes() == slowest_query_bytes()).then_some(())
     });
     // The other's answer has no end: rows come until the front does not want them any more.
     link_of_most.set_nonblocking(true).unwrap();
@@ -224,29 +234,29 @@
         assert!(request.starts_with(&CANCEL_REQUEST), "{request:?}");
     } else {
         // What still comes of it is nobody's.
-        harness.is_sent(&mut link_of_most, &row[at..]);
+        harness.write_all_bytes(&mut link_of_most, &row[at..]);
         send_completion(&mut link_of_most, "SELECT 0", b'I');
         harness.run_iteration();
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
     }
     // The one that has left little has its whole answer, and goes on.
-    let heard = harness.hears_unit_bytes(&mut little);
+    let received = harness.receive_unit_bytes(&mut little);
     let mut whole = row.repeat(rows);
     wire::write_complete(&mut whole, &tag);
-    whole.extend(READY);
+    whole.extend(READY_FOR_QUERY);
     assert!(
-        heard == whole,
+        received == whole,
         "{} bytes in place of {}",
-        heard.len(),
+        received.len(),
         whole.len()
     );
     send_query(&mut little, "SET hallmux.workload = 'lookup'");
-    let heard = harness.receive_until(&mut little, "Z\0\0\0\x05I");
-    assert!(heard.starts_with("C\0\0\0\x08SET\0"), "{heard:?}");
+    let received = harness.receive_until(&mut little, "Z\0\0\0\x05I");
+    assert!(received.starts_with("C\0\0\0\x08SET\0"), "{received:?}");
 }
 
 /// Bytes held of the unit of the client that takes nothing.
-fn most_holds() -> usize {
+fn slowest_query_bytes() -> usize {
     let mut out = Vec::new();
     wire::write_query(&mut out, b"select 'most'");
     out.len()
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -21,7 +21,7 @@
 use crate::unsent_answers::UnsentAnswers;
 
 /// Times kept of when input came; beyond them the earlier one holds.
-const MOST_ARRIVALS: usize = 32;
+const MAX_ARRIVALS: usize = 32;
 
 /// What sessions have come to that needs the dispatcher or an engine.
 pub enum Event {
@@ -36,29 +36,29 @@
     /// The client no longer waits.
     Abandoned(Ticket),
     /// A transaction is over: a connection that goes, the order keys that it kept.
-    TransactionOver {
+    TransactionEnded {
         pin: Option<ServerId>,
         keys: Vec<String>,
-        may_go_on: bool,
+        may_still_run: bool,
     },
     /// A client asks for the end of what this session has out.
     Cancel(SessionId),
 }
 
 /// A unit that is taken and not answered.
-pub struct Running {
+pub struct RunningUnit {
     pub ticket: Ticket,
     pub parts: Vec<Rc<UnitPart>>,
     pub commits: bool,
     /// An execution of it may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
     pub time_up: bool,
     pub cancelled: bool,
     /// Some of its answer has gone on; `cut` if that stops within a message.
-    pub begun: bool,
-    cut: bool,
+    pub answer_started: bool,
+    cut_within_message: bool,
     pub execution_id: Option<ExecutionId>,
-    pub key: Option<String>,
+    pub order_key: Option<String>,
 }
 
 /// What a session is by its user.
@@ -66,15 +66,15 @@
     pub session: Session,
     pub user: Rc<User>,
     pub account: AccountId,
-    pub running: Option<Running>,
+    pub running: Option<RunningUnit>,
     /// What holds its transaction.
     pub pin: Option<Pin>,
     /// Order keys whose turn its transaction keeps.
-    pub held_keys: Vec<String>,
+    pub held_order_keys: Vec<String>,
     /// Groups of tables that its transaction may have written to, where loads are marked.
-    pub touched: BTreeSet<u32>,
+    pub touched_groups: BTreeSet<u32>,
     /// The open unit has its answer; all up to its Sync is passed over.
-    skipping: bool,
+    skipping_to_sync: bool,
 }
 
 enum Stage {
@@ -108,22 +108,22 @@
     pub catalogue: Catalogue,
     bounds: Bounds,
     login_timeout: Micros,
-    transaction_idle: Micros,
-    buffer: usize,
+    transaction_idle_timeout: Micros,
+    buffer_bytes: usize,
     held_bytes: usize,
-    next: SessionId,
-    chance: std::hash::RandomState,
-    next_check: Micros,
+    last_id: SessionId,
+    random_state: std::hash::RandomState,
+    next_idle_check: Micros,
     changed: BTreeSet<SessionId>,
     /// They have not taken all that is to leave.
     with_unsent: BTreeSet<SessionId>,
     /// Their engines are not read for now, as they do not take their answers.
-    halted: BTreeSet<SessionId>,
+    paused: BTreeSet<SessionId>,
     /// Not read for now: their input waits for units that are out.
-    stalled: BTreeSet<SessionId>,
+    unread: BTreeSet<SessionId>,
     lingering: Lingering,
     /// So many lingering connections have descriptors of their own.
-    lingering_places: usize,
+    lingering_descriptors: usize,
     pub events: Vec<Event>,
     /// Sessions with input that may make a unit.
     pub ready: Vec<SessionId>,
@@ -161,32 +161,36 @@
             catalogue: Catalogue::default(),
             bounds,
             login_timeout: limits.start_up,
-            transaction_idle: limits.transaction_idle,
-            buffer: limits.buffer_bytes,
+            transaction_idle_timeout: limits.transaction_idle,
+            buffer_bytes: limits.buffer_bytes,
             held_bytes: 0,
-            next: 0,
-            chance: std::hash::RandomState::new(),
-            next_check: 0,
+            last_id: 0,
+            random_state: std::hash::RandomState::new(),
+            next_idle_check: 0,
             changed: BTreeSet::new(),
             with_unsent: BTreeSet::new(),
-            halted: BTreeSet::new(),
-            stalled: BTreeSet::new(),
+            paused: BTreeSet::new(),
+            unread: BTreeSet::new(),
             lingering: Lingering::default(),
-            lingering_places: 0,
+            lingering_descriptors: 0,
             events: Vec::new(),
             ready: Vec::new(),
         }
     }
 
     /// Connections that are not being closed.
-    pub fn open_len(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.connections.len()
     }
 
     /// Connections that take descriptors of clients: those being closed too, beyond the ones that have
     /// descriptors of their own.
     pub fn len(&self) -> usize {
-        self.connections.len() + self.lingering.len().saturating_sub(self.lingering_places)
+        self.connections.len()
+            + self
+                .lingering
+                .len()
+                .saturating_sub(self.lingering_descriptors)
     }
 
     /// Whether all connections are closed.
@@ -202,14 +206,14 @@
     /// The number of the next session.
     pub fn next_id(&mut self) -> SessionId {
         // Ids go out as process numbers, which have 31 bits.
-        self.next = (self.next + 1) & 0x7fff_ffff;
-        self.next
+        self.last_id = (self.last_id + 1) & 0x7fff_ffff;
+        self.last_id
     }
 
     /// A number that nobody can foretell.
     fn secret(&self, of: &str, id: SessionId) -> u64 {
         use std::hash::BuildHasher;
-        self.chance.hash_one((of, id, self.connections.len()))
+        self.random_state.hash_one((of, id, self.connections.len()))
     }
 
     /// A connection was accepted: its login begins.
@@ -271,7 +275,7 @@
         self.changed.insert(id);
         // Guards against input without end while a unit is out: the rest waits with the network.
         if connection.link.input.len() > most || connection.closing {
-            self.stalled.insert(id);
+            self.unread.insert(id);
             return false;
         }
         let before = connection.link.input.len();
@@ -282,7 +286,7 @@
         let came = connection.link.input.len() - before;
         if came > 0 {
             self.held_bytes += came;
-            let many = connection.arrivals.len() >= MOST_ARRIVALS;
+            let many = connection.arrivals.len() >= MAX_ARRIVALS;
             match connection.arrivals.back_mut().filter(|_| many) {
                 Some(arrival) => arrival.bytes += came,
                 None => connection.arrivals.push_back(Arrival {
@@ -316,7 +320,7 @@
                 self.close(now, id);
                 continue;
             }
-            if unsent <= self.buffer / 2 && self.halted.remove(&id) {
+            if unsent <= self.buffer_bytes / 2 && self.paused.remove(&id) {
                 if let Stage::Open(open_session) = &connection.stage {
                     caught_up.extend(open_session.running.as_ref().and_then(|r| r.execution_id));
                 }
@@ -331,16 +335,15 @@
     }
 
     /// Sessions whose input waits with the network, and may be read again.
-    pub fn unstalled(&mut self) -> Vec<SessionId> {
+    pub fn take_readable(&mut self) -> Vec<SessionId> {
         let full = |id: &SessionId| {
             self.connections
                 .get(id)
                 .is_some_and(|p| p.link.input.len() > self.bounds.bytes)
         };
-        let (full, ready): (BTreeSet<_>, BTreeSet<_>) = std::mem::take(&mut self.stalled)
-            .into_iter()
-            .partition(full);
-        self.stalled = full;
+        let (full, ready): (BTreeSet<_>, BTreeSet<_>) =
+            std::mem::take(&mut self.unread).into_iter().partition(full);
+        self.unread = full;
         ready
             .into_iter()
             .chain(self.lingering.take_unread())
--- a/crates/front/src/postgres/sessions/answers.rs
+++ b/crates/front/src/postgres/sessions/answers.rs
@@ -8,7 +8,7 @@
 use hallmux_postgres::session::UnitPart;
 use hallmux_postgres::wire;
 
-use super::{Event, Running, Sessions, Stage};
+use super::{Event, RunningUnit, Sessions, Stage};
 use crate::postgres::ids::{Pin, SessionId};
 
 impl Sessions {
@@ -18,23 +18,23 @@
         id: SessionId,
         ticket: Ticket,
         part: Rc<UnitPart>,
-        key: Option<String>,
+        order_key: Option<String>,
     ) {
         let Some(open_session) = self.open_session(id) else {
             return;
         };
         let bytes = part.raw.len();
-        open_session.running = Some(Running {
+        open_session.running = Some(RunningUnit {
             ticket,
             commits: part.commits,
             parts: vec![part],
-            ran: false,
+            may_have_run: false,
             time_up: false,
             cancelled: false,
-            begun: false,
-            cut: false,
+            answer_started: false,
+            cut_within_message: false,
             execution_id: None,
-            key,
+            order_key,
         });
         self.held_bytes += bytes;
         self.tickets.insert(ticket, id);
@@ -43,7 +43,7 @@
     }
 
     /// A unit that was not taken gets its answer.
-    pub fn answer_unusable(&mut self, id: SessionId, part: Rc<UnitPart>, why: &ClientError) {
+    pub fn reject_unit(&mut self, id: SessionId, part: Rc<UnitPart>, why: &ClientError) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -53,28 +53,28 @@
         open_session
             .session
             .fails(&[part], why, connection.link.output());
-        open_session.skipping = open_session.session.is_in_unit();
+        open_session.skipping_to_sync = open_session.session.is_in_unit();
         self.release_transaction(id, false);
         self.changed.insert(id);
         self.ready.push(id);
     }
 
     /// Whatever transaction the session had is over without a commit: its connection and keys are let go.
-    pub(super) fn release_transaction(&mut self, id: SessionId, may_go_on: bool) {
+    pub(super) fn release_transaction(&mut self, id: SessionId, may_still_run: bool) {
         let Some(open_session) = self.open_session(id) else {
             return;
         };
         let (pin, keys) = (
             open_session.pin.take().map(|pin| pin.server),
-            std::mem::take(&mut open_session.held_keys),
+            std::mem::take(&mut open_session.held_order_keys),
         );
         if pin.is_some() || !keys.is_empty() {
             // What is rolled back by closing its connection may go on there for a moment.
-            let may_go_on = may_go_on || pin.is_some();
-            self.events.push(Event::TransactionOver {
+            let may_still_run = may_still_run || pin.is_some();
+            self.events.push(Event::TransactionEnded {
                 pin,
                 keys,
-                may_go_on,
+                may_still_run,
             });
         }
     }
@@ -87,15 +87,15 @@
         // A unit that is out still has its own end to come.
         open_session.session.lose();
         open_session.pin = None;
-        let keys = std::mem::take(&mut open_session.held_keys);
-        self.events.push(Event::TransactionOver {
+        let keys = std::mem::take(&mut open_session.held_order_keys);
+        self.events.push(Event::TransactionEnded {
             pin: None,
             keys,
-            may_go_on: true,
+            may_still_run: true,
         });
     }
 
-    pub(super) fn remove_running(&mut self, ticket: Ticket) -> Option<(SessionId, Running)> {
+    pub(super) fn remove_running(&mut self, ticket: Ticket) -> Option<(SessionId, RunningUnit)> {
         let id = self.tickets.remove(&ticket)?;
         let running = self.open_session(id)?.running.take()?;
         self.held_bytes -= running.parts.first().map_or(0, |p| p.raw.len());
@@ -103,7 +103,7 @@
     }
 
     /// Part of an answer goes on. True if the client is behind with it.
-    pub fn pass(&mut self, ticket: Ticket, bytes: &[u8], whole: bool) -> bool {
+    pub fn forward_answer(&mut self, ticket: Ticket, bytes: &[u8], ends_message: bool) -> bool {
         let Some(&id) = self.tickets.get(&ticket) else {
             return false;
         };
@@ -113,13 +113,13 @@
         connection.link.output().extend_from_slice(bytes);
         if let Stage::Open(open_session) = &mut connection.stage {
             if let Some(running) = &mut open_session.running {
-                (running.begun, running.cut) = (true, !whole);
+                (running.answer_started, running.cut_within_message) = (true, !ends_message);
             }
         }
         self.changed.insert(id);
-        let with_unsent = connection.link.unsent() > self.buffer;
+        let with_unsent = connection.link.unsent() > self.buffer_bytes;
         if with_unsent {
-            self.halted.insert(id);
+            self.paused.insert(id);
         }
         with_unsent
     }
@@ -148,12 +148,12 @@
             .session
             .done(&running.parts, done, &mut self.catalogue, &self.bounds);
         open_session.pin = pin;
-        if done.status == b'I' && !open_session.held_keys.is_empty() {
-            let keys = std::mem::take(&mut open_session.held_keys);
-            self.events.push(Event::TransactionOver {
+        if done.status == b'I' && !open_session.held_order_keys.is_empty() {
+            let keys = std::mem::take(&mut open_session.held_order_keys);
+            self.events.push(Event::TransactionEnded {
                 pin: None,
                 keys,
-                may_go_on: false,
+                may_still_run: false,
             });
         }
         self.changed.insert(id);
@@ -179,7 +179,7 @@
             return;
         };
         let out = connection.link.output();
-        if running.cut {
+        if running.cut_within_message {
             // Within a message nothing can be added: the end of the connection shows that it is not whole.
             connection.closing = true;
         } else {
@@ -194,10 +194,10 @@
                 }
                 None => out.extend_from_slice(&own),
             }
-            open_session.skipping = open_session.session.is_in_unit();
+            open_session.skipping_to_sync = open_session.session.is_in_unit();
         }
-        let cut = running.cut;
-        self.release_transaction(id, running.ran);
+        let cut = running.cut_within_message;
+        self.release_transaction(id, running.may_have_run);
         if cut {
             self.abandon(id);
         }
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -10,11 +10,11 @@
 /// Microseconds after which a resting session lets go of its buffers.
 const IDLE_AFTER: Micros = 1_000_000;
 /// Microseconds for a session without a unit out once the front ends.
-const GRACE: Micros = 2_000_000;
+const GRACE_PERIOD: Micros = 2_000_000;
 /// Microseconds that they linger less then: the end is due within 4 s.
-const SHORTER_AT_END: Micros = 500_000;
+const SHUTDOWN_LINGER_REDUCTION: Micros = 500_000;
 /// Microseconds between looks at sessions that stand still.
-const CHECK_INTERVAL: Micros = 200_000;
+const IDLE_CHECK_INTERVAL: Micros = 200_000;
 
 impl Sessions {
     /// A session has no more to ask: what it holds is let go; its connection ends once all has left.
@@ -23,7 +23,10 @@
             return;
         };
         let ticket = open_session.running.as_ref().map(|r| r.ticket);
-        let ran = open_session.running.as_ref().is_some_and(|r| r.ran);
+        let ran = open_session
+            .running
+            .as_ref()
+            .is_some_and(|r| r.may_have_run);
         if let Some(ticket) = ticket {
             self.remove_running(ticket);
             self.events.push(Event::Abandoned(ticket));
@@ -33,14 +36,14 @@
 
     /// A connection is over.
     pub fn disconnect(&mut self, id: SessionId) {
-        self.remove(id);
+        self.remove_connection(id);
     }
 
     /// Closes a connection in order. Guards against a reset that destroys its last answer on the way: what
     /// comes between the last read and the close is read and dropped.
     pub(super) fn close(&mut self, now: Micros, id: SessionId) {
         if let Some(connection) = self
-            .remove(id)
+            .remove_connection(id)
             .filter(|connection| connection.link.unsent() == 0)
         {
             self.lingering.close(now, id, connection.link);
@@ -48,29 +51,29 @@
     }
 
     /// The one way in which a connection leaves.
-    fn remove(&mut self, id: SessionId) -> Option<Connection> {
+    fn remove_connection(&mut self, id: SessionId) -> Option<Connection> {
         self.abandon(id);
         self.changed.remove(&id);
         self.with_unsent.remove(&id);
-        self.stalled.remove(&id);
-        self.halted.remove(&id);
+        self.unread.remove(&id);
+        self.paused.remove(&id);
         let connection = self.connections.remove(&id)?;
         self.held_bytes -= connection.link.input.len();
         Some(connection)
     }
 
     /// Descriptors for connections that are being closed, beside those of clients.
-    pub fn limit(&mut self, lingering_places: usize) {
-        self.lingering_places = lingering_places;
+    pub fn set_lingering_descriptors(&mut self, lingering_descriptors: usize) {
+        self.lingering_descriptors = lingering_descriptors;
     }
 
     /// Makes room by dropping a connection that is being closed; false if none takes a client's descriptor.
     pub fn drop_lingering(&mut self) -> bool {
-        self.lingering.len() > self.lingering_places && self.lingering.drop_oldest()
+        self.lingering.len() > self.lingering_descriptors && self.lingering.drop_oldest()
     }
 
     /// Ends a session with a last message.
-    fn dismiss(&mut self, id: SessionId, why: &ClientError) {
+    fn close_with_error(&mut self, id: SessionId, why: &ClientError) {
         if let Some(connection) = self.connections.get_mut(&id) {
             why.write(connection.link.output(), true);
             connection.closing = true;
@@ -80,13 +83,13 @@
     }
 
     /// Ends what has stood still too long. `shut` is since when the front ends.
-    pub fn expire(&mut self, now: Micros, shut: Option<Micros>) {
+    pub fn expire(&mut self, now: Micros, shutdown_since: Option<Micros>) {
         self.lingering
-            .expire(now + shut.map_or(0, |_| SHORTER_AT_END));
-        if now < self.next_check {
+            .expire(now + shutdown_since.map_or(0, |_| SHUTDOWN_LINGER_REDUCTION));
+        if now < self.next_idle_check {
             return;
         }
-        self.next_check = now + CHECK_INTERVAL;
+        self.next_idle_check = now + IDLE_CHECK_INTERVAL;
         let mut over: Vec<(SessionId, Option<ClientError>)> = Vec::new();
         for (id, connection) in &mut self.connections {
             match &connection.stage {
@@ -98,9 +101,11 @@
                     let idle = open_session.running.is_none() && !connection.closing;
                     let open = open_session.session.transaction.is_held();
                     let stands = now - connection.last_active;
-                    if idle && open && stands >= self.transaction_idle {
+                    if idle && open && stands >= self.transaction_idle_timeout {
                         over.push((*id, Some(ClientError::IdleTransactionTimeout)));
-                    } else if idle && shut.is_some_and(|since| since + GRACE <= now) {
+                    } else if idle
+                        && shutdown_since.is_some_and(|since| since + GRACE_PERIOD <= now)
+                    {
                         // Also one that has said half a message, or owes the Sync of a unit that failed.
                         over.push((*id, Some(ClientError::ShuttingDown)));
                     } else if connection.closing && stands >= self.login_timeout {
@@ -114,7 +119,7 @@
         }
         for (id, why) in over {
             match why {
-                Some(why) => self.dismiss(id, &why),
+                Some(why) => self.close_with_error(id, &why),
                 None => self.close(now, id),
             }
         }
@@ -126,11 +131,11 @@
         let rank = |(id, p): (&SessionId, &Connection)| match &p.stage {
             Stage::LoggingIn(_) => Some((false, p.last_active, *id)),
             Stage::Open(open_session) => {
-                let may_go_on = open_session.running.is_none()
+                let may_still_run = open_session.running.is_none()
                     && open_session.session.transaction == Transaction::None
                     && p.link.input.is_empty()
                     && p.last_active + IDLE_AFTER <= now;
-                may_go_on.then_some((true, p.last_active, *id))
+                may_still_run.then_some((true, p.last_active, *id))
             }
         };
         let mut ranked: Vec<_> = self.connections.iter().filter_map(rank).collect();
@@ -138,9 +143,9 @@
         let found = ranked
             .into_iter()
             .map(|(.., id)| id)
-            .find(|id| self.brings_nothing(now, *id));
+            .find(|id| self.has_no_new_input(now, *id));
         let Some(id) = found else { return false };
-        self.dismiss(id, &ClientError::ShuttingDown);
+        self.close_with_error(id, &ClientError::ShuttingDown);
         if let Some(connection) = self.connections.get_mut(&id) {
             // Its last message goes as far as the network takes it at once.
             let _ = connection.link.flush();
@@ -155,24 +160,24 @@
         let idle = |(id, p): (&SessionId, &Connection)| match &p.stage {
             Stage::LoggingIn(_) => Some(*id),
             Stage::Open(open_session) => {
-                let may_go_on = open_session.running.is_none()
+                let may_still_run = open_session.running.is_none()
                     && !open_session.session.transaction.is_held()
                     && !p.closing;
-                (may_go_on && !open_session.session.is_in_unit() && p.link.input.is_empty())
+                (may_still_run && !open_session.session.is_in_unit() && p.link.input.is_empty())
                     .then_some(*id)
             }
         };
         let idle: Vec<SessionId> = self.connections.iter().filter_map(idle).collect();
         for id in idle {
-            if self.brings_nothing(now, id) {
-                self.dismiss(id, &ClientError::ShuttingDown);
+            if self.has_no_new_input(now, id) {
+                self.close_with_error(id, &ClientError::ShuttingDown);
             }
         }
     }
 
     /// Whether a session that is to be closed as idle brings nothing just now. Guards against a unit that came
     /// since it was last read: it is taken then, and its session stays.
-    fn brings_nothing(&mut self, now: Micros, id: SessionId) -> bool {
+    fn has_no_new_input(&mut self, now: Micros, id: SessionId) -> bool {
         let held = |sessions: &Sessions| {
             sessions
                 .connections
@@ -182,7 +187,7 @@
         let before = held(self);
         if self.read(now, id) {
             // The loop does not tell of the rest again.
-            self.stalled.insert(id);
+            self.unread.insert(id);
         }
         held(self) <= before
     }
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -23,28 +23,28 @@
 struct Consumed {
     bytes: usize,
     /// There may be more to take now.
-    goes_on: bool,
+    has_more: bool,
 }
 
 impl Consumed {
     const NOTHING: Consumed = Consumed {
         bytes: 0,
-        goes_on: false,
+        has_more: false,
     };
 
     /// So many bytes; the rest waits for more input, or for an answer.
-    fn until_more_comes(bytes: usize) -> Consumed {
+    fn awaiting_input(bytes: usize) -> Consumed {
         Consumed {
             bytes,
-            goes_on: false,
+            has_more: false,
         }
     }
 
     /// So many bytes; the rest can be taken at once.
-    fn and_more(bytes: usize) -> Consumed {
+    fn with_more_to_read(bytes: usize) -> Consumed {
         Consumed {
             bytes,
-            goes_on: true,
+            has_more: true,
         }
     }
 }
@@ -69,7 +69,7 @@
             connection.link.input = input;
             connection.link.consume(used);
             self.held_bytes -= used;
-            taken(&mut connection.arrivals, used);
+            consume_arrivals(&mut connection.arrivals, used);
             if used > 0 {
                 connection.last_active = now;
             }
@@ -80,7 +80,7 @@
                 self.abandon(id);
                 return;
             }
-            if !consumed.goes_on {
+            if !consumed.has_more {
                 return;
             }
         }
@@ -102,8 +102,8 @@
         };
         match &mut connection.stage {
             Stage::LoggingIn(_) if input.is_empty() => Consumed::NOTHING,
-            Stage::LoggingIn(_) => self.log_in(now, id, input, users, servers),
-            Stage::Open(open_session) if open_session.skipping => {
+            Stage::LoggingIn(_) => self.advance_login(now, id, input, users, servers),
+            Stage::Open(open_session) if open_session.skipping_to_sync => {
                 match open_session.session.skip(input) {
                     Err(why) => {
                         why.write(connection.link.output(), true);
@@ -111,13 +111,13 @@
                         Consumed::NOTHING
                     }
                     Ok((used, over)) => {
-                        open_session.skipping = !over;
+                        open_session.skipping_to_sync = !over;
                         if over {
                             open_session.session.ready(connection.link.output());
                         }
                         Consumed {
                             bytes: used,
-                            goes_on: over,
+                            has_more: over,
                         }
                     }
                 }
@@ -133,7 +133,7 @@
     }
 
     /// A step of the login; after the last one the session is open.
-    fn log_in(
+    fn advance_login(
         &mut self,
         now: Micros,
         id: SessionId,
@@ -143,7 +143,7 @@
     ) -> Consumed {
         let (first, second) = (self.secret("nonce", id), self.secret("the rest of it", id));
         let nonce = format!("{first:016x}{second:016x}");
-        let hidden = self.chance_bytes();
+        let hidden = self.random_bytes();
         let Some(connection) = self.connections.get_mut(&id) else {
             return Consumed::NOTHING;
         };
@@ -158,28 +158,28 @@
                 connection.closing = true;
                 Consumed::NOTHING
             }
-            Ok((used, StartupStep::Incomplete)) => Consumed::until_more_comes(used),
+            Ok((used, StartupStep::Incomplete)) => Consumed::awaiting_input(used),
             Ok((used, StartupStep::Refused)) => {
                 connection.closing = true;
-                Consumed::until_more_comes(used)
+                Consumed::awaiting_input(used)
             }
             Ok((used, StartupStep::Cancel(key))) => {
                 connection.closing = true;
-                self.take_cancel_request(key);
-                Consumed::until_more_comes(used)
+                self.handle_cancel_request(key);
+                Consumed::awaiting_input(used)
             }
-            Ok((used, StartupStep::Accepted(welcome))) => {
-                let is_open = self.open(now, id, &welcome, users, servers);
+            Ok((used, StartupStep::Accepted(client))) => {
+                let is_open = self.open(now, id, &client, users, servers);
                 Consumed {
                     bytes: used,
-                    goes_on: is_open,
+                    has_more: is_open,
                 }
             }
         }
     }
 
     /// A request to cancel what another session has out; one with a wrong key means nothing.
-    fn take_cancel_request(&mut self, key: CancelKey) {
+    fn handle_cancel_request(&mut self, key: CancelKey) {
         let id = SessionId::from(key.process);
         let meant = self.connections.get(&id);
         if meant.is_some_and(|connection| connection.secret == key.secret) {
@@ -192,28 +192,28 @@
         &mut self,
         now: Micros,
         id: SessionId,
-        welcome: &Client,
+        client: &Client,
         users: &Users,
         servers: &mut Servers,
     ) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
-        let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
+        let user = users.0.get(&client.user).map(|(user, _)| user.clone());
         let account = user
             .as_ref()
-            .and_then(|user| account(servers, user, welcome));
+            .and_then(|user| account(servers, user, client));
         let Some((user, account)) = user.zip(account) else {
             ClientError::TooManySessions.write(connection.link.output(), true);
             connection.closing = true;
             return false;
         };
-        let session = Session::new(welcome, &mut self.catalogue);
+        let session = Session::new(client, &mut self.catalogue);
         let key = CancelKey {
             process: id as u32,
             secret: connection.secret,
         };
-        greet(connection.link.output(), welcome, &servers.parameters, key);
+        write_welcome(connection.link.output(), client, &servers.parameters, key);
         connection.last_active = now;
         connection.stage = Stage::Open(Box::new(OpenSession {
             session,
@@ -221,9 +221,9 @@
             account,
             running: None,
             pin: None,
-            held_keys: Vec::new(),
-            touched: BTreeSet::new(),
-            skipping: false,
+            held_order_keys: Vec::new(),
+            touched_groups: BTreeSet::new(),
+            skipping_to_sync: false,
         }));
         true
     }
@@ -246,17 +246,17 @@
                 connection.closing = true;
                 Consumed::NOTHING
             }
-            Ok((used, SessionEvent::Incomplete)) => Consumed::until_more_comes(used),
+            Ok((used, SessionEvent::Incomplete)) => Consumed::awaiting_input(used),
             Ok((used, SessionEvent::Terminated)) => {
                 connection.closing = true;
-                Consumed::until_more_comes(used)
+                Consumed::awaiting_input(used)
             }
-            Ok((used, SessionEvent::Part(part))) => self.take_part(now, id, used, part),
+            Ok((used, SessionEvent::Part(part))) => self.handle_part(now, id, used, part),
         }
     }
 
     /// Takes a unit, or more of the one that is out. What the session can answer by itself is answered.
-    fn take_part(
+    fn handle_part(
         &mut self,
         now: Micros,
         id: SessionId,
@@ -269,7 +269,7 @@
         let Stage::Open(open_session) = &mut connection.stage else {
             return Consumed::NOTHING;
         };
-        let since = came(&connection.arrivals, used).unwrap_or(now);
+        let since = arrival_time(&connection.arrivals, used).unwrap_or(now);
         if let Some(running) = &mut open_session.running {
             running.parts.push(part.clone());
             running.commits |= part.commits;
@@ -277,7 +277,7 @@
                 ticket: running.ticket,
                 part,
             });
-            return Consumed::and_more(used);
+            return Consumed::with_more_to_read(used);
         }
         let output = connection.link.output();
         let transaction = open_session.session.transaction;
@@ -285,39 +285,39 @@
             .session
             .answers(&part, &mut self.catalogue, output);
         if is_answered {
-            return Consumed::and_more(used);
+            return Consumed::with_more_to_read(used);
         }
         if transaction == Transaction::Lost {
             ClientError::InFailedTransaction.write(output, false);
-            open_session.skipping = true;
-            return Consumed::and_more(used);
+            open_session.skipping_to_sync = true;
+            return Consumed::with_more_to_read(used);
         }
         self.events.push(Event::Unit {
             session: id,
             part,
             since,
         });
-        Consumed::until_more_comes(used)
+        Consumed::awaiting_input(used)
     }
 
-    fn chance_bytes(&self) -> [u8; 8] {
+    fn random_bytes(&self) -> [u8; 8] {
         use std::hash::BuildHasher;
-        self.chance.hash_one("nobody").to_be_bytes()
+        self.random_state.hash_one("nobody").to_be_bytes()
     }
 }
 
 /// The account at the engines of one that came in, unless there are too many.
-fn account(servers: &mut Servers, user: &User, welcome: &Client) -> Option<AccountId> {
+fn account(servers: &mut Servers, user: &User, client: &Client) -> Option<AccountId> {
     let who = engine::Account {
         user: user.engine_user.clone(),
-        database: welcome.database.clone(),
+        database: client.database.clone(),
         password: user.engine_password.clone(),
     };
     servers.account(who)
 }
 
 /// When the byte that ends so many bytes of the input came.
-fn came(arrivals: &VecDeque<Arrival>, used: usize) -> Option<Micros> {
+fn arrival_time(arrivals: &VecDeque<Arrival>, used: usize) -> Option<Micros> {
     let mut sum = 0;
     arrivals.iter().find_map(|arrival| {
         sum += arrival.bytes;
@@ -326,7 +326,7 @@
 }
 
 /// So many bytes of the input were taken.
-fn taken(arrivals: &mut VecDeque<Arrival>, used: usize) {
+fn consume_arrivals(arrivals: &mut VecDeque<Arrival>, used: usize) {
     let mut left = used;
     while let Some(arrival) = arrivals.front_mut() {
         let len = left.min(arrival.bytes);
@@ -340,7 +340,12 @@
 }
 
 /// What a client hears when it has come in.
-fn greet(out: &mut Vec<u8>, welcome: &Client, parameters: &[(String, String)], key: CancelKey) {
+fn write_welcome(
+    out: &mut Vec<u8>,
+    client: &Client,
+    parameters: &[(String, String)],
+    key: CancelKey,
+) {
     wire::write(out, b'R', |out| out.extend_from_slice(&0u32.to_be_bytes()));
     let usual = [
         ("server_version", "15.0"),
@@ -356,9 +361,9 @@
     let events = usual.iter().filter(|(name, _)| !known(name)).copied();
     let events = events.chain(parameters.iter().map(|(n, v)| (n.as_str(), v.as_str())));
     for (name, value) in events {
-        let own = welcome.parameters.get(&name.to_ascii_lowercase());
+        let own = client.parameters.get(&name.to_ascii_lowercase());
         let value = match name {
-            "session_authorization" => &welcome.user,
+            "session_authorization" => &client.user,
             "is_superuser" => "off",
             _ => own.map_or(value, String::as_str),
         };
