--- a/crates/front/src/postgres/admission_state.rs
+++ b/crates/front/src/postgres/admission_state.rs
@@ -1,12 +1,12 @@
-//! What the admission of a unit depends on beyond its session.
+//! The state of the front that the admission of a unit depends on, beside the unit's session.
 
 use hallmux_dispatcher::Micros;
 
-/// The state of the whole front as a unit is admitted.
+/// The state of the front at the time a unit is admitted.
 #[derive(Clone, Copy)]
 pub struct AdmissionState {
-    /// Microseconds for which what is found now may have waited.
+    /// Microseconds for which input that is read now may have been unread.
     pub unread_time: Micros,
-    /// No more statements can be taken.
+    /// The front holds as many statements or bytes as it may: further units are rejected.
     pub at_capacity: bool,
 }
--- a/crates/front/src/postgres/error.rs
+++ b/crates/front/src/postgres/error.rs
@@ -1,8 +1,8 @@
-//! What an operator meets of PostgreSQL sessions at a front's start.
+//! Errors of the gateway that are reported to operators at a front's start.
 
 use std::net::SocketAddr;
 
-/// Why sessions can't be taken.
+/// Why sessions can't be accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
     #[error("postgres.listen: {at}: {why}; give the address of a free port of this machine")]
@@ -10,9 +10,9 @@
 }
 
 impl From<ListenError> for std::io::Error {
-    fn from(fault: ListenError) -> std::io::Error {
-        let ListenError::Listen { why, .. } = &fault;
-        std::io::Error::new(why.kind(), fault)
+    fn from(error: ListenError) -> std::io::Error {
+        let ListenError::Listen { why, .. } = &error;
+        std::io::Error::new(why.kind(), error)
     }
 }
 
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -1,5 +1,6 @@
-//! The gateway for PostgreSQL sessions: it hands their units to the dispatcher, carries out its orders over
-//! connections to engines, and hands the answers back. Switched on by the operator's file; off, it is not there.
+//! The gateway for PostgreSQL sessions. It submits their units to the dispatcher, carries out the
+//! dispatcher's commands over connections to engines, and forwards the answers. It exists only if
+//! the operator's file switches it on.
 
 mod accept;
 mod admission;
@@ -26,7 +27,7 @@
 use crate::transient;
 use crate::unsent_answers::UnsentAnswers;
 
-/// Sessions of PostgreSQL clients, and the connections to engines that they are served over.
+/// The sessions of PostgreSQL clients, and the connections to engines that serve them.
 pub struct Gateway {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
@@ -37,17 +38,19 @@
     answer_slack: Micros,
     timeouts: Vec<(String, Micros)>,
     retry_after_ms: Option<i64>,
-    /// Regional access rules, where they are switched on.
+    /// The regional access rules, if they are switched on.
     rules: Option<Shared>,
-    /// Workloads whose units may write, where loads are marked.
+    /// Workloads whose units may write; empty unless loads are marked.
     pub writing_workloads: Vec<String>,
     shutdown_since: Option<Micros>,
-    /// Connections with more to read than one iteration takes, that the event loop does not report again.
+    /// Connections that hold more input than one iteration reads, and that the event loop does not
+    /// report again.
     unfinished_reads: Vec<SocketId>,
 }
 
 impl Gateway {
-    /// Opens the listener that the operator's file names.
+    /// Opens the listener at the address in the operator's file. Fails if the address can't be
+    /// bound.
     pub fn new(
         postgres: &Postgres,
         settings: &Settings,
@@ -91,44 +94,46 @@
         Ok(gateway)
     }
 
-    /// Descriptors that its engine connections may use, and those that sessions which are being closed have
-    /// beside those of clients.
+    /// Sets how many descriptors the engine connections may use, and how many lingering sessions
+    /// have a descriptor beside those of clients.
     pub fn set_descriptor_limits(&mut self, descriptors: usize, lingering: usize) {
         self.servers.set_connection_limit(descriptors);
         self.sessions.set_lingering_descriptors(lingering);
     }
 
-    /// Sessions that are connected, or take a descriptor until they are closed.
+    /// The number of sessions that use a descriptor of clients: connected ones, and lingering ones
+    /// beyond the descriptors of their own.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether all sessions are closed.
+    /// Whether all sessions are closed, lingering ones included.
     pub fn is_done(&self) -> bool {
         self.sessions.is_done()
     }
 
-    /// Bytes held of what clients have sent.
+    /// Bytes held of the input of clients.
     pub fn held_bytes(&self) -> usize {
         self.sessions.held_bytes()
     }
 
-    /// The answers that clients have not taken yet.
+    /// The answers that clients have not read yet.
     pub fn unsent(&self) -> UnsentAnswers {
         self.sessions.unsent()
     }
 
-    /// Whether a statement is a session's.
+    /// Whether a statement belongs to a session.
     pub fn owns_statement(&self, ticket: Ticket) -> bool {
         self.sessions.owns(ticket)
     }
 
-    /// Whether an execution is out for a session, or was when it left.
+    /// Whether an execution of a session is in flight, or waits for the end of its cancel request.
     pub fn has_execution(&self, execution_id: ExecutionId) -> bool {
         self.servers.has_execution(execution_id)
     }
 
-    /// What engines of a kind speak: sessions at a port of their own beside lines, or in their place.
+    /// The protocols of engines of a kind: PostgreSQL at a port of its own beside the native
+    /// protocol, PostgreSQL in its place, or the native protocol only.
     pub fn protocols(&self, kind: &str) -> EngineProtocols {
         let speaks = |e: &&hallmux_config::PostgresEngines| e.kinds.iter().any(|k| k == kind);
         let engines = self.config.engines.iter().find(speaks);
@@ -144,7 +149,8 @@
         &mut self.servers
     }
 
-    /// When something is due though no socket changes, in Unix microseconds.
+    /// The next time, in Unix microseconds, at which there is work though no socket changes. 0 if
+    /// there is work already; the maximum if there is none.
     pub fn due(&self) -> Micros {
         let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
         let more = more || !self.unfinished_reads.is_empty();
@@ -156,7 +162,8 @@
             .min(ready)
     }
 
-    /// A connection has changed: takes what is there. True if there is more for another iteration.
+    /// Reads a connection that is ready, and admits the units received. Returns true if there is
+    /// more to read in another iteration.
     pub fn socket_ready(
         &mut self,
         now: Micros,
@@ -186,14 +193,16 @@
         false
     }
 
-    /// Reads a connection that the event loop has not reported; what one iteration leaves is read in the next.
+    /// Reads a connection that the event loop has not reported, and defers what one iteration does
+    /// not read to the next.
     fn read_deferring_rest(&mut self, now: Micros, socket: SocketId) {
         if self.read_socket(now, socket) {
             self.unfinished_reads.push(socket);
         }
     }
 
-    /// Reads on where an iteration has left more, and takes the units that have come.
+    /// Reads the connections that an iteration has not read to the end, and admits the units
+    /// received.
     pub fn read_unfinished(
         &mut self,
         now: Micros,
@@ -219,7 +228,7 @@
         }
     }
 
-    /// Carries out what sessions have come to.
+    /// Handles the events of sessions until there are none left.
     fn handle_session_events(
         &mut self,
         now: Micros,
@@ -270,7 +279,8 @@
         }
     }
 
-    /// An execution leaves; with other text where it is a simple query that is to have it.
+    /// Sends an execution to an engine. `text` replaces the text of a unit that is one simple
+    /// query.
     pub fn send(
         &mut self,
         now: Micros,
@@ -296,7 +306,7 @@
             *part = part.with_text(&text).map_or_else(|| part.clone(), Rc::new);
         }
         if lost {
-            // Its transaction went while it waited.
+            // The session's transaction was lost while the execution waited.
             return self.servers.events.push(servers::Event::Ended {
                 execution_id,
                 ending: Ending::Withdrawn,
@@ -317,7 +327,7 @@
         );
     }
 
-    /// Ends an execution, wherever it is.
+    /// Cancels an execution, whether it waits here or is at an engine.
     pub fn cancel_execution(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let running = self
             .sessions
@@ -329,12 +339,13 @@
         self.servers.cancel_execution(now, execution_id, ending);
     }
 
-    /// Sends what is to leave to engines.
+    /// Flushes the output to engines.
     pub fn flush_servers(&mut self, now: Micros) {
         self.servers.flush(now);
     }
 
-    /// Sends what is to leave to clients; ends the one that takes least where all leave too much.
+    /// Flushes the output to clients. If all answers together leave more than `max_unsent_bytes`
+    /// unsent, closes the session with the most unsent bytes.
     pub fn flush(
         &mut self,
         now: Micros,
@@ -351,7 +362,7 @@
         if let Some(id) = unsent.slowest.filter(|_| unsent.bytes > max_unsent_bytes) {
             let bytes = unsent.bytes;
             log::warn!(
-                "session {id}: takes no answers, {bytes} bytes wait; its connection is closed"
+                "session {id}: does not read its answers, {bytes} bytes are unsent in total; its connection is closed"
             );
             self.sessions.disconnect(id);
         }
@@ -361,6 +372,7 @@
         self.handle_session_events(now, admission, dispatcher);
     }
 
+    /// Ends the sessions and engine connections whose time limits have passed.
     pub fn expire(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
         self.sessions.expire(now, self.shutdown_since);
         let unfinished = self.servers.expire(now);
@@ -369,8 +381,8 @@
         self.handle_session_events(now, admission, dispatcher);
     }
 
-    /// The front ends: no more sessions are taken, and those that rest are closed. `sessions_left` is how many more may
-    /// be connected.
+    /// Shuts the gateway down: accepts the connections that wait, closes the listener and closes
+    /// idle sessions. `sessions_left` is how many more sessions may be connected.
     pub fn close(
         &mut self,
         now: Micros,
@@ -379,7 +391,8 @@
         dispatcher: &mut Dispatcher,
     ) {
         self.shutdown_since.get_or_insert(now);
-        // Whoever has connected by now is told of the end: closing the listener resets what waits there.
+        // Clients that are connected by now receive the shutdown error: closing the listener resets
+        // connections that wait in its queue.
         self.listener.mark_readable();
         self.accept(now, sessions_left);
         self.listener.close();
--- a/crates/front/src/postgres/gateway/accept.rs
+++ b/crates/front/src/postgres/gateway/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts sessions, and closes others for want of descriptors.
+//! Accepts sessions, and closes idle ones when descriptors run short.
 
 use hallmux_dispatcher::Micros;
 
@@ -7,17 +7,19 @@
 use crate::link::Link;
 
 impl Gateway {
-    /// Closes a session for another connection, of whatever kind. False if none can go.
+    /// Closes an idle session to make room for a connection of any kind. Returns false if there is
+    /// none to close.
     pub fn evict_idle(&mut self, now: Micros) -> bool {
         self.sessions.evict_idle(now)
     }
 
-    /// Drops a session that is being closed for another connection, of whatever kind. False if there is none.
+    /// Drops a lingering session to make room for a connection of any kind. Returns false if there
+    /// is none that uses a descriptor of clients.
     pub fn drop_lingering(&mut self) -> bool {
         self.sessions.drop_lingering()
     }
 
-    /// Accepts connections; `connections_left` is how many more may be connected.
+    /// Accepts the connections that wait; `connections_left` is how many more may be connected.
     pub fn accept(&mut self, now: Micros, mut connections_left: usize) {
         loop {
             let (sessions, max_sessions) = (&mut self.sessions, self.config.limits.sessions);
@@ -38,7 +40,9 @@
                     self.sessions.accept(now, id, link);
                     self.read_deferring_rest(now, SocketKind::Session.id(id));
                 }
-                Err(e) => log::warn!("a session's connection can't be served: {e}"),
+                Err(e) => {
+                    log::warn!("session {id}: its connection can't be set up: {e}; it is closed")
+                }
             }
         }
     }
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -1,4 +1,5 @@
-//! What a unit asks of the dispatcher, and the answer to one that it gives up.
+//! The request that a unit makes to the dispatcher, and the answers to units that are rejected,
+//! cancelled or aborted.
 
 use std::rc::Rc;
 
@@ -17,30 +18,30 @@
 use crate::postgres::sessions::OpenSession;
 use crate::refusal::Refusal;
 
-/// Of an estimate, in any unit; beyond all that engines could do.
+/// Upper limit of an estimate of a unit, in any unit of measure; no engine can do more.
 const MAX_ESTIMATE: f64 = 1e12;
 
-/// What the admission of units goes by, whatever their session.
+/// The parts of admission that are the same for all sessions.
 struct AdmissionPolicy<'a> {
     rules: Option<&'a Shared>,
-    /// Workloads, and how long their clients wait, in microseconds.
+    /// The workloads, and how long their clients wait, in microseconds.
     timeouts: &'a [(String, Micros)],
-    /// Workloads whose units may write, where loads are marked.
+    /// Workloads whose units may write; empty unless loads are marked.
     writing_workloads: &'a [String],
     /// Microseconds that an answer may take on its way to a client.
     answer_slack: Micros,
     retry_after_ms: Option<i64>,
 }
 
-/// A unit that the dispatcher has taken.
+/// A unit that the dispatcher has accepted.
 struct AdmittedUnit {
     ticket: Ticket,
-    /// The order key whose turn it waits for.
+    /// The order key whose queue the unit waits in.
     key: Option<String>,
 }
 
 impl AdmissionPolicy<'_> {
-    /// Hands a unit to the dispatcher; the error is its answer where it is not taken.
+    /// Submits a unit to the dispatcher. The error is the answer to a unit that is not accepted.
     fn submit(
         &self,
         now: Micros,
@@ -71,7 +72,8 @@
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
-        // The session's transaction keeps the turns of its keys.
+        // The session's transaction already holds its order keys, so the unit does not wait for
+        // them.
         let is_held = |key: &&str| open_session.held_order_keys.iter().any(|held| held == key);
         let request = StatementRequest {
             workload: terms.workload,
@@ -97,7 +99,7 @@
         Ok(AdmittedUnit { ticket, key })
     }
 
-    /// What the access rules say of a unit, where they are on.
+    /// The decision of the access rules on a unit; unrestricted if they are switched off.
     fn check_access_rules(&self, now: Micros, terms: &UnitTerms, part: &UnitPart) -> Decision {
         let Some(rules) = self.rules else {
             return Decision::Unrestricted;
@@ -113,7 +115,7 @@
     }
 }
 
-/// The answer to a unit that the dispatcher can't take.
+/// The answer to a unit that the dispatcher does not accept.
 fn invalid_request(invalid: InvalidRequest) -> ClientError {
     match invalid {
         InvalidRequest::NoAllowedLocation => ClientError::Rejected {
@@ -132,7 +134,8 @@
 }
 
 impl Gateway {
-    /// Asks for an engine for a unit, or answers why it is not taken. `since`: when its last byte came.
+    /// Submits a unit to the dispatcher, or answers why it is not accepted. `since` is when the
+    /// last byte of the unit was received.
     pub(super) fn admit(
         &mut self,
         now: Micros,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Gives a statement its final answer without a result.
+    /// Sends the final answer of a statement that ends without a result.
     pub fn refuse(&mut self, now: Micros, ticket: Ticket, refusal: Refusal) {
         let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
             return;
@@ -168,19 +171,20 @@
         self.sessions.fail(now, ticket, &why, None);
     }
 
-    /// Nobody waits for a statement any more.
+    /// Drops a statement whose client no longer waits for it.
     pub(super) fn abandon_statement(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
         ticket: Ticket,
     ) {
-        // What waits for a connection is not sent any more, also where engines can't be told to give it up.
+        // A unit that waits for a connection is not sent any more, even if engines may not be sent
+        // cancel requests.
         self.servers.abandon(now, ticket);
         dispatcher.client_left(now, ticket);
     }
 
-    /// A client asks for the end of what its session has out.
+    /// Cancels the unit that a session has in flight, at a client's request.
     pub(super) fn cancel(&mut self, now: Micros, dispatcher: &mut Dispatcher, id: SessionId) {
         let Some(running) = self
             .sessions
@@ -193,7 +197,8 @@
             return;
         }
         let (ticket, execution_id) = (running.ticket, running.execution_id);
-        // What is out is the engine's to end; what is held here, or can't be ended there, ends here.
+        // A unit that is in flight is cancelled by its engine. One that is held here, or that the
+        // engine can't be asked to cancel, ends here.
         if !execution_id.is_some_and(|execution_id| self.servers.cancel(now, execution_id)) {
             self.sessions
                 .fail(now, ticket, &ClientError::Cancelled, None);
@@ -206,7 +211,7 @@
     ClientError::InvalidSetting { field, why }
 }
 
-/// What a unit is to the dispatcher.
+/// The properties of a unit that the dispatcher schedules it by.
 struct UnitTerms<'a> {
     workload: &'a str,
     member: &'a str,
@@ -215,7 +220,8 @@
     memory_mb: f64,
 }
 
-/// Reads what a unit's labels and its user say; the first field that can't be used otherwise.
+/// Reads the labels of a unit and the defaults of its user. The error names the first field that
+/// can't be used.
 fn unit_terms<'a>(
     label: &'a Label,
     user: &'a User,
@@ -229,7 +235,7 @@
     let timeout = timeout
         .ok_or_else(|| invalid_setting("hallmux.workload", "no such workload was agreed"))?
         .1;
-    // Whom a user belongs to is the operator's word where it is given.
+    // The operator's assignment of a user to a customer takes precedence over the label.
     let member = user
         .customer
         .as_deref()
@@ -256,7 +262,8 @@
     })
 }
 
-/// The answer to a unit that the module has given up on, or that ended once its answer had begun.
+/// The answer to a unit that the dispatcher has ended without a result, or whose execution ended
+/// after its answer had started.
 fn final_answer(open_session: &OpenSession, refusal: Refusal) -> ClientError {
     let Some(running) = &open_session.running else {
         return ClientError::ResultLost;
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -1,5 +1,6 @@
-//! What a unit may write, for the marks on loads. Rows that a transaction writes are seen from its end on, which may come with
-//! any of its units: each is marked for all that the transaction may have touched so far, before it leaves.
+//! Which groups of tables a unit may write to, for the load markers. Rows that a transaction writes
+//! become visible when it commits, which may happen with any of its units. So each unit is marked,
+//! before it is sent, with all groups that the transaction may have written to so far.
 
 use hallmux_dispatcher::Ticket;
 use hallmux_native_codec::tables;
@@ -11,23 +12,23 @@
 use crate::postgres::sessions::OpenSession;
 use crate::scatter::Load;
 
-/// Groups of a text that are looked for; more than that can't be marked.
+/// Upper limit of the groups searched for in a text; a text with more groups can't be marked.
 const MAX_GROUPS: usize = 1_024;
 
-/// The answer to a unit that goes on, after a Flush, with tables that are not marked.
+/// The answer to a unit that continues after a Flush and names tables without a load marker.
 pub const UNMARKED_GROUPS: ClientError = ClientError::InvalidSetting {
     field: "hallmux.workload",
     why: "writes, and names a group of tables after a Flush that it has not named before",
 };
 
-/// The answer to text that passes for a load that a front has numbered.
+/// The answer to a unit whose text begins like a load that a front has numbered.
 pub const RESERVED_PREFIX: ClientError = ClientError::InvalidSetting {
     field: "hallmux.workload",
     why: "writes, and its text begins as fronts number loads: leave that comment out",
 };
 
 impl Gateway {
-    /// What an execution of a unit may write. None: nothing that needs a mark.
+    /// What an execution of a unit may write. `None` if it needs no load marker.
     pub fn unit_load(&mut self, ticket: Ticket) -> Option<Load> {
         let (_, open_session) = self.sessions.by_ticket(ticket)?;
         let held = open_session.session.transaction != Transaction::None;
@@ -49,7 +50,8 @@
         (!groups.is_empty()).then_some(Load::Unit { groups, simple })
     }
 
-    /// Whether more of a unit that is out names groups that nothing of it has named before.
+    /// Whether a further part of a unit in flight names groups of tables that no earlier part has
+    /// named.
     pub(super) fn names_unmarked_groups(&mut self, ticket: Ticket, part: &UnitPart) -> bool {
         if self.writing_workloads.is_empty() {
             return false;
@@ -68,7 +70,7 @@
         {
             return false;
         }
-        // The last part is this one.
+        // The last part is `part` itself.
         let before = running
             .parts
             .split_last()
@@ -84,7 +86,8 @@
     }
 }
 
-/// Whether a unit's text passes for a numbered load, where loads are marked.
+/// Whether a unit's text begins like a load that a front has numbered. Always false if loads are
+/// not marked.
 pub(super) fn has_reserved_prefix(writes: &[String], part: &UnitPart) -> bool {
     !writes.is_empty() && part.texts().any(|text| !numbers(text).is_empty())
 }
--- a/crates/front/src/postgres/gateway/server_events.rs
+++ b/crates/front/src/postgres/gateway/server_events.rs
@@ -1,4 +1,4 @@
-//! What engines have answered, and how executions have ended, for sessions and the dispatcher.
+//! Passes the answers of engines and the endings of executions on to sessions and the dispatcher.
 
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, ProgressReport, Ticket};
 use hallmux_postgres::client_error::ClientError;
@@ -21,7 +21,8 @@
 }
 
 impl Gateway {
-    /// Reports replies of engines, and how executions have ended, to sessions and to the dispatcher.
+    /// Passes the replies of engines, and the endings of executions, on to sessions and to the
+    /// dispatcher.
     pub fn handle_server_events(
         &mut self,
         now: Micros,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// An engine has answered all of a unit.
+    /// Handles the end of an engine's answer to a unit.
     fn finish_answer(&mut self, now: Micros, dispatcher: &mut Dispatcher, part: FinalPart) {
         let FinalPart {
             execution_id: ExecutionId { ticket, number },
@@ -98,7 +99,8 @@
         let opens_transaction = done.status != b'I';
         let keeps_key = opens_transaction && dispatcher.keep_order_key(ticket);
         if !dispatcher.execution_ended(now, ticket, number, Ending::Answered, None) {
-            // It had its answer before; a transaction that it opened is nobody's.
+            // The unit was already answered, so a transaction that it opened has no session: it is
+            // rolled back.
             if let Some(server) = held {
                 self.servers.release(now, server);
             }
@@ -124,7 +126,7 @@
         })
     }
 
-    /// An engine has not executed a unit; its error goes to the client.
+    /// Handles an engine's refusal to execute a unit: its error is forwarded to the client.
     fn execution_refused(
         &mut self,
         now: Micros,
@@ -151,13 +153,14 @@
         let is_cancelled = self.record_ending(ticket, ending);
         let is_over = dispatcher.execution_ended(now, ticket, number, ending, None);
         if is_over || is_cancelled {
-            // One whose client has asked for its end is not tried again.
+            // A unit whose client has cancelled it is not retried.
             self.refuse(now, ticket, Refusal::Aborted);
             dispatcher.client_left(now, ticket);
         }
     }
 
-    /// Notes in a session how an execution of its unit has ended. True if its client has asked for its end.
+    /// Records in the session how an execution of its unit has ended. Returns true if the client
+    /// has cancelled the unit.
     fn record_ending(&mut self, ticket: Ticket, ending: Ending) -> bool {
         let session = self.sessions.by_ticket(ticket);
         let running = session.and_then(|(_, open_session)| open_session.running.as_mut());
--- a/crates/front/src/postgres/gateway_tests.rs
+++ b/crates/front/src/postgres/gateway_tests.rs
@@ -1,11 +1,11 @@
-//! What tests of the front ask of the gateway.
+//! Accessors of the gateway for the tests of the front.
 
 use std::net::SocketAddr;
 
 use super::Gateway;
 
 impl Gateway {
-    /// Where it takes sessions: the port is the system's where the operator's file names none.
+    /// The address of the listener; the system assigns the port if the operator's file has port 0.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.address()
     }
--- a/crates/front/src/postgres/ids.rs
+++ b/crates/front/src/postgres/ids.rs
@@ -1,14 +1,15 @@
-//! Numbers of PostgreSQL sessions and of connections to engines that speak PostgreSQL.
+//! Ids of PostgreSQL sessions and of connections to engines that speak PostgreSQL.
 
 use hallmux_dispatcher::EngineIndex;
 
-/// A connection to an engine, by its number among all that were dialled.
+/// The id of a connection to an engine, in the order of their dials.
 pub type ServerId = u64;
 
-/// A client's session, by its number among all that were accepted.
+/// The id of a client's session, in the order of their acceptance; 31 bits, then it wraps around.
 pub type SessionId = u64;
 
-/// The connection that holds the open transaction of a session (it is sticky), and its engine.
+/// The connection that holds the open transaction of a session, and its engine: the session's
+/// statements are sticky to both until the transaction ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pin {
     pub engine_index: EngineIndex,
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -1,5 +1,6 @@
-//! PostgreSQL in the front: clients' sessions at the one end, connections to engines that speak it at the other, and
-//! the portal between them and the dispatcher. Switched on by the operator's file; off, none of it is there.
+//! The PostgreSQL protocol in the front: sessions of clients, connections to engines that speak it,
+//! and the gateway between both and the dispatcher. Nothing of it exists unless the operator's file
+//! switches it on.
 
 pub mod admission_state;
 mod error;
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -1,4 +1,5 @@
-//! Connections to engines that speak PostgreSQL: units out, answers back to whoever has asked, pools of them.
+//! Connections to engines that speak PostgreSQL, their pools, the units sent over them and the
+//! answers received.
 
 mod close;
 mod replies;
@@ -23,29 +24,32 @@
 use crate::link::Link;
 use crate::listed_engine::ListedEngine;
 
-/// Microseconds between checks of connections that have been idle for long.
+/// Microseconds between two checks for silent engines and idle connections.
 const CHECK_INTERVAL: Micros = 100_000;
-/// Accounts at the engines, by user and database; beyond them none come in.
+/// Upper limit of the accounts at engines, one per user and database; sessions with further ones
+/// are rejected.
 const MAX_ACCOUNTS: usize = 1_000;
 
-/// Replies of engines, and how executions have ended.
+/// Replies of engines, and endings of executions.
 pub enum Event {
-    /// It may have taken effect from now on, whatever becomes of its connection: it is not repeated.
+    /// The execution may take effect from now on, even if its connection is lost: it is not
+    /// retried.
     Irrevocable(ExecutionId),
-    /// Part of its answer; `whole` if that ends with a message.
+    /// Part of an answer; `ends_message` if it ends at a message boundary.
     PartialAnswer {
         execution_id: ExecutionId,
         bytes: Vec<u8>,
         ends_message: bool,
     },
-    /// The rest of its answer, and the connection that holds its transaction, if one is open.
+    /// The rest of an answer, and the connection that holds the session's transaction, if one is
+    /// open.
     Answered {
         execution_id: ExecutionId,
         bytes: Vec<u8>,
         done: UnitOutcome,
         held: Option<ServerId>,
     },
-    /// Not executed, with the error that the engine gives.
+    /// The engine has not executed the unit, for the error given.
     Refused {
         execution_id: ExecutionId,
         error: Vec<u8>,
@@ -54,28 +58,28 @@
         execution_id: ExecutionId,
         ending: Ending,
     },
-    /// The engine that this is out on has replied to something, if not to it.
+    /// The engine of this execution has replied to something, though not to this execution.
     Alive(ExecutionId),
-    /// The open transaction of a session is gone with its connection.
+    /// The open transaction of a session was lost with its connection.
     TransactionLost { session: SessionId },
 }
 
-/// A unit as it goes out.
+/// A unit to be sent to an engine.
 #[derive(Clone)]
 pub struct Unit {
     pub session: SessionId,
     pub parts: Vec<Rc<UnitPart>>,
     pub settings: Rc<SessionSettings>,
     pub account: pool::AccountId,
-    /// The connection that holds its transaction.
+    /// The connection that holds the session's transaction, if one is open.
     pub pin: Option<ServerId>,
-    /// It is not to be repeated once it has left.
+    /// The unit must not be retried once it has been sent.
     pub no_retry: bool,
 }
 
 #[derive(PartialEq, Clone, Copy)]
 enum Stage {
-    /// It waits for a connection, or for a cancel on its own to be over.
+    /// Waits for a connection, or for the cancel requests on its pinned connection to be over.
     Waiting,
     Writing,
     Sent,
@@ -86,11 +90,11 @@
     engine_index: EngineIndex,
     connection: Option<ServerId>,
     stage: Stage,
-    /// What has come of its answer and not gone on.
+    /// Bytes of the answer that were received and not yet forwarded.
     unsent_answer: Vec<u8>,
-    /// Some of its answer has gone on.
+    /// Part of the answer has been forwarded.
     answer_started: bool,
-    /// Its client does not take more for now.
+    /// The client reads its answer too slowly: no more of it is read from the engine.
     paused: bool,
 }
 
@@ -100,15 +104,15 @@
     engine_index: EngineIndex,
     up: bool,
     serving: Option<ExecutionId>,
-    /// The session whose transaction is open here.
+    /// The session whose transaction is open on this connection.
     transaction_of: Option<SessionId>,
-    /// Up to where in the output the unit goes that leaves.
+    /// Position in the output at which the unit being sent ends.
     write_end: usize,
-    /// Requests to cancel that are on their way to it.
+    /// Requests to cancel in flight for this connection.
     cancels: usize,
-    /// It ends with its unit: a request to cancel could still reach the next.
+    /// The connection closes with its unit: a request to cancel could still reach the next unit.
     closes_after_unit: bool,
-    /// What comes belongs to a unit that was given up.
+    /// The replies belong to a unit that was cancelled.
     discards_replies: bool,
 }
 
@@ -117,11 +121,11 @@
     link: Link,
     server: ServerId,
     deadline: Micros,
-    /// What is over once the engine has taken it.
+    /// The execution that ends once the engine has accepted the request.
     pending_end: Option<PendingEnd>,
 }
 
-/// An execution that is over once its engine has taken the request to cancel it, and how it ends.
+/// An execution that ends once its engine has accepted the request to cancel it, and how it ends.
 #[derive(Clone, Copy)]
 struct PendingEnd {
     execution_id: ExecutionId,
@@ -134,7 +138,7 @@
     started: f64,
     up: bool,
     failing: bool,
-    /// When it last replied to anything, and when it was last pinged.
+    /// When the engine last replied to anything, and when it was last pinged.
     last_reply: Micros,
     last_ping: Micros,
 }
@@ -154,16 +158,17 @@
     flush_pending: BTreeSet<ServerId>,
     last_id: u64,
     max_connections: usize,
-    /// When connections may be made; any time where nothing else is set.
+    /// Limits when connections may be opened; unlimited until it is replaced.
     pub dials: DialPacer,
     next_check: Micros,
-    /// What engines tell of themselves, for the welcome of clients.
+    /// Parameters that engines report at login, for the welcome of clients.
     pub parameters: Vec<(String, String)>,
     pub events: Vec<Event>,
 }
 
 impl Servers {
-    /// No engines yet; `limit` and `list` come before anything is sent.
+    /// No engines yet. `set_connection_limit` and `update_engine` are called before anything is
+    /// sent.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
         network: NetworkSettings,
@@ -195,12 +200,13 @@
         }
     }
 
-    /// Descriptors that it may use.
+    /// Sets how many descriptors the connections may use.
     pub fn set_connection_limit(&mut self, descriptors: usize) {
         self.max_connections = descriptors.max(1);
     }
 
-    /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
+    /// How many units can be sent to an engine now: over idle or connecting connections, or over
+    /// one that may be opened now.
     pub fn capacity(&self, now: Micros, engine_index: EngineIndex) -> usize {
         let dials = self.pools.has_capacity(engine_index)
             && self.dials.borrow().next_slot_at(now, engine_index) <= now;
@@ -208,10 +214,10 @@
             + usize::from(dials && self.engines.get(&engine_index).is_some_and(|e| e.up))
     }
 
-    /// The number of an account at the engines.
+    /// The number of an account at the engines. `None` if it is new and there are too many.
     pub fn account(&mut self, account: Account) -> Option<pool::AccountId> {
         let known = self.accounts.iter().position(|a| *a == account);
-        // Guards against names of databases without end.
+        // Bounds the accounts that clients create by naming ever new databases.
         if known.is_none() && self.accounts.len() < MAX_ACCOUNTS {
             self.accounts.push(account);
             return Some(self.accounts.len() - 1);
@@ -219,7 +225,7 @@
         known
     }
 
-    /// Whether an execution is one of its own, also where it only waits for its request to cancel.
+    /// Whether an execution is in flight here, or only waits for its request to cancel.
     pub fn has_execution(&self, execution_id: ExecutionId) -> bool {
         let ends = |cancel: &Cancel| {
             cancel
@@ -229,12 +235,12 @@
         self.executions.contains_key(&execution_id) || self.cancels.values().any(ends)
     }
 
-    /// The engine that a connection is to.
+    /// The engine of a connection.
     pub fn engine_index(&self, id: ServerId) -> Option<EngineIndex> {
         self.connections.get(&id).map(|l| l.engine_index)
     }
 
-    /// An engine of the list: where it is, and whether anything may still be sent to it.
+    /// Adds an engine of the list or updates its address, start and availability.
     pub fn update_engine(&mut self, engine_index: EngineIndex, listed: ListedEngine) {
         let ListedEngine {
             id,
@@ -267,7 +273,7 @@
         );
     }
 
-    /// A whole list has come: engines that it does not name are gone.
+    /// Retires the engines that a complete list does not name.
     pub fn retire_unlisted(&mut self, listed: &[EngineIndex]) {
         let engine_indexes: Vec<EngineIndex> = self
             .engines
@@ -280,8 +286,8 @@
             .for_each(|engine_index| self.retire(engine_index));
     }
 
-    /// What has not left for an engine stays here, open transactions that stand idle there are over; what is
-    /// out may still be answered.
+    /// Stops sending to an engine. Executions that were not sent yet are withdrawn and idle
+    /// transactions there are lost; executions in flight may still be answered.
     pub fn retire(&mut self, engine_index: EngineIndex) {
         if let Some(engine) = self.engines.get_mut(&engine_index) {
             engine.up = false;
@@ -291,7 +297,7 @@
             .into_iter()
             .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
         idle.into_iter().for_each(|id| self.close(id));
-        // What waits for its settings there has not left either.
+        // Executions whose settings are still being transferred were not sent either.
         let setting = |(id, l): (&ServerId, &Server)| {
             (l.engine_index == engine_index && l.engine.is_setting()).then_some((*id, l.serving))
         };
@@ -363,8 +369,8 @@
         connecting.min(cancels).min(next_check)
     }
 
-    /// Ends what has waited too long: connections not up, logins, cancels, idle connections. Says which
-    /// connections have more to read than one iteration takes.
+    /// Ends what has exceeded its time limit: dials, logins, cancel requests and idle connections.
+    /// Returns the connections that hold more input than one iteration reads.
     pub fn expire(&mut self, now: Micros) -> Vec<ServerId> {
         let unfinished = self.expire_connecting(now);
         let late: Vec<u64> = self
@@ -381,7 +387,7 @@
             for id in self.pools.expired(now) {
                 self.close(id);
             }
-            // What waits for descriptors that others have let go of.
+            // Serves executions that wait for descriptors which other pools have released.
             for engine_index in self.engines.keys().copied().collect::<Vec<_>>() {
                 let action = self.pools.next_action(engine_index);
                 self.run_pool_action(now, engine_index, action);
@@ -390,8 +396,8 @@
         unfinished
     }
 
-    /// Ends connections that did not come up, or did not let the front in, in time. Says which of those that
-    /// stay have more to read.
+    /// Closes connections that were not up, or whose login was not over, in time. Returns those of
+    /// the remaining ones that hold more to read.
     fn expire_connecting(&mut self, now: Micros) -> Vec<ServerId> {
         let late: Vec<ServerId> = self
             .connecting
@@ -401,8 +407,9 @@
             .collect();
         let mut unfinished = Vec::new();
         for id in late {
-            // Guards against a front that stood still between its look at the connections and this one: what has
-            // come up, or let it in, meanwhile is found before it is judged.
+            // Guards against a stall of the front between its last read of the connection and this
+            // check: a connection or login that was completed meanwhile is found before it counts
+            // as late.
             let more = self.read(now, id);
             if self.connecting.get(&id).is_some_and(|by| *by <= now) {
                 self.connection_lost(now, id, Ending::ConnectTimeout);
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -1,4 +1,4 @@
-//! How executions and connections end: given up, cancelled, let go, lost.
+//! How executions and connections end: cancelled, abandoned, released, lost.
 
 use hallmux_dispatcher::{Ending, EngineIndex, Micros, Ticket};
 use hallmux_postgres::pool::Released;
@@ -11,7 +11,7 @@
 use crate::postgres::ids::ServerId;
 
 impl Servers {
-    /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
+    /// Cancels an execution. It ends with `ending`, or as withdrawn if nothing of it was sent.
     pub fn cancel_execution(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let Some(execution) = self.executions.get(&execution_id) else {
             return self.end_while_cancelling(execution_id, ending);
@@ -19,15 +19,18 @@
         let (engine_index, link) = (execution.engine_index, execution.connection);
         let Some(id) = link else {
             self.pools.withdraw(engine_index, execution_id);
-            // One that waits for a cancel to be over lets its transaction go, which it could not end.
+            // A pinned execution that waits for the end of a cancel request can't end its
+            // transaction: closing the connection rolls that back.
             let pinned = execution.unit.pin;
-            // Also where its time is up. Guards against a commit that passes for one in doubt and never left.
+            // Withdrawn even if its time is up. Guards against reporting a commit that was never
+            // sent as one in doubt.
             self.report_end(execution_id, Ending::Withdrawn);
             pinned.into_iter().for_each(|id| self.close(id));
             return;
         };
-        // Guards against a commit that passes for one in doubt, and a unit that leaves though it is given up:
-        // behind settings that are being brought over nothing of it has left.
+        // While the settings are being transferred nothing of the unit was sent. Guards against
+        // reporting a commit that was never sent as one in doubt, and against sending a unit that
+        // was cancelled.
         if self
             .connections
             .get(&id)
@@ -36,9 +39,10 @@
             self.report_end(execution_id, Ending::Withdrawn);
             return self.close(id);
         }
-        // Its client is owed its answer now; else it ends when the engine has taken the request.
+        // If its time is up the client is answered now; otherwise the execution ends when the
+        // engine has accepted the cancel request.
         let at_once = ending == Ending::TimeUp;
-        // Time that a client spent on taking its answer is not the engine's.
+        // Time that the client spent reading its answer is not charged to the engine.
         let ending = if ending == Ending::TimeUp && execution.paused {
             Ending::GivenUp
         } else {
@@ -73,8 +77,8 @@
         }
     }
 
-    /// An execution that waits for its request to cancel has its client's time up. Guards against a client
-    /// that is answered late, as it waits for an engine that takes no requests.
+    /// Ends an execution that waits for its cancel request when its client's time is up. Guards
+    /// against a late answer because of an engine that accepts no cancel requests.
     fn end_while_cancelling(&mut self, execution_id: ExecutionId, ending: Ending) {
         if ending != Ending::TimeUp {
             return;
@@ -93,7 +97,8 @@
         }
     }
 
-    /// Nobody waits for a statement any more: what has not left for an engine never will.
+    /// Withdraws the executions of a statement that nobody waits for any more, unless they were
+    /// sent to their engine.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket) {
         let of_ticket = self
             .executions
@@ -107,7 +112,8 @@
                 self.cancel_execution(now, execution_id, Ending::Withdrawn);
                 continue;
             };
-            // What is written and has yet to leave goes with its connection, also what waits for its settings.
+            // Output that was written but not sent is dropped with its connection, as is a unit
+            // that waits for its settings.
             let stays = |l: &Server| !l.link.has_sent(1) || l.engine.is_setting();
             let unsent = self
                 .connections
@@ -120,7 +126,8 @@
         }
     }
 
-    /// A client asks for the end of what is out. False if nothing can be done about it.
+    /// Asks the engine to cancel an execution, at a client's request. Returns false if it was not
+    /// sent, or if no request can be made.
     pub fn cancel(&mut self, now: Micros, execution_id: ExecutionId) -> bool {
         let Some(execution) = self
             .executions
@@ -138,7 +145,8 @@
         self.send_cancel_request(now, id, None)
     }
 
-    /// Sends a request to cancel over a connection of its own.
+    /// Sends a request to cancel over a connection of its own. Returns false if it can't be
+    /// dialled.
     fn send_cancel_request(
         &mut self,
         now: Micros,
@@ -176,7 +184,7 @@
         true
     }
 
-    /// A connection that carries a request to cancel has changed.
+    /// Handles an event of a connection that carries a request to cancel.
     pub fn read_cancel(&mut self, number: u64) {
         let Some(cancel) = self.cancels.get_mut(&number) else {
             return;
@@ -193,9 +201,9 @@
         }
     }
 
-    /// A request to cancel has not been taken in time. Guards against a front that stood still: one whose
-    /// connection has come up meanwhile leaves now, and has some time more, as it must not end what comes
-    /// after.
+    /// Handles a request to cancel that was not accepted in time. Guards against a stall of the
+    /// front: a request whose connection came up meanwhile is sent now and gets more time, so that
+    /// it can't cancel a later unit.
     pub(super) fn cancel_overdue(&mut self, now: Micros, number: u64) {
         let was_unsent = self
             .cancels
@@ -210,7 +218,7 @@
         }
     }
 
-    /// The engine has taken the request, or never will.
+    /// Ends a cancel request that the engine has accepted, or never will accept.
     pub(super) fn finish_cancel(&mut self, number: u64) {
         let Some(cancel) = self.cancels.remove(&number) else {
             return;
@@ -238,19 +246,19 @@
         }
     }
 
-    /// A session lets go of the connection that holds its transaction: the engine rolls it back.
+    /// Closes the connection that holds a session's transaction: the engine rolls it back.
     pub fn release(&mut self, now: Micros, id: ServerId) {
         if let Some(engine_index) = self.engine_index(id) {
             self.close_and_refill(now, id, engine_index);
         }
     }
 
-    /// Closes a connection that has nothing out that anyone waits for.
+    /// Closes a connection that has no execution that anyone waits for.
     pub(super) fn close(&mut self, id: ServerId) {
         if let Some(mut server) = self.connections.remove(&id) {
             if server.up && server.link.unsent() == 0 && server.serving.is_none() {
                 server.link.output().extend_from_slice(wire::TERMINATE);
-                // It ends whether that message gets through or not.
+                // The connection closes whether or not the message is delivered.
                 let _ = server.link.flush();
             }
             self.remove_from_pools(id);
@@ -274,7 +282,7 @@
         self.run_pool_action(now, engine_index, action);
     }
 
-    /// A connection is free: for the next unit, or to be closed.
+    /// Returns a connection to its pool, or closes it.
     pub(super) fn release_idle(&mut self, now: Micros, id: ServerId) {
         let Some(server) = self.connections.get_mut(&id) else {
             return;
@@ -290,7 +298,7 @@
         }
     }
 
-    /// A connection is over: its execution ends by how much of it has left.
+    /// Handles the loss of a connection. Its execution ends depending on how much of it was sent.
     pub(super) fn connection_lost(&mut self, now: Micros, id: ServerId, ending: Ending) {
         let Some(server) = self.connections.remove(&id) else {
             return;
@@ -324,31 +332,33 @@
     }
 }
 
-/// How an execution ends whose connection was lost, by how much of it has left.
+/// How an execution ends whose connection was lost, depending on how much of it was sent.
 fn lost_ending(execution: &Execution, server: &Server, lost: Ending) -> Ending {
     let has_left = server.link.has_sent(server.write_end);
     match execution.stage {
         Stage::Waiting => Ending::Withdrawn,
-        // It waits here for its settings.
+        // The unit waits here until its settings are transferred.
         _ if server.engine.is_setting() => Ending::HalfWritten,
-        // Without its Sync nothing that it does is kept, but for a commit of its own.
+        // Without its Sync an engine keeps nothing of a unit, unless the unit contains a commit of
+        // its own.
         Stage::Writing if !has_left && !execution.unit.no_retry => Ending::HalfWritten,
         Stage::Writing | Stage::Sent => lost,
     }
 }
 
-/// Logs a lost connection. An engine that can't be reached is named once, until it is reached again.
+/// Logs a lost connection. An engine that can't be reached is logged once, until it is reached
+/// again.
 fn log_lost_connection(engine: &mut EngineEntry, server: &Server, ending: Ending) {
     if !server.engine.is_up() {
         if !std::mem::replace(&mut engine.failing, true) {
             log::warn!(
-                "engine {}: can't be reached for sessions: {ending:?}",
+                "engine {}: can't be reached for sessions: {ending:?}; units that wait for it are returned to the dispatcher",
                 engine.id
             );
         }
     } else if server.serving.is_some() {
         log::warn!(
-            "engine {}: connection lost with a unit: {ending:?}",
+            "engine {}: connection lost with a unit in flight: {ending:?}; the unit is returned to the dispatcher",
             engine.id
         );
     }
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -1,4 +1,4 @@
-//! What comes from engines: logins, parts of answers, whole ones, signs of life.
+//! Input from engines: logins, answers and their parts, ping replies.
 
 use std::collections::BTreeMap;
 
@@ -14,24 +14,25 @@
 use crate::link::{Broken, ReadOutcome};
 use crate::postgres::ids::ServerId;
 
-/// Microseconds for a login once the connection is up; it takes a few ms.
+/// Microseconds for a login once the connection is up; a login normally takes a few ms.
 pub(super) const LOGIN_TIMEOUT: Micros = 2_000_000;
-/// Microseconds that an engine with units out may be silent before it is pinged.
+/// Microseconds that an engine with units in flight may be silent before it is pinged.
 const PING_AFTER: Micros = 300_000;
-/// Bytes taken from an engine at once, and so how far a client may be behind.
+/// Bytes read from an engine at once, which also bounds how far a client may lag behind.
 const READ_SIZE: usize = 64 << 10;
 
-/// How far the replies of an input were taken.
+/// How far the replies in an input were processed.
 enum ReplyProgress {
-    /// So many bytes were taken; the rest is less than a reply.
+    /// The number of bytes processed; the rest is an incomplete reply.
     UpTo(usize),
     Unreadable(ProtocolError),
-    /// A reply has closed the connection.
+    /// A reply has led to the close of the connection.
     ConnectionClosed,
 }
 
 impl Servers {
-    /// Hands on what has come of an answer, if it is due: too much to hold, or a client that waits for it.
+    /// Forwards what was received of an answer if the client waits for it, or if there is too much
+    /// to buffer.
     pub(super) fn forward_answer(&mut self, execution_id: ExecutionId, client_waits: bool) {
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
@@ -56,21 +57,22 @@
         }
     }
 
-    /// A client is behind with its answer: no more of it is read.
+    /// Stops reading an answer from the engine because its client lags behind.
     pub fn pause(&mut self, execution_id: ExecutionId) {
         if let Some(execution) = self.executions.get_mut(&execution_id) {
             execution.paused = true;
         }
     }
 
-    /// A client has caught up. Returns the connection that is to be read again, if it was paused.
+    /// Continues an answer whose client has caught up. Returns the connection to read again, if the
+    /// answer was paused.
     pub fn resume(&mut self, execution_id: ExecutionId) -> Option<ServerId> {
         let execution = self.executions.get_mut(&execution_id)?;
         let was_paused = std::mem::replace(&mut execution.paused, false);
         execution.connection.filter(|_| was_paused)
     }
 
-    /// A connection has changed; true if there is more for another iteration.
+    /// Reads a connection that is ready. Returns true if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: ServerId) -> bool {
         if !self.is_up(now, id) {
             return false;
@@ -110,7 +112,8 @@
         false
     }
 
-    /// Whether a connection is up. One that has just come up begins its login; one that failed is closed.
+    /// Whether a connection is up. One that has just come up starts its login; one that failed is
+    /// closed.
     fn is_up(&mut self, now: Micros, id: ServerId) -> bool {
         let Some(server) = self.connections.get_mut(&id) else {
             return false;
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Takes all replies of an input; answers go on as they are due.
+    /// Processes all complete replies in an input, and forwards answers when they are due.
     fn process_replies(&mut self, now: Micros, id: ServerId, input: &[u8]) -> ReplyProgress {
         let mut taken = 0;
         loop {
@@ -156,7 +159,7 @@
                 .engine
                 .read(&input[taken..], output, unsent_answer, most_held);
             if was_setting && !server.engine.is_setting() {
-                // What waited for the settings leaves now.
+                // The unit that waited for the settings is sent now.
                 server.write_end = server.link.output().len();
             }
             let (used, reply) = match read {
@@ -177,7 +180,8 @@
         }
     }
 
-    /// A connection has brought what can't be read, which may be no more than its end.
+    /// Closes a connection whose input can't be read. The reason may be no more than that the
+    /// connection has ended.
     fn close_unreadable(
         &mut self,
         now: Micros,
@@ -211,7 +215,10 @@
                 self.release_idle(now, id);
             }
             EngineEvent::LoginRefused { code, error } => {
-                log::warn!("engine {}: no login: {code}", self.engine_name(id));
+                log::warn!(
+                    "engine {}: login refused: {code}; its connection is closed",
+                    self.engine_name(id)
+                );
                 let lost = self.remove_from_pools(id);
                 self.connections.remove(&id);
                 for execution_id in lost {
@@ -239,7 +246,8 @@
         }
     }
 
-    /// An engine has answered: what is out there is not held up by its silence.
+    /// Reports one execution at an engine that has replied as alive, so that the engine's
+    /// executions do not count as hung.
     fn report_alive(&mut self, engine_index: EngineIndex) {
         let out = |execution: &Execution| {
             execution.engine_index == engine_index && execution.stage != Stage::Waiting
@@ -253,8 +261,9 @@
         self.events.extend(one.map(Event::Alive));
     }
 
-    /// Pings engines that have units out and are silent. They send no notes of progress,
-    /// and a long statement on an engine that does little else is not to be taken for a hung one.
+    /// Pings engines that have units in flight and are silent. PostgreSQL engines send no progress
+    /// reports, and a long statement on an otherwise idle engine must not be mistaken for a hung
+    /// one.
     pub(super) fn ping_silent(&mut self, now: Micros) {
         let mut quiet: BTreeMap<EngineIndex, pool::AccountId> = BTreeMap::new();
         let setting = |execution: &Execution| {
@@ -286,7 +295,7 @@
                         self.flush_pending.insert(id);
                     }
                 }
-                // A login is an answer as well.
+                // A login counts as a reply as well.
                 None if self.pools.may_dial(engine_index)
                     && self.dials.borrow_mut().try_take_slot(now, engine_index) =>
                 {
@@ -319,7 +328,8 @@
         let listed = self.engines.get(&engine_index).is_some_and(|e| e.up);
         let execution = execution_id.and_then(|execution_id| self.executions.remove(&execution_id));
         let Some((execution_id, execution)) = execution_id.zip(execution) else {
-            // Of one that was given up, or of none: a transaction that it left open is nobody's.
+            // The unit was cancelled, or there was none: a transaction that it left open has no
+            // session and is rolled back.
             return if open {
                 self.close_and_refill(now, id, engine_index)
             } else {
@@ -350,7 +360,7 @@
                 server.transaction_of = session.or(Some(holder));
             }
         } else if open {
-            // Its engine drains: the transaction has no further statement there.
+            // The engine drains, so the transaction gets no further statement there.
             self.events.push(Event::TransactionLost { session: holder });
             self.close_and_refill(now, id, engine_index);
         } else {
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -1,4 +1,4 @@
-//! Units on their way to engines: over which connection, and when a new one is made.
+//! Sends units to engines: chooses their connections, and decides when to open a new one.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -14,11 +14,11 @@
 use crate::link::Link;
 use crate::postgres::ids::ServerId;
 
-/// Bytes that an engine may leave untaken: some units of the largest size.
+/// Upper limit of the bytes that an engine may leave unread: a few units of the largest size.
 const MAX_UNSENT_BYTES: usize = 4 << 20;
 
 impl Servers {
-    /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
+    /// Sends a unit over the connection that holds its transaction, or over one from its pool.
     pub fn send(
         &mut self,
         now: Micros,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Does what the pools have decided, and what follows from that.
+    /// Executes an action of the pools, and the actions that follow from it.
     pub(super) fn run_pool_action(
         &mut self,
         now: Micros,
@@ -86,7 +86,8 @@
         while let Some(next) = action.take() {
             match next {
                 PoolAction::Use { unit, connection } => self.start(unit, connection),
-                // What waits is served as connections come free, or at the next look when a connection may be made.
+                // Waiting units are served when a connection is released, or at the next check when
+                // one may be opened.
                 PoolAction::Dial { .. }
                     if !self.dials.borrow_mut().try_take_slot(now, engine_index) =>
                 {
@@ -100,7 +101,8 @@
                     if self.connections.len() + self.cancels.len() >= self.max_connections {
                         match self.pools.oldest_idle() {
                             Some(id) => self.close(id),
-                            // What waits is served as connections come free; with none at all it ends.
+                            // Waiting units are served when a connection is released; without any
+                            // connection a dial is attempted, and the units end if it fails.
                             None if !self.connections.is_empty() => return,
                             None => {}
                         }
@@ -182,7 +184,7 @@
         Ok(())
     }
 
-    /// Puts a unit on its way.
+    /// Writes a unit to a connection.
     pub(super) fn start(&mut self, execution_id: ExecutionId, id: ServerId) {
         let (Some(execution), Some(link)) = (
             self.executions.get_mut(&execution_id),
@@ -206,7 +208,7 @@
         self.flush_pending.insert(id);
     }
 
-    /// More of a unit that is out has come.
+    /// Writes a further part of a unit that is in flight.
     pub fn append_part(&mut self, execution_id: ExecutionId, part: Rc<UnitPart>) {
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
@@ -231,7 +233,7 @@
         self.forward_answer(execution_id, false);
     }
 
-    /// Sends what is to leave.
+    /// Flushes the output to engines.
     pub fn flush(&mut self, now: Micros) {
         for id in std::mem::take(&mut self.flush_pending) {
             let Some(server) = self.connections.get_mut(&id).filter(|l| l.up) else {
@@ -244,8 +246,8 @@
             if let Some(execution) =
                 execution_id.and_then(|execution_id| self.executions.get_mut(&execution_id))
             {
-                // Guards against a commit that passes for one in doubt: behind settings that are being brought
-                // over nothing of it has left.
+                // While the settings are being transferred nothing of the unit was sent. Guards
+                // against reporting a commit that was never sent as one in doubt.
                 if left && execution.stage == Stage::Writing && !server.engine.is_setting() {
                     execution.stage = Stage::Sent;
                     let once = execution.unit.no_retry || execution.unit.pin.is_some();
@@ -265,7 +267,7 @@
 pub(super) fn dial_ending(e: &std::io::Error) -> Ending {
     match e.kind() {
         ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
-        // Whoever resets a connection is there.
+        // A peer that resets a connection is reachable.
         ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::ResetWhileConnecting,
         ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable | ErrorKind::TimedOut => {
             Ending::ConnectTimeout
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -1,4 +1,4 @@
-//! Connections of PostgreSQL clients: units in, one final answer out for each.
+//! Connections of PostgreSQL clients: units are received, and each gets one final answer.
 
 mod answers;
 mod close;
@@ -20,60 +20,61 @@
 use crate::link::{Link, ReadOutcome};
 use crate::unsent_answers::UnsentAnswers;
 
-/// Times kept of when input came; beyond them the earlier one holds.
+/// Upper limit of the arrival times kept of a session's input; later input counts as received at
+/// the last one kept.
 const MAX_ARRIVALS: usize = 32;
 
-/// What sessions have come to that needs the dispatcher or an engine.
+/// Events of sessions that need the dispatcher or an engine.
 pub enum Event {
-    /// A unit is to be taken; its last byte came at the time given.
+    /// A unit to be admitted; `since` is when its last byte was received.
     Unit {
         session: SessionId,
         part: Rc<UnitPart>,
         since: Micros,
     },
-    /// More of the unit that is out.
+    /// A further part of the unit in flight.
     UnitPart { ticket: Ticket, part: Rc<UnitPart> },
-    /// The client no longer waits.
+    /// The client no longer waits for the statement.
     Abandoned(Ticket),
-    /// A transaction is over: a connection that goes, the order keys that it kept.
+    /// A transaction has ended: the connection to release, if any, and the order keys that it held.
     TransactionEnded {
         pin: Option<ServerId>,
         keys: Vec<String>,
         may_still_run: bool,
     },
-    /// A client asks for the end of what this session has out.
+    /// A client asks to cancel the unit that this session has in flight.
     Cancel(SessionId),
 }
 
-/// A unit that is taken and not answered.
+/// A unit that was admitted and not yet answered.
 pub struct RunningUnit {
     pub ticket: Ticket,
     pub parts: Vec<Rc<UnitPart>>,
     pub commits: bool,
-    /// An execution of it may have run.
+    /// An execution of the unit may have run.
     pub may_have_run: bool,
     pub time_up: bool,
     pub cancelled: bool,
-    /// Some of its answer has gone on; `cut` if that stops within a message.
+    /// Part of the answer was forwarded; `cut_within_message` if that part ends within a message.
     pub answer_started: bool,
     cut_within_message: bool,
     pub execution_id: Option<ExecutionId>,
     pub order_key: Option<String>,
 }
 
-/// What a session is by its user.
+/// The state of a session after its login.
 pub struct OpenSession {
     pub session: Session,
     pub user: Rc<User>,
     pub account: AccountId,
     pub running: Option<RunningUnit>,
-    /// What holds its transaction.
+    /// The connection that holds its transaction.
     pub pin: Option<Pin>,
-    /// Order keys whose turn its transaction keeps.
+    /// Order keys that its transaction holds.
     pub held_order_keys: Vec<String>,
-    /// Groups of tables that its transaction may have written to, where loads are marked.
+    /// Groups of tables that its transaction may have written to, if loads are marked.
     pub touched_groups: BTreeSet<u32>,
-    /// The open unit has its answer; all up to its Sync is passed over.
+    /// The current unit has its answer: its input is skipped up to its Sync.
     skipping_to_sync: bool,
 }
 
@@ -82,7 +83,7 @@
     Open(Box<OpenSession>),
 }
 
-/// Bytes of the input that came together.
+/// Bytes of the input that were received together.
 struct Arrival {
     bytes: usize,
     at: Micros,
@@ -91,13 +92,13 @@
 struct Connection {
     link: Link,
     stage: Stage,
-    /// What a request to cancel has to know.
+    /// The secret that a request to cancel must contain.
     secret: u32,
-    /// When it was last of use.
+    /// When the connection was last used.
     last_active: Micros,
-    /// When the bytes of the input came, in order.
+    /// When the bytes of the input were received, in order.
     arrivals: VecDeque<Arrival>,
-    /// It ends once all has left.
+    /// The connection closes once its output is sent.
     closing: bool,
 }
 
@@ -115,25 +116,26 @@
     random_state: std::hash::RandomState,
     next_idle_check: Micros,
     changed: BTreeSet<SessionId>,
-    /// They have not taken all that is to leave.
+    /// Sessions that have not read all of their output.
     with_unsent: BTreeSet<SessionId>,
-    /// Their engines are not read for now, as they do not take their answers.
+    /// Sessions whose answers are not read from their engines at present, because they lag behind
+    /// in reading them.
     paused: BTreeSet<SessionId>,
-    /// Not read for now: their input waits for units that are out.
+    /// Sessions that are not read at present: their input waits for units in flight.
     unread: BTreeSet<SessionId>,
     lingering: Lingering,
-    /// So many lingering connections have descriptors of their own.
+    /// How many lingering connections have descriptors of their own.
     lingering_descriptors: usize,
     pub events: Vec<Event>,
-    /// Sessions with input that may make a unit.
+    /// Sessions with input that may contain a unit.
     pub ready: Vec<SessionId>,
 }
 
-/// Who may come in: users of the operator's file, with how they prove it.
+/// The users of the operator's file, and how each authenticates.
 pub struct Users(HashMap<String, (Rc<User>, Authentication)>);
 
 impl Users {
-    /// A verifier that can't be read shuts its user out.
+    /// Reads the users of the operator's file. A user whose verifier can't be read is not admitted.
     pub fn new(users: &std::collections::BTreeMap<String, User>) -> Users {
         let access = |user: &User| match &user.verifier {
             None => Some(Authentication::Trust),
@@ -178,13 +180,13 @@
         }
     }
 
-    /// Connections that are not being closed.
+    /// The number of connections that are not being closed.
     pub fn open_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Connections that take descriptors of clients: those being closed too, beyond the ones that have
-    /// descriptors of their own.
+    /// The number of connections that use descriptors of clients, including lingering ones beyond
+    /// those that have descriptors of their own.
     pub fn len(&self) -> usize {
         self.connections.len()
             + self
@@ -193,30 +195,30 @@
                 .saturating_sub(self.lingering_descriptors)
     }
 
-    /// Whether all connections are closed.
+    /// Whether all connections are closed, lingering ones included.
     pub fn is_done(&self) -> bool {
         self.connections.is_empty() && self.lingering.len() == 0
     }
 
-    /// When the first of the connections that are being closed is dropped.
+    /// When the first lingering connection is dropped.
     pub fn due(&self) -> Micros {
         self.lingering.due()
     }
 
     /// The number of the next session.
     pub fn next_id(&mut self) -> SessionId {
-        // Ids go out as process numbers, which have 31 bits.
+        // Ids are sent to clients as process numbers, which have 31 bits.
         self.last_id = (self.last_id + 1) & 0x7fff_ffff;
         self.last_id
     }
 
-    /// A number that nobody can foretell.
+    /// An unpredictable number.
     fn secret(&self, of: &str, id: SessionId) -> u64 {
         use std::hash::BuildHasher;
         self.random_state.hash_one((of, id, self.connections.len()))
     }
 
-    /// A connection was accepted: its login begins.
+    /// Adds an accepted connection; its login starts.
     pub fn accept(&mut self, now: Micros, id: SessionId, link: Link) {
         let secret = self.secret("cancel", id) as u32;
         let connection = Connection {
@@ -230,12 +232,12 @@
         self.connections.insert(id, connection);
     }
 
-    /// Whether a statement is a session's.
+    /// Whether a statement belongs to a session.
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.tickets.contains_key(&ticket)
     }
 
-    /// A session, once its login is over.
+    /// A session whose login is over.
     pub fn open_session(&mut self, id: SessionId) -> Option<&mut OpenSession> {
         match &mut self.connections.get_mut(&id)?.stage {
             Stage::Open(open_session) => Some(open_session),
@@ -243,18 +245,18 @@
         }
     }
 
-    /// The session that a statement is of.
+    /// The session that a statement belongs to.
     pub fn by_ticket(&mut self, ticket: Ticket) -> Option<(SessionId, &mut OpenSession)> {
         let id = *self.tickets.get(&ticket)?;
         Some((id, self.open_session(id)?))
     }
 
-    /// Bytes of the units that clients wait for, and of what they have sent beyond.
+    /// Bytes of the units that clients wait for, and of the input beyond them.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    /// The answers that clients have not taken yet.
+    /// The answers that clients have not read yet.
     pub fn unsent(&self) -> UnsentAnswers {
         let unsent = |id: &SessionId| self.connections.get(id).map_or(0, |p| p.link.unsent());
         UnsentAnswers {
@@ -263,7 +265,7 @@
         }
     }
 
-    /// A connection has changed: takes what is there. True if there is more for another iteration.
+    /// Reads a connection that is ready. Returns true if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: SessionId) -> bool {
         if let Some(more) = self.lingering.read(id) {
             return more;
@@ -273,7 +275,7 @@
             return false;
         };
         self.changed.insert(id);
-        // Guards against input without end while a unit is out: the rest waits with the network.
+        // Bounds the input buffered while a unit is in flight: the rest stays in the socket.
         if connection.link.input.len() > most || connection.closing {
             self.unread.insert(id);
             return false;
@@ -303,7 +305,8 @@
         more
     }
 
-    /// Sends what is to leave; says which executions' clients have caught up.
+    /// Flushes the output to clients. Returns the executions whose clients have caught up with
+    /// their answers.
     pub fn flush(&mut self, now: Micros) -> Vec<ExecutionId> {
         let mut caught_up = Vec::new();
         for id in std::mem::take(&mut self.changed) {
@@ -334,7 +337,7 @@
         caught_up
     }
 
-    /// Sessions whose input waits with the network, and may be read again.
+    /// Sessions whose input was left in the socket, and that may be read again.
     pub fn take_readable(&mut self) -> Vec<SessionId> {
         let full = |id: &SessionId| {
             self.connections
--- a/crates/front/src/postgres/sessions/answers.rs
+++ b/crates/front/src/postgres/sessions/answers.rs
@@ -1,4 +1,4 @@
-//! Units that were taken, from then to their one final answer.
+//! Admitted units, from their admission to their one final answer.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::postgres::ids::{Pin, SessionId};
 
 impl Sessions {
-    /// A unit is taken under a ticket.
+    /// Records that a unit was admitted under a ticket.
     pub fn open_unit(
         &mut self,
         id: SessionId,
@@ -38,11 +38,11 @@
         });
         self.held_bytes += bytes;
         self.tickets.insert(ticket, id);
-        // An open unit goes on.
+        // Further parts of the unit may already be in the input.
         self.ready.push(id);
     }
 
-    /// A unit that was not taken gets its answer.
+    /// Answers a unit that was not admitted.
     pub fn reject_unit(&mut self, id: SessionId, part: Rc<UnitPart>, why: &ClientError) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -59,7 +59,8 @@
         self.ready.push(id);
     }
 
-    /// Whatever transaction the session had is over without a commit: its connection and keys are let go.
+    /// Ends the session's transaction, if there is one, without a commit: releases its connection
+    /// and order keys.
     pub(super) fn release_transaction(&mut self, id: SessionId, may_still_run: bool) {
         let Some(open_session) = self.open_session(id) else {
             return;
@@ -69,7 +70,8 @@
             std::mem::take(&mut open_session.held_order_keys),
         );
         if pin.is_some() || !keys.is_empty() {
-            // What is rolled back by closing its connection may go on there for a moment.
+            // A transaction that is rolled back by closing its connection may keep running at the
+            // engine for a short time.
             let may_still_run = may_still_run || pin.is_some();
             self.events.push(Event::TransactionEnded {
                 pin,
@@ -79,12 +81,12 @@
         }
     }
 
-    /// The engine that held a session's transaction has it no more.
+    /// Ends the transaction of a session whose engine has lost it.
     pub fn transaction_lost(&mut self, id: SessionId) {
         let Some(open_session) = self.open_session(id) else {
             return;
         };
-        // A unit that is out still has its own end to come.
+        // A unit in flight gets an ending of its own later.
         open_session.session.lose();
         open_session.pin = None;
         let keys = std::mem::take(&mut open_session.held_order_keys);
@@ -102,7 +104,7 @@
         Some((id, running))
     }
 
-    /// Part of an answer goes on. True if the client is behind with it.
+    /// Forwards part of an answer. Returns true if the client lags behind in reading it.
     pub fn forward_answer(&mut self, ticket: Ticket, bytes: &[u8], ends_message: bool) -> bool {
         let Some(&id) = self.tickets.get(&ticket) else {
             return false;
@@ -124,7 +126,7 @@
         with_unsent
     }
 
-    /// A unit has its final answer, an engine's.
+    /// Gives a unit its final answer from an engine.
     pub fn answer(
         &mut self,
         now: Micros,
@@ -160,7 +162,8 @@
         self.ready.push(id);
     }
 
-    /// A unit has its final answer, the front's own, or the engine's on why it does not run.
+    /// Gives a unit its final answer from the front, or the engine's error that explains why the
+    /// unit does not run.
     pub fn fail(
         &mut self,
         now: Micros,
@@ -180,7 +183,8 @@
         };
         let out = connection.link.output();
         if running.cut_within_message {
-            // Within a message nothing can be added: the end of the connection shows that it is not whole.
+            // Nothing can be inserted within a message: the end of the connection shows that the
+            // answer is incomplete.
             connection.closing = true;
         } else {
             let mut own = Vec::new();
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -1,4 +1,5 @@
-//! How sessions end: by themselves, for having stood still, to make room, with the front.
+//! How sessions end: closed by the client, for exceeding a time limit, to make room, or by the
+//! shutdown of the front.
 
 use hallmux_dispatcher::Micros;
 use hallmux_postgres::client_error::ClientError;
@@ -7,17 +8,19 @@
 use super::{Connection, Event, Sessions, Stage};
 use crate::postgres::ids::SessionId;
 
-/// Microseconds after which a resting session lets go of its buffers.
+/// Microseconds after which an idle session releases its buffers.
 const IDLE_AFTER: Micros = 1_000_000;
-/// Microseconds for a session without a unit out once the front ends.
+/// Microseconds for which a session without a unit in flight may stay during shutdown.
 const GRACE_PERIOD: Micros = 2_000_000;
-/// Microseconds that they linger less then: the end is due within 4 s.
+/// Microseconds by which the linger time is shorter during shutdown: the process must end within 4
+/// s.
 const SHUTDOWN_LINGER_REDUCTION: Micros = 500_000;
-/// Microseconds between looks at sessions that stand still.
+/// Microseconds between checks for idle sessions.
 const IDLE_CHECK_INTERVAL: Micros = 200_000;
 
 impl Sessions {
-    /// A session has no more to ask: what it holds is let go; its connection ends once all has left.
+    /// Releases what a session holds, as its client sends no more. Its connection closes once its
+    /// output is sent.
     pub(super) fn abandon(&mut self, id: SessionId) {
         let Some(open_session) = self.open_session(id) else {
             return;
@@ -34,13 +37,13 @@
         self.release_transaction(id, ran);
     }
 
-    /// A connection is over.
+    /// Handles the loss of a connection.
     pub fn disconnect(&mut self, id: SessionId) {
         self.remove_connection(id);
     }
 
-    /// Closes a connection in order. Guards against a reset that destroys its last answer on the way: what
-    /// comes between the last read and the close is read and dropped.
+    /// Closes a connection gracefully. Guards against a reset that destroys the last answer on its
+    /// way: input received between the last read and the close is read and discarded.
     pub(super) fn close(&mut self, now: Micros, id: SessionId) {
         if let Some(connection) = self
             .remove_connection(id)
@@ -50,7 +53,7 @@
         }
     }
 
-    /// The one way in which a connection leaves.
+    /// Removes a connection from all collections; every connection that ends is removed here.
     fn remove_connection(&mut self, id: SessionId) -> Option<Connection> {
         self.abandon(id);
         self.changed.remove(&id);
@@ -62,17 +65,18 @@
         Some(connection)
     }
 
-    /// Descriptors for connections that are being closed, beside those of clients.
+    /// Sets how many lingering connections have descriptors beside those of clients.
     pub fn set_lingering_descriptors(&mut self, lingering_descriptors: usize) {
         self.lingering_descriptors = lingering_descriptors;
     }
 
-    /// Makes room by dropping a connection that is being closed; false if none takes a client's descriptor.
+    /// Makes room by dropping a lingering connection. Returns false if none uses a descriptor of
+    /// clients.
     pub fn drop_lingering(&mut self) -> bool {
         self.lingering.len() > self.lingering_descriptors && self.lingering.drop_oldest()
     }
 
-    /// Ends a session with a last message.
+    /// Ends a session with a last error message.
     fn close_with_error(&mut self, id: SessionId, why: &ClientError) {
         if let Some(connection) = self.connections.get_mut(&id) {
             why.write(connection.link.output(), true);
@@ -82,7 +86,8 @@
         }
     }
 
-    /// Ends what has stood still too long. `shut` is since when the front ends.
+    /// Ends sessions that have exceeded a time limit. `shutdown_since` is when the shutdown of the
+    /// front started.
     pub fn expire(&mut self, now: Micros, shutdown_since: Option<Micros>) {
         self.lingering
             .expire(now + shutdown_since.map_or(0, |_| SHUTDOWN_LINGER_REDUCTION));
@@ -106,7 +111,8 @@
                     } else if idle
                         && shutdown_since.is_some_and(|since| since + GRACE_PERIOD <= now)
                     {
-                        // Also one that has said half a message, or owes the Sync of a unit that failed.
+                        // Also a session that has sent part of a message, or has not sent the Sync
+                        // of a unit that failed.
                         over.push((*id, Some(ClientError::ShuttingDown)));
                     } else if connection.closing && stands >= self.login_timeout {
                         over.push((*id, None));
@@ -125,17 +131,18 @@
         }
     }
 
-    /// Makes room for a newcomer: of those that never came in the one that has waited longest, else of those
-    /// that rest outside a transaction. It may linger where there are descriptors for that.
+    /// Makes room for a new connection. Closes the session that has waited longest for its login,
+    /// or else the one that has been idle longest outside a transaction. The closed connection may
+    /// linger if there are descriptors for that.
     pub fn evict_idle(&mut self, now: Micros) -> bool {
         let rank = |(id, p): (&SessionId, &Connection)| match &p.stage {
             Stage::LoggingIn(_) => Some((false, p.last_active, *id)),
             Stage::Open(open_session) => {
-                let may_still_run = open_session.running.is_none()
+                let may_close = open_session.running.is_none()
                     && open_session.session.transaction == Transaction::None
                     && p.link.input.is_empty()
                     && p.last_active + IDLE_AFTER <= now;
-                may_still_run.then_some((true, p.last_active, *id))
+                may_close.then_some((true, p.last_active, *id))
             }
         };
         let mut ranked: Vec<_> = self.connections.iter().filter_map(rank).collect();
@@ -147,7 +154,7 @@
         let Some(id) = found else { return false };
         self.close_with_error(id, &ClientError::ShuttingDown);
         if let Some(connection) = self.connections.get_mut(&id) {
-            // Its last message goes as far as the network takes it at once.
+            // The last message is sent as far as the socket accepts it at once.
             let _ = connection.link.flush();
         }
         self.close(now, id);
@@ -155,15 +162,15 @@
         true
     }
 
-    /// Closes the sessions that have nothing out and no transaction open.
+    /// Closes the sessions that have no unit in flight and no open transaction.
     pub fn close_idle(&mut self, now: Micros) {
         let idle = |(id, p): (&SessionId, &Connection)| match &p.stage {
             Stage::LoggingIn(_) => Some(*id),
             Stage::Open(open_session) => {
-                let may_still_run = open_session.running.is_none()
+                let may_close = open_session.running.is_none()
                     && !open_session.session.transaction.is_held()
                     && !p.closing;
-                (may_still_run && !open_session.session.is_in_unit() && p.link.input.is_empty())
+                (may_close && !open_session.session.is_in_unit() && p.link.input.is_empty())
                     .then_some(*id)
             }
         };
@@ -175,8 +182,8 @@
         }
     }
 
-    /// Whether a session that is to be closed as idle brings nothing just now. Guards against a unit that came
-    /// since it was last read: it is taken then, and its session stays.
+    /// Whether a session that is to be closed as idle has no new input. Guards against a unit that
+    /// was received since the last read: it is accepted, and its session stays open.
     fn has_no_new_input(&mut self, now: Micros, id: SessionId) -> bool {
         let held = |sessions: &Sessions| {
             sessions
@@ -186,7 +193,7 @@
         };
         let before = held(self);
         if self.read(now, id) {
-            // The loop does not tell of the rest again.
+            // The event loop does not report the remaining input again.
             self.unread.insert(id);
         }
         held(self) <= before
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -1,4 +1,4 @@
-//! Input of clients: the login, then units, one after the other.
+//! Input of clients: the login, then units, one at a time.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 use crate::postgres::ids::SessionId;
 use crate::postgres::servers::Servers;
 
-/// Units answered here for one session before others are served.
+/// Upper limit of the units handled for one session before other sessions are served.
 const UNITS_PER_ITERATION: usize = 64;
 
-/// How much of a session's input was taken.
+/// How much of a session's input was consumed.
 struct Consumed {
     bytes: usize,
-    /// There may be more to take now.
+    /// More of the input may be consumed now.
     has_more: bool,
 }
 
@@ -32,7 +32,7 @@
         has_more: false,
     };
 
-    /// So many bytes; the rest waits for more input, or for an answer.
+    /// Consumed `bytes`; the rest waits for more input, or for an answer.
     fn awaiting_input(bytes: usize) -> Consumed {
         Consumed {
             bytes,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// So many bytes; the rest can be taken at once.
+    /// Consumed `bytes`; the rest can be read at once.
     fn with_more_to_read(bytes: usize) -> Consumed {
         Consumed {
             bytes,
@@ -50,7 +50,7 @@
 }
 
 impl Sessions {
-    /// Takes the units that have come, as far as they can be taken now.
+    /// Handles the units in a session's input, as far as that is possible now.
     pub fn advance(&mut self, now: Micros, id: SessionId, users: &Users, servers: &mut Servers) {
         for _ in 0..UNITS_PER_ITERATION {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -84,11 +84,11 @@
                 return;
             }
         }
-        // There may be more, after others have been served.
+        // There may be more; other sessions are served first.
         self.ready.push(id);
     }
 
-    /// Takes what can be taken of the input now.
+    /// Consumes as much of the input as is possible now.
     fn consume(
         &mut self,
         now: Micros,
@@ -122,7 +122,7 @@
                     }
                 }
             }
-            // One unit after the other: each may hang on how the last one ended.
+            // Units are handled one at a time: each may depend on how the previous one ended.
             Stage::Open(open_session)
                 if open_session.running.is_some() && !open_session.session.is_in_unit() =>
             {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A step of the login; after the last one the session is open.
+    /// Advances the login; the last step opens the session.
     fn advance_login(
         &mut self,
         now: Micros,
@@ -178,7 +178,8 @@
         }
     }
 
-    /// A request to cancel what another session has out; one with a wrong key means nothing.
+    /// Handles a request to cancel the unit of another session; a request with a wrong key is
+    /// ignored.
     fn handle_cancel_request(&mut self, key: CancelKey) {
         let id = SessionId::from(key.process);
         let meant = self.connections.get(&id);
@@ -187,7 +188,8 @@
         }
     }
 
-    /// Opens the session of a client that has logged in. False if there are too many: then it has its answer.
+    /// Opens the session of a client that has logged in. Returns false if there are too many
+    /// accounts: the client has received an error.
     fn open(
         &mut self,
         now: Micros,
@@ -228,7 +230,7 @@
         true
     }
 
-    /// Reads a unit, or more of one that is out.
+    /// Reads a unit, or a further part of the one in flight.
     fn read_unit(&mut self, now: Micros, id: SessionId, input: &[u8]) -> Consumed {
         let Some(connection) = self.connections.get_mut(&id) else {
             return Consumed::NOTHING;
@@ -255,7 +257,8 @@
         }
     }
 
-    /// Takes a unit, or more of the one that is out. What the session can answer by itself is answered.
+    /// Handles a unit, or a further part of the one in flight. The session answers by itself where
+    /// it can.
     fn handle_part(
         &mut self,
         now: Micros,
@@ -306,7 +309,7 @@
     }
 }
 
-/// The account at the engines of one that came in, unless there are too many.
+/// The account at the engines of a client that has logged in. `None` if there are too many.
 fn account(servers: &mut Servers, user: &User, client: &Client) -> Option<AccountId> {
     let who = engine::Account {
         user: user.engine_user.clone(),
@@ -316,7 +319,7 @@
     servers.account(who)
 }
 
-/// When the byte that ends so many bytes of the input came.
+/// When the last of the first `used` bytes of the input was received.
 fn arrival_time(arrivals: &VecDeque<Arrival>, used: usize) -> Option<Micros> {
     let mut sum = 0;
     arrivals.iter().find_map(|arrival| {
@@ -325,7 +328,7 @@
     })
 }
 
-/// So many bytes of the input were taken.
+/// Removes the first `used` bytes of the input from the arrivals.
 fn consume_arrivals(arrivals: &mut VecDeque<Arrival>, used: usize) {
     let mut left = used;
     while let Some(arrival) = arrivals.front_mut() {
@@ -339,7 +342,7 @@
     }
 }
 
-/// What a client hears when it has come in.
+/// Writes the messages that a client receives after its login.
 fn write_welcome(
     out: &mut Vec<u8>,
     client: &Client,
