--- a/crates/front/src/postgres/cancel_endings_tests.rs
+++ b/crates/front/src/postgres/cancel_endings_tests.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_unit_that_waits_for_its_connection_is_cancelled_at_once() {
+fn unit_waiting_for_connection_is_cancelled_at_once() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("cancelled-waiting", at, true);
     let mut session = TcpStream::connect(harness.session_address).unwrap();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_unit_whose_time_is_up_is_answered_by_then_and_its_engine_is_asked_to_cancel() {
+fn timed_out_unit_is_answered_in_time_and_its_engine_is_asked_to_cancel() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
     let engines = [&one, &other];
     let mut harness = FrontHarness::with_two("time-up", [at_one, at_other], DIAL_TIMEOUT_MS);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_unit_whose_time_is_up_while_it_is_given_up_is_answered_by_then() {
+fn timed_out_unit_is_answered_in_time_during_its_cancel() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
     let mut harness =
         FrontHarness::with_two("time-up-given-up", [at_one, at_other], LONG_DIAL_TIMEOUT_MS);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_unit_whose_request_to_cancel_is_not_taken_in_time_runs_elsewhere() {
+fn unit_with_unaccepted_cancel_request_is_retried_on_another_engine() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
     let engines = [&one, &other];
     let mut harness =
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_commit_that_never_left_is_not_in_doubt_once_its_time_is_up() {
+fn unsent_commit_is_not_in_doubt_after_timeout() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("time-up-waiting", at, true);
     let mut session = harness.open_session();
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_commit_whose_settings_are_still_brought_over_is_not_in_doubt_once_its_time_is_up() {
+fn commit_waiting_for_settings_is_not_in_doubt_after_timeout() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("time-up-with-settings", at, true);
     let (mut session, mut link) = start_settings_transfer(&mut harness, &engine);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_unit_whose_settings_are_still_brought_over_is_not_sent_once_its_session_has_left() {
+fn unit_waiting_for_settings_is_not_sent_after_session_disconnects() {
     let (engine, at) = listener();
     // Engines are not told to give anything up.
     let mut harness = FrontHarness::new("left-with-settings", at, false);
--- a/crates/front/src/postgres/engine_endings_tests.rs
+++ b/crates/front/src/postgres/engine_endings_tests.rs
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_login_that_is_not_over_in_time_is_tried_elsewhere() {
+fn login_timeout_is_retried_on_another_engine() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
     let mut harness = FrontHarness::with_two("late-login", [at_one, at_other], DIAL_TIMEOUT_MS);
     let mut session = harness.open_session();
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_unit_whose_only_engine_lets_nobody_in_in_time_has_one_answer() {
+fn unit_whose_only_engine_completes_no_login_gets_one_answer() {
     for (name, text) in [("no-login", "select 1"), ("no-login-commit", COMMIT)] {
         let (engine, at) = listener();
         let mut harness = FrontHarness::new(name, at, true);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_unit_whose_engine_refuses_the_login_for_a_fault_of_its_own_is_tried_elsewhere() {
+fn login_refused_for_engine_fault_is_retried_on_another_engine() {
     // Too many connections; it starts up.
     for code in ["53300", "57P03"] {
         let ((one, at_one), (other, at_other)) = (listener(), listener());
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_login_refused_for_its_account_is_told_once_with_the_engines_own_error() {
+fn login_refused_for_account_is_reported_once_with_engine_error() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("refused-account", at, true);
     let mut session = harness.open_session();
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn settings_refused_are_told_once_with_the_engines_own_error() {
+fn refused_settings_are_reported_once_with_engine_error() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("refused-settings", at, true);
     let mut session = harness.open_session();
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_connection_lost_in_the_middle_of_a_message_ends_the_clients() {
+fn connection_lost_within_a_message_closes_client_connection() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-in-a-row", at, true);
     let mut session = harness.open_session();
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_connection_lost_between_the_messages_of_a_result_is_told_once() {
+fn connection_lost_between_messages_of_a_result_is_reported_once() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-between", at, true);
     let mut session = harness.open_session();
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn a_connection_lost_before_any_of_a_result_has_gone_on_is_not_noticed_by_the_client() {
+fn connection_lost_before_result_is_forwarded_is_invisible_to_client() {
     let ((one, at_one), (other, at_other)) = (listener(), listener());
     let mut harness = FrontHarness::with_two("lost-unseen", [at_one, at_other], DIAL_TIMEOUT_MS);
     let mut session = harness.open_session();
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn a_connection_lost_with_a_commit_leaves_it_in_doubt() {
+fn connection_lost_during_commit_leaves_it_in_doubt() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-commit", at, true);
     let mut session = harness.open_session();
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn a_connection_lost_in_the_middle_of_a_result_ends_its_transaction() {
+fn connection_lost_within_a_result_ends_its_transaction() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-in-transaction", at, true);
     let mut session = harness.open_session();
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_commit_whose_settings_are_still_brought_over_is_not_in_doubt_once_its_connection_is_lost() {
+fn commit_waiting_for_settings_is_not_in_doubt_after_connection_loss() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("lost-with-settings", at, true);
     let mut session = harness.open_session();
--- a/crates/front/src/postgres/error_tests.rs
+++ b/crates/front/src/postgres/error_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_port_that_is_taken_is_named_with_its_key_and_what_can_be_done() {
+fn port_in_use_error_names_key_address_and_remedy() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = taken.local_addr().unwrap();
     let why = std::net::TcpListener::bind(at).unwrap_err();
--- a/crates/front/src/postgres/servers_cancel_tests.rs
+++ b/crates/front/src/postgres/servers_cancel_tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_unit_given_up_ends_once_where_its_request_to_cancel_is_not_taken_in_time() {
+fn cancelled_unit_ends_once_if_cancel_request_is_not_accepted_in_time() {
     let (engine, at) = listener();
     let mut harness = ServersHarness::new(at);
     let _link = harness.start_unit(&engine, FIRST_EXECUTION);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_unit_given_up_ends_once_where_its_request_to_cancel_does_not_get_through() {
+fn cancelled_unit_ends_once_if_cancel_request_is_not_delivered() {
     let (engine, _first, at) = full_listener();
     let mut harness = ServersHarness::new(at);
     let dialled = TcpListener::from(engine);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_request_to_cancel_that_came_up_while_the_front_stood_still_leaves_all_the_same() {
+fn cancel_request_connected_during_a_stall_is_still_sent() {
     let (engine, at) = listener();
     let mut harness = ServersHarness::new(at);
     let _link = harness.start_unit(&engine, FIRST_EXECUTION);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_unit_whose_time_is_up_ends_at_once_though_its_request_to_cancel_is_on_its_way() {
+fn timed_out_unit_ends_at_once_while_cancel_request_is_in_flight() {
     let (engine, at) = listener();
     let mut harness = ServersHarness::new(at);
     let _link = harness.start_unit(&engine, FIRST_EXECUTION);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_unit_whose_time_is_up_ends_at_once_and_its_engine_is_asked_to_cancel() {
+fn timed_out_unit_ends_at_once_and_its_engine_is_asked_to_cancel() {
     for paused in [false, true] {
         let (engine, at) = listener();
         let mut harness = ServersHarness::new(at);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_unit_that_waits_for_a_request_to_cancel_in_its_transaction_goes_on_once() {
+fn unit_waiting_for_cancel_request_in_transaction_is_sent_once() {
     let (engine, at) = listener();
     let mut harness = ServersHarness::new(at);
     let mut link = harness.start_unit(&engine, FIRST_EXECUTION);
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_connection_that_came_up_while_the_front_stood_still_is_not_given_up() {
+fn connection_established_during_a_stall_is_kept() {
     let (engine, at) = listener();
     let mut harness = ServersHarness::new(at);
     harness.send_unit(0, FIRST_EXECUTION, "select 1", None);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_login_that_came_while_the_front_stood_still_is_not_given_up() {
+fn login_received_during_a_stall_is_kept() {
     let (engine, at) = listener();
     let mut harness = ServersHarness::new(at);
     let mut link = harness.dial_until_startup(&engine, FIRST_EXECUTION);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_dial_that_failed_while_the_front_stood_still_ends_as_what_it_is() {
+fn dial_failing_during_a_stall_keeps_its_own_ending() {
     let (_closed, at) = bound_socket();
     let mut harness = ServersHarness::new(at);
     harness.send_unit(0, FIRST_EXECUTION, "select 1", None);
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_dial_that_is_not_up_in_time_ends_once_what_waits_for_it() {
+fn dial_timeout_ends_waiting_execution_once() {
     let (_engine, _first, at) = full_listener();
     let mut harness = ServersHarness::new(at);
     harness.send_unit(0, FIRST_EXECUTION, "select 1", None);
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn a_login_that_is_not_over_in_time_ends_once_what_waits_for_it() {
+fn login_timeout_ends_waiting_execution_once() {
     let (engine, at) = listener();
     let mut harness = ServersHarness::new(at);
     let mut link = harness.dial_until_startup(&engine, FIRST_EXECUTION);
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn a_unit_whose_settings_are_still_brought_over_is_withdrawn_once_its_engine_drains() {
+fn unit_waiting_for_settings_is_withdrawn_when_engine_drains() {
     let (engine, at) = listener();
     let mut harness = ServersHarness::new(at);
     let set = BTreeMap::from([(
--- a/crates/front/src/postgres/session_close_tests.rs
+++ b/crates/front/src/postgres/session_close_tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn bytes_that_cross_the_end_of_a_front_do_not_reset_a_session() {
+fn bytes_racing_front_shutdown_do_not_reset_session() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("crossed-end", at, true);
     let (mut session, mut other_session) = (harness.open_session(), harness.open_session());
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_front_whose_sessions_close_ends_before_their_bound() {
+fn front_whose_clients_close_ends_before_linger_time() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("closed-end", at, true);
     let mut session = harness.open_session();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn bytes_that_cross_the_end_of_an_idle_transaction_do_not_reset_its_session() {
+fn bytes_racing_idle_transaction_timeout_do_not_reset_session() {
     let (engine, at) = listener();
     let mut harness =
         FrontHarness::with_limits("crossed-idle", at, true, "transaction_idle_ms: 1000");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_start_up_that_crosses_the_end_of_its_time_does_not_reset_its_connection() {
+fn startup_racing_login_timeout_does_not_reset_connection() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::with_limits("crossed-login", at, true, "start_up_ms: 400");
     let mut session = TcpStream::connect(harness.session_address).unwrap();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn bytes_that_cross_a_session_that_makes_room_do_not_reset_it() {
+fn bytes_racing_eviction_do_not_reset_session() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("crossed-room", at, true);
     let mut session = harness.open_session();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_session_that_is_being_closed_makes_room_where_descriptors_are_short() {
+fn lingering_session_makes_room_when_descriptors_run_short() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("lingering-room", at, true);
     harness.set_capacity(2, 0);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_session_that_makes_room_where_none_may_linger_is_gone_at_once() {
+fn evicted_session_closes_at_once_if_none_may_linger() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("no-room", at, true);
     let mut session = harness.open_session();
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn bytes_behind_what_can_not_be_read_do_not_reset_the_session() {
+fn bytes_after_unreadable_message_do_not_reset_session() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("crossed-garbage", at, true);
     // A message whose length can't be, and one that is too long.
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn one_that_goes_on_sending_for_ever_is_not_listened_to() {
+fn endless_input_to_closing_session_is_cut_off() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("endless-garbage", at, true);
     let mut session = harness.open_session();
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn bytes_behind_a_wrong_password_do_not_reset_the_connection() {
+fn bytes_after_wrong_password_do_not_reset_connection() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("crossed-password", at, true);
     let mut session = TcpStream::connect(harness.session_address).unwrap();
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn bytes_behind_a_unit_whose_answer_stops_short_do_not_reset_the_session() {
+fn bytes_after_truncated_answer_do_not_reset_session() {
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("crossed-cut", at, true);
     let mut session = harness.open_session();
--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_unit_that_waits_for_its_connection_is_cancelled_once_and_never_sent() {
+fn unit_waiting_for_connection_is_cancelled_once_and_never_sent() {
     for cancelling in [true, false] {
         let (engine, at) = listener();
         let mut harness =
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn garbage_behind_a_unit_that_is_out_waits_for_its_answer() {
+fn garbage_after_unit_in_flight_waits_for_its_answer() {
     for at_once in [true, false] {
         let (engine, at) = listener();
         let mut harness = FrontHarness::new(&format!("garbage-behind-{at_once}"), at, true);
@@ -172,12 +172,12 @@
 }
 
 #[test]
-fn of_clients_that_take_no_answers_the_one_that_leaves_most_is_closed_and_its_unit_given_up() {
+fn client_with_most_unread_answers_is_closed_and_its_unit_cancelled() {
     assert_slowest_client_is_closed(true);
 }
 
 #[test]
-fn of_clients_that_take_no_answers_the_one_that_leaves_most_is_closed_also_without_cancelling() {
+fn client_with_most_unread_answers_is_closed_without_cancel_requests() {
     assert_slowest_client_is_closed(false);
 }
 
