--- a/crates/front/src/postgres/cancel_endings_tests.rs
+++ b/crates/front/src/postgres/cancel_endings_tests.rs
@@ -1,13 +1,14 @@
-//! What a client of a session hears when its unit is cancelled, given up or out of time.
+//! Tests of what a client of a session receives when its unit is cancelled or times out.
 
 use super::*;
 
-const CLOCK_STEP: Micros = 100_000; // microseconds: more at once would pass for a front that stood still
-const LONG_DIAL_TIMEOUT_MS: u32 = 5_000; // milliseconds: a request to cancel has longer than a client waits
+const CLOCK_STEP: Micros = 100_000; // microseconds; a larger step would count as a stall of the front
+const LONG_DIAL_TIMEOUT_MS: u32 = 5_000; // milliseconds; a cancel request may take longer than a client waits
 
 impl FrontHarness {
-    /// Asks for a unit, and goes on until it is given up: its engine is silent, and does not take the request
-    /// to cancel either. Says which engine that is, with its other connections, and when it was.
+    /// Sends a unit and runs the front until it cancels the unit: the engine is silent and does not
+    /// accept the request to cancel either. Returns the index of that engine, its other connections
+    /// and the time of the cancel.
     fn run_until_cancelled(
         &mut self,
         engines: &[&TcpListener],
@@ -24,7 +25,10 @@
         let (mut peers, mut received, mut time) = (Vec::new(), Vec::new(), START);
         while received != request {
             time += CLOCK_STEP;
-            assert!(time < START + STATEMENT_TIMEOUT, "it is not given up");
+            assert!(
+                time < START + STATEMENT_TIMEOUT,
+                "the unit is not cancelled"
+            );
             self.set_time(time);
             while let Ok((mut peer, _)) = engines[silent].accept() {
                 received = self.receive(&mut peer);
@@ -34,10 +38,10 @@
         (silent, peers, time)
     }
 
-    /// Goes on until the front knows that its connection to its one engine, which rested, is gone.
+    /// Runs the front until it knows that the idle connection to its only engine is closed.
     fn wait_until_connection_closed(&mut self) {
         let started = Instant::now();
-        // It may make one.
+        // The front can send one unit, over a connection that it may open.
         while self
             .front
             .gateway
@@ -80,7 +84,7 @@
     canceller.write_all(&cancel_request(key)).unwrap();
     harness.assert_error(&mut session, "57014");
     accept_login(&mut link);
-    // It is not sent once the connection is there: the next one is.
+    // The first unit is not sent once the connection is up; the next one is.
     send_query(&mut session, "select 2");
     let received = harness.receive_until(&mut link, "select 2");
     assert!(!received.contains("select 1"), "{received:?}");
@@ -99,10 +103,10 @@
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 1");
     harness.set_time(START + STATEMENT_TIMEOUT);
-    // No time passes any more.
+    // No further time passes.
     harness.assert_error(&mut session, "57014");
     assert!(harness.receive_to_end(&mut link).is_empty());
-    // It is pinged by a login as well: it had been silent.
+    // The engine was silent, so it is pinged by a login as well.
     let request = cancel_request(wire::CancelKey {
         process: 1,
         secret: 1,
@@ -144,7 +148,7 @@
         FrontHarness::with_two("cancel-not-taken", [at_one, at_other], DIAL_TIMEOUT_MS);
     let mut session = harness.open_session();
     let (silent, peers, time) = harness.run_until_cancelled(&engines, &mut session);
-    // It may still run there: nobody else has it until the request has had its time.
+    // The unit may still run there, so no other engine gets it before the cancel request times out.
     let cancel_by = time + 2 * Micros::from(DIAL_TIMEOUT_MS) * 1000;
     harness.set_time(cancel_by - 1);
     assert!(engines[1 - silent].accept().is_err());
@@ -163,7 +167,7 @@
     let (engine, at) = listener();
     let mut harness = FrontHarness::new("time-up-waiting", at, true);
     let mut session = harness.open_session();
-    // It is up before a login would be late.
+    // The statement times out before the login would.
     let mut link = harness.start_unit(&engine, &mut session, "SET statement_timeout = 1000");
     send_idle_completion(&mut link, "SET");
     assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
@@ -175,7 +179,8 @@
     harness.assert_error(&mut session, "57014");
 }
 
-/// A session with a setting, whose unit waits for that to be brought over to the connection that it has.
+/// A session with a setting, and its engine connection: the session's unit waits until the setting
+/// is transferred to the connection.
 fn start_settings_transfer(
     harness: &mut FrontHarness,
     engine: &TcpListener,
@@ -207,15 +212,15 @@
 #[test]
 fn unit_waiting_for_settings_is_not_sent_after_session_disconnects() {
     let (engine, at) = listener();
-    // Engines are not told to give anything up.
+    // Engines are sent no requests to cancel.
     let mut harness = FrontHarness::new("left-with-settings", at, false);
     let (session, mut link) = start_settings_transfer(&mut harness, &engine);
     drop(session);
-    harness.run_until("its end is known", |front| {
+    harness.run_until("the session to be removed", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
     });
     send_idle_completion(&mut link, "SET");
-    // Its connection goes with it.
+    // The connection is closed together with the unit.
     let received = harness.receive(&mut link);
     assert!(
         received.is_empty(),
--- a/crates/front/src/postgres/engine_endings_tests.rs
+++ b/crates/front/src/postgres/engine_endings_tests.rs
@@ -1,28 +1,28 @@
-//! What a client of a session hears when something ends at its engine: each test forces the order that it is
-//! named after.
+//! Tests of what a client of a session receives when a connection, login or unit ends at its
+//! engine. Each test forces the order of events in its name.
 
 use super::*;
 
 #[path = "cancel_endings_tests.rs"]
 mod cancel_endings;
 
-const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds that an engine has for a login
-const STATEMENT_TIMEOUT: Micros = 8_000_000; // microseconds that a client of `FrontHarness` waits
-const DIAL_TIMEOUT_MS: u32 = 250; // milliseconds; a request to cancel has twice as long
-const LATE_ITERATIONS: usize = 3; // the late one, the one behind it, and one that is on time
-const UNBUFFERED_BYTES: usize = 200 << 10; // bytes of an answer, of which a part goes on before the rest
-const COMMIT: &str = "begin; insert into t values (1); commit"; // a unit that may not run twice
+const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds
+const STATEMENT_TIMEOUT: Micros = 8_000_000; // microseconds until a statement of `FrontHarness` times out
+const DIAL_TIMEOUT_MS: u32 = 250; // milliseconds; the timeout of a cancel request is twice that
+const LATE_ITERATIONS: usize = 3; // the late one, the one after it, and one that is on time
+const UNBUFFERED_BYTES: usize = 200 << 10; // bytes of an answer too large to be buffered: it is forwarded in parts
+const COMMIT: &str = "begin; insert into t values (1); commit"; // a unit that must not run twice
 
 impl FrontHarness {
-    /// With two engines, and further attempts until a client's time is up.
+    /// Starts a front with two engines that retries until the client's statement times out.
     fn with_two(name: &str, engines: [SocketAddr; 2], dial_timeout_ms: u32) -> FrontHarness {
         let slo_time_ms = (STATEMENT_TIMEOUT / 1000) as u32;
         let bounds = json!({"cancelling": true, "mostTries": 3, "dialTimeoutMs": dial_timeout_ms});
         FrontHarness::with_engines(name, &engines, bounds, slo_time_ms)
     }
 
-    /// Time passes at once. What is found from then on has not waited: the iterations that take it for late
-    /// are over.
+    /// Sets the clock, and runs the late iterations, so that input read afterwards does not count
+    /// as unread for that time.
     fn set_time(&mut self, time: Micros) {
         self.front.prepare_sleep();
         write_clock(&self.files[0], time);
@@ -32,7 +32,8 @@
         }
     }
 
-    /// The front's next connection to one of the engines, which waits for its login, and the engine's number.
+    /// Accepts the front's next connection to one of the engines, and receives its startup message.
+    /// Returns the engine's index and the connection.
     fn accept_dial_from_any(&mut self, engines: &[&TcpListener]) -> (usize, TcpStream) {
         engines
             .iter()
@@ -48,7 +49,7 @@
         (number, stream)
     }
 
-    /// All that a peer hears up to the end of its connection.
+    /// All bytes that a peer receives up to the end of its connection.
     fn receive_to_end(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         let mut all = Vec::new();
         loop {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A connection on which the session's unit is out.
+    /// Sends the session's unit and returns the engine connection on which it is in flight.
     fn start_unit(
         &mut self,
         engine: &TcpListener,
@@ -74,7 +75,8 @@
         link
     }
 
-    /// The session asks, the engine answers, and nothing else comes: what came before was final.
+    /// Sends a query that the engine answers, and checks that the client receives that answer only:
+    /// the answer before was final.
     fn assert_session_usable(&mut self, session: &mut TcpStream, link: &mut TcpStream) {
         send_query(session, "select 'further'");
         self.receive_until(link, "further");
@@ -82,11 +84,11 @@
         assert_eq!(
             self.receive_message_kinds(session),
             [b'C', b'Z'],
-            "one answer, and no other before it"
+            "expected exactly one answer"
         );
     }
 
-    /// The kinds of the messages that a client hears up to ReadyForQuery.
+    /// The kinds of the messages that a client receives up to ReadyForQuery.
     fn receive_message_kinds(&mut self, session: &mut TcpStream) -> Vec<u8> {
         self.receive_messages(session)
             .into_iter()
@@ -94,7 +96,7 @@
             .collect()
     }
 
-    /// The messages that a client hears up to ReadyForQuery.
+    /// The messages that a client receives up to ReadyForQuery.
     fn receive_messages(&mut self, session: &mut TcpStream) -> Vec<Vec<u8>> {
         let mut received = Vec::new();
         loop {
@@ -105,14 +107,14 @@
             let more = self.receive(session);
             assert!(
                 !more.is_empty(),
-                "the end behind {:?}",
+                "connection closed after {:?}",
                 String::from_utf8_lossy(&received)
             );
             received.extend(more);
         }
     }
 
-    /// One error of that code, and that the session is ready: nothing else.
+    /// Checks that a client receives one error with the code, then ReadyForQuery, and nothing else.
     fn assert_error(&mut self, session: &mut TcpStream, code: &str) {
         let messages = self.receive_messages(session);
         let kinds: Vec<u8> = messages.iter().map(|message| message[0]).collect();
@@ -122,7 +124,7 @@
     }
 }
 
-/// The whole messages that some bytes begin with.
+/// The complete messages at the start of some bytes.
 fn complete_messages(bytes: &[u8]) -> Vec<Vec<u8>> {
     let mut rest = bytes;
     let mut messages = Vec::new();
@@ -143,7 +145,7 @@
     engine.write_all(&out).unwrap();
 }
 
-/// An error of an engine, with what follows it.
+/// Sends an engine's error, followed by ReadyForQuery if `ready`.
 fn send_error(engine: &mut TcpStream, severity: &str, code: &str, ready: bool) {
     let mut out = Vec::new();
     wire::write(&mut out, b'E', |out| {
@@ -164,7 +166,7 @@
     engine.write_all(&out).unwrap();
 }
 
-/// A result of one column and one row of so many bytes, without its end.
+/// A result of one column and one row of `bytes` bytes, without its CommandComplete.
 fn rows(bytes: usize) -> Vec<u8> {
     let mut out = Vec::new();
     wire::write(&mut out, b'T', |out| {
@@ -210,7 +212,7 @@
         harness.set_time(START + LOGIN_TIMEOUT);
         assert!(harness.receive_to_end(&mut link).is_empty());
         harness.set_time(START + STATEMENT_TIMEOUT);
-        // It surely never ran.
+        // The unit was never sent.
         harness.assert_error(&mut session, "53000");
         send_query(&mut session, "SET hallmux.workload = 'lookup'");
         assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
@@ -219,7 +221,7 @@
 
 #[test]
 fn login_refused_for_engine_fault_is_retried_on_another_engine() {
-    // Too many connections; it starts up.
+    // Too many connections, and an engine that is starting up.
     for code in ["53300", "57P03"] {
         let ((one, at_one), (other, at_other)) = (listener(), listener());
         let mut harness = FrontHarness::with_two(
@@ -267,12 +269,12 @@
     let mut link = harness.start_unit(&engine, &mut session, "SET search_path = 'own'");
     send_idle_completion(&mut link, "SET");
     assert_eq!(harness.receive_message_kinds(&mut session), [b'C', b'Z']);
-    // What a session sets is brought over again before its next unit.
+    // The session's settings are transferred again before its next unit.
     send_query(&mut session, "select 1");
     harness.receive_until(&mut link, "search_path");
     send_error(&mut link, "ERROR", "42704", true);
     harness.assert_error(&mut session, "42704");
-    // The connection ends: what is set there is not known.
+    // The connection is closed, because the settings in force on it are unknown.
     let received = harness.receive_to_end(&mut link);
     assert!(
         !String::from_utf8_lossy(&received).contains("select 1"),
@@ -300,13 +302,14 @@
     let mut received = harness.receive(&mut session);
     drop(link);
     received.extend(harness.receive_to_end(&mut session));
-    // What came of it, and nothing that would pass for a part of it.
+    // The client receives what was forwarded of the message, and nothing that would pass for its
+    // rest.
     assert!(
         !received.is_empty() && result.starts_with(&received),
         "{} bytes",
         received.len()
     );
-    harness.run_until("its session is over", |front| {
+    harness.run_until("its session to end", |front| {
         (front.gateway.as_ref()?.len() == 0).then_some(())
     });
 }
@@ -339,7 +342,7 @@
     let (_, mut link) = harness.accept_dial_from_any(&[&one, &other]);
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 1");
-    // It is held: an answer that is small goes on as a whole.
+    // The answer is buffered: a small one is forwarded in one piece.
     link.write_all(&rows(10)).unwrap();
     drop(link);
     let (_, mut link) = harness.accept_dial_from_any(&[&one, &other]);
@@ -404,6 +407,6 @@
     let received = harness.receive_until(&mut link, "search_path");
     assert!(!received.contains("insert"), "{received:?}");
     drop(link);
-    // It surely never ran.
+    // The unit was never sent.
     harness.assert_error(&mut session, "53000");
 }
--- a/crates/front/src/postgres/servers_cancel_tests.rs
+++ b/crates/front/src/postgres/servers_cancel_tests.rs
@@ -1,8 +1,8 @@
-//! Unit tests of the `servers` module: requests to cancel, and what waits for them.
+//! Unit tests of the `servers` module: requests to cancel, and the executions that wait for them.
 
 use super::*;
 
-const CANCEL_TIMEOUT: Micros = 2 * DIAL_TIMEOUT; // microseconds for a request to cancel
+const CANCEL_TIMEOUT: Micros = 2 * DIAL_TIMEOUT; // microseconds
 const SECOND_EXECUTION: ExecutionId = ExecutionId {
     ticket: 2,
     number: 0,
@@ -19,7 +19,7 @@
     engine.write_all(&out).unwrap();
 }
 
-/// What a request to cancel is on the wire.
+/// A request to cancel, as it is written to the wire.
 fn cancel_request() -> Vec<u8> {
     let mut out = Vec::new();
     wire::write_cancel(&mut out, KEY);
@@ -36,7 +36,8 @@
         .cancel_execution(0, FIRST_EXECUTION, Ending::GivenUp);
     let mut cancel = engine.accept().unwrap().0;
     harness.receive_until(0, &mut cancel, &cancel_request());
-    // It has left, and the engine has not closed its connection, as it does when it has taken it.
+    // The request was sent, but the engine has not closed its connection, which it does once it has
+    // accepted the request.
     harness.servers.expire(CANCEL_TIMEOUT - 1);
     assert_eq!(harness.take_endings(), []);
     harness.servers.expire(CANCEL_TIMEOUT);
@@ -80,10 +81,10 @@
     let mut cancel = engine.accept().unwrap().0;
     harness.wait_for_unhandled_socket();
     harness.servers.expire(CANCEL_TIMEOUT);
-    // The engine has yet to take it.
+    // The engine has not accepted the request yet.
     assert_eq!(harness.take_endings(), []);
     harness.receive_until(CANCEL_TIMEOUT, &mut cancel, &cancel_request());
-    // It gets no third time.
+    // The request gets no further extension of its time limit.
     harness.servers.expire(2 * CANCEL_TIMEOUT);
     assert_eq!(harness.take_endings(), [(FIRST_EXECUTION, Ending::GivenUp)]);
     harness.servers.expire(4 * CANCEL_TIMEOUT);
@@ -127,7 +128,7 @@
         harness
             .servers
             .cancel_execution(0, FIRST_EXECUTION, Ending::TimeUp);
-        // What a client did not take is not charged to the engine.
+        // Time that the client spent reading its answer is not charged to the engine.
         let ending = if paused {
             Ending::GivenUp
         } else {
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -24,7 +24,7 @@
     secret: 8,
 };
 
-/// Connections to one engine that no front drives, with a time that the test gives.
+/// Connections to one engine, with a time that the test sets and without a front.
 struct ServersHarness {
     events: EventLoop<'static, LoopEvents>,
     servers: Servers,
@@ -57,7 +57,7 @@
         ServersHarness { events, servers }
     }
 
-    /// A unit of one statement goes out, in the transaction that a connection holds if one is named.
+    /// Sends a unit of one statement, over the connection `pin` if one is given.
     fn send_unit(
         &mut self,
         now: Micros,
@@ -78,7 +78,7 @@
         self.servers.send(now, execution_id, ENGINE_INDEX, unit);
     }
 
-    /// Takes what the loop reports, and sends what is to leave, until there is what is waited for.
+    /// Handles ready sockets and flushes output until `condition` holds.
     fn run_until<T>(
         &mut self,
         now: Micros,
@@ -111,25 +111,26 @@
         changes.ready
     }
 
-    /// Waits until a connection has changed; the front is not told of it, as if it stood still.
+    /// Waits until a socket is ready without handling it, as if the front were stalled.
     fn wait_for_unhandled_socket(&mut self) {
         let started = Instant::now();
         while self.ready_sockets().is_empty() {
-            assert!(started.elapsed() < WAIT_LIMIT, "no connection has changed");
+            assert!(started.elapsed() < WAIT_LIMIT, "no socket became ready");
         }
     }
 
-    /// Goes on until an engine has heard a text, or its connection's end where the text is empty.
+    /// Runs until the engine has received `text`, or the end of its connection if `text` is empty.
+    /// Returns all bytes received.
     fn receive_until(&mut self, now: Micros, engine: &mut TcpStream, text: &[u8]) -> Vec<u8> {
         engine.set_nonblocking(true).unwrap();
         let mut all = Vec::new();
-        self.run_until(now, "what the engine is to hear", |_| {
+        self.run_until(now, "the text that the engine is to receive", |_| {
             let mut received = [0; 4096];
             match engine.read(&mut received) {
                 Ok(0) => {
                     assert!(
                         text.is_empty(),
-                        "the end behind {:?}",
+                        "connection closed after {:?}",
                         String::from_utf8_lossy(&all)
                     );
                     return Some(());
@@ -142,7 +143,8 @@
         all
     }
 
-    /// An engine's connection which is up and waits for its login, with a unit that waits for it.
+    /// Sends a unit and returns the engine connection that it waits for: the startup message has
+    /// been received, the login is not over.
     fn dial_until_startup(&mut self, engine: &TcpListener, execution_id: ExecutionId) -> TcpStream {
         self.send_unit(0, execution_id, "select 1", None);
         let mut link = engine.accept().unwrap().0;
@@ -150,7 +152,7 @@
         link
     }
 
-    /// An engine's connection on which the first unit is out.
+    /// Sends a unit and returns the engine connection on which it is in flight.
     fn start_unit(&mut self, engine: &TcpListener, execution_id: ExecutionId) -> TcpStream {
         let mut link = self.dial_until_startup(engine, execution_id);
         accept_login(&mut link);
@@ -159,7 +161,7 @@
         link
     }
 
-    /// How executions have ended since the last look.
+    /// The endings of executions since the last call.
     fn take_endings(&mut self) -> Vec<(ExecutionId, Ending)> {
         let ended = |event: Event| match event {
             Event::Ended {
@@ -197,7 +199,8 @@
     (listener, at)
 }
 
-/// A port at which nobody listens, and nobody else can: dials are refused.
+/// A bound socket that does not listen: dials to its address are refused, and nobody else can
+/// listen there.
 fn bound_socket() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
@@ -207,7 +210,8 @@
     (socket, at)
 }
 
-/// A listener whose queue is full with the connection that comes with it: a further dial does not come up.
+/// A listener whose queue is filled by the connection returned with it: a further dial does not
+/// come up.
 fn full_listener() -> (Socket, TcpStream, SocketAddr) {
     let (socket, at) = bound_socket();
     socket.listen(0).unwrap();
@@ -220,7 +224,7 @@
     number: 0,
 };
 
-/// An engine of the list.
+/// An engine as it stands in the list of engines.
 fn listed(address: SocketAddr, available: bool) -> ListedEngine<'static> {
     ListedEngine {
         id: "a",
@@ -264,7 +268,7 @@
     let (_closed, at) = bound_socket();
     let mut harness = ServersHarness::new(at);
     harness.send_unit(0, FIRST_EXECUTION, "select 1", None);
-    // Some systems tell of it at once.
+    // Some systems report the failure at once.
     if harness.servers.events.is_empty() {
         harness.wait_for_unhandled_socket();
     }
@@ -309,7 +313,7 @@
     );
     harness.servers.expire(2 * LOGIN_TIMEOUT);
     assert_eq!(harness.take_endings(), []);
-    // Nothing of it has left.
+    // Nothing of the unit was sent.
     let received = harness.receive_until(LOGIN_TIMEOUT, &mut link, b"");
     assert!(
         !String::from_utf8_lossy(&received).contains("select"),
--- a/crates/front/src/postgres/session_close_tests.rs
+++ b/crates/front/src/postgres/session_close_tests.rs
@@ -1,14 +1,15 @@
-//! Tests of how connections of PostgreSQL clients are closed: bytes that come between the last read and the
-//! close do not reset the connection, and its client reads all that it is owed, then the end.
+//! Tests of how connections of PostgreSQL clients are closed: bytes that arrive between the last
+//! read and the close do not reset the connection, and the client reads all of its output, then the
+//! end of the connection.
 
 use super::*;
 
-const GARBAGE_BYTES: usize = 1 << 20; // bytes; several iterations take them
-const LINGER_TIME: Micros = 1_000_000; // microseconds, as the module has it
-pub(super) const SHUTDOWN_LINGER_TIME: Micros = 500_000; // microseconds; half of what it is else
+const GARBAGE_BYTES: usize = 1 << 20; // bytes; reading them takes several iterations
+const LINGER_TIME: Micros = 1_000_000; // microseconds; as in the module `lingering`
+pub(super) const SHUTDOWN_LINGER_TIME: Micros = 500_000; // microseconds; half of `LINGER_TIME`
 
 impl FrontHarness {
-    /// Goes on until the connection ends: all that was heard till then.
+    /// Runs the front until the connection ends. Returns all that the peer has received.
     pub(super) fn receive_text_to_end(&mut self, peer: &mut TcpStream) -> String {
         let mut all = String::new();
         loop {
@@ -18,16 +19,16 @@
             }
             all += &String::from_utf8_lossy(&received);
         }
-        // Neither does a reset come behind the end.
+        // There is no reset after the end of the connection either.
         assert!(peer.take_error().unwrap().is_none());
         all
     }
 
-    /// Goes on until all bytes are written.
+    /// Runs the front until all bytes are written.
     pub(super) fn write_all_bytes(&mut self, peer: &mut TcpStream, bytes: &[u8]) {
         peer.set_nonblocking(true).unwrap();
         let mut rest = bytes;
-        self.run_until("what is sent", |_| {
+        self.run_until("all bytes to be written", |_| {
             match peer.write(rest) {
                 Ok(len) => rest = &rest[len..],
                 Err(e) => assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}"),
@@ -40,7 +41,8 @@
         self.front.gateway.as_ref().map_or(0, Gateway::len)
     }
 
-    /// Its sessions may be so many, and so many of those that are being closed have descriptors beside that.
+    /// Limits the sessions of the front, and the lingering connections that have descriptors beside
+    /// those of clients.
     fn set_capacity(&mut self, sessions: usize, lingering: usize) {
         self.front.max_clients = sessions;
         self.front
@@ -57,7 +59,7 @@
     let mut harness = FrontHarness::new("crossed-end", at, true);
     let (mut session, mut other_session) = (harness.open_session(), harness.open_session());
     harness.advance_to_listener_close();
-    // It reads them a last time, and their last message leaves with the next iteration.
+    // The front reads the sessions a last time; their last message is sent in the next iteration.
     harness.front.run_iteration();
     send_query(&mut session, "select 1");
     send_query(&mut other_session, "select 1");
@@ -69,7 +71,7 @@
             "{received:?}"
         );
     }
-    // The front's end waits for the clients' own, but not for ever.
+    // The shutdown waits for the clients to close, up to the linger time.
     drop(session);
     harness.run_until("one to be closed", |front| {
         (!front.gateway.as_ref()?.is_done()).then_some(())
@@ -109,7 +111,7 @@
     harness.receive_until(&mut session, "Z\0\0\0\x05T");
     write_clock(&harness.files[0], START + 1_500_000);
     send_query(&mut session, "select 1");
-    // The loop has not told of that.
+    // The event loop has not reported the query.
     harness.front.run_iteration();
     let received = harness.receive_text_to_end(&mut session);
     assert!(
@@ -123,7 +125,7 @@
     let (_engine, at) = listener();
     let mut harness = FrontHarness::with_limits("crossed-login", at, true, "start_up_ms: 400");
     let mut session = TcpStream::connect(harness.session_address).unwrap();
-    harness.run_until("it is connected", |front| {
+    harness.run_until("the session to be accepted", |front| {
         (front.gateway.as_ref()?.len() == 1).then_some(())
     });
     harness.run_iteration();
@@ -131,7 +133,8 @@
     send_startup(&mut session, "portal");
     harness.front.run_iteration();
     assert_eq!(harness.receive_text_to_end(&mut session), "");
-    // Its client does not close: the loop wakes as the bound is over, and drops it.
+    // The client does not close: the front wakes when the linger time is over and drops the
+    // connection.
     let bound = START + 500_000 + LINGER_TIME;
     let (done, open) = ((true, Micros::MAX), (false, bound));
     let gateway = |harness: &FrontHarness| {
@@ -173,7 +176,7 @@
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("lingering-room", at, true);
     harness.set_capacity(2, 0);
-    // One that rests would go, were there none that is being closed.
+    // The idle session would be evicted if there were no lingering one.
     let mut idle = harness.open_session();
     write_clock(&harness.files[0], START + 2_000_000);
     let mut session = harness.open_session();
@@ -184,12 +187,12 @@
     assert_eq!(harness.session_count(), 2);
     send_query(&mut idle, "SET hallmux.workload = 'lookup'");
     harness.receive_until(&mut idle, "SET\0");
-    // Likewise for a client of the other protocol.
+    // A client of the native protocol takes the descriptor of a lingering session in the same way.
     let mut session = idle;
     session.write_all(wire::TERMINATE).unwrap();
     assert_eq!(harness.receive_text_to_end(&mut session), "");
     let _client = TcpStream::connect(harness.listen_address).unwrap();
-    harness.run_until("it is taken", |front| {
+    harness.run_until("the client to be accepted", |front| {
         (front.clients.len() == 1).then_some(())
     });
     assert_eq!(harness.session_count(), 1);
@@ -217,7 +220,7 @@
 fn bytes_after_unreadable_message_do_not_reset_session() {
     let (_engine, at) = listener();
     let mut harness = FrontHarness::new("crossed-garbage", at, true);
-    // A message whose length can't be, and one that is too long.
+    // A message with an impossible length, and one that is too long.
     for (head, code) in [(b"Q\0\0\0\x03", "08P01"), (b"Q\x7f\0\0\0", "54000")] {
         let mut session = harness.open_session();
         let garbage = [head.to_vec(), vec![b'x'; GARBAGE_BYTES]].concat();
@@ -238,7 +241,7 @@
     let mut session = harness.open_session();
     session.write_all(b"Q\0\0\0\x03").unwrap();
     session.set_nonblocking(true).unwrap();
-    // The time stands still: the bytes alone are too many.
+    // The clock does not advance: the number of bytes alone exceeds the limit.
     let garbage = vec![b'x'; GARBAGE_BYTES];
     let ended = harness.run_until("its end", |_| match session.write(&garbage) {
         Ok(_) => None,
@@ -274,7 +277,7 @@
         .and_then(|rest| rest.split(',').next())
         .unwrap()
         .to_string();
-    // A proof of the right length.
+    // A proof of the right length, but not the right one.
     let proof = format!("c=biws,r={nonce},p={}=", "A".repeat(43));
     out.clear();
     wire::write(&mut out, b'p', |out| out.extend(proof.as_bytes()));
@@ -298,7 +301,7 @@
     let mut link = harness.accept_dial(&engine);
     accept_login(&mut link);
     harness.receive_until(&mut link, "select 1");
-    // A row that is announced as longer than what comes of it.
+    // A row whose announced length exceeds the bytes that follow.
     let mut row = b"D".to_vec();
     row.extend((GARBAGE_BYTES as u32).to_be_bytes());
     row.extend(vec![b'x'; GARBAGE_BYTES / 2]);
--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -1,20 +1,20 @@
-//! Tests of what PostgreSQL clients do to the unit that they wait for: they cancel it before it has left,
-//! send garbage behind it, or take nothing of its answer.
+//! Tests of what PostgreSQL clients do to the unit that they wait for: they cancel it before it is
+//! sent, send garbage after it, or do not read its answer.
 
 use hallmux_postgres::wire::CancelKey;
 use socket2::{Domain, SockRef, Socket, Type};
 
 use super::*;
 
-const CANCEL_REQUEST: [u8; 8] = [0, 0, 0, 16, 4, 210, 22, 46]; // as it begins
-const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I"; // the end of a unit
+const CANCEL_REQUEST: [u8; 8] = [0, 0, 0, 16, 4, 210, 22, 46]; // its first bytes
+const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I"; // ReadyForQuery, which ends a unit
 const ROW_BYTES: usize = 32 << 10; // bytes of a row, header included
-const MAX_ROWS: usize = 4_096; // far more than any socket takes
-const SLOW_CLIENT_UNSENT: usize = 700 << 10; // bytes that the one which leaves less has left
-const RECEIVE_BUFFER: usize = 256 << 10; // bytes asked for of a client's buffer: no more comes to fit as it reads
-const MAX_UNSENT_BYTES: usize = 2 << 20; // bytes that answers may leave untaken
+const MAX_ROWS: usize = 4_096; // far more than fit into any socket
+const SLOW_CLIENT_UNSENT: usize = 700 << 10; // bytes that the client with fewer unsent bytes does not read
+const RECEIVE_BUFFER: usize = 256 << 10; // bytes of a client socket; fixed, so that the system does not grow it
+const MAX_UNSENT_BYTES: usize = 2 << 20; // limit of the unsent bytes of all answers
 
-/// The key by which a session is cancelled, out of what it hears as it comes in.
+/// The key that cancels a session, from the messages that the session receives after its login.
 fn cancel_key_in(mut greeting: &[u8]) -> CancelKey {
     while let Ok(Some(message)) = wire::message(greeting, greeting.len()) {
         let number = |at: usize| u32::from_be_bytes(message.body[at..at + 4].try_into().unwrap());
@@ -26,11 +26,11 @@
         }
         greeting = &greeting[message.len..];
     }
-    panic!("no key in {greeting:?}");
+    panic!("no cancel key in {greeting:?}");
 }
 
 impl FrontHarness {
-    /// A session that has come in, and its key.
+    /// Opens a session and returns its cancel key.
     fn open_session_with_key(&mut self) -> (TcpStream, CancelKey) {
         let mut session = TcpStream::connect(self.session_address).unwrap();
         send_startup(&mut session, "portal");
@@ -38,18 +38,23 @@
         (session, cancel_key_in(&greeting))
     }
 
-    /// All up to the end of a unit: however much that is, each byte is looked at once.
+    /// All bytes up to the end of a unit's answer. Checks the end only, so that long answers stay
+    /// cheap to receive.
     fn receive_unit_bytes(&mut self, session: &mut TcpStream) -> Vec<u8> {
         let mut all = Vec::new();
         while !all.ends_with(READY_FOR_QUERY) {
             let received = self.receive(session);
-            assert!(!received.is_empty(), "the end behind {} bytes", all.len());
+            assert!(
+                !received.is_empty(),
+                "connection closed after {} bytes",
+                all.len()
+            );
             all.extend(received);
         }
         all
     }
 
-    /// A request to cancel is taken: its connection has ended.
+    /// Sends a request to cancel, and waits until the front closes its connection.
     fn send_cancel_request(&mut self, key: CancelKey) {
         let mut request = TcpStream::connect(self.session_address).unwrap();
         let mut out = Vec::new();
@@ -58,7 +63,7 @@
         assert!(self.receive(&mut request).is_empty());
     }
 
-    /// A session that has come in, little of whose answers fits into its socket.
+    /// Opens a session whose socket holds only little of its answers.
     fn open_session_with_small_buffer(&mut self) -> TcpStream {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         SockRef::from(&socket)
@@ -71,7 +76,7 @@
         session
     }
 
-    /// A session's unit that is out: over which connection.
+    /// Sends a session's unit and returns the engine connection on which it is in flight.
     fn start_unit_on(
         &mut self,
         session: &mut TcpStream,
@@ -95,7 +100,8 @@
         let (mut session, key) = harness.open_session_with_key();
         send_query(&mut session, "select 1");
         let mut link = harness.accept_dial(&engine);
-        // The engine has the start-up, and has not answered it. A second request finds nothing.
+        // The engine has received the startup message and has not answered it. The second request
+        // finds no unit.
         harness.send_cancel_request(key);
         harness.send_cancel_request(key);
         let received = harness.receive_until(&mut session, "Z\0\0\0\x05I");
@@ -113,7 +119,7 @@
             received.starts_with('C') && received.contains("SELECT 2"),
             "{received:?}"
         );
-        // Nothing was asked of the engine beside that.
+        // The engine received nothing else.
         harness.run_iteration();
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
     }
@@ -140,8 +146,8 @@
             session.write_all(garbage).unwrap();
             link
         };
-        // It is read, and nothing comes of it yet.
-        harness.run_until("it is read", |front| {
+        // The garbage is read and has no effect yet.
+        harness.run_until("the garbage to be read", |front| {
             let gateway = front.gateway.as_ref()?;
             (gateway.held_bytes() > garbage.len()).then_some(())
         });
@@ -162,7 +168,8 @@
             "{received:?}"
         );
         drop(session);
-        // The engine is not asked to give up what it has answered, and its connection serves on.
+        // The engine is not asked to cancel the unit that it has answered, and its connection is
+        // used again.
         let mut next = harness.open_session();
         send_query(&mut next, "select 3");
         let received = harness.receive_until(&mut link, "select 3");
@@ -183,7 +190,7 @@
 
 fn assert_slowest_client_is_closed(cancelling: bool) {
     let (engine, at) = listener();
-    // More of an answer is read than may be left untaken.
+    // The buffer for one answer is larger than the limit of all unsent bytes.
     let limits = format!("buffer_bytes: {}", 2 * MAX_UNSENT_BYTES);
     let mut harness =
         FrontHarness::with_limits(&format!("untaken-{cancelling}"), at, cancelling, &limits);
@@ -196,11 +203,11 @@
     let mut link_of_most = harness.start_unit_on(&mut most, &engine, "select 'most'");
     let mut row = Vec::new();
     wire::write(&mut row, b'D', |out| out.resize(ROW_BYTES, b'x'));
-    // Rows come until so much of them does not fit into the sockets that some will stay.
+    // Rows are sent until they no longer fit into the sockets and some stay unsent at the front.
     let unsent = |harness: &FrontHarness| harness.front.gateway.as_ref().unwrap().unsent().bytes;
     let mut rows = 0;
     while unsent(&harness) < SLOW_CLIENT_UNSENT {
-        assert!(rows < MAX_ROWS, "all fits into the sockets");
+        assert!(rows < MAX_ROWS, "all rows fit into the sockets");
         harness.write_all_bytes(&mut link_of_little, &row);
         rows += 1;
         harness.run_iteration();
@@ -212,41 +219,42 @@
     );
     let tag = format!("SELECT {rows}");
     send_completion(&mut link_of_little, &tag, b'I');
-    harness.run_until("its answer", |front| {
+    harness.run_until("the end of the answer", |front| {
         (front.gateway.as_ref()?.held_bytes() == slowest_query_bytes()).then_some(())
     });
-    // The other's answer has no end: rows come until the front does not want them any more.
+    // The answer of the other client is endless: rows are sent until the front no longer reads
+    // them.
     link_of_most.set_nonblocking(true).unwrap();
     let mut at = 0;
-    harness.run_until("its end", |front| {
+    harness.run_until("the client to be closed", |front| {
         while let Ok(len) = link_of_most.write(&row[at..]) {
             at = (at + len) % row.len();
         }
         (front.gateway.as_ref()?.len() < 2).then_some(())
     });
     assert_eq!(harness.front.gateway.as_ref().unwrap().held_bytes(), 0);
-    // The other one was there to be closed.
+    // The first client also had unsent bytes and could have been closed.
     assert!(unsent(&harness) > 0);
     if cancelling {
-        // The engine is asked to end it, over a connection of its own.
+        // The engine is asked to cancel the unit over a connection of its own.
         let mut request = harness.run_until("a request", |_| engine.accept().ok()).0;
         let request = harness.receive(&mut request);
         assert!(request.starts_with(&CANCEL_REQUEST), "{request:?}");
     } else {
-        // What still comes of it is nobody's.
+        // Further rows of the unit are discarded.
         harness.write_all_bytes(&mut link_of_most, &row[at..]);
         send_completion(&mut link_of_most, "SELECT 0", b'I');
         harness.run_iteration();
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
     }
-    // The one that has left little has its whole answer, and goes on.
+    // The client with fewer unsent bytes receives its complete answer and stays usable.
     let received = harness.receive_unit_bytes(&mut little);
     let mut whole = row.repeat(rows);
     wire::write_complete(&mut whole, &tag);
     whole.extend(READY_FOR_QUERY);
     assert!(
         received == whole,
-        "{} bytes in place of {}",
+        "received {} bytes, expected {}",
         received.len(),
         whole.len()
     );
@@ -255,7 +263,7 @@
     assert!(received.starts_with("C\0\0\0\x08SET\0"), "{received:?}");
 }
 
-/// Bytes held of the unit of the client that takes nothing.
+/// Bytes held of the query of the client that does not read.
 fn slowest_query_bytes() -> usize {
     let mut out = Vec::new();
     wire::write_query(&mut out, b"select 'most'");
