--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -211,7 +211,13 @@
         let dials = self.pools.has_capacity(engine_index)
             && self.dials.borrow().next_slot_at(now, engine_index) <= now;
         self.pools.available(engine_index)
-            + usize::from(dials && self.engines.get(&engine_index).is_some_and(|e| e.up))
+            + usize::from(
+                dials
+                    && self
+                        .engines
+                        .get(&engine_index)
+                        .is_some_and(|engine| engine.up),
+            )
     }
 
     /// The number of an account at the engines. `None` if it is new and there are too many.
@@ -237,7 +243,7 @@
 
     /// The engine of a connection.
     pub fn engine_index(&self, id: ServerId) -> Option<EngineIndex> {
-        self.connections.get(&id).map(|l| l.engine_index)
+        self.connections.get(&id).map(|server| server.engine_index)
     }
 
     /// Adds an engine of the list or updates its address, start and availability.
@@ -249,12 +255,13 @@
             available: up,
         } = listed;
         let known = self.engines.get(&engine_index);
-        let same =
-            known.is_some_and(|e| e.id == id && e.address == address && e.started == started);
-        let failing = same && known.is_some_and(|e| e.failing);
+        let same = known.is_some_and(|engine| {
+            engine.id == id && engine.address == address && engine.started == started
+        });
+        let failing = same && known.is_some_and(|engine| engine.failing);
         let (last_reply, last_ping) = known
             .filter(|_| same)
-            .map_or((0, 0), |e| (e.last_reply, e.last_ping));
+            .map_or((0, 0), |engine| (engine.last_reply, engine.last_ping));
         if known.is_some() && (!same || !up) {
             self.retire(engine_index);
         }
@@ -298,8 +305,9 @@
             .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
         idle.into_iter().for_each(|id| self.close(id));
         // Executions whose settings are still being transferred were not sent either.
-        let setting = |(id, l): (&ServerId, &Server)| {
-            (l.engine_index == engine_index && l.engine.is_setting()).then_some((*id, l.serving))
+        let setting = |(id, server): (&ServerId, &Server)| {
+            (server.engine_index == engine_index && server.engine.is_setting())
+                .then_some((*id, server.serving))
         };
         let setting: Vec<(ServerId, Option<ExecutionId>)> =
             self.connections.iter().filter_map(setting).collect();
@@ -309,20 +317,23 @@
                 .into_iter()
                 .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
         }
-        let held = |(id, l): (&ServerId, &Server)| {
-            let idle = match l
+        let held = |(id, server): (&ServerId, &Server)| {
+            let idle = match server
                 .serving
                 .and_then(|execution_id| self.executions.get(&execution_id))
             {
                 Some(execution) => execution.stage == Stage::Waiting,
                 None => true,
             };
-            (l.engine_index == engine_index && l.transaction_of.is_some() && idle).then_some(*id)
+            (server.engine_index == engine_index && server.transaction_of.is_some() && idle)
+                .then_some(*id)
         };
         let held: Vec<ServerId> = self.connections.iter().filter_map(held).collect();
         for id in held {
-            let link = self.connections.get(&id);
-            let (session, waits) = link.map_or((None, None), |l| (l.transaction_of, l.serving));
+            let server = self.connections.get(&id);
+            let (session, waits) = server.map_or((None, None), |server| {
+                (server.transaction_of, server.serving)
+            });
             self.close(id);
             waits
                 .into_iter()
@@ -341,10 +352,10 @@
     }
 
     fn engine_name(&self, id: ServerId) -> &str {
-        let engine_index = self.connections.get(&id).map(|l| l.engine_index);
+        let engine_index = self.connections.get(&id).map(|server| server.engine_index);
         engine_index
             .and_then(|engine_index| self.engines.get(&engine_index))
-            .map_or("?", |e| &e.id)
+            .map_or("?", |engine| &engine.id)
     }
 
     /// When `expire` is next due.
@@ -358,7 +369,7 @@
         let cancels = self
             .cancels
             .values()
-            .map(|c| c.deadline)
+            .map(|cancel| cancel.deadline)
             .min()
             .unwrap_or(Micros::MAX);
         let next_check = if self.pools.is_empty() {
@@ -373,13 +384,14 @@
     /// Returns the connections that hold more input than one iteration reads.
     pub fn expire(&mut self, now: Micros) -> Vec<ServerId> {
         let unfinished = self.expire_connecting(now);
-        let late: Vec<u64> = self
+        let overdue: Vec<u64> = self
             .cancels
             .iter()
-            .filter(|(_, c)| c.deadline <= now)
+            .filter(|(_, cancel)| cancel.deadline <= now)
             .map(|(n, _)| *n)
             .collect();
-        late.into_iter()
+        overdue
+            .into_iter()
             .for_each(|number| self.cancel_overdue(now, number));
         if self.next_check <= now {
             self.next_check = now + CHECK_INTERVAL;
@@ -399,14 +411,14 @@
     /// Closes connections that were not up, or whose login was not over, in time. Returns those of
     /// the remaining ones that hold more to read.
     fn expire_connecting(&mut self, now: Micros) -> Vec<ServerId> {
-        let late: Vec<ServerId> = self
+        let overdue: Vec<ServerId> = self
             .connecting
             .iter()
             .filter(|(_, by)| **by <= now)
             .map(|(id, _)| *id)
             .collect();
         let mut unfinished = Vec::new();
-        for id in late {
+        for id in overdue {
             // Guards against a stall of the front between its last read of the connection and this
             // check: a connection or login that was completed meanwhile is found before it counts
             // as late.
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -16,8 +16,8 @@
         let Some(execution) = self.executions.get(&execution_id) else {
             return self.end_while_cancelling(execution_id, ending);
         };
-        let (engine_index, link) = (execution.engine_index, execution.connection);
-        let Some(id) = link else {
+        let (engine_index, connection) = (execution.engine_index, execution.connection);
+        let Some(id) = connection else {
             self.pools.withdraw(engine_index, execution_id);
             // A pinned execution that waits for the end of a cancel request can't end its
             // transaction: closing the connection rolls that back.
@@ -34,14 +34,14 @@
         if self
             .connections
             .get(&id)
-            .is_some_and(|l| l.engine.is_setting())
+            .is_some_and(|server| server.engine.is_setting())
         {
             self.report_end(execution_id, Ending::Withdrawn);
             return self.close(id);
         }
         // If its time is up the client is answered now; otherwise the execution ends when the
         // engine has accepted the cancel request.
-        let at_once = ending == Ending::TimeUp;
+        let answer_at_once = ending == Ending::TimeUp;
         // Time that the client spent reading its answer is not charged to the engine.
         let ending = if ending == Ending::TimeUp && execution.paused {
             Ending::GivenUp
@@ -52,23 +52,24 @@
         let held = self
             .connections
             .get(&id)
-            .is_some_and(|l| l.transaction_of.is_some());
+            .is_some_and(|server| server.transaction_of.is_some());
         if self.network.cancel || held {
-            let pending_end = (!at_once).then_some(PendingEnd {
+            let pending_end = (!answer_at_once).then_some(PendingEnd {
                 execution_id,
                 ending,
             });
-            let asked = self.network.cancel && self.send_cancel_request(now, id, pending_end);
+            let is_requested =
+                self.network.cancel && self.send_cancel_request(now, id, pending_end);
             self.close(id);
-            if at_once || !asked {
+            if answer_at_once || !is_requested {
                 self.events.push(Event::Ended {
                     execution_id,
                     ending,
                 });
             }
         } else {
-            if let Some(link) = self.connections.get_mut(&id) {
-                (link.serving, link.discards_replies) = (None, true);
+            if let Some(server) = self.connections.get_mut(&id) {
+                (server.serving, server.discards_replies) = (None, true);
             }
             self.events.push(Event::Ended {
                 execution_id,
@@ -100,25 +101,26 @@
     /// Withdraws the executions of a statement that nobody waits for any more, unless they were
     /// sent to their engine.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket) {
-        let of_ticket = self
+        let statement_executions = self
             .executions
             .iter()
             .filter(|(execution_id, _)| execution_id.ticket == ticket);
-        let here: Vec<(ExecutionId, Option<ServerId>)> = of_ticket
+        let executions: Vec<(ExecutionId, Option<ServerId>)> = statement_executions
             .map(|(execution_id, execution)| (*execution_id, execution.connection))
             .collect();
-        for (execution_id, link) in here {
-            let Some(id) = link else {
+        for (execution_id, connection) in executions {
+            let Some(id) = connection else {
                 self.cancel_execution(now, execution_id, Ending::Withdrawn);
                 continue;
             };
             // Output that was written but not sent is dropped with its connection, as is a unit
             // that waits for its settings.
-            let stays = |l: &Server| !l.link.has_sent(1) || l.engine.is_setting();
+            let is_unsent =
+                |server: &Server| !server.link.has_sent(1) || server.engine.is_setting();
             let unsent = self
                 .connections
                 .get(&id)
-                .is_some_and(|l| l.serving == Some(execution_id) && stays(l));
+                .is_some_and(|server| server.serving == Some(execution_id) && is_unsent(server));
             if let Some(engine_index) = self.engine_index(id).filter(|_| unsent) {
                 self.report_end(execution_id, Ending::Withdrawn);
                 self.close_and_refill(now, id, engine_index);
@@ -139,8 +141,8 @@
         let Some(id) = execution.connection.filter(|_| self.network.cancel) else {
             return false;
         };
-        if let Some(link) = self.connections.get_mut(&id) {
-            link.closes_after_unit = true;
+        if let Some(server) = self.connections.get_mut(&id) {
+            server.closes_after_unit = true;
         }
         self.send_cancel_request(now, id, None)
     }
@@ -208,7 +210,7 @@
         let was_unsent = self
             .cancels
             .get(&number)
-            .is_some_and(|c| c.link.unsent() > 0);
+            .is_some_and(|cancel| cancel.link.unsent() > 0);
         self.read_cancel(number);
         match self.cancels.get_mut(&number) {
             Some(cancel) if was_unsent && cancel.link.unsent() == 0 => {
@@ -233,14 +235,15 @@
                 ending,
             });
         }
-        if let Some(link) = self.connections.get_mut(&cancel.server) {
-            link.cancels -= 1;
+        if let Some(server) = self.connections.get_mut(&cancel.server) {
+            server.cancels -= 1;
             let waits = |execution_id: &ExecutionId| {
                 self.executions
                     .get(execution_id)
                     .is_some_and(|execution| execution.stage == Stage::Waiting)
             };
-            if let Some(execution_id) = link.serving.filter(waits).filter(|_| link.cancels == 0) {
+            if let Some(execution_id) = server.serving.filter(waits).filter(|_| server.cancels == 0)
+            {
                 self.start(execution_id, cancel.server);
             }
         }
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -45,10 +45,10 @@
         if due && !execution.unsent_answer.is_empty() {
             execution.answer_started = true;
             let bytes = std::mem::take(&mut execution.unsent_answer);
-            let link = execution
+            let server = execution
                 .connection
                 .and_then(|id| self.connections.get(&id));
-            let ends_message = link.is_some_and(|l| l.engine.is_between_messages());
+            let ends_message = server.is_some_and(|server| server.engine.is_between_messages());
             self.events.push(Event::PartialAnswer {
                 execution_id,
                 bytes,
@@ -265,12 +265,12 @@
     /// reports, and a long statement on an otherwise idle engine must not be mistaken for a hung
     /// one.
     pub(super) fn ping_silent(&mut self, now: Micros) {
-        let mut quiet: BTreeMap<EngineIndex, pool::AccountId> = BTreeMap::new();
+        let mut silent: BTreeMap<EngineIndex, pool::AccountId> = BTreeMap::new();
         let setting = |execution: &Execution| {
-            let link = execution
+            let server = execution
                 .connection
                 .and_then(|id| self.connections.get(&id));
-            link.is_some_and(|l| l.engine.is_setting())
+            server.is_some_and(|server| server.engine.is_setting())
         };
         for execution in self
             .executions
@@ -278,13 +278,15 @@
             .filter(|execution| execution.stage == Stage::Sent || setting(execution))
         {
             let engine = self.engines.get(&execution.engine_index);
-            if engine.is_some_and(|e| e.up && now - e.last_reply.max(e.last_ping) >= PING_AFTER) {
-                quiet
+            if engine.is_some_and(|engine| {
+                engine.up && now - engine.last_reply.max(engine.last_ping) >= PING_AFTER
+            }) {
+                silent
                     .entry(execution.engine_index)
                     .or_insert(execution.unit.account);
             }
         }
-        for (engine_index, account) in quiet {
+        for (engine_index, account) in silent {
             if let Some(engine) = self.engines.get_mut(&engine_index) {
                 engine.last_ping = now;
             }
@@ -325,7 +327,10 @@
         );
         server.discards_replies = false;
         let open = done.status != b'I';
-        let listed = self.engines.get(&engine_index).is_some_and(|e| e.up);
+        let listed = self
+            .engines
+            .get(&engine_index)
+            .is_some_and(|engine| engine.up);
         let execution = execution_id.and_then(|execution_id| self.executions.remove(&execution_id));
         let Some((execution_id, execution)) = execution_id.zip(execution) else {
             // The unit was cancelled, or there was none: a transaction that it left open has no
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -26,7 +26,11 @@
         engine_index: EngineIndex,
         unit: Unit,
     ) {
-        if !self.engines.get(&engine_index).is_some_and(|e| e.up) {
+        if !self
+            .engines
+            .get(&engine_index)
+            .is_some_and(|engine| engine.up)
+        {
             return self.events.push(Event::Ended {
                 execution_id,
                 ending: Ending::Withdrawn,
@@ -43,15 +47,13 @@
             paused: false,
         };
         match pin {
-            Some(id) => match self
-                .connections
-                .get_mut(&id)
-                .filter(|l| l.engine_index == engine_index && l.transaction_of.is_some())
-            {
-                Some(link) => {
+            Some(id) => match self.connections.get_mut(&id).filter(|server| {
+                server.engine_index == engine_index && server.transaction_of.is_some()
+            }) {
+                Some(server) => {
                     self.executions.insert(execution_id, execution);
-                    link.serving = Some(execution_id);
-                    if link.cancels == 0 {
+                    server.serving = Some(execution_id);
+                    if server.cancels == 0 {
                         self.start(execution_id, id);
                     }
                 }
@@ -65,7 +67,7 @@
                 let suits = |id: u64| {
                     self.connections
                         .get(&id)
-                        .map_or(0, |l| u32::from(l.engine.suits(&settings)))
+                        .map_or(0, |server| u32::from(server.engine.suits(&settings)))
                 };
                 let action = self
                     .pools
@@ -186,25 +188,25 @@
 
     /// Writes a unit to a connection.
     pub(super) fn start(&mut self, execution_id: ExecutionId, id: ServerId) {
-        let (Some(execution), Some(link)) = (
+        let (Some(execution), Some(server)) = (
             self.executions.get_mut(&execution_id),
             self.connections.get_mut(&id),
         ) else {
             return;
         };
-        link.serving = Some(execution_id);
+        server.serving = Some(execution_id);
         (execution.connection, execution.stage) = (Some(id), Stage::Writing);
-        let own = execution.unit.pin.is_some();
+        let is_pinned = execution.unit.pin.is_some();
         for (n, part) in execution.unit.parts.iter().enumerate() {
-            link.engine.send(
+            server.engine.send(
                 part,
                 &execution.unit.settings,
-                own || n > 0,
-                link.link.output(),
+                is_pinned || n > 0,
+                server.link.output(),
                 &mut execution.unsent_answer,
             );
         }
-        link.write_end = link.link.output().len();
+        server.write_end = server.link.output().len();
         self.flush_pending.insert(id);
     }
 
@@ -217,17 +219,17 @@
         let Some(id) = execution.connection else {
             return;
         };
-        let Some(link) = self.connections.get_mut(&id) else {
+        let Some(server) = self.connections.get_mut(&id) else {
             return;
         };
-        link.engine.send(
+        server.engine.send(
             &part,
             &execution.unit.settings,
             true,
-            link.link.output(),
+            server.link.output(),
             &mut execution.unsent_answer,
         );
-        link.write_end = link.link.output().len();
+        server.write_end = server.link.output().len();
         execution.stage = Stage::Writing;
         self.flush_pending.insert(id);
         self.forward_answer(execution_id, false);
@@ -236,7 +238,7 @@
     /// Flushes the output to engines.
     pub fn flush(&mut self, now: Micros) {
         for id in std::mem::take(&mut self.flush_pending) {
-            let Some(server) = self.connections.get_mut(&id).filter(|l| l.up) else {
+            let Some(server) = self.connections.get_mut(&id).filter(|server| server.up) else {
                 continue;
             };
             let flushed = server.link.flush();
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -258,7 +258,11 @@
 
     /// The answers that clients have not read yet.
     pub fn unsent(&self) -> UnsentAnswers {
-        let unsent = |id: &SessionId| self.connections.get(id).map_or(0, |p| p.link.unsent());
+        let unsent = |id: &SessionId| {
+            self.connections
+                .get(id)
+                .map_or(0, |connection| connection.link.unsent())
+        };
         UnsentAnswers {
             bytes: self.with_unsent.iter().map(unsent).sum(),
             slowest: self.with_unsent.iter().copied().max_by_key(unsent),
@@ -270,13 +274,13 @@
         if let Some(more) = self.lingering.read(id) {
             return more;
         }
-        let most = self.bounds.bytes;
+        let max_input = self.bounds.bytes;
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
         self.changed.insert(id);
         // Bounds the input buffered while a unit is in flight: the rest stays in the socket.
-        if connection.link.input.len() > most || connection.closing {
+        if connection.link.input.len() > max_input || connection.closing {
             self.unread.insert(id);
             return false;
         }
@@ -285,14 +289,14 @@
             has_more: more,
             broken,
         } = connection.link.read();
-        let came = connection.link.input.len() - before;
-        if came > 0 {
-            self.held_bytes += came;
+        let received = connection.link.input.len() - before;
+        if received > 0 {
+            self.held_bytes += received;
             let many = connection.arrivals.len() >= MAX_ARRIVALS;
             match connection.arrivals.back_mut().filter(|_| many) {
-                Some(arrival) => arrival.bytes += came,
+                Some(arrival) => arrival.bytes += received,
                 None => connection.arrivals.push_back(Arrival {
-                    bytes: came,
+                    bytes: received,
                     at: now,
                 }),
             }
@@ -325,7 +329,12 @@
             }
             if unsent <= self.buffer_bytes / 2 && self.paused.remove(&id) {
                 if let Stage::Open(open_session) = &connection.stage {
-                    caught_up.extend(open_session.running.as_ref().and_then(|r| r.execution_id));
+                    caught_up.extend(
+                        open_session
+                            .running
+                            .as_ref()
+                            .and_then(|running| running.execution_id),
+                    );
                 }
             }
             if unsent > 0 {
@@ -342,7 +351,7 @@
         let full = |id: &SessionId| {
             self.connections
                 .get(id)
-                .is_some_and(|p| p.link.input.len() > self.bounds.bytes)
+                .is_some_and(|connection| connection.link.input.len() > self.bounds.bytes)
         };
         let (full, ready): (BTreeSet<_>, BTreeSet<_>) =
             std::mem::take(&mut self.unread).into_iter().partition(full);
--- a/crates/front/src/postgres/sessions/answers.rs
+++ b/crates/front/src/postgres/sessions/answers.rs
@@ -100,7 +100,7 @@
     pub(super) fn remove_running(&mut self, ticket: Ticket) -> Option<(SessionId, RunningUnit)> {
         let id = self.tickets.remove(&ticket)?;
         let running = self.open_session(id)?.running.take()?;
-        self.held_bytes -= running.parts.first().map_or(0, |p| p.raw.len());
+        self.held_bytes -= running.parts.first().map_or(0, |part| part.raw.len());
         Some((id, running))
     }
 
@@ -119,11 +119,11 @@
             }
         }
         self.changed.insert(id);
-        let with_unsent = connection.link.unsent() > self.buffer_bytes;
-        if with_unsent {
+        let lags_behind = connection.link.unsent() > self.buffer_bytes;
+        if lags_behind {
             self.paused.insert(id);
         }
-        with_unsent
+        lags_behind
     }
 
     /// Gives a unit its final answer from an engine.
@@ -187,16 +187,18 @@
             // answer is incomplete.
             connection.closing = true;
         } else {
-            let mut own = Vec::new();
-            open_session.session.fails(&running.parts, why, &mut own);
-            match engine_error
-                .and_then(|engine_error| Some((engine_error, wire::header(&own).ok()??.len)))
-            {
+            let mut front_error = Vec::new();
+            open_session
+                .session
+                .fails(&running.parts, why, &mut front_error);
+            match engine_error.and_then(|engine_error| {
+                Some((engine_error, wire::header(&front_error).ok()??.len))
+            }) {
                 Some((engine_error, len)) => {
                     out.extend_from_slice(engine_error);
-                    out.extend_from_slice(&own[len..]);
+                    out.extend_from_slice(&front_error[len..]);
                 }
-                None => out.extend_from_slice(&own),
+                None => out.extend_from_slice(&front_error),
             }
             open_session.skipping_to_sync = open_session.session.is_in_unit();
         }
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -12,8 +12,8 @@
 const IDLE_AFTER: Micros = 1_000_000;
 /// Microseconds for which a session without a unit in flight may stay during shutdown.
 const GRACE_PERIOD: Micros = 2_000_000;
-/// Microseconds by which the linger time is shorter during shutdown: the process must end within 4
-/// s.
+/// Microseconds by which the linger time is shorter during shutdown, so that the process ends
+/// within 4 s.
 const SHUTDOWN_LINGER_REDUCTION: Micros = 500_000;
 /// Microseconds between checks for idle sessions.
 const IDLE_CHECK_INTERVAL: Micros = 200_000;
@@ -25,16 +25,16 @@
         let Some(open_session) = self.open_session(id) else {
             return;
         };
-        let ticket = open_session.running.as_ref().map(|r| r.ticket);
-        let ran = open_session
+        let ticket = open_session.running.as_ref().map(|running| running.ticket);
+        let may_have_run = open_session
             .running
             .as_ref()
-            .is_some_and(|r| r.may_have_run);
+            .is_some_and(|running| running.may_have_run);
         if let Some(ticket) = ticket {
             self.remove_running(ticket);
             self.events.push(Event::Abandoned(ticket));
         }
-        self.release_transaction(id, ran);
+        self.release_transaction(id, may_have_run);
     }
 
     /// Handles the loss of a connection.
@@ -95,35 +95,35 @@
             return;
         }
         self.next_idle_check = now + IDLE_CHECK_INTERVAL;
-        let mut over: Vec<(SessionId, Option<ClientError>)> = Vec::new();
+        let mut expired: Vec<(SessionId, Option<ClientError>)> = Vec::new();
         for (id, connection) in &mut self.connections {
             match &connection.stage {
                 Stage::LoggingIn(_) if connection.last_active + self.login_timeout <= now => {
-                    over.push((*id, None))
+                    expired.push((*id, None))
                 }
                 Stage::LoggingIn(_) => {}
                 Stage::Open(open_session) => {
                     let idle = open_session.running.is_none() && !connection.closing;
                     let open = open_session.session.transaction.is_held();
-                    let stands = now - connection.last_active;
-                    if idle && open && stands >= self.transaction_idle_timeout {
-                        over.push((*id, Some(ClientError::IdleTransactionTimeout)));
+                    let idle_for = now - connection.last_active;
+                    if idle && open && idle_for >= self.transaction_idle_timeout {
+                        expired.push((*id, Some(ClientError::IdleTransactionTimeout)));
                     } else if idle
                         && shutdown_since.is_some_and(|since| since + GRACE_PERIOD <= now)
                     {
                         // Also a session that has sent part of a message, or has not sent the Sync
                         // of a unit that failed.
-                        over.push((*id, Some(ClientError::ShuttingDown)));
-                    } else if connection.closing && stands >= self.login_timeout {
-                        over.push((*id, None));
-                    } else if idle && stands >= IDLE_AFTER {
+                        expired.push((*id, Some(ClientError::ShuttingDown)));
+                    } else if connection.closing && idle_for >= self.login_timeout {
+                        expired.push((*id, None));
+                    } else if idle && idle_for >= IDLE_AFTER {
                         connection.link.release_memory();
                         connection.arrivals.shrink_to_fit();
                     }
                 }
             }
         }
-        for (id, why) in over {
+        for (id, why) in expired {
             match why {
                 Some(why) => self.close_with_error(id, &why),
                 None => self.close(now, id),
@@ -135,14 +135,14 @@
     /// or else the one that has been idle longest outside a transaction. The closed connection may
     /// linger if there are descriptors for that.
     pub fn evict_idle(&mut self, now: Micros) -> bool {
-        let rank = |(id, p): (&SessionId, &Connection)| match &p.stage {
-            Stage::LoggingIn(_) => Some((false, p.last_active, *id)),
+        let rank = |(id, connection): (&SessionId, &Connection)| match &connection.stage {
+            Stage::LoggingIn(_) => Some((false, connection.last_active, *id)),
             Stage::Open(open_session) => {
                 let may_close = open_session.running.is_none()
                     && open_session.session.transaction == Transaction::None
-                    && p.link.input.is_empty()
-                    && p.last_active + IDLE_AFTER <= now;
-                may_close.then_some((true, p.last_active, *id))
+                    && connection.link.input.is_empty()
+                    && connection.last_active + IDLE_AFTER <= now;
+                may_close.then_some((true, connection.last_active, *id))
             }
         };
         let mut ranked: Vec<_> = self.connections.iter().filter_map(rank).collect();
@@ -164,14 +164,16 @@
 
     /// Closes the sessions that have no unit in flight and no open transaction.
     pub fn close_idle(&mut self, now: Micros) {
-        let idle = |(id, p): (&SessionId, &Connection)| match &p.stage {
+        let idle = |(id, connection): (&SessionId, &Connection)| match &connection.stage {
             Stage::LoggingIn(_) => Some(*id),
             Stage::Open(open_session) => {
                 let may_close = open_session.running.is_none()
                     && !open_session.session.transaction.is_held()
-                    && !p.closing;
-                (may_close && !open_session.session.is_in_unit() && p.link.input.is_empty())
-                    .then_some(*id)
+                    && !connection.closing;
+                (may_close
+                    && !open_session.session.is_in_unit()
+                    && connection.link.input.is_empty())
+                .then_some(*id)
             }
         };
         let idle: Vec<SessionId> = self.connections.iter().filter_map(idle).collect();
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -110,14 +110,14 @@
                         connection.closing = true;
                         Consumed::NOTHING
                     }
-                    Ok((used, over)) => {
-                        open_session.skipping_to_sync = !over;
-                        if over {
+                    Ok((used, found_sync)) => {
+                        open_session.skipping_to_sync = !found_sync;
+                        if found_sync {
                             open_session.session.ready(connection.link.output());
                         }
                         Consumed {
                             bytes: used,
-                            has_more: over,
+                            has_more: found_sync,
                         }
                     }
                 }
@@ -182,8 +182,8 @@
     /// ignored.
     fn handle_cancel_request(&mut self, key: CancelKey) {
         let id = SessionId::from(key.process);
-        let meant = self.connections.get(&id);
-        if meant.is_some_and(|connection| connection.secret == key.secret) {
+        let target = self.connections.get(&id);
+        if target.is_some_and(|connection| connection.secret == key.secret) {
             self.events.push(Event::Cancel(id));
         }
     }
@@ -350,7 +350,7 @@
     key: CancelKey,
 ) {
     wire::write(out, b'R', |out| out.extend_from_slice(&0u32.to_be_bytes()));
-    let usual = [
+    let defaults = [
         ("server_version", "15.0"),
         ("server_encoding", "UTF8"),
         ("client_encoding", "UTF8"),
@@ -361,14 +361,15 @@
         ("standard_conforming_strings", "on"),
     ];
     let known = |name: &str| parameters.iter().any(|(n, _)| n == name);
-    let events = usual.iter().filter(|(name, _)| !known(name)).copied();
-    let events = events.chain(parameters.iter().map(|(n, v)| (n.as_str(), v.as_str())));
-    for (name, value) in events {
-        let own = client.parameters.get(&name.to_ascii_lowercase());
+    let parameter_values = defaults.iter().filter(|(name, _)| !known(name)).copied();
+    let parameter_values =
+        parameter_values.chain(parameters.iter().map(|(n, v)| (n.as_str(), v.as_str())));
+    for (name, value) in parameter_values {
+        let requested = client.parameters.get(&name.to_ascii_lowercase());
         let value = match name {
             "session_authorization" => &client.user,
             "is_superuser" => "off",
-            _ => own.map_or(value, String::as_str),
+            _ => requested.map_or(value, String::as_str),
         };
         wire::write_parameter(out, name, value);
     }
