--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -224,7 +224,7 @@
     number: 0,
 };
 
-/// An engine as it stands in the list of engines.
+/// An entry of the list of engines.
 fn listed(address: SocketAddr, available: bool) -> ListedEngine<'static> {
     ListedEngine {
         id: "a",
