--- a/crates/front/src/postgres/error_tests.rs
+++ b/crates/front/src/postgres/error_tests.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 #[test]
-fn a_port_that_is_taken_is_named_with_its_key_and_what_can_be_done() {
+fn port_in_use_error_names_key_address_and_remedy() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = taken.local_addr().unwrap();
     let why = std::net::TcpListener::bind(at).unwrap_err();
-    let told = std::io::Error::from(ListenError::Listen { at, why });
-    assert_eq!(told.kind(), std::io::ErrorKind::AddrInUse);
-    let (wrong, remedy) = told
+    let error = std::io::Error::from(ListenError::Listen { at, why });
+    assert_eq!(error.kind(), std::io::ErrorKind::AddrInUse);
+    let (wrong, remedy) = error
         .to_string()
         .split_once("; ")
         .map(|(a, b)| (a.to_string(), b.to_string()))
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -1,4 +1,5 @@
-//! How sessions end: by themselves, for having stood still, to make room, with the front.
+//! How sessions end: closed by the client, for exceeding a time limit, to make room, or by the
+//! shutdown of the front.
 
 use hallmux_dispatcher::Micros;
 use hallmux_postgres::client_error::ClientError;
@@ -7,70 +8,76 @@
 use super::{Connection, Event, Sessions, Stage};
 use crate::postgres::ids::SessionId;
 
-/// Microseconds after which a resting session lets go of its buffers.
+/// Microseconds after which an idle session releases its buffers.
 const IDLE_AFTER: Micros = 1_000_000;
-/// Microseconds for a session without a unit out once the front ends.
-const GRACE: Micros = 2_000_000;
-/// Microseconds that they linger less then: the end is due within 4 s.
-const SHORTER_AT_END: Micros = 500_000;
-/// Microseconds between looks at sessions that stand still.
-const CHECK_INTERVAL: Micros = 200_000;
+/// Microseconds for which a session without a unit in flight may stay during shutdown.
+const GRACE_PERIOD: Micros = 2_000_000;
+/// Microseconds by which the linger time is shorter during shutdown, so that the process ends
+/// within 4 s.
+const SHUTDOWN_LINGER_REDUCTION: Micros = 500_000;
+/// Microseconds between checks for idle sessions.
+const IDLE_CHECK_INTERVAL: Micros = 200_000;
 
 impl Sessions {
-    /// A session has no more to ask: what it holds is let go; its connection ends once all has left.
+    /// Releases what a session holds, as its client sends no more. Its connection closes once its
+    /// output is sent.
     pub(super) fn abandon(&mut self, id: SessionId) {
         let Some(open_session) = self.open_session(id) else {
             return;
         };
-        let ticket = open_session.running.as_ref().map(|r| r.ticket);
-        let ran = open_session.running.as_ref().is_some_and(|r| r.ran);
+        let ticket = open_session.running.as_ref().map(|running| running.ticket);
+        let may_have_run = open_session
+            .running
+            .as_ref()
+            .is_some_and(|running| running.may_have_run);
         if let Some(ticket) = ticket {
             self.remove_running(ticket);
             self.events.push(Event::Abandoned(ticket));
         }
-        self.release_transaction(id, ran);
+        self.release_transaction(id, may_have_run);
     }
 
-    /// A connection is over.
+    /// Handles the loss of a connection.
     pub fn disconnect(&mut self, id: SessionId) {
-        self.remove(id);
+        self.remove_connection(id);
     }
 
-    /// Closes a connection in order. Guards against a reset that destroys its last answer on the way: what
-    /// comes between the last read and the close is read and dropped.
+    /// Closes a connection gracefully. Guards against a reset that destroys the last answer on its
+    /// way: input received between the last read and the close is read and discarded.
     pub(super) fn close(&mut self, now: Micros, id: SessionId) {
         if let Some(connection) = self
-            .remove(id)
+            .remove_connection(id)
             .filter(|connection| connection.link.unsent() == 0)
         {
             self.lingering.close(now, id, connection.link);
         }
     }
 
-    /// The one way in which a connection leaves.
-    fn remove(&mut self, id: SessionId) -> Option<Connection> {
+    /// Removes a connection from all collections; every connection that ends is removed here.
+    fn remove_connection(&mut self, id: SessionId) -> Option<Connection> {
         self.abandon(id);
         self.changed.remove(&id);
         self.with_unsent.remove(&id);
-        self.stalled.remove(&id);
-        self.halted.remove(&id);
+        self.unread.remove(&id);
+        self.paused.remove(&id);
         let connection = self.connections.remove(&id)?;
         self.held_bytes -= connection.link.input.len();
         Some(connection)
     }
 
-    /// Descriptors for connections that are being closed, beside those of clients.
-    pub fn limit(&mut self, lingering_places: usize) {
-        self.lingering_places = lingering_places;
+    /// Sets how many lingering connections have descriptors beside those of clients.
+    pub fn set_lingering_descriptors(&mut self, lingering_descriptors: usize) {
+        self.lingering_descriptors = lingering_descriptors;
     }
 
-    /// Makes room by dropping a connection that is being closed; false if none takes a client's descriptor.
+    /// Makes room by dropping a lingering connection. Returns false if none uses a descriptor of
+    /// clients.
     pub fn drop_lingering(&mut self) -> bool {
-        self.lingering.len() > self.lingering_places && self.lingering.drop_oldest()
+        self.lingering.len() > self.lingering_descriptors && self.lingering.drop_oldest()
     }
 
-    /// Ends a session with a last message.
-    fn dismiss(&mut self, id: SessionId, why: &ClientError) {
+    /// Ends a session with a last error message.
+    fn close_with_error(&mut self, id: SessionId, why: &ClientError) {
         if let Some(connection) = self.connections.get_mut(&id) {
             why.write(connection.link.output(), true);
             connection.closing = true;
@@ -79,58 +86,63 @@
         }
     }
 
-    /// Ends what has stood still too long. `shut` is since when the front ends.
-    pub fn expire(&mut self, now: Micros, shut: Option<Micros>) {
+    /// Ends sessions that have exceeded a time limit. `shutdown_since` is when the shutdown of the
+    /// front started.
+    pub fn expire(&mut self, now: Micros, shutdown_since: Option<Micros>) {
         self.lingering
-            .expire(now + shut.map_or(0, |_| SHORTER_AT_END));
-        if now < self.next_check {
+            .expire(now + shutdown_since.map_or(0, |_| SHUTDOWN_LINGER_REDUCTION));
+        if now < self.next_idle_check {
             return;
         }
-        self.next_check = now + CHECK_INTERVAL;
-        let mut over: Vec<(SessionId, Option<ClientError>)> = Vec::new();
+        self.next_idle_check = now + IDLE_CHECK_INTERVAL;
+        let mut expired: Vec<(SessionId, Option<ClientError>)> = Vec::new();
         for (id, connection) in &mut self.connections {
             match &connection.stage {
                 Stage::LoggingIn(_) if connection.last_active + self.login_timeout <= now => {
-                    over.push((*id, None))
+                    expired.push((*id, None))
                 }
                 Stage::LoggingIn(_) => {}
                 Stage::Open(open_session) => {
                     let idle = open_session.running.is_none() && !connection.closing;
                     let open = open_session.session.transaction.is_held();
-                    let stands = now - connection.last_active;
-                    if idle && open && stands >= self.transaction_idle {
-                        over.push((*id, Some(ClientError::IdleTransactionTimeout)));
-                    } else if idle && shut.is_some_and(|since| since + GRACE <= now) {
-                        // Also one that has said half a message, or owes the Sync of a unit that failed.
-                        over.push((*id, Some(ClientError::ShuttingDown)));
-                    } else if connection.closing && stands >= self.login_timeout {
-                        over.push((*id, None));
-                    } else if idle && stands >= IDLE_AFTER {
+                    let idle_for = now - connection.last_active;
+                    if idle && open && idle_for >= self.transaction_idle_timeout {
+                        expired.push((*id, Some(ClientError::IdleTransactionTimeout)));
+                    } else if idle
+                        && shutdown_since.is_some_and(|since| since + GRACE_PERIOD <= now)
+                    {
+                        // Also a session that has sent part of a message, or has not sent the Sync
+                        // of a unit that failed.
+                        expired.push((*id, Some(ClientError::ShuttingDown)));
+                    } else if connection.closing && idle_for >= self.login_timeout {
+                        expired.push((*id, None));
+                    } else if idle && idle_for >= IDLE_AFTER {
                         connection.link.release_memory();
                         connection.arrivals.shrink_to_fit();
                     }
                 }
             }
         }
-        for (id, why) in over {
+        for (id, why) in expired {
             match why {
-                Some(why) => self.dismiss(id, &why),
+                Some(why) => self.close_with_error(id, &why),
                 None => self.close(now, id),
             }
         }
     }
 
-    /// Makes room for a newcomer: of those that never came in the one that has waited longest, else of those
-    /// that rest outside a transaction. It may linger where there are descriptors for that.
+    /// Makes room for a new connection. Closes the session that has waited longest for its login,
+    /// or else the one that has been idle longest outside a transaction. The closed connection may
+    /// linger if there are descriptors for that.
     pub fn evict_idle(&mut self, now: Micros) -> bool {
-        let rank = |(id, p): (&SessionId, &Connection)| match &p.stage {
-            Stage::LoggingIn(_) => Some((false, p.last_active, *id)),
+        let rank = |(id, connection): (&SessionId, &Connection)| match &connection.stage {
+            Stage::LoggingIn(_) => Some((false, connection.last_active, *id)),
             Stage::Open(open_session) => {
-                let may_go_on = open_session.running.is_none()
+                let may_close = open_session.running.is_none()
                     && open_session.session.transaction == Transaction::None
-                    && p.link.input.is_empty()
-                    && p.last_active + IDLE_AFTER <= now;
-                may_go_on.then_some((true, p.last_active, *id))
+                    && connection.link.input.is_empty()
+                    && connection.last_active + IDLE_AFTER <= now;
+                may_close.then_some((true, connection.last_active, *id))
             }
         };
         let mut ranked: Vec<_> = self.connections.iter().filter_map(rank).collect();
@@ -138,11 +150,11 @@
         let found = ranked
             .into_iter()
             .map(|(.., id)| id)
-            .find(|id| self.brings_nothing(now, *id));
+            .find(|id| self.has_no_new_input(now, *id));
         let Some(id) = found else { return false };
-        self.dismiss(id, &ClientError::ShuttingDown);
+        self.close_with_error(id, &ClientError::ShuttingDown);
         if let Some(connection) = self.connections.get_mut(&id) {
-            // Its last message goes as far as the network takes it at once.
+            // The last message is sent as far as the socket accepts it at once.
             let _ = connection.link.flush();
         }
         self.close(now, id);
@@ -150,29 +162,31 @@
         true
     }
 
-    /// Closes the sessions that have nothing out and no transaction open.
+    /// Closes the sessions that have no unit in flight and no open transaction.
     pub fn close_idle(&mut self, now: Micros) {
-        let idle = |(id, p): (&SessionId, &Connection)| match &p.stage {
+        let idle = |(id, connection): (&SessionId, &Connection)| match &connection.stage {
             Stage::LoggingIn(_) => Some(*id),
             Stage::Open(open_session) => {
-                let may_go_on = open_session.running.is_none()
+                let may_close = open_session.running.is_none()
                     && !open_session.session.transaction.is_held()
-                    && !p.closing;
-                (may_go_on && !open_session.session.is_in_unit() && p.link.input.is_empty())
-                    .then_some(*id)
+                    && !connection.closing;
+                (may_close
+                    && !open_session.session.is_in_unit()
+                    && connection.link.input.is_empty())
+                .then_some(*id)
             }
         };
         let idle: Vec<SessionId> = self.connections.iter().filter_map(idle).collect();
         for id in idle {
-            if self.brings_nothing(now, id) {
-                self.dismiss(id, &ClientError::ShuttingDown);
+            if self.has_no_new_input(now, id) {
+                self.close_with_error(id, &ClientError::ShuttingDown);
             }
         }
     }
 
-    /// Whether a session that is to be closed as idle brings nothing just now. Guards against a unit that came
-    /// since it was last read: it is taken then, and its session stays.
-    fn brings_nothing(&mut self, now: Micros, id: SessionId) -> bool {
+    /// Whether a session that is to be closed as idle has no new input. Guards against a unit that
+    /// was received since the last read: it is accepted, and its session stays open.
+    fn has_no_new_input(&mut self, now: Micros, id: SessionId) -> bool {
         let held = |sessions: &Sessions| {
             sessions
                 .connections
@@ -181,8 +195,8 @@
         };
         let before = held(self);
         if self.read(now, id) {
-            // The loop does not tell of the rest again.
-            self.stalled.insert(id);
+            // The event loop does not report the remaining input again.
+            self.unread.insert(id);
         }
         held(self) <= before
     }
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -1,4 +1,4 @@
-//! Input of clients: the login, then units, one after the other.
+//! Input of clients: the login, then units, one at a time.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -16,41 +16,41 @@
 use crate::postgres::ids::SessionId;
 use crate::postgres::servers::Servers;
 
-/// Units answered here for one session before others are served.
+/// Upper limit of the units handled for one session before other sessions are served.
 const UNITS_PER_ITERATION: usize = 64;
 
-/// How much of a session's input was taken.
+/// How much of a session's input was consumed.
 struct Consumed {
     bytes: usize,
-    /// There may be more to take now.
-    goes_on: bool,
+    /// More of the input may be consumed now.
+    has_more: bool,
 }
 
 impl Consumed {
     const NOTHING: Consumed = Consumed {
         bytes: 0,
-        goes_on: false,
+        has_more: false,
     };
 
-    /// So many bytes; the rest waits for more input, or for an answer.
-    fn until_more_comes(bytes: usize) -> Consumed {
+    /// Consumed `bytes`; the rest waits for more input, or for an answer.
+    fn awaiting_input(bytes: usize) -> Consumed {
         Consumed {
             bytes,
-            goes_on: false,
+            has_more: false,
         }
     }
 
-    /// So many bytes; the rest can be taken at once.
-    fn and_more(bytes: usize) -> Consumed {
+    /// Consumed `bytes`; the rest can be read at once.
+    fn with_more_to_read(bytes: usize) -> Consumed {
         Consumed {
             bytes,
-            goes_on: true,
+            has_more: true,
         }
     }
 }
 
 impl Sessions {
-    /// Takes the units that have come, as far as they can be taken now.
+    /// Handles the units in a session's input, as far as that is possible now.
     pub fn advance(&mut self, now: Micros, id: SessionId, users: &Users, servers: &mut Servers) {
         for _ in 0..UNITS_PER_ITERATION {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -69,7 +69,7 @@
             connection.link.input = input;
             connection.link.consume(used);
             self.held_bytes -= used;
-            taken(&mut connection.arrivals, used);
+            consume_arrivals(&mut connection.arrivals, used);
             if used > 0 {
                 connection.last_active = now;
             }
@@ -80,15 +80,15 @@
                 self.abandon(id);
                 return;
             }
-            if !consumed.goes_on {
+            if !consumed.has_more {
                 return;
             }
         }
-        // There may be more, after others have been served.
+        // There may be more; other sessions are served first.
         self.ready.push(id);
     }
 
-    /// Takes what can be taken of the input now.
+    /// Consumes as much of the input as is possible now.
     fn consume(
         &mut self,
         now: Micros,
@@ -102,27 +102,27 @@
         };
         match &mut connection.stage {
             Stage::LoggingIn(_) if input.is_empty() => Consumed::NOTHING,
-            Stage::LoggingIn(_) => self.log_in(now, id, input, users, servers),
-            Stage::Open(open_session) if open_session.skipping => {
+            Stage::LoggingIn(_) => self.advance_login(now, id, input, users, servers),
+            Stage::Open(open_session) if open_session.skipping_to_sync => {
                 match open_session.session.skip(input) {
                     Err(why) => {
                         why.write(connection.link.output(), true);
                         connection.closing = true;
                         Consumed::NOTHING
                     }
-                    Ok((used, over)) => {
-                        open_session.skipping = !over;
-                        if over {
+                    Ok((used, found_sync)) => {
+                        open_session.skipping_to_sync = !found_sync;
+                        if found_sync {
                             open_session.session.ready(connection.link.output());
                         }
                         Consumed {
                             bytes: used,
-                            goes_on: over,
+                            has_more: found_sync,
                         }
                     }
                 }
             }
-            // One unit after the other: each may hang on how the last one ended.
+            // Units are handled one at a time: each may depend on how the previous one ended.
             Stage::Open(open_session)
                 if open_session.running.is_some() && !open_session.session.is_in_unit() =>
             {
@@ -132,8 +132,8 @@
         }
     }
 
-    /// A step of the login; after the last one the session is open.
-    fn log_in(
+    /// Advances the login; the last step opens the session.
+    fn advance_login(
         &mut self,
         now: Micros,
         id: SessionId,
@@ -143,7 +143,7 @@
     ) -> Consumed {
         let (first, second) = (self.secret("nonce", id), self.secret("the rest of it", id));
         let nonce = format!("{first:016x}{second:016x}");
-        let hidden = self.chance_bytes();
+        let hidden = self.random_bytes();
         let Some(connection) = self.connections.get_mut(&id) else {
             return Consumed::NOTHING;
         };
@@ -158,62 +158,64 @@
                 connection.closing = true;
                 Consumed::NOTHING
             }
-            Ok((used, StartupStep::Incomplete)) => Consumed::until_more_comes(used),
+            Ok((used, StartupStep::Incomplete)) => Consumed::awaiting_input(used),
             Ok((used, StartupStep::Refused)) => {
                 connection.closing = true;
-                Consumed::until_more_comes(used)
+                Consumed::awaiting_input(used)
             }
             Ok((used, StartupStep::Cancel(key))) => {
                 connection.closing = true;
-                self.take_cancel_request(key);
-                Consumed::until_more_comes(used)
+                self.handle_cancel_request(key);
+                Consumed::awaiting_input(used)
             }
-            Ok((used, StartupStep::Accepted(welcome))) => {
-                let is_open = self.open(now, id, &welcome, users, servers);
+            Ok((used, StartupStep::Accepted(client))) => {
+                let is_open = self.open(now, id, &client, users, servers);
                 Consumed {
                     bytes: used,
-                    goes_on: is_open,
+                    has_more: is_open,
                 }
             }
         }
     }
 
-    /// A request to cancel what another session has out; one with a wrong key means nothing.
-    fn take_cancel_request(&mut self, key: CancelKey) {
+    /// Handles a request to cancel the unit of another session; a request with a wrong key is
+    /// ignored.
+    fn handle_cancel_request(&mut self, key: CancelKey) {
         let id = SessionId::from(key.process);
-        let meant = self.connections.get(&id);
-        if meant.is_some_and(|connection| connection.secret == key.secret) {
+        let target = self.connections.get(&id);
+        if target.is_some_and(|connection| connection.secret == key.secret) {
             self.events.push(Event::Cancel(id));
         }
     }
 
-    /// Opens the session of a client that has logged in. False if there are too many: then it has its answer.
+    /// Opens the session of a client that has logged in. Returns false if there are too many
+    /// accounts: the client has received an error.
     fn open(
         &mut self,
         now: Micros,
         id: SessionId,
-        welcome: &Client,
+        client: &Client,
         users: &Users,
         servers: &mut Servers,
     ) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
-        let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
+        let user = users.0.get(&client.user).map(|(user, _)| user.clone());
         let account = user
             .as_ref()
-            .and_then(|user| account(servers, user, welcome));
+            .and_then(|user| account(servers, user, client));
         let Some((user, account)) = user.zip(account) else {
             ClientError::TooManySessions.write(connection.link.output(), true);
             connection.closing = true;
             return false;
         };
-        let session = Session::new(welcome, &mut self.catalogue);
+        let session = Session::new(client, &mut self.catalogue);
         let key = CancelKey {
             process: id as u32,
             secret: connection.secret,
         };
-        greet(connection.link.output(), welcome, &servers.parameters, key);
+        write_welcome(connection.link.output(), client, &servers.parameters, key);
         connection.last_active = now;
         connection.stage = Stage::Open(Box::new(OpenSession {
             session,
@@ -221,14 +223,14 @@
             account,
             running: None,
             pin: None,
-            held_keys: Vec::new(),
-            touched: BTreeSet::new(),
-            skipping: false,
+            held_order_keys: Vec::new(),
+            touched_groups: BTreeSet::new(),
+            skipping_to_sync: false,
         }));
         true
     }
 
-    /// Reads a unit, or more of one that is out.
+    /// Reads a unit, or a further part of the one in flight.
     fn read_unit(&mut self, now: Micros, id: SessionId, input: &[u8]) -> Consumed {
         let Some(connection) = self.connections.get_mut(&id) else {
             return Consumed::NOTHING;
@@ -246,17 +248,18 @@
                 connection.closing = true;
                 Consumed::NOTHING
             }
-            Ok((used, SessionEvent::Incomplete)) => Consumed::until_more_comes(used),
+            Ok((used, SessionEvent::Incomplete)) => Consumed::awaiting_input(used),
             Ok((used, SessionEvent::Terminated)) => {
                 connection.closing = true;
-                Consumed::until_more_comes(used)
+                Consumed::awaiting_input(used)
             }
-            Ok((used, SessionEvent::Part(part))) => self.take_part(now, id, used, part),
+            Ok((used, SessionEvent::Part(part))) => self.handle_part(now, id, used, part),
         }
     }
 
-    /// Takes a unit, or more of the one that is out. What the session can answer by itself is answered.
-    fn take_part(
+    /// Handles a unit, or a further part of the one in flight. The session answers by itself where
+    /// it can.
+    fn handle_part(
         &mut self,
         now: Micros,
         id: SessionId,
@@ -269,7 +272,7 @@
         let Stage::Open(open_session) = &mut connection.stage else {
             return Consumed::NOTHING;
         };
-        let since = came(&connection.arrivals, used).unwrap_or(now);
+        let since = arrival_time(&connection.arrivals, used).unwrap_or(now);
         if let Some(running) = &mut open_session.running {
             running.parts.push(part.clone());
             running.commits |= part.commits;
@@ -277,7 +280,7 @@
                 ticket: running.ticket,
                 part,
             });
-            return Consumed::and_more(used);
+            return Consumed::with_more_to_read(used);
         }
         let output = connection.link.output();
         let transaction = open_session.session.transaction;
@@ -285,39 +288,39 @@
             .session
             .answers(&part, &mut self.catalogue, output);
         if is_answered {
-            return Consumed::and_more(used);
+            return Consumed::with_more_to_read(used);
         }
         if transaction == Transaction::Lost {
             ClientError::InFailedTransaction.write(output, false);
-            open_session.skipping = true;
-            return Consumed::and_more(used);
+            open_session.skipping_to_sync = true;
+            return Consumed::with_more_to_read(used);
         }
         self.events.push(Event::Unit {
             session: id,
             part,
             since,
         });
-        Consumed::until_more_comes(used)
+        Consumed::awaiting_input(used)
     }
 
-    fn chance_bytes(&self) -> [u8; 8] {
+    fn random_bytes(&self) -> [u8; 8] {
         use std::hash::BuildHasher;
-        self.chance.hash_one("nobody").to_be_bytes()
+        self.random_state.hash_one("nobody").to_be_bytes()
     }
 }
 
-/// The account at the engines of one that came in, unless there are too many.
-fn account(servers: &mut Servers, user: &User, welcome: &Client) -> Option<AccountId> {
+/// The account at the engines of a client that has logged in. `None` if there are too many.
+fn account(servers: &mut Servers, user: &User, client: &Client) -> Option<AccountId> {
     let who = engine::Account {
         user: user.engine_user.clone(),
-        database: welcome.database.clone(),
+        database: client.database.clone(),
         password: user.engine_password.clone(),
     };
     servers.account(who)
 }
 
-/// When the byte that ends so many bytes of the input came.
-fn came(arrivals: &VecDeque<Arrival>, used: usize) -> Option<Micros> {
+/// When the last of the first `used` bytes of the input was received.
+fn arrival_time(arrivals: &VecDeque<Arrival>, used: usize) -> Option<Micros> {
     let mut sum = 0;
     arrivals.iter().find_map(|arrival| {
         sum += arrival.bytes;
@@ -325,8 +328,8 @@
     })
 }
 
-/// So many bytes of the input were taken.
-fn taken(arrivals: &mut VecDeque<Arrival>, used: usize) {
+/// Removes the first `used` bytes of the input from the arrivals.
+fn consume_arrivals(arrivals: &mut VecDeque<Arrival>, used: usize) {
     let mut left = used;
     while let Some(arrival) = arrivals.front_mut() {
         let len = left.min(arrival.bytes);
@@ -339,10 +342,15 @@
     }
 }
 
-/// What a client hears when it has come in.
-fn greet(out: &mut Vec<u8>, welcome: &Client, parameters: &[(String, String)], key: CancelKey) {
+/// Writes the messages that a client receives after its login.
+fn write_welcome(
+    out: &mut Vec<u8>,
+    client: &Client,
+    parameters: &[(String, String)],
+    key: CancelKey,
+) {
     wire::write(out, b'R', |out| out.extend_from_slice(&0u32.to_be_bytes()));
-    let usual = [
+    let defaults = [
         ("server_version", "15.0"),
         ("server_encoding", "UTF8"),
         ("client_encoding", "UTF8"),
@@ -353,14 +361,15 @@
         ("standard_conforming_strings", "on"),
     ];
     let known = |name: &str| parameters.iter().any(|(n, _)| n == name);
-    let events = usual.iter().filter(|(name, _)| !known(name)).copied();
-    let events = events.chain(parameters.iter().map(|(n, v)| (n.as_str(), v.as_str())));
-    for (name, value) in events {
-        let own = welcome.parameters.get(&name.to_ascii_lowercase());
+    let parameter_values = defaults.iter().filter(|(name, _)| !known(name)).copied();
+    let parameter_values =
+        parameter_values.chain(parameters.iter().map(|(n, v)| (n.as_str(), v.as_str())));
+    for (name, value) in parameter_values {
+        let requested = client.parameters.get(&name.to_ascii_lowercase());
         let value = match name {
-            "session_authorization" => &welcome.user,
+            "session_authorization" => &client.user,
             "is_superuser" => "off",
-            _ => own.map_or(value, String::as_str),
+            _ => requested.map_or(value, String::as_str),
         };
         wire::write_parameter(out, name, value);
     }
