--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -22,8 +22,8 @@
 use crate::engine_starts::EngineStarts;
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketId, SocketKind};
-use crate::fleet::rules::Shared;
-use crate::fleet::{LoggedGuard, Peers};
+use crate::fleet::rules::SharedRules;
+use crate::fleet::{LoggedBarrier, Peers};
 use crate::link::Link;
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
@@ -58,9 +58,9 @@
     /// Messages to and from other fronts, if the operator's file enables gossip.
     peers: Option<Peers>,
     /// Regional access rules of customers, if the operator's file enables them.
-    rules: Option<Shared>,
+    rules: Option<SharedRules>,
     /// Executions that wait for their ledger entries, if the fronts keep a ledger.
-    guard: Option<LoggedGuard>,
+    guard: Option<LoggedBarrier>,
     /// Statements that are scattered over several sites, if the operator's file enables that.
     scatter: Option<ScatteredStatements>,
     /// The numbers of executions that can be sent to each engine, as last reported to the dispatcher.
@@ -89,7 +89,7 @@
         }
         let always = [
             self.dispatcher.next_tick(),
-            self.engines.due(),
+            self.engines.next_timeout(),
             self.coordinator.due(),
             self.listener.due(),
             self.shutdown.due(now),
@@ -98,7 +98,7 @@
         let optional = [
             self.gateway.as_ref().map(Gateway::due),
             self.peers.as_ref().map(|peers| peers.due(now)),
-            self.guard.as_ref().map(LoggedGuard::due),
+            self.guard.as_ref().map(LoggedBarrier::due),
             self.rules.as_ref().map(|rules| rules.borrow().due(now)),
             self.scatter.as_ref().map(|scatter| scatter.due(gossips)),
         ];
@@ -133,7 +133,7 @@
             SocketKind::Peers => self
                 .peers
                 .as_mut()
-                .is_some_and(|peers| peers.read(self.clock.now)),
+                .is_some_and(|peers| peers.receive_datagrams(self.clock.now)),
             SocketKind::SessionListener
             | SocketKind::Session
             | SocketKind::Server
@@ -175,7 +175,7 @@
         let sessions_left = self.connections_left();
         if let Some(gateway) = &mut self.gateway {
             gateway.accept(self.clock.now, sessions_left);
-            gateway.take(self.clock.now, admission, &mut self.dispatcher);
+            gateway.read_unfinished(self.clock.now, admission, &mut self.dispatcher);
             gateway.expire(self.clock.now, admission, &mut self.dispatcher);
         }
         let mut events = Vec::new();
@@ -185,7 +185,7 @@
             peers.tick(self.clock.now, &mut self.dispatcher);
         }
         self.tick_scatter();
-        self.engines.expire(self.clock.now);
+        self.engines.expire_timeouts(self.clock.now);
         self.coordinator.expire(self.clock.now);
     }
 
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -93,7 +93,7 @@
         // Executions that wait for a connection are withdrawn even if the settings do not allow cancelling.
         tickets
             .iter()
-            .for_each(|ticket| self.engines.abandon(*ticket));
+            .for_each(|ticket| self.engines.withdraw_queued(*ticket));
         let withdrawn = self.withdraw_all_held(&tickets);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         match self
@@ -104,7 +104,7 @@
             true => self
                 .rules
                 .iter()
-                .for_each(|rules| rules.borrow_mut().statement_over(ticket)),
+                .for_each(|rules| rules.borrow_mut().statement_ended(ticket)),
             false => self.dispatcher.client_left(now, ticket),
         }
         // The statement is ended before this report: otherwise its execution could be retried.
@@ -157,7 +157,7 @@
             return self.clients.reject(client, number);
         }
         let rules = self.rules.as_ref();
-        let allowed = rules.and_then(|rules| rules.borrow().allowed(&decision));
+        let allowed = rules.and_then(|rules| rules.borrow().allowed_locations(&decision));
         let request = CheckedRequest {
             client,
             number,
@@ -186,7 +186,7 @@
             return Some(AdmissionError::Rejected);
         }
         let scatter = self.scatter.as_ref();
-        if scatter.is_some_and(|scatter| scatter.passes_for_numbered(call)) {
+        if scatter.is_some_and(|scatter| scatter.has_reserved_prefix(call)) {
             return Some(AdmissionError::ReservedPrefix);
         }
         self.is_full().then_some(AdmissionError::Rejected)
@@ -222,7 +222,7 @@
         };
         let now = self.clock.now;
         let mut rules = rules.borrow_mut();
-        rules.judge(now, &call.customer, &call.workload, &call.statement)
+        rules.check_statement(now, &call.customer, &call.workload, &call.statement)
     }
 
     /// Whether no more statements can be admitted: too many are held, or they take too much memory.
@@ -272,7 +272,7 @@
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(&mut self.dispatcher, &decision, submitted.ok());
+                .record_admission(&mut self.dispatcher, &decision, submitted.ok());
         }
         match submitted {
             Ok(ticket) => self.clients.open_statement(client, number, ticket, call),
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -10,7 +10,7 @@
 use super::EventLoopState;
 use crate::engines;
 use crate::execution::ExecutionId;
-use crate::fleet::rules::{Ordered, Ruling, Shared};
+use crate::fleet::rules::{RuleDecision, SendCommand, SharedRules};
 use crate::fleet::Peers;
 use crate::postgres::admission_state::AdmissionState;
 use crate::postgres::gateway::Gateway;
@@ -22,23 +22,26 @@
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
-                engines::Event::Ended {
+                engines::Event::ExecutionEnded {
                     execution_id,
                     ending,
                     report,
                     result,
                 } => self.execution_ended(execution_id, ending, report, &result),
-                engines::Event::Noted { execution_id, note } => {
+                engines::Event::Progress {
+                    execution_id,
+                    progress,
+                } => {
                     let ExecutionId { ticket, number } = execution_id;
-                    self.dispatcher.note(ticket, number, note);
+                    self.dispatcher.note(ticket, number, progress);
                 }
-                engines::Event::Probed {
-                    place,
+                engines::Event::ProbeEnded {
+                    engine_index,
                     alive,
                     report,
                 } => {
                     self.dispatcher
-                        .probe_ended(self.clock.now, place, alive, report);
+                        .probe_ended(self.clock.now, engine_index, alive, report);
                 }
             }
         }
@@ -74,11 +77,11 @@
     /// The current state that the admission of sessions' units depends on.
     pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
-        let full =
+        let at_capacity =
             held > self.max_bytes || self.dispatcher.statements_held() >= self.max_statements;
         AdmissionState {
-            waited: self.clock.unread_time(),
-            full,
+            unread_time: self.clock.unread_time(),
+            at_capacity,
         }
     }
 
@@ -86,14 +89,14 @@
     pub(super) fn is_session_statement(&self, ticket: Ticket) -> bool {
         self.gateway
             .as_ref()
-            .is_some_and(|gateway| gateway.owns(ticket))
+            .is_some_and(|gateway| gateway.owns_statement(ticket))
     }
 
     /// Whether an execution belongs to a PostgreSQL session.
     pub(super) fn is_session_execution(&self, execution_id: ExecutionId) -> bool {
         self.gateway
             .as_ref()
-            .is_some_and(|gateway| gateway.has(execution_id))
+            .is_some_and(|gateway| gateway.has_execution(execution_id))
     }
 
     /// Applies the decisions of the access rules: releases executions that they held, or ends statements.
@@ -105,24 +108,24 @@
         self.dispatcher
             .watched_ends()
             .iter()
-            .for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
+            .for_each(|ticket| rules.borrow_mut().statement_ended(*ticket));
         let rulings = rules
             .borrow_mut()
             .tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
-                Ruling::Send(ordered) => self.await_ledger_entries(ordered),
-                Ruling::Deny(ticket) => {
+                RuleDecision::Send(ordered) => self.await_ledger_entries(ordered),
+                RuleDecision::Deny(ticket) => {
                     let refusal = Refusal::Rejected { retry_after: None };
                     self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.dispatcher.reject(now, ticket);
                 }
-                Ruling::Abort(ticket) => {
+                RuleDecision::Abort(ticket) => {
                     let refusal = Refusal::Aborted;
                     self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
-                Ruling::Reject { ticket, may_retry } => {
+                RuleDecision::Reject { ticket, may_retry } => {
                     let retry_after = self.dispatcher.reject(now, ticket);
                     let retry_after = retry_after.filter(|_| may_retry);
                     let refusal = Refusal::Rejected { retry_after };
@@ -153,8 +156,8 @@
                     ..
                 }) => {
                     self.dispatcher.execution_sent(now, ticket, execution);
-                    self.await_load_marker(Ordered {
-                        judged: self.statement_for_rules(ticket),
+                    self.await_load_marker(SendCommand {
+                        checked_ticket: self.statement_for_rules(ticket),
                         ticket,
                         execution,
                         place,
@@ -205,7 +208,7 @@
 
     /// Holds an execution that the rules have passed until its ledger entries are replicated; passes it on if it needs
     /// none.
-    fn await_ledger_entries(&mut self, ordered: Ordered) {
+    fn await_ledger_entries(&mut self, ordered: SendCommand) {
         let (now, guard) = (self.clock.now, self.guard.as_mut());
         if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, &ordered)) {
             self.await_load_marker(ordered);
@@ -213,7 +216,7 @@
     }
 
     /// Holds an execution whose ledger entries are replicated until its load is marked; sends it if it needs no marker.
-    fn await_load_marker(&mut self, ordered: Ordered) {
+    fn await_load_marker(&mut self, ordered: SendCommand) {
         let now = self.clock.now;
         let load = self.load(ordered.ticket);
         let loads = self
@@ -233,25 +236,29 @@
     fn load(&mut self, ticket: Ticket) -> Option<Load> {
         self.scatter.as_ref()?.loads.as_ref()?;
         if self.is_session_statement(ticket) {
-            return self.gateway.as_mut()?.load(ticket);
+            return self.gateway.as_mut()?.unit_load(ticket);
         }
         self.call(ticket).map(Load::Call)
     }
 
     /// Whether the access rules still allow an execution. To be called immediately before it is sent: nothing may happen
     /// in between.
-    pub(super) fn recheck_access_rules(&mut self, ordered: Ordered) -> bool {
+    pub(super) fn recheck_access_rules(&mut self, ordered: SendCommand) -> bool {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        let allows = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
+        let allows = |rules: &SharedRules| {
+            rules
+                .borrow_mut()
+                .check_before_send(now, dispatcher, ordered)
+        };
         self.rules.as_ref().is_none_or(allows)
     }
 
     /// Sends an execution to its engine, if the access rules still allow it.
-    fn send(&mut self, ordered: Ordered) {
+    fn send(&mut self, ordered: SendCommand) {
         if !self.recheck_access_rules(ordered) {
             return;
         }
-        let Ordered {
+        let SendCommand {
             ticket,
             execution,
             place,
@@ -289,7 +296,7 @@
             // The session is notified of the reason, although nothing was sent.
             self.gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.stop(now, execution_id, ending));
+                .for_each(|gateway| gateway.cancel_execution(now, execution_id, ending));
             self.dispatcher.execution_ended(
                 now,
                 execution_id.ticket,
@@ -300,7 +307,7 @@
         } else if self.is_session_execution(execution_id) {
             self.gateway
                 .iter_mut()
-                .for_each(|gateway| gateway.stop(now, execution_id, ending));
+                .for_each(|gateway| gateway.cancel_execution(now, execution_id, ending));
         } else {
             self.engines.cancel(now, execution_id, ending);
         }
@@ -328,7 +335,7 @@
     pub(super) fn statement_for_rules(&self, ticket: Ticket) -> Ticket {
         self.scatter
             .as_ref()
-            .and_then(|scatter| scatter.whole_of(ticket))
+            .and_then(|scatter| scatter.parent_of(ticket))
             .unwrap_or(ticket)
     }
 
@@ -336,7 +343,7 @@
         let part = || {
             self.scatter
                 .as_ref()
-                .and_then(|scatter| scatter.call(ticket))
+                .and_then(|scatter| scatter.call_of_part(ticket))
         };
         self.clients.call(ticket).or_else(part)
     }
@@ -350,8 +357,8 @@
                 execution,
                 engine: place,
                 terms,
-            } => self.send_when_allowed(Ordered {
-                judged: self.statement_for_rules(ticket),
+            } => self.send_when_allowed(SendCommand {
+                checked_ticket: self.statement_for_rules(ticket),
                 ticket,
                 execution,
                 place,
@@ -393,9 +400,10 @@
     }
 
     /// Sends an execution once the rules, its ledger entries and its load marker allow it.
-    fn send_when_allowed(&mut self, ordered: Ordered) {
+    fn send_when_allowed(&mut self, ordered: SendCommand) {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        let passes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
+        let passes =
+            |rules: &SharedRules| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
         if self.rules.as_ref().is_none_or(passes) {
             self.await_ledger_entries(ordered);
         }
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -40,9 +40,9 @@
         };
         let places = self.dispatcher.update_engines(scope, &listings);
         if list.is_full {
-            self.engines.retire_others(&places);
+            self.engines.retire_unlisted(&places);
             if let Some(gateway) = &mut self.gateway {
-                gateway.servers().retire_others(&places);
+                gateway.servers().retire_unlisted(&places);
             }
         }
         for ((engine, place), start) in list.engines.iter().zip(places).zip(starts) {
@@ -68,20 +68,26 @@
             started_ms: engine.started_ms,
             available,
         };
-        if let Some(gateway) = self.gateway.as_mut().filter(|_| protocols.postgres()) {
+        if let Some(gateway) = self
+            .gateway
+            .as_mut()
+            .filter(|_| protocols.speaks_postgres())
+        {
             match &address {
                 Ok(address) => {
                     let address = protocols.postgres_address(*address);
-                    gateway.servers().list(place, listed_engine(address));
+                    gateway
+                        .servers()
+                        .update_engine(place, listed_engine(address));
                 }
                 Err(_) => gateway.servers().retire(place),
             }
         }
-        if !protocols.lines() {
+        if !protocols.speaks_lines() {
             return;
         }
         match address {
-            Ok(address) => self.engines.list(place, listed_engine(address)),
+            Ok(address) => self.engines.update_engine(place, listed_engine(address)),
             Err(_) if !available => self.engines.retire(place),
             Err(error) => log::error!(
                 "engine {}: address '{}': {error}; its line-protocol connections are left unchanged",
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -199,13 +199,15 @@
             let Some(rules) = front.rules.clone() else {
                 return Some(());
             };
-            let decision =
-                rules
-                    .borrow_mut()
-                    .judge(front.clock.now, "acme", "lookup", SELECT.as_bytes());
+            let decision = rules.borrow_mut().check_statement(
+                front.clock.now,
+                "acme",
+                "lookup",
+                SELECT.as_bytes(),
+            );
             rules
                 .borrow_mut()
-                .statement_picked(&mut front.dispatcher, &decision, None);
+                .record_admission(&mut front.dispatcher, &decision, None);
             matches!(
                 decision,
                 Decision::Decided {
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -1,5 +1,6 @@
-//! The gateway for PostgreSQL sessions: it hands their units to the dispatcher, carries out its orders over
-//! connections to engines, and hands the answers back. Switched on by the operator's file; off, it is not there.
+//! The gateway for PostgreSQL sessions. It submits their units to the dispatcher, carries out the
+//! dispatcher's commands over connections to engines, and forwards the answers. It exists only if
+//! the operator's file switches it on.
 
 mod accept;
 mod admission;
@@ -21,38 +22,40 @@
 use crate::engine_protocols::EngineProtocols;
 use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
-use crate::fleet::rules::Shared;
+use crate::fleet::rules::SharedRules;
 use crate::listener::Listener;
 use crate::transient;
 use crate::unsent_answers::UnsentAnswers;
 
-/// Sessions of PostgreSQL clients, and the connections to engines that they are served over.
+/// The sessions of PostgreSQL clients, and the connections to engines that serve them.
 pub struct Gateway {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     sessions: Sessions,
     servers: Servers,
     users: Users,
-    allowed: Postgres,
+    config: Postgres,
     answer_slack: Micros,
     timeouts: Vec<(String, Micros)>,
     retry_after_ms: Option<i64>,
-    /// Regional access rules, where they are switched on.
-    rules: Option<Shared>,
-    /// Workloads whose units may write, where loads are marked.
-    pub writes: Vec<String>,
-    shut: Option<Micros>,
-    /// Connections with more to read than one iteration takes, that the event loop does not report again.
-    unfinished: Vec<SocketId>,
+    /// The regional access rules, if they are switched on.
+    rules: Option<SharedRules>,
+    /// Workloads whose units may write; empty unless loads are marked.
+    pub writing_workloads: Vec<String>,
+    shutdown_since: Option<Micros>,
+    /// Connections that hold more input than one iteration reads, and that the event loop does not
+    /// report again.
+    unfinished_reads: Vec<SocketId>,
 }
 
 impl Gateway {
-    /// Opens the listener that the operator's file names.
+    /// Opens the listener at the address in the operator's file. Fails if the address can't be
+    /// bound.
     pub fn new(
         postgres: &Postgres,
         settings: &Settings,
         handle: LoopHandle<'static, LoopEvents>,
-        rules: Option<Shared>,
+        rules: Option<SharedRules>,
     ) -> std::io::Result<Gateway> {
         let listener = transient::retry(|| TcpListener::bind(postgres.listen)).map_err(|why| {
             ListenError::Listen {
@@ -75,63 +78,65 @@
                 postgres.limits.clone(),
             ),
             users: Users::new(&postgres.users),
-            allowed: postgres.clone(),
+            config: postgres.clone(),
             answer_slack: settings.network.answer_slack,
             timeouts: workloads
                 .map(|(name, w)| (name.clone(), w.statement_timeout))
                 .collect(),
             retry_after_ms: settings.agreement.max_retry_after.map(|time| time / 1000),
-            shut: None,
+            shutdown_since: None,
             rules,
-            writes: Vec::new(),
-            unfinished: Vec::new(),
+            writing_workloads: Vec::new(),
+            unfinished_reads: Vec::new(),
             handle,
         };
         log::info!("takes PostgreSQL sessions at {address}");
         Ok(gateway)
     }
 
-    /// Descriptors that its engine connections may use, and those that sessions which are being closed have
-    /// beside those of clients.
-    pub fn limit(&mut self, descriptors: usize, lingering: usize) {
-        self.servers.limit(descriptors);
-        self.sessions.limit(lingering);
+    /// Sets how many descriptors the engine connections may use, and how many lingering sessions
+    /// have a descriptor beside those of clients.
+    pub fn set_descriptor_limits(&mut self, descriptors: usize, lingering: usize) {
+        self.servers.set_connection_limit(descriptors);
+        self.sessions.set_lingering_descriptors(lingering);
     }
 
-    /// Sessions that are connected, or take a descriptor until they are closed.
+    /// The number of sessions that use a descriptor of clients: connected ones, and lingering ones
+    /// beyond the descriptors of their own.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether all sessions are closed.
+    /// Whether all sessions are closed, lingering ones included.
     pub fn is_done(&self) -> bool {
         self.sessions.is_done()
     }
 
-    /// Bytes held of what clients have sent.
+    /// Bytes held of the input of clients.
     pub fn held_bytes(&self) -> usize {
         self.sessions.held_bytes()
     }
 
-    /// The answers that clients have not taken yet.
+    /// The answers that clients have not read yet.
     pub fn unsent(&self) -> UnsentAnswers {
         self.sessions.unsent()
     }
 
-    /// Whether a statement is a session's.
-    pub fn owns(&self, ticket: Ticket) -> bool {
+    /// Whether a statement belongs to a session.
+    pub fn owns_statement(&self, ticket: Ticket) -> bool {
         self.sessions.owns(ticket)
     }
 
-    /// Whether an execution is out for a session, or was when it left.
-    pub fn has(&self, execution_id: ExecutionId) -> bool {
-        self.servers.has(execution_id)
+    /// Whether an execution of a session is in flight, or waits for the end of its cancel request.
+    pub fn has_execution(&self, execution_id: ExecutionId) -> bool {
+        self.servers.has_execution(execution_id)
     }
 
-    /// What engines of a kind speak: sessions at a port of their own beside lines, or in their place.
+    /// The protocols of engines of a kind: PostgreSQL at a port of its own beside the native
+    /// protocol, PostgreSQL in its place, or the native protocol only.
     pub fn protocols(&self, kind: &str) -> EngineProtocols {
         let speaks = |e: &&hallmux_config::PostgresEngines| e.kinds.iter().any(|k| k == kind);
-        let engines = self.allowed.engines.iter().find(speaks);
+        let engines = self.config.engines.iter().find(speaks);
         match engines.map(|engines| engines.port) {
             None => EngineProtocols::Lines,
             Some(None) => EngineProtocols::Postgres,
@@ -144,10 +149,11 @@
         &mut self.servers
     }
 
-    /// When something is due though no socket changes, in Unix microseconds.
+    /// The next time, in Unix microseconds, at which there is work though no socket changes. 0 if
+    /// there is work already; the maximum if there is none.
     pub fn due(&self) -> Micros {
         let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
-        let more = more || !self.unfinished.is_empty();
+        let more = more || !self.unfinished_reads.is_empty();
         let ready = if more { 0 } else { Micros::MAX };
         self.listener
             .due()
@@ -156,7 +162,8 @@
             .min(ready)
     }
 
-    /// A connection has changed: takes what is there. True if there is more for another iteration.
+    /// Reads a connection that is ready, and admits the units received. Returns true if there is
+    /// more to read in another iteration.
     pub fn socket_ready(
         &mut self,
         now: Micros,
@@ -164,14 +171,14 @@
         admission: AdmissionState,
         dispatcher: &mut Dispatcher,
     ) -> bool {
-        let more = self.ready(now, socket);
+        let more = self.read_socket(now, socket);
         if socket.kind == SocketKind::Session {
-            self.take_units(now, admission, dispatcher);
+            self.advance_sessions(now, admission, dispatcher);
         }
         more
     }
 
-    fn ready(&mut self, now: Micros, socket: SocketId) -> bool {
+    fn read_socket(&mut self, now: Micros, socket: SocketId) -> bool {
         match socket.kind {
             SocketKind::SessionListener => self.listener.mark_readable(),
             SocketKind::Session => return self.sessions.read(now, socket.number),
@@ -186,22 +193,34 @@
         false
     }
 
-    /// Reads a connection that the event loop has not reported; what one iteration leaves is read in the next.
-    fn read_on(&mut self, now: Micros, socket: SocketId) {
-        if self.ready(now, socket) {
-            self.unfinished.push(socket);
+    /// Reads a connection that the event loop has not reported, and defers what one iteration does
+    /// not read to the next.
+    fn read_deferring_rest(&mut self, now: Micros, socket: SocketId) {
+        if self.read_socket(now, socket) {
+            self.unfinished_reads.push(socket);
         }
     }
 
-    /// Reads on where an iteration has left more, and takes the units that have come.
-    pub fn take(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
-        for socket in std::mem::take(&mut self.unfinished) {
-            self.read_on(now, socket);
+    /// Reads the connections that an iteration has not read to the end, and admits the units
+    /// received.
+    pub fn read_unfinished(
+        &mut self,
+        now: Micros,
+        admission: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) {
+        for socket in std::mem::take(&mut self.unfinished_reads) {
+            self.read_deferring_rest(now, socket);
         }
-        self.take_units(now, admission, dispatcher);
+        self.advance_sessions(now, admission, dispatcher);
     }
 
-    fn take_units(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
+    fn advance_sessions(
+        &mut self,
+        now: Micros,
+        admission: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) {
         for id in std::mem::take(&mut self.sessions.ready) {
             self.sessions
                 .advance(now, id, &self.users, &mut self.servers);
@@ -209,7 +228,7 @@
         }
     }
 
-    /// Carries out what sessions have come to.
+    /// Handles the events of sessions until there are none left.
     fn handle_session_events(
         &mut self,
         now: Micros,
@@ -231,26 +250,28 @@
                     {
                         self.sessions
                             .fail(now, ticket, &loads::UNMARKED_GROUPS, None);
-                        self.left(now, dispatcher, ticket);
+                        self.abandon_statement(now, dispatcher, ticket);
                     }
                     sessions::Event::UnitPart { ticket, part } => {
                         let execution_id = self.sessions.by_ticket(ticket);
                         let execution_id =
                             execution_id.and_then(|(_, i)| i.running.as_ref()?.execution_id);
-                        execution_id
-                            .into_iter()
-                            .for_each(|execution_id| self.servers.more(execution_id, part.clone()));
+                        execution_id.into_iter().for_each(|execution_id| {
+                            self.servers.append_part(execution_id, part.clone())
+                        });
+                    }
+                    sessions::Event::Abandoned(ticket) => {
+                        self.abandon_statement(now, dispatcher, ticket)
                     }
-                    sessions::Event::Abandoned(ticket) => self.left(now, dispatcher, ticket),
-                    sessions::Event::TransactionOver {
+                    sessions::Event::TransactionEnded {
                         pin,
                         keys,
-                        may_go_on,
+                        may_still_run,
                     } => {
                         pin.into_iter()
                             .for_each(|pin| self.servers.release(now, pin));
                         keys.iter()
-                            .for_each(|key| dispatcher.release_order_key(now, key, may_go_on));
+                            .for_each(|key| dispatcher.release_order_key(now, key, may_still_run));
                     }
                     sessions::Event::Cancel(session) => self.cancel(now, dispatcher, session),
                 }
@@ -258,12 +279,13 @@
         }
     }
 
-    /// An execution leaves; with other text where it is a simple query that is to have it.
+    /// Sends an execution to an engine. `text` replaces the text of a unit that is one simple
+    /// query.
     pub fn send(
         &mut self,
         now: Micros,
         execution_id: ExecutionId,
-        place: EngineIndex,
+        engine_index: EngineIndex,
         text: Option<Vec<u8>>,
     ) {
         let Some((session, open_session)) = self.sessions.by_ticket(execution_id.ticket) else {
@@ -284,7 +306,7 @@
             *part = part.with_text(&text).map_or_else(|| part.clone(), Rc::new);
         }
         if lost {
-            // Its transaction went while it waited.
+            // The session's transaction was lost while the execution waited.
             return self.servers.events.push(servers::Event::Ended {
                 execution_id,
                 ending: Ending::Withdrawn,
@@ -293,20 +315,20 @@
         self.servers.send(
             now,
             execution_id,
-            place,
+            engine_index,
             Unit {
                 session,
                 parts,
                 settings,
                 account,
                 pin,
-                once,
+                no_retry: once,
             },
         );
     }
 
-    /// Ends an execution, wherever it is.
-    pub fn stop(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
+    /// Cancels an execution, whether it waits here or is at an engine.
+    pub fn cancel_execution(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let running = self
             .sessions
             .by_ticket(execution_id.ticket)
@@ -317,48 +339,50 @@
         self.servers.cancel_execution(now, execution_id, ending);
     }
 
-    /// Sends what is to leave to engines.
+    /// Flushes the output to engines.
     pub fn flush_servers(&mut self, now: Micros) {
         self.servers.flush(now);
     }
 
-    /// Sends what is to leave to clients; ends the one that takes least where all leave too much.
+    /// Flushes the output to clients. If all answers together leave more than `max_unsent_bytes`
+    /// unsent, closes the session with the most unsent bytes.
     pub fn flush(
         &mut self,
         now: Micros,
         admission: AdmissionState,
-        most: usize,
+        max_unsent_bytes: usize,
         dispatcher: &mut Dispatcher,
     ) {
         for execution_id in self.sessions.flush(now) {
             if let Some(server) = self.servers.resume(execution_id) {
-                self.read_on(now, SocketKind::Server.id(server));
+                self.read_deferring_rest(now, SocketKind::Server.id(server));
             }
         }
         let unsent = self.unsent();
-        if let Some(id) = unsent.slowest.filter(|_| unsent.bytes > most) {
+        if let Some(id) = unsent.slowest.filter(|_| unsent.bytes > max_unsent_bytes) {
             let bytes = unsent.bytes;
             log::warn!(
-                "session {id}: takes no answers, {bytes} bytes wait; its connection is closed"
+                "session {id}: does not read its answers, {bytes} bytes are unsent in total; its connection is closed"
             );
             self.sessions.disconnect(id);
         }
-        for id in self.sessions.unstalled() {
-            self.read_on(now, SocketKind::Session.id(id));
+        for id in self.sessions.take_readable() {
+            self.read_deferring_rest(now, SocketKind::Session.id(id));
         }
         self.handle_session_events(now, admission, dispatcher);
     }
 
+    /// Ends the sessions and engine connections whose time limits have passed.
     pub fn expire(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
-        self.sessions.expire(now, self.shut);
+        self.sessions.expire(now, self.shutdown_since);
         let unfinished = self.servers.expire(now);
-        self.unfinished
+        self.unfinished_reads
             .extend(unfinished.into_iter().map(|id| SocketKind::Server.id(id)));
         self.handle_session_events(now, admission, dispatcher);
     }
 
-    /// The front ends: no more sessions are taken, and those that rest are closed. `sessions_left` is how many more may
-    /// be connected.
+    /// Shuts the gateway down: accepts the connections that wait, closes the listener and closes
+    /// idle sessions. `sessions_left` is how many more sessions may be connected.
     pub fn close(
         &mut self,
         now: Micros,
@@ -366,8 +390,9 @@
         sessions_left: usize,
         dispatcher: &mut Dispatcher,
     ) {
-        self.shut.get_or_insert(now);
-        // Whoever has connected by now is told of the end: closing the listener resets what waits there.
+        self.shutdown_since.get_or_insert(now);
+        // Clients that are connected by now receive the shutdown error: closing the listener resets
+        // connections that wait in its queue.
         self.listener.mark_readable();
         self.accept(now, sessions_left);
         self.listener.close();
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -1,4 +1,5 @@
-//! What a unit asks of the dispatcher, and the answer to one that it gives up.
+//! The request that a unit makes to the dispatcher, and the answers to units that are rejected,
+//! cancelled or aborted.
 
 use std::rc::Rc;
 
@@ -11,36 +12,36 @@
 use hallmux_postgres::sql::Label;
 
 use super::{loads, Gateway};
-use crate::fleet::rules::Shared;
+use crate::fleet::rules::SharedRules;
 use crate::postgres::admission_state::AdmissionState;
 use crate::postgres::ids::SessionId;
 use crate::postgres::sessions::OpenSession;
 use crate::refusal::Refusal;
 
-/// Of an estimate, in any unit; beyond all that engines could do.
-const MOST_FIGURE: f64 = 1e12;
+/// Upper limit of an estimate of a unit, in any unit of measure; no engine can do more.
+const MAX_ESTIMATE: f64 = 1e12;
 
-/// What the admission of units goes by, whatever their session.
+/// The parts of admission that are the same for all sessions.
 struct AdmissionPolicy<'a> {
-    rules: Option<&'a Shared>,
-    /// Workloads, and how long their clients wait, in microseconds.
+    rules: Option<&'a SharedRules>,
+    /// The workloads, and how long their clients wait, in microseconds.
     timeouts: &'a [(String, Micros)],
-    /// Workloads whose units may write, where loads are marked.
-    writes: &'a [String],
+    /// Workloads whose units may write; empty unless loads are marked.
+    writing_workloads: &'a [String],
     /// Microseconds that an answer may take on its way to a client.
     answer_slack: Micros,
     retry_after_ms: Option<i64>,
 }
 
-/// A unit that the dispatcher has taken.
+/// A unit that the dispatcher has accepted.
 struct AdmittedUnit {
     ticket: Ticket,
-    /// The order key whose turn it waits for.
+    /// The order key whose queue the unit waits in.
     key: Option<String>,
 }
 
 impl AdmissionPolicy<'_> {
-    /// Hands a unit to the dispatcher; the error is its answer where it is not taken.
+    /// Submits a unit to the dispatcher. The error is the answer to a unit that is not accepted.
     fn submit(
         &self,
         now: Micros,
@@ -51,26 +52,29 @@
         since: Micros,
     ) -> Result<AdmittedUnit, ClientError> {
         let label = open_session.session.label(part);
-        let terms = terms(&label, &open_session.user, self.timeouts)?;
-        if loads::passes_for_numbered(self.writes, part) {
-            return Err(loads::NUMBERED);
+        let terms = unit_terms(&label, &open_session.user, self.timeouts)?;
+        if loads::has_reserved_prefix(self.writing_workloads, part) {
+            return Err(loads::RESERVED_PREFIX);
         }
-        if admission.full {
+        if admission.at_capacity {
             return Err(self.rejected());
         }
-        let own_timeout = open_session.session.statement_timeout(&label);
-        let timeout = terms.timeout.min(own_timeout.unwrap_or(Micros::MAX));
-        let waited = (now - since).max(admission.waited);
-        let judged = self.judge(now, &terms, part);
-        if judged == Decision::RulesUnknown {
+        let session_timeout = open_session.session.statement_timeout(&label);
+        let timeout = terms.timeout.min(session_timeout.unwrap_or(Micros::MAX));
+        let waited = (now - since).max(admission.unread_time);
+        let decision = self.check_access_rules(now, &terms, part);
+        if decision == Decision::RulesUnknown {
             return Err(self.rejected());
         }
-        let allowed = self.rules.and_then(|rules| rules.borrow().allowed(&judged));
+        let allowed = self
+            .rules
+            .and_then(|rules| rules.borrow().allowed_locations(&decision));
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
-        // The session's transaction keeps the turns of its keys.
-        let is_held = |key: &&str| open_session.held_keys.iter().any(|held| held == key);
+        // The session's transaction already holds its order keys, so the unit does not wait for
+        // them.
+        let is_held = |key: &&str| open_session.held_order_keys.iter().any(|held| held == key);
         let request = StatementRequest {
             workload: terms.workload,
             customer: terms.member,
@@ -81,27 +85,27 @@
             memory_mb: terms.memory_mb,
             data_set: tables::group(part.text()),
             protocol: Protocol::Postgres,
-            sticky_engine: open_session.pin.map(|pin| pin.place),
+            sticky_engine: open_session.pin.map(|pin| pin.engine_index),
             allowed_locations: allowed.as_deref(),
         };
-        let picked = dispatcher.submit(now, &request);
+        let submitted = dispatcher.submit(now, &request);
         if let Some(rules) = self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(dispatcher, &judged, picked.ok());
+                .record_admission(dispatcher, &decision, submitted.ok());
         }
-        let ticket = picked.map_err(invalid_request)?;
+        let ticket = submitted.map_err(invalid_request)?;
         let key = request.order_key.map(str::to_string);
         Ok(AdmittedUnit { ticket, key })
     }
 
-    /// What the access rules say of a unit, where they are on.
-    fn judge(&self, now: Micros, terms: &UnitTerms, part: &UnitPart) -> Decision {
+    /// The decision of the access rules on a unit; unrestricted if they are switched off.
+    fn check_access_rules(&self, now: Micros, terms: &UnitTerms, part: &UnitPart) -> Decision {
         let Some(rules) = self.rules else {
             return Decision::Unrestricted;
         };
         let mut rules = rules.borrow_mut();
-        rules.judge(now, terms.member, terms.workload, part.text())
+        rules.check_statement(now, terms.member, terms.workload, part.text())
     }
 
     fn rejected(&self) -> ClientError {
@@ -111,20 +115,27 @@
     }
 }
 
-/// The answer to a unit that the dispatcher can't take.
+/// The answer to a unit that the dispatcher does not accept.
 fn invalid_request(invalid: InvalidRequest) -> ClientError {
     match invalid {
         InvalidRequest::NoAllowedLocation => ClientError::Rejected {
             retry_after_ms: None,
         },
-        InvalidRequest::UnknownWorkload => unfit("hallmux.workload", "no such workload was agreed"),
-        InvalidRequest::UnknownCustomer => unfit("hallmux.member", "no such member is known"),
-        InvalidRequest::MissingDedupKey => unfit("hallmux.dedup_key", "this workload needs one"),
+        InvalidRequest::UnknownWorkload => {
+            invalid_setting("hallmux.workload", "no such workload was agreed")
+        }
+        InvalidRequest::UnknownCustomer => {
+            invalid_setting("hallmux.member", "no such member is known")
+        }
+        InvalidRequest::MissingDedupKey => {
+            invalid_setting("hallmux.dedup_key", "this workload needs one")
+        }
     }
 }
 
 impl Gateway {
-    /// Asks for an engine for a unit, or answers why it is not taken. `since`: when its last byte came.
+    /// Submits a unit to the dispatcher, or answers why it is not accepted. `since` is when the
+    /// last byte of the unit was received.
     pub(super) fn admit(
         &mut self,
         now: Micros,
@@ -140,18 +151,18 @@
         let policy = AdmissionPolicy {
             rules: self.rules.as_ref(),
             timeouts: &self.timeouts,
-            writes: &self.writes,
+            writing_workloads: &self.writing_workloads,
             answer_slack: self.answer_slack,
             retry_after_ms: self.retry_after_ms,
         };
         let admitted = policy.submit(now, admission, dispatcher, open_session, &part, since);
         match admitted {
             Ok(AdmittedUnit { ticket, key }) => self.sessions.open_unit(id, ticket, part, key),
-            Err(why) => self.sessions.answer_unusable(id, part, &why),
+            Err(why) => self.sessions.reject_unit(id, part, &why),
         }
     }
 
-    /// Gives a statement its final answer without a result.
+    /// Sends the final answer of a statement that ends without a result.
     pub fn refuse(&mut self, now: Micros, ticket: Ticket, refusal: Refusal) {
         let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
             return;
@@ -160,14 +171,20 @@
         self.sessions.fail(now, ticket, &why, None);
     }
 
-    /// Nobody waits for a statement any more.
-    pub(super) fn left(&mut self, now: Micros, dispatcher: &mut Dispatcher, ticket: Ticket) {
-        // What waits for a connection is not sent any more, also where engines can't be told to give it up.
+    /// Drops a statement whose client no longer waits for it.
+    pub(super) fn abandon_statement(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        ticket: Ticket,
+    ) {
+        // A unit that waits for a connection is not sent any more, even if engines may not be sent
+        // cancel requests.
         self.servers.abandon(now, ticket);
         dispatcher.client_left(now, ticket);
     }
 
-    /// A client asks for the end of what its session has out.
+    /// Cancels the unit that a session has in flight, at a client's request.
     pub(super) fn cancel(&mut self, now: Micros, dispatcher: &mut Dispatcher, id: SessionId) {
         let Some(running) = self
             .sessions
@@ -180,20 +197,21 @@
             return;
         }
         let (ticket, execution_id) = (running.ticket, running.execution_id);
-        // What is out is the engine's to end; what is held here, or can't be ended there, ends here.
+        // A unit that is in flight is cancelled by its engine. One that is held here, or that the
+        // engine can't be asked to cancel, ends here.
         if !execution_id.is_some_and(|execution_id| self.servers.cancel(now, execution_id)) {
             self.sessions
                 .fail(now, ticket, &ClientError::Cancelled, None);
-            self.left(now, dispatcher, ticket);
+            self.abandon_statement(now, dispatcher, ticket);
         }
     }
 }
 
-fn unfit(field: &'static str, why: &'static str) -> ClientError {
+fn invalid_setting(field: &'static str, why: &'static str) -> ClientError {
     ClientError::InvalidSetting { field, why }
 }
 
-/// What a unit is to the dispatcher.
+/// The properties of a unit that the dispatcher schedules it by.
 struct UnitTerms<'a> {
     workload: &'a str,
     member: &'a str,
@@ -202,20 +220,22 @@
     memory_mb: f64,
 }
 
-/// Reads what a unit's labels and its user say; the first field that can't be used otherwise.
-fn terms<'a>(
+/// Reads the labels of a unit and the defaults of its user. The error names the first field that
+/// can't be used.
+fn unit_terms<'a>(
     label: &'a Label,
     user: &'a User,
     timeouts: &[(String, Micros)],
 ) -> Result<UnitTerms<'a>, ClientError> {
     let workload = label.workload.as_deref().or(user.workload.as_deref());
-    let workload =
-        workload.ok_or_else(|| unfit("hallmux.workload", "is not set, and there is no default"))?;
+    let workload = workload.ok_or_else(|| {
+        invalid_setting("hallmux.workload", "is not set, and there is no default")
+    })?;
     let timeout = timeouts.iter().find(|(name, _)| name == workload);
     let timeout = timeout
-        .ok_or_else(|| unfit("hallmux.workload", "no such workload was agreed"))?
+        .ok_or_else(|| invalid_setting("hallmux.workload", "no such workload was agreed"))?
         .1;
-    // Whom a user belongs to is the operator's word where it is given.
+    // The operator's assignment of a user to a customer takes precedence over the label.
     let member = user
         .customer
         .as_deref()
@@ -224,11 +244,11 @@
     let number =
         |field: &'static str, text: &Option<String>| match text.as_deref().map(str::parse::<f64>) {
             None => Ok(0.0),
-            Some(Ok(value)) if (0.0..=MOST_FIGURE).contains(&value) => Ok(value),
-            Some(_) => Err(unfit(field, "is no number that can be used")),
+            Some(Ok(value)) if (0.0..=MAX_ESTIMATE).contains(&value) => Ok(value),
+            Some(_) => Err(invalid_setting(field, "is no number that can be used")),
         };
     let long = |field: &'static str, text: &Option<String>| match text {
-        Some(text) if text.len() > 256 => Err(unfit(field, "is longer than 256 bytes")),
+        Some(text) if text.len() > 256 => Err(invalid_setting(field, "is longer than 256 bytes")),
         _ => Ok(()),
     };
     long("hallmux.key", &label.key)?;
@@ -242,13 +262,14 @@
     })
 }
 
-/// The answer to a unit that the module has given up on, or that ended once its answer had begun.
+/// The answer to a unit that the dispatcher has ended without a result, or whose execution ended
+/// after its answer had started.
 fn final_answer(open_session: &OpenSession, refusal: Refusal) -> ClientError {
     let Some(running) = &open_session.running else {
         return ClientError::ResultLost;
     };
     let in_transaction = open_session.session.transaction != Transaction::None;
-    if running.commits && running.ran {
+    if running.commits && running.may_have_run {
         return ClientError::Unresolved;
     }
     if running.cancelled {
@@ -269,8 +290,8 @@
         Refusal::Rejected { retry_after } => ClientError::Rejected {
             retry_after_ms: retry_after.map(|time| time / 1000),
         },
-        Refusal::Aborted if running.begun => ClientError::ResultLost,
-        Refusal::Aborted if running.ran => ClientError::Unresolved,
+        Refusal::Aborted if running.answer_started => ClientError::ResultLost,
+        Refusal::Aborted if running.may_have_run => ClientError::Unresolved,
         Refusal::Aborted => ClientError::Rejected {
             retry_after_ms: None,
         },
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -1,4 +1,5 @@
-//! Connections to engines that speak PostgreSQL: units out, answers back to whoever has asked, pools of them.
+//! Connections to engines that speak PostgreSQL, their pools, the units sent over them and the
+//! answers received.
 
 mod close;
 mod replies;
@@ -23,29 +24,32 @@
 use crate::link::Link;
 use crate::listed_engine::ListedEngine;
 
-/// Microseconds between checks of connections that have been idle for long.
+/// Microseconds between two checks for silent engines and idle connections.
 const CHECK_INTERVAL: Micros = 100_000;
-/// Accounts at the engines, by user and database; beyond them none come in.
-const MOST_ACCOUNTS: usize = 1_000;
+/// Upper limit of the accounts at engines, one per user and database; sessions with further ones
+/// are rejected.
+const MAX_ACCOUNTS: usize = 1_000;
 
-/// Replies of engines, and how executions have ended.
+/// Replies of engines, and endings of executions.
 pub enum Event {
-    /// It may have taken effect from now on, whatever becomes of its connection: it is not repeated.
+    /// The execution may take effect from now on, even if its connection is lost: it is not
+    /// retried.
     Irrevocable(ExecutionId),
-    /// Part of its answer; `whole` if that ends with a message.
+    /// Part of an answer; `ends_message` if it ends at a message boundary.
     PartialAnswer {
         execution_id: ExecutionId,
         bytes: Vec<u8>,
-        whole: bool,
+        ends_message: bool,
     },
-    /// The rest of its answer, and the connection that holds its transaction, if one is open.
+    /// The rest of an answer, and the connection that holds the session's transaction, if one is
+    /// open.
     Answered {
         execution_id: ExecutionId,
         bytes: Vec<u8>,
         done: UnitOutcome,
         held: Option<ServerId>,
     },
-    /// Not executed, with the error that the engine gives.
+    /// The engine has not executed the unit, for the error given.
     Refused {
         execution_id: ExecutionId,
         error: Vec<u8>,
@@ -54,74 +58,74 @@
         execution_id: ExecutionId,
         ending: Ending,
     },
-    /// The engine that this is out on has replied to something, if not to it.
+    /// The engine of this execution has replied to something, though not to this execution.
     Alive(ExecutionId),
-    /// The open transaction of a session is gone with its connection.
+    /// The open transaction of a session was lost with its connection.
     TransactionLost { session: SessionId },
 }
 
-/// A unit as it goes out.
+/// A unit to be sent to an engine.
 #[derive(Clone)]
 pub struct Unit {
     pub session: SessionId,
     pub parts: Vec<Rc<UnitPart>>,
     pub settings: Rc<SessionSettings>,
     pub account: pool::AccountId,
-    /// The connection that holds its transaction.
+    /// The connection that holds the session's transaction, if one is open.
     pub pin: Option<ServerId>,
-    /// It is not to be repeated once it has left.
-    pub once: bool,
+    /// The unit must not be retried once it has been sent.
+    pub no_retry: bool,
 }
 
 #[derive(PartialEq, Clone, Copy)]
 enum Stage {
-    /// It waits for a connection, or for a cancel on its own to be over.
+    /// Waits for a connection, or for the cancel requests on its pinned connection to be over.
     Waiting,
     Writing,
-    Out,
+    Sent,
 }
 
 struct Execution {
     unit: Unit,
-    place: EngineIndex,
-    link: Option<ServerId>,
+    engine_index: EngineIndex,
+    connection: Option<ServerId>,
     stage: Stage,
-    /// What has come of its answer and not gone on.
+    /// Bytes of the answer that were received and not yet forwarded.
     unsent_answer: Vec<u8>,
-    /// Some of its answer has gone on.
-    begun: bool,
-    /// Its client does not take more for now.
+    /// Part of the answer has been forwarded.
+    answer_started: bool,
+    /// The client reads its answer too slowly: no more of it is read from the engine.
     paused: bool,
 }
 
 struct Server {
     link: Link,
     engine: EngineConnection,
-    place: EngineIndex,
+    engine_index: EngineIndex,
     up: bool,
-    serves: Option<ExecutionId>,
-    /// The session whose transaction is open here.
-    holds: Option<SessionId>,
-    /// Up to where in the output the unit goes that leaves.
+    serving: Option<ExecutionId>,
+    /// The session whose transaction is open on this connection.
+    transaction_of: Option<SessionId>,
+    /// Position in the output at which the unit being sent ends.
     write_end: usize,
-    /// Requests to cancel that are on their way to it.
+    /// Requests to cancel in flight for this connection.
     cancels: usize,
-    /// It ends with its unit: a request to cancel could still reach the next.
+    /// The connection closes with its unit: a request to cancel could still reach the next unit.
     closes_after_unit: bool,
-    /// What comes belongs to a unit that was given up.
-    discards: bool,
+    /// The replies belong to a unit that was cancelled.
+    discards_replies: bool,
 }
 
 /// A connection that carries one request to cancel.
 struct Cancel {
     link: Link,
     server: ServerId,
-    by: Micros,
-    /// What is over once the engine has taken it.
-    ends: Option<PendingEnd>,
+    deadline: Micros,
+    /// The execution that ends once the engine has accepted the request.
+    pending_end: Option<PendingEnd>,
 }
 
-/// An execution that is over once its engine has taken the request to cancel it, and how it ends.
+/// An execution that ends once its engine has accepted the request to cancel it, and how it ends.
 #[derive(Clone, Copy)]
 struct PendingEnd {
     execution_id: ExecutionId,
@@ -130,11 +134,11 @@
 
 struct EngineEntry {
     id: String,
-    at: SocketAddr,
+    address: SocketAddr,
     started: f64,
     up: bool,
     failing: bool,
-    /// When it last replied to anything, and when it was last pinged.
+    /// When the engine last replied to anything, and when it was last pinged.
     last_reply: Micros,
     last_ping: Micros,
 }
@@ -142,31 +146,32 @@
 /// The connections to engines that speak PostgreSQL, and the executions on them.
 pub struct Servers {
     handle: LoopHandle<'static, LoopEvents>,
-    allowance: NetworkSettings,
+    network: NetworkSettings,
     limits: SessionLimits,
     engines: BTreeMap<EngineIndex, EngineEntry>,
     accounts: Vec<Account>,
-    links: BTreeMap<ServerId, Server>,
+    connections: BTreeMap<ServerId, Server>,
     cancels: BTreeMap<u64, Cancel>,
     connecting: BTreeMap<ServerId, Micros>,
     executions: HashMap<ExecutionId, Execution>,
     pools: Pools<ExecutionId>,
-    changed: BTreeSet<ServerId>,
-    next: u64,
-    max_links: usize,
-    /// When connections may be made; any time where nothing else is set.
+    flush_pending: BTreeSet<ServerId>,
+    last_id: u64,
+    max_connections: usize,
+    /// Limits when connections may be opened; unlimited until it is replaced.
     pub dials: DialPacer,
     next_check: Micros,
-    /// What engines tell of themselves, for the welcome of clients.
+    /// Parameters that engines report at login, for the welcome of clients.
     pub parameters: Vec<(String, String)>,
     pub events: Vec<Event>,
 }
 
 impl Servers {
-    /// No engines yet; `limit` and `list` come before anything is sent.
+    /// No engines yet. `set_connection_limit` and `update_engine` are called before anything is
+    /// sent.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
-        allowance: NetworkSettings,
+        network: NetworkSettings,
         limits: SessionLimits,
     ) -> Self {
         let bounds = pool::Bounds {
@@ -176,18 +181,18 @@
         };
         Servers {
             handle,
-            allowance,
+            network,
             limits,
             engines: BTreeMap::new(),
             accounts: Vec::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             cancels: BTreeMap::new(),
             connecting: BTreeMap::new(),
             executions: HashMap::new(),
             pools: Pools::new(bounds),
-            changed: BTreeSet::new(),
-            next: 0,
-            max_links: usize::MAX,
+            flush_pending: BTreeSet::new(),
+            last_id: 0,
+            max_connections: usize::MAX,
             dials: dial_pacer::unlimited(),
             next_check: 0,
             parameters: Vec::new(),
@@ -195,68 +200,77 @@
         }
     }
 
-    /// Descriptors that it may use.
-    pub fn limit(&mut self, descriptors: usize) {
-        self.max_links = descriptors.max(1);
+    /// Sets how many descriptors the connections may use.
+    pub fn set_connection_limit(&mut self, descriptors: usize) {
+        self.max_connections = descriptors.max(1);
     }
 
-    /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
-    pub fn capacity(&self, now: Micros, place: EngineIndex) -> usize {
-        let dials =
-            self.pools.has_capacity(place) && self.dials.borrow().next_slot_at(now, place) <= now;
-        self.pools.available(place)
-            + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
+    /// How many units can be sent to an engine now: over idle or connecting connections, or over
+    /// one that may be opened now.
+    pub fn capacity(&self, now: Micros, engine_index: EngineIndex) -> usize {
+        let dials = self.pools.has_capacity(engine_index)
+            && self.dials.borrow().next_slot_at(now, engine_index) <= now;
+        self.pools.available(engine_index)
+            + usize::from(
+                dials
+                    && self
+                        .engines
+                        .get(&engine_index)
+                        .is_some_and(|engine| engine.up),
+            )
     }
 
-    /// The number of an account at the engines.
+    /// The number of an account at the engines. `None` if it is new and there are too many.
     pub fn account(&mut self, account: Account) -> Option<pool::AccountId> {
         let known = self.accounts.iter().position(|a| *a == account);
-        // Guards against names of databases without end.
-        if known.is_none() && self.accounts.len() < MOST_ACCOUNTS {
+        // Bounds the accounts that clients create by naming ever new databases.
+        if known.is_none() && self.accounts.len() < MAX_ACCOUNTS {
             self.accounts.push(account);
             return Some(self.accounts.len() - 1);
         }
         known
     }
 
-    /// Whether an execution is one of its own, also where it only waits for its request to cancel.
-    pub fn has(&self, execution_id: ExecutionId) -> bool {
+    /// Whether an execution is in flight here, or only waits for its request to cancel.
+    pub fn has_execution(&self, execution_id: ExecutionId) -> bool {
         let ends = |cancel: &Cancel| {
             cancel
-                .ends
+                .pending_end
                 .is_some_and(|end| end.execution_id == execution_id)
         };
         self.executions.contains_key(&execution_id) || self.cancels.values().any(ends)
     }
 
-    /// The engine that a connection is to.
-    pub fn place(&self, id: ServerId) -> Option<EngineIndex> {
-        self.links.get(&id).map(|l| l.place)
+    /// The engine of a connection.
+    pub fn engine_index(&self, id: ServerId) -> Option<EngineIndex> {
+        self.connections.get(&id).map(|server| server.engine_index)
     }
 
-    /// An engine of the list: where it is, and whether anything may still be sent to it.
-    pub fn list(&mut self, place: EngineIndex, listed: ListedEngine) {
+    /// Adds an engine of the list or updates its address, start and availability.
+    pub fn update_engine(&mut self, engine_index: EngineIndex, listed: ListedEngine) {
         let ListedEngine {
             id,
-            address: at,
+            address,
             started_ms: started,
             available: up,
         } = listed;
-        let known = self.engines.get(&place);
-        let same = known.is_some_and(|e| e.id == id && e.at == at && e.started == started);
-        let failing = same && known.is_some_and(|e| e.failing);
+        let known = self.engines.get(&engine_index);
+        let same = known.is_some_and(|engine| {
+            engine.id == id && engine.address == address && engine.started == started
+        });
+        let failing = same && known.is_some_and(|engine| engine.failing);
         let (last_reply, last_ping) = known
             .filter(|_| same)
-            .map_or((0, 0), |e| (e.last_reply, e.last_ping));
+            .map_or((0, 0), |engine| (engine.last_reply, engine.last_ping));
         if known.is_some() && (!same || !up) {
-            self.retire(place);
+            self.retire(engine_index);
         }
         let id = id.to_string();
         self.engines.insert(
-            place,
+            engine_index,
             EngineEntry {
                 id,
-                at,
+                address,
                 started,
                 up,
                 failing,
@@ -266,54 +280,60 @@
         );
     }
 
-    /// A whole list has come: engines that it does not name are gone.
-    pub fn retire_others(&mut self, listed: &[EngineIndex]) {
-        let places: Vec<EngineIndex> = self
+    /// Retires the engines that a complete list does not name.
+    pub fn retire_unlisted(&mut self, listed: &[EngineIndex]) {
+        let engine_indexes: Vec<EngineIndex> = self
             .engines
             .keys()
             .copied()
             .filter(|p| !listed.contains(p))
             .collect();
-        places.into_iter().for_each(|place| self.retire(place));
+        engine_indexes
+            .into_iter()
+            .for_each(|engine_index| self.retire(engine_index));
     }
 
-    /// What has not left for an engine stays here, open transactions that stand idle there are over; what is
-    /// out may still be answered.
-    pub fn retire(&mut self, place: EngineIndex) {
-        if let Some(engine) = self.engines.get_mut(&place) {
+    /// Stops sending to an engine. Executions that were not sent yet are withdrawn and idle
+    /// transactions there are lost; executions in flight may still be answered.
+    pub fn retire(&mut self, engine_index: EngineIndex) {
+        if let Some(engine) = self.engines.get_mut(&engine_index) {
             engine.up = false;
         }
-        let (waited, resting) = self.pools.retire_engine(place);
+        let (waited, idle) = self.pools.retire_engine(engine_index);
         waited
             .into_iter()
             .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
-        resting.into_iter().for_each(|id| self.close(id));
-        // What waits for its settings there has not left either.
-        let setting = |(id, l): (&ServerId, &Server)| {
-            (l.place == place && l.engine.is_setting()).then_some((*id, l.serves))
+        idle.into_iter().for_each(|id| self.close(id));
+        // Executions whose settings are still being transferred were not sent either.
+        let setting = |(id, server): (&ServerId, &Server)| {
+            (server.engine_index == engine_index && server.engine.is_setting())
+                .then_some((*id, server.serving))
         };
         let setting: Vec<(ServerId, Option<ExecutionId>)> =
-            self.links.iter().filter_map(setting).collect();
+            self.connections.iter().filter_map(setting).collect();
         for (id, waits) in setting {
             self.close(id);
             waits
                 .into_iter()
                 .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
         }
-        let held = |(id, l): (&ServerId, &Server)| {
-            let idle = match l
-                .serves
+        let held = |(id, server): (&ServerId, &Server)| {
+            let idle = match server
+                .serving
                 .and_then(|execution_id| self.executions.get(&execution_id))
             {
                 Some(execution) => execution.stage == Stage::Waiting,
                 None => true,
             };
-            (l.place == place && l.holds.is_some() && idle).then_some(*id)
+            (server.engine_index == engine_index && server.transaction_of.is_some() && idle)
+                .then_some(*id)
         };
-        let held: Vec<ServerId> = self.links.iter().filter_map(held).collect();
+        let held: Vec<ServerId> = self.connections.iter().filter_map(held).collect();
         for id in held {
-            let link = self.links.get(&id);
-            let (session, waits) = link.map_or((None, None), |l| (l.holds, l.serves));
+            let server = self.connections.get(&id);
+            let (session, waits) = server.map_or((None, None), |server| {
+                (server.transaction_of, server.serving)
+            });
             self.close(id);
             waits
                 .into_iter()
@@ -332,10 +352,10 @@
     }
 
     fn engine_name(&self, id: ServerId) -> &str {
-        let place = self.links.get(&id).map(|l| l.place);
-        place
-            .and_then(|place| self.engines.get(&place))
-            .map_or("?", |e| &e.id)
+        let engine_index = self.connections.get(&id).map(|server| server.engine_index);
+        engine_index
+            .and_then(|engine_index| self.engines.get(&engine_index))
+            .map_or("?", |engine| &engine.id)
     }
 
     /// When `expire` is next due.
@@ -349,7 +369,7 @@
         let cancels = self
             .cancels
             .values()
-            .map(|c| c.by)
+            .map(|cancel| cancel.deadline)
             .min()
             .unwrap_or(Micros::MAX);
         let next_check = if self.pools.is_empty() {
@@ -360,17 +380,18 @@
         connecting.min(cancels).min(next_check)
     }
 
-    /// Ends what has waited too long: connections not up, logins, cancels, idle connections. Says which
-    /// connections have more to read than one iteration takes.
+    /// Ends what has exceeded its time limit: dials, logins, cancel requests and idle connections.
+    /// Returns the connections that hold more input than one iteration reads.
     pub fn expire(&mut self, now: Micros) -> Vec<ServerId> {
         let unfinished = self.expire_connecting(now);
-        let late: Vec<u64> = self
+        let overdue: Vec<u64> = self
             .cancels
             .iter()
-            .filter(|(_, c)| c.by <= now)
+            .filter(|(_, cancel)| cancel.deadline <= now)
             .map(|(n, _)| *n)
             .collect();
-        late.into_iter()
+        overdue
+            .into_iter()
             .for_each(|number| self.cancel_overdue(now, number));
         if self.next_check <= now {
             self.next_check = now + CHECK_INTERVAL;
@@ -378,28 +399,29 @@
             for id in self.pools.expired(now) {
                 self.close(id);
             }
-            // What waits for descriptors that others have let go of.
-            for place in self.engines.keys().copied().collect::<Vec<_>>() {
-                let step = self.pools.next_action(place);
-                self.step(now, place, step);
+            // Serves executions that wait for descriptors which other pools have released.
+            for engine_index in self.engines.keys().copied().collect::<Vec<_>>() {
+                let action = self.pools.next_action(engine_index);
+                self.run_pool_action(now, engine_index, action);
             }
         }
         unfinished
     }
 
-    /// Ends connections that did not come up, or did not let the front in, in time. Says which of those that
-    /// stay have more to read.
+    /// Closes connections that were not up, or whose login was not over, in time. Returns those of
+    /// the remaining ones that hold more to read.
     fn expire_connecting(&mut self, now: Micros) -> Vec<ServerId> {
-        let late: Vec<ServerId> = self
+        let overdue: Vec<ServerId> = self
             .connecting
             .iter()
             .filter(|(_, by)| **by <= now)
             .map(|(id, _)| *id)
             .collect();
         let mut unfinished = Vec::new();
-        for id in late {
-            // Guards against a front that stood still between its look at the connections and this one: what has
-            // come up, or let it in, meanwhile is found before it is judged.
+        for id in overdue {
+            // Guards against a stall of the front between its last read of the connection and this
+            // check: a connection or login that was completed meanwhile is found before it counts
+            // as late.
             let more = self.read(now, id);
             if self.connecting.get(&id).is_some_and(|by| *by <= now) {
                 self.connection_lost(now, id, Ending::ConnectTimeout);
