--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -173,7 +173,7 @@
         if client.is_faulty() {
             self.reject(id, number);
         } else if client.open.contains_key(&number) {
-            self.answer_unusable(id, number, statement::NUMBER);
+            self.answer_unusable(id, number, statement::SEQUENCE_NUMBER_FIELD);
         } else if self.statement_ids.contains(&call.id) {
             self.answer_unusable(id, number, statement::ID);
         } else if client.open.len() >= MAX_OPEN_STATEMENTS {
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -177,7 +177,7 @@
         let link = self.link.as_mut()?;
         let broken = loop {
             let ReadOutcome { has_more, broken } = link.read();
-            if !has_more || link.input.len() > codec::LONGEST_BODY {
+            if !has_more || link.input.len() > codec::MAX_BODY_BYTES {
                 break broken;
             }
         };
--- a/crates/front/tests/scripted/machine.rs
+++ b/crates/front/tests/scripted/machine.rs
@@ -36,11 +36,17 @@
     let mut scenario = Scenario::under_machine_faults();
     scenario
         .machine_faults()
-        .fail(Call::Socket, MOSTLY)
+        .set_failure_rate(Call::Socket, MOSTLY)
         .unwrap();
     scenario.line("engine a");
     scenario.line("start");
-    assert!(scenario.machine_faults().failed(Call::Socket).unwrap() > 0);
+    assert!(
+        scenario
+            .machine_faults()
+            .failure_count(Call::Socket)
+            .unwrap()
+            > 0
+    );
 }
 
 #[test]
@@ -51,13 +57,19 @@
         .for_each(|line| scenario.line(line));
     scenario
         .machine_faults()
-        .fail(Call::Accept, MOSTLY)
+        .set_failure_rate(Call::Accept, MOSTLY)
         .unwrap();
     for client in 0..CLIENTS {
         scenario.line(&format!("c{client} connects"));
         scenario.line(&format!("c{client} is well"));
     }
-    assert!(scenario.machine_faults().failed(Call::Accept).unwrap() > 0);
+    assert!(
+        scenario
+            .machine_faults()
+            .failure_count(Call::Accept)
+            .unwrap()
+            > 0
+    );
 }
 
 #[test]
@@ -68,7 +80,7 @@
         .for_each(|line| scenario.line(line));
     scenario
         .machine_faults()
-        .fail(Call::Accept, ALWAYS)
+        .set_failure_rate(Call::Accept, ALWAYS)
         .unwrap();
     scenario.line("b connects");
     // The front knows by now that it can't accept: what comes from here on waits.
@@ -77,7 +89,10 @@
         .iter()
         .for_each(|line| scenario.line(line));
     std::thread::sleep(UNACCEPTED);
-    scenario.machine_faults().fail(Call::Accept, 0).unwrap();
+    scenario
+        .machine_faults()
+        .set_failure_rate(Call::Accept, 0)
+        .unwrap();
     [
         "a hears want 1 wait<2501",
         "a says 1 ACK batches=1 x",
@@ -95,14 +110,17 @@
         .for_each(|line| scenario.line(line));
     scenario
         .machine_faults()
-        .fail(Call::Accept, ALWAYS)
+        .set_failure_rate(Call::Accept, ALWAYS)
         .unwrap();
     ["c connects", "c asks 1 select 1", "stop"]
         .iter()
         .for_each(|line| scenario.line(line));
     let asked = Instant::now();
     std::thread::sleep(PAST_CLOSE);
-    scenario.machine_faults().fail(Call::Accept, 0).unwrap();
+    scenario
+        .machine_faults()
+        .set_failure_rate(Call::Accept, 0)
+        .unwrap();
     if asked.elapsed() > IN_TIME {
         return false;
     }
--- a/crates/front/tests/scripted/wall_clock.rs
+++ b/crates/front/tests/scripted/wall_clock.rs
@@ -31,7 +31,7 @@
     /// Steps the front's wall clock to so far from the machine's, and waits until the front has had a turn by it.
     fn steps_wall_clock(&mut self, ms: i64) {
         self.machine_faults()
-            .set_wall_clock_ahead(ms * 1000)
+            .set_wall_clock_offset(ms * 1000)
             .unwrap();
         self.line("logs the wall clock was stepped by");
     }
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -111,7 +111,7 @@
     fn step_a_clock(&mut self, since: i64) -> Result<()> {
         let front = self.chance.random_range(0..self.faults.len());
         let ahead = *AHEAD.choose(&mut self.chance).unwrap_or(&0);
-        self.faults[front].set_wall_clock_ahead(ahead)?;
+        self.faults[front].set_wall_clock_offset(ahead)?;
         self.steps += 1;
         self.played.push((
             since,
@@ -131,7 +131,7 @@
         let rate = *rates.choose(&mut self.chance).unwrap_or(&0);
         let until = since + self.chance.random_range(SHORTAGE);
         let most = self.chance.random_range(MOST_FAILURES);
-        self.faults[front].fail_at_most(call, rate, most)?;
+        self.faults[front].set_limited_failure_rate(call, rate, most)?;
         self.shortages.push(Shortage { front, call, until });
         let ms = (until - since) / 1000;
         self.played.push((
@@ -149,7 +149,7 @@
         let over: Vec<Shortage> = over;
         for Shortage { front, call, .. } in over {
             // Another one of the same call may go on: then it is over with this one.
-            self.faults[front].fail(call, 0)?;
+            self.faults[front].set_failure_rate(call, 0)?;
         }
         Ok(())
     }
@@ -189,7 +189,7 @@
             ("crowd", self.crowd.len() as i64),
         ];
         for (call, name) in Call::ALL.into_iter().zip(TALLIES) {
-            let counts = self.faults.iter().map(|faults| faults.failed(call));
+            let counts = self.faults.iter().map(|faults| faults.failure_count(call));
             all.push((name, counts.sum::<Result<i64>>()?));
         }
         Ok(all)
--- a/crates/machine-faults/src/lib.rs
+++ b/crates/machine-faults/src/lib.rs
@@ -129,23 +129,23 @@
     }
 
     /// Sets how many microseconds the process's wall clock is ahead of the machine's.
-    pub fn set_wall_clock_ahead(&self, micros: i64) -> Result<()> {
+    pub fn set_wall_clock_offset(&self, micros: i64) -> Result<()> {
         self.write(CLOCK_STEP, micros)
     }
 
     /// From now on so many of a thousand of these calls fail.
-    pub fn fail(&self, call: Call, permille: u16) -> Result<()> {
-        self.fail_at_most(call, permille, i64::MAX)
+    pub fn set_failure_rate(&self, call: Call, permille: u16) -> Result<()> {
+        self.set_limited_failure_rate(call, permille, i64::MAX)
     }
 
     /// The same, until so many have failed.
-    pub fn fail_at_most(&self, call: Call, permille: u16, most: i64) -> Result<()> {
+    pub fn set_limited_failure_rate(&self, call: Call, permille: u16, most: i64) -> Result<()> {
         self.write(FIRST_LEFT + call.index(), most)?;
         self.write(FIRST_RATE + call.index(), i64::from(permille))
     }
 
     /// How many of these calls have failed so far.
-    pub fn failed(&self, call: Call) -> Result<i64> {
+    pub fn failure_count(&self, call: Call) -> Result<i64> {
         self.read(FIRST_FAILED + call.index())
     }
 
--- a/crates/machine-faults/tests/library.rs
+++ b/crates/machine-faults/tests/library.rs
@@ -35,7 +35,7 @@
     };
     let before = unix_s();
     assert!((before..=unix_s()).contains(&date()));
-    faults.set_wall_clock_ahead(-HOUR_S * 1_000_000).unwrap();
+    faults.set_wall_clock_offset(-HOUR_S * 1_000_000).unwrap();
     let before = unix_s();
     assert!((before - HOUR_S..=unix_s() - HOUR_S).contains(&date()));
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/native-codec/src/coordinator.rs
+++ b/crates/native-codec/src/coordinator.rs
@@ -9,7 +9,7 @@
 const MAX_HEADERS: usize = 64;
 const LINE_END: &[u8] = b"\r\n";
 /// Bytes of a response's body at the most.
-pub const LONGEST_BODY: usize = 8 << 20;
+pub const MAX_BODY_BYTES: usize = 8 << 20;
 
 /// The request for the events after `follow`; the coordinator holds it open for `wait_ms` milliseconds, or
 /// until there are any.
@@ -74,7 +74,7 @@
     }
     if let Some(text) = header(head, "content-length") {
         return match text.parse() {
-            Ok(len) if len <= LONGEST_BODY => Ok(BodyForm::Length(len)),
+            Ok(len) if len <= MAX_BODY_BYTES => Ok(BodyForm::Length(len)),
             _ => Err(ParseError::new("a length that can't be")),
         };
     }
@@ -91,7 +91,7 @@
     match form {
         BodyForm::Chunked => chunks(input),
         BodyForm::Length(len) => Ok(input.get(..len).map(whole_body)),
-        BodyForm::UntilEnd if input.len() > LONGEST_BODY => {
+        BodyForm::UntilEnd if input.len() > MAX_BODY_BYTES => {
             Err(ParseError::new("a body longer than agreed"))
         }
         BodyForm::UntilEnd => Ok(ended.then(|| whole_body(input))),
@@ -134,7 +134,7 @@
                 message: body,
             }));
         }
-        if body.len() as u64 + len > LONGEST_BODY as u64 {
+        if body.len() as u64 + len > MAX_BODY_BYTES as u64 {
             return Err(ParseError::new("a body longer than agreed"));
         }
         let len = len as usize;
--- a/crates/native-codec/src/statement.rs
+++ b/crates/native-codec/src/statement.rs
@@ -12,7 +12,7 @@
 const PREFIX: usize = 4;
 
 /// The name by which a client gets to read that a call's sequence number is in use on its connection.
-pub const NUMBER: &str = "sequence number";
+pub const SEQUENCE_NUMBER_FIELD: &str = "sequence number";
 
 /// A message of a client.
 #[derive(Debug, PartialEq)]
