--- a/crates/front/src/event_loop_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -243,7 +243,7 @@
 
 fn send_startup(session: &mut TcpStream, user: &str) {
     let mut out = Vec::new();
-    wire::write_start_up(&mut out, &[("user", user), ("database", "x")]);
+    wire::write_startup(&mut out, &[("user", user), ("database", "x")]);
     session.write_all(&out).unwrap();
 }
 
@@ -256,7 +256,7 @@
 fn accept_login(engine: &mut TcpStream) {
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
-    wire::write_key(
+    wire::write_backend_key(
         &mut out,
         wire::CancelKey {
             process: 1,
--- a/crates/front/src/postgres/cancel_endings_tests.rs
+++ b/crates/front/src/postgres/cancel_endings_tests.rs
@@ -65,7 +65,7 @@
     let mut harness = FrontHarness::new("cancelled-waiting", at, true);
     let mut session = TcpStream::connect(harness.session_address).unwrap();
     let mut out = Vec::new();
-    wire::write_start_up(&mut out, &[("user", "portal"), ("database", "x")]);
+    wire::write_startup(&mut out, &[("user", "portal"), ("database", "x")]);
     session.write_all(&out).unwrap();
     let welcome = harness.hears_messages(&mut session);
     let key = welcome.iter().find(|message| message[0] == b'K').unwrap();
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -74,7 +74,7 @@
         let request = StatementRequest {
             workload: terms.workload,
             customer: terms.member,
-            order_key: label.key.as_deref().filter(|key| !is_held(key)),
+            order_key: label.order_key.as_deref().filter(|key| !is_held(key)),
             dedup_key: label.dedup_key.as_deref(),
             time_left: timeout - self.answer_slack - waited,
             work: terms.work_ms * 1000.0,
@@ -231,7 +231,7 @@
         Some(text) if text.len() > 256 => Err(unfit(field, "is longer than 256 bytes")),
         _ => Ok(()),
     };
-    long("hallmux.key", &label.key)?;
+    long("hallmux.key", &label.order_key)?;
     long("hallmux.dedup_key", &label.dedup_key)?;
     Ok(UnitTerms {
         workload,
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -43,8 +43,11 @@
             open_session.touched.extend(named);
         }
         let [part, ..] = &parts[..] else { return None };
-        let alone = !held && !part.begins && parts.len() == 1;
-        let simple = part.simple().filter(|_| alone).map(<[u8]>::to_vec);
+        let alone = !held && !part.begins_transaction && parts.len() == 1;
+        let simple = part
+            .simple_query_text()
+            .filter(|_| alone)
+            .map(<[u8]>::to_vec);
         let groups: Vec<u32> = open_session.touched.iter().copied().collect();
         (!groups.is_empty()).then_some(Load::Unit { groups, simple })
     }
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -170,9 +170,9 @@
         limits: SessionLimits,
     ) -> Self {
         let bounds = pool::Bounds {
-            each_engine: limits.engine_connections,
-            idle: limits.connection_idle,
-            age: limits.connection_age,
+            per_engine: limits.engine_connections,
+            idle_timeout_us: limits.connection_idle,
+            max_age_us: limits.connection_age,
         };
         Servers {
             handle,
@@ -290,7 +290,7 @@
         resting.into_iter().for_each(|id| self.close(id));
         // What waits for its settings there has not left either.
         let setting = |(id, l): (&ServerId, &Server)| {
-            (l.place == place && l.engine.is_setting()).then_some((*id, l.serves))
+            (l.place == place && l.engine.is_applying_settings()).then_some((*id, l.serves))
         };
         let setting: Vec<(ServerId, Option<ExecutionId>)> =
             self.links.iter().filter_map(setting).collect();
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -28,7 +28,11 @@
         };
         // Guards against a commit that passes for one in doubt, and a unit that leaves though it is given up:
         // behind settings that are being brought over nothing of it has left.
-        if self.links.get(&id).is_some_and(|l| l.engine.is_setting()) {
+        if self
+            .links
+            .get(&id)
+            .is_some_and(|l| l.engine.is_applying_settings())
+        {
             self.report_end(execution_id, Ending::Withdrawn);
             return self.close(id);
         }
@@ -101,7 +105,7 @@
                 continue;
             };
             // What is written and has yet to leave goes with its connection, also what waits for its settings.
-            let stays = |l: &Server| !l.link.has_sent(1) || l.engine.is_setting();
+            let stays = |l: &Server| !l.link.has_sent(1) || l.engine.is_applying_settings();
             let unsent = self
                 .links
                 .get(&id)
@@ -309,7 +313,7 @@
     match execution.stage {
         Stage::Waiting => Ending::Withdrawn,
         // It waits here for its settings.
-        _ if server.engine.is_setting() => Ending::HalfWritten,
+        _ if server.engine.is_applying_settings() => Ending::HalfWritten,
         // Without its Sync nothing that it does is kept, but for a commit of its own.
         Stage::Writing if !has_left && !execution.unit.once => Ending::HalfWritten,
         Stage::Writing | Stage::Out => lost,
@@ -318,7 +322,7 @@
 
 /// Logs a lost connection. An engine that can't be reached is named once, until it is reached again.
 fn log_lost(engine: &mut EngineEntry, server: &Server, ending: Ending) {
-    if !server.engine.is_up() {
+    if !server.engine.is_logged_in() {
         if !std::mem::replace(&mut engine.failing, true) {
             log::warn!(
                 "engine {}: can't be reached for sessions: {ending:?}",
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -36,7 +36,11 @@
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
         };
-        let flushed = execution.unit.parts.last().is_some_and(|part| !part.ends);
+        let flushed = execution
+            .unit
+            .parts
+            .last()
+            .is_some_and(|part| !part.ends_unit);
         let due = execution.begun
             || flushed
             || execution.unsent_answer.len() > self.limits.buffer_bytes
@@ -148,12 +152,12 @@
             let unsent_answer =
                 execution.map_or(&mut dropped, |execution| &mut execution.unsent_answer);
             let most_held = self.limits.buffer_bytes;
-            let was_setting = server.engine.is_setting();
+            let was_setting = server.engine.is_applying_settings();
             let output = server.link.output();
             let read = server
                 .engine
                 .read(&input[taken..], output, unsent_answer, most_held);
-            if was_setting && !server.engine.is_setting() {
+            if was_setting && !server.engine.is_applying_settings() {
                 // What waited for the settings leaves now.
                 server.write_end = server.link.output().len();
             }
@@ -256,7 +260,7 @@
         let mut quiet: BTreeMap<EngineIndex, pool::AccountId> = BTreeMap::new();
         let setting = |execution: &Execution| {
             let link = execution.link.and_then(|id| self.links.get(&id));
-            link.is_some_and(|l| l.engine.is_setting())
+            link.is_some_and(|l| l.engine.is_applying_settings())
         };
         for execution in self
             .executions
@@ -318,7 +322,7 @@
                 self.release_idle(now, id)
             };
         };
-        if done.fault && !execution.begun && execution.unit.pin.is_none() {
+        if done.engine_fault && !execution.begun && execution.unit.pin.is_none() {
             self.events.push(Event::Ended {
                 execution_id,
                 ending: Ending::EngineFailed,
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -59,7 +59,7 @@
                 let suits = |id: u64| {
                     self.links
                         .get(&id)
-                        .map_or(0, |l| u32::from(l.engine.suits(&settings)))
+                        .map_or(0, |l| u32::from(l.engine.has_settings(&settings)))
                 };
                 let step = self.pools.submit(place, account, execution_id, suits);
                 self.step(now, place, step);
@@ -82,11 +82,8 @@
                 PoolAction::Dial { .. } if !self.dials.borrow_mut().try_take_slot(now, place) => {
                     return
                 }
-                PoolAction::Dial {
-                    account,
-                    instead_of,
-                } => {
-                    instead_of.into_iter().for_each(|id| self.close(id));
+                PoolAction::Dial { account, replacing } => {
+                    replacing.into_iter().for_each(|id| self.close(id));
                     if self.links.len() + self.cancels.len() >= self.max_links {
                         match self.pools.oldest_idle() {
                             Some(id) => self.close(id),
@@ -229,7 +226,10 @@
             {
                 // Guards against a commit that passes for one in doubt: behind settings that are being brought
                 // over nothing of it has left.
-                if left && execution.stage == Stage::Writing && !server.engine.is_setting() {
+                if left
+                    && execution.stage == Stage::Writing
+                    && !server.engine.is_applying_settings()
+                {
                     execution.stage = Stage::Out;
                     let once = execution.unit.once || execution.unit.pin.is_some();
                     self.events
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -177,14 +177,14 @@
     let mut part = UnitPart::default();
     wire::write_query(&mut part.raw, text.as_bytes());
     part.ops.push(Operation::Query(0..part.raw.len()));
-    part.ends = true;
+    part.ends_unit = true;
     Rc::new(part)
 }
 
 fn lets_in(engine: &mut TcpStream) {
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
-    wire::write_key(&mut out, KEY);
+    wire::write_backend_key(&mut out, KEY);
     wire::write_ready(&mut out, b'I');
     engine.write_all(&out).unwrap();
 }
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -137,7 +137,7 @@
     pub fn new(users: &std::collections::BTreeMap<String, User>) -> Users {
         let access = |user: &User| match &user.verifier {
             None => Some(Authentication::Trust),
-            Some(text) => hallmux_postgres::scram::Verifier::read(text).map(Authentication::Scram),
+            Some(text) => hallmux_postgres::scram::Verifier::parse(text).map(Authentication::Scram),
         };
         let known = |(name, user): (&String, &User)| {
             Some((name.clone(), (Rc::new(user.clone()), access(user)?)))
--- a/crates/front/src/postgres/sessions/answers.rs
+++ b/crates/front/src/postgres/sessions/answers.rs
@@ -26,7 +26,7 @@
         let bytes = part.raw.len();
         open_session.running = Some(Running {
             ticket,
-            commits: part.commits,
+            commits: part.commits_transaction,
             parts: vec![part],
             ran: false,
             time_up: false,
@@ -52,7 +52,7 @@
         };
         open_session
             .session
-            .fails(&[part], why, connection.link.output());
+            .fail_unit(&[part], why, connection.link.output());
         open_session.skipping = open_session.session.is_in_unit();
         self.release_transaction(id, false);
         self.changed.insert(id);
@@ -85,7 +85,7 @@
             return;
         };
         // A unit that is out still has its own end to come.
-        open_session.session.lose();
+        open_session.session.lose_transaction();
         open_session.pin = None;
         let keys = std::mem::take(&mut open_session.held_keys);
         self.events.push(Event::TransactionOver {
@@ -146,7 +146,7 @@
         };
         open_session
             .session
-            .done(&running.parts, done, &mut self.catalogue, &self.bounds);
+            .apply_outcome(&running.parts, done, &mut self.catalogue, &self.bounds);
         open_session.pin = pin;
         if done.status == b'I' && !open_session.held_keys.is_empty() {
             let keys = std::mem::take(&mut open_session.held_keys);
@@ -184,7 +184,9 @@
             connection.closing = true;
         } else {
             let mut own = Vec::new();
-            open_session.session.fails(&running.parts, why, &mut own);
+            open_session
+                .session
+                .fail_unit(&running.parts, why, &mut own);
             match engine_error
                 .and_then(|engine_error| Some((engine_error, wire::header(&own).ok()??.len)))
             {
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -104,7 +104,7 @@
             Stage::LoggingIn(_) if input.is_empty() => Consumed::NOTHING,
             Stage::LoggingIn(_) => self.log_in(now, id, input, users, servers),
             Stage::Open(open_session) if open_session.skipping => {
-                match open_session.session.skip(input) {
+                match open_session.session.skip_to_sync(input) {
                     Err(why) => {
                         why.write(connection.link.output(), true);
                         connection.closing = true;
@@ -113,7 +113,7 @@
                     Ok((used, over)) => {
                         open_session.skipping = !over;
                         if over {
-                            open_session.session.ready(connection.link.output());
+                            open_session.session.write_ready(connection.link.output());
                         }
                         Consumed {
                             bytes: used,
@@ -272,7 +272,7 @@
         let since = came(&connection.arrivals, used).unwrap_or(now);
         if let Some(running) = &mut open_session.running {
             running.parts.push(part.clone());
-            running.commits |= part.commits;
+            running.commits |= part.commits_transaction;
             self.events.push(Event::UnitPart {
                 ticket: running.ticket,
                 part,
@@ -283,7 +283,7 @@
         let transaction = open_session.session.transaction;
         let is_answered = open_session
             .session
-            .answers(&part, &mut self.catalogue, output);
+            .answer_locally(&part, &mut self.catalogue, output);
         if is_answered {
             return Consumed::and_more(used);
         }
@@ -364,6 +364,6 @@
         };
         wire::write_parameter(out, name, value);
     }
-    wire::write_key(out, key);
+    wire::write_backend_key(out, key);
     wire::write_ready(out, b'I');
 }
--- a/crates/front/tests/scatter/portal.rs
+++ b/crates/front/tests/scatter/portal.rs
@@ -40,7 +40,7 @@
         .ok()?;
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
-    wire::write_key(
+    wire::write_backend_key(
         &mut out,
         wire::CancelKey {
             process: 1,
@@ -95,7 +95,7 @@
         let mut stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let mut out = Vec::new();
-        wire::write_start_up(&mut out, &[("user", "loader"), ("database", "d")]);
+        wire::write_startup(&mut out, &[("user", "loader"), ("database", "d")]);
         stream.write_all(&out).unwrap();
         let mut client = Client(stream);
         client.until_ready();
--- a/crates/lab/src/engine/portal.rs
+++ b/crates/lab/src/engine/portal.rs
@@ -176,7 +176,7 @@
         wire::write(out, b'R', |out| out.extend_from_slice(&[0; 4]));
         wire::write_parameter(out, "server_version", "15.4");
         wire::write_parameter(out, "client_encoding", "UTF8");
-        wire::write_key(
+        wire::write_backend_key(
             out,
             CancelKey {
                 process: number,
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -24,7 +24,7 @@
         if asks_first {
             refused_encryption(&mut session.stream)?;
         }
-        wire::write_start_up(&mut session.out, &[("user", user), ("database", "x")]);
+        wire::write_startup(&mut session.out, &[("user", user), ("database", "x")]);
         session.send()?;
         loop {
             let (tag, body) = session.read()?;
--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -58,7 +58,7 @@
         match read {
             SessionEvent::Part(part) => {
                 assert!(used > 0 && part.raw.len() <= BOUNDS.bytes);
-                session.answers(&part, &mut catalogue, &mut out);
+                session.answer_locally(&part, &mut catalogue, &mut out);
                 parts.push(part);
             }
             SessionEvent::Incomplete | SessionEvent::Terminated => break,
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -145,7 +145,7 @@
             ("user", account.user.as_str()),
             ("database", &account.database),
         ];
-        wire::write_start_up(out, &who);
+        wire::write_startup(out, &who);
         EngineConnection {
             account,
             stage: Stage::Login,
@@ -167,12 +167,12 @@
     }
 
     /// Whether the login is over.
-    pub fn is_up(&self) -> bool {
+    pub fn is_logged_in(&self) -> bool {
         self.stage != Stage::Login
     }
 
     /// Whether a session's settings are being brought over: what waits for them has not left.
-    pub fn is_setting(&self) -> bool {
+    pub fn is_applying_settings(&self) -> bool {
         self.stage == Stage::BringingSettings
     }
 
@@ -182,14 +182,14 @@
     }
 
     /// Whether the connection has a session's settings, so that nothing has to be set.
-    pub fn suits(&self, settings: &Rc<SessionSettings>) -> bool {
+    pub fn has_settings(&self, settings: &Rc<SessionSettings>) -> bool {
         self.settings
             .as_ref()
             .is_some_and(|own| Rc::ptr_eq(own, settings) || own == settings)
     }
 
     /// How many statements are prepared there.
-    pub fn prepared(&self) -> usize {
+    pub fn prepared_count(&self) -> usize {
         self.prepared.len()
     }
 }
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -145,7 +145,7 @@
                     self.prepared.put(number, ());
                 }
                 passes = !*hidden;
-                self.outcome.parsed += usize::from(passes);
+                self.outcome.parsed_count += usize::from(passes);
                 self.expected.pop_front();
             }
             (b'3', Some(Expected::Closed { hidden })) => {
@@ -208,7 +208,7 @@
             }
             _ => {
                 back.extend_from_slice(message);
-                self.outcome.fault |= is_engine_fault(code);
+                self.outcome.engine_fault |= is_engine_fault(code);
                 self.outcome
                     .error
                     .get_or_insert(String::from_utf8_lossy(code).into());
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -41,7 +41,7 @@
         if self.stage == Stage::BringingSettings {
             return self.wait_for_settings(part, settings);
         }
-        if !in_transaction && !self.suits(settings) {
+        if !in_transaction && !self.has_settings(settings) {
             // Guards against a unit that runs with another's settings: it waits until they are confirmed.
             wire::write_query(out, settings.restoring_sql().as_bytes());
             self.stage = Stage::BringingSettings;
@@ -191,7 +191,7 @@
     pub(super) fn write_due_answers(&mut self, back: &mut Vec<u8>) {
         while let Some(Expected::FrontAnswers(bytes)) = self.expected.front() {
             back.extend_from_slice(bytes);
-            self.outcome.parsed += usize::from(*bytes == wire::PARSE_COMPLETE);
+            self.outcome.parsed_count += usize::from(*bytes == wire::PARSE_COMPLETE);
             self.expected.pop_front();
         }
     }
--- a/crates/postgres/src/engine_tests.rs
+++ b/crates/postgres/src/engine_tests.rs
@@ -35,7 +35,7 @@
     let mut md5 = with("secret");
     let (out, _) = told(&mut md5, b'R', &step(5, b"salt"));
     assert!(out.starts_with(b"p") && out[5..].starts_with(b"md5") && out.len() == 5 + 36);
-    let verifier = Verifier::read(&postgres_protocol::password::scram_sha_256(b"secret")).unwrap();
+    let verifier = Verifier::parse(&postgres_protocol::password::scram_sha_256(b"secret")).unwrap();
     for (password, lets_in) in [("secret", true), ("wrong", false)] {
         let mut scram = with(password);
         let (out, _) = told(&mut scram, b'R', &step(10, b"SCRAM-SHA-256\0\0"));
--- a/crates/postgres/src/pool.rs
+++ b/crates/postgres/src/pool.rs
@@ -47,7 +47,7 @@
         /// The account to log in with.
         account: AccountId,
         /// A connection to close first, as the engine takes no more.
-        instead_of: Option<ConnectionId>,
+        replacing: Option<ConnectionId>,
     },
 }
 
@@ -66,11 +66,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Connections to an engine.
-    pub each_engine: usize,
+    pub per_engine: usize,
     /// Microseconds after which an idle connection is closed.
-    pub idle: i64,
+    pub idle_timeout_us: i64,
     /// Microseconds after which a connection is not used again.
-    pub age: i64,
+    pub max_age_us: i64,
 }
 
 /// A unit that waits for a connection.
@@ -176,10 +176,10 @@
     /// What is to be done for the units that wait at an engine: the connection to make for them, if any.
     pub fn next_action(&self, engine: EngineIndex) -> Option<PoolAction<U>> {
         let account = self.account_to_dial_for(engine)?;
-        if self.connections_to(engine).count() < self.bounds.each_engine {
+        if self.connections_to(engine).count() < self.bounds.per_engine {
             return Some(PoolAction::Dial {
                 account,
-                instead_of: None,
+                replacing: None,
             });
         }
         // Guards against one account that holds all connections while it rests.
@@ -190,7 +190,7 @@
         let (_, connection) = self.connections_to(engine).filter_map(idle).min()?;
         Some(PoolAction::Dial {
             account,
-            instead_of: Some(connection),
+            replacing: Some(connection),
         })
     }
 
@@ -214,7 +214,7 @@
 
     /// A connection has come up, or its unit and transaction are over.
     pub fn release(&mut self, now: i64, connection: ConnectionId) -> Released<U> {
-        let age = self.bounds.age;
+        let age = self.bounds.max_age_us;
         let Some(member) = self.connections.get_mut(&connection) else {
             return Released::Close;
         };
@@ -225,7 +225,7 @@
         let (engine, account) = (member.engine, member.account);
         // In order: another account's unit that is first, and can have no other connection, gets this one's place.
         let first = self.account_to_dial_for(engine);
-        let full = self.connections_to(engine).count() >= self.bounds.each_engine;
+        let full = self.connections_to(engine).count() >= self.bounds.per_engine;
         if !full || first.is_none_or(|first| first == account) {
             let queue = self.waiting.entry(engine).or_default();
             let own = queue
@@ -306,7 +306,9 @@
     pub fn expired(&self, now: i64) -> Vec<ConnectionId> {
         let over = |m: &PooledConnection| match m.state {
             State::Idle { since } => {
-                m.retired || now - since >= self.bounds.idle || now - m.made_at >= self.bounds.age
+                m.retired
+                    || now - since >= self.bounds.idle_timeout_us
+                    || now - m.made_at >= self.bounds.max_age_us
             }
             _ => false,
         };
@@ -334,7 +336,7 @@
 
     /// Whether an engine takes another connection.
     pub fn has_capacity(&self, engine: EngineIndex) -> bool {
-        self.connections_to(engine).count() < self.bounds.each_engine
+        self.connections_to(engine).count() < self.bounds.per_engine
     }
 
     /// Connections to an engine that are idle or being made, beyond those that units wait for.
--- a/crates/postgres/src/pool_tests.rs
+++ b/crates/postgres/src/pool_tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 const BOUNDS: Bounds = Bounds {
-    each_engine: 2,
-    idle: 100,
-    age: 1000,
+    per_engine: 2,
+    idle_timeout_us: 100,
+    max_age_us: 1000,
 };
 
 fn pools() -> Pools<char> {
@@ -15,7 +15,7 @@
 fn dial(account: AccountId) -> Option<PoolAction<char>> {
     Some(PoolAction::Dial {
         account,
-        instead_of: None,
+        replacing: None,
     })
 }
 
@@ -60,7 +60,7 @@
     assert_eq!(pools.submit(0, 0, 'b', |_| 0), None);
     let instead = PoolAction::Dial {
         account: 1,
-        instead_of: Some(1),
+        replacing: Some(1),
     };
     assert_eq!(pools.release(5, 1), Released::Action(instead));
     pools.remove(1);
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -32,7 +32,7 @@
 
 impl SessionSettings {
     /// Takes in a change.
-    pub fn change(&mut self, change: &Change) {
+    pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Set { name, statement } => _ = self.0.insert(name.clone(), statement.clone()),
             Change::Reset(name) => _ = self.0.remove(name),
@@ -85,7 +85,7 @@
     }
 
     /// The same settings as others may have.
-    pub fn settings(&mut self, settings: SessionSettings) -> Rc<SessionSettings> {
+    pub fn intern_settings(&mut self, settings: SessionSettings) -> Rc<SessionSettings> {
         let hash = self.hasher.hash_one(&settings);
         let known = self.settings.get(&hash).into_iter().flatten();
         if let Some(found) = known.filter_map(Weak::upgrade).find(|s| **s == settings) {
--- a/crates/postgres/src/prepared_tests.rs
+++ b/crates/postgres/src/prepared_tests.rs
@@ -25,11 +25,11 @@
     let scan = sql::scan(b"SET a = 1; SET b = 2; SET a = 3; RESET b; SET c TO 'x'");
     scan.changes
         .iter()
-        .for_each(|change| settings.change(change));
+        .for_each(|change| settings.apply(change));
     assert_eq!(
         settings.restoring_sql(),
         "RESET ALL; SET a = 3; SET c TO 'x'"
     );
-    settings.change(&Change::ResetAll);
+    settings.apply(&Change::ResetAll);
     assert_eq!(settings.restoring_sql(), "RESET ALL");
 }
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -35,7 +35,7 @@
 
 impl Verifier {
     /// Reads a verifier in the form of `pg_authid`; None for any other text.
-    pub fn read(text: &str) -> Option<Verifier> {
+    pub fn parse(text: &str) -> Option<Verifier> {
         let (head, keys) = text.strip_prefix("SCRAM-SHA-256$")?.split_once('$')?;
         let (iterations, salt) = head.split_once(':')?;
         let (stored, server) = keys.split_once(':')?;
--- a/crates/postgres/src/scram_tests.rs
+++ b/crates/postgres/src/scram_tests.rs
@@ -23,7 +23,7 @@
 #[test]
 fn the_right_password_alone_passes_and_both_sides_are_proved() {
     let text = postgres_protocol::password::scram_sha_256(b"secret");
-    let verifier = Verifier::read(&text).unwrap();
+    let verifier = Verifier::parse(&text).unwrap();
     assert!(log_in(&verifier, b"secret", false));
     assert!(!log_in(&verifier, b"Secret", false));
     assert!(!log_in(&verifier, b"secret", true));
@@ -73,6 +73,6 @@
         "SCRAM-SHA-256$0:c2FsdA==$a:b",
         "SCRAM-SHA-256$4096:c2FsdA==$YQ==:YQ==",
     ] {
-        assert!(Verifier::read(text).is_none(), "{text}");
+        assert!(Verifier::parse(text).is_none(), "{text}");
     }
 }
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -113,7 +113,7 @@
         Session {
             user: client.user.clone(),
             database: client.database.clone(),
-            settings: catalogue.settings(settings),
+            settings: catalogue.intern_settings(settings),
             label,
             ..Session::default()
         }
@@ -130,8 +130,11 @@
         let set = self.settings.0.get("statement_timeout");
         let set = set
             .and_then(|statement| statement.rsplit(['=', ' ']).next())
-            .and_then(sql::time);
-        let told = label.statement_timeout.as_deref().and_then(sql::time);
+            .and_then(sql::parse_duration_us);
+        let told = label
+            .statement_timeout
+            .as_deref()
+            .and_then(sql::parse_duration_us);
         set.into_iter().chain(told).filter(|time| *time > 0).min()
     }
 
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -23,7 +23,7 @@
 
 impl Session {
     /// Answers a unit that needs no engine, to `out`. False if it needs one; nothing is written then.
-    pub fn answers(
+    pub fn answer_locally(
         &mut self,
         part: &UnitPart,
         catalogue: &mut Catalogue,
@@ -56,7 +56,7 @@
     }
 
     fn needs_no_engine(&self, part: &UnitPart) -> bool {
-        if !part.ends {
+        if !part.ends_unit {
             return false;
         }
         if self.transaction == Transaction::Lost {
@@ -152,7 +152,7 @@
             LocalCommand::Deallocate => self.forget_all_prepared(),
             LocalCommand::Discard => {
                 self.forget_all_prepared();
-                self.settings = catalogue.settings(SessionSettings::default());
+                self.settings = catalogue.intern_settings(SessionSettings::default());
             }
         }
         wire::write_complete(out, command.tag());
@@ -166,7 +166,10 @@
         out: &mut Vec<u8>,
     ) -> Result<(), UnitFailed> {
         // Guards against a commit that seems to have come to pass, of a client that knows of no failure.
-        let unreported_loss = self.unreported_loss.take().filter(|_| !scan.rolls_back);
+        let unreported_loss = self
+            .unreported_loss
+            .take()
+            .filter(|_| !scan.rolls_back_transaction);
         let ends = scan.only_ends_transaction();
         if ends {
             self.transaction = Transaction::None;
@@ -189,7 +192,7 @@
     }
 
     /// Takes in how a unit ended at an engine.
-    pub fn done(
+    pub fn apply_outcome(
         &mut self,
         parts: &[Rc<UnitPart>],
         done: &UnitOutcome,
@@ -199,7 +202,7 @@
         let failed = done.error.is_some();
         if failed {
             let named: Vec<&Vec<u8>> = parts.iter().flat_map(|p| &p.named).collect();
-            for name in named.into_iter().skip(done.parsed) {
+            for name in named.into_iter().skip(done.parsed_count) {
                 self.forget(name);
             }
         } else {
@@ -224,41 +227,44 @@
                 let mut settings = (*self.settings).clone();
                 pending_changes
                     .iter()
-                    .for_each(|change| settings.change(change));
+                    .for_each(|change| settings.apply(change));
                 // Guards against a session that grows without end: it keeps as many as it may.
                 while settings.0.len() > bounds.settings {
                     settings.0.pop_last();
                 }
-                self.settings = catalogue.settings(settings);
+                self.settings = catalogue.intern_settings(settings);
             }
         }
     }
 
     /// A unit ends here, with the front's own answer; with a transaction that is lost by that, if one was
     /// open.
-    pub fn fails(&mut self, parts: &[Rc<UnitPart>], why: &ClientError, out: &mut Vec<u8>) {
+    pub fn fail_unit(&mut self, parts: &[Rc<UnitPart>], why: &ClientError, out: &mut Vec<u8>) {
         for part in parts {
             part.named.iter().for_each(|name| self.forget(name));
         }
-        self.lose();
+        self.lose_transaction();
         self.unreported_loss = None;
-        if parts.iter().any(|part| part.commits || part.rolls_back) {
+        if parts
+            .iter()
+            .any(|part| part.commits_transaction || part.rolls_back_transaction)
+        {
             // It was the transaction's end, and its client asks for no other.
             self.transaction = Transaction::None;
         }
         why.write(out, false);
         if !self.in_unit {
-            self.ready(out);
+            self.write_ready(out);
         }
     }
 
     /// Tells the client that the next unit may come.
-    pub fn ready(&self, out: &mut Vec<u8>) {
+    pub fn write_ready(&self, out: &mut Vec<u8>) {
         wire::write_ready(out, self.transaction.status());
     }
 
     /// The engine that held the open transaction has it no more; its client hears so with its next unit.
-    pub fn lose(&mut self) {
+    pub fn lose_transaction(&mut self) {
         if self.transaction.is_held() {
             if self.transaction == Transaction::Open {
                 self.unreported_loss = Some("its engine drains or was lost");
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -43,7 +43,7 @@
         self.part.local = scan.unsupported.is_some() || scan.local_command.is_some();
         self.part.query = Some(self.range(text));
         self.part.add_scan(&scan);
-        self.part.ends = true;
+        self.part.ends_unit = true;
     }
 
     fn bind(&mut self, prepared: Rc<Prepared>, portal: &[u8], statement: &[u8], rest: &[u8]) {
@@ -125,7 +125,7 @@
         reading.refuse_mixed_commands();
         let mut part = reading.part;
         part.local &= !self.in_unit;
-        self.in_unit = !part.ends;
+        self.in_unit = !part.ends_unit;
         Ok((end, SessionEvent::Part(Rc::new(part))))
     }
 
@@ -164,7 +164,7 @@
                     .part
                     .ops
                     .extend([Operation::Fail(why), Operation::Sync]);
-                reading.part.ends = true;
+                reading.part.ends_unit = true;
             }
             ClientMessage::Query(text) => reading.query(text, whole),
             ClientMessage::Parse { name, body, .. } => self.take_parse(reading, name, body),
@@ -221,7 +221,7 @@
             ClientMessage::Flush => reading.part.ops.push(Operation::Flush),
             ClientMessage::Sync => {
                 reading.part.ops.push(Operation::Sync);
-                reading.part.ends = true;
+                reading.part.ends_unit = true;
             }
             // Outside a copy it is passed over, as engines do; Terminate is for the caller.
             ClientMessage::Copy | ClientMessage::Terminate => {}
@@ -315,7 +315,7 @@
 
     /// The unit that was begun is over, though its end has yet to come: what belongs to it is passed over.
     /// Says how much of the input that is, and whether the Sync was there.
-    pub fn skip(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
+    pub fn skip_to_sync(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
         let mut at = 0;
         while let Some(Header { tag, len }) = wire::header(&input[at..]).map_err(violation)? {
             if at + len > input.len() {
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -8,7 +8,7 @@
 
 pub use self::findings::{Change, LocalCommand, Scan};
 use self::labels::label;
-pub use self::labels::{time, Label};
+pub use self::labels::{parse_duration_us, Label};
 use self::settings::scan_setting;
 use self::tokens::{Kind, Token, Tokens};
 
@@ -98,9 +98,9 @@
     let second = |word: &str| head.get(1).is_some_and(|t| t.is(word));
     let first = |word: &str| head[0].is(word);
     if first("begin") || first("start") && second("transaction") {
-        scan.begins = true;
+        scan.begins_transaction = true;
     } else if first("commit") || first("end") {
-        scan.commits = true;
+        scan.commits_transaction = true;
         if second("prepared") {
             scan.unsupported = Some("a transaction in two phases");
         }
@@ -109,7 +109,7 @@
             scan.unsupported = Some("a transaction in two phases");
         }
         let to = |t: &Token| t.is("to");
-        scan.rolls_back |= !head.iter().any(to);
+        scan.rolls_back_transaction |= !head.iter().any(to);
     } else if first("prepare") {
         let two = second("transaction");
         scan.unsupported = Some(if two {
--- a/crates/postgres/src/sql/findings.rs
+++ b/crates/postgres/src/sql/findings.rs
@@ -48,11 +48,11 @@
     /// How many statements it holds.
     pub statements: usize,
     /// Whether one begins a transaction.
-    pub begins: bool,
+    pub begins_transaction: bool,
     /// Whether one commits a transaction.
-    pub commits: bool,
+    pub commits_transaction: bool,
     /// Whether one rolls a transaction back.
-    pub rolls_back: bool,
+    pub rolls_back_transaction: bool,
     /// Changes of the session's settings, in order.
     pub changes: Vec<Change>,
     /// The statement, where it is the only one and needs no engine.
@@ -64,6 +64,6 @@
 impl Scan {
     /// Whether the text does nothing but end a transaction.
     pub fn only_ends_transaction(&self) -> bool {
-        self.statements == 1 && (self.commits || self.rolls_back)
+        self.statements == 1 && (self.commits_transaction || self.rolls_back_transaction)
     }
 }
--- a/crates/postgres/src/sql/labels.rs
+++ b/crates/postgres/src/sql/labels.rs
@@ -10,7 +10,7 @@
     /// The customer's name.
     pub customer: Option<String>,
     /// The order key: statements with equal ones run one after the other.
-    pub key: Option<String>,
+    pub order_key: Option<String>,
     /// Statements with equal ones take effect once.
     pub dedup_key: Option<String>,
     /// The client's estimate of the work, in milliseconds on one core.
@@ -28,7 +28,7 @@
         let place = match name {
             "workload" => &mut self.workload,
             "member" => &mut self.customer,
-            "key" => &mut self.key,
+            "key" => &mut self.order_key,
             "dedup_key" => &mut self.dedup_key,
             "work_ms" => &mut self.work_ms,
             "memory_mb" => &mut self.memory_mb,
@@ -45,7 +45,7 @@
         Label {
             workload: either(&self.workload, &other.workload),
             customer: either(&self.customer, &other.customer),
-            key: either(&self.key, &other.key),
+            order_key: either(&self.order_key, &other.order_key),
             dedup_key: either(&self.dedup_key, &other.dedup_key),
             work_ms: either(&self.work_ms, &other.work_ms),
             memory_mb: either(&self.memory_mb, &other.memory_mb),
@@ -108,7 +108,7 @@
 }
 
 /// A time as the servers' settings write it, in microseconds; plain numbers are milliseconds.
-pub fn time(text: &str) -> Option<i64> {
+pub fn parse_duration_us(text: &str) -> Option<i64> {
     let text = text.trim().trim_matches('\'').trim();
     let at = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
--- a/crates/postgres/src/sql_tests.rs
+++ b/crates/postgres/src/sql_tests.rs
@@ -97,7 +97,12 @@
 fn transactions_are_seen_by_their_first_words() {
     let seen = |text: &str| {
         let scan = scan(text.as_bytes());
-        (scan.statements, scan.begins, scan.commits, scan.rolls_back)
+        (
+            scan.statements,
+            scan.begins_transaction,
+            scan.commits_transaction,
+            scan.rolls_back_transaction,
+        )
     };
     assert_eq!(seen("BEGIN"), (1, true, false, false));
     assert_eq!(
@@ -131,7 +136,7 @@
     assert_eq!(local("SET hallmux.key = 'a'; select 1"), None);
     let label = scan(b"/*a='b'*/ /*hallmux.workload='re%20port',hallmux.key='k'*/ select 1").label;
     assert_eq!(
-        (label.workload.as_deref(), label.key.as_deref()),
+        (label.workload.as_deref(), label.order_key.as_deref()),
         (Some("re port"), Some("k"))
     );
     assert_eq!(
@@ -174,6 +179,6 @@
         ("x", None),
         ("1y", None),
     ] {
-        assert_eq!(time(text), micros, "{text}");
+        assert_eq!(parse_duration_us(text), micros, "{text}");
     }
 }
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -166,7 +166,7 @@
                     .filter(|n| n.starts_with("_pq_."))
                     .collect();
                 if minor > 0 || !unknown.is_empty() {
-                    wire::write_version(out, &unknown);
+                    wire::write_negotiate_version(out, &unknown);
                 }
                 let client = match client(&parameters) {
                     Ok(client) => client,
--- a/crates/postgres/src/startup_tests.rs
+++ b/crates/postgres/src/startup_tests.rs
@@ -5,7 +5,7 @@
 
 fn start_up(minor: u16, parameters: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
-    wire::write_start_up(&mut out, parameters);
+    wire::write_startup(&mut out, parameters);
     out[6..8].copy_from_slice(&minor.to_be_bytes());
     out
 }
@@ -53,7 +53,7 @@
 #[test]
 fn a_password_opens_the_door_and_nothing_else_does() {
     let verifier = postgres_protocol::password::scram_sha_256(b"secret");
-    let verifier = Verifier::read(&verifier).unwrap();
+    let verifier = Verifier::parse(&verifier).unwrap();
     let known = |user: &str| (user == "u").then(|| Authentication::Scram(verifier.clone()));
     for (user, password, opens) in [
         ("u", "secret", true),
--- a/crates/postgres/src/unit.rs
+++ b/crates/postgres/src/unit.rs
@@ -63,15 +63,15 @@
     /// The client's bytes.
     pub raw: Vec<u8>,
     /// Whether the unit ends with it.
-    pub ends: bool,
+    pub ends_unit: bool,
     /// The labels in its texts.
     pub label: Label,
     /// Whether it begins a transaction.
-    pub begins: bool,
+    pub begins_transaction: bool,
     /// Whether it commits one.
-    pub commits: bool,
+    pub commits_transaction: bool,
     /// Whether it rolls one back.
-    pub rolls_back: bool,
+    pub rolls_back_transaction: bool,
     /// Changes of the session's settings.
     pub changes: Vec<Change>,
     /// The first text that runs: a range of the bytes, or what was prepared.
@@ -105,24 +105,24 @@
     }
 
     /// Its text where it is a simple query.
-    pub fn simple(&self) -> Option<&[u8]> {
+    pub fn simple_query_text(&self) -> Option<&[u8]> {
         matches!(self.ops[..], [Operation::Query(_)]).then(|| self.text())
     }
 
     /// The same with other text, where it is a simple query.
     pub fn with_text(&self, text: &[u8]) -> Option<UnitPart> {
-        self.simple()?;
+        self.simple_query_text()?;
         let mut raw = Vec::new();
         wire::write(&mut raw, b'Q', |out| wire::write_string(out, text));
         let query = raw.len() - 1 - text.len()..raw.len() - 1;
         Some(UnitPart {
             ops: vec![Operation::Query(0..raw.len())],
             raw,
-            ends: self.ends,
+            ends_unit: self.ends_unit,
             label: self.label.clone(),
-            begins: self.begins,
-            commits: self.commits,
-            rolls_back: self.rolls_back,
+            begins_transaction: self.begins_transaction,
+            commits_transaction: self.commits_transaction,
+            rolls_back_transaction: self.rolls_back_transaction,
             changes: self.changes.clone(),
             query: Some(query),
             local_commands: self.local_commands.clone(),
@@ -133,9 +133,9 @@
     /// Adds what a text that it runs does to the session.
     pub(crate) fn add_scan(&mut self, scan: &Scan) {
         self.label = self.label.overridden_by(&scan.label);
-        self.begins |= scan.begins;
-        self.commits |= scan.commits;
-        self.rolls_back |= scan.rolls_back;
+        self.begins_transaction |= scan.begins_transaction;
+        self.commits_transaction |= scan.commits_transaction;
+        self.rolls_back_transaction |= scan.rolls_back_transaction;
         self.changes.extend(scan.changes.iter().cloned());
         self.local_commands.extend(scan.local_command.clone());
     }
@@ -160,9 +160,9 @@
     /// The SQLSTATE of the error that it ended with, if it did.
     pub error: Option<String>,
     /// The error is the engine's fault, not the statement's.
-    pub fault: bool,
+    pub engine_fault: bool,
     /// A transaction ended without effect.
     pub rolled_back: bool,
     /// How many of its statements were parsed before the error.
-    pub parsed: usize,
+    pub parsed_count: usize,
 }
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -336,7 +336,7 @@
 }
 
 /// Writes BackendKeyData.
-pub fn write_key(out: &mut Vec<u8>, key: CancelKey) {
+pub fn write_backend_key(out: &mut Vec<u8>, key: CancelKey) {
     write(out, b'K', |out| {
         out.extend_from_slice(&key.process.to_be_bytes());
         out.extend_from_slice(&key.secret.to_be_bytes());
@@ -344,7 +344,7 @@
 }
 
 /// Writes the start-up of a session, by names and values.
-pub fn write_start_up(out: &mut Vec<u8>, parameters: &[(&str, &str)]) {
+pub fn write_startup(out: &mut Vec<u8>, parameters: &[(&str, &str)]) {
     write_packet(out, |out| {
         out.extend_from_slice(&VERSION.to_be_bytes());
         for (name, value) in parameters {
@@ -371,7 +371,7 @@
 
 /// Writes NegotiateProtocolVersion: the newest version there is and the options that are not known, for a
 /// client that asked for more.
-pub fn write_version(out: &mut Vec<u8>, unknown: &[&str]) {
+pub fn write_negotiate_version(out: &mut Vec<u8>, unknown: &[&str]) {
     write(out, b'v', |out| {
         out.extend_from_slice(&0u32.to_be_bytes());
         out.extend_from_slice(&(unknown.len() as u32).to_be_bytes());
--- a/crates/postgres/src/wire_tests.rs
+++ b/crates/postgres/src/wire_tests.rs
@@ -4,7 +4,7 @@
 
 fn start_up(parameters: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
-    write_start_up(&mut out, parameters);
+    write_startup(&mut out, parameters);
     out
 }
 
--- a/crates/postgres/tests/split.rs
+++ b/crates/postgres/tests/split.rs
@@ -159,7 +159,7 @@
         panic!()
     };
     assert_eq!(
-        (last.status, last.error.as_deref(), last.fault),
+        (last.status, last.error.as_deref(), last.engine_fault),
         (b'E', Some("22023"), false)
     );
     // A notification is nobody's; all else goes on, and the Close of a statement is answered here.
