--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -18,10 +18,10 @@
 
 /// The first byte says which reader; the rest is its input.
 pub fn drive(bytes: &[u8]) {
-    let Some((which, input)) = bytes.split_first() else {
+    let Some((reader, input)) = bytes.split_first() else {
         return;
     };
-    match which % 4 {
+    match reader % 4 {
         0 => startup(input),
         1 => _ = session(input),
         2 => engine(input),
@@ -31,13 +31,13 @@
 
 fn startup(input: &[u8]) {
     let (mut startup, mut out) = (Startup::default(), Vec::new());
-    let mut at = 0;
+    let mut offset = 0;
     // In two pieces, so that what is kept between them is met as well.
     for end in [input.len() / 2, input.len()] {
-        match startup.read(&input[at..end], |_| None, b"secret", "nonce", &mut out) {
+        match startup.read(&input[offset..end], |_| None, b"secret", "nonce", &mut out) {
             Ok((used, step)) => {
-                assert!(used <= end - at && out.len() <= 4 * input.len() + 1024);
-                at += used;
+                assert!(used <= end - offset && out.len() <= 4 * input.len() + 1024);
+                offset += used;
                 if !matches!(step, StartupStep::Incomplete) {
                     return;
                 }
@@ -51,10 +51,10 @@
 pub fn session(input: &[u8]) -> Vec<Rc<UnitPart>> {
     let mut catalogue = Catalogue::default();
     let mut session = Session::new(&Default::default(), &mut catalogue);
-    let (mut parts, mut at, mut out) = (Vec::new(), 0, Vec::new());
-    while let Ok((used, read)) = session.read(&input[at..], &mut catalogue, &BOUNDS) {
-        assert!(used <= input.len() - at);
-        at += used;
+    let (mut parts, mut offset, mut out) = (Vec::new(), 0, Vec::new());
+    while let Ok((used, read)) = session.read(&input[offset..], &mut catalogue, &BOUNDS) {
+        assert!(used <= input.len() - offset);
+        offset += used;
         match read {
             SessionEvent::Part(part) => {
                 assert!(used > 0 && part.raw.len() <= BOUNDS.bytes);
@@ -71,22 +71,24 @@
 fn engine(input: &[u8]) {
     let half = input.len() / 2;
     let parts = session(&input[..half]);
-    let (mut out, mut back) = (Vec::new(), Vec::new());
+    let (mut out, mut to_client) = (Vec::new(), Vec::new());
     let mut engine = EngineConnection::new(Account::default(), 2, &mut out);
     let login = b"R\0\0\0\x08\0\0\0\0K\0\0\0\x0c\0\0\0\x01\0\0\0\x02Z\0\0\0\x05I";
     assert!(matches!(
-        engine.read(login, &mut out, &mut back, 64),
+        engine.read(login, &mut out, &mut to_client, 64),
         Ok((_, Some(EngineEvent::Ready)))
     ));
     let settings = Rc::<SessionSettings>::default();
     for part in &parts {
-        engine.send(part, &settings, false, &mut out, &mut back);
+        engine.send(part, &settings, false, &mut out, &mut to_client);
     }
-    let (mut at, answers) = (0, &input[half..]);
-    while let Ok((used, heard)) = engine.read(&answers[at..], &mut out, &mut back, usize::MAX) {
-        assert!(used <= answers.len() - at);
-        at += used;
-        if used == 0 && heard.is_none() {
+    let (mut offset, answers) = (0, &input[half..]);
+    while let Ok((used, event)) =
+        engine.read(&answers[offset..], &mut out, &mut to_client, usize::MAX)
+    {
+        assert!(used <= answers.len() - offset);
+        offset += used;
+        if used == 0 && event.is_none() {
             break;
         }
     }
--- a/crates/postgres/src/client_error_tests.rs
+++ b/crates/postgres/src/client_error_tests.rs
@@ -4,7 +4,7 @@
 use crate::wire::{field, message, Message};
 
 #[test]
-fn a_rejection_tells_its_wait_where_a_driver_reads_it() {
+fn rejection_carries_retry_delay_in_its_detail_field() {
     let mut out = Vec::new();
     ClientError::Rejected {
         retry_after_ms: Some(250),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn only_errors_that_speak_of_the_engine_are_its_fault() {
+fn only_errors_of_resources_shutdown_and_internals_are_engine_faults() {
     for (code, fault) in [
         ("53200", true),
         ("57P01", true),
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -56,13 +56,13 @@
 enum Stage {
     Login,
     /// A session's settings are being brought over.
-    BringingSettings,
+    ApplyingSettings,
     Ready,
 }
 
 enum Expected {
     /// The front gives this answer in the engine's place, as nothing was sent to it.
-    FrontAnswers(&'static [u8]),
+    LocalAnswer(&'static [u8]),
     /// `number` is the prepared statement's, None for the unnamed one. A hidden answer is not the client's.
     Parsed {
         number: Option<u64>,
@@ -102,7 +102,7 @@
     pub parameters: Vec<(String, String)>,
     prepared: LruCache<u64, ()>,
     /// How many statements may be prepared there.
-    most_prepared: usize,
+    max_prepared: usize,
     /// Numbers of statements whose Parse was sent and is not confirmed yet.
     unconfirmed: HashSet<u64>,
     /// The statement without a name that this unit has put there.
@@ -140,12 +140,12 @@
 impl EngineConnection {
     /// Begins a login: writes the start-up to `out`. No more than `most_prepared` statements stay prepared
     /// there.
-    pub fn new(account: Account, most_prepared: usize, out: &mut Vec<u8>) -> EngineConnection {
-        let who = [
+    pub fn new(account: Account, max_prepared: usize, out: &mut Vec<u8>) -> EngineConnection {
+        let parameters = [
             ("user", account.user.as_str()),
             ("database", &account.database),
         ];
-        wire::write_startup(out, &who);
+        wire::write_startup(out, &parameters);
         EngineConnection {
             account,
             stage: Stage::Login,
@@ -153,7 +153,7 @@
             key: None,
             parameters: Vec::new(),
             prepared: LruCache::unbounded(),
-            most_prepared,
+            max_prepared,
             unconfirmed: HashSet::new(),
             unnamed: None,
             settings: Some(Rc::default()),
@@ -173,7 +173,7 @@
 
     /// Whether a session's settings are being brought over: what waits for them has not left.
     pub fn is_applying_settings(&self) -> bool {
-        self.stage == Stage::BringingSettings
+        self.stage == Stage::ApplyingSettings
     }
 
     /// Whether what was passed on so far ends with a whole message.
@@ -185,7 +185,7 @@
     pub fn has_settings(&self, settings: &Rc<SessionSettings>) -> bool {
         self.settings
             .as_ref()
-            .is_some_and(|own| Rc::ptr_eq(own, settings) || own == settings)
+            .is_some_and(|current| Rc::ptr_eq(current, settings) || current == settings)
     }
 
     /// How many statements are prepared there.
--- a/crates/postgres/src/engine/login.rs
+++ b/crates/postgres/src/engine/login.rs
@@ -62,7 +62,7 @@
             }
             b'N' | b'v' => {}
             other => {
-                return Err(ProtocolError::NotDue {
+                return Err(ProtocolError::UnexpectedMessage {
                     tag: other,
                     when: "during login",
                 })
@@ -82,20 +82,24 @@
             Some(request::OK) => {}
             Some(request::CLEARTEXT_PASSWORD) => write_password(out, self.password().as_bytes()),
             Some(request::MD5_PASSWORD) => self.answer_md5(body, out)?,
-            Some(request::SASL) => self.begin_scram(out),
+            Some(request::SASL) => self.start_scram(out),
             Some(request::SASL_CONTINUE) => {
                 let exchange = self.scram_exchange(tag)?;
                 let proof = exchange.update(&body[4..]);
-                proof.map_err(|e| ProtocolError::Proof(e.to_string()))?;
+                proof.map_err(|e| ProtocolError::AuthenticationFailed(e.to_string()))?;
                 let message = exchange.message();
                 wire::write(out, b'p', |out| out.extend_from_slice(message));
             }
             Some(request::SASL_FINAL) => {
                 let proof = self.scram_exchange(tag)?.finish(&body[4..]);
-                proof.map_err(|e| ProtocolError::Proof(e.to_string()))?;
+                proof.map_err(|e| ProtocolError::AuthenticationFailed(e.to_string()))?;
+            }
+            Some(other) => return Err(ProtocolError::UnsupportedAuthentication(other)),
+            None => {
+                return Err(ProtocolError::Malformed(
+                    "an authentication request without a type",
+                ))
             }
-            Some(other) => return Err(ProtocolError::Login(other)),
-            None => return Err(ProtocolError::Malformed("a login of no kind")),
         }
         Ok(())
     }
@@ -106,14 +110,16 @@
 
     fn answer_md5(&self, body: &[u8], out: &mut Vec<u8>) -> Result<(), ProtocolError> {
         let salt = body.get(4..8).and_then(|salt| salt.try_into().ok());
-        let salt = salt.ok_or(ProtocolError::Malformed("an MD5 login without its salt"))?;
+        let salt = salt.ok_or(ProtocolError::Malformed(
+            "an MD5 authentication request without a salt",
+        ))?;
         let user = self.account.user.as_bytes();
         let hash = md5_hash(user, self.password().as_bytes(), salt);
         write_password(out, hash.as_bytes());
         Ok(())
     }
 
-    fn begin_scram(&mut self, out: &mut Vec<u8>) {
+    fn start_scram(&mut self, out: &mut Vec<u8>) {
         let exchange = ScramSha256::new(self.password().as_bytes(), ChannelBinding::unsupported());
         wire::write(out, b'p', |out| {
             wire::write_string(out, scram::MECHANISM.as_bytes());
@@ -126,9 +132,9 @@
     /// The SCRAM exchange that was begun; an error where none was.
     fn scram_exchange(&mut self, tag: u8) -> Result<&mut ScramSha256, ProtocolError> {
         let exchange = self.exchange.as_deref_mut();
-        exchange.ok_or(ProtocolError::NotDue {
+        exchange.ok_or(ProtocolError::UnexpectedMessage {
             tag,
-            when: "before SCRAM has begun",
+            when: "before SCRAM has started",
         })
     }
 
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -18,18 +18,18 @@
         &mut self,
         input: &[u8],
         out: &mut Vec<u8>,
-        back: &mut Vec<u8>,
-        room: usize,
+        to_client: &mut Vec<u8>,
+        client_capacity: usize,
     ) -> Result<(usize, Option<EngineEvent>), ProtocolError> {
         let mut at = 0;
-        while back.len() <= room {
+        while to_client.len() <= client_capacity {
             let rest = &input[at..];
             if self.remaining_bytes > 0 {
                 let len = self.remaining_bytes.min(rest.len());
                 if len == 0 {
                     break;
                 }
-                back.extend_from_slice(&rest[..len]);
+                to_client.extend_from_slice(&rest[..len]);
                 self.remaining_bytes -= len;
                 at += len;
                 continue;
@@ -46,15 +46,15 @@
                 if rest.len() < MAX_BUFFERED_MESSAGE {
                     break;
                 }
-                self.begin_long_message(tag)?;
+                self.start_long_message(tag)?;
                 self.remaining_bytes = len;
                 continue;
             }
             if len > MAX_BUFFERED_MESSAGE && rest.len() < len {
-                return Err(ProtocolError::EngineTooLong {
+                return Err(ProtocolError::EngineMessageTooLong {
                     tag,
                     bytes: len,
-                    most: MAX_BUFFERED_MESSAGE,
+                    limit: MAX_BUFFERED_MESSAGE,
                 });
             }
             let Some(message) = rest.get(..len) else {
@@ -63,8 +63,8 @@
             at += len;
             let event = match self.stage {
                 Stage::Login => self.login(tag, &message[5..], message, out)?,
-                Stage::BringingSettings => self.settings_answer(tag, message, out, back),
-                Stage::Ready => self.unit_answer(tag, message, back)?,
+                Stage::ApplyingSettings => self.settings_answer(tag, message, out, to_client),
+                Stage::Ready => self.unit_answer(tag, message, to_client)?,
             };
             if event.is_some() {
                 return Ok((at, event));
@@ -79,7 +79,7 @@
         tag: u8,
         message: &[u8],
         out: &mut Vec<u8>,
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) -> Option<EngineEvent> {
         match tag {
             b'E' => _ = self.settings_error.get_or_insert(message.to_vec()),
@@ -95,7 +95,7 @@
                 }
                 self.settings = waiting.first().map(|first| first.settings.clone());
                 for WaitingPart { part, settings } in waiting {
-                    self.send(&part, &settings, true, out, back);
+                    self.send(&part, &settings, true, out, to_client);
                 }
             }
             _ => {}
@@ -104,21 +104,21 @@
     }
 
     /// A message that goes on in pieces begins: it must be one that is due.
-    fn begin_long_message(&mut self, tag: u8) -> Result<(), ProtocolError> {
-        let described = matches!(self.expected.front(), Some(Expected::Described));
-        let running = matches!(
+    fn start_long_message(&mut self, tag: u8) -> Result<(), ProtocolError> {
+        let describe_expected = matches!(self.expected.front(), Some(Expected::Described));
+        let rows_expected = matches!(
             self.expected.front(),
             Some(Expected::Executed | Expected::Query)
         );
         match tag {
             b'N' => {}
-            b'T' if described => _ = self.expected.pop_front(),
-            b't' if described => {}
-            b'T' | b'D' | b'd' if running => {}
+            b'T' if describe_expected => _ = self.expected.pop_front(),
+            b't' if describe_expected => {}
+            b'T' | b'D' | b'd' if rows_expected => {}
             other => {
-                return Err(ProtocolError::NotDue {
+                return Err(ProtocolError::UnexpectedMessage {
                     tag: other,
-                    when: "in answer to what was asked",
+                    when: "in response to the pending operation",
                 })
             }
         }
@@ -130,26 +130,26 @@
         &mut self,
         tag: u8,
         message: &[u8],
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) -> Result<Option<EngineEvent>, ProtocolError> {
-        let mut passes = true;
+        let mut forward = true;
         match (tag, self.expected.front()) {
-            (b'N', _) => passes = !self.expected.is_empty(),
-            (b'S', _) => passes = !self.expected.is_empty(),
+            (b'N', _) => forward = !self.expected.is_empty(),
+            (b'S', _) => forward = !self.expected.is_empty(),
             // Nobody listens through a front.
-            (b'A', _) => passes = false,
-            (b'E', _) => return self.unit_error(message, back),
+            (b'A', _) => forward = false,
+            (b'E', _) => return self.unit_error(message, to_client),
             (b'1', Some(Expected::Parsed { number, hidden })) => {
                 if let Some(number) = *number {
                     self.unconfirmed.remove(&number);
                     self.prepared.put(number, ());
                 }
-                passes = !*hidden;
-                self.outcome.parsed_count += usize::from(passes);
+                forward = !*hidden;
+                self.outcome.parsed_count += usize::from(forward);
                 self.expected.pop_front();
             }
             (b'3', Some(Expected::Closed { hidden })) => {
-                passes = hidden.is_none();
+                forward = hidden.is_none();
                 self.expected.pop_front();
             }
             (b'2', Some(Expected::Bound)) | (b'n', Some(Expected::Described)) => {
@@ -168,46 +168,48 @@
             (b'I' | b's', Some(Expected::Executed)) => _ = self.expected.pop_front(),
             (b'Z', Some(Expected::Ping)) => {
                 self.expected.pop_front();
-                self.write_due_answers(back);
+                self.write_local_answers(to_client);
                 return Ok(Some(EngineEvent::PingAnswered));
             }
             (b'Z', Some(Expected::Sync | Expected::Query)) => {
                 self.expected.pop_front();
-                return self.unit_ended(message, back).map(Some);
+                return self.finish_unit(message, to_client).map(Some);
             }
             (other, _) => {
-                return Err(ProtocolError::NotDue {
+                return Err(ProtocolError::UnexpectedMessage {
                     tag: other,
-                    when: "in answer to what was asked",
+                    when: "in response to the pending operation",
                 });
             }
         }
-        if passes {
-            back.extend_from_slice(message);
+        if forward {
+            to_client.extend_from_slice(message);
         }
-        self.write_due_answers(back);
+        self.write_local_answers(to_client);
         Ok(None)
     }
 
     fn unit_error(
         &mut self,
         message: &[u8],
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) -> Result<Option<EngineEvent>, ProtocolError> {
         let code = wire::field(&message[5..], b'C').unwrap_or(b"XX000");
         let fatal = wire::field(&message[5..], b'S') == Some(b"FATAL")
             || wire::field(&message[5..], b'V') == Some(b"FATAL");
         if fatal || self.expected.is_empty() {
             // It is the connection's end, not a statement's answer, and nothing for a client of the front.
-            return Err(ProtocolError::Gone(String::from_utf8_lossy(code).into()));
+            return Err(ProtocolError::ConnectionEnded(
+                String::from_utf8_lossy(code).into(),
+            ));
         }
         match self.expected.front() {
             Some(Expected::Fail(why)) => {
-                why.write(back, false);
+                why.write(to_client, false);
                 self.outcome.error = Some(why.code().to_string());
             }
             _ => {
-                back.extend_from_slice(message);
+                to_client.extend_from_slice(message);
                 self.outcome.engine_fault |= is_engine_fault(code);
                 self.outcome
                     .error
@@ -246,17 +248,17 @@
     }
 
     /// The engine is ready for the next unit: how this one ended.
-    fn unit_ended(
+    fn finish_unit(
         &mut self,
         message: &[u8],
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) -> Result<EngineEvent, ProtocolError> {
-        back.extend_from_slice(message);
+        to_client.extend_from_slice(message);
         self.unnamed = None;
         let outcome = std::mem::take(&mut self.outcome);
         let status = message.get(5).copied().unwrap_or(b'I');
         if !matches!(status, b'I' | b'T' | b'E') {
-            return Err(ProtocolError::Malformed("a transaction in no known state"));
+            return Err(ProtocolError::Malformed("an unknown transaction status"));
         }
         Ok(EngineEvent::UnitDone(UnitOutcome { status, ..outcome }))
     }
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -36,15 +36,15 @@
         settings: &Rc<SessionSettings>,
         in_transaction: bool,
         out: &mut Vec<u8>,
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) {
-        if self.stage == Stage::BringingSettings {
+        if self.stage == Stage::ApplyingSettings {
             return self.wait_for_settings(part, settings);
         }
         if !in_transaction && !self.has_settings(settings) {
             // Guards against a unit that runs with another's settings: it waits until they are confirmed.
             wire::write_query(out, settings.restoring_sql().as_bytes());
-            self.stage = Stage::BringingSettings;
+            self.stage = Stage::ApplyingSettings;
             self.settings = None;
             return self.wait_for_settings(part, settings);
         }
@@ -55,7 +55,7 @@
         if !part.changes.is_empty() {
             self.settings = None;
         }
-        self.write_due_answers(back);
+        self.write_local_answers(to_client);
     }
 
     fn wait_for_settings(&mut self, part: &Rc<UnitPart>, settings: &Rc<SessionSettings>) {
@@ -84,7 +84,7 @@
                 named: true,
             } if self.is_prepared(prepared.number) => {
                 self.expected
-                    .push_back(Expected::FrontAnswers(wire::PARSE_COMPLETE));
+                    .push_back(Expected::LocalAnswer(wire::PARSE_COMPLETE));
             }
             Operation::Parse { prepared, named } => self.send_parse(prepared, *named, false, out),
             Operation::Bind {
@@ -121,7 +121,7 @@
             }
             Operation::CloseStatement => self
                 .expected
-                .push_back(Expected::FrontAnswers(wire::CLOSE_COMPLETE)),
+                .push_back(Expected::LocalAnswer(wire::CLOSE_COMPLETE)),
             Operation::Fail(why) => {
                 // A statement of this name there never is: the engine fails what went before in the unit.
                 write_bind(out, b"", MISSING_STATEMENT, NO_PARAMETERS_NO_FORMATS);
@@ -146,12 +146,12 @@
 
     /// Prepares a statement again, unseen, where this connection does not have it.
     fn ensure_prepared(&mut self, prepared: &Rc<Prepared>, named: bool, out: &mut Vec<u8>) {
-        let there = if named {
+        let is_present = if named {
             self.is_prepared(prepared.number)
         } else {
             self.unnamed == Some(prepared.number)
         };
-        if !there {
+        if !is_present {
             self.send_parse(prepared, named, true, out);
         }
     }
@@ -163,7 +163,7 @@
         hidden: bool,
         out: &mut Vec<u8>,
     ) {
-        if named && self.prepared.len() + self.unconfirmed.len() >= self.most_prepared {
+        if named && self.prepared.len() + self.unconfirmed.len() >= self.max_prepared {
             if let Some((oldest, ())) = self.prepared.pop_lru() {
                 wire::write(out, b'C', |out| {
                     out.push(b'S');
@@ -188,9 +188,9 @@
     }
 
     /// Writes the answers that are due next and that the front gives in the engine's place.
-    pub(super) fn write_due_answers(&mut self, back: &mut Vec<u8>) {
-        while let Some(Expected::FrontAnswers(bytes)) = self.expected.front() {
-            back.extend_from_slice(bytes);
+    pub(super) fn write_local_answers(&mut self, to_client: &mut Vec<u8>) {
+        while let Some(Expected::LocalAnswer(bytes)) = self.expected.front() {
+            to_client.extend_from_slice(bytes);
             self.outcome.parsed_count += usize::from(*bytes == wire::PARSE_COMPLETE);
             self.expected.pop_front();
         }
--- a/crates/postgres/src/pool.rs
+++ b/crates/postgres/src/pool.rs
@@ -27,7 +27,7 @@
     account: AccountId,
     state: State,
     /// When it was made, in microseconds.
-    made_at: i64,
+    started_at: i64,
     /// It is not used again, as its engine is retired.
     retired: bool,
 }
@@ -121,21 +121,21 @@
         engine: EngineIndex,
         account: AccountId,
         unit: U,
-        suits: impl Fn(ConnectionId) -> u32,
+        rank: impl Fn(ConnectionId) -> u32,
     ) -> Option<PoolAction<U>> {
-        let waits = self
+        let has_waiting = self
             .waiting
             .get(&engine)
             .is_some_and(|queue| !queue.is_empty());
         // The one used last first, so that the others may end as idle.
         let idle = |(connection, m): (&ConnectionId, &PooledConnection)| match m.state {
             State::Idle { since } if m.account == account && !m.retired => {
-                Some((suits(*connection), since, *connection))
+                Some((rank(*connection), since, *connection))
             }
             _ => None,
         };
         let best = self.connections_to(engine).filter_map(idle).max();
-        if let Some((_, _, connection)) = best.filter(|_| !waits) {
+        if let Some((_, _, connection)) = best.filter(|_| !has_waiting) {
             self.connections
                 .entry(connection)
                 .and_modify(|m| m.state = State::InUse);
@@ -159,8 +159,8 @@
             *connecting.entry(m.account).or_default() += 1;
         }
         let mut served = |account: &AccountId| match connecting.get_mut(account) {
-            Some(left) if *left > 0 => {
-                *left -= 1;
+            Some(remaining) if *remaining > 0 => {
+                *remaining -= 1;
                 true
             }
             _ => false,
@@ -206,7 +206,7 @@
             engine,
             account,
             state: State::Connecting,
-            made_at: now,
+            started_at: now,
             retired: false,
         };
         self.connections.insert(connection, member);
@@ -218,7 +218,7 @@
         let Some(member) = self.connections.get_mut(&connection) else {
             return Released::Close;
         };
-        if member.retired || now - member.made_at >= age {
+        if member.retired || now - member.started_at >= age {
             return Released::Close;
         }
         member.state = State::Idle { since: now };
@@ -228,11 +228,11 @@
         let full = self.connections_to(engine).count() >= self.bounds.per_engine;
         if !full || first.is_none_or(|first| first == account) {
             let queue = self.waiting.entry(engine).or_default();
-            let own = queue
+            let next = queue
                 .iter()
                 .position(|waiting| waiting.account == account)
                 .and_then(|at| queue.remove(at));
-            if let Some(WaitingUnit { unit, .. }) = own {
+            if let Some(WaitingUnit { unit, .. }) = next {
                 self.connections
                     .entry(connection)
                     .and_modify(|m| m.state = State::InUse);
@@ -256,14 +256,14 @@
             return Vec::new();
         };
         let (engine, account) = (member.engine, member.account);
-        let others = self
+        let has_others = self
             .connections
             .values()
             .any(|m| m.engine == engine && m.account == account && !m.retired);
         let mut lost = Vec::new();
         // With none left all end, else one: the others are still served.
         queue.retain(|waiting| {
-            let is_lost = waiting.account == account && (!others || lost.is_empty());
+            let is_lost = waiting.account == account && (!has_others || lost.is_empty());
             if is_lost {
                 lost.push(waiting.unit);
             }
@@ -295,26 +295,29 @@
                 idle.push(*connection);
             }
         }
-        let waited = self.waiting.remove(&engine).unwrap_or_default();
+        let waiting_units = self.waiting.remove(&engine).unwrap_or_default();
         (
-            waited.into_iter().map(|waiting| waiting.unit).collect(),
+            waiting_units
+                .into_iter()
+                .map(|waiting| waiting.unit)
+                .collect(),
             idle,
         )
     }
 
     /// Connections that have been idle for so long, or are so old, that they are to be closed.
     pub fn expired(&self, now: i64) -> Vec<ConnectionId> {
-        let over = |m: &PooledConnection| match m.state {
+        let is_expired = |m: &PooledConnection| match m.state {
             State::Idle { since } => {
                 m.retired
                     || now - since >= self.bounds.idle_timeout_us
-                    || now - m.made_at >= self.bounds.max_age_us
+                    || now - m.started_at >= self.bounds.max_age_us
             }
             _ => false,
         };
         self.connections
             .iter()
-            .filter(|(_, m)| over(m))
+            .filter(|(_, m)| is_expired(m))
             .map(|(connection, _)| *connection)
             .collect()
     }
--- a/crates/postgres/src/pool_tests.rs
+++ b/crates/postgres/src/pool_tests.rs
@@ -19,37 +19,37 @@
     })
 }
 
-fn served(unit: char, connection: ConnectionId) -> Released<char> {
+fn released_to(unit: char, connection: ConnectionId) -> Released<char> {
     Released::Action(PoolAction::Use { unit, connection })
 }
 
-fn goes(unit: char, connection: ConnectionId) -> Option<PoolAction<char>> {
+fn use_action(unit: char, connection: ConnectionId) -> Option<PoolAction<char>> {
     Some(PoolAction::Use { unit, connection })
 }
 
 #[test]
-fn a_unit_takes_the_best_that_rests_and_only_then_a_new_one() {
+fn unit_uses_best_idle_connection_before_a_new_one() {
     let mut pools = pools();
     assert_eq!(pools.submit(0, 0, 'a', |_| 0), dial(0));
     pools.connecting(0, 0, 0, 1);
     assert_eq!(pools.submit(0, 0, 'b', |_| 0), dial(0));
     pools.connecting(0, 0, 0, 2);
-    assert_eq!(pools.release(1, 2), served('a', 2));
-    assert_eq!(pools.release(1, 1), served('b', 1));
+    assert_eq!(pools.release(1, 2), released_to('a', 2));
+    assert_eq!(pools.release(1, 1), released_to('b', 1));
     // Two are all that the engine takes.
     assert_eq!(pools.submit(0, 0, 'c', |_| 0), None);
-    assert_eq!(pools.release(2, 1), served('c', 1));
+    assert_eq!(pools.release(2, 1), released_to('c', 1));
     assert_eq!(pools.release(3, 2), Released::Idle);
     assert_eq!(pools.release(4, 1), Released::Idle);
     assert_eq!(
         pools.submit(0, 0, 'd', |connection| u32::from(connection == 2)),
-        goes('d', 2)
+        use_action('d', 2)
     );
-    assert_eq!(pools.submit(0, 0, 'e', |_| 0), goes('e', 1));
+    assert_eq!(pools.submit(0, 0, 'e', |_| 0), use_action('e', 1));
 }
 
 #[test]
-fn an_account_that_rests_makes_room_for_another_and_the_first_in_line_is_served_first() {
+fn idle_account_makes_room_and_first_waiting_unit_is_served_first() {
     let mut pools = pools();
     for connection in [1, 2] {
         pools.submit(0, 0, 'a', |_| 0);
@@ -58,18 +58,18 @@
     }
     assert_eq!(pools.submit(0, 1, 'x', |_| 0), None);
     assert_eq!(pools.submit(0, 0, 'b', |_| 0), None);
-    let instead = PoolAction::Dial {
+    let replacement = PoolAction::Dial {
         account: 1,
         replacing: Some(1),
     };
-    assert_eq!(pools.release(5, 1), Released::Action(instead));
+    assert_eq!(pools.release(5, 1), Released::Action(replacement));
     pools.remove(1);
     pools.connecting(5, 0, 1, 3);
-    assert_eq!(pools.release(6, 2), served('b', 2));
+    assert_eq!(pools.release(6, 2), released_to('b', 2));
 }
 
 #[test]
-fn those_that_waited_for_a_connection_that_never_came_are_told() {
+fn units_waiting_for_a_failed_connection_are_returned() {
     let mut pools = pools();
     pools.submit(0, 0, 'a', |_| 0);
     pools.connecting(0, 0, 0, 1);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_engine_that_drains_keeps_nothing_and_old_connections_are_not_taken_again() {
+fn retired_engine_keeps_no_connection_and_old_connections_are_not_reused() {
     let mut pools = pools();
     pools.submit(0, 0, 'a', |_| 0);
     pools.connecting(0, 0, 0, 1);
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -6,7 +6,7 @@
 
 use crate::sql::{self, Change, Scan};
 
-const SWEEP_FROM: usize = 1024; // entries from which those that nobody holds any more are looked for
+const MIN_SWEEP_ENTRIES: usize = 1024; // fewer entries are never swept
 
 /// A prepared statement: its text and the types of its parameters.
 #[derive(Debug)]
@@ -71,7 +71,7 @@
         }
         self.next += 1;
         let text = &body[..memchr::memchr(0, body).unwrap_or(body.len())];
-        let fresh = Rc::new(Prepared {
+        let interned = Rc::new(Prepared {
             number: self.next,
             body: body.into(),
             scan: sql::scan(text),
@@ -79,9 +79,9 @@
         self.prepared
             .entry(hash)
             .or_default()
-            .push(Rc::downgrade(&fresh));
+            .push(Rc::downgrade(&interned));
         self.sweep();
-        fresh
+        interned
     }
 
     /// The same settings as others may have.
@@ -91,18 +91,18 @@
         if let Some(found) = known.filter_map(Weak::upgrade).find(|s| **s == settings) {
             return found;
         }
-        let fresh = Rc::new(settings);
+        let interned = Rc::new(settings);
         self.settings
             .entry(hash)
             .or_default()
-            .push(Rc::downgrade(&fresh));
+            .push(Rc::downgrade(&interned));
         self.sweep();
-        fresh
+        interned
     }
 
     /// Lets go of what nobody holds, each time as many have come as were kept.
     fn sweep(&mut self) {
-        if self.prepared.len() + self.settings.len() < self.sweep_at.max(SWEEP_FROM) {
+        if self.prepared.len() + self.settings.len() < self.sweep_at.max(MIN_SWEEP_ENTRIES) {
             return;
         }
         self.prepared.retain(|_, all| {
--- a/crates/postgres/src/prepared_tests.rs
+++ b/crates/postgres/src/prepared_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_same_text_is_kept_once_and_goes_with_the_last_that_holds_it() {
+fn equal_statements_are_stored_once_and_dropped_when_unreferenced() {
     let mut catalogue = Catalogue::default();
     let first = catalogue.prepare(b"select 1\0\0\0");
     assert!(Rc::ptr_eq(&first, &catalogue.prepare(b"select 1\0\0\0")));
@@ -12,15 +12,15 @@
         catalogue.prepare(b"select 1\0\0\x01\0\0\0\x17").number
     );
     assert_eq!(first.text(), b"select 1");
-    for i in 0..10 * SWEEP_FROM {
+    for i in 0..10 * MIN_SWEEP_ENTRIES {
         catalogue.prepare(format!("select {i}\0\0\0").as_bytes());
     }
-    assert!(catalogue.prepared.len() <= 2 * SWEEP_FROM);
+    assert!(catalogue.prepared.len() <= 2 * MIN_SWEEP_ENTRIES);
     assert!(Rc::ptr_eq(&first, &catalogue.prepare(b"select 1\0\0\0")));
 }
 
 #[test]
-fn settings_follow_their_changes_and_can_be_set_again() {
+fn settings_apply_changes_and_can_be_restored() {
     let mut settings = SessionSettings::default();
     let scan = sql::scan(b"SET a = 1; SET b = 2; SET a = 3; RESET b; SET c TO 'x'");
     scan.changes
--- a/crates/postgres/src/protocol_error.rs
+++ b/crates/postgres/src/protocol_error.rs
@@ -6,12 +6,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
     /// A start-up of an impossible length.
-    #[error("a start-up of {bytes} bytes, not 8 to {most}; see that what connects here speaks PostgreSQL's protocol 3")]
-    StartUp {
+    #[error("a start-up of {bytes} bytes, not 8 to {limit}; see that what connects here speaks PostgreSQL's protocol 3")]
+    StartupLength {
         /// Its length.
         bytes: usize,
         /// The longest that is allowed.
-        most: usize,
+        limit: usize,
     },
     /// A start-up without a user.
     #[error("no user in the start-up; name one in the connection string")]
@@ -20,59 +20,59 @@
     #[error(
         "encryption was asked for {times} times and refused each time; set sslmode and gssencmode to disable"
     )]
-    Encryption {
+    TooManyEncryptionRequests {
         /// Requests so far.
         times: usize,
     },
     /// Another message than the authentication's, by its kind.
     #[error("a message of kind '{}' where the proof of a password is due; see that the driver knows SCRAM-SHA-256", kind(.0))]
-    NoProof(u8),
+    ExpectedPasswordMessage(u8),
     /// A message that can't be parsed.
     #[error("{0}; see that the peer's driver or server speaks PostgreSQL's protocol 3")]
     Malformed(&'static str),
     /// A message of an unknown kind.
     #[error("a message of kind '{}' is not known; see that the peer speaks PostgreSQL's protocol 3", kind(.0))]
-    Unknown(u8),
+    UnknownMessage(u8),
     /// A message of a client over the limit.
     #[error(
-        "a message of {bytes} bytes, over {most}; send less at once, or raise postgres.limits.message_bytes"
+        "a message of {bytes} bytes, over {limit}; send less at once, or raise postgres.limits.message_bytes"
     )]
-    TooLong {
+    MessageTooLong {
         /// Its length.
         bytes: usize,
         /// The limit.
-        most: usize,
+        limit: usize,
     },
     /// A simple query within an extended one.
     #[error("a simple query before the Sync that ends an extended one; send the Sync first")]
-    Mixed,
+    SimpleQueryWithinExtended,
     /// A message of an engine over the limit.
-    #[error("a message of kind '{}' with {bytes} bytes, over {most}; see that a PostgreSQL engine listens there", kind(.tag))]
-    EngineTooLong {
+    #[error("a message of kind '{}' with {bytes} bytes, over {limit}; see that a PostgreSQL engine listens there", kind(.tag))]
+    EngineMessageTooLong {
         /// Its kind.
         tag: u8,
         /// Its length.
         bytes: usize,
         /// The limit.
-        most: usize,
+        limit: usize,
     },
     /// A message of an engine out of order.
-    #[error("a message of kind '{}' that is not due {when}; see that a PostgreSQL engine listens there", kind(.tag))]
-    NotDue {
+    #[error("an unexpected message of kind '{}' {when}; see that a PostgreSQL engine listens there", kind(.tag))]
+    UnexpectedMessage {
         /// Its kind.
         tag: u8,
         /// What was going on.
         when: &'static str,
     },
     /// An engine asks for a kind of authentication, by its number, that the front does not know.
-    #[error("a login of kind {0} is not spoken here; let the engine's pg_hba.conf ask the front for scram-sha-256, md5 or password")]
-    Login(u32),
+    #[error("authentication method {0} is not supported; let the engine's pg_hba.conf ask the front for scram-sha-256, md5 or password")]
+    UnsupportedAuthentication(u32),
     /// The authentication at an engine fails.
-    #[error("the login fails: {0}; see postgres.users for the engine's user and password, and the engine's pg_hba.conf")]
-    Proof(String),
+    #[error("the login failed: {0}; see postgres.users for the engine's user and password, and the engine's pg_hba.conf")]
+    AuthenticationFailed(String),
     /// An engine ends the connection, with this SQLSTATE.
-    #[error("the engine ends the connection with {0}; see its own log for why")]
-    Gone(String),
+    #[error("the engine closed the connection with {0}; see its own log for why")]
+    ConnectionEnded(String),
 }
 
 /// A message's kind as the protocol's pages write it.
--- a/crates/postgres/src/protocol_error_tests.rs
+++ b/crates/postgres/src/protocol_error_tests.rs
@@ -3,56 +3,56 @@
 use super::*;
 
 #[test]
-fn each_says_what_is_wrong_and_what_can_be_done() {
+fn every_error_names_its_cause_and_a_remedy() {
     use ProtocolError::*;
     let all = [
-        StartUp { bytes: 4, most: 9 },
+        StartupLength { bytes: 4, limit: 9 },
         NoUser,
-        Encryption { times: 3 },
-        NoProof(b'Q'),
+        TooManyEncryptionRequests { times: 3 },
+        ExpectedPasswordMessage(b'Q'),
         Malformed("a string without an end"),
-        Unknown(7),
-        TooLong { bytes: 9, most: 8 },
-        Mixed,
-        EngineTooLong {
+        UnknownMessage(7),
+        MessageTooLong { bytes: 9, limit: 8 },
+        SimpleQueryWithinExtended,
+        EngineMessageTooLong {
             tag: b'R',
             bytes: 9,
-            most: 8,
+            limit: 8,
         },
-        NotDue {
+        UnexpectedMessage {
             tag: b'D',
             when: "during login",
         },
-        Login(7),
-        Proof("no such user".into()),
-        Gone("57P01".into()),
+        UnsupportedAuthentication(7),
+        AuthenticationFailed("no such user".into()),
+        ConnectionEnded("57P01".into()),
     ];
-    for (n, one) in all.iter().enumerate() {
+    for (n, error) in all.iter().enumerate() {
         // Another variant than these does not compile here: it belongs above as well.
-        let place = match one {
-            StartUp { .. } => 0,
+        let index = match error {
+            StartupLength { .. } => 0,
             NoUser => 1,
-            Encryption { .. } => 2,
-            NoProof(_) => 3,
+            TooManyEncryptionRequests { .. } => 2,
+            ExpectedPasswordMessage(_) => 3,
             Malformed(_) => 4,
-            Unknown(_) => 5,
-            TooLong { .. } => 6,
-            Mixed => 7,
-            EngineTooLong { .. } => 8,
-            NotDue { .. } => 9,
-            Login(_) => 10,
-            Proof(_) => 11,
-            Gone(_) => 12,
+            UnknownMessage(_) => 5,
+            MessageTooLong { .. } => 6,
+            SimpleQueryWithinExtended => 7,
+            EngineMessageTooLong { .. } => 8,
+            UnexpectedMessage { .. } => 9,
+            UnsupportedAuthentication(_) => 10,
+            AuthenticationFailed(_) => 11,
+            ConnectionEnded(_) => 12,
         };
-        let text = one.to_string();
+        let text = error.to_string();
         let (wrong, remedy) = text.split_once("; ").unwrap_or_default();
-        assert!(n == place && wrong.len() > 10, "{text}");
+        assert!(n == index && wrong.len() > 10, "{text}");
         let verbs = ["see ", "name ", "set ", "send ", "let "];
         assert!(verbs.iter().any(|verb| remedy.starts_with(verb)), "{text}");
         assert!(!text.ends_with('.') && text.len() < 150, "{text}");
     }
     assert_eq!(
-        Unknown(7).to_string().split(" is").next(),
+        UnknownMessage(7).to_string().split(" is").next(),
         Some("a message of kind '\\x07'")
     );
 }
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -8,7 +8,7 @@
 
 /// The mechanism's name in SASL.
 pub const MECHANISM: &str = "SCRAM-SHA-256";
-const ITERATIONS: u32 = 4096; // of users that do not exist; the servers' default
+const UNKNOWN_USER_ITERATIONS: u32 = 4096; // PostgreSQL's default
 
 /// What a server keeps of a user's password, and can check a proof against.
 #[derive(Clone)]
@@ -19,7 +19,7 @@
     server_key: [u8; 32],
 }
 
-fn key(text: &str) -> Option<[u8; 32]> {
+fn decode_key(text: &str) -> Option<[u8; 32]> {
     STANDARD.decode(text).ok()?.try_into().ok()
 }
 
@@ -43,8 +43,8 @@
         Some(Verifier {
             iterations: iterations.parse().ok().filter(|n| *n > 0)?,
             salt: salt.to_string(),
-            stored_key: key(stored)?,
-            server_key: key(server)?,
+            stored_key: decode_key(stored)?,
+            server_key: decode_key(server)?,
         })
     }
 
@@ -52,7 +52,7 @@
     pub fn for_unknown_user(user: &str, secret: &[u8]) -> Verifier {
         let salt = hmac(secret, &[b"salt", user.as_bytes()]);
         Verifier {
-            iterations: ITERATIONS,
+            iterations: UNKNOWN_USER_ITERATIONS,
             salt: STANDARD.encode(&salt[..16]),
             stored_key: hmac(secret, &[b"stored", user.as_bytes()]),
             server_key: hmac(secret, &[b"server", user.as_bytes()]),
@@ -65,16 +65,20 @@
     verifier: Verifier,
     nonce: String,
     /// What both sides have said without proof, as far as it goes into the proof.
-    said: String,
-    binding: &'static str,
+    auth_message_start: String,
+    channel_binding: &'static str,
 }
 
 impl Exchange {
     /// Takes the client's first message; `own` is this side's part of the nonce. Gives the answer to it.
-    pub fn begin(verifier: Verifier, first: &[u8], own: &str) -> Option<(Exchange, String)> {
+    pub fn begin(
+        verifier: Verifier,
+        first: &[u8],
+        server_nonce: &str,
+    ) -> Option<(Exchange, String)> {
         let first = std::str::from_utf8(first).ok()?;
         // Without channel binding, as there is none to bind to; a client that could may say so.
-        let (binding, bare) = match (first.strip_prefix("n,,"), first.strip_prefix("y,,")) {
+        let (channel_binding, bare) = match (first.strip_prefix("n,,"), first.strip_prefix("y,,")) {
             (Some(bare), _) => ("biws", bare),
             (_, Some(bare)) => ("eSws", bare),
             _ => return None,
@@ -87,15 +91,15 @@
         if !name.starts_with("n=") || name.contains(',') || !printable {
             return None;
         }
-        let nonce = format!("{nonce}{own}");
+        let nonce = format!("{nonce}{server_nonce}");
         let answer = format!("r={nonce},s={},i={}", verifier.salt, verifier.iterations);
-        let said = format!("{bare},{answer}");
+        let auth_message_start = format!("{bare},{answer}");
         Some((
             Exchange {
                 verifier,
                 nonce,
-                said,
-                binding,
+                auth_message_start,
+                channel_binding,
             },
             answer,
         ))
@@ -105,20 +109,20 @@
     pub fn finish(&self, last: &[u8]) -> Option<String> {
         let last = std::str::from_utf8(last).ok()?;
         let (bare, proof) = last.rsplit_once(",p=")?;
-        if bare != format!("c={},r={}", self.binding, self.nonce) {
+        if bare != format!("c={},r={}", self.channel_binding, self.nonce) {
             return None;
         }
-        let proof = key(proof)?;
-        let message: [&[u8]; 3] = [self.said.as_bytes(), b",", bare.as_bytes()];
+        let proof = decode_key(proof)?;
+        let message: [&[u8]; 3] = [self.auth_message_start.as_bytes(), b",", bare.as_bytes()];
         let signature = hmac(&self.verifier.stored_key, &message);
         let client_key: Vec<u8> = proof.iter().zip(signature).map(|(a, b)| a ^ b).collect();
         let stored: [u8; 32] = Sha256::digest(&client_key).into();
         // Compared as a whole, so that how long it takes tells nothing of where they differ.
-        let differ = stored
+        let difference = stored
             .iter()
             .zip(self.verifier.stored_key)
             .fold(0, |all, (a, b)| all | (a ^ b));
-        (differ == 0).then(|| {
+        (difference == 0).then(|| {
             format!(
                 "v={}",
                 STANDARD.encode(hmac(&self.verifier.server_key, &message))
--- a/crates/postgres/src/scram_tests.rs
+++ b/crates/postgres/src/scram_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 
-fn log_in(verifier: &Verifier, password: &[u8], spoil: bool) -> bool {
+fn log_in(verifier: &Verifier, password: &[u8], corrupt_proof: bool) -> bool {
     let mut client = ScramSha256::new(password, ChannelBinding::unsupported());
     let Some((exchange, answer)) = Exchange::begin(verifier.clone(), client.message(), "own")
     else {
@@ -11,7 +11,7 @@
     };
     client.update(answer.as_bytes()).unwrap();
     let mut last = client.message().to_vec();
-    if spoil {
+    if corrupt_proof {
         last[10] ^= 1;
     }
     match exchange.finish(&last) {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_right_password_alone_passes_and_both_sides_are_proved() {
+fn only_the_right_password_is_accepted_and_server_is_verified() {
     let text = postgres_protocol::password::scram_sha_256(b"secret");
     let verifier = Verifier::parse(&text).unwrap();
     assert!(log_in(&verifier, b"secret", false));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_no_exchange_is_refused() {
+fn invalid_messages_are_rejected() {
     let verifier = Verifier::for_unknown_user("x", b"s");
     let first: [&[u8]; 7] = [
         b"",
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn verifiers_that_are_none_are_refused() {
+fn invalid_verifiers_are_rejected() {
     for text in [
         "",
         "md5abc",
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -127,15 +127,19 @@
     /// The time a statement may take, in microseconds, as the session or a label has set it; None for no
     /// limit.
     pub fn statement_timeout(&self, label: &Label) -> Option<i64> {
-        let set = self.settings.0.get("statement_timeout");
-        let set = set
+        let from_setting = self.settings.0.get("statement_timeout");
+        let from_setting = from_setting
             .and_then(|statement| statement.rsplit(['=', ' ']).next())
             .and_then(sql::parse_duration_us);
-        let told = label
+        let from_label = label
             .statement_timeout
             .as_deref()
             .and_then(sql::parse_duration_us);
-        set.into_iter().chain(told).filter(|time| *time > 0).min()
+        from_setting
+            .into_iter()
+            .chain(from_label)
+            .filter(|time| *time > 0)
+            .min()
     }
 
     /// Whether a unit has begun, and its Sync has yet to come.
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -195,14 +195,14 @@
     pub fn apply_outcome(
         &mut self,
         parts: &[Rc<UnitPart>],
-        done: &UnitOutcome,
+        outcome: &UnitOutcome,
         catalogue: &mut Catalogue,
         bounds: &Bounds,
     ) {
-        let failed = done.error.is_some();
+        let failed = outcome.error.is_some();
         if failed {
             let named: Vec<&Vec<u8>> = parts.iter().flat_map(|p| &p.named).collect();
-            for name in named.into_iter().skip(done.parsed_count) {
+            for name in named.into_iter().skip(outcome.parsed_count) {
                 self.forget(name);
             }
         } else {
@@ -215,7 +215,7 @@
                 self.pending_changes.extend(part.changes.iter().cloned());
             }
         }
-        self.transaction = match done.status {
+        self.transaction = match outcome.status {
             b'T' => Transaction::Open,
             b'E' => Transaction::Failed,
             _ => Transaction::None,
@@ -223,7 +223,7 @@
         if self.transaction == Transaction::None {
             self.portals.clear();
             let pending_changes = std::mem::take(&mut self.pending_changes);
-            if !failed && !done.rolled_back && !pending_changes.is_empty() {
+            if !failed && !outcome.rolled_back && !pending_changes.is_empty() {
                 let mut settings = (*self.settings).clone();
                 pending_changes
                     .iter()
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -13,7 +13,7 @@
 use crate::ProtocolError;
 
 /// What a part of a unit is read from, and what has been read of it.
-struct Reading<'a> {
+struct PartReader<'a> {
     input: &'a [u8],
     catalogue: &'a mut Catalogue,
     bounds: &'a Bounds,
@@ -22,14 +22,14 @@
     bound: HashSet<Vec<u8>>,
 }
 
-impl Reading<'_> {
+impl PartReader<'_> {
     /// The range in the part's bytes of something that lies within the input.
     fn range(&self, inner: &[u8]) -> Range<usize> {
-        let from = inner.as_ptr() as usize - self.input.as_ptr() as usize;
-        from..from + inner.len()
+        let start = inner.as_ptr() as usize - self.input.as_ptr() as usize;
+        start..start + inner.len()
     }
 
-    fn query(&mut self, text: &[u8], whole: Range<usize>) {
+    fn query(&mut self, text: &[u8], message_range: Range<usize>) {
         let scan = sql::scan(text);
         match scan.unsupported {
             Some(why) => {
@@ -38,7 +38,7 @@
                     .push(Operation::Fail(ClientError::Unsupported { why }));
                 self.part.ops.push(Operation::Sync);
             }
-            None => self.part.ops.push(Operation::Query(whole)),
+            None => self.part.ops.push(Operation::Query(message_range)),
         }
         self.part.local = scan.unsupported.is_some() || scan.local_command.is_some();
         self.part.query = Some(self.range(text));
@@ -61,7 +61,7 @@
     }
 
     /// What shared connections can't carry can't hide among other operations either.
-    fn refuse_mixed_commands(&mut self) {
+    fn reject_mixed_commands(&mut self) {
         let part = &mut self.part;
         let mixed = !part.local
             && part
@@ -78,7 +78,7 @@
     }
 }
 
-fn violation(why: ProtocolError) -> ClientError {
+fn protocol_violation(why: ProtocolError) -> ClientError {
     ClientError::Protocol { why }
 }
 
@@ -99,7 +99,7 @@
             local: true,
             ..UnitPart::default()
         };
-        let mut reading = Reading {
+        let mut reader = PartReader {
             input,
             catalogue,
             bounds,
@@ -108,22 +108,23 @@
         };
         let mut at = 0;
         while at < end {
-            let message = wire::message(&input[at..end], bounds.bytes).map_err(violation)?;
+            let message =
+                wire::message(&input[at..end], bounds.bytes).map_err(protocol_violation)?;
             let Some(Message { tag, body, len }) = message else {
                 break;
             };
-            match wire::client_message(tag, body).map_err(violation)? {
+            match wire::client_message(tag, body).map_err(protocol_violation)? {
                 ClientMessage::Terminate => return Ok((end, SessionEvent::Terminated)),
                 ClientMessage::Query(_) | ClientMessage::FunctionCall if self.in_unit || at > 0 => {
                     // What an engine would do with it depends on whether the unit has failed by then.
-                    return Err(violation(ProtocolError::Mixed));
+                    return Err(protocol_violation(ProtocolError::SimpleQueryWithinExtended));
                 }
-                message => self.take(&mut reading, message, at..at + len),
+                message => self.read_message(&mut reader, message, at..at + len),
             }
             at += len;
         }
-        reading.refuse_mixed_commands();
-        let mut part = reading.part;
+        reader.reject_mixed_commands();
+        let mut part = reader.part;
         part.local &= !self.in_unit;
         self.in_unit = !part.ends_unit;
         Ok((end, SessionEvent::Part(Rc::new(part))))
@@ -133,7 +134,7 @@
     fn end_of_part(&mut self, input: &[u8], bounds: &Bounds) -> Result<Option<usize>, ClientError> {
         let mut at = std::mem::take(&mut self.scanned);
         loop {
-            match wire::header(&input[at..]).map_err(violation)? {
+            match wire::header(&input[at..]).map_err(protocol_violation)? {
                 Some(Header { len, .. }) if len > bounds.bytes || at + len > bounds.bytes => {
                     return Err(ClientError::LimitExceeded {
                         why: "the bytes of a unit",
@@ -154,95 +155,103 @@
     }
 
     /// Takes one message, which is `whole` in the part's bytes.
-    fn take(&mut self, reading: &mut Reading, message: ClientMessage, whole: Range<usize>) {
+    fn read_message(
+        &mut self,
+        reader: &mut PartReader,
+        message: ClientMessage,
+        message_range: Range<usize>,
+    ) {
         match message {
             ClientMessage::FunctionCall => {
                 let why = ClientError::Unsupported {
                     why: "a function call",
                 };
-                reading
+                reader
                     .part
                     .ops
                     .extend([Operation::Fail(why), Operation::Sync]);
-                reading.part.ends_unit = true;
+                reader.part.ends_unit = true;
             }
-            ClientMessage::Query(text) => reading.query(text, whole),
-            ClientMessage::Parse { name, body, .. } => self.take_parse(reading, name, body),
-            ClientMessage::Bind { portal, .. } if !self.opens(portal, reading.bounds) => {
+            ClientMessage::Query(text) => reader.query(text, message_range),
+            ClientMessage::Parse { name, body, .. } => self.read_parse(reader, name, body),
+            ClientMessage::Bind { portal, .. } if !self.open_portal(portal, reader.bounds) => {
                 let why = ClientError::LimitExceeded { why: "portals" };
-                reading.part.ops.push(Operation::Fail(why));
+                reader.part.ops.push(Operation::Fail(why));
             }
             ClientMessage::Bind {
                 portal,
                 statement,
                 rest,
-            } => match self.known(statement) {
-                Some(prepared) => reading.bind(prepared, portal, statement, rest),
-                None => reading.part.ops.push(no_such(statement)),
+            } => match self.find_prepared(statement) {
+                Some(prepared) => reader.bind(prepared, portal, statement, rest),
+                None => reader.part.ops.push(no_such_statement(statement)),
             },
             ClientMessage::Describe {
                 statement: true,
                 name,
-            } => match self.known(name) {
+            } => match self.find_prepared(name) {
                 Some(prepared) => {
-                    reading.part.local &= prepared.scan.local_command.is_some();
-                    reading.part.ops.push(Operation::Describe {
+                    reader.part.local &= prepared.scan.local_command.is_some();
+                    reader.part.ops.push(Operation::Describe {
                         prepared,
                         named: !name.is_empty(),
                     });
                 }
-                None => reading.part.ops.push(no_such(name)),
+                None => reader.part.ops.push(no_such_statement(name)),
             },
             ClientMessage::Describe {
                 statement: false,
                 name,
             } => {
-                reading.part.local &= reading.bound.contains(name);
-                reading.part.ops.push(Operation::DescribePortal(whole));
+                reader.part.local &= reader.bound.contains(name);
+                reader
+                    .part
+                    .ops
+                    .push(Operation::DescribePortal(message_range));
             }
             ClientMessage::Execute { portal, .. } => {
-                reading.part.local &= reading.bound.contains(portal);
-                reading.part.ops.push(Operation::Execute(whole));
+                reader.part.local &= reader.bound.contains(portal);
+                reader.part.ops.push(Operation::Execute(message_range));
             }
             ClientMessage::Close {
                 statement: true,
                 name,
             } => {
                 self.forget(name);
-                reading.part.ops.push(Operation::CloseStatement);
+                reader.part.ops.push(Operation::CloseStatement);
             }
             ClientMessage::Close {
                 statement: false,
                 name,
             } => {
                 self.portals.remove(name);
-                reading.part.ops.push(Operation::ClosePortal(whole));
+                reader.part.ops.push(Operation::ClosePortal(message_range));
             }
-            ClientMessage::Flush => reading.part.ops.push(Operation::Flush),
+            ClientMessage::Flush => reader.part.ops.push(Operation::Flush),
             ClientMessage::Sync => {
-                reading.part.ops.push(Operation::Sync);
-                reading.part.ends_unit = true;
+                reader.part.ops.push(Operation::Sync);
+                reader.part.ends_unit = true;
             }
             // Outside a copy it is passed over, as engines do; Terminate is for the caller.
             ClientMessage::Copy | ClientMessage::Terminate => {}
         }
     }
 
-    fn take_parse(&mut self, reading: &mut Reading, name: &[u8], body: &[u8]) {
-        let prepared = reading.catalogue.prepare(body);
-        let part = &mut reading.part;
+    fn read_parse(&mut self, reader: &mut PartReader, name: &[u8], body: &[u8]) {
+        let prepared = reader.catalogue.prepare(body);
+        let part = &mut reader.part;
         part.local &= prepared.scan.local_command.is_some();
-        let fault = self.prepare(name, &prepared, reading.bounds);
+        let error = self.register(name, &prepared, reader.bounds);
         let unsupported = prepared
             .scan
             .unsupported
             .map(|why| ClientError::Unsupported { why });
-        let known_here = fault.is_none();
-        match fault.or(unsupported) {
+        let is_registered = error.is_none();
+        match error.or(unsupported) {
             Some(why) => {
                 part.ops.push(Operation::Fail(why));
                 // A name that was taken before stays with what it names.
-                if known_here {
+                if is_registered {
                     self.forget(name);
                 }
             }
@@ -258,7 +267,7 @@
         part.first.get_or_insert(prepared);
     }
 
-    fn known(&self, name: &[u8]) -> Option<Rc<Prepared>> {
+    fn find_prepared(&self, name: &[u8]) -> Option<Rc<Prepared>> {
         let found = if name.is_empty() {
             self.unnamed.as_ref()
         } else {
@@ -268,19 +277,19 @@
     }
 
     /// Whether a portal may be opened under this name.
-    fn opens(&mut self, name: &[u8], bounds: &Bounds) -> bool {
+    fn open_portal(&mut self, name: &[u8], bounds: &Bounds) -> bool {
         if name.is_empty() || self.portals.contains(name) {
             return true;
         }
-        let room = self.portals.len() < bounds.portals;
-        if room {
+        let has_capacity = self.portals.len() < bounds.portals;
+        if has_capacity {
             self.portals.insert(name.to_vec());
         }
-        room
+        has_capacity
     }
 
     /// Takes a statement in under its name, or says why not.
-    fn prepare(
+    fn register(
         &mut self,
         name: &[u8],
         prepared: &Rc<Prepared>,
@@ -317,7 +326,9 @@
     /// Says how much of the input that is, and whether the Sync was there.
     pub fn skip_to_sync(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
         let mut at = 0;
-        while let Some(Header { tag, len }) = wire::header(&input[at..]).map_err(violation)? {
+        while let Some(Header { tag, len }) =
+            wire::header(&input[at..]).map_err(protocol_violation)?
+        {
             if at + len > input.len() {
                 break;
             }
@@ -331,7 +342,7 @@
     }
 }
 
-fn no_such(name: &[u8]) -> Operation {
+fn no_such_statement(name: &[u8]) -> Operation {
     Operation::Fail(ClientError::NoSuchStatement {
         name: String::from_utf8_lossy(name).into(),
     })
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -7,41 +7,41 @@
 mod tokens;
 
 pub use self::findings::{Change, LocalCommand, Scan};
-use self::labels::label;
+use self::labels::leading_labels;
 pub use self::labels::{parse_duration_us, Label};
 use self::settings::scan_setting;
 use self::tokens::{Kind, Token, Tokens};
 
-const HEAD: usize = 8; // tokens kept of a statement's beginning: enough for every form below
+const MAX_HEAD_TOKENS: usize = 8; // of a statement's beginning; enough for every form below
 
 /// Scans a text of one or more statements. Whatever it does not understand counts as harmless.
 pub fn scan(text: &[u8]) -> Scan {
     let mut scan = Scan {
-        label: label(text),
+        label: leading_labels(text),
         ..Scan::default()
     };
-    let mut head: Vec<Token> = Vec::with_capacity(HEAD);
-    let mut before: Option<Token> = None;
+    let mut head: Vec<Token> = Vec::with_capacity(MAX_HEAD_TOKENS);
+    let mut previous: Option<Token> = None;
     let mut tokens = Tokens { text, at: 0 };
     loop {
         let token = tokens.next();
         match token {
             Some(token) if token.kind != Kind::End => {
                 let first = *head.first().unwrap_or(&token);
-                check_word(&mut scan, text, &first, before.as_ref(), &token, &tokens);
-                if head.len() < HEAD {
+                check_word(&mut scan, text, &first, previous.as_ref(), &token, &tokens);
+                if head.len() < MAX_HEAD_TOKENS {
                     head.push(token);
                 }
-                before = Some(token);
+                previous = Some(token);
             }
-            ended => {
-                let end = ended.map_or(text.len(), |token| token.at);
+            end_token => {
+                let end = end_token.map_or(text.len(), |token| token.at);
                 if !head.is_empty() {
                     check_statement(&mut scan, text, &head, end);
                 }
                 head.clear();
-                before = None;
-                if ended.is_none() {
+                previous = None;
+                if end_token.is_none() {
                     break;
                 }
             }
@@ -58,14 +58,14 @@
     scan: &mut Scan,
     text: &[u8],
     first: &Token,
-    before: Option<&Token>,
+    previous: Option<&Token>,
     token: &Token,
     rest: &Tokens,
 ) {
     if token.kind != Kind::Word {
         return;
     }
-    let follows = |word: &str| before.is_some_and(|before| before.is(word));
+    let follows = |word: &str| previous.is_some_and(|previous| previous.is(word));
     let unsupported = if token.is("stdin") && follows("from") && first.is("copy") {
         Some("COPY FROM STDIN")
     } else if (token.is("temp") || token.is("temporary"))
@@ -111,8 +111,8 @@
         let to = |t: &Token| t.is("to");
         scan.rolls_back_transaction |= !head.iter().any(to);
     } else if first("prepare") {
-        let two = second("transaction");
-        scan.unsupported = Some(if two {
+        let is_two_phase = second("transaction");
+        scan.unsupported = Some(if is_two_phase {
             "a transaction in two phases"
         } else {
             "PREPARE as a statement"
--- a/crates/postgres/src/sql/labels.rs
+++ b/crates/postgres/src/sql/labels.rs
@@ -1,6 +1,6 @@
 //! Labels in the comments that lead a statement, and the values that they and settings have.
 
-const MAX_LABEL_BYTES: usize = 4096; // bytes of leading comments that are looked at; labels take some hundred
+const MAX_LABEL_BYTES: usize = 4096; // of a leading comment; labels take some hundred
 
 /// What a statement is for the front, as far as it was told; empty where it was not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Takes one field by its name behind `hallmux.`; an empty value takes it back. False if there is none
     /// such.
     pub fn set(&mut self, name: &str, value: &str) -> bool {
-        let place = match name {
+        let field = match name {
             "workload" => &mut self.workload,
             "member" => &mut self.customer,
             "key" => &mut self.order_key,
@@ -35,28 +35,28 @@
             "statement_timeout" => &mut self.statement_timeout,
             _ => return false,
         };
-        *place = (!value.is_empty()).then(|| value.to_string());
+        *field = (!value.is_empty()).then(|| value.to_string());
         true
     }
 
     /// What is set in `other` goes before what is set here.
     pub fn overridden_by(&self, other: &Label) -> Label {
-        let either = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
+        let overridden = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
         Label {
-            workload: either(&self.workload, &other.workload),
-            customer: either(&self.customer, &other.customer),
-            order_key: either(&self.order_key, &other.order_key),
-            dedup_key: either(&self.dedup_key, &other.dedup_key),
-            work_ms: either(&self.work_ms, &other.work_ms),
-            memory_mb: either(&self.memory_mb, &other.memory_mb),
-            statement_timeout: either(&self.statement_timeout, &other.statement_timeout),
+            workload: overridden(&self.workload, &other.workload),
+            customer: overridden(&self.customer, &other.customer),
+            order_key: overridden(&self.order_key, &other.order_key),
+            dedup_key: overridden(&self.dedup_key, &other.dedup_key),
+            work_ms: overridden(&self.work_ms, &other.work_ms),
+            memory_mb: overridden(&self.memory_mb, &other.memory_mb),
+            statement_timeout: overridden(&self.statement_timeout, &other.statement_timeout),
         }
     }
 }
 
 /// The labels of the leading comments: `/*hallmux.workload='report',hallmux.key='k%201'*/`, as sqlcommenter
 /// writes them: values in quotes, their bytes in URL form. Names that are not known are others' labels.
-pub(super) fn label(text: &[u8]) -> Label {
+pub(super) fn leading_labels(text: &[u8]) -> Label {
     let mut label = Label::default();
     let mut rest = text.trim_ascii_start();
     while let Some(inner) = rest.strip_prefix(b"/*") {
@@ -69,7 +69,7 @@
             let Some((name, value)) = pair.split_once('=') else {
                 continue;
             };
-            let Some(name) = decoded(name.trim())
+            let Some(name) = url_decoded(name.trim())
                 .strip_prefix("hallmux.")
                 .map(str::to_string)
             else {
@@ -80,14 +80,14 @@
                 .strip_prefix('\'')
                 .and_then(|v| v.strip_suffix('\''))
                 .unwrap_or(value);
-            label.set(&name, &decoded(value));
+            label.set(&name, &url_decoded(value));
         }
         rest = inner[end + 2..].trim_ascii_start();
     }
     label
 }
 
-fn decoded(text: &str) -> String {
+fn url_decoded(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((first, after)) = rest.split_first() {
--- a/crates/postgres/src/sql/settings.rs
+++ b/crates/postgres/src/sql/settings.rs
@@ -43,7 +43,7 @@
     let is_reset = head[0].is("reset");
     let mut tokens = &head[1..];
     match tokens.first() {
-        Some(t) if t.is("local") && !is_reset => return, // it goes with its transaction
+        Some(t) if t.is("local") && !is_reset => return, // applies only to its transaction
         Some(t) if t.is("session") && !is_reset => tokens = &tokens[1..],
         _ => {}
     }
@@ -61,7 +61,7 @@
     } else if let Some(label) = label {
         let value = label_value(text, rest, end);
         scan.local_command = Some(LocalCommand::Label(label, value));
-    } else if name == "standard_conforming_strings" && !turns_on(text, rest, end) {
+    } else if name == "standard_conforming_strings" && !is_set_to_true(text, rest, end) {
         scan.unsupported = Some("backslashes in plain strings");
     } else {
         let assignment = String::from_utf8_lossy(&text[first.at..end]);
@@ -100,7 +100,7 @@
 }
 
 /// Whether the value of a boolean setting is true.
-fn turns_on(text: &[u8], rest: &[Token], end: usize) -> bool {
+fn is_set_to_true(text: &[u8], rest: &[Token], end: usize) -> bool {
     rest.first().is_some_and(|t| {
         let value = String::from_utf8_lossy(text_after(text, t, end));
         matches!(unquoted(value.as_bytes()).as_str(), "on" | "true" | "1")
--- a/crates/postgres/src/sql/tokens.rs
+++ b/crates/postgres/src/sql/tokens.rs
@@ -28,14 +28,14 @@
     pub(super) at: usize,
 }
 
-fn in_word(c: u8) -> bool {
+fn is_word_char(c: u8) -> bool {
     c.is_ascii_alphanumeric() || c == b'_' || c == b'$' || c >= 0x80
 }
 
 impl<'a> Tokens<'a> {
     /// Behind a quoted part that begins here; a quote within it is written twice, or behind a backslash.
-    fn quoted(&self, from: usize, quote: u8, escapes: bool) -> usize {
-        let mut at = from + 1;
+    fn quoted_end(&self, start: usize, quote: u8, escapes: bool) -> usize {
+        let mut at = start + 1;
         while let Some(&c) = self.text.get(at) {
             at += match c {
                 b'\\' if escapes => 2,
@@ -47,8 +47,8 @@
         self.text.len()
     }
 
-    fn comment(&self, from: usize) -> usize {
-        let (mut at, mut depth) = (from + 2, 1);
+    fn comment_end(&self, start: usize) -> usize {
+        let (mut at, mut depth) = (start + 2, 1);
         while depth > 0 && at < self.text.len() {
             at += match &self.text[at..] {
                 [b'/', b'*', ..] => {
@@ -66,16 +66,16 @@
     }
 
     /// Behind a string between two marks such as `$tag$`, if one begins here.
-    fn dollars(&self, from: usize) -> Option<usize> {
-        let rest = &self.text[from + 1..];
-        let len = rest.iter().position(|c| !in_word(*c) || *c == b'$')?;
+    fn dollar_quoted_end(&self, start: usize) -> Option<usize> {
+        let rest = &self.text[start + 1..];
+        let len = rest.iter().position(|c| !is_word_char(*c) || *c == b'$')?;
         if rest[len] != b'$' || rest.first().is_some_and(u8::is_ascii_digit) {
             return None;
         }
-        let mark = &self.text[from..from + len + 2];
-        let body = from + mark.len();
-        let end = memchr::memmem::find(&self.text[body..], mark);
-        Some(end.map_or(self.text.len(), |end| body + end + mark.len()))
+        let delimiter = &self.text[start..start + len + 2];
+        let body = start + delimiter.len();
+        let end = memchr::memmem::find(&self.text[body..], delimiter);
+        Some(end.map_or(self.text.len(), |end| body + end + delimiter.len()))
     }
 }
 
@@ -98,12 +98,14 @@
                     continue;
                 }
                 b'/' if next == b'*' => {
-                    self.at = self.comment(at);
+                    self.at = self.comment_end(at);
                     continue;
                 }
-                b'\'' | b'"' => (Kind::Quoted, self.quoted(at, c, false)),
-                b'e' | b'E' if next == b'\'' => (Kind::Quoted, self.quoted(at + 1, b'\'', true)),
-                b'$' => match self.dollars(at) {
+                b'\'' | b'"' => (Kind::Quoted, self.quoted_end(at, c, false)),
+                b'e' | b'E' if next == b'\'' => {
+                    (Kind::Quoted, self.quoted_end(at + 1, b'\'', true))
+                }
+                b'$' => match self.dollar_quoted_end(at) {
                     Some(end) => (Kind::Quoted, end),
                     None => (Kind::Sign(c), at + 1),
                 },
@@ -111,11 +113,11 @@
                 c if c.is_ascii_digit() => {
                     let len = self.text[at..]
                         .iter()
-                        .position(|c| !in_word(*c) && *c != b'.');
+                        .position(|c| !is_word_char(*c) && *c != b'.');
                     (Kind::Number, len.map_or(self.text.len(), |len| at + len))
                 }
-                c if in_word(c) => {
-                    let len = self.text[at..].iter().position(|c| !in_word(*c));
+                c if is_word_char(c) => {
+                    let len = self.text[at..].iter().position(|c| !is_word_char(*c));
                     (Kind::Word, len.map_or(self.text.len(), |len| at + len))
                 }
                 c => (Kind::Sign(c), at + 1),
--- a/crates/postgres/src/sql_tests.rs
+++ b/crates/postgres/src/sql_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn what_changes_a_session_is_found_and_can_be_said_again() {
+fn setting_changes_are_found_with_a_statement_that_restores_them() {
     for (text, changes) in [
         (
             "SET search_path = a, b",
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_shared_connections_can_not_carry_is_found_and_its_like_is_not() {
+fn only_features_impossible_over_shared_connections_are_unsupported() {
     for (text, unsupported) in [
         ("COPY t FROM STDIN", true),
         ("copy t (a) from  stdin with csv", true),
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn transactions_are_seen_by_their_first_words() {
-    let seen = |text: &str| {
+fn transactions_are_recognised_by_their_first_words() {
+    let scanned = |text: &str| {
         let scan = scan(text.as_bytes());
         (
             scan.statements,
@@ -104,22 +104,22 @@
             scan.rolls_back_transaction,
         )
     };
-    assert_eq!(seen("BEGIN"), (1, true, false, false));
+    assert_eq!(scanned("BEGIN"), (1, true, false, false));
     assert_eq!(
-        seen("start transaction; select 1; end;"),
+        scanned("start transaction; select 1; end;"),
         (3, true, true, false)
     );
-    assert_eq!(seen("ROLLBACK TO SAVEPOINT a"), (1, false, false, false));
-    assert_eq!(seen("/* c */ rollback;;"), (1, false, false, true));
+    assert_eq!(scanned("ROLLBACK TO SAVEPOINT a"), (1, false, false, false));
+    assert_eq!(scanned("/* c */ rollback;;"), (1, false, false, true));
     assert_eq!(
-        seen("select case when true then 1 end"),
+        scanned("select case when true then 1 end"),
         (1, false, false, false)
     );
-    assert_eq!(seen(""), (0, false, false, false));
+    assert_eq!(scanned(""), (0, false, false, false));
 }
 
 #[test]
-fn labels_come_from_statements_and_leading_comments() {
+fn labels_are_read_from_set_statements_and_leading_comments() {
     let local = |text: &str| scan(text.as_bytes()).local_command;
     assert_eq!(
         local("SET hallmux.workload = 'report'"),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn any_bytes_are_read_to_their_end() {
+fn incomplete_and_arbitrary_texts_are_scanned_to_their_end() {
     for text in [
         "'",
         "\"",
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn times_are_read_with_their_units() {
+fn durations_are_parsed_with_their_units() {
     for (text, micros) in [
         ("250", Some(250_000)),
         ("'5s'", Some(5_000_000)),
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -54,11 +54,11 @@
 enum Stage {
     /// The start-up message has yet to come.
     #[default]
-    Opening,
+    Startup,
     /// The client's first message of SCRAM is due.
-    First(Client, Verifier),
+    InitialResponse(Client, Verifier),
     /// The client's proof is due.
-    Last(Client, Exchange),
+    Proof(Client, Exchange),
 }
 
 /// The state of a connection that starts up.
@@ -75,7 +75,7 @@
     pub fn read(
         &mut self,
         input: &[u8],
-        access: impl Fn(&str) -> Option<Authentication>,
+        authentication: impl Fn(&str) -> Option<Authentication>,
         secret: &[u8],
         nonce: &str,
         out: &mut Vec<u8>,
@@ -84,15 +84,15 @@
         loop {
             let rest = &input[used..];
             let step = match std::mem::take(&mut self.stage) {
-                Stage::Opening => {
+                Stage::Startup => {
                     let Some((len, message)) = wire::initial_message(rest)? else {
                         return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
-                    self.open(message, &access, secret, out)?
+                    self.handle_startup(message, &authentication, secret, out)?
                 }
-                stage @ (Stage::First(..) | Stage::Last(..)) => {
-                    let Some((body, len)) = proof(rest)? else {
+                stage @ (Stage::InitialResponse(..) | Stage::Proof(..)) => {
+                    let Some((body, len)) = password_message(rest)? else {
                         self.stage = stage;
                         return Ok((used, StartupStep::Incomplete));
                     };
@@ -115,19 +115,21 @@
         out: &mut Vec<u8>,
     ) -> Option<StartupStep> {
         match stage {
-            Stage::Opening => None,
-            Stage::First(client, verifier) => {
-                let begun = first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
-                let Some((exchange, answer)) = begun else {
-                    return Some(refused(&client, out));
+            Stage::Startup => None,
+            Stage::InitialResponse(client, verifier) => {
+                let exchange = initial_response(body).and_then(|initial_response| {
+                    Exchange::begin(verifier, initial_response, nonce)
+                });
+                let Some((exchange, answer)) = exchange else {
+                    return Some(reject(&client, out));
                 };
                 write_authentication(out, SASL_CONTINUE, answer.as_bytes());
-                self.stage = Stage::Last(client, exchange);
+                self.stage = Stage::Proof(client, exchange);
                 None
             }
-            Stage::Last(client, exchange) => {
+            Stage::Proof(client, exchange) => {
                 let Some(answer) = exchange.finish(body) else {
-                    return Some(refused(&client, out));
+                    return Some(reject(&client, out));
                 };
                 write_authentication(out, SASL_FINAL, answer.as_bytes());
                 Some(StartupStep::Accepted(client))
@@ -136,10 +138,10 @@
     }
 
     /// Takes the first message; None where another has to follow.
-    fn open(
+    fn handle_startup(
         &mut self,
         message: InitialMessage,
-        access: impl Fn(&str) -> Option<Authentication>,
+        authentication: impl Fn(&str) -> Option<Authentication>,
         secret: &[u8],
         out: &mut Vec<u8>,
     ) -> Result<Option<StartupStep>, ProtocolError> {
@@ -147,7 +149,7 @@
             InitialMessage::EncryptionRequest => {
                 self.encryption_requests += 1;
                 if self.encryption_requests > MAX_ENCRYPTION_REQUESTS {
-                    return Err(ProtocolError::Encryption {
+                    return Err(ProtocolError::TooManyEncryptionRequests {
                         times: self.encryption_requests,
                     });
                 }
@@ -168,20 +170,20 @@
                 if minor > 0 || !unknown.is_empty() {
                     wire::write_negotiate_version(out, &unknown);
                 }
-                let client = match client(&parameters) {
+                let client = match client_from_parameters(&parameters) {
                     Ok(client) => client,
                     Err(why) => {
                         why.write(out, true);
                         return Ok(Some(StartupStep::Refused));
                     }
                 };
-                let verifier = match access(&client.user) {
+                let verifier = match authentication(&client.user) {
                     Some(Authentication::Trust) => return Ok(Some(StartupStep::Accepted(client))),
                     Some(Authentication::Scram(verifier)) => verifier,
                     None => Verifier::for_unknown_user(&client.user, secret),
                 };
                 write_authentication(out, SASL, &[MECHANISM.as_bytes(), b"\0\0"].concat());
-                self.stage = Stage::First(client, verifier);
+                self.stage = Stage::InitialResponse(client, verifier);
                 Ok(None)
             }
         }
@@ -196,30 +198,30 @@
     });
 }
 
-fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
+fn password_message(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     match wire::message(input, MAX_PROOF_BYTES)? {
         Some(Message {
             tag: b'p',
             body,
             len,
         }) => Ok(Some((body, len))),
-        Some(Message { tag, .. }) => Err(ProtocolError::NoProof(tag)),
+        Some(Message { tag, .. }) => Err(ProtocolError::ExpectedPasswordMessage(tag)),
         None => match input.first() {
-            Some(tag) if *tag != b'p' => Err(ProtocolError::NoProof(*tag)),
+            Some(tag) if *tag != b'p' => Err(ProtocolError::ExpectedPasswordMessage(*tag)),
             _ => Ok(None),
         },
     }
 }
 
 /// The client's first message of SASL, behind the mechanism that it chose.
-fn first(body: &[u8]) -> Option<&[u8]> {
+fn initial_response(body: &[u8]) -> Option<&[u8]> {
     let mut rest = body;
     let mechanism = wire::read_string(&mut rest).ok()?;
     let len = u32::from_be_bytes(rest.get(..4)?.try_into().ok()?) as usize;
     (mechanism == MECHANISM.as_bytes() && rest.len() - 4 == len).then_some(&rest[4..])
 }
 
-fn refused(client: &Client, out: &mut Vec<u8>) -> StartupStep {
+fn reject(client: &Client, out: &mut Vec<u8>) -> StartupStep {
     ClientError::WrongPassword {
         user: client.user.clone(),
     }
@@ -227,7 +229,7 @@
     StartupStep::Refused
 }
 
-fn client(parameters: &[(&str, &str)]) -> Result<Client, ClientError> {
+fn client_from_parameters(parameters: &[(&str, &str)]) -> Result<Client, ClientError> {
     let mut client = Client::default();
     for (name, value) in parameters {
         match *name {
@@ -237,7 +239,7 @@
                 return Err(ClientError::Unsupported { why: "replication" });
             }
             "replication" => {}
-            "options" => options(value, &mut client.parameters),
+            "options" => parse_options(value, &mut client.parameters),
             name if name.starts_with("_pq_.") => {}
             name => {
                 _ = client
@@ -258,7 +260,7 @@
 }
 
 /// `-c name=value` and `--name=value`, spaces within a value behind a backslash.
-fn options(text: &str, parameters: &mut BTreeMap<String, String>) {
+fn parse_options(text: &str, parameters: &mut BTreeMap<String, String>) {
     let mut words: Vec<String> = vec![String::new()];
     let mut chars = text.chars();
     while let Some(c) = chars.next() {
--- a/crates/postgres/src/startup_tests.rs
+++ b/crates/postgres/src/startup_tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 
-fn start_up(minor: u16, parameters: &[(&str, &str)]) -> Vec<u8> {
+fn startup_message(minor: u16, parameters: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
     wire::write_startup(&mut out, parameters);
     out[6..8].copy_from_slice(&minor.to_be_bytes());
     out
 }
 
-fn nobody(_: &str) -> Option<Authentication> {
+fn no_such_user(_: &str) -> Option<Authentication> {
     None
 }
 
@@ -19,10 +19,10 @@
 }
 
 #[test]
-fn encryption_is_declined_and_a_start_up_in_any_pieces_comes_through() {
+fn encryption_is_declined_and_startup_is_read_in_any_pieces() {
     let mut input = b"\0\0\0\x08\x04\xd2\x16\x2f\0\0\0\x08\x04\xd2\x16\x30".to_vec();
     let options = "-c statement_timeout=5s --search-path=a\\ b";
-    input.extend(start_up(
+    input.extend(startup_message(
         2,
         &[
             ("user", "u"),
@@ -51,11 +51,11 @@
 }
 
 #[test]
-fn a_password_opens_the_door_and_nothing_else_does() {
+fn only_the_right_password_is_accepted() {
     let verifier = postgres_protocol::password::scram_sha_256(b"secret");
     let verifier = Verifier::parse(&verifier).unwrap();
     let known = |user: &str| (user == "u").then(|| Authentication::Scram(verifier.clone()));
-    for (user, password, opens) in [
+    for (user, password, is_accepted) in [
         ("u", "secret", true),
         ("u", "x", false),
         ("v", "secret", false),
@@ -63,7 +63,13 @@
         let mut client = ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
         let (mut startup, mut out) = (Startup::default(), Vec::new());
         startup
-            .read(&start_up(0, &[("user", user)]), known, b"s", "n", &mut out)
+            .read(
+                &startup_message(0, &[("user", user)]),
+                known,
+                b"s",
+                "n",
+                &mut out,
+            )
             .unwrap();
         let mut message = Vec::new();
         wire::write(&mut message, b'p', |out| {
@@ -82,35 +88,39 @@
         let (_, step) = startup.read(&message, known, b"s", "n", &mut out).unwrap();
         assert_eq!(
             matches!(step, StartupStep::Accepted(_)),
-            opens,
+            is_accepted,
             "{user} {password}"
         );
-        assert_eq!(out[0], if opens { b'R' } else { b'E' });
+        assert_eq!(out[0], if is_accepted { b'R' } else { b'E' });
     }
 }
 
 #[test]
-fn what_can_not_come_in_is_told_why_or_is_cut_off() {
+fn invalid_startups_get_an_error_or_end_the_connection() {
     let mut out = Vec::new();
     let mut refused = |input: &[u8]| {
         out.clear();
         Startup::default()
-            .read(input, nobody, b"", "n", &mut out)
+            .read(input, no_such_user, b"", "n", &mut out)
             .map(|(_, step)| {
                 assert!(matches!(step, StartupStep::Refused));
                 let body = &out[out.iter().position(|c| *c == b'E').unwrap() + 5..];
                 String::from_utf8_lossy(wire::field(body, b'C').unwrap()).to_string()
             })
     };
-    assert_eq!(refused(&start_up(0, &[])).unwrap(), "08P01");
+    assert_eq!(refused(&startup_message(0, &[])).unwrap(), "08P01");
     assert_eq!(
-        refused(&start_up(0, &[("user", "u"), ("replication", "database")])).unwrap(),
+        refused(&startup_message(
+            0,
+            &[("user", "u"), ("replication", "database")]
+        ))
+        .unwrap(),
         "0A000"
     );
     assert_eq!(refused(b"\0\0\0\x08\0\x02\0\0").unwrap(), "0A000");
-    let questions = b"\0\0\0\x08\x04\xd2\x16\x2f".repeat(3);
-    assert!(refused(&questions).is_err());
-    let mut early = start_up(0, &[("user", "u")]);
+    let encryption_requests = b"\0\0\0\x08\x04\xd2\x16\x2f".repeat(3);
+    assert!(refused(&encryption_requests).is_err());
+    let mut early = startup_message(0, &[("user", "u")]);
     early.extend_from_slice(b"Q\0\0\0\x05\0");
     assert!(refused(&early).is_err());
     early.truncate(early.len() - 6);
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -2,11 +2,11 @@
 
 use crate::ProtocolError;
 
-const LONGEST_START_UP: usize = 10_000; // bytes; the servers' own limit
-const CANCEL: u32 = 80_877_102;
-const SSL: u32 = 80_877_103;
-const GSS: u32 = 80_877_104;
-const VERSION: u32 = 3 << 16;
+const MAX_STARTUP_BYTES: usize = 10_000; // the limit of PostgreSQL servers
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+const GSS_REQUEST_CODE: u32 = 80_877_104;
+const PROTOCOL_VERSION: u32 = 3 << 16;
 
 /// Identifies a connection in a request to cancel what runs for it; whoever knows it may ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,43 +38,45 @@
     },
 }
 
-fn number(bytes: &[u8]) -> Option<u32> {
+fn read_u32(bytes: &[u8]) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
 }
 
 /// Takes the first message from the start of `input`, with its length; None until all of it has come.
 pub fn initial_message(input: &[u8]) -> Result<Option<(usize, InitialMessage<'_>)>, ProtocolError> {
-    let Some(len) = number(input) else {
+    let Some(len) = read_u32(input) else {
         return Ok(None);
     };
     let len = len as usize;
-    if !(8..=LONGEST_START_UP).contains(&len) {
-        return Err(ProtocolError::StartUp {
+    if !(8..=MAX_STARTUP_BYTES).contains(&len) {
+        return Err(ProtocolError::StartupLength {
             bytes: len,
-            most: LONGEST_START_UP,
+            limit: MAX_STARTUP_BYTES,
         });
     }
     let Some(packet) = input.get(..len) else {
         return Ok(None);
     };
-    let code = number(&packet[4..]).unwrap_or(0);
+    let code = read_u32(&packet[4..]).unwrap_or(0);
     let message = match code {
-        SSL | GSS if len == 8 => InitialMessage::EncryptionRequest,
-        CANCEL => match (number(&packet[8..]), packet.get(12..).and_then(number)) {
-            (Some(process), Some(secret)) if len == 16 => {
-                InitialMessage::Cancel(CancelKey { process, secret })
+        SSL_REQUEST_CODE | GSS_REQUEST_CODE if len == 8 => InitialMessage::EncryptionRequest,
+        CANCEL_REQUEST_CODE => {
+            match (read_u32(&packet[8..]), packet.get(12..).and_then(read_u32)) {
+                (Some(process), Some(secret)) if len == 16 => {
+                    InitialMessage::Cancel(CancelKey { process, secret })
+                }
+                _ => return Err(ProtocolError::Malformed("a request to cancel that is none")),
             }
-            _ => return Err(ProtocolError::Malformed("a request to cancel that is none")),
-        },
-        code if code >> 16 == VERSION >> 16 => {
+        }
+        code if code >> 16 == PROTOCOL_VERSION >> 16 => {
             let mut rest = &packet[8..];
             let mut parameters = Vec::new();
             loop {
-                let name = text(&mut rest)?;
+                let name = read_text(&mut rest)?;
                 if name.is_empty() {
                     break;
                 }
-                parameters.push((name, text(&mut rest)?));
+                parameters.push((name, read_text(&mut rest)?));
             }
             if !rest.is_empty() {
                 return Err(ProtocolError::Malformed(
@@ -101,7 +103,7 @@
     Ok(string)
 }
 
-fn text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, ProtocolError> {
+fn read_text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, ProtocolError> {
     std::str::from_utf8(read_string(rest)?)
         .map_err(|_| ProtocolError::Malformed("a parameter that is no UTF-8"))
 }
@@ -117,7 +119,7 @@
 
 /// The header of the message that `input` begins with, once it is there; nothing is allocated for it.
 pub fn header(input: &[u8]) -> Result<Option<Header>, ProtocolError> {
-    let (Some(tag), Some(len)) = (input.first(), input.get(1..).and_then(number)) else {
+    let (Some(tag), Some(len)) = (input.first(), input.get(1..).and_then(read_u32)) else {
         return Ok(None);
     };
     if len < 4 || len > i32::MAX as u32 {
@@ -141,11 +143,11 @@
 }
 
 /// The first message, once it is whole.
-pub fn message(input: &[u8], longest: usize) -> Result<Option<Message<'_>>, ProtocolError> {
+pub fn message(input: &[u8], max_bytes: usize) -> Result<Option<Message<'_>>, ProtocolError> {
     match header(input)? {
-        Some(Header { len, .. }) if len > longest => Err(ProtocolError::TooLong {
+        Some(Header { len, .. }) if len > max_bytes => Err(ProtocolError::MessageTooLong {
             bytes: len,
-            most: longest,
+            limit: max_bytes,
         }),
         Some(Header { tag, len }) => Ok(input.get(5..len).map(|body| Message { tag, body, len })),
         None => Ok(None),
@@ -256,7 +258,7 @@
         },
         b'E' => {
             let portal = read_string(&mut rest)?;
-            let rows = number(rest).ok_or(ProtocolError::Malformed(
+            let rows = read_u32(rest).ok_or(ProtocolError::Malformed(
                 "an Execute without a count of rows",
             ))?;
             rest = &rest[4..];
@@ -267,7 +269,7 @@
         b'X' => ClientMessage::Terminate,
         b'F' => return Ok(ClientMessage::FunctionCall),
         b'd' | b'c' | b'f' => return Ok(ClientMessage::Copy),
-        other => return Err(ProtocolError::Unknown(other)),
+        other => return Err(ProtocolError::UnknownMessage(other)),
     };
     match rest.is_empty() {
         true => Ok(message),
@@ -346,7 +348,7 @@
 /// Writes the start-up of a session, by names and values.
 pub fn write_startup(out: &mut Vec<u8>, parameters: &[(&str, &str)]) {
     write_packet(out, |out| {
-        out.extend_from_slice(&VERSION.to_be_bytes());
+        out.extend_from_slice(&PROTOCOL_VERSION.to_be_bytes());
         for (name, value) in parameters {
             write_string(out, name.as_bytes());
             write_string(out, value.as_bytes());
@@ -358,7 +360,7 @@
 /// Writes a request to cancel, which is a connection's only message.
 pub fn write_cancel(out: &mut Vec<u8>, key: CancelKey) {
     write_packet(out, |out| {
-        out.extend_from_slice(&CANCEL.to_be_bytes());
+        out.extend_from_slice(&CANCEL_REQUEST_CODE.to_be_bytes());
         out.extend_from_slice(&key.process.to_be_bytes());
         out.extend_from_slice(&key.secret.to_be_bytes());
     });
--- a/crates/postgres/src/wire_tests.rs
+++ b/crates/postgres/src/wire_tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_initial_message_is_read_once_it_is_whole_and_not_before() {
+fn initial_message_is_read_only_when_complete() {
     let packet = start_up(&[("user", "a"), ("database", "b")]);
     for cut in 0..packet.len() {
         assert_eq!(initial_message(&packet[..cut]), Ok(None));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn every_kind_of_message_is_read_whole_and_refused_when_it_is_cut_or_long() {
+fn client_messages_are_parsed_when_complete_and_rejected_when_cut_or_too_long() {
     for (tag, body) in [
         (b'Q', &b"select 1\0"[..]),
         (b'P', b"s\0select $1\0\0\x01\0\0\0\x17"),
@@ -71,20 +71,20 @@
         (b'X', b""),
     ] {
         assert!(client_message(tag, body).is_ok(), "{}", tag as char);
-        let mut whole = Vec::new();
-        write(&mut whole, tag, |out| out.extend_from_slice(body));
-        for cut in 0..whole.len() {
-            assert_eq!(message(&whole[..cut], 100), Ok(None));
+        let mut complete = Vec::new();
+        write(&mut complete, tag, |out| out.extend_from_slice(body));
+        for cut in 0..complete.len() {
+            assert_eq!(message(&complete[..cut], 100), Ok(None));
         }
         assert_eq!(
-            message(&whole, 100),
+            message(&complete, 100),
             Ok(Some(Message {
                 tag,
                 body,
-                len: whole.len()
+                len: complete.len()
             }))
         );
-        assert!(message(&whole, whole.len() - 1).is_err());
+        assert!(message(&complete, complete.len() - 1).is_err());
         if tag != b'B' {
             let longer = [body, b"x"].concat();
             assert!(client_message(tag, &longer).is_err(), "{}", tag as char);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_fields_of_an_error_are_found() {
+fn error_fields_are_found() {
     assert_eq!(
         field(b"SERROR\0C42P01\0Mno such\0\0", b'C'),
         Some(&b"42P01"[..])
--- a/crates/postgres/tests/split.rs
+++ b/crates/postgres/tests/split.rs
@@ -66,25 +66,25 @@
 }
 
 #[test]
-fn a_session_cut_at_any_byte_has_the_same_units() {
+fn client_bytes_split_anywhere_give_the_same_units() {
     let all = units();
-    let whole = format!("{:?}", read(&[&all]));
+    let expected = format!("{:?}", read(&[&all]));
     assert_eq!(read(&[&all]).len(), 4);
     for cut in 0..=all.len() {
         let (first, second) = all.split_at(cut);
         assert_eq!(
             format!("{:?}", read(&[first, second])),
-            whole,
+            expected,
             "cut at {cut}"
         );
     }
     let bytes: Vec<&[u8]> = all.chunks(1).collect();
-    assert_eq!(format!("{:?}", read(&bytes)), whole);
+    assert_eq!(format!("{:?}", read(&bytes)), expected);
 }
 
 /// What goes back to the client, and what the front hears, of an engine's answers in the pieces given.
-fn answered(pieces: &[&[u8]], room: usize) -> (Vec<u8>, Vec<EngineEvent>) {
-    let (mut out, mut back, mut heard) = (Vec::new(), Vec::new(), Vec::new());
+fn forward_answers(pieces: &[&[u8]], client_capacity: usize) -> (Vec<u8>, Vec<EngineEvent>) {
+    let (mut out, mut to_client, mut events) = (Vec::new(), Vec::new(), Vec::new());
     let mut engine = EngineConnection::new(Account::default(), 8, &mut out);
     let mut input = Vec::new();
     for (n, part) in std::iter::once(None)
@@ -97,13 +97,15 @@
                 &Rc::<SessionSettings>::default(),
                 true,
                 &mut out,
-                &mut back,
+                &mut to_client,
             );
         }
         if n == 0 {
             input = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I".to_vec();
-            let (used, up) = engine.read(&input, &mut out, &mut back, room).unwrap();
-            assert_eq!(up, Some(EngineEvent::Ready));
+            let (used, event) = engine
+                .read(&input, &mut out, &mut to_client, client_capacity)
+                .unwrap();
+            assert_eq!(event, Some(EngineEvent::Ready));
             input.drain(..used);
         }
     }
@@ -111,22 +113,24 @@
     for piece in pieces {
         input.extend_from_slice(piece);
         loop {
-            let (used, said) = engine.read(&input, &mut out, &mut back, room).unwrap();
+            let (used, event) = engine
+                .read(&input, &mut out, &mut to_client, client_capacity)
+                .unwrap();
             input.drain(..used);
-            all.append(&mut back);
-            let over = used == 0 && said.is_none();
-            heard.extend(said);
-            if over {
+            all.append(&mut to_client);
+            let is_done = used == 0 && event.is_none();
+            events.extend(event);
+            if is_done {
                 break;
             }
         }
     }
     assert!(input.is_empty());
-    (all, heard)
+    (all, events)
 }
 
 #[test]
-fn an_engine_cut_at_any_byte_says_the_same() {
+fn engine_bytes_split_anywhere_give_the_same_answers_and_events() {
     let row = message(b'D', b"\0\x01\0\0\0\x01x");
     let description = message(b'T', &[&[0, 1][..], b"c\0", &[0; 18]].concat());
     let answers = [
@@ -153,9 +157,9 @@
         message(b'Z', b"E"),
     ]
     .concat();
-    let whole = answered(&[&answers], usize::MAX);
-    assert_eq!(whole.1.len(), 3);
-    let EngineEvent::UnitDone(last) = &whole.1[2] else {
+    let expected = forward_answers(&[&answers], usize::MAX);
+    assert_eq!(expected.1.len(), 3);
+    let EngineEvent::UnitDone(last) = &expected.1[2] else {
         panic!()
     };
     assert_eq!(
@@ -163,33 +167,33 @@
         (b'E', Some("22023"), false)
     );
     // A notification is nobody's; all else goes on, and the Close of a statement is answered here.
-    assert!(whole.0.windows(5).any(|w| w == wire::CLOSE_COMPLETE));
-    assert!(!whole.0.windows(5).any(|w| w == b"A\0\0\0\x0c"));
+    assert!(expected.0.windows(5).any(|w| w == wire::CLOSE_COMPLETE));
+    assert!(!expected.0.windows(5).any(|w| w == b"A\0\0\0\x0c"));
     for cut in 0..=answers.len() {
         let (first, second) = answers.split_at(cut);
         assert_eq!(
-            answered(&[first, second], usize::MAX),
-            whole,
+            forward_answers(&[first, second], usize::MAX),
+            expected,
             "cut at {cut}"
         );
     }
-    for room in [0, 10, 100] {
+    for client_capacity in [0, 10, 100] {
         assert_eq!(
-            answered(&answers.chunks(1).collect::<Vec<_>>(), room),
-            whole
+            forward_answers(&answers.chunks(1).collect::<Vec<_>>(), client_capacity),
+            expected
         );
     }
 }
 
 #[test]
-fn a_row_of_any_size_goes_on_in_pieces() {
-    let (mut out, mut back) = (Vec::new(), Vec::new());
+fn row_of_any_size_is_forwarded_in_pieces() {
+    let (mut out, mut to_client) = (Vec::new(), Vec::new());
     let mut engine = EngineConnection::new(Account::default(), 8, &mut out);
     engine
         .read(
             b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I",
             &mut out,
-            &mut back,
+            &mut to_client,
             1 << 20,
         )
         .unwrap();
@@ -199,34 +203,39 @@
         &Rc::<SessionSettings>::default(),
         false,
         &mut out,
-        &mut back,
+        &mut to_client,
     );
     let row = message(b'D', &vec![7; 10 << 20]);
-    let (mut went, mut input) = (0, Vec::new());
+    let (mut forwarded, mut input) = (0, Vec::new());
     for piece in row.chunks(100_000) {
         input.extend_from_slice(piece);
-        let (used, _) = engine.read(&input, &mut out, &mut back, 1 << 20).unwrap();
+        let (used, _) = engine
+            .read(&input, &mut out, &mut to_client, 1 << 20)
+            .unwrap();
         input.drain(..used);
-        went += back.len();
-        back.clear();
+        forwarded += to_client.len();
+        to_client.clear();
         assert!(input.len() <= 100_000, "{} bytes are kept", input.len());
-        assert_eq!(engine.is_between_messages(), went == 0 || went == row.len());
+        assert_eq!(
+            engine.is_between_messages(),
+            forwarded == 0 || forwarded == row.len()
+        );
     }
-    assert_eq!(went, row.len());
+    assert_eq!(forwarded, row.len());
 }
 
 /// A change to one byte of what is said; the place counts within what there is.
 #[derive(Clone, Debug)]
 enum Change {
-    Put(Index, u8),
+    Replace(Index, u8),
     Remove(Index),
     Cut(Index),
 }
 
 /// Bytes for one of the readers: drawn, or what clients say with a few changes.
-fn said() -> impl Strategy<Value = Vec<u8>> {
+fn reader_input() -> impl Strategy<Value = Vec<u8>> {
     let change = prop_oneof![
-        any::<(Index, u8)>().prop_map(|(at, byte)| Change::Put(at, byte)),
+        any::<(Index, u8)>().prop_map(|(at, byte)| Change::Replace(at, byte)),
         any::<Index>().prop_map(Change::Remove),
         any::<Index>().prop_map(Change::Cut),
     ];
@@ -238,7 +247,7 @@
                 break;
             }
             match change {
-                Change::Put(at, byte) => *at.get_mut(&mut bytes) = byte,
+                Change::Replace(at, byte) => *at.get_mut(&mut bytes) = byte,
                 Change::Remove(at) => _ = bytes.remove(at.index(bytes.len())),
                 Change::Cut(at) => bytes.truncate(at.index(bytes.len())),
             }
@@ -252,7 +261,7 @@
     #![proptest_config(ProptestConfig { cases: 30_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn drawn_bytes_do_no_harm(bytes in said()) {
+    fn random_bytes_cause_no_panic(bytes in reader_input()) {
         drive::drive(&bytes);
     }
 }
@@ -261,7 +270,7 @@
     #![proptest_config(ProptestConfig { cases: 1_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn pieces_of_any_size_mean_the_same(cuts in vec(any::<Index>(), 0..12)) {
+    fn client_bytes_in_pieces_of_any_size_give_the_same_units(cuts in vec(any::<Index>(), 0..12)) {
         let all = units();
         let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(all.len() + 1)).collect();
         cuts.sort_unstable();
