--- a/crates/machine-faults/src/lib.rs
+++ b/crates/machine-faults/src/lib.rs
@@ -15,20 +15,20 @@
 // The control file holds numbers, which process and library share; these are their indices.
 
 /// Bytes of a number.
-const NUMBER_SIZE: u64 = 8;
+const INTEGER_BYTES: u64 = 8;
 /// The wall clock's step, in microseconds.
-const CLOCK_STEP: u64 = 0;
+const CLOCK_OFFSET: u64 = 0;
 /// The seed of what fails.
 const SEED: u64 = 1;
 /// By call: how many of a thousand fail.
 const FIRST_RATE: u64 = 2;
 /// By call: how many have failed.
-const FIRST_FAILED: u64 = FIRST_RATE + CALLS;
+const FIRST_FAILURE_COUNT: u64 = FIRST_RATE + CALL_COUNT;
 /// By call: how many more may fail.
-const FIRST_LEFT: u64 = FIRST_FAILED + CALLS;
+const FIRST_FAILURES_LEFT: u64 = FIRST_FAILURE_COUNT + CALL_COUNT;
 /// How many numbers there are.
-const NUMBERS: u64 = FIRST_LEFT + CALLS;
-const CALLS: u64 = Call::ALL.len() as u64;
+const INTEGER_COUNT: u64 = FIRST_FAILURES_LEFT + CALL_COUNT;
+const CALL_COUNT: u64 = Call::ALL.len() as u64;
 
 /// What fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -84,7 +84,7 @@
         std::fs::remove_file(source)?;
         if !compiled?.success() {
             return Err(Error::other(
-                "the C compiler does not take the library of machine faults",
+                "the C compiler failed to compile the machine faults library; see its messages above",
             ));
         }
         Ok(Library {
@@ -110,7 +110,7 @@
             .create(true)
             .truncate(true)
             .open(control)?;
-        file.set_len(NUMBERS * NUMBER_SIZE)?;
+        file.set_len(INTEGER_COUNT * INTEGER_BYTES)?;
         let faults = MachineFaults {
             library: library.path.clone(),
             control: control.to_path_buf(),
@@ -130,7 +130,7 @@
 
     /// Sets how many microseconds the process's wall clock is ahead of the machine's.
     pub fn set_wall_clock_offset(&self, micros: i64) -> Result<()> {
-        self.write(CLOCK_STEP, micros)
+        self.write(CLOCK_OFFSET, micros)
     }
 
     /// From now on so many of a thousand of these calls fail.
@@ -139,24 +139,29 @@
     }
 
     /// The same, until so many have failed.
-    pub fn set_limited_failure_rate(&self, call: Call, permille: u16, most: i64) -> Result<()> {
-        self.write(FIRST_LEFT + call.index(), most)?;
+    pub fn set_limited_failure_rate(
+        &self,
+        call: Call,
+        permille: u16,
+        max_failures: i64,
+    ) -> Result<()> {
+        self.write(FIRST_FAILURES_LEFT + call.index(), max_failures)?;
         self.write(FIRST_RATE + call.index(), i64::from(permille))
     }
 
     /// How many of these calls have failed so far.
     pub fn failure_count(&self, call: Call) -> Result<i64> {
-        self.read(FIRST_FAILED + call.index())
+        self.read(FIRST_FAILURE_COUNT + call.index())
     }
 
     fn write(&self, index: u64, number: i64) -> Result<()> {
         self.file
-            .write_all_at(&number.to_le_bytes(), index * NUMBER_SIZE)
+            .write_all_at(&number.to_le_bytes(), index * INTEGER_BYTES)
     }
 
     fn read(&self, index: u64) -> Result<i64> {
-        let mut bytes = [0; NUMBER_SIZE as usize];
-        self.file.read_exact_at(&mut bytes, index * NUMBER_SIZE)?;
+        let mut bytes = [0; INTEGER_BYTES as usize];
+        self.file.read_exact_at(&mut bytes, index * INTEGER_BYTES)?;
         Ok(i64::from_le_bytes(bytes))
     }
 }
--- a/crates/machine-faults/tests/library.rs
+++ b/crates/machine-faults/tests/library.rs
@@ -15,12 +15,12 @@
 }
 
 #[test]
-fn a_process_sees_its_wall_clock_stepped_and_others_do_not() {
-    let folder =
+fn wall_clock_is_stepped_only_in_the_process_with_faults() {
+    let directory =
         std::env::temp_dir().join(format!("hallmux-machine-faults-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let library = Library::compile(&folder.join("faults.so")).unwrap();
-    let faults = MachineFaults::new(&library, &folder.join("control"), 1).unwrap();
+    std::fs::create_dir_all(&directory).unwrap();
+    let library = Library::compile(&directory.join("faults.so")).unwrap();
+    let faults = MachineFaults::new(&library, &directory.join("control"), 1).unwrap();
     let date = || {
         let output = Command::new("date")
             .arg("+%s")
@@ -38,5 +38,5 @@
     faults.set_wall_clock_offset(-HOUR_S * 1_000_000).unwrap();
     let before = unix_s();
     assert!((before - HOUR_S..=unix_s() - HOUR_S).contains(&date()));
-    std::fs::remove_dir_all(folder).unwrap();
+    std::fs::remove_dir_all(directory).unwrap();
 }
--- a/crates/native-codec/src/coordinator.rs
+++ b/crates/native-codec/src/coordinator.rs
@@ -5,7 +5,7 @@
 use crate::{Decoded, ParseError};
 
 /// Bytes of a response's head.
-const MAX_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 const LINE_END: &[u8] = b"\r\n";
 /// Bytes of a response's body at the most.
@@ -30,27 +30,28 @@
 
 /// Takes one response from the start of `input`; None until all of it has come. `ended` says that nothing
 /// more will come.
-pub fn read(input: &[u8], ended: bool) -> Result<Option<Decoded<Response>>, ParseError> {
+pub fn read(input: &[u8], is_closed: bool) -> Result<Option<Decoded<Response>>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let head_len = match head.parse(input).map_err(ParseError::new)? {
         httparse::Status::Complete(len) => len,
-        httparse::Status::Partial if input.len() > MAX_HEAD => {
-            return Err(ParseError::new("a head longer than agreed"));
+        httparse::Status::Partial if input.len() > MAX_HEAD_BYTES => {
+            return Err(ParseError::new("a response head over the size limit"));
         }
         httparse::Status::Partial => return Ok(None),
     };
     let status = head.code.unwrap_or(0);
-    let form = body_form(&head)?;
-    let ends_with_connection = form == BodyForm::UntilEnd;
-    let Some(body) = body(form, &input[head_len..], ended)? else {
+    let framing = body_framing(&head)?;
+    let ends_at_close = framing == BodyFraming::UntilClose;
+    let Some(body) = body(framing, &input[head_len..], is_closed)? else {
         return Ok(None);
     };
-    let may_stay = head.version == Some(1) && !header_has(&head, "connection", "close");
+    let allows_keep_alive =
+        head.version == Some(1) && !header_contains(&head, "connection", "close");
     Ok(Some(Decoded {
         len: head_len + body.len,
         message: Response {
-            keep_alive: may_stay && !ends_with_connection,
+            keep_alive: allows_keep_alive && !ends_at_close,
             status,
             body: body.message,
         },
@@ -59,46 +60,50 @@
 
 /// How a response says where its body ends.
 #[derive(PartialEq)]
-enum BodyForm {
+enum BodyFraming {
     /// It comes in chunks.
     Chunked,
     /// It has so many bytes.
     Length(usize),
     /// It goes on until the connection ends.
-    UntilEnd,
+    UntilClose,
 }
 
-fn body_form(head: &httparse::Response) -> Result<BodyForm, ParseError> {
-    if header_has(head, "transfer-encoding", "chunked") {
-        return Ok(BodyForm::Chunked);
+fn body_framing(head: &httparse::Response) -> Result<BodyFraming, ParseError> {
+    if header_contains(head, "transfer-encoding", "chunked") {
+        return Ok(BodyFraming::Chunked);
     }
     if let Some(text) = header(head, "content-length") {
         return match text.parse() {
-            Ok(len) if len <= MAX_BODY_BYTES => Ok(BodyForm::Length(len)),
-            _ => Err(ParseError::new("a length that can't be")),
+            Ok(len) if len <= MAX_BODY_BYTES => Ok(BodyFraming::Length(len)),
+            _ => Err(ParseError::new("an invalid Content-Length")),
         };
     }
     let has_no_body = matches!(head.code, Some(100..=199 | 204 | 304));
     Ok(if has_no_body {
-        BodyForm::Length(0)
+        BodyFraming::Length(0)
     } else {
-        BodyForm::UntilEnd
+        BodyFraming::UntilClose
     })
 }
 
 /// The body and the bytes that it took; None until all of it has come.
-fn body(form: BodyForm, input: &[u8], ended: bool) -> Result<Option<Decoded<Vec<u8>>>, ParseError> {
-    match form {
-        BodyForm::Chunked => chunks(input),
-        BodyForm::Length(len) => Ok(input.get(..len).map(whole_body)),
-        BodyForm::UntilEnd if input.len() > MAX_BODY_BYTES => {
-            Err(ParseError::new("a body longer than agreed"))
+fn body(
+    framing: BodyFraming,
+    input: &[u8],
+    is_closed: bool,
+) -> Result<Option<Decoded<Vec<u8>>>, ParseError> {
+    match framing {
+        BodyFraming::Chunked => chunks(input),
+        BodyFraming::Length(len) => Ok(input.get(..len).map(decoded_body)),
+        BodyFraming::UntilClose if input.len() > MAX_BODY_BYTES => {
+            Err(ParseError::new("a response body over the size limit"))
         }
-        BodyForm::UntilEnd => Ok(ended.then(|| whole_body(input))),
+        BodyFraming::UntilClose => Ok(is_closed.then(|| decoded_body(input))),
     }
 }
 
-fn whole_body(bytes: &[u8]) -> Decoded<Vec<u8>> {
+fn decoded_body(bytes: &[u8]) -> Decoded<Vec<u8>> {
     Decoded {
         len: bytes.len(),
         message: bytes.to_vec(),
@@ -112,7 +117,7 @@
     Some(value.trim())
 }
 
-fn header_has(head: &httparse::Response, name: &str, word: &str) -> bool {
+fn header_contains(head: &httparse::Response, name: &str, word: &str) -> bool {
     header(head, name).is_some_and(|value| value.to_ascii_lowercase().contains(word))
 }
 
@@ -122,7 +127,7 @@
     let mut at = 0;
     loop {
         let size = httparse::parse_chunk_size(&input[at..]);
-        let (head_len, len) = match size.map_err(|_| ParseError::new("a chunk without its size"))? {
+        let (head_len, len) = match size.map_err(|_| ParseError::new("an invalid chunk size"))? {
             httparse::Status::Complete(found) => found,
             httparse::Status::Partial => return Ok(None),
         };
@@ -135,7 +140,7 @@
             }));
         }
         if body.len() as u64 + len > MAX_BODY_BYTES as u64 {
-            return Err(ParseError::new("a body longer than agreed"));
+            return Err(ParseError::new("a response body over the size limit"));
         }
         let len = len as usize;
         let Some(chunk) = input.get(at..at + len + LINE_END.len()) else {
--- a/crates/native-codec/src/coordinator_tests.rs
+++ b/crates/native-codec/src/coordinator_tests.rs
@@ -4,7 +4,7 @@
 use crate::Decoded;
 
 #[test]
-fn responses_are_read_once_they_are_whole() {
+fn responses_are_read_only_when_complete() {
     for text in [
         "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\n{\"index\":41,\"updates\":[]}",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
@@ -23,9 +23,9 @@
         );
         assert_eq!(events(&message.body).unwrap().index, 41);
     }
-    let till_end = b"HTTP/1.0 200 OK\r\n\r\n{}";
-    assert!(read(till_end, false).is_ok_and(|found| found.is_none()));
-    assert!(read(till_end, true).is_ok_and(|found| found
+    let until_close = b"HTTP/1.0 200 OK\r\n\r\n{}";
+    assert!(read(until_close, false).is_ok_and(|found| found.is_none()));
+    assert!(read(until_close, true).is_ok_and(|found| found
         .is_some_and(|found| { !found.message.keep_alive && found.message.body == b"{}" })));
 }
 
--- a/crates/native-codec/src/engine/read.rs
+++ b/crates/native-codec/src/engine/read.rs
@@ -5,11 +5,11 @@
 use crate::{Decoded, ParseError};
 
 /// Bytes of a line.
-pub(super) const MAX_LINE: usize = 4096;
+pub(super) const MAX_LINE_BYTES: usize = 4096;
 /// Bytes of a page, as the protocol has it.
-const MAX_PAGE: usize = 6_000;
+const MAX_PAGE_BYTES: usize = 6_000;
 /// Columns of a result.
-const COLUMNS: usize = 3;
+const RESULT_COLUMNS: usize = 3;
 /// Of a load report or note, in any unit.
 const MAX_FIGURE: f64 = 1e9;
 const LINE_END: &[u8] = b"\r\n";
@@ -29,13 +29,13 @@
     let mut len = line_len + LINE_END.len();
     let mut bytes: &[u8] = &[];
     if let Some(page_len) = line.page_len()? {
-        let Some(behind) = input.get(len..len + page_len + LINE_END.len()) else {
+        let Some(page) = input.get(len..len + page_len + LINE_END.len()) else {
             return Ok(None);
         };
-        bytes = behind
+        bytes = page
             .strip_suffix(LINE_END)
-            .ok_or_else(|| ParseError::new("bytes without their end"))?;
-        len += behind.len();
+            .ok_or_else(|| ParseError::new("a page without its CRLF"))?;
+        len += page.len();
     }
     let report = field(line.fields, engine::LOAD_REPORT);
     Ok(Some(Decoded {
@@ -51,10 +51,10 @@
 
 /// Bytes of the first line without its end; None until that has come.
 fn line_len(input: &[u8]) -> Result<Option<usize>, ParseError> {
-    let mut pairs = input.windows(LINE_END.len()).take(MAX_LINE);
+    let mut pairs = input.windows(LINE_END.len()).take(MAX_LINE_BYTES);
     let end = pairs.position(|pair| pair == LINE_END);
-    if end.is_none() && input.len() > MAX_LINE {
-        return Err(ParseError::new("a line longer than agreed"));
+    if end.is_none() && input.len() > MAX_LINE_BYTES {
+        return Err(ParseError::new("a line over the size limit"));
     }
     Ok(end)
 }
@@ -70,7 +70,7 @@
 impl<'a> Line<'a> {
     fn parse(bytes: &'a [u8]) -> Result<Line<'a>, ParseError> {
         let text =
-            std::str::from_utf8(bytes).map_err(|_| ParseError::new("a line that is no text"))?;
+            std::str::from_utf8(bytes).map_err(|_| ParseError::new("a line that is not UTF-8"))?;
         let is_number = |word: &str| word.bytes().all(|c| c.is_ascii_digit());
         let words: Vec<&str> = text.split(' ').collect();
         let (id, word, fields, page_len) = match words[..] {
@@ -97,8 +97,8 @@
             return Ok(None);
         };
         match text.parse() {
-            Ok(len) if len <= MAX_PAGE => Ok(Some(len)),
-            _ => Err(ParseError::new("a length that can't be")),
+            Ok(len) if len <= MAX_PAGE_BYTES => Ok(Some(len)),
+            _ => Err(ParseError::new("an invalid page length")),
         }
     }
 }
@@ -123,7 +123,7 @@
         engine::NOTE => Ok(note(fields)),
         engine::HEALTHY => Ok(ReplyKind::ProbeAnswer { healthy: true }),
         engine::UNHEALTHY => Ok(ReplyKind::ProbeAnswer { healthy: false }),
-        other => Err(ParseError::new(format!("an unknown word '{other}'"))),
+        other => Err(ParseError::new(format!("an unknown reply '{other}'"))),
     }
 }
 
@@ -131,7 +131,7 @@
     let pages = match field(fields, engine::PAGE_COUNT).map(str::parse::<usize>) {
         None => 1,
         Some(Ok(pages)) => pages.max(1),
-        Some(Err(_)) => return Err(ParseError::new("a count of pages that is none")),
+        Some(Err(_)) => return Err(ParseError::new("an invalid page count")),
     };
     Ok(ReplyKind::FirstPage { pages })
 }
@@ -139,7 +139,7 @@
 fn page(fields: &str) -> Result<ReplyKind, ParseError> {
     match field(fields, engine::PAGE_NUMBER).map(str::parse) {
         Some(Ok(number)) => Ok(ReplyKind::Page { number }),
-        _ => Err(ParseError::new("a page without its number")),
+        _ => Err(ParseError::new("a page without a valid number")),
     }
 }
 
@@ -160,14 +160,14 @@
     names
         .iter()
         .map(|name| {
-            let on_wire = || wire_name(name).and_then(|wire_name| reported(text, wire_name));
-            figure(reported(text, name).or_else(on_wire)?)
+            let on_wire = || wire_name(name).and_then(|wire_name| report_value(text, wire_name));
+            figure(report_value(text, name).or_else(on_wire)?)
         })
         .collect()
 }
 
 /// The text of a figure in `name:value;name:value`.
-fn reported<'a>(text: &'a str, name: &str) -> Option<&'a str> {
+fn report_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     text.split(';')
         .find_map(|f| f.strip_prefix(name)?.strip_prefix(':'))
 }
@@ -193,7 +193,7 @@
     let row = |row: &str| {
         let columns = row.strip_suffix('\n').map(|row| row.split('\t'));
         columns.is_some_and(|c| {
-            c.clone().count() == COLUMNS
+            c.clone().count() == RESULT_COLUMNS
                 && !c.into_iter().any(|c| c.contains(|c: char| c.is_control()))
         })
     };
--- a/crates/native-codec/src/engine_tests.rs
+++ b/crates/native-codec/src/engine_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `engine` module.
 
-use super::read::MAX_LINE;
+use super::read::MAX_LINE_BYTES;
 use super::{are_rows, read, write, Command, ExecutionRequest, ReplyKind};
 use crate::Decoded;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn replies_are_read_once_they_are_whole() {
+fn replies_are_read_only_when_complete() {
     let text =
         b"9b1f ACK batches=2,stats=inflight:7;x0:0.5 5\r\na\r\nbc\r\n9b1f BLOCK batch=1 0\r\n\r\n";
     let first = 53;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_word_of_engines_has_its_kind() {
+fn every_reply_word_is_mapped_to_its_kind() {
     for (text, kind) in [
         ("i AGAIN - 0\r\n\r\n", ReplyKind::Rejected),
         ("i EIO -\r\n", ReplyKind::Failed),
@@ -69,7 +69,7 @@
 
 #[test]
 fn broken_replies_are_errors() {
-    let long = [b'x'; MAX_LINE + 2];
+    let long = [b'x'; MAX_LINE_BYTES + 2];
     for text in [
         &b"\r\n"[..],
         b"i\r\n",
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn rows_are_three_columns_of_text_each() {
-    for (bytes, whole) in [
+fn complete_rows_have_three_text_columns() {
+    for (bytes, is_complete) in [
         (&b"a\tb\tc\n"[..], true),
         (b"\t\t\nd\xc3\xa9\te\tf\n", true),
         (b"", true),
@@ -104,12 +104,17 @@
         (b"a\tb\t\xff\n", false),
         (b"a\tb\t\x07\n", false),
     ] {
-        assert_eq!(are_rows(bytes), whole, "{}", String::from_utf8_lossy(bytes));
+        assert_eq!(
+            are_rows(bytes),
+            is_complete,
+            "{}",
+            String::from_utf8_lossy(bytes)
+        );
     }
 }
 
 #[test]
-fn a_request_names_only_what_is_set() {
+fn request_contains_only_fields_that_are_set() {
     let mut out = Vec::new();
     let mut request = ExecutionRequest {
         id: "i",
--- a/crates/native-codec/src/statement.rs
+++ b/crates/native-codec/src/statement.rs
@@ -9,7 +9,7 @@
 pub use write::write;
 
 /// Bytes of a frame's length.
-const PREFIX: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// The name by which a client gets to read that a call's sequence number is in use on its connection.
 pub const SEQUENCE_NUMBER_FIELD: &str = "sequence number";
--- a/crates/native-codec/src/statement/read.rs
+++ b/crates/native-codec/src/statement/read.rs
@@ -7,18 +7,18 @@
 };
 use thrift::TConfiguration;
 
-use super::{Call, Message, Request, PREFIX};
+use super::{Call, Message, Request, LENGTH_PREFIX_BYTES};
 use crate::wire_names::client;
 use crate::{Decoded, ParseError};
 
 /// Bytes of a frame.
-const MAX_FRAME: usize = 128 << 10;
+const MAX_FRAME_BYTES: usize = 128 << 10;
 /// Fields of a statement.
 const MAX_FIELDS: usize = 64;
 /// Structs within structs that are passed over.
 const MAX_DEPTH: usize = 8;
 /// Bytes of a word that an engine is sent or that is kept.
-pub(super) const MAX_WORD: usize = 64;
+pub(super) const MAX_WORD_BYTES: usize = 64;
 /// Hexadecimal digits of a statement's id.
 const ID_DIGITS: usize = 16;
 const MAX_TIME_LEFT_MS: f64 = 3.6e6;
@@ -29,27 +29,27 @@
 
 /// Takes the next whole message from the start of `input`; None until all of it has come.
 pub fn read(input: &[u8]) -> Result<Option<Decoded<Message>>, ParseError> {
-    let Some(prefix) = input.first_chunk::<PREFIX>() else {
+    let Some(prefix) = input.first_chunk::<LENGTH_PREFIX_BYTES>() else {
         return Ok(None);
     };
     let len = usize::try_from(i32::from_be_bytes(*prefix))
         .ok()
-        .filter(|len| *len <= MAX_FRAME)
-        .ok_or_else(|| ParseError::new("a frame longer than agreed, or negative"))?;
-    let Some(frame) = input[PREFIX..].get(..len) else {
+        .filter(|len| *len <= MAX_FRAME_BYTES)
+        .ok_or_else(|| ParseError::new("a frame length that is negative or over the limit"))?;
+    let Some(frame) = input[LENGTH_PREFIX_BYTES..].get(..len) else {
         return Ok(None);
     };
     let message = message(frame).map_err(ParseError::new)?;
     Ok(Some(Decoded {
-        len: PREFIX + len,
+        len: LENGTH_PREFIX_BYTES + len,
         message,
     }))
 }
 
 fn message(frame: &[u8]) -> thrift::Result<Message> {
     let limits = TConfiguration::builder()
-        .max_message_size(Some(MAX_FRAME))
-        .max_frame_size(Some(MAX_FRAME))
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
         .max_string_size(Some(frame.len()))
         .max_container_size(Some(MAX_FIELDS))
         .max_recursion_depth(Some(MAX_DEPTH))
@@ -59,7 +59,7 @@
     let arguments = Arguments::read(&mut input, &head.name)?;
     // Guards against lengths that don't fit: what is behind the message belongs to no other.
     if !input.transport.is_empty() {
-        return Err("a frame longer than its message".into());
+        return Err("bytes after the message in its frame".into());
     }
     Ok(Message {
         sequence_number: head.sequence_number,
@@ -77,7 +77,7 @@
         }
         (client::HEALTH_CHECK, TMessageType::Call) => Request::HealthCheck,
         (_, TMessageType::Call | TMessageType::OneWay) => Request::UnknownMethod(head.name),
-        _ => return Err("a client that answers".into()),
+        _ => return Err("a message that is not a call".into()),
     };
     Ok(request)
 }
@@ -117,7 +117,7 @@
     let mut fields = BTreeMap::new();
     if map.size > 0 && (map.key_type, map.value_type) != (Some(TType::String), Some(TType::String))
     {
-        return Err("fields that are no text".into());
+        return Err("a field map whose keys or values are not strings".into());
     }
     for _ in 0..map.size {
         fields.insert(input.read_string()?, input.read_string()?);
@@ -158,7 +158,7 @@
                 client::TIME_LEFT_MS,
                 is_within(self.time_left_ms, MAX_TIME_LEFT_MS),
             ),
-            (client::SECOND, second.is_none_or(|mark| mark == "1")),
+            (client::SECOND, second.is_none_or(|value| value == "1")),
             (
                 client::DEDUP_KEY,
                 self.dedup_key.as_deref().is_none_or(is_word),
@@ -182,10 +182,10 @@
 
 /// Whether a word can stand in an engine's line as it is.
 fn is_word(text: &str) -> bool {
-    let may_stand = |c: u8| c.is_ascii_graphic() && c != b',' && c != b'=';
-    !text.is_empty() && text.len() <= MAX_WORD && text.bytes().all(may_stand)
+    let is_allowed = |c: u8| c.is_ascii_graphic() && c != b',' && c != b'=';
+    !text.is_empty() && text.len() <= MAX_WORD_BYTES && text.bytes().all(is_allowed)
 }
 
-fn is_within(number: f64, most: f64) -> bool {
-    (0.0..=most).contains(&number)
+fn is_within(number: f64, max: f64) -> bool {
+    (0.0..=max).contains(&number)
 }
--- a/crates/native-codec/src/statement/write.rs
+++ b/crates/native-codec/src/statement/write.rs
@@ -6,7 +6,7 @@
 };
 use thrift::{ApplicationError, ApplicationErrorKind};
 
-use super::{Reply, PREFIX};
+use super::{Reply, LENGTH_PREFIX_BYTES};
 use crate::wire_names::client;
 
 /// The id of the exception of a statement that was rejected, in the result of its method.
@@ -17,15 +17,15 @@
 /// Appends a reply to `output`, as one frame.
 pub fn write(output: &mut Vec<u8>, sequence_number: i32, reply: &Reply) {
     let start = output.len();
-    output.extend([0; PREFIX]);
+    output.extend([0; LENGTH_PREFIX_BYTES]);
     let mut out = TBinaryOutputProtocol::new(&mut *output, true);
     let written = match application_error(reply) {
         Some(error) => write_application_error(&mut out, sequence_number, reply, &error),
         None => write_result(&mut out, sequence_number, reply),
     };
     debug_assert!(written.is_ok(), "writing to memory cannot fail");
-    let len = (output.len() - start - PREFIX) as u32;
-    output[start..start + PREFIX].copy_from_slice(&len.to_be_bytes());
+    let len = (output.len() - start - LENGTH_PREFIX_BYTES) as u32;
+    output[start..start + LENGTH_PREFIX_BYTES].copy_from_slice(&len.to_be_bytes());
 }
 
 /// The error of a request that is none of the protocol.
--- a/crates/native-codec/src/statement_tests.rs
+++ b/crates/native-codec/src/statement_tests.rs
@@ -5,14 +5,14 @@
     TType,
 };
 
-use super::read::MAX_WORD;
+use super::read::MAX_WORD_BYTES;
 use super::write::write_fields;
-use super::{read, Message, Request, PREFIX};
+use super::{read, Message, Request, LENGTH_PREFIX_BYTES};
 use crate::Decoded;
 
 /// A `serve` frame with the fields given.
 fn frame(fields: &[(&str, &str)], statement: &[u8]) -> Vec<u8> {
-    let mut frame = vec![0; PREFIX];
+    let mut frame = vec![0; LENGTH_PREFIX_BYTES];
     let mut out = TBinaryOutputProtocol::new(&mut frame, true);
     out.write_message_begin(&TMessageIdentifier::new("serve", TMessageType::Call, 7))
         .unwrap();
@@ -21,8 +21,8 @@
         .unwrap();
     out.write_bytes(statement).unwrap();
     out.write_field_stop().unwrap();
-    let len = (frame.len() - PREFIX) as u32;
-    frame[..PREFIX].copy_from_slice(&len.to_be_bytes());
+    let len = (frame.len() - LENGTH_PREFIX_BYTES) as u32;
+    frame[..LENGTH_PREFIX_BYTES].copy_from_slice(&len.to_be_bytes());
     frame
 }
 
@@ -34,7 +34,7 @@
 ];
 
 #[test]
-fn a_frame_is_read_once_it_is_whole_and_keeps_its_bytes() {
+fn frame_is_read_only_when_complete_and_keeps_its_bytes() {
     let frame = frame(&FIELDS, b"select '\xff'");
     for len in 0..frame.len() {
         assert_eq!(read(&frame[..len]), Ok(None));
@@ -57,27 +57,29 @@
 }
 
 #[test]
-fn broken_frames_are_errors_and_no_panics() {
-    let whole = frame(&FIELDS, b"select 1");
-    for at in PREFIX..whole.len() {
+fn broken_frames_are_errors_without_panics() {
+    let complete = frame(&FIELDS, b"select 1");
+    for at in LENGTH_PREFIX_BYTES..complete.len() {
         for byte in [0x00, 0x7f, 0x80, 0xff] {
-            let mut broken = whole.clone();
+            let mut broken = complete.clone();
             broken[at] = byte;
             let _ = read(&broken);
         }
         // The length says that it is whole, but it is not.
-        let mut cut = whole[..at].to_vec();
-        cut[..PREFIX].copy_from_slice(&((at - PREFIX) as u32).to_be_bytes());
+        let mut cut = complete[..at].to_vec();
+        cut[..LENGTH_PREFIX_BYTES]
+            .copy_from_slice(&((at - LENGTH_PREFIX_BYTES) as u32).to_be_bytes());
         assert!(read(&cut).is_err());
     }
-    let mut longer = [&whole[..], b"x"].concat();
-    longer[..PREFIX].copy_from_slice(&((whole.len() + 1 - PREFIX) as u32).to_be_bytes());
+    let mut longer = [&complete[..], b"x"].concat();
+    longer[..LENGTH_PREFIX_BYTES]
+        .copy_from_slice(&((complete.len() + 1 - LENGTH_PREFIX_BYTES) as u32).to_be_bytes());
     assert!(read(&longer).is_err());
     let mut nested = frame(&FIELDS, b"");
     nested.pop();
     nested.extend([12, 0, 9].repeat(1000));
-    let len = (nested.len() - PREFIX) as u32;
-    nested[..PREFIX].copy_from_slice(&len.to_be_bytes());
+    let len = (nested.len() - LENGTH_PREFIX_BYTES) as u32;
+    nested[..LENGTH_PREFIX_BYTES].copy_from_slice(&len.to_be_bytes());
     assert!(read(&nested).is_err());
     for prefix in [
         &[0xff, 0xff, 0xff, 0xff],
@@ -99,7 +101,7 @@
         ("limit", "4e9"),
         ("second", "2"),
         ("unique", "a\r\nb"),
-        ("unique", &"u".repeat(MAX_WORD + 1)),
+        ("unique", &"u".repeat(MAX_WORD_BYTES + 1)),
         ("item", "a b"),
         ("cpu", "x"),
         ("cpu", "1e300"),
--- a/crates/native-codec/src/tables.rs
+++ b/crates/native-codec/src/tables.rs
@@ -13,16 +13,16 @@
 
 /// The first table group that a statement names, if it names any.
 pub fn group(statement: &[u8]) -> Option<u32> {
-    next(statement).map(|found| found.number)
+    next_group(statement).map(|found| found.number)
 }
 
 /// All table groups that a statement names, each once, in the order in which they come. The search ends at
 /// `most + 1` of them, so that a caller can tell that there are more.
-pub fn groups(statement: &[u8], most: usize) -> Vec<u32> {
+pub fn groups(statement: &[u8], max: usize) -> Vec<u32> {
     let mut groups = Vec::new();
     let mut rest = statement;
-    while groups.len() <= most {
-        let Some(found) = next(rest) else { break };
+    while groups.len() <= max {
+        let Some(found) = next_group(rest) else { break };
         if !groups.contains(&found.number) {
             groups.push(found.number);
         }
@@ -32,7 +32,7 @@
 }
 
 /// The first table group.
-fn next(statement: &[u8]) -> Option<FoundGroup<'_>> {
+fn next_group(statement: &[u8]) -> Option<FoundGroup<'_>> {
     let mut rest = statement;
     while let Some(&first) = rest.first() {
         rest = match first {
@@ -40,27 +40,30 @@
             b'-' if rest.starts_with(b"--") => after(rest, b"\n", 2),
             b'/' if rest.starts_with(b"/*") => after_comment(rest),
             b'"' | b'`' => {
-                let behind = after_quote(rest, first);
-                let quoted = &rest[1..rest.len() - behind.len()];
+                let after_name = after_quote(rest, first);
+                let quoted = &rest[1..rest.len() - after_name.len()];
                 let name = quoted.strip_suffix(&[first]).unwrap_or(quoted);
-                if let Some(number) = group_of_schema(name, behind) {
+                if let Some(number) = group_of_schema(name, after_name) {
                     return Some(FoundGroup {
                         number,
-                        rest: behind,
+                        rest: after_name,
                     });
                 }
-                behind
+                after_name
             }
-            c if in_name(c) => {
-                let len = rest.iter().position(|c| !in_name(*c)).unwrap_or(rest.len());
-                let (name, behind) = rest.split_at(len);
-                if let Some(number) = group_of_schema(name, behind) {
+            c if is_name_char(c) => {
+                let len = rest
+                    .iter()
+                    .position(|c| !is_name_char(*c))
+                    .unwrap_or(rest.len());
+                let (name, after_name) = rest.split_at(len);
+                if let Some(number) = group_of_schema(name, after_name) {
                     return Some(FoundGroup {
                         number,
-                        rest: behind,
+                        rest: after_name,
                     });
                 }
-                behind
+                after_name
             }
             _ => &rest[1..],
         };
@@ -69,15 +72,15 @@
 }
 
 /// Whether a byte may stand in a name without quotes.
-fn in_name(c: u8) -> bool {
+fn is_name_char(c: u8) -> bool {
     c.is_ascii_alphanumeric() || c == b'_' || c == b'$' || c >= 0x80
 }
 
 /// The number behind the last underscore of a name, if what follows makes the name a schema's.
-fn group_of_schema(name: &[u8], behind: &[u8]) -> Option<u32> {
-    let behind_dot = behind.trim_ascii_start().strip_prefix(b".")?;
-    let next = behind_dot.trim_ascii_start().first()?;
-    let qualifies = in_name(*next) || matches!(next, b'"' | b'`');
+fn group_of_schema(name: &[u8], after_name: &[u8]) -> Option<u32> {
+    let after_dot = after_name.trim_ascii_start().strip_prefix(b".")?;
+    let first = after_dot.trim_ascii_start().first()?;
+    let qualifies = is_name_char(*first) || matches!(first, b'"' | b'`');
     let underscore = name.iter().rposition(|c| *c == b'_')?;
     let digits = std::str::from_utf8(&name[underscore + 1..]).ok()?;
     let is_number = !digits.is_empty() && digits.bytes().all(|c| c.is_ascii_digit());
--- a/crates/native-codec/src/tables_tests.rs
+++ b/crates/native-codec/src/tables_tests.rs
@@ -3,7 +3,7 @@
 use super::{group, groups};
 
 #[test]
-fn the_schema_outside_of_strings_and_comments_counts() {
+fn schemas_in_strings_and_comments_are_ignored() {
     for (statement, found) in [
         ("select * from sales_17.orders", Some(17)),
         ("select 'it''s a_1.b' from s_2.t", Some(2)),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn every_group_is_found_once() {
+fn each_group_is_returned_once_up_to_the_limit() {
     let joined =
         b"select * from s_2.t join \"s_8\".u using (k) where s_2.t.x = 's_9.y' union select 1 from s_5.t";
     assert_eq!(groups(joined, 16), [2, 8, 5]);
