--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -1,5 +1,6 @@
-//! Drives every reader of the crate with the bytes given: nothing may panic, run on without end, take more than
-//! came, or write more than it was given cause to. Shared by the fuzz target and a test with drawn bytes.
+//! Passes the given bytes to the crate's readers, which must not panic, run without end, consume
+//! more than there is, or write more than the input justifies. Shared by the fuzz target and a test
+//! with random bytes.
 
 use std::rc::Rc;
 
@@ -16,7 +17,7 @@
     bytes: 4096,
 };
 
-/// The first byte says which reader; the rest is its input.
+/// The first byte selects the reader; the others are its input.
 pub fn drive(bytes: &[u8]) {
     let Some((reader, input)) = bytes.split_first() else {
         return;
@@ -32,7 +33,7 @@
 fn startup(input: &[u8]) {
     let (mut startup, mut out) = (Startup::default(), Vec::new());
     let mut offset = 0;
-    // In two pieces, so that what is kept between them is met as well.
+    // The input is split in two, so that the state kept between reads is exercised as well.
     for end in [input.len() / 2, input.len()] {
         match startup.read(&input[offset..end], |_| None, b"secret", "nonce", &mut out) {
             Ok((used, step)) => {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Reads all units that the bytes hold.
+/// Reads all units in the bytes and has the session answer them locally where it can.
 pub fn session(input: &[u8]) -> Vec<Rc<UnitPart>> {
     let mut catalogue = Catalogue::default();
     let mut session = Session::new(&Default::default(), &mut catalogue);
@@ -67,7 +68,7 @@
     parts
 }
 
-/// A session's units are sent to an engine that answers with the bytes.
+/// Sends the units of the first half of the bytes to an engine, whose answers are the second half.
 fn engine(input: &[u8]) {
     let half = input.len() / 2;
     let parts = session(&input[..half]);
--- a/crates/postgres/src/client_error.rs
+++ b/crates/postgres/src/client_error.rs
@@ -1,101 +1,101 @@
-//! The errors that the front itself answers a client with, and their codes.
+//! The errors that the front itself sends to clients, and their SQLSTATE codes.
 
 use crate::wire::{write, write_string};
 use crate::ProtocolError;
 
-/// An error that the front answers a client with, in place of an engine.
+/// An error that the front, rather than an engine, sends to a client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// Not executed: trying again is harmless.
+    /// The statement was rejected without being executed; a retry is safe.
     #[error("the front turns this statement away; trying again is harmless")]
     Rejected {
-        /// Milliseconds to wait before that; None leaves it to the client.
+        /// Milliseconds to wait before the retry; None leaves the wait to the client.
         retry_after_ms: Option<i64>,
     },
-    /// The time that it had is up.
+    /// The statement exceeded its time limit.
     #[error("canceling statement due to statement timeout")]
     StatementTimeout,
-    /// The client asked for its end.
+    /// The client cancelled the statement.
     #[error("canceling statement due to user request")]
     Cancelled,
-    /// It may or may not have taken effect: its engine was lost with it.
+    /// The engine was lost while it executed the statement, which may or may not have taken effect.
     #[error("the engine was lost; the statement may or may not have taken effect")]
     Unresolved,
-    /// The open transaction is rolled back: nothing of it has taken effect.
+    /// The open transaction was rolled back; none of its statements has taken effect.
     #[error("the transaction was rolled back: {why}")]
     RolledBack {
-        /// What rolled it back.
+        /// The cause of the rollback.
         why: &'static str,
     },
-    /// An open transaction stood idle too long.
+    /// An open transaction was idle for longer than its limit.
     #[error("terminating transaction that stood idle for longer than allowed")]
     IdleTransactionTimeout,
-    /// The transaction failed before; only its end is taken.
+    /// The transaction has failed; only a statement that ends it is accepted.
     #[error("current transaction is aborted, commands ignored until end of transaction block")]
     InFailedTransaction,
-    /// A setting of the front that is missing or can't be used.
+    /// A setting of the front is missing or invalid.
     #[error("{field}: {why}")]
     InvalidSetting {
-        /// Its name.
+        /// The name.
         field: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         why: &'static str,
     },
-    /// What can't be done over shared connections.
+    /// The operation is not possible over shared engine connections.
     #[error("{why} can't be used through this front")]
     Unsupported {
-        /// Its name.
+        /// The name.
         why: &'static str,
     },
-    /// More than a session may hold.
+    /// A limit of the session is exceeded.
     #[error("{why}: more than a session may hold")]
     LimitExceeded {
-        /// Of what.
+        /// The quantity that is limited.
         why: &'static str,
     },
-    /// A prepared statement that the session does not have.
+    /// The session has no prepared statement of this name.
     #[error("prepared statement \"{name}\" does not exist")]
     NoSuchStatement {
-        /// Its name.
+        /// The name.
         name: String,
     },
-    /// A prepared statement under a name that is taken.
+    /// The session already has a prepared statement of this name.
     #[error("prepared statement \"{name}\" already exists")]
     DuplicateStatement {
         /// The name.
         name: String,
     },
-    /// A violation of the protocol.
+    /// The client violated the protocol.
     #[error("against the protocol: {why}")]
     Protocol {
         /// The violation.
         why: ProtocolError,
     },
-    /// The user does not exist, or its proof does not hold.
+    /// The user does not exist, or the password proof is wrong.
     #[error("password authentication failed for user \"{user}\"")]
     WrongPassword {
         /// The user's name.
         user: String,
     },
-    /// Another version of the protocol than 3.
+    /// The client asked for a protocol version other than 3.
     #[error("protocol {major} is not spoken here, 3.0 is")]
     UnsupportedVersion {
-        /// Its major number.
+        /// The major version asked for.
         major: u16,
     },
-    /// The front shuts down.
+    /// The front is shutting down.
     #[error("terminating connection due to administrator command")]
     ShuttingDown,
-    /// No more sessions are taken.
+    /// The front has reached its limit of sessions.
     #[error("no more sessions are taken for now")]
     TooManySessions,
-    /// An engine ended a result in the middle, or left the front.
+    /// The engine's connection ended before the result was complete.
     #[error("the engine was lost in the middle of a result")]
     ResultLost,
 }
 
 impl ClientError {
-    /// The SQLSTATE, after PostgreSQL's table of error codes.
+    /// Returns the SQLSTATE, from PostgreSQL's table of error codes.
     pub fn code(&self) -> &'static str {
         match self {
             ClientError::Rejected { .. } => "53000",
@@ -118,13 +118,14 @@
         }
     }
 
-    /// Appends it to `out` as an error message; after one that is fatal the connection ends.
+    /// Appends the error to `out` as an ErrorResponse message. After a fatal error the connection
+    /// ends.
     pub fn write(&self, out: &mut Vec<u8>, fatal: bool) {
         let severity: &[u8] = if fatal { b"FATAL" } else { b"ERROR" };
         write(out, b'E', |out| {
             let mut field = |kind: u8, value: &[u8]| {
                 out.push(kind);
-                // Guards against a name of the client's that holds the byte which ends a field.
+                // A name sent by the client may contain the zero byte that ends a field.
                 let end = memchr::memchr(0, value).unwrap_or(value.len());
                 write_string(out, &value[..end]);
             };
@@ -144,8 +145,9 @@
     }
 }
 
-/// Whether an engine's error, by its SQLSTATE, is the engine's fault rather than the statement's: it is short
-/// of resources, shutting down or broken. What a client or a time limit ended is not.
+/// Whether an engine's error, by its SQLSTATE, is the engine's fault and not the statement's: the
+/// engine is short of resources, shutting down or broken. A cancel by a client or a time limit
+/// (57014) is not an engine fault.
 pub fn is_engine_fault(code: &[u8]) -> bool {
     let class = code.get(..2).unwrap_or_default();
     matches!(class, b"53" | b"58" | b"XX" | b"08" | b"F0") || class == b"57" && code != b"57014"
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -1,6 +1,6 @@
-//! A connection to an engine as the front knows it: its login, what is prepared and set on it, and which of
-//! its answers belong to which step of a unit. What the front did of its own accord is never seen by a
-//! client.
+//! The front's side of a connection to an engine: its login, the statements prepared and the
+//! settings applied on it, and the matching of its answers to the operations of a unit. Answers to
+//! messages that the front added itself are never forwarded to a client.
 
 mod login;
 mod receiving;
@@ -18,30 +18,30 @@
 use crate::unit::UnitPart;
 use crate::wire::{self, CancelKey};
 
-/// What an engine's messages mean, beyond what goes on to the client.
+/// An event found in an engine's messages, besides the answers that are forwarded to the client.
 #[derive(Debug, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// It takes units from now on.
+    /// The login succeeded; the connection accepts units.
     Ready,
-    /// It does not let the front in.
+    /// The engine refused the login.
     LoginRefused {
         /// The SQLSTATE.
         code: String,
-        /// The whole error message, for the client.
+        /// The complete ErrorResponse message, for the client.
         error: Vec<u8>,
     },
-    /// A session's settings can't be had here.
+    /// The engine refused to apply a session's settings.
     SettingsRefused {
-        /// The whole error message, for the client.
+        /// The complete ErrorResponse message, for the client.
         error: Vec<u8>,
     },
-    /// It has answered a ping.
+    /// The engine answered a health check.
     PingAnswered,
-    /// The unit that it had is over.
+    /// The unit in flight has ended.
     UnitDone(UnitOutcome),
 }
 
-/// An account at the engines, with which the front logs in.
+/// An account with which the front logs in at engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Account {
     /// The user's name.
@@ -55,15 +55,16 @@
 #[derive(PartialEq)]
 enum Stage {
     Login,
-    /// A session's settings are being brought over.
+    /// A session's settings are being applied.
     ApplyingSettings,
     Ready,
 }
 
 enum Expected {
-    /// The front gives this answer in the engine's place, as nothing was sent to it.
+    /// The front sends the client this answer itself, as nothing was sent to the engine.
     LocalAnswer(&'static [u8]),
-    /// `number` is the prepared statement's, None for the unnamed one. A hidden answer is not the client's.
+    /// The answer to a Parse. `number` is that of the prepared statement, None for the unnamed one.
+    /// A hidden answer is not forwarded to the client.
     Parsed {
         number: Option<u64>,
         hidden: bool,
@@ -71,64 +72,66 @@
     Bound,
     Described,
     Executed,
-    /// `hidden` is the number of a statement that the front closed of its own accord; an engine that passes
-    /// over the Close still has it.
+    /// The answer to a Close. `hidden` is the number of a statement that the front itself closed;
+    /// if an error makes the engine skip the Close, the statement is still prepared there.
     Closed {
         hidden: Option<u64>,
     },
-    /// The client gets this error in place of the engine's next one.
+    /// The client is sent this error in place of the engine's next one.
     Fail(ClientError),
     Query,
     Sync,
-    /// A Sync of the front's own, as a health check.
+    /// A Sync that the front sent as a health check.
     Ping,
 }
 
-/// A part of a unit that waits until the settings of its session are confirmed.
+/// A part of a unit that waits until the settings of its session are applied.
 struct WaitingPart {
     part: Rc<UnitPart>,
     settings: Rc<SessionSettings>,
 }
 
-/// The state of a connection to an engine. It takes one unit at a time.
+/// The state of a connection to an engine, which executes one unit at a time.
 pub struct EngineConnection {
     account: Account,
     stage: Stage,
-    /// A SCRAM login that goes on.
+    /// The SCRAM exchange of a login in progress.
     exchange: Option<Box<ScramSha256>>,
-    /// For requests to cancel, once the engine has sent it.
+    /// The key for cancel requests, once the engine has sent it.
     pub key: Option<CancelKey>,
-    /// Parameters that the engine reports of itself, by name, for the start-up of clients.
+    /// Names and values of the parameters that the engine reported during login; they are passed on
+    /// to clients at their startup.
     pub parameters: Vec<(String, String)>,
     prepared: LruCache<u64, ()>,
-    /// How many statements may be prepared there.
+    /// The maximum number of statements that stay prepared on the connection.
     max_prepared: usize,
-    /// Numbers of statements whose Parse was sent and is not confirmed yet.
+    /// Numbers of statements whose Parse was sent and is not yet confirmed.
     unconfirmed: HashSet<u64>,
-    /// The statement without a name that this unit has put there.
+    /// The number of the statement that this unit prepared as the unnamed one.
     unnamed: Option<u64>,
-    /// The settings that the connection has; None where they are not known.
+    /// The settings applied on the connection; None if they are unknown.
     settings: Option<Rc<SessionSettings>>,
-    /// What was to be sent while settings are being brought over.
+    /// Parts that were submitted while settings are being applied.
     waiting_for_settings: Vec<WaitingPart>,
-    /// The engine's first error message while settings were being brought over.
+    /// The engine's first error message while settings are being applied.
     settings_error: Option<Vec<u8>>,
-    /// The answers that are still to come, in order.
+    /// The answers still expected, in order.
     expected: VecDeque<Expected>,
-    /// An error came: the engine passes over all up to the Sync.
+    /// After an error the engine skips all messages up to the next Sync.
     skipping: bool,
-    /// Bytes still to come of a long message that is passed on in pieces.
+    /// Bytes not yet received of a long message that is forwarded in pieces.
     remaining_bytes: usize,
-    /// What is known so far of how the unit ends.
+    /// The outcome of the current unit, as far as it is known.
     outcome: UnitOutcome,
 }
 
-/// The name that a prepared statement has at engines.
+/// Returns the name of a prepared statement on engine connections.
 fn statement_name(number: u64) -> String {
     format!("hm:{number}")
 }
 
-/// The name under which a unit finds a prepared statement; empty where it has none in its session.
+/// Returns the name by which a unit refers to a prepared statement on an engine connection; empty
+/// for the session's unnamed statement.
 fn engine_name(prepared: &Prepared, named: bool) -> String {
     if named {
         statement_name(prepared.number)
@@ -138,8 +141,8 @@
 }
 
 impl EngineConnection {
-    /// Begins a login: writes the start-up to `out`. No more than `most_prepared` statements stay prepared
-    /// there.
+    /// Starts a login by writing the startup message to `out`. At most `max_prepared` statements
+    /// stay prepared on the connection.
     pub fn new(account: Account, max_prepared: usize, out: &mut Vec<u8>) -> EngineConnection {
         let parameters = [
             ("user", account.user.as_str()),
@@ -166,29 +169,30 @@
         }
     }
 
-    /// Whether the login is over.
+    /// Whether the login has succeeded.
     pub fn is_logged_in(&self) -> bool {
         self.stage != Stage::Login
     }
 
-    /// Whether a session's settings are being brought over: what waits for them has not left.
+    /// Whether a session's settings are being applied; the units that wait for them have not been
+    /// sent.
     pub fn is_applying_settings(&self) -> bool {
         self.stage == Stage::ApplyingSettings
     }
 
-    /// Whether what was passed on so far ends with a whole message.
+    /// Whether the bytes forwarded to the client so far end at a message boundary.
     pub fn is_between_messages(&self) -> bool {
         self.remaining_bytes == 0
     }
 
-    /// Whether the connection has a session's settings, so that nothing has to be set.
+    /// Whether a session's settings are already applied on the connection.
     pub fn has_settings(&self, settings: &Rc<SessionSettings>) -> bool {
         self.settings
             .as_ref()
             .is_some_and(|current| Rc::ptr_eq(current, settings) || current == settings)
     }
 
-    /// How many statements are prepared there.
+    /// Returns the number of statements prepared on the connection.
     pub fn prepared_count(&self) -> usize {
         self.prepared.len()
     }
--- a/crates/postgres/src/engine/login.rs
+++ b/crates/postgres/src/engine/login.rs
@@ -1,4 +1,5 @@
-//! The login of a front at an engine: password, MD5 and SCRAM-SHA-256, and what the engine tells of itself.
+//! The front's login at an engine: by password, MD5 or SCRAM-SHA-256, and the parameters that the
+//! engine reports.
 
 use postgres_protocol::authentication::md5_hash;
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
@@ -8,7 +9,7 @@
 use crate::wire::{self, CancelKey};
 use crate::ProtocolError;
 
-/// How many parameters an engine may report of itself; servers report some fifteen.
+/// The maximum number of parameters kept of an engine; servers report about 15.
 const MAX_PARAMETERS: usize = 64;
 
 /// The codes of the protocol's authentication requests.
@@ -21,7 +22,7 @@
     pub const SASL_FINAL: u32 = 12;
 }
 
-/// The big-endian number of four bytes at a place.
+/// Reads a big-endian u32 at an offset; None if the body is too short.
 fn u32_at(body: &[u8], at: usize) -> Option<u32> {
     let bytes = body.get(at..at + 4)?.try_into().ok()?;
     Some(u32::from_be_bytes(bytes))
@@ -32,7 +33,7 @@
 }
 
 impl EngineConnection {
-    /// Takes one message of the login: `message` with its header, `body` without.
+    /// Handles one message of the login: `message` includes its header, `body` does not.
     pub(super) fn login(
         &mut self,
         tag: u8,
@@ -71,7 +72,7 @@
         Ok(None)
     }
 
-    /// Answers one authentication request.
+    /// Answers one authentication request of the engine.
     fn authenticate(
         &mut self,
         tag: u8,
@@ -129,7 +130,7 @@
         self.exchange = Some(Box::new(exchange));
     }
 
-    /// The SCRAM exchange that was begun; an error where none was.
+    /// Returns the SCRAM exchange in progress; an error if there is none.
     fn scram_exchange(&mut self, tag: u8) -> Result<&mut ScramSha256, ProtocolError> {
         let exchange = self.exchange.as_deref_mut();
         exchange.ok_or(ProtocolError::UnexpectedMessage {
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -1,5 +1,5 @@
-//! Messages of an engine: each answer is matched with the operation that it belongs to, and passed on to the
-//! client or kept back.
+//! Reads an engine's messages: each answer is matched with the operation it belongs to, and
+//! forwarded to the client or dropped.
 
 use super::{EngineConnection, EngineEvent, Expected, Stage, WaitingPart};
 use crate::client_error::is_engine_fault;
@@ -7,13 +7,15 @@
 use crate::wire::{self, Header};
 use crate::ProtocolError;
 
-/// The longest message, in bytes, that is read as one; errors take some hundred.
+/// The maximum length of a message that is buffered as a whole, in bytes; error messages take some
+/// hundred bytes.
 const MAX_BUFFERED_MESSAGE: usize = 64 << 10;
 
 impl EngineConnection {
-    /// Reads what the engine has sent, up to the first message that means something beyond an answer. What is
-    /// for the client goes to `back`, `room` bytes and the rest of a message at most; what is for the engine
-    /// goes to `out`. Returns how many bytes of `input` were used up, and the event.
+    /// Reads the engine's bytes up to the first message that causes an event. Messages for the
+    /// client are appended to `to_client`, of which reading stops once it exceeds `client_capacity`
+    /// bytes; messages for the engine are appended to `out`. Returns the number of bytes of `input`
+    /// that were consumed, and the event.
     pub fn read(
         &mut self,
         input: &[u8],
@@ -38,7 +40,8 @@
                 break;
             };
             let login_or_settings = self.stage != Stage::Ready;
-            // Rows and their like have no limit; they go on as they come.
+            // Rows, descriptions and notices have no length limit; they are forwarded in pieces as
+            // they arrive.
             if matches!(tag, b'D' | b'd' | b'T' | b't' | b'N')
                 && !login_or_settings
                 && rest.len() < len
@@ -73,7 +76,8 @@
         Ok((at, None))
     }
 
-    /// The answer to bringing settings over: none of it is a client's, but why it failed.
+    /// Handles an answer while settings are being applied. Nothing is forwarded to the client; only
+    /// an error is kept, for the event.
     fn settings_answer(
         &mut self,
         tag: u8,
@@ -103,7 +107,7 @@
         None
     }
 
-    /// A message that goes on in pieces begins: it must be one that is due.
+    /// Starts to forward a message in pieces; an error if no message of its kind is expected.
     fn start_long_message(&mut self, tag: u8) -> Result<(), ProtocolError> {
         let describe_expected = matches!(self.expected.front(), Some(Expected::Described));
         let rows_expected = matches!(
@@ -125,7 +129,7 @@
         Ok(())
     }
 
-    /// An answer to a unit or a health check.
+    /// Handles an answer to a unit or a health check.
     fn unit_answer(
         &mut self,
         tag: u8,
@@ -136,7 +140,7 @@
         match (tag, self.expected.front()) {
             (b'N', _) => forward = !self.expected.is_empty(),
             (b'S', _) => forward = !self.expected.is_empty(),
-            // Nobody listens through a front.
+            // LISTEN is rejected by the front, so no client expects a notification.
             (b'A', _) => forward = false,
             (b'E', _) => return self.unit_error(message, to_client),
             (b'1', Some(Expected::Parsed { number, hidden })) => {
@@ -198,7 +202,8 @@
         let fatal = wire::field(&message[5..], b'S') == Some(b"FATAL")
             || wire::field(&message[5..], b'V') == Some(b"FATAL");
         if fatal || self.expected.is_empty() {
-            // It is the connection's end, not a statement's answer, and nothing for a client of the front.
+            // The error ends the connection; it is not the answer to a statement and is not
+            // forwarded.
             return Err(ProtocolError::ConnectionEnded(
                 String::from_utf8_lossy(code).into(),
             ));
@@ -222,8 +227,8 @@
         Ok(None)
     }
 
-    /// After an error an engine passes over what was sent, up to the Sync: no answers will come to that. A
-    /// simple query ends by itself.
+    /// Drops the answers expected up to the next Sync, as an engine skips all messages up to it
+    /// after an error. Not called for a simple query, which ends by itself.
     fn skip_to_sync(&mut self) {
         loop {
             match self.expected.pop_front() {
@@ -247,7 +252,7 @@
         }
     }
 
-    /// The engine is ready for the next unit: how this one ended.
+    /// Handles ReadyForQuery: returns the outcome of the unit that has ended.
     fn finish_unit(
         &mut self,
         message: &[u8],
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -1,4 +1,5 @@
-//! What goes to an engine: the steps of units, and what the front adds of its own accord.
+//! Writes messages to an engine: the operations of units, and the messages that the front adds
+//! itself.
 
 use std::rc::Rc;
 
@@ -7,9 +8,9 @@
 use crate::unit::{Operation, UnitPart};
 use crate::wire;
 
-/// The name of a statement that no engine has: a Bind to it fails there.
+/// The name of a statement that is never prepared: a Bind to it fails at the engine.
 const MISSING_STATEMENT: &str = "hm:none";
-/// The end of a Bind message with no parameters, and no formats of parameters or columns.
+/// The end of a Bind message without parameters, parameter formats and result formats.
 const NO_PARAMETERS_NO_FORMATS: &[u8] = &[0; 6];
 
 fn write_bind(out: &mut Vec<u8>, portal: &[u8], statement: &str, rest: &[u8]) {
@@ -28,8 +29,9 @@
 }
 
 impl EngineConnection {
-    /// Writes a part of a unit. `in_transaction` says that the session's transaction is open here, with its
-    /// settings. What the front answers in the engine's place before any word of it goes to `back`.
+    /// Writes a part of a unit to `out`. `in_transaction` means that the session's transaction is
+    /// open on this connection, with its settings applied. Answers that the front gives itself
+    /// before the engine's next answer are appended to `to_client`.
     pub fn send(
         &mut self,
         part: &Rc<UnitPart>,
@@ -42,7 +44,8 @@
             return self.wait_for_settings(part, settings);
         }
         if !in_transaction && !self.has_settings(settings) {
-            // Guards against a unit that runs with another's settings: it waits until they are confirmed.
+            // The unit must not run with another session's settings, so it waits until its own are
+            // confirmed.
             wire::write_query(out, settings.restoring_sql().as_bytes());
             self.stage = Stage::ApplyingSettings;
             self.settings = None;
@@ -51,7 +54,8 @@
         for op in &part.ops {
             self.send_operation(op, &part.raw, out);
         }
-        // What a session sets is not the pool's: the next unit brings its own over.
+        // The unit changes settings of the connection, so the next unit applies its session's own
+        // again.
         if !part.changes.is_empty() {
             self.settings = None;
         }
@@ -65,7 +69,8 @@
         });
     }
 
-    /// Sends a health check on an idle connection: any answer will do.
+    /// Sends a Sync as a health check on an idle connection; any answer counts. Does nothing if the
+    /// connection is not idle.
     pub fn ping(&mut self, out: &mut Vec<u8>) {
         if self.stage == Stage::Ready && self.expected.is_empty() {
             out.extend_from_slice(wire::SYNC);
@@ -123,7 +128,8 @@
                 .expected
                 .push_back(Expected::LocalAnswer(wire::CLOSE_COMPLETE)),
             Operation::Fail(why) => {
-                // A statement of this name there never is: the engine fails what went before in the unit.
+                // No statement of this name exists, so the Bind fails at the engine and the error
+                // aborts the open transaction there.
                 write_bind(out, b"", MISSING_STATEMENT, NO_PARAMETERS_NO_FORMATS);
                 self.expected.push_back(Expected::Fail(why.clone()));
             }
@@ -144,7 +150,7 @@
         self.prepared.get(&number).is_some() || self.unconfirmed.contains(&number)
     }
 
-    /// Prepares a statement again, unseen, where this connection does not have it.
+    /// Prepares a statement, hidden from the client, if it is not prepared on this connection.
     fn ensure_prepared(&mut self, prepared: &Rc<Prepared>, named: bool, out: &mut Vec<u8>) {
         let is_present = if named {
             self.is_prepared(prepared.number)
@@ -187,7 +193,7 @@
         self.expected.push_back(Expected::Parsed { number, hidden });
     }
 
-    /// Writes the answers that are due next and that the front gives in the engine's place.
+    /// Writes the answers that are next in order and that the front gives itself.
     pub(super) fn write_local_answers(&mut self, to_client: &mut Vec<u8>) {
         while let Some(Expected::LocalAnswer(bytes)) = self.expected.front() {
             to_client.extend_from_slice(bytes);
--- a/crates/postgres/src/engine_tests.rs
+++ b/crates/postgres/src/engine_tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 use crate::scram::{Exchange, Verifier};
 
-/// What the engine hears next; `body` is what it says.
+/// Passes one message of the engine to the connection; returns what is written to the engine, and
+/// the event.
 fn receive(engine: &mut EngineConnection, tag: u8, body: &[u8]) -> (Vec<u8>, Option<EngineEvent>) {
     let (mut input, mut out, mut to_client) = (Vec::new(), Vec::new(), Vec::new());
     wire::write(&mut input, tag, |out| out.extend_from_slice(body));
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -1,10 +1,11 @@
-//! PostgreSQL's wire protocol, version 3, as a front between clients and engines meets it: messages, start-up
-//! and authentication, sessions, engine connections and their pools.
+//! Version 3 of PostgreSQL's wire protocol, as a front between clients and engines uses it:
+//! messages, startup and authentication, client sessions, engine connections and their pools.
 //!
-//! Nothing here has sockets, a clock or randomness of its own: callers hand in bytes, the time in
-//! microseconds and random numbers, and send what is written. The protocol's own terms are used throughout: a
-//! *portal* is a statement with its parameters, a *Sync* ends an extended query. A *unit* is what a front
-//! sends to one engine as a whole: the messages between two Syncs, or a simple query.
+//! The crate has no sockets, clock or random source. Callers pass in received bytes, the time in
+//! microseconds and random numbers, and send what is written to their buffers. The terms are those
+//! of the protocol: a *portal* is a prepared statement with its parameters bound, and a *Sync* ends
+//! an extended query. A *unit* is what a front sends to one engine: the messages between two Syncs,
+//! or one simple query.
 
 #![warn(missing_docs)]
 
--- a/crates/postgres/src/pool.rs
+++ b/crates/postgres/src/pool.rs
@@ -1,23 +1,24 @@
-//! Which connection to an engine a unit gets: an idle one, a new one, or none for now. Connections belong to
-//! an engine and an account there; an engine takes so many in all, whoever's they are.
+//! Assigns engine connections to units: an idle connection, a new one, or a place in the queue. A
+//! connection belongs to an engine and to an account there; the limit of connections to an engine
+//! counts those of all accounts.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// An engine, as the dispatcher numbers it.
+/// The index of an engine, as the dispatcher numbers them.
 pub type EngineIndex = usize;
-/// A connection, as its owner numbers it.
+/// The id of a connection, assigned by the caller.
 pub type ConnectionId = u64;
-/// An account at the engines, as the owner numbers it.
+/// The id of an account at the engines, assigned by the caller.
 pub type AccountId = usize;
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
-    /// It is being made, or is logging in.
+    /// The connection is being established or is logging in.
     Connecting,
     Idle {
         since: i64,
     },
-    /// A unit is out on it, or a transaction is open.
+    /// A unit is in flight on the connection, or a transaction is open.
     InUse,
 }
 
@@ -26,46 +27,46 @@
     engine: EngineIndex,
     account: AccountId,
     state: State,
-    /// When it was made, in microseconds.
+    /// When the connection was started, in microseconds.
     started_at: i64,
-    /// It is not used again, as its engine is retired.
+    /// The connection is not used again, as its engine is retired.
     retired: bool,
 }
 
-/// What is to be done for a unit that was submitted, or for those that wait.
+/// An action that the caller takes for a submitted unit or for the waiting ones.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PoolAction<U> {
-    /// A unit goes out on a connection.
+    /// Send a unit on a connection.
     Use {
         /// The unit.
         unit: U,
         /// The connection.
         connection: ConnectionId,
     },
-    /// A connection is to be made.
+    /// Establish a connection.
     Dial {
         /// The account to log in with.
         account: AccountId,
-        /// A connection to close first, as the engine takes no more.
+        /// A connection to close first, as the engine is at its limit of connections.
         replacing: Option<ConnectionId>,
     },
 }
 
-/// What becomes of a connection that is free.
+/// What happens to a connection that was released.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Released<U> {
-    /// It is idle.
+    /// The connection is idle.
     Idle,
-    /// Something is to be done for those that wait.
+    /// The caller takes an action for the waiting units.
     Action(PoolAction<U>),
-    /// It is too old to be taken again.
+    /// The caller closes the connection, which is too old, retired or unknown.
     Close,
 }
 
-/// Bounds on connections.
+/// Limits on connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Connections to an engine.
+    /// The maximum number of connections to an engine.
     pub per_engine: usize,
     /// Microseconds after which an idle connection is closed.
     pub idle_timeout_us: i64,
@@ -73,13 +74,13 @@
     pub max_age_us: i64,
 }
 
-/// A unit that waits for a connection.
+/// A unit waiting for a connection.
 struct WaitingUnit<U> {
     unit: U,
     account: AccountId,
 }
 
-/// The pools of connections to all engines, and the units `U` that wait for one.
+/// The connection pools of all engines, and the units `U` that wait for a connection.
 pub struct Pools<U> {
     bounds: Bounds,
     connections: BTreeMap<ConnectionId, PooledConnection>,
@@ -87,7 +88,7 @@
 }
 
 impl<U: Copy + PartialEq> Pools<U> {
-    /// Pools without connections.
+    /// Creates pools without connections.
     pub fn new(bounds: Bounds) -> Self {
         Pools {
             bounds,
@@ -96,12 +97,12 @@
         }
     }
 
-    /// How many connections there are, those that are being made included.
+    /// Returns the number of connections, including those being established.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether there is no connection.
+    /// Whether the pools hold no connection.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
@@ -115,7 +116,8 @@
             .filter(move |(_, m)| m.engine == engine)
     }
 
-    /// A unit wants a connection to an engine; `suits` ranks the idle ones, the highest first.
+    /// Submits a unit that needs a connection to an engine. `rank` orders the idle connections; the
+    /// highest is used. Returns the action to take; None if the unit has to wait.
     pub fn submit(
         &mut self,
         engine: EngineIndex,
@@ -127,7 +129,8 @@
             .waiting
             .get(&engine)
             .is_some_and(|queue| !queue.is_empty());
-        // The one used last first, so that the others may end as idle.
+        // Of equal ranks the connection used last is taken, so that the others can reach the idle
+        // timeout.
         let idle = |(connection, m): (&ConnectionId, &PooledConnection)| match m.state {
             State::Idle { since } if m.account == account && !m.retired => {
                 Some((rank(*connection), since, *connection))
@@ -148,8 +151,8 @@
         self.next_action(engine)
     }
 
-    /// The account of the first that waits at an engine with no connection on its way for it: each one that
-    /// comes up serves the first of its account.
+    /// Returns the account of the first waiting unit for which no connection is being established:
+    /// each new connection serves the first waiting unit of its account.
     fn account_to_dial_for(&self, engine: EngineIndex) -> Option<AccountId> {
         let mut connecting: BTreeMap<AccountId, usize> = BTreeMap::new();
         for (_, m) in self
@@ -173,7 +176,7 @@
         queue.find(|account| !served(account)).copied()
     }
 
-    /// What is to be done for the units that wait at an engine: the connection to make for them, if any.
+    /// Returns the connection to establish for the units waiting at an engine, if any.
     pub fn next_action(&self, engine: EngineIndex) -> Option<PoolAction<U>> {
         let account = self.account_to_dial_for(engine)?;
         if self.connections_to(engine).count() < self.bounds.per_engine {
@@ -182,7 +185,7 @@
                 replacing: None,
             });
         }
-        // Guards against one account that holds all connections while it rests.
+        // Idle connections of one account must not block another account's units.
         let idle = |(connection, m): (&ConnectionId, &PooledConnection)| match m.state {
             State::Idle { since } if m.account != account => Some((since, *connection)),
             _ => None,
@@ -194,7 +197,7 @@
         })
     }
 
-    /// A connection is being made.
+    /// Adds a connection that is being established.
     pub fn connecting(
         &mut self,
         now: i64,
@@ -212,7 +215,7 @@
         self.connections.insert(connection, member);
     }
 
-    /// A connection has come up, or its unit and transaction are over.
+    /// Releases a connection that has logged in, or whose unit and transaction are over.
     pub fn release(&mut self, now: i64, connection: ConnectionId) -> Released<U> {
         let age = self.bounds.max_age_us;
         let Some(member) = self.connections.get_mut(&connection) else {
@@ -223,7 +226,8 @@
         }
         member.state = State::Idle { since: now };
         let (engine, account) = (member.engine, member.account);
-        // In order: another account's unit that is first, and can have no other connection, gets this one's place.
+        // Units are served in order: if the first waiting unit is of another account and the engine
+        // is at its limit, this connection is replaced by one of that account.
         let first = self.account_to_dial_for(engine);
         let full = self.connections_to(engine).count() >= self.bounds.per_engine;
         if !full || first.is_none_or(|first| first == account) {
@@ -243,8 +247,8 @@
             .map_or(Released::Idle, Released::Action)
     }
 
-    /// A connection is gone. Returns the units that waited for it alone, as there is no other of their
-    /// account.
+    /// Removes a closed connection. Returns the units that waited for it and can't be served by
+    /// another connection of their account.
     pub fn remove(&mut self, connection: ConnectionId) -> Vec<U> {
         let Some(member) = self.connections.remove(&connection) else {
             return Vec::new();
@@ -261,7 +265,8 @@
             .values()
             .any(|m| m.engine == engine && m.account == account && !m.retired);
         let mut lost = Vec::new();
-        // With none left all end, else one: the others are still served.
+        // Without another connection all waiting units of the account are returned; otherwise only
+        // the first, as the others are still served.
         queue.retain(|waiting| {
             let is_lost = waiting.account == account && (!has_others || lost.is_empty());
             if is_lost {
@@ -272,7 +277,7 @@
         lost
     }
 
-    /// A unit no longer waits. True if it did.
+    /// Removes a unit from the queue of an engine. True if the unit was waiting.
     pub fn withdraw(&mut self, engine: EngineIndex, unit: U) -> bool {
         let Some(queue) = self.waiting.get_mut(&engine) else {
             return false;
@@ -282,7 +287,8 @@
         queue.len() < before
     }
 
-    /// An engine takes nothing new any more. Returns the units that waited for it, and its idle connections.
+    /// Retires the connections of an engine that accepts no more units. Returns the units that
+    /// waited for it, and its idle connections.
     pub fn retire_engine(&mut self, engine: EngineIndex) -> (Vec<U>, Vec<ConnectionId>) {
         let mut idle = Vec::new();
         for (connection, member) in self
@@ -305,7 +311,8 @@
         )
     }
 
-    /// Connections that have been idle for so long, or are so old, that they are to be closed.
+    /// Returns the idle connections to close: those past the idle timeout or the maximum age, and
+    /// the retired ones.
     pub fn expired(&self, now: i64) -> Vec<ConnectionId> {
         let is_expired = |m: &PooledConnection| match m.state {
             State::Idle { since } => {
@@ -322,14 +329,15 @@
             .collect()
     }
 
-    /// An idle connection to an engine, if there is one.
+    /// Returns an idle connection to an engine, if there is one.
     pub fn idle_connection(&self, engine: EngineIndex) -> Option<ConnectionId> {
         self.connections_to(engine)
             .find(|(_, m)| matches!(m.state, State::Idle { .. }))
             .map(|(connection, _)| *connection)
     }
 
-    /// Whether an engine takes another connection, and none is on its way.
+    /// Whether another connection to an engine may be started: the engine is below its limit and
+    /// none is being established.
     pub fn may_dial(&self, engine: EngineIndex) -> bool {
         let is_connecting = self
             .connections_to(engine)
@@ -337,12 +345,13 @@
         !is_connecting && self.has_capacity(engine)
     }
 
-    /// Whether an engine takes another connection.
+    /// Whether an engine is below its limit of connections.
     pub fn has_capacity(&self, engine: EngineIndex) -> bool {
         self.connections_to(engine).count() < self.bounds.per_engine
     }
 
-    /// Connections to an engine that are idle or being made, beyond those that units wait for.
+    /// Returns how many connections to an engine are idle or being established, beyond those that
+    /// waiting units need.
     pub fn available(&self, engine: EngineIndex) -> usize {
         let free = self
             .connections_to(engine)
@@ -351,7 +360,8 @@
         free.saturating_sub(self.waiting.get(&engine).map_or(0, VecDeque::len))
     }
 
-    /// The connection that has been idle longest, which can be closed in favour of others.
+    /// Returns the connection that has been idle longest, which may be closed to make room for
+    /// others.
     pub fn oldest_idle(&self) -> Option<ConnectionId> {
         let idle = |(connection, m): (&ConnectionId, &PooledConnection)| match m.state {
             State::Idle { since } => Some((since, *connection)),
--- a/crates/postgres/src/pool_tests.rs
+++ b/crates/postgres/src/pool_tests.rs
@@ -36,7 +36,7 @@
     pools.connecting(0, 0, 0, 2);
     assert_eq!(pools.release(1, 2), released_to('a', 2));
     assert_eq!(pools.release(1, 1), released_to('b', 1));
-    // Two are all that the engine takes.
+    // The engine is at its limit of two connections.
     assert_eq!(pools.submit(0, 0, 'c', |_| 0), None);
     assert_eq!(pools.release(2, 1), released_to('c', 1));
     assert_eq!(pools.release(3, 2), Released::Idle);
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -1,4 +1,4 @@
-//! Prepared statements and settings of sessions, each kept once for all sessions that have the same.
+//! Interned prepared statements and session settings: equal ones are stored once for all sessions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::BuildHasher;
@@ -11,27 +11,28 @@
 /// A prepared statement: its text and the types of its parameters.
 #[derive(Debug)]
 pub struct Prepared {
-    /// Unique among all that this front has seen; engines have it under a name with this number.
+    /// A number unique in this front; the statement's name at engines contains it.
     pub number: u64,
-    /// As the protocol has it: the text, its end, the types.
+    /// The body of the Parse message behind the name: the text, its terminating zero byte, the
+    /// parameter types.
     pub body: Box<[u8]>,
-    /// What its text says.
+    /// The result of scanning the text.
     pub scan: Scan,
 }
 
 impl Prepared {
-    /// The statement's text.
+    /// Returns the statement's text.
     pub fn text(&self) -> &[u8] {
         &self.body[..memchr::memchr(0, &self.body).unwrap_or(self.body.len())]
     }
 }
 
-/// A session's settings: for each name the statement that sets it.
+/// A session's settings: for each name the SET statement that sets it.
 #[derive(Debug, Default, PartialEq, Eq, Hash, Clone)]
 pub struct SessionSettings(pub BTreeMap<String, String>);
 
 impl SessionSettings {
-    /// Takes in a change.
+    /// Applies a change of the settings.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Set { name, statement } => _ = self.0.insert(name.clone(), statement.clone()),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The statements that bring a connection from any settings to these.
+    /// Returns the SQL that brings a connection from any settings to these.
     pub fn restoring_sql(&self) -> String {
         let mut text = String::from("RESET ALL");
         for statement in self.0.values() {
@@ -51,7 +52,8 @@
     }
 }
 
-/// All that is prepared and set, by what it holds.
+/// The interned statements and settings, by hash; entries that no session or connection holds are
+/// dropped.
 #[derive(Default)]
 pub struct Catalogue {
     hasher: std::hash::RandomState,
@@ -62,7 +64,7 @@
 }
 
 impl Catalogue {
-    /// The one that holds this body; read and kept if it is new.
+    /// Returns the statement with this body; a new one is scanned and stored.
     pub fn prepare(&mut self, body: &[u8]) -> Rc<Prepared> {
         let hash = self.hasher.hash_one(body);
         let known = self.prepared.get(&hash).into_iter().flatten();
@@ -84,7 +86,7 @@
         interned
     }
 
-    /// The same settings as others may have.
+    /// Returns the stored settings equal to these; new ones are stored.
     pub fn intern_settings(&mut self, settings: SessionSettings) -> Rc<SessionSettings> {
         let hash = self.hasher.hash_one(&settings);
         let known = self.settings.get(&hash).into_iter().flatten();
@@ -100,7 +102,7 @@
         interned
     }
 
-    /// Lets go of what nobody holds, each time as many have come as were kept.
+    /// Drops unreferenced entries each time the number of entries has doubled since the last sweep.
     fn sweep(&mut self) {
         if self.prepared.len() + self.settings.len() < self.sweep_at.max(MIN_SWEEP_ENTRIES) {
             return;
--- a/crates/postgres/src/protocol_error_tests.rs
+++ b/crates/postgres/src/protocol_error_tests.rs
@@ -28,7 +28,8 @@
         ConnectionEnded("57P01".into()),
     ];
     for (n, error) in all.iter().enumerate() {
-        // Another variant than these does not compile here: it belongs above as well.
+        // A new variant does not compile here until it is listed; add it to the array above as
+        // well.
         let index = match error {
             StartupLength { .. } => 0,
             NoUser => 1,
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -1,16 +1,16 @@
-//! SCRAM-SHA-256 as the one that is asked (RFC 5802, RFC 7677), from verifiers in the servers' own form
-//! `SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY`. The side that asks comes from a library.
+//! The server side of SCRAM-SHA-256 (RFC 5802, RFC 7677), with verifiers in PostgreSQL's form
+//! `SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY`. The client side comes from a library.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
 
-/// The mechanism's name in SASL.
+/// The SASL name of the mechanism.
 pub const MECHANISM: &str = "SCRAM-SHA-256";
 const UNKNOWN_USER_ITERATIONS: u32 = 4096; // PostgreSQL's default
 
-/// What a server keeps of a user's password, and can check a proof against.
+/// The data that a server stores of a user's password to check a proof against.
 #[derive(Clone)]
 pub struct Verifier {
     iterations: u32,
@@ -24,7 +24,7 @@
 }
 
 fn hmac(key: &[u8], parts: &[&[u8]]) -> [u8; 32] {
-    // Keys of any length are taken; an empty one stands for the case that can't be.
+    // HMAC accepts keys of any length, so the error can't occur; zeroes match no stored key.
     let mut mac = match Hmac::<Sha256>::new_from_slice(key) {
         Ok(mac) => mac,
         Err(_) => return [0; 32],
@@ -34,7 +34,7 @@
 }
 
 impl Verifier {
-    /// Reads a verifier in the form of `pg_authid`; None for any other text.
+    /// Parses a verifier in the form of `pg_authid`; None for any other text.
     pub fn parse(text: &str) -> Option<Verifier> {
         let (head, keys) = text.strip_prefix("SCRAM-SHA-256$")?.split_once('$')?;
         let (iterations, salt) = head.split_once(':')?;
@@ -48,7 +48,8 @@
         })
     }
 
-    /// For a user that does not exist: the same exchange, the same salt each time, and no proof that holds.
+    /// Creates the verifier of a user that does not exist: the exchange looks the same, the salt is
+    /// the same each time, and no proof is valid. This hides which users exist.
     pub fn for_unknown_user(user: &str, secret: &[u8]) -> Verifier {
         let salt = hmac(secret, &[b"salt", user.as_bytes()]);
         Verifier {
@@ -60,24 +61,27 @@
     }
 }
 
-/// An authentication after the client's first message.
+/// A SCRAM exchange after the client's first message.
 pub struct Exchange {
     verifier: Verifier,
     nonce: String,
-    /// What both sides have said without proof, as far as it goes into the proof.
+    /// The part of the AuthMessage that is known so far: the client's first message without its
+    /// header, and the server's first message.
     auth_message_start: String,
     channel_binding: &'static str,
 }
 
 impl Exchange {
-    /// Takes the client's first message; `own` is this side's part of the nonce. Gives the answer to it.
+    /// Reads the client's first message and returns the exchange with the server's first message.
+    /// `server_nonce` is the server's part of the nonce. None if the message is invalid.
     pub fn begin(
         verifier: Verifier,
         first: &[u8],
         server_nonce: &str,
     ) -> Option<(Exchange, String)> {
         let first = std::str::from_utf8(first).ok()?;
-        // Without channel binding, as there is none to bind to; a client that could may say so.
+        // Channel binding is not offered, as the connection has no TLS; a client that supports it
+        // may say so ("y").
         let (channel_binding, bare) = match (first.strip_prefix("n,,"), first.strip_prefix("y,,")) {
             (Some(bare), _) => ("biws", bare),
             (_, Some(bare)) => ("eSws", bare),
@@ -105,7 +109,8 @@
         ))
     }
 
-    /// Takes the client's last message; the proof of this side, if the client's holds.
+    /// Checks the client's final message. Returns the server's final message if the client's proof
+    /// is valid, else None.
     pub fn finish(&self, last: &[u8]) -> Option<String> {
         let last = std::str::from_utf8(last).ok()?;
         let (bare, proof) = last.rsplit_once(",p=")?;
@@ -117,7 +122,7 @@
         let signature = hmac(&self.verifier.stored_key, &message);
         let client_key: Vec<u8> = proof.iter().zip(signature).map(|(a, b)| a ^ b).collect();
         let stored: [u8; 32] = Sha256::digest(&client_key).into();
-        // Compared as a whole, so that how long it takes tells nothing of where they differ.
+        // All bytes are compared, so that the time taken does not reveal where the keys differ.
         let difference = stored
             .iter()
             .zip(self.verifier.stored_key)
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -1,5 +1,6 @@
-//! A session as the front knows it: what is prepared, set and labelled, where its transaction stands, and how
-//! its messages fall into units. A unit is what stands between two Syncs, or a simple query.
+//! The state of a client's session: its prepared statements, settings, labels and transaction, and
+//! the grouping of its messages into units. A unit is what lies between two Syncs, or a simple
+//! query.
 
 mod answering;
 mod reading;
@@ -12,35 +13,36 @@
 use crate::startup::Client;
 pub use crate::unit::{Operation, UnitPart};
 
-/// What a session may hold.
+/// Limits of a session.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Prepared statements.
+    /// The maximum number of prepared statements.
     pub statements: usize,
-    /// Portals open at once.
+    /// The maximum number of portals open at once.
     pub portals: usize,
-    /// Settings.
+    /// The maximum number of settings.
     pub settings: usize,
-    /// Bytes of a message, of a unit's part, and of all that is prepared.
+    /// The maximum bytes of a message, of a part of a unit, and of all prepared statements
+    /// together.
     pub bytes: usize,
 }
 
 /// The state of a session's transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Transaction {
-    /// There is none.
+    /// No transaction is open.
     #[default]
     None,
-    /// An engine has it.
+    /// The transaction is open at an engine.
     Open,
-    /// An engine has it, and takes only its end.
+    /// The transaction has failed and is open at an engine, which accepts only its end.
     Failed,
-    /// No engine has it any more, and its client has yet to end it.
+    /// No engine holds the transaction any more, and the client has not yet ended it.
     Lost,
 }
 
 impl Transaction {
-    /// The letter by which the protocol tells it.
+    /// Returns the protocol's transaction status byte.
     pub fn status(self) -> u8 {
         match self {
             Transaction::None => b'I',
@@ -49,19 +51,19 @@
         }
     }
 
-    /// Whether an engine holds it.
+    /// Whether an engine holds the transaction.
     pub fn is_held(self) -> bool {
         matches!(self, Transaction::Open | Transaction::Failed)
     }
 }
 
-/// What a client's input holds.
+/// The result of reading a client's input.
 pub enum SessionEvent {
-    /// More has to come.
+    /// The input holds no complete part of a unit.
     Incomplete,
-    /// A unit, or a part of one.
+    /// A unit or a part of one.
     Part(Rc<UnitPart>),
-    /// The client ends the session.
+    /// The client ended the session.
     Terminated,
 }
 
@@ -72,28 +74,28 @@
     pub user: String,
     /// The database's name.
     pub database: String,
-    /// Its transaction.
+    /// The state of the transaction.
     pub transaction: Transaction,
-    /// What it has set, in transactions that are over.
+    /// The settings made by transactions that are over.
     pub settings: Rc<SessionSettings>,
     label: Label,
     statements: HashMap<Vec<u8>, Rc<Prepared>>,
     unnamed: Option<Rc<Prepared>>,
-    /// Names of the portals that its unit or transaction has opened.
+    /// Names of the portals opened by the current unit or transaction.
     portals: HashSet<Vec<u8>>,
     held_bytes: usize,
-    /// Why the open transaction is lost, until its client has been told.
+    /// Why the transaction was lost, until the client has been sent the reason.
     unreported_loss: Option<&'static str>,
-    /// Changes of the open transaction: they go with it where it is rolled back.
+    /// Setting changes of the open transaction, dropped if it is rolled back.
     pending_changes: Vec<Change>,
-    /// A unit has begun and not ended.
+    /// A unit has started and its Sync has not yet arrived.
     in_unit: bool,
-    /// Bytes of the input that were scanned before.
+    /// Bytes of the input that were scanned before for the end of a unit.
     scanned: usize,
 }
 
 impl Session {
-    /// A session with the settings and labels of the client's start-up.
+    /// Creates a session with the settings and labels of the client's startup message.
     pub fn new(client: &Client, catalogue: &mut Catalogue) -> Session {
         let mut label = Label::default();
         let mut settings = SessionSettings::default();
@@ -119,13 +121,13 @@
         }
     }
 
-    /// The labels that hold for a unit.
+    /// Returns the labels that apply to a unit: its own override the session's.
     pub fn label(&self, part: &UnitPart) -> Label {
         self.label.overridden_by(&part.label)
     }
 
-    /// The time a statement may take, in microseconds, as the session or a label has set it; None for no
-    /// limit.
+    /// Returns the time limit of a statement in microseconds: the lower of the session's setting
+    /// and the label; None for no limit.
     pub fn statement_timeout(&self, label: &Label) -> Option<i64> {
         let from_setting = self.settings.0.get("statement_timeout");
         let from_setting = from_setting
@@ -142,7 +144,7 @@
             .min()
     }
 
-    /// Whether a unit has begun, and its Sync has yet to come.
+    /// Whether a unit has started and its Sync has not yet arrived.
     pub fn is_in_unit(&self) -> bool {
         self.in_unit
     }
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -1,4 +1,4 @@
-//! What a session answers of its own, and what the end of a unit makes of it.
+//! Answers that the front gives itself, and the effects of a unit's outcome on the session.
 
 use std::rc::Rc;
 
@@ -9,20 +9,21 @@
 use crate::unit::{Operation, UnitOutcome, UnitPart};
 use crate::wire;
 
-/// A unit that the front answers by itself.
+/// A unit that the front answers itself.
 struct LocalUnit<'a> {
     part: &'a UnitPart,
-    /// The session's transaction was lost when the unit began.
+    /// Whether the session's transaction was lost when the unit started.
     transaction_was_lost: bool,
-    /// What the unit's last Bind was for.
+    /// The statement of the unit's last Bind.
     bound: Option<Rc<Prepared>>,
 }
 
-/// An error was written to the client: the rest of the unit is passed over.
+/// An error was written to the client; the rest of the unit is skipped.
 struct UnitFailed;
 
 impl Session {
-    /// Answers a unit that needs no engine, to `out`. False if it needs one; nothing is written then.
+    /// Writes the answer of a unit that needs no engine to `out`. False if the unit needs one; then
+    /// nothing is written.
     pub fn answer_locally(
         &mut self,
         part: &UnitPart,
@@ -43,7 +44,7 @@
             is_query |= matches!(operation, Operation::Query(_));
             let answered = self.answer_operation(operation, &mut unit, catalogue, out);
             if answered.is_err() {
-                // As an engine does, the front passes over all up to the Sync.
+                // Like an engine, the front skips everything up to the Sync.
                 failed = true;
                 break;
             }
@@ -64,12 +65,12 @@
         }
         let fails = part.ops.iter().any(|op| matches!(op, Operation::Fail(_)));
         let discards = part.local_commands.contains(&LocalCommand::Discard);
-        // Guards against a transaction whose engine would not learn that it has failed.
+        // An engine that holds the transaction must learn that it has failed.
         let concerns_transaction = self.transaction.is_held() && (fails || discards);
         part.local && !concerns_transaction
     }
 
-    /// Writes the front's own answer to one operation.
+    /// Writes the answer to one operation.
     fn answer_operation(
         &mut self,
         operation: &Operation,
@@ -119,7 +120,7 @@
         Ok(())
     }
 
-    /// Why nothing runs in a transaction that is lost; the first time with the reason.
+    /// Returns the error for statements in a lost transaction: the first time it names the cause.
     fn aborted(&mut self) -> ClientError {
         match self.unreported_loss.take() {
             Some(why) => ClientError::RolledBack { why },
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Runs a text that the front answers by itself.
+    /// Executes a statement that the front answers itself.
     fn run_locally(
         &mut self,
         scan: &Scan,
@@ -159,13 +160,14 @@
         Ok(())
     }
 
-    /// Only the transaction's end runs; the client is told once why the transaction was lost.
+    /// Executes only the end of the lost transaction; the client is sent the cause of the loss
+    /// once.
     fn run_in_lost_transaction(
         &mut self,
         scan: &Scan,
         out: &mut Vec<u8>,
     ) -> Result<(), UnitFailed> {
-        // Guards against a commit that seems to have come to pass, of a client that knows of no failure.
+        // A commit must not appear to succeed for a client that was not yet notified of the loss.
         let unreported_loss = self
             .unreported_loss
             .take()
@@ -191,7 +193,7 @@
         self.held_bytes = 0;
     }
 
-    /// Takes in how a unit ended at an engine.
+    /// Applies a unit's outcome at an engine to the session.
     pub fn apply_outcome(
         &mut self,
         parts: &[Rc<UnitPart>],
@@ -228,7 +230,7 @@
                 pending_changes
                     .iter()
                     .for_each(|change| settings.apply(change));
-                // Guards against a session that grows without end: it keeps as many as it may.
+                // The number of settings kept is bounded.
                 while settings.0.len() > bounds.settings {
                     settings.0.pop_last();
                 }
@@ -237,8 +239,7 @@
         }
     }
 
-    /// A unit ends here, with the front's own answer; with a transaction that is lost by that, if one was
-    /// open.
+    /// Ends a unit with an error of the front. A transaction that is open is lost by it.
     pub fn fail_unit(&mut self, parts: &[Rc<UnitPart>], why: &ClientError, out: &mut Vec<u8>) {
         for part in parts {
             part.named.iter().for_each(|name| self.forget(name));
@@ -249,7 +250,7 @@
             .iter()
             .any(|part| part.commits_transaction || part.rolls_back_transaction)
         {
-            // It was the transaction's end, and its client asks for no other.
+            // The unit was the end of the transaction, and the client sends no other.
             self.transaction = Transaction::None;
         }
         why.write(out, false);
@@ -258,12 +259,13 @@
         }
     }
 
-    /// Tells the client that the next unit may come.
+    /// Writes ReadyForQuery: the client may send the next unit.
     pub fn write_ready(&self, out: &mut Vec<u8>) {
         wire::write_ready(out, self.transaction.status());
     }
 
-    /// The engine that held the open transaction has it no more; its client hears so with its next unit.
+    /// Marks the open transaction as lost, as its engine no longer holds it. The client is notified
+    /// with its next unit.
     pub fn lose_transaction(&mut self) {
         if self.transaction.is_held() {
             if self.transaction == Transaction::Open {
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -1,4 +1,4 @@
-//! A client's messages become operations, and operations a unit.
+//! Turns a client's messages into operations, and operations into units.
 
 use std::collections::HashSet;
 use std::ops::Range;
@@ -12,18 +12,18 @@
 use crate::wire::{self, ClientMessage, Header, Message};
 use crate::ProtocolError;
 
-/// What a part of a unit is read from, and what has been read of it.
+/// The state of reading one part of a unit.
 struct PartReader<'a> {
     input: &'a [u8],
     catalogue: &'a mut Catalogue,
     bounds: &'a Bounds,
     part: UnitPart,
-    /// Names of the portals that it has opened.
+    /// Names of the portals that the part has opened.
     bound: HashSet<Vec<u8>>,
 }
 
 impl PartReader<'_> {
-    /// The range in the part's bytes of something that lies within the input.
+    /// Returns the range, within the part's bytes, of a slice of the input.
     fn range(&self, inner: &[u8]) -> Range<usize> {
         let start = inner.as_ptr() as usize - self.input.as_ptr() as usize;
         start..start + inner.len()
@@ -60,7 +60,8 @@
         });
     }
 
-    /// What shared connections can't carry can't hide among other operations either.
+    /// Fails the part if DISCARD or DEALLOCATE is mixed with other operations: an engine would
+    /// apply it to a shared connection.
     fn reject_mixed_commands(&mut self) {
         let part = &mut self.part;
         let mixed = !part.local
@@ -83,8 +84,8 @@
 }
 
 impl Session {
-    /// Takes the next unit, or part of one, from the start of `input`; says how much of it is used up. An
-    /// error ends the session.
+    /// Reads the next unit, or part of one, from the start of `input`. Returns the number of bytes
+    /// consumed, and the event. An error ends the session.
     pub fn read(
         &mut self,
         input: &[u8],
@@ -116,7 +117,7 @@
             match wire::client_message(tag, body).map_err(protocol_violation)? {
                 ClientMessage::Terminate => return Ok((end, SessionEvent::Terminated)),
                 ClientMessage::Query(_) | ClientMessage::FunctionCall if self.in_unit || at > 0 => {
-                    // What an engine would do with it depends on whether the unit has failed by then.
+                    // The effect at an engine would depend on whether the unit has failed by then.
                     return Err(protocol_violation(ProtocolError::SimpleQueryWithinExtended));
                 }
                 message => self.read_message(&mut reader, message, at..at + len),
@@ -130,7 +131,8 @@
         Ok((end, SessionEvent::Part(Rc::new(part))))
     }
 
-    /// Where the unit, or the part of it that a Flush ends, is over; None until all of it has come.
+    /// Returns the offset at which the unit ends, or the part of it that a Flush ends; None if it
+    /// is incomplete.
     fn end_of_part(&mut self, input: &[u8], bounds: &Bounds) -> Result<Option<usize>, ClientError> {
         let mut at = std::mem::take(&mut self.scanned);
         loop {
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Takes one message, which is `whole` in the part's bytes.
+    /// Adds one message to the part; `message_range` is its range in the part's bytes.
     fn read_message(
         &mut self,
         reader: &mut PartReader,
@@ -232,7 +234,8 @@
                 reader.part.ops.push(Operation::Sync);
                 reader.part.ends_unit = true;
             }
-            // Outside a copy it is passed over, as engines do; Terminate is for the caller.
+            // COPY data outside a COPY is ignored, as engines do; Terminate is handled by the
+            // caller.
             ClientMessage::Copy | ClientMessage::Terminate => {}
         }
     }
@@ -250,7 +253,7 @@
         match error.or(unsupported) {
             Some(why) => {
                 part.ops.push(Operation::Fail(why));
-                // A name that was taken before stays with what it names.
+                // A name that was in use before keeps its statement.
                 if is_registered {
                     self.forget(name);
                 }
@@ -276,7 +279,7 @@
         found.cloned()
     }
 
-    /// Whether a portal may be opened under this name.
+    /// Opens a portal under this name. False if the limit of portals is reached.
     fn open_portal(&mut self, name: &[u8], bounds: &Bounds) -> bool {
         if name.is_empty() || self.portals.contains(name) {
             return true;
@@ -288,7 +291,7 @@
         has_capacity
     }
 
-    /// Takes a statement in under its name, or says why not.
+    /// Registers a prepared statement under its name; returns the error if that is not possible.
     fn register(
         &mut self,
         name: &[u8],
@@ -322,8 +325,8 @@
         }
     }
 
-    /// The unit that was begun is over, though its end has yet to come: what belongs to it is passed over.
-    /// Says how much of the input that is, and whether the Sync was there.
+    /// Skips the messages of a unit that was already answered with an error. Returns the number of
+    /// bytes consumed, and whether the Sync was among them.
     pub fn skip_to_sync(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
         let mut at = 0;
         while let Some(Header { tag, len }) =
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -1,5 +1,6 @@
-//! SQL read as far as a front must: where statements begin, what they change of a session, what can't be done
-//! over shared connections, and the labels in a leading comment. What it does not understand, passes.
+//! Scans SQL for what a front must know: where statements begin, which session settings they
+//! change, what is not possible over shared connections, and the labels in leading comments.
+//! Whatever the scanner does not understand is let through.
 
 mod findings;
 mod labels;
@@ -14,7 +15,8 @@
 
 const MAX_HEAD_TOKENS: usize = 8; // of a statement's beginning; enough for every form below
 
-/// Scans a text of one or more statements. Whatever it does not understand counts as harmless.
+/// Scans a text of one or more statements. Whatever the scanner does not understand counts as
+/// supported.
 pub fn scan(text: &[u8]) -> Scan {
     let mut scan = Scan {
         label: leading_labels(text),
@@ -53,7 +55,8 @@
     scan
 }
 
-/// Looks at one word in its place.
+/// Checks a word for a feature that is not possible over shared connections. `first` is the first
+/// token of its statement, `previous` the token before it.
 fn check_word(
     scan: &mut Scan,
     text: &[u8],
@@ -92,7 +95,7 @@
     scan.unsupported = scan.unsupported.or(unsupported);
 }
 
-/// Looks at a statement that is whole, by its beginning.
+/// Classifies a complete statement by its first tokens; it ends at `end` in `text`.
 fn check_statement(scan: &mut Scan, text: &[u8], head: &[Token], end: usize) {
     scan.statements += 1;
     let second = |word: &str| head.get(1).is_some_and(|t| t.is(word));
@@ -150,7 +153,7 @@
     }
 }
 
-/// A name as it stands in SQL text: in double quotes where it needs them.
+/// Returns a name as an SQL identifier, in double quotes if it needs them.
 pub(crate) fn quoted_identifier(name: &str) -> String {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
     if name.chars().all(is_plain) {
--- a/crates/postgres/src/sql/findings.rs
+++ b/crates/postgres/src/sql/findings.rs
@@ -1,36 +1,36 @@
-//! What a scan of a text found, as far as a front has to know it.
+//! The result of scanning an SQL text, as far as a front needs it.
 
 use super::labels::Label;
 
-/// A change of the session's settings.
+/// A change of a session's settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A setting gets a value.
+    /// Sets a setting.
     Set {
-        /// Its name, in lower case.
+        /// The setting's name, in lower case.
         name: String,
-        /// The statement that sets it again.
+        /// The SET statement that applies it on another connection.
         statement: String,
     },
-    /// The setting of this name goes back to its default.
+    /// Resets the setting of this name to its default.
     Reset(String),
-    /// All settings go back to their defaults.
+    /// Resets all settings to their defaults.
     ResetAll,
 }
 
-/// A statement that the front answers without an engine, where it is all that a text holds.
+/// A statement that the front answers without an engine, if it is the only one of its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocalCommand {
-    /// A label, its name behind `hallmux.` and its value.
+    /// Sets a label: its name without the prefix `hallmux.`, and its value.
     Label(String, String),
-    /// Drops everything that the session has prepared.
+    /// Drops all prepared statements of the session.
     Deallocate,
-    /// Drops that, and all settings.
+    /// Drops all prepared statements and resets all settings.
     Discard,
 }
 
 impl LocalCommand {
-    /// The tag of its completion.
+    /// Returns the command tag for CommandComplete.
     pub fn tag(&self) -> &'static str {
         match self {
             LocalCommand::Label(..) => "SET",
@@ -40,29 +40,29 @@
     }
 }
 
-/// What a front has to know of a text.
+/// The result of scanning a text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scan {
-    /// The labels in its leading comments.
+    /// The labels in the leading comments.
     pub label: Label,
-    /// How many statements it holds.
+    /// The number of statements.
     pub statements: usize,
-    /// Whether one begins a transaction.
+    /// Whether a statement begins a transaction.
     pub begins_transaction: bool,
-    /// Whether one commits a transaction.
+    /// Whether a statement commits a transaction.
     pub commits_transaction: bool,
-    /// Whether one rolls a transaction back.
+    /// Whether a statement rolls a transaction back.
     pub rolls_back_transaction: bool,
     /// Changes of the session's settings, in order.
     pub changes: Vec<Change>,
-    /// The statement, where it is the only one and needs no engine.
+    /// The statement, if it is the only one and needs no engine.
     pub local_command: Option<LocalCommand>,
-    /// What in it can't be done over shared connections.
+    /// A feature in the text that is not possible over shared connections.
     pub unsupported: Option<&'static str>,
 }
 
 impl Scan {
-    /// Whether the text does nothing but end a transaction.
+    /// Whether the text is a single statement that ends a transaction.
     pub fn only_ends_transaction(&self) -> bool {
         self.statements == 1 && (self.commits_transaction || self.rolls_back_transaction)
     }
--- a/crates/postgres/src/sql/labels.rs
+++ b/crates/postgres/src/sql/labels.rs
@@ -1,29 +1,29 @@
-//! Labels in the comments that lead a statement, and the values that they and settings have.
+//! Labels in a statement's leading comments, and parsing of label and setting values.
 
 const MAX_LABEL_BYTES: usize = 4096; // of a leading comment; labels take some hundred
 
-/// What a statement is for the front, as far as it was told; empty where it was not.
+/// The labels of a statement or session; None where one was not given.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Label {
     /// The workload's name.
     pub workload: Option<String>,
     /// The customer's name.
     pub customer: Option<String>,
-    /// The order key: statements with equal ones run one after the other.
+    /// The order key: statements with equal keys run one after the other.
     pub order_key: Option<String>,
-    /// Statements with equal ones take effect once.
+    /// The deduplication key: statements with equal keys take effect once.
     pub dedup_key: Option<String>,
     /// The client's estimate of the work, in milliseconds on one core.
     pub work_ms: Option<String>,
     /// The client's estimate of the memory, in MB.
     pub memory_mb: Option<String>,
-    /// The time that it may take, in the form of the setting of that name.
+    /// The time limit, in the form of the setting `statement_timeout`.
     pub statement_timeout: Option<String>,
 }
 
 impl Label {
-    /// Takes one field by its name behind `hallmux.`; an empty value takes it back. False if there is none
-    /// such.
+    /// Sets one label by its name without the prefix `hallmux.`; an empty value removes it. False
+    /// if there is no such label.
     pub fn set(&mut self, name: &str, value: &str) -> bool {
         let field = match name {
             "workload" => &mut self.workload,
@@ -39,7 +39,7 @@
         true
     }
 
-    /// What is set in `other` goes before what is set here.
+    /// Returns the labels of `other`, and those of `self` where `other` has none.
     pub fn overridden_by(&self, other: &Label) -> Label {
         let overridden = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
         Label {
@@ -54,8 +54,9 @@
     }
 }
 
-/// The labels of the leading comments: `/*hallmux.workload='report',hallmux.key='k%201'*/`, as sqlcommenter
-/// writes them: values in quotes, their bytes in URL form. Names that are not known are others' labels.
+/// Parses the labels of the leading comments: `/*hallmux.workload='report',hallmux.key='k%201'*/`,
+/// in the format of sqlcommenter: values in quotes, URL-encoded. Unknown names belong to other
+/// tools and are ignored.
 pub(super) fn leading_labels(text: &[u8]) -> Label {
     let mut label = Label::default();
     let mut rest = text.trim_ascii_start();
@@ -107,7 +108,8 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A time as the servers' settings write it, in microseconds; plain numbers are milliseconds.
+/// Parses a duration as PostgreSQL's settings write it, and returns it in microseconds; a plain
+/// number is in milliseconds. None if it has another form.
 pub fn parse_duration_us(text: &str) -> Option<i64> {
     let text = text.trim().trim_matches('\'').trim();
     let at = text
--- a/crates/postgres/src/sql/settings.rs
+++ b/crates/postgres/src/sql/settings.rs
@@ -1,9 +1,9 @@
-//! Statements that change the settings of a session: SET and RESET.
+//! Scans the statements that change session settings: SET and RESET.
 
 use super::findings::{Change, LocalCommand, Scan};
 use super::tokens::{Kind, Token};
 
-/// The value as text, out of its quotes.
+/// Returns a value as text without its quotes.
 fn unquoted(value: &[u8]) -> String {
     let text = String::from_utf8_lossy(value.trim_ascii()).into_owned();
     match text.strip_prefix('\'').and_then(|t| t.strip_suffix('\'')) {
@@ -15,13 +15,13 @@
     }
 }
 
-/// The name of a setting, in lower case, and the tokens behind it.
+/// The name of a setting, in lower case, and the tokens after it.
 struct SettingName<'a> {
     name: String,
     rest: &'a [Token<'a>],
 }
 
-/// Reads a name of one part, or of two with a dot between them.
+/// Reads a name of one part, or of two parts separated by a dot.
 fn setting_name<'a>(first: &Token, tokens: &'a [Token<'a>]) -> SettingName<'a> {
     let has_dot = |t: &Token| t.kind == Kind::Sign(b'.');
     let is_dotted = tokens.get(1).is_some_and(has_dot) && tokens.len() > 2;
@@ -38,7 +38,8 @@
     }
 }
 
-/// Takes in a SET or RESET statement: `head` are its first tokens, `end` is where it ends in `text`.
+/// Scans a SET or RESET statement: `head` holds its first tokens, `end` is the offset at which it
+/// ends in `text`.
 pub(super) fn scan_setting(scan: &mut Scan, text: &[u8], head: &[Token], end: usize) {
     let is_reset = head[0].is("reset");
     let mut tokens = &head[1..];
@@ -57,7 +58,7 @@
     if is_reset {
         scan_reset(scan, name, label);
     } else if name == "transaction" {
-        // It holds for one transaction alone.
+        // SET TRANSACTION applies to one transaction only.
     } else if let Some(label) = label {
         let value = label_value(text, rest, end);
         scan.local_command = Some(LocalCommand::Label(label, value));
@@ -79,12 +80,12 @@
     }
 }
 
-/// The text behind a token.
+/// Returns the text after a token, up to the end of the statement.
 fn text_after<'a>(text: &'a [u8], token: &Token, end: usize) -> &'a [u8] {
     &text[token.at + token.text.len()..end]
 }
 
-/// The value of a label: empty where it goes back to its default.
+/// Returns the value of a label; empty if it is reset to its default.
 fn label_value(text: &[u8], rest: &[Token], end: usize) -> String {
     let assigns = |t: &&Token| t.is("to") || t.kind == Kind::Sign(b'=');
     let value = rest
@@ -99,7 +100,7 @@
     }
 }
 
-/// Whether the value of a boolean setting is true.
+/// Whether the statement sets a boolean setting to true.
 fn is_set_to_true(text: &[u8], rest: &[Token], end: usize) -> bool {
     rest.first().is_some_and(|t| {
         let value = String::from_utf8_lossy(text_after(text, t, end));
@@ -107,7 +108,8 @@
     })
 }
 
-/// The change that an assignment makes; `SET TIME ZONE` and `SET NAMES` are other words for settings.
+/// Returns the change that an assignment makes; `SET TIME ZONE` and `SET NAMES` are aliases of
+/// settings.
 fn change(name: String, rest: &[Token], assignment: &str) -> Change {
     let is_time_zone = name == "time" && rest.first().is_some_and(|t| t.is("zone"));
     let name = match name.as_str() {
--- a/crates/postgres/src/sql/tokens.rs
+++ b/crates/postgres/src/sql/tokens.rs
@@ -1,9 +1,9 @@
-//! The words, strings and comments of a text.
+//! Splits SQL text into tokens; comments and white space are skipped.
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Kind {
     Word,
-    /// A string, or a name in quotes.
+    /// A string, or a quoted identifier.
     Quoted,
     Number,
     Sign(u8),
@@ -33,7 +33,8 @@
 }
 
 impl<'a> Tokens<'a> {
-    /// Behind a quoted part that begins here; a quote within it is written twice, or behind a backslash.
+    /// Returns the offset after the quoted part that starts at `start`. A quote within it is
+    /// doubled, or escaped by a backslash if `escapes`.
     fn quoted_end(&self, start: usize, quote: u8, escapes: bool) -> usize {
         let mut at = start + 1;
         while let Some(&c) = self.text.get(at) {
@@ -65,7 +66,8 @@
         at.min(self.text.len())
     }
 
-    /// Behind a string between two marks such as `$tag$`, if one begins here.
+    /// Returns the offset after a string quoted by a delimiter such as `$tag$`; None if none starts
+    /// here.
     fn dollar_quoted_end(&self, start: usize) -> Option<usize> {
         let rest = &self.text[start + 1..];
         let len = rest.iter().position(|c| !is_word_char(*c) || *c == b'$')?;
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -1,5 +1,5 @@
-//! The start-up of a client's connection: requests for encryption, protocol versions, who the client is, and
-//! its authentication.
+//! The startup of a client's connection: encryption requests, protocol versions, the client's
+//! parameters and its authentication.
 
 use std::collections::BTreeMap;
 
@@ -8,60 +8,61 @@
 use crate::wire::{self, CancelKey, InitialMessage, Message};
 use crate::ProtocolError;
 
-/// The longest message of the SCRAM exchange, in bytes; those of the library take some hundred.
+/// The maximum length of a message of the SCRAM exchange, in bytes; client libraries send some
+/// hundred.
 const MAX_PROOF_BYTES: usize = 4096;
-/// How often a client may ask for encryption: there are two kinds.
+/// The maximum number of encryption requests: there are two kinds, TLS and GSSAPI.
 const MAX_ENCRYPTION_REQUESTS: usize = 2;
 
-// Kinds of authentication messages, as the protocol numbers them.
+// Codes of the protocol's authentication messages.
 const SASL: u32 = 10;
 const SASL_CONTINUE: u32 = 11;
 const SASL_FINAL: u32 = 12;
 
-/// A client by the parameters of its start-up.
+/// A client, described by the parameters of its startup message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Client {
     /// The user's name.
     pub user: String,
-    /// The database's name; the user's where it gave none.
+    /// The database's name; the user's name if the client sent none.
     pub database: String,
-    /// All other parameters, those of `options` among them.
+    /// All other parameters, including those in `options`.
     pub parameters: BTreeMap<String, String>,
 }
 
-/// How a user proves who it is.
+/// The authentication that a user needs.
 #[derive(Clone)]
 pub enum Authentication {
-    /// Not at all.
+    /// No authentication.
     Trust,
-    /// By SCRAM-SHA-256.
+    /// SCRAM-SHA-256 with this verifier.
     Scram(Verifier),
 }
 
-/// What the input of a connection that starts up comes to.
+/// The result of reading the input of a connection during startup.
 pub enum StartupStep {
-    /// More has to come.
+    /// The input holds no complete message.
     Incomplete,
-    /// It is a request to cancel; the connection ends.
+    /// The connection carries a cancel request, and ends.
     Cancel(CancelKey),
-    /// The client is in; its session begins.
+    /// The client is authenticated; its session starts.
     Accepted(Client),
-    /// It is refused, and the error is written; the connection ends.
+    /// The client is rejected with an error that was written; the connection ends.
     Refused,
 }
 
 #[derive(Default)]
 enum Stage {
-    /// The start-up message has yet to come.
+    /// The startup message has not yet arrived.
     #[default]
     Startup,
-    /// The client's first message of SCRAM is due.
+    /// The client's first SCRAM message is expected.
     InitialResponse(Client, Verifier),
-    /// The client's proof is due.
+    /// The client's final SCRAM message, with its proof, is expected.
     Proof(Client, Exchange),
 }
 
-/// The state of a connection that starts up.
+/// The state of a connection during startup.
 #[derive(Default)]
 pub struct Startup {
     stage: Stage,
@@ -69,9 +70,11 @@
 }
 
 impl Startup {
-    /// Reads `input` and writes the answers to `out`; returns how many bytes were used up. `access` is how a
-    /// user authenticates, None for one that does not exist; `secret` hides which do; `nonce` is new for each
-    /// connection. After any step but `Incomplete` it is not called again.
+    /// Reads `input` and writes the answers to `out`; returns the number of bytes consumed with the
+    /// step reached. `authentication` returns how a user authenticates, None for an unknown user;
+    /// `secret` is the key by which unknown users get a verifier, so that a client can't tell them
+    /// apart; `nonce` must be new for each connection. Must not be called again after any step but
+    /// `Incomplete`.
     pub fn read(
         &mut self,
         input: &[u8],
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Takes a message of the SCRAM exchange; None where another has to follow.
+    /// Handles a message of the SCRAM exchange; None if another must follow.
     fn continue_scram(
         &mut self,
         stage: Stage,
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Takes the first message; None where another has to follow.
+    /// Handles the first message; None if another must follow.
     fn handle_startup(
         &mut self,
         message: InitialMessage,
@@ -190,7 +193,7 @@
     }
 }
 
-/// Writes a message of the authentication: its kind and what belongs to it.
+/// Writes an authentication message with its code and data.
 fn write_authentication(out: &mut Vec<u8>, kind: u32, body: &[u8]) {
     wire::write(out, b'R', |out| {
         out.extend_from_slice(&kind.to_be_bytes());
@@ -213,7 +216,8 @@
     }
 }
 
-/// The client's first message of SASL, behind the mechanism that it chose.
+/// Returns the client's first SCRAM message from its SASLInitialResponse; None if it chose another
+/// mechanism or the lengths do not match.
 fn initial_response(body: &[u8]) -> Option<&[u8]> {
     let mut rest = body;
     let mechanism = wire::read_string(&mut rest).ok()?;
@@ -259,7 +263,7 @@
     Ok(client)
 }
 
-/// `-c name=value` and `--name=value`, spaces within a value behind a backslash.
+/// Parses `-c name=value` and `--name=value` options; a backslash escapes a space within a value.
 fn parse_options(text: &str, parameters: &mut BTreeMap<String, String>) {
     let mut words: Vec<String> = vec![String::new()];
     let mut chars = text.chars();
--- a/crates/postgres/src/unit.rs
+++ b/crates/postgres/src/unit.rs
@@ -1,4 +1,5 @@
-//! A unit: what a front sends to one engine as a whole. It is the messages between two Syncs, or a simple query.
+//! Units: a unit is what a front sends to one engine, the messages between two Syncs or a simple
+//! query.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -8,7 +9,7 @@
 use crate::sql::{Change, Label, LocalCommand, Scan};
 use crate::wire;
 
-/// One operation of a unit; ranges are those of the part's bytes. `named` tells whether the prepared
+/// One operation of a unit. Ranges refer to the part's bytes; `named` tells whether the prepared
 /// statement has a name in the session.
 #[derive(Debug)]
 pub enum Operation {
@@ -16,75 +17,76 @@
     Parse {
         /// The statement.
         prepared: Rc<Prepared>,
-        /// See above.
+        /// Whether the statement has a name in the session.
         named: bool,
     },
     /// Opens a portal on a prepared statement.
     Bind {
         /// The statement.
         prepared: Rc<Prepared>,
-        /// See above.
+        /// Whether the statement has a name in the session.
         named: bool,
         /// The portal's name.
         portal: Range<usize>,
-        /// The formats and values of its parameters.
+        /// The formats and values of the parameters, and the formats of the result.
         rest: Range<usize>,
     },
     /// Describes a prepared statement.
     Describe {
         /// The statement.
         prepared: Rc<Prepared>,
-        /// See above.
+        /// Whether the statement has a name in the session.
         named: bool,
     },
-    /// Describes a portal: a whole message that goes on as it is.
+    /// Describes a portal; the complete message is forwarded unchanged.
     DescribePortal(Range<usize>),
-    /// Executes a portal: a whole message that goes on as it is.
+    /// Executes a portal; the complete message is forwarded unchanged.
     Execute(Range<usize>),
-    /// Closes a portal: a whole message that goes on as it is.
+    /// Closes a portal; the complete message is forwarded unchanged.
     ClosePortal(Range<usize>),
-    /// Closes a statement. Engines keep statements for all sessions, so it is only answered.
+    /// Closes a statement. It stays prepared at engines, where all sessions share it, so the front
+    /// answers this itself.
     CloseStatement,
-    /// Is answered with this error, and the engine's transaction fails with it.
+    /// Answers with this error and makes the transaction at the engine fail.
     Fail(ClientError),
-    /// A simple query: a whole message that goes on as it is.
+    /// Executes a simple query; the complete message is forwarded unchanged.
     Query(Range<usize>),
-    /// Asks for the answers so far.
+    /// Asks the engine to send the answers so far.
     Flush,
     /// Ends the unit.
     Sync,
 }
 
-/// A unit, or as much of one as came before a Flush.
+/// A unit, or the part of one up to a Flush.
 #[derive(Debug, Default)]
 pub struct UnitPart {
-    /// Its operations, in order.
+    /// The operations, in order.
     pub ops: Vec<Operation>,
     /// The client's bytes.
     pub raw: Vec<u8>,
-    /// Whether the unit ends with it.
+    /// Whether the unit ends with this part.
     pub ends_unit: bool,
-    /// The labels in its texts.
+    /// The labels in the texts that the part executes.
     pub label: Label,
-    /// Whether it begins a transaction.
+    /// Whether the part begins a transaction.
     pub begins_transaction: bool,
-    /// Whether it commits one.
+    /// Whether the part commits a transaction.
     pub commits_transaction: bool,
-    /// Whether it rolls one back.
+    /// Whether the part rolls a transaction back.
     pub rolls_back_transaction: bool,
     /// Changes of the session's settings.
     pub changes: Vec<Change>,
-    /// The first text that runs: a range of the bytes, or what was prepared.
+    /// The text of a simple query, as a range of the bytes.
     pub(crate) query: Option<Range<usize>>,
     pub(crate) first: Option<Rc<Prepared>>,
-    /// Names of what it parses, in order, and whether it can be answered here.
+    /// Names of the statements that the part parses, in order.
     pub(crate) named: Vec<Vec<u8>>,
     pub(crate) local: bool,
     pub(crate) local_commands: Vec<LocalCommand>,
 }
 
 impl UnitPart {
-    /// The first text that it runs.
+    /// Returns the first text that the part executes; empty if there is none.
     pub fn text(&self) -> &[u8] {
         let query = self.query.clone().and_then(|at| self.raw.get(at));
         query
@@ -92,7 +94,8 @@
             .unwrap_or_default()
     }
 
-    /// All texts that it runs or could: its own, and those of what it has prepared.
+    /// Returns all texts that the part executes or may execute: that of a simple query, and those
+    /// of the statements it parses, binds or describes.
     pub fn texts(&self) -> impl Iterator<Item = &[u8]> {
         let query = self.query.clone().and_then(|at| self.raw.get(at));
         let prepared = self.ops.iter().filter_map(|op| match op {
@@ -104,12 +107,12 @@
         query.into_iter().chain(prepared)
     }
 
-    /// Its text where it is a simple query.
+    /// Returns the text if the part is a simple query.
     pub fn simple_query_text(&self) -> Option<&[u8]> {
         matches!(self.ops[..], [Operation::Query(_)]).then(|| self.text())
     }
 
-    /// The same with other text, where it is a simple query.
+    /// Returns a copy with another text if the part is a simple query.
     pub fn with_text(&self, text: &[u8]) -> Option<UnitPart> {
         self.simple_query_text()?;
         let mut raw = Vec::new();
@@ -130,7 +133,7 @@
         })
     }
 
-    /// Adds what a text that it runs does to the session.
+    /// Adds the labels, transaction commands and setting changes of an executed text.
     pub(crate) fn add_scan(&mut self, scan: &Scan) {
         self.label = self.label.overridden_by(&scan.label);
         self.begins_transaction |= scan.begins_transaction;
@@ -140,7 +143,7 @@
         self.local_commands.extend(scan.local_command.clone());
     }
 
-    /// Statements parsed before the first step that fails.
+    /// Returns the number of statements parsed before the first operation that fails.
     pub(crate) fn parsed_before_failure(&self) -> usize {
         let before = self
             .ops
@@ -152,17 +155,17 @@
     }
 }
 
-/// How a unit ended.
+/// The outcome of a unit at an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnitOutcome {
-    /// The transaction status in the protocol's letters: `I` idle, `T` in a transaction, `E` in a failed one.
+    /// The protocol's transaction status byte: `I` idle, `T` in a transaction, `E` in a failed one.
     pub status: u8,
-    /// The SQLSTATE of the error that it ended with, if it did.
+    /// The SQLSTATE of the error that ended the unit; None if it succeeded.
     pub error: Option<String>,
-    /// The error is the engine's fault, not the statement's.
+    /// Whether the error is the engine's fault, not the statement's.
     pub engine_fault: bool,
-    /// A transaction ended without effect.
+    /// Whether a transaction was rolled back.
     pub rolled_back: bool,
-    /// How many of its statements were parsed before the error.
+    /// The number of statements parsed before the error.
     pub parsed_count: usize,
 }
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of both directions: where one ends, what it holds, and how one is written.
+//! Messages of both directions: their length, their content, and how they are written.
 
 use crate::ProtocolError;
 
@@ -8,32 +8,33 @@
 const GSS_REQUEST_CODE: u32 = 80_877_104;
 const PROTOCOL_VERSION: u32 = 3 << 16;
 
-/// Identifies a connection in a request to cancel what runs for it; whoever knows it may ask.
+/// The key that a cancel request must carry: whoever knows it may cancel what runs on the
+/// connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelKey {
-    /// The number of the process behind the connection; of a session, where the front is the server.
+    /// The server process of the connection; the number of the session if the front is the server.
     pub process: u32,
-    /// Known to both sides of the connection alone.
+    /// A secret known only to both ends of the connection.
     pub secret: u32,
 }
 
 /// The first message of a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum InitialMessage<'a> {
-    /// A session is to begin, by version 3 of the protocol.
+    /// Starts a session with version 3 of the protocol.
     StartUp {
-        /// The version's minor number.
+        /// The minor version.
         minor: u16,
-        /// Names and values.
+        /// Names and values of the parameters.
         parameters: Vec<(&'a str, &'a str)>,
     },
-    /// A request for encryption, of either kind.
+    /// Asks for encryption by TLS or GSSAPI.
     EncryptionRequest,
-    /// Whatever runs for the connection with this key is to be cancelled.
+    /// Asks to cancel what runs on the connection with this key.
     Cancel(CancelKey),
-    /// A version that is not spoken here.
+    /// Asks for a version that is not supported.
     UnsupportedVersion {
-        /// Its major number.
+        /// The major version.
         major: u16,
     },
 }
@@ -42,7 +43,8 @@
     Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
 }
 
-/// Takes the first message from the start of `input`, with its length; None until all of it has come.
+/// Parses the first message of a connection from the start of `input`; returns its length with it.
+/// None if it is incomplete.
 pub fn initial_message(input: &[u8]) -> Result<Option<(usize, InitialMessage<'_>)>, ProtocolError> {
     let Some(len) = read_u32(input) else {
         return Ok(None);
@@ -95,7 +97,7 @@
     Ok(Some((len, message)))
 }
 
-/// Takes a string that ends in a zero byte from the start of `rest`.
+/// Splits a zero-terminated string off the start of `rest`.
 pub fn read_string<'a>(rest: &mut &'a [u8]) -> Result<&'a [u8], ProtocolError> {
     let end = memchr::memchr(0, rest).ok_or(ProtocolError::Malformed("a string without an end"))?;
     let string = &rest[..end];
@@ -108,16 +110,17 @@
         .map_err(|_| ProtocolError::Malformed("a parameter that is no UTF-8"))
 }
 
-/// The start of a message.
+/// The header of a message: its kind and length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// The message's kind.
+    /// The byte that tells the message's kind.
     pub tag: u8,
-    /// Bytes of the whole message, tag and length included.
+    /// The length of the message in bytes, including tag and length field.
     pub len: usize,
 }
 
-/// The header of the message that `input` begins with, once it is there; nothing is allocated for it.
+/// Parses the header at the start of `input`; None if it is incomplete. The length is not trusted:
+/// nothing is allocated for it.
 pub fn header(input: &[u8]) -> Result<Option<Header>, ProtocolError> {
     let (Some(tag), Some(len)) = (input.first(), input.get(1..).and_then(read_u32)) else {
         return Ok(None);
@@ -131,18 +134,19 @@
     }))
 }
 
-/// A message.
+/// A complete message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// Its kind.
+    /// The byte that tells the message's kind.
     pub tag: u8,
-    /// What stands behind the length.
+    /// The bytes after the length field.
     pub body: &'a [u8],
-    /// Bytes of the whole message, tag and length included.
+    /// The length of the message in bytes, including tag and length field.
     pub len: usize,
 }
 
-/// The first message, once it is whole.
+/// Parses the message at the start of `input`; None if it is incomplete, an error if it is longer
+/// than `max_bytes`.
 pub fn message(input: &[u8], max_bytes: usize) -> Result<Option<Message<'_>>, ProtocolError> {
     match header(input)? {
         Some(Header { len, .. }) if len > max_bytes => Err(ProtocolError::MessageTooLong {
@@ -154,18 +158,18 @@
     }
 }
 
-/// A message of a client after start-up.
+/// A message of a client after startup.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClientMessage<'a> {
-    /// A simple query, by its text.
+    /// A simple query with this text.
     Query(&'a [u8]),
     /// Prepares a statement.
     Parse {
         /// The statement's name; empty for the unnamed one.
         name: &'a [u8],
-        /// Its text.
+        /// The statement's text.
         text: &'a [u8],
-        /// Its text, the byte that ends it, and the types of its parameters.
+        /// The text, its terminating zero byte, and the types of the parameters.
         body: &'a [u8],
     },
     /// Opens a portal on a prepared statement.
@@ -174,43 +178,43 @@
         portal: &'a [u8],
         /// The statement's name.
         statement: &'a [u8],
-        /// Formats and values of its parameters.
+        /// The formats and values of the parameters, and the formats of the result.
         rest: &'a [u8],
     },
-    /// Asks for a description.
+    /// Asks for the description of a statement or portal.
     Describe {
-        /// Of a prepared statement, else of a portal.
+        /// Whether a prepared statement is described; else it is a portal.
         statement: bool,
-        /// Its name.
+        /// The name of the statement or portal.
         name: &'a [u8],
     },
     /// Executes a portal.
     Execute {
         /// The portal's name.
         portal: &'a [u8],
-        /// No more than so many rows; 0 is no limit.
+        /// The maximum number of rows; 0 is no limit.
         rows: u32,
     },
-    /// Closes something.
+    /// Closes a statement or portal.
     Close {
-        /// A prepared statement, else a portal.
+        /// Whether a prepared statement is closed; else it is a portal.
         statement: bool,
-        /// Its name.
+        /// The name of the statement or portal.
         name: &'a [u8],
     },
-    /// Asks for the answers so far.
+    /// Asks the server to send the answers so far.
     Flush,
     /// Ends an extended query.
     Sync,
     /// Ends the session.
     Terminate,
-    /// Calls a function directly.
+    /// Calls a function by the legacy function call protocol.
     FunctionCall,
-    /// Data of a copy, or its end.
+    /// COPY data, or the end of it.
     Copy,
 }
 
-/// Parses a message of a client after start-up.
+/// Parses the body of a client's message after startup.
 pub fn client_message(tag: u8, body: &[u8]) -> Result<ClientMessage<'_>, ProtocolError> {
     let mut rest = body;
     let kind = |rest: &mut &[u8]| match rest.split_first() {
@@ -279,13 +283,13 @@
     }
 }
 
-/// Writes a message: its kind, its length and what `body` writes.
+/// Writes a message: its kind, its length and what `body` appends.
 pub fn write(out: &mut Vec<u8>, tag: u8, body: impl FnOnce(&mut Vec<u8>)) {
     out.push(tag);
     write_packet(out, body);
 }
 
-/// The same without a kind.
+/// Writes a message without a kind, as the first one of a connection is.
 pub fn write_packet(out: &mut Vec<u8>, body: impl FnOnce(&mut Vec<u8>)) {
     let at = out.len();
     out.extend_from_slice(&[0; 4]);
@@ -294,7 +298,7 @@
     out[at..at + 4].copy_from_slice(&len.to_be_bytes());
 }
 
-/// Appends a string and the zero byte that ends it; there must be none within.
+/// Appends a string and its terminating zero byte; the string must not contain one.
 pub fn write_string(out: &mut Vec<u8>, text: &[u8]) {
     out.extend_from_slice(text);
     out.push(0);
@@ -319,12 +323,12 @@
 /// The message Terminate.
 pub const TERMINATE: &[u8] = b"X\0\0\0\x04";
 
-/// Writes ReadyForQuery, with the letter of the transaction's status.
+/// Writes ReadyForQuery with the transaction status byte.
 pub fn write_ready(out: &mut Vec<u8>, status: u8) {
     write(out, b'Z', |out| out.push(status));
 }
 
-/// Writes CommandComplete, with the command's tag.
+/// Writes CommandComplete with the command's tag.
 pub fn write_complete(out: &mut Vec<u8>, tag: &str) {
     write(out, b'C', |out| write_string(out, tag.as_bytes()));
 }
@@ -345,7 +349,7 @@
     });
 }
 
-/// Writes the start-up of a session, by names and values.
+/// Writes the startup message of a session with these parameter names and values.
 pub fn write_startup(out: &mut Vec<u8>, parameters: &[(&str, &str)]) {
     write_packet(out, |out| {
         out.extend_from_slice(&PROTOCOL_VERSION.to_be_bytes());
@@ -357,7 +361,7 @@
     });
 }
 
-/// Writes a request to cancel, which is a connection's only message.
+/// Writes a cancel request, the only message of its connection.
 pub fn write_cancel(out: &mut Vec<u8>, key: CancelKey) {
     write_packet(out, |out| {
         out.extend_from_slice(&CANCEL_REQUEST_CODE.to_be_bytes());
@@ -371,8 +375,8 @@
     write(out, b'Q', |out| write_string(out, text));
 }
 
-/// Writes NegotiateProtocolVersion: the newest version there is and the options that are not known, for a
-/// client that asked for more.
+/// Writes NegotiateProtocolVersion, for a client that asked for a newer version: the newest minor
+/// version supported (0) and the protocol options that are not known.
 pub fn write_negotiate_version(out: &mut Vec<u8>, unknown: &[&str]) {
     write(out, b'v', |out| {
         out.extend_from_slice(&0u32.to_be_bytes());
@@ -383,7 +387,8 @@
     });
 }
 
-/// A field of the body of an error or a notice: `C` the SQLSTATE, `M` the message, `S` the severity.
+/// Returns a field of the body of an error or a notice: `C` is the SQLSTATE, `M` the message, `S`
+/// the severity. None if there is no such field.
 pub fn field(body: &[u8], wanted: u8) -> Option<&[u8]> {
     let mut rest = body;
     while let Some((kind, after)) = rest.split_first().filter(|(kind, _)| **kind != 0) {
--- a/crates/postgres/tests/split.rs
+++ b/crates/postgres/tests/split.rs
@@ -1,4 +1,4 @@
-//! However the network cuts what is said, it means the same; and no bytes do harm.
+//! Messages are read the same however the network splits them, and arbitrary bytes cause no panic.
 
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
     out
 }
 
-/// Two extended units, one of them in two parts, and a simple query.
+/// The bytes of two extended units, one of them in two parts, and a simple query.
 fn units() -> Vec<u8> {
     [
         message(b'P', b"s\0/*hallmux.key='k'*/ select $1\0\0\x01\0\0\0\x19"),
@@ -47,7 +47,7 @@
     .concat()
 }
 
-/// What a session makes of the bytes, which come in the pieces given.
+/// Returns the unit parts that a session reads from bytes arriving in the pieces given.
 fn read(pieces: &[&[u8]]) -> Vec<Rc<UnitPart>> {
     let mut catalogue = Catalogue::default();
     let mut session = Session::new(&Default::default(), &mut catalogue);
@@ -82,7 +82,8 @@
     assert_eq!(format!("{:?}", read(&bytes)), expected);
 }
 
-/// What goes back to the client, and what the front hears, of an engine's answers in the pieces given.
+/// Returns the bytes forwarded to the client, and the events, when an engine's answers arrive in
+/// the pieces given.
 fn forward_answers(pieces: &[&[u8]], client_capacity: usize) -> (Vec<u8>, Vec<EngineEvent>) {
     let (mut out, mut to_client, mut events) = (Vec::new(), Vec::new(), Vec::new());
     let mut engine = EngineConnection::new(Account::default(), 8, &mut out);
@@ -166,7 +167,8 @@
         (last.status, last.error.as_deref(), last.engine_fault),
         (b'E', Some("22023"), false)
     );
-    // A notification is nobody's; all else goes on, and the Close of a statement is answered here.
+    // A notification is dropped and everything else is forwarded; the front answers the Close of a
+    // statement itself.
     assert!(expected.0.windows(5).any(|w| w == wire::CLOSE_COMPLETE));
     assert!(!expected.0.windows(5).any(|w| w == b"A\0\0\0\x0c"));
     for cut in 0..=answers.len() {
@@ -224,7 +226,7 @@
     assert_eq!(forwarded, row.len());
 }
 
-/// A change to one byte of what is said; the place counts within what there is.
+/// A change to random bytes; the index is taken within their length.
 #[derive(Clone, Debug)]
 enum Change {
     Replace(Index, u8),
@@ -232,7 +234,7 @@
     Cut(Index),
 }
 
-/// Bytes for one of the readers: drawn, or what clients say with a few changes.
+/// Bytes for one of the readers: random ones, or messages of a client with a few changes.
 fn reader_input() -> impl Strategy<Value = Vec<u8>> {
     let change = prop_oneof![
         any::<(Index, u8)>().prop_map(|(at, byte)| Change::Replace(at, byte)),
@@ -257,7 +259,7 @@
 }
 
 proptest! {
-    // A failure prints the shortest bytes that cause it: they belong into a test of their own.
+    // A failure prints the shortest bytes that cause it: add a test of its own for them.
     #![proptest_config(ProptestConfig { cases: 30_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
