--- a/crates/native-codec/src/coordinator.rs
+++ b/crates/native-codec/src/coordinator.rs
@@ -1,18 +1,19 @@
-//! The protocol between a front and the coordinator: a long poll over HTTP for changes of the engine list.
+//! The protocol between a front and the coordinator: a long poll over HTTP for changes of the
+//! engine list.
 
 use serde::Deserialize;
 
 use crate::{Decoded, ParseError};
 
-/// Bytes of a response's head.
+/// The maximum length of a response's head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 const LINE_END: &[u8] = b"\r\n";
-/// Bytes of a response's body at the most.
+/// The maximum length of a response's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// The request for the events after `follow`; the coordinator holds it open for `wait_ms` milliseconds, or
-/// until there are any.
+/// Returns the request for the events after number `follow`. The coordinator holds it open until
+/// there are any, for at most `wait_ms` milliseconds.
 pub fn poll_request(host: &str, follow: u64, wait_ms: i64) -> String {
     let target = format!("/v2/stream?follow={follow}&wait_ms={wait_ms}");
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
@@ -20,16 +21,16 @@
 
 /// An HTTP response.
 pub struct Response {
-    /// Whether the connection takes another request.
+    /// Whether the connection can be reused for another request.
     pub keep_alive: bool,
     /// The status code.
     pub status: u16,
-    /// The body, out of its chunks.
+    /// The body, with chunks joined.
     pub body: Vec<u8>,
 }
 
-/// Takes one response from the start of `input`; None until all of it has come. `ended` says that nothing
-/// more will come.
+/// Decodes one response from the start of `input`; None if it is incomplete. `is_closed` means that
+/// the connection has ended and no more bytes will arrive.
 pub fn read(input: &[u8], is_closed: bool) -> Result<Option<Decoded<Response>>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -58,14 +59,14 @@
     }))
 }
 
-/// How a response says where its body ends.
+/// How the end of a response's body is determined.
 #[derive(PartialEq)]
 enum BodyFraming {
-    /// It comes in chunks.
+    /// The body has chunked transfer coding.
     Chunked,
-    /// It has so many bytes.
+    /// The body has this number of bytes.
     Length(usize),
-    /// It goes on until the connection ends.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
@@ -87,7 +88,7 @@
     })
 }
 
-/// The body and the bytes that it took; None until all of it has come.
+/// Decodes the body; None if it is incomplete.
 fn body(
     framing: BodyFraming,
     input: &[u8],
@@ -121,7 +122,7 @@
     header(head, name).is_some_and(|value| value.to_ascii_lowercase().contains(word))
 }
 
-/// The body out of its chunks.
+/// Joins the chunks of a body; None if they are incomplete.
 fn chunks(input: &[u8]) -> Result<Option<Decoded<Vec<u8>>>, ParseError> {
     let mut body = Vec::new();
     let mut at = 0;
@@ -151,7 +152,8 @@
     }
 }
 
-/// Bytes of the trailers, which end with an empty line; None until that has come.
+/// Returns the length of the trailers in bytes, including the empty line that ends them; None if
+/// they are incomplete.
 fn trailers_len(input: &[u8]) -> Option<usize> {
     let mut at = 0;
     loop {
@@ -165,29 +167,29 @@
     }
 }
 
-/// The coordinator's events up to a number. The wire names of fields are listed in `wire_names`.
+/// Events of the coordinator. The wire names of the fields are listed in `wire_names`.
 #[derive(Debug, Default, Deserialize)]
 pub struct Events {
-    /// The number of the last one: the next poll follows it.
+    /// The number of the last event, which the next poll follows.
     pub index: u64,
     /// The events, in order.
     pub updates: Vec<Update>,
 }
 
-/// One event.
+/// An event of the coordinator.
 #[derive(Debug, Deserialize)]
 pub struct Update {
     /// The event's number.
     pub index: u64,
-    /// Engines that are listed or change with it; None where it is of another kind.
+    /// The engines that the event lists or changes; None if the event is of another kind.
     #[serde(rename = "endpoints")]
     pub list: Option<EngineList>,
 }
 
-/// Entries of the engine list.
+/// A complete engine list, or changes to it.
 #[derive(Debug, Deserialize)]
 pub struct EngineList {
-    /// Whether these are all engines that there are, or only those that change.
+    /// Whether the entries are all engines, or only those that changed.
     #[serde(rename = "full", default)]
     pub is_full: bool,
     /// The entries.
@@ -198,40 +200,40 @@
 /// An engine as the coordinator lists it.
 #[derive(Debug, Deserialize)]
 pub struct Engine {
-    /// Identifies the engine.
+    /// The engine's id.
     pub id: String,
-    /// Where it listens: an IP address and a port.
+    /// The address at which the engine listens: an IP address and a port.
     #[serde(rename = "addr", default)]
     pub address: String,
-    /// The location's name, as the settings have it.
+    /// The name of the location in the settings.
     #[serde(rename = "zone", default)]
     pub location: String,
-    /// The kind's name, as the settings have it.
+    /// The name of the engine's kind in the settings.
     #[serde(default)]
     pub kind: String,
-    /// The cell that it belongs to, by number.
+    /// The number of the cell to which the engine belongs.
     #[serde(default)]
     pub cell: usize,
-    /// Whether it takes statements.
+    /// Whether the engine accepts statements.
     pub state: EngineState,
-    /// When it started, in milliseconds of Unix time, where that is recent enough to be sent; else 0.
+    /// The engine's start in milliseconds of Unix time; 0 if it was too long ago to be sent.
     #[serde(default)]
     pub started_ms: f64,
 }
 
-/// Whether an engine takes statements.
+/// Whether an engine accepts statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EngineState {
-    /// It does.
+    /// The engine accepts statements.
     Up,
-    /// It finishes what it has, and takes nothing new.
+    /// The engine finishes its executions and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The engine no longer exists.
     Removed,
 }
 
-/// Reads events from the body of a response.
+/// Parses the events in the body of a response.
 pub fn events(body: &[u8]) -> Result<Events, ParseError> {
     serde_json::from_slice(body).map_err(ParseError::new)
 }
--- a/crates/native-codec/src/engine.rs
+++ b/crates/native-codec/src/engine.rs
@@ -1,4 +1,5 @@
-//! The protocol between a front and a query engine: lines of words, some with bytes behind them.
+//! The protocol between a front and a query engine: lines of words, some followed by a block of
+//! bytes.
 
 mod read;
 mod write;
@@ -6,65 +7,65 @@
 pub use read::{are_rows, read};
 pub use write::write;
 
-/// An execution as it goes to an engine.
+/// The request to execute a statement.
 pub struct ExecutionRequest<'a> {
-    /// The client's own id of the statement; the engine's replies carry it.
+    /// The statement's id, given by the client; the engine's replies carry it.
     pub id: &'a str,
-    /// The workload's name, as the settings have it.
+    /// The workload's name in the settings.
     pub workload: &'a str,
-    /// Executions with equal keys take effect once.
+    /// The idempotency key: executions with equal keys take effect once.
     pub dedup_key: Option<&'a str>,
-    /// Milliseconds that the engine has for the execution, its queue included.
+    /// The time limit of the execution in milliseconds, including its time in the engine's queue.
     pub wait_ms: i64,
-    /// MB of memory that the engine is to grant; 0 leaves it to the engine.
+    /// The memory to grant in MB; 0 leaves the amount to the engine.
     pub grant_mb: f64,
-    /// From 0; the highest goes first.
+    /// The priority, from 0; the highest is executed first.
     pub priority: u8,
     /// The statement's text, as the client sent it.
     pub statement: &'a [u8],
 }
 
-/// What a front asks of an engine.
+/// A command to an engine.
 pub enum Command<'a> {
-    /// Execute a statement.
+    /// Executes a statement.
     Execute(ExecutionRequest<'a>),
-    /// Abandon an execution.
+    /// Cancels an execution.
     Cancel {
         /// The statement's id.
         id: &'a str,
     },
-    /// Change the priority of an execution that waits or runs.
+    /// Changes the priority of a queued or running execution.
     SetPriority {
         /// The statement's id.
         id: &'a str,
         /// The new priority.
         priority: u8,
     },
-    /// Send a further page of a result.
+    /// Fetches a further page of a result.
     FetchPage {
         /// The statement's id.
         id: &'a str,
         /// The page's number, from 0.
         page: usize,
     },
-    /// Drop a result of which no more pages will be fetched.
+    /// Drops a result of which no more pages will be fetched.
     ReleaseResult {
         /// The statement's id.
         id: &'a str,
     },
-    /// Answer whether the engine is healthy.
+    /// Asks whether the engine is healthy.
     Probe {
-        /// Comes back as the id of the answer.
+        /// The id that the reply will carry.
         tag: &'a str,
     },
 }
 
-/// What an engine's reply says of an execution or a probe.
+/// The kind and content of an engine's reply about an execution or a probe.
 #[derive(Debug, PartialEq)]
 pub enum ReplyKind {
-    /// The result's first page is there.
+    /// The first page of the result.
     FirstPage {
-        /// Pages of the whole result, this one included.
+        /// The number of pages of the result, including this one.
         pages: usize,
     },
     /// A further page of the result.
@@ -72,25 +73,25 @@
         /// The page's number, from 0.
         number: usize,
     },
-    /// The engine did not take the execution; another may.
+    /// The engine did not accept the execution; another engine may.
     Rejected,
     /// The execution failed.
     Failed,
-    /// The engine knows the execution no more.
+    /// The engine no longer knows the execution.
     Stale,
-    /// The execution goes on: this share of it is done, from 0 to 1.
+    /// The execution is in progress, with this share of its work done, from 0 to 1.
     ShareDone(f64),
-    /// The execution goes on, short of so many MB of memory.
+    /// The execution is in progress and lacks this amount of memory, in MB.
     SpillsMb(f64),
     /// The execution waits for memory.
     WaitsForMemory,
     /// The execution waits for data that another one holds.
     WaitsForData,
-    /// An empty note, or one that is not known: the execution goes on.
+    /// A note that is empty or unknown; the execution is in progress.
     OtherNote,
     /// The answer to a probe.
     ProbeAnswer {
-        /// False where the engine says that something ails it.
+        /// Whether the engine reports itself healthy.
         healthy: bool,
     },
 }
@@ -98,13 +99,14 @@
 /// A reply of an engine.
 #[derive(Debug, PartialEq)]
 pub struct Reply<'a> {
-    /// The id of the statement or the tag of the probe that it belongs to.
+    /// The statement's id or the probe's tag.
     pub id: &'a str,
-    /// What it says.
+    /// The kind and content of the reply.
     pub kind: ReplyKind,
-    /// The load report that came with it: its figures, in the order of the names asked for.
+    /// The figures of the load report in the reply, in the order of the names passed to `read`;
+    /// None without a complete report.
     pub report: Option<Vec<f64>>,
-    /// The page that came with it; empty where none did.
+    /// The page in the reply; empty if there is none.
     pub bytes: &'a [u8],
 }
 
--- a/crates/native-codec/src/engine/read.rs
+++ b/crates/native-codec/src/engine/read.rs
@@ -1,23 +1,23 @@
-//! Reads the replies of engines.
+//! Decodes the replies of engines.
 
 use super::{Reply, ReplyKind};
 use crate::wire_names::engine;
 use crate::{Decoded, ParseError};
 
-/// Bytes of a line.
+/// The maximum length of a line, in bytes.
 pub(super) const MAX_LINE_BYTES: usize = 4096;
-/// Bytes of a page, as the protocol has it.
+/// The maximum length of a page in the protocol, in bytes.
 const MAX_PAGE_BYTES: usize = 6_000;
-/// Columns of a result.
+/// The number of columns of a result.
 const RESULT_COLUMNS: usize = 3;
-/// Of a load report or note, in any unit.
+/// The maximum value of a figure of a load report or note, in any unit.
 const MAX_FIGURE: f64 = 1e9;
 const LINE_END: &[u8] = b"\r\n";
-/// Stands for fields where there are none.
+/// The placeholder for a reply without fields.
 const NO_FIELDS: &str = "-";
 
-/// Takes the next whole reply, with its page, from the start of `input`; None until all of it has come.
-/// `figures` are the figures of a load report, as the settings name them.
+/// Decodes the reply at the start of `input`, with its page; None if it is incomplete. `figures`
+/// are the names in the settings of the figures to read from a load report.
 pub fn read<'a>(
     input: &'a [u8],
     figures: &[String],
@@ -49,7 +49,7 @@
     }))
 }
 
-/// Bytes of the first line without its end; None until that has come.
+/// Returns the length of the first line without its end, in bytes; None if it is incomplete.
 fn line_len(input: &[u8]) -> Result<Option<usize>, ParseError> {
     let mut pairs = input.windows(LINE_END.len()).take(MAX_LINE_BYTES);
     let end = pairs.position(|pair| pair == LINE_END);
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Bytes of the page behind the line; None where there is none.
+    /// Returns the length of the page after the line, in bytes; None if there is no page.
     fn page_len(&self) -> Result<Option<usize>, ParseError> {
         let Some(text) = self.page_len else {
             return Ok(None);
@@ -103,14 +103,14 @@
     }
 }
 
-/// The value of a field in `name=value,name=value`.
+/// Returns the value of a field in `name=value,name=value`.
 fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     fields
         .split(',')
         .find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// What a reply says, by its word and fields.
+/// Returns the kind and content of a reply from its word and fields.
 fn kind(word: &str, fields: &str) -> Result<ReplyKind, ParseError> {
     if engine::FAILED.contains(&word) {
         return Ok(ReplyKind::Failed);
@@ -155,7 +155,8 @@
     }
 }
 
-/// The figures of a load report, by their names in the settings; None where one of them is missing.
+/// Returns the figures of a load report by their names in the settings; None if one is missing or
+/// invalid.
 fn load_report(text: &str, names: &[String]) -> Option<Vec<f64>> {
     names
         .iter()
@@ -166,13 +167,13 @@
         .collect()
 }
 
-/// The text of a figure in `name:value;name:value`.
+/// Returns the text of a figure in `name:value;name:value`.
 fn report_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     text.split(';')
         .find_map(|f| f.strip_prefix(name)?.strip_prefix(':'))
 }
 
-/// The name that engines have for a figure of the settings, where that differs.
+/// Returns the wire name of a figure in the settings, if it differs.
 fn wire_name(in_settings: &str) -> Option<&'static str> {
     let mut figures = engine::REPORT_FIGURES.iter();
     let figure = figures.find(|figure| figure.in_settings == in_settings)?;
@@ -185,7 +186,8 @@
         .filter(|value| (0.0..=MAX_FIGURE).contains(value))
 }
 
-/// Whether a page holds whole rows of a result: three columns of text with a tab between, a line feed behind.
+/// Whether a page consists of complete rows: each has three columns of text separated by tabs, and
+/// ends with a line feed.
 pub fn are_rows(bytes: &[u8]) -> bool {
     let Ok(text) = std::str::from_utf8(bytes) else {
         return false;
--- a/crates/native-codec/src/engine/write.rs
+++ b/crates/native-codec/src/engine/write.rs
@@ -1,11 +1,11 @@
-//! Writes commands to engines.
+//! Encodes commands to engines.
 
 use std::io::Write;
 
 use super::{Command, ExecutionRequest};
 use crate::wire_names::engine;
 
-/// Appends a command to `out`, as one line and the bytes behind it.
+/// Appends a command to `out`: one line, and for an execution the statement after it.
 pub fn write(out: &mut Vec<u8>, command: &Command) {
     let written = match command {
         Command::Execute(request) => write_request(out, request),
--- a/crates/native-codec/src/lib.rs
+++ b/crates/native-codec/src/lib.rs
@@ -1,9 +1,9 @@
-//! The wire formats that a front speaks with clients, query engines and the coordinator: bytes to messages
-//! and back, without input and output of its own. The names that the formats use on the wire are mapped to the terms
-//! of the code in one table, `wire_names`; what leaves this crate has the code's terms.
+//! Encodes and decodes the messages that a front exchanges with clients, query engines and the
+//! coordinator; the crate does no input or output itself. The names used on the wire are mapped to
+//! the terms of the code in one table, `wire_names`; the crate's API uses the terms of the code.
 //!
-//! Readers take a buffer that begins with a message. They give a [`Decoded`] message with its length, None
-//! while some of it has yet to come, and a [`ParseError`] for what can't be one.
+//! Readers take a buffer that starts with a message. They return a [`Decoded`] message with its
+//! length, None if the message is incomplete, and a [`ParseError`] if the bytes are invalid.
 
 #![warn(missing_docs)]
 
@@ -13,17 +13,17 @@
 pub mod tables;
 mod wire_names;
 
-/// A message that was read from the start of a buffer.
+/// A message that was decoded from the start of a buffer.
 #[derive(Debug, PartialEq)]
 pub struct Decoded<T> {
-    /// Bytes of the buffer that it took: the next message begins behind them.
+    /// The number of bytes consumed; the next message starts after them.
     pub len: usize,
     /// The message.
     pub message: T,
 }
 
-/// Bytes that are no message of their protocol, or a message over a limit: its connection has to end. The
-/// text says what is wrong with them; whoever logs it names the connection.
+/// The bytes are not a valid message of their protocol, or the message is over a limit; the
+/// connection is closed. The text says what is wrong; the caller that logs it names the connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ParseError(String);
--- a/crates/native-codec/src/statement.rs
+++ b/crates/native-codec/src/statement.rs
@@ -1,5 +1,6 @@
-//! The protocol between clients and a front: Thrift in frames, strict binary. The `thrift` crate reads within
-//! the limits given here; the frame is taken apart before, so that it reads from whole messages only.
+//! The protocol between clients and a front: Thrift messages in the strict binary protocol, framed.
+//! The frame is decoded here first, so that the `thrift` crate reads complete messages only; it
+//! reads them within fixed limits.
 
 mod read;
 mod write;
@@ -8,61 +9,62 @@
 pub use read::read;
 pub use write::write;
 
-/// Bytes of a frame's length.
+/// The length of the prefix that holds a frame's length, in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// The name by which a client gets to read that a call's sequence number is in use on its connection.
+/// The field name reported to a client whose call uses a sequence number that is already in use on
+/// its connection.
 pub const SEQUENCE_NUMBER_FIELD: &str = "sequence number";
 
 /// A message of a client.
 #[derive(Debug, PartialEq)]
 pub struct Message {
-    /// Identifies the request on its connection; the reply carries it.
+    /// Identifies the request on its connection; the reply carries the same number.
     pub sequence_number: i32,
-    /// What the client asks.
+    /// The request itself.
     pub request: Request,
 }
 
-/// What a client asks.
+/// A request of a client.
 #[derive(Debug, PartialEq)]
 pub enum Request {
-    /// Execute a statement.
+    /// Executes a statement.
     Execute(Call),
-    /// Cancel the statement that came under this sequence number; there is no reply.
+    /// Cancels the statement with this sequence number; there is no reply.
     Cancel(i32),
-    /// Tell whether the front takes statements.
+    /// Asks whether the front accepts statements.
     HealthCheck,
-    /// A method by this name, which there is not.
+    /// A call of this method, which does not exist.
     UnknownMethod(String),
 }
 
-/// A statement and its fields, as they came.
+/// A statement and its fields, as received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Call {
-    /// Identifies the statement, on all connections.
+    /// The statement's id, unique over all connections.
     pub id: String,
-    /// The workload's name, as the settings have it.
+    /// The workload's name in the settings.
     pub workload: String,
-    /// The customer's name, as the settings have it.
+    /// The customer's name in the settings.
     pub customer: String,
-    /// Milliseconds that the client still waits.
+    /// The time that the client still waits, in milliseconds.
     pub time_left_ms: f64,
-    /// Statements with equal keys take effect once.
+    /// The deduplication key: statements with equal keys take effect once.
     pub dedup_key: Option<String>,
-    /// Statements with equal keys run one after the other.
+    /// The order key: statements with equal keys run one after the other.
     pub order_key: Option<String>,
-    /// The client's estimate of the work, in milliseconds on one core; 0 where it gives none.
+    /// The client's estimate of the work, in milliseconds on one core; 0 without an estimate.
     pub work_ms: f64,
-    /// The client's estimate of the memory, in MB; 0 where it gives none.
+    /// The client's estimate of the memory, in MB; 0 without an estimate.
     pub memory_mb: f64,
     /// The statement's text.
     pub statement: Vec<u8>,
-    /// The first field that is missing or can't be used.
+    /// The first field that is missing or invalid.
     pub invalid_field: Option<&'static str>,
 }
 
 impl Call {
-    /// Bytes that it takes in memory, near enough.
+    /// Returns the approximate memory used by the statement, in bytes; keys are not counted.
     pub fn size(&self) -> usize {
         std::mem::size_of::<Call>() + self.statement.len() + self.id.len() + self.workload.len()
     }
@@ -70,29 +72,30 @@
 
 /// The reply to a request.
 pub enum Reply<'a> {
-    /// The statement's whole result.
+    /// The complete result of the statement.
     Completed(&'a [u8]),
-    /// A result that says what is missing in it.
+    /// A partial result, with fields that say what is missing.
     Partial {
-        /// The rows that are there.
+        /// The rows available.
         body: &'a [u8],
-        /// Names and values that say what is missing.
+        /// Names and values that describe what is missing.
         fields: &'a [(&'a str, &'a str)],
     },
-    /// The statement was rejected for a reason that holds for any retry; names and values say which.
+    /// The statement was rejected for a reason that applies to any retry; names and values describe
+    /// it.
     Refused(&'a [(&'a str, &'a str)]),
     /// The statement was rejected and has had no effect; a retry may succeed.
     Rejected {
-        /// Retry-After, in milliseconds; None leaves it to the client.
+        /// The time to wait before a retry, in milliseconds; None leaves it to the client.
         retry_after_ms: Option<i64>,
     },
     /// The statement may or may not have had an effect.
     Aborted,
-    /// Whether this front takes statements.
+    /// Whether this front accepts statements.
     Health(bool),
-    /// There is no method by this name.
+    /// The method of this name does not exist.
     UnknownMethod(&'a str),
-    /// The field of this name is missing or can't be used.
+    /// The field of this name is missing or invalid.
     InvalidField(&'a str),
 }
 
--- a/crates/native-codec/src/statement/read.rs
+++ b/crates/native-codec/src/statement/read.rs
@@ -1,4 +1,4 @@
-//! Reads the messages of clients.
+//! Decodes the messages of clients.
 
 use std::collections::BTreeMap;
 
@@ -11,15 +11,15 @@
 use crate::wire_names::client;
 use crate::{Decoded, ParseError};
 
-/// Bytes of a frame.
+/// The maximum length of a frame, in bytes.
 const MAX_FRAME_BYTES: usize = 128 << 10;
-/// Fields of a statement.
+/// The maximum number of fields of a statement.
 const MAX_FIELDS: usize = 64;
-/// Structs within structs that are passed over.
+/// The maximum nesting depth of structs that are skipped.
 const MAX_DEPTH: usize = 8;
-/// Bytes of a word that an engine is sent or that is kept.
+/// The maximum length of a word that is sent to an engine or stored, in bytes.
 pub(super) const MAX_WORD_BYTES: usize = 64;
-/// Hexadecimal digits of a statement's id.
+/// The number of hexadecimal digits of a statement's id.
 const ID_DIGITS: usize = 16;
 const MAX_TIME_LEFT_MS: f64 = 3.6e6;
 const MAX_WORK_MS: f64 = 8.64e7;
@@ -27,7 +27,7 @@
 
 type Fields = BTreeMap<String, String>;
 
-/// Takes the next whole message from the start of `input`; None until all of it has come.
+/// Decodes the message at the start of `input`; None if it is incomplete.
 pub fn read(input: &[u8]) -> Result<Option<Decoded<Message>>, ParseError> {
     let Some(prefix) = input.first_chunk::<LENGTH_PREFIX_BYTES>() else {
         return Ok(None);
@@ -57,7 +57,8 @@
     let mut input = TBinaryInputProtocol::with_config(frame, true, limits);
     let head = input.read_message_begin()?;
     let arguments = Arguments::read(&mut input, &head.name)?;
-    // Guards against lengths that don't fit: what is behind the message belongs to no other.
+    // Bytes left after the message mean that the frame's length is wrong; they belong to no other
+    // message.
     if !input.transport.is_empty() {
         return Err("bytes after the message in its frame".into());
     }
@@ -82,7 +83,7 @@
     Ok(request)
 }
 
-/// The arguments of the methods that there are; those of others are passed over.
+/// The arguments of the known methods; those of unknown methods are skipped.
 #[derive(Default)]
 struct Arguments {
     fields: Fields,
@@ -126,7 +127,7 @@
 }
 
 impl Call {
-    /// The statement as its fields describe it, with the first of them that can't be used.
+    /// Creates the statement from its fields, and records the first invalid one.
     fn new(fields: &Fields, statement: Option<Vec<u8>>) -> Call {
         let text = |name: &str| fields.get(name).cloned();
         let number = |name: &str| {
@@ -180,7 +181,7 @@
     text.len() == ID_DIGITS && text.bytes().all(|c| c.is_ascii_hexdigit())
 }
 
-/// Whether a word can stand in an engine's line as it is.
+/// Whether a word can be sent unchanged in a line to an engine.
 fn is_word(text: &str) -> bool {
     let is_allowed = |c: u8| c.is_ascii_graphic() && c != b',' && c != b'=';
     !text.is_empty() && text.len() <= MAX_WORD_BYTES && text.bytes().all(is_allowed)
--- a/crates/native-codec/src/statement/write.rs
+++ b/crates/native-codec/src/statement/write.rs
@@ -1,4 +1,4 @@
-//! Writes the replies to clients.
+//! Encodes the replies to clients.
 
 use thrift::protocol::{
     TBinaryOutputProtocol, TFieldIdentifier, TMapIdentifier, TMessageIdentifier, TMessageType,
@@ -9,9 +9,9 @@
 use super::{Reply, LENGTH_PREFIX_BYTES};
 use crate::wire_names::client;
 
-/// The id of the exception of a statement that was rejected, in the result of its method.
+/// The field id, in the method's result, of the exception for a rejected statement.
 const REJECTED: i16 = 1;
-/// The id of the exception of a statement that was aborted.
+/// The field id of the exception for an aborted statement.
 const ABORTED: i16 = 2;
 
 /// Appends a reply to `output`, as one frame.
@@ -28,7 +28,7 @@
     output[start..start + LENGTH_PREFIX_BYTES].copy_from_slice(&len.to_be_bytes());
 }
 
-/// The error of a request that is none of the protocol.
+/// Returns the Thrift application error of a reply; None if the reply is a result.
 fn application_error(reply: &Reply) -> Option<ApplicationError> {
     match reply {
         Reply::UnknownMethod(name) => Some(ApplicationError {
--- a/crates/native-codec/src/statement_tests.rs
+++ b/crates/native-codec/src/statement_tests.rs
@@ -10,7 +10,7 @@
 use super::{read, Message, Request, LENGTH_PREFIX_BYTES};
 use crate::Decoded;
 
-/// A `serve` frame with the fields given.
+/// Returns a `serve` frame with the given fields.
 fn frame(fields: &[(&str, &str)], statement: &[u8]) -> Vec<u8> {
     let mut frame = vec![0; LENGTH_PREFIX_BYTES];
     let mut out = TBinaryOutputProtocol::new(&mut frame, true);
@@ -65,7 +65,7 @@
             broken[at] = byte;
             let _ = read(&broken);
         }
-        // The length says that it is whole, but it is not.
+        // The frame is cut short, with a length prefix that claims it is complete.
         let mut cut = complete[..at].to_vec();
         cut[..LENGTH_PREFIX_BYTES]
             .copy_from_slice(&((at - LENGTH_PREFIX_BYTES) as u32).to_be_bytes());
--- a/crates/native-codec/src/tables.rs
+++ b/crates/native-codec/src/tables.rs
@@ -1,23 +1,23 @@
-//! The table groups that a statement reads or writes, from the names of its schemas: group 17 of
-//! `sales_17.orders`. Strings and comments are passed over.
+//! Finds the table groups that a statement reads or writes, by the names of its schemas:
+//! `sales_17.orders` is in group 17. Strings and comments are skipped.
 
-/// The schema whose tables belong to no group.
+/// The schema, without its number, whose tables belong to no group.
 const UNGROUPED_SCHEMA: &[u8] = b"staging";
 
-/// A table group in a statement.
+/// A table group found in a statement.
 struct FoundGroup<'a> {
     number: u32,
-    /// The text behind its schema.
+    /// The text after the schema name.
     rest: &'a [u8],
 }
 
-/// The first table group that a statement names, if it names any.
+/// Returns the first table group in a statement, if there is one.
 pub fn group(statement: &[u8]) -> Option<u32> {
     next_group(statement).map(|found| found.number)
 }
 
-/// All table groups that a statement names, each once, in the order in which they come. The search ends at
-/// `most + 1` of them, so that a caller can tell that there are more.
+/// Returns the table groups in a statement, each once, in order of first use. The search ends after
+/// `max + 1` groups, so that a caller can tell that there are more than `max`.
 pub fn groups(statement: &[u8], max: usize) -> Vec<u32> {
     let mut groups = Vec::new();
     let mut rest = statement;
@@ -31,7 +31,7 @@
     groups
 }
 
-/// The first table group.
+/// Returns the next table group in the text.
 fn next_group(statement: &[u8]) -> Option<FoundGroup<'_>> {
     let mut rest = statement;
     while let Some(&first) = rest.first() {
@@ -71,12 +71,13 @@
     None
 }
 
-/// Whether a byte may stand in a name without quotes.
+/// Whether a byte may occur in an unquoted name.
 fn is_name_char(c: u8) -> bool {
     c.is_ascii_alphanumeric() || c == b'_' || c == b'$' || c >= 0x80
 }
 
-/// The number behind the last underscore of a name, if what follows makes the name a schema's.
+/// Returns the number after the last underscore of a name, if the text after the name shows that it
+/// is a schema name.
 fn group_of_schema(name: &[u8], after_name: &[u8]) -> Option<u32> {
     let after_dot = after_name.trim_ascii_start().strip_prefix(b".")?;
     let first = after_dot.trim_ascii_start().first()?;
@@ -91,13 +92,13 @@
     digits.parse().ok()
 }
 
-/// The text behind the first `end` from a place on; empty where there is none.
+/// Returns the text after the first `end` from an offset on; empty if there is none.
 fn after<'a>(text: &'a [u8], end: &[u8], from: usize) -> &'a [u8] {
     let found = text[from..].windows(end.len()).position(|w| w == end);
     found.map_or(&[], |at| &text[from + at + end.len()..])
 }
 
-/// Behind a quoted part; a quote within it is written twice.
+/// Returns the text after a quoted part; a quote within it is doubled.
 fn after_quote(text: &[u8], quote: u8) -> &[u8] {
     let mut rest = after(text, &[quote], 1);
     while rest.first() == Some(&quote) {
@@ -106,7 +107,7 @@
     rest
 }
 
-/// Behind a comment; comments stand within comments.
+/// Returns the text after a comment; comments may be nested.
 fn after_comment(text: &[u8]) -> &[u8] {
     let (mut rest, mut depth) = (&text[2..], 1);
     while depth > 0 && !rest.is_empty() {
--- a/crates/native-codec/src/wire_names.rs
+++ b/crates/native-codec/src/wire_names.rs
@@ -1,19 +1,21 @@
-//! The names that the native protocols use on the wire, mapped to the terms that the code uses. This is the one table:
-//! elsewhere the code spells terms alone. Names of the settings and of PostgreSQL's protocol are not in it.
+//! The names that the native protocols use on the wire, mapped to the terms of the code. This is
+//! the only such table: other code uses the terms only. It does not contain the names of settings
+//! and of PostgreSQL's protocol.
 //!
-//! The coordinator's JSON fields are mapped by `serde(rename)` in [`crate::coordinator`]: `endpoints` is a list
-//! update, `full` whether the list is whole, `servers` the engines, `addr` an engine's address, `zone` its location.
+//! The coordinator's JSON fields are mapped by `serde(rename)` in [`crate::coordinator`]:
+//! `endpoints` is an update of the engine list, `full` whether the list is complete, `servers` the
+//! engines, `addr` an engine's address, `zone` its location.
 
-/// Between clients and a front, in Thrift messages.
+/// Names in the Thrift messages between clients and a front.
 pub mod client {
     /// The method that executes a statement.
     pub const EXECUTE: &str = "serve";
     /// The method that cancels a statement.
     pub const CANCEL: &str = "forget";
-    /// The method that asks whether a front takes statements.
+    /// The method that asks whether a front accepts statements.
     pub const HEALTH_CHECK: &str = "isWell";
 
-    /// The field that identifies the statement, on all connections.
+    /// The field of the statement's id, unique over all connections.
     pub const STATEMENT_ID: &str = "txn";
     /// The field that names the workload.
     pub const WORKLOAD: &str = "verb";
@@ -21,26 +23,26 @@
     pub const CUSTOMER: &str = "team";
     /// The field of the time that the client still waits, in milliseconds.
     pub const TIME_LEFT_MS: &str = "limit";
-    /// The field whose value repeats of a statement share: its idempotency key.
+    /// The field of the deduplication key, equal for all repeats of a statement.
     pub const DEDUP_KEY: &str = "unique";
-    /// The field whose value statements share that run one after the other.
+    /// The field of the order key: statements with equal keys run one after the other.
     pub const ORDER_KEY: &str = "item";
     /// The field of the estimated work, in milliseconds on one core.
     pub const WORK_MS: &str = "cpu";
     /// The field of the estimated memory, in MB.
     pub const MEMORY_MB: &str = "heap_mb";
-    /// A field that may only be "1"; nothing uses it.
+    /// A field that must be "1" if present; its value is not used.
     pub const SECOND: &str = "second";
-    /// The statement's text, or a result.
+    /// The field of the statement's text, or of a result.
     pub const BODY: &str = "body";
 
-    /// The field of a rejection that says after how many milliseconds to try again: Retry-After.
+    /// The field of a rejection for the time to wait before a retry, in milliseconds.
     pub const RETRY_AFTER_MS: &str = "later";
-    /// The field of an answer that says whether the front takes statements.
+    /// The field of an answer that says whether the front accepts statements.
     pub const HEALTHY: &str = "good";
 }
 
-/// Between a front and an engine, in lines.
+/// Names in the lines between a front and an engine.
 pub mod engine {
     /// The command that executes a statement.
     pub const EXECUTE: &str = "want";
@@ -52,12 +54,12 @@
     pub const FETCH_PAGE: &str = "turn";
     /// The command that drops a result.
     pub const RELEASE_RESULT: &str = "shut";
-    /// The command that probes an engine: a health check.
+    /// The command that probes an engine's health.
     pub const PROBE: &str = "busy";
 
     /// The field of an execution's workload.
     pub const WORKLOAD: &str = "class";
-    /// The field of the time that the engine has, in milliseconds.
+    /// The field of the execution's time limit, in milliseconds.
     pub const WAIT_MS: &str = "wait";
     /// The field of an execution's idempotency key.
     pub const DEDUP_KEY: &str = "once";
@@ -72,11 +74,11 @@
     pub const PAGE: &str = "BLOCK";
     /// The reply that rejects an execution.
     pub const REJECTED: &str = "AGAIN";
-    /// The replies of an execution that failed.
+    /// The replies for a failed execution.
     pub const FAILED: [&str; 3] = ["EIO", "NOMOD", "NOENT"];
-    /// The reply of an engine that knows an execution no more.
+    /// The reply of an engine that no longer knows an execution.
     pub const STALE: &str = "STALE";
-    /// The reply of an execution that goes on: a progress report.
+    /// The reply for an execution in progress: a progress report.
     pub const NOTE: &str = "EVENT";
     /// The reply of a healthy engine to a probe.
     pub const HEALTHY: &str = "READY";
@@ -97,18 +99,18 @@
     pub const SHARE_DONE: &str = "so_far";
     /// The kind of a note whose figure is the memory that is missing, in MB.
     pub const SPILLS_MB: &str = "lacking";
-    /// The kind of a note of an execution that waits.
+    /// The kind of a note for an execution that waits.
     pub const WAITING: &str = "waiting";
-    /// The figure of a note of an execution that waits for memory.
+    /// The figure of a note for an execution that waits for memory.
     pub const WAITING_FOR_MEMORY: f64 = 1.0;
-    /// The figure of a note of an execution that waits for data.
+    /// The figure of a note for an execution that waits for data held by another.
     pub const WAITING_FOR_DATA: f64 = 2.0;
 
     /// A figure of a load report.
     pub struct ReportFigure {
-        /// Its name in the settings.
+        /// The figure's name in the settings.
         pub in_settings: &'static str,
-        /// Its name in an engine's report, where that differs.
+        /// The figure's name in an engine's report.
         pub on_wire: &'static str,
     }
 
