--- a/crates/machine-faults/src/lib.rs
+++ b/crates/machine-faults/src/lib.rs
@@ -1,6 +1,6 @@
-//! Fault injection for one process, for tests: its wall clock is stepped, and system calls fail in the ways that Linux
-//! documents. A library that is loaded into that process alone answers in place
-//! of the system; the fronts themselves know nothing of it.
+//! Fault injection into one process, for tests: a step of its wall clock, and system calls that
+//! fail in the ways that Linux documents. A library preloaded into that process replaces the calls;
+//! the fronts contain no code for it.
 
 #![warn(missing_docs)]
 
@@ -12,43 +12,44 @@
 
 const SOURCE: &str = include_str!("shim.c");
 
-// The control file holds numbers, which process and library share; these are their indices.
+// The control file holds 64-bit integers shared by the test and the library. These are their
+// indices.
 
-/// Bytes of a number.
+/// The size of an integer, in bytes.
 const INTEGER_BYTES: u64 = 8;
-/// The wall clock's step, in microseconds.
+/// The offset of the wall clock, in microseconds.
 const CLOCK_OFFSET: u64 = 0;
-/// The seed of what fails.
+/// The seed of the random choice of calls that fail.
 const SEED: u64 = 1;
-/// By call: how many of a thousand fail.
+/// For each call: the failure rate, in thousandths.
 const FIRST_RATE: u64 = 2;
-/// By call: how many have failed.
+/// For each call: the number of failures so far.
 const FIRST_FAILURE_COUNT: u64 = FIRST_RATE + CALL_COUNT;
-/// By call: how many more may fail.
+/// For each call: the number of failures still allowed.
 const FIRST_FAILURES_LEFT: u64 = FIRST_FAILURE_COUNT + CALL_COUNT;
-/// How many numbers there are.
+/// The number of integers in the file.
 const INTEGER_COUNT: u64 = FIRST_FAILURES_LEFT + CALL_COUNT;
 const CALL_COUNT: u64 = Call::ALL.len() as u64;
 
-/// What fails.
+/// A kind of system call that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `accept`: no descriptor or buffer, a connection aborted, a signal.
+    /// `accept` fails: no descriptor or buffer, an aborted connection, a signal.
     Accept,
-    /// `socket`: no descriptor or buffer.
+    /// `socket` fails: no descriptor or buffer.
     Socket,
-    /// `connect`: no address, no buffer, no route.
+    /// `connect` fails: no address, no buffer, no route, a signal.
     Connect,
-    /// A read of a connection gives less than there is.
+    /// A read of a connection returns fewer bytes than requested.
     ShortRead,
-    /// A write to a connection takes less than it could.
+    /// A write to a connection accepts fewer bytes than passed.
     ShortWrite,
-    /// A read finds that a connection which the process began is broken; it is, from then on.
+    /// A read fails on a connection that the process itself opened, which is broken from then on.
     BrokenRead,
 }
 
 impl Call {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Call; 6] = [
         Call::Accept,
         Call::Socket,
@@ -58,20 +59,21 @@
         Call::BrokenRead,
     ];
 
-    /// Its index among the numbers by call.
+    /// Returns the index of the call among the per-call integers.
     fn index(self) -> u64 {
         self as u64
     }
 }
 
-/// The library that injects the faults, compiled.
+/// The compiled library that injects the faults.
 #[derive(Debug)]
 pub struct Library {
     path: PathBuf,
 }
 
 impl Library {
-    /// Compiles it to a file, with the C compiler that Rust links with. An error is that of the file or the compiler.
+    /// Compiles the library to a file, with the C compiler that Rust links with (`CC`, else `cc`).
+    /// Fails if a file can't be written or the compiler fails.
     pub fn compile(path: &Path) -> Result<Library> {
         let source = path.with_extension("c");
         std::fs::write(&source, SOURCE)?;
@@ -93,7 +95,7 @@
     }
 }
 
-/// The faults of one process, before it starts and while it runs.
+/// The faults of one process, which can be set before it starts and while it runs.
 #[derive(Debug)]
 pub struct MachineFaults {
     library: PathBuf,
@@ -102,7 +104,8 @@
 }
 
 impl MachineFaults {
-    /// No faults yet. `control` is a file of their own; the seed draws which calls fail. An error is that of the file.
+    /// Creates the control file at `control`, which must be this process's alone, with no faults.
+    /// The seed determines which calls fail. Fails if the file can't be written.
     pub fn new(library: &Library, control: &Path, seed: u64) -> Result<MachineFaults> {
         let file = File::options()
             .read(true)
@@ -120,7 +123,7 @@
         Ok(faults)
     }
 
-    /// The variables of the environment under which a process has these faults.
+    /// Returns the environment variables with which a process has these faults.
     pub fn environment(&self) -> [(&'static str, &Path); 2] {
         [
             ("LD_PRELOAD", &self.library),
@@ -128,17 +131,17 @@
         ]
     }
 
-    /// Sets how many microseconds the process's wall clock is ahead of the machine's.
+    /// Sets how many microseconds the process's wall clock is ahead of the system's.
     pub fn set_wall_clock_offset(&self, micros: i64) -> Result<()> {
         self.write(CLOCK_OFFSET, micros)
     }
 
-    /// From now on so many of a thousand of these calls fail.
+    /// Makes this many in a thousand of the calls fail from now on.
     pub fn set_failure_rate(&self, call: Call, permille: u16) -> Result<()> {
         self.set_limited_failure_rate(call, permille, i64::MAX)
     }
 
-    /// The same, until so many have failed.
+    /// Makes this many in a thousand of the calls fail, until `max_failures` have failed.
     pub fn set_limited_failure_rate(
         &self,
         call: Call,
@@ -149,7 +152,7 @@
         self.write(FIRST_RATE + call.index(), i64::from(permille))
     }
 
-    /// How many of these calls have failed so far.
+    /// Returns how many of the calls have failed so far.
     pub fn failure_count(&self, call: Call) -> Result<i64> {
         self.read(FIRST_FAILURE_COUNT + call.index())
     }
--- a/crates/machine-faults/src/shim.c
+++ b/crates/machine-faults/src/shim.c
@@ -1,7 +1,7 @@
-/* Faults of the operating system in the one process that this library is loaded into (LD_PRELOAD): its wall clock is
- * stepped, its monotonic clock left alone, and system calls fail as Linux documents them. What is to fail stands in the
- * file that MACHINE_FAULTS names, which the test changes while the process runs (lib.rs has its layout); what
- * failed is counted there. In C, as the workspace forbids unsafe Rust. */
+/* Injects faults of the operating system into the one process that preloads this library (LD_PRELOAD): the wall clock
+ * is stepped, while the monotonic clock is not changed, and system calls fail in the ways that Linux documents. The
+ * control file named by MACHINE_FAULTS sets the failure rates and counts the failures; the test changes it while the
+ * process runs, and lib.rs defines its layout. Written in C because the workspace forbids unsafe Rust. */
 #define _GNU_SOURCE
 #include <errno.h>
 #include <fcntl.h>
@@ -18,22 +18,22 @@
 #define US_NS 1000
 #define PERMILLE 1000
 
-/* Calls that fail, in the order of lib.rs. */
+/* The calls that can fail, in the same order as in lib.rs. */
 enum call { ACCEPT, SOCKET, CONNECT, SHORT_READ, SHORT_WRITE, BROKEN_READ, CALLS };
 
 struct control {
-    int64_t step_us;          /* by which the wall clock is ahead */
-    int64_t seed;             /* of what is drawn */
-    int64_t permille[CALLS];  /* how many of a thousand calls fail */
-    int64_t failed[CALLS];    /* how many did */
-    int64_t left[CALLS];      /* how many more may */
+    int64_t step_us;          /* offset of the wall clock */
+    int64_t seed;             /* of the random numbers */
+    int64_t permille[CALLS];  /* failure rate in thousandths */
+    int64_t failed[CALLS];    /* number of failures so far */
+    int64_t left[CALLS];      /* number of failures still allowed */
 };
 
 static volatile struct control *control;
 static uint64_t draws;
 
 #define MOST_FILES 4096
-static unsigned char dialled[MOST_FILES]; /* connections that the process began: those that break */
+static unsigned char dialled[MOST_FILES]; /* by descriptor: 1 if the process opened the connection, which may break */
 
 __attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("MACHINE_FAULTS");
@@ -41,12 +41,12 @@
     void *mapped =
         file < 0 ? MAP_FAILED : mmap(NULL, sizeof *control, PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     if (mapped == MAP_FAILED)
-        abort(); /* a test whose faults are not injected must not pass */
+        abort(); /* without injected faults a test must not pass */
     close(file);
     control = mapped;
 }
 
-/* The next number drawn (splitmix64); the front has one thread that makes these calls. */
+/* Returns the next random number (splitmix64). Not thread-safe: only one thread of a front makes these calls. */
 static uint64_t draw(void) {
     uint64_t z = (uint64_t)control->seed + ++draws * 0x9e3779b97f4a7c15u;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -54,7 +54,7 @@
     return z ^ (z >> 31);
 }
 
-/* Whether this call fails; then it is counted. */
+/* Decides whether this call fails, and counts the failure. */
 static int fails(enum call call) {
     if (!control || control->permille[call] == 0 || control->left[call] <= 0)
         return 0;
--- a/crates/machine-faults/tests/library.rs
+++ b/crates/machine-faults/tests/library.rs
@@ -1,4 +1,4 @@
-//! The faults as a process sees them.
+//! Tests of the faults in a process that has the library preloaded.
 
 use std::process::Command;
 use std::time::{SystemTime, UNIX_EPOCH};
