--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -67,7 +67,7 @@
         let discards = part.local_commands.contains(&LocalCommand::Discard);
         // An engine that holds the transaction must learn that it has failed.
         let concerns_transaction = self.transaction.is_held() && (fails || discards);
-        part.local && !concerns_transaction
+        part.is_local && !concerns_transaction
     }
 
     /// Writes the answer to one operation.
@@ -93,7 +93,7 @@
             | Operation::Describe { prepared, .. }
                 if unit.transaction_was_lost && !prepared.scan.only_ends_transaction() =>
             {
-                self.aborted().write(out, false);
+                self.lost_transaction_error().write(out, false);
                 return Err(UnitFailed);
             }
             Operation::Parse { .. } => out.extend_from_slice(wire::PARSE_COMPLETE),
@@ -109,7 +109,7 @@
             Operation::Execute(_) => match &unit.bound {
                 Some(prepared) => return self.run_locally(&prepared.scan, catalogue, out),
                 None => {
-                    self.aborted().write(out, false);
+                    self.lost_transaction_error().write(out, false);
                     return Err(UnitFailed);
                 }
             },
@@ -121,7 +121,7 @@
     }
 
     /// Returns the error for statements in a lost transaction: the first time it names the cause.
-    fn aborted(&mut self) -> ClientError {
+    fn lost_transaction_error(&mut self) -> ClientError {
         match self.unreported_loss.take() {
             Some(why) => ClientError::RolledBack { why },
             None => ClientError::InFailedTransaction,
@@ -203,7 +203,7 @@
     ) {
         let failed = outcome.error.is_some();
         if failed {
-            let named: Vec<&Vec<u8>> = parts.iter().flat_map(|p| &p.named).collect();
+            let named: Vec<&Vec<u8>> = parts.iter().flat_map(|p| &p.parsed_names).collect();
             for name in named.into_iter().skip(outcome.parsed_count) {
                 self.forget(name);
             }
@@ -242,7 +242,7 @@
     /// Ends a unit with an error of the front. A transaction that is open is lost by it.
     pub fn fail_unit(&mut self, parts: &[Rc<UnitPart>], why: &ClientError, out: &mut Vec<u8>) {
         for part in parts {
-            part.named.iter().for_each(|name| self.forget(name));
+            part.parsed_names.iter().for_each(|name| self.forget(name));
         }
         self.lose_transaction();
         self.unreported_loss = None;
@@ -280,7 +280,7 @@
     fn forget_unparsed(&mut self, parts: &[UnitPart], parsed: usize) {
         let named: Vec<Vec<u8>> = parts
             .iter()
-            .flat_map(|p| p.named.iter().cloned())
+            .flat_map(|p| p.parsed_names.iter().cloned())
             .skip(parsed)
             .collect();
         named.iter().for_each(|name| self.forget(name));
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -40,16 +40,16 @@
             }
             None => self.part.ops.push(Operation::Query(message_range)),
         }
-        self.part.local = scan.unsupported.is_some() || scan.local_command.is_some();
+        self.part.is_local = scan.unsupported.is_some() || scan.local_command.is_some();
         self.part.query = Some(self.range(text));
         self.part.add_scan(&scan);
         self.part.ends_unit = true;
     }
 
     fn bind(&mut self, prepared: Rc<Prepared>, portal: &[u8], statement: &[u8], rest: &[u8]) {
-        self.part.local &= prepared.scan.local_command.is_some();
+        self.part.is_local &= prepared.scan.local_command.is_some();
         self.part.add_scan(&prepared.scan);
-        self.part.first = Some(prepared.clone());
+        self.part.first_prepared = Some(prepared.clone());
         self.bound.insert(portal.to_vec());
         let (portal, rest) = (self.range(portal), self.range(rest));
         self.part.ops.push(Operation::Bind {
@@ -64,7 +64,7 @@
     /// apply it to a shared connection.
     fn reject_mixed_commands(&mut self) {
         let part = &mut self.part;
-        let mixed = !part.local
+        let mixed = !part.is_local
             && part
                 .local_commands
                 .iter()
@@ -97,7 +97,7 @@
         };
         let part = UnitPart {
             raw: input[..end].to_vec(),
-            local: true,
+            is_local: true,
             ..UnitPart::default()
         };
         let mut reader = PartReader {
@@ -126,7 +126,7 @@
         }
         reader.reject_mixed_commands();
         let mut part = reader.part;
-        part.local &= !self.in_unit;
+        part.is_local &= !self.in_unit;
         self.in_unit = !part.ends_unit;
         Ok((end, SessionEvent::Part(Rc::new(part))))
     }
@@ -193,7 +193,7 @@
                 name,
             } => match self.find_prepared(name) {
                 Some(prepared) => {
-                    reader.part.local &= prepared.scan.local_command.is_some();
+                    reader.part.is_local &= prepared.scan.local_command.is_some();
                     reader.part.ops.push(Operation::Describe {
                         prepared,
                         named: !name.is_empty(),
@@ -205,14 +205,14 @@
                 statement: false,
                 name,
             } => {
-                reader.part.local &= reader.bound.contains(name);
+                reader.part.is_local &= reader.bound.contains(name);
                 reader
                     .part
                     .ops
                     .push(Operation::DescribePortal(message_range));
             }
             ClientMessage::Execute { portal, .. } => {
-                reader.part.local &= reader.bound.contains(portal);
+                reader.part.is_local &= reader.bound.contains(portal);
                 reader.part.ops.push(Operation::Execute(message_range));
             }
             ClientMessage::Close {
@@ -243,7 +243,7 @@
     fn read_parse(&mut self, reader: &mut PartReader, name: &[u8], body: &[u8]) {
         let prepared = reader.catalogue.prepare(body);
         let part = &mut reader.part;
-        part.local &= prepared.scan.local_command.is_some();
+        part.is_local &= prepared.scan.local_command.is_some();
         let error = self.register(name, &prepared, reader.bounds);
         let unsupported = prepared
             .scan
@@ -264,10 +264,10 @@
                     prepared: prepared.clone(),
                     named,
                 });
-                part.named.push(name.to_vec());
+                part.parsed_names.push(name.to_vec());
             }
         }
-        part.first.get_or_insert(prepared);
+        part.first_prepared.get_or_insert(prepared);
     }
 
     fn find_prepared(&self, name: &[u8]) -> Option<Rc<Prepared>> {
--- a/crates/postgres/src/unit.rs
+++ b/crates/postgres/src/unit.rs
@@ -78,10 +78,10 @@
     pub changes: Vec<Change>,
     /// The text of a simple query, as a range of the bytes.
     pub(crate) query: Option<Range<usize>>,
-    pub(crate) first: Option<Rc<Prepared>>,
+    pub(crate) first_prepared: Option<Rc<Prepared>>,
     /// Names of the statements that the part parses, in order.
-    pub(crate) named: Vec<Vec<u8>>,
-    pub(crate) local: bool,
+    pub(crate) parsed_names: Vec<Vec<u8>>,
+    pub(crate) is_local: bool,
     pub(crate) local_commands: Vec<LocalCommand>,
 }
 
@@ -90,7 +90,7 @@
     pub fn text(&self) -> &[u8] {
         let query = self.query.clone().and_then(|at| self.raw.get(at));
         query
-            .or(self.first.as_ref().map(|p| p.text()))
+            .or(self.first_prepared.as_ref().map(|p| p.text()))
             .unwrap_or_default()
     }
 
