--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -13,7 +13,7 @@
 pub struct Prepared {
     /// A number unique in this front; the statement's name at engines contains it.
     pub number: u64,
-    /// The body of the Parse message behind the name: the text, its terminating zero byte, the
+    /// The body of the Parse message after the name: the text, its terminating zero byte, the
     /// parameter types.
     pub body: Box<[u8]>,
     /// The result of scanning the text.
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -230,7 +230,8 @@
                 pending_changes
                     .iter()
                     .for_each(|change| settings.apply(change));
-                // The number of settings kept is bounded.
+                // The number of settings kept is bounded, so that a session can't grow without
+                // limit.
                 while settings.0.len() > bounds.settings {
                     settings.0.pop_last();
                 }
--- a/crates/postgres/src/unit.rs
+++ b/crates/postgres/src/unit.rs
@@ -9,7 +9,7 @@
 use crate::sql::{Change, Label, LocalCommand, Scan};
 use crate::wire;
 
-/// One operation of a unit. Ranges refer to the part's bytes; `named` tells whether the prepared
+/// One operation of a unit. Ranges refer to the part's bytes; `named` is whether the prepared
 /// statement has a name in the session.
 #[derive(Debug)]
 pub enum Operation {
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -113,7 +113,7 @@
 /// The header of a message: its kind and length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// The byte that tells the message's kind.
+    /// The byte that identifies the message's kind.
     pub tag: u8,
     /// The length of the message in bytes, including tag and length field.
     pub len: usize,
@@ -137,7 +137,7 @@
 /// A complete message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// The byte that tells the message's kind.
+    /// The byte that identifies the message's kind.
     pub tag: u8,
     /// The bytes after the length field.
     pub body: &'a [u8],
