--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -1,15 +1,15 @@
-//! What goes to the ledger and comes from it: versions, counts and shares of limits.
+//! Exchanges versions, hit counts and shares of limits with the ledger.
 
 use hallmux_ledger::LedgerAnswer;
 
 use super::Access;
 use crate::event::Event;
 use crate::output::Output;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
 impl Access {
-    /// The time on the steady clock, in microseconds, at which [`Access::tick`] is next due; `Micros::MAX` if
-    /// nothing is.
+    /// Returns the time on the steady clock, in microseconds, at which [`Access::tick`] is next
+    /// due; `Micros::MAX` if nothing is scheduled.
     pub fn due(&self, steady: Micros) -> Micros {
         self.versions
             .due()
@@ -17,65 +17,71 @@
             .min(self.shares.due(steady))
     }
 
-    /// Does what is due: renews the lease, reads and changes the version, writes counts, and moves shares of
-    /// limits. To be called at [`Access::due`]; a call before that does no harm.
-    pub fn tick(&mut self, at: Moment) {
+    /// Does the work that is due: renews the lease, reads and changes the version, stores counts,
+    /// and moves shares of limits. Must be called at [`Access::due`]; an earlier call does no harm.
+    pub fn tick(&mut self, at: ClockReading) {
         self.versions.tick(at);
-        self.shares.tick(at, &mut || self.versions.number());
-        self.count_those_with_shares();
-        self.hits.tick(at, &mut || self.versions.number());
+        self.shares
+            .tick(at, &mut || self.versions.next_request_number());
+        self.count_statements_with_shares();
+        self.hits
+            .tick(at, &mut || self.versions.next_request_number());
         self.revoke_barred(at);
     }
 
-    /// Those that have their shares now wait for their count.
-    fn count_those_with_shares(&mut self) {
+    /// Counts the hits of statements that now have their shares of all limits.
+    fn count_statements_with_shares(&mut self) {
         for statement in std::mem::take(&mut self.shares.ready) {
-            if let Some(open) = self.open.get_mut(&statement) {
-                self.hits.count(statement, std::mem::take(&mut open.hits));
+            if let Some(open) = self.open_statements.get_mut(&statement) {
+                self.hits
+                    .count(statement, std::mem::take(&mut open.uncounted_hits));
             }
         }
     }
 
-    /// The ledger has answered. False if it was not asked here.
-    pub fn on_ledger_answer(&mut self, at: Moment, done: LedgerAnswer) -> bool {
-        let LedgerAnswer { number, outcome } = done;
+    /// Handles an answer of the ledger. Returns false if the request was not made here.
+    pub fn on_ledger_answer(&mut self, at: ClockReading, answer: LedgerAnswer) -> bool {
+        let LedgerAnswer { number, outcome } = answer;
         let versions = &mut self.versions;
-        let was_asked = versions.done(at, number, outcome.clone())
+        let was_requested = versions.on_ledger_answer(at, number, outcome.clone())
             || self
                 .hits
-                .done(at, number, outcome.clone(), &mut || versions.number())
+                .on_ledger_answer(at, number, outcome.clone(), &mut || {
+                    versions.next_request_number()
+                })
             || self
                 .shares
-                .done(at, number, outcome, &mut || versions.number());
-        self.count_those_with_shares();
-        self.hits.tick(at, &mut || self.versions.number());
+                .on_ledger_answer(at, number, outcome, &mut || versions.next_request_number());
+        self.count_statements_with_shares();
+        self.hits
+            .tick(at, &mut || self.versions.next_request_number());
         self.revoke_barred(at);
-        was_asked
+        was_requested
     }
 
-    /// Asks for the fleet's count; it comes with `Output`.
-    pub fn request_fleet_hits(&mut self, at: Moment) {
-        self.hits.sweep(at);
+    /// Requests the fleet's hit counts; they are returned in [`Output::fleet_hits`] once complete.
+    pub fn request_fleet_hits(&mut self, at: ClockReading) {
+        self.hits.request_fleet_hits(at);
     }
 
-    /// What is to be done since the last call. Each item is returned once.
-    pub fn take(&mut self) -> Output {
-        let mut ledger_requests = std::mem::take(&mut self.versions.asks);
-        ledger_requests.append(&mut self.hits.asks);
-        ledger_requests.append(&mut self.shares.asks);
+    /// Returns the work to be done since the last call. Each item is returned once.
+    pub fn take_output(&mut self) -> Output {
+        let mut ledger_requests = std::mem::take(&mut self.versions.ledger_requests);
+        ledger_requests.append(&mut self.hits.ledger_requests);
+        ledger_requests.append(&mut self.shares.ledger_requests);
         let events = self.take_events();
-        let swept = std::mem::take(&mut self.hits.swept);
+        let fleet_hits_ready = std::mem::take(&mut self.hits.fleet_hits_ready);
         Output {
             ledger_requests,
             events,
             counted: std::mem::take(&mut self.hits.counted),
-            over_limit: std::mem::take(&mut self.shares.refused),
+            over_limit: std::mem::take(&mut self.shares.rejected),
             revoked: std::mem::take(&mut self.revoked),
-            fleet_hits: swept.then(|| self.hits.fleet().clone()),
+            fleet_hits: fleet_hits_ready.then(|| self.hits.fleet().clone()),
         }
     }
 
-    /// Events for the log since the last call.
+    /// Returns the events for the log since the last call.
     fn take_events(&mut self) -> Vec<Event> {
         let mut events = std::mem::take(&mut self.versions.events);
         if std::mem::take(&mut self.hits.ledger_full) {
--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -1,70 +1,68 @@
-//! What can be wrong with a file of rules, or why its version is refused, in words that say what to do about it.
+//! Errors of a rules file, and reasons to reject its version, each with a remedy.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// Errors that are shown; one wrong name may stand in each of many rules.
-const MAX_SHOWN: usize = 100;
+/// The number of errors shown; one wrong name can appear in each of many rules.
+const MAX_SHOWN_ERRORS: usize = 100;
 
-/// What is wrong with a rule or a set.
+/// An error in a rule or a rule set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Problem {
     /// The file is not JSON5; holds the parser's message.
     #[error("{0}; write the file as JSON5")]
-    Form(String),
+    Syntax(String),
     /// An unknown key.
-    #[error("is not known; the keys here are {known}")]
-    Key {
+    #[error("unknown key; the keys allowed here are {known}")]
+    UnknownKey {
         /// The keys that are allowed at this path.
         known: &'static str,
     },
     /// A required key is missing.
     #[error("is missing; give {needs}")]
     Missing {
-        /// What has to be given.
+        /// The value that has to be given.
         needs: &'static str,
     },
     /// A value of the wrong type or out of range.
-    #[error("is no {needs}; give one")]
-    Kind {
+    #[error("has the wrong type or value; give {needs}")]
+    WrongType {
         /// The type and range that are expected.
         needs: &'static str,
     },
-    /// A name that the settings or the operator's file do not list.
+    /// A name that neither the settings nor the operator's file lists.
     #[error("'{name}' is not among the {list}: {known}; name one of them")]
-    Name {
+    UnknownName {
         /// The name as the file gives it.
         name: String,
-        /// Which list it was looked for in.
+        /// The list in which the name was looked up.
         list: &'static str,
         /// The names on that list, separated by commas.
         known: String,
     },
-    /// A rule about a customer whose statements a front without the rules would let through.
+    /// A rule about a customer whose statements a front without a lease on the rules would admit.
     #[error(
         "rule `{rule}` is about customer '{customer}', which `rules.customers` of the operator's file does not name: a \
-         front that is cut off would let it through; add it there at every front first"
+         front without a lease on the rules would admit its statements; add the customer there at every front first"
     )]
-    NotCovered {
+    CustomerNotCovered {
         /// The rule's name.
         rule: String,
         /// The customer that the operator's file has to list first.
         customer: String,
     },
     /// Two rules with one name.
-    #[error(
-        "rule `{rule}` has the name of the rule on line {line}; give each rule a name of its own"
-    )]
-    Twice {
+    #[error("rule `{rule}` has the name of the rule on line {line}; give each rule a unique name")]
+    DuplicateName {
         /// The name.
         rule: String,
-        /// The line of the first rule with it.
+        /// The line of the first rule with the name.
         line: usize,
     },
-    /// Keys of one rule that do not go together.
+    /// Keys of one rule that cannot be combined.
     #[error("rule `{rule}` {why}; {remedy}")]
-    Shape {
+    ConflictingKeys {
         /// The rule's name.
         rule: String,
         /// What is wrong with the combination.
@@ -72,28 +70,29 @@
         /// What the author of the file can do.
         remedy: &'static str,
     },
-    /// A rule that can never decide a statement, as another always goes before it.
+    /// A rule that can never decide a statement because another rule always takes precedence.
     #[error(
-        "rule `{rule}` can never match: rule `{by}` on line {line} goes before it wherever it would; take it out, or \
+        "rule `{rule}` can never match: rule `{by}` on line {line} takes precedence wherever it would; remove it, or \
          give it a higher priority"
     )]
     Shadowed {
         /// The rule's name.
         rule: String,
-        /// The rule that goes before it.
+        /// The rule that takes precedence.
         by: String,
         /// The line of that rule.
         line: usize,
     },
-    /// Two rules that match some statements in common, have the same precedence and disagree.
+    /// Two rules that match some of the same statements with equal precedence and different
+    /// effects.
     #[error(
-        "rule `{rule}` contradicts rule `{other}` on line {line}: both match some statements at the same height and \
-         say different things of them; give one a priority, or fields that tell them apart"
+        "rule `{rule}` contradicts rule `{other}` on line {line}: both match some statements with equal precedence and \
+         have different effects; give one a priority, or fields that distinguish them"
     )]
     Contradicts {
         /// The rule's name.
         rule: String,
-        /// The rule that it disagrees with.
+        /// The rule that it contradicts.
         other: String,
         /// The line of that rule.
         line: usize,
@@ -103,7 +102,7 @@
         "rule `{rule}` bars every region that workload `{workload}` is bound to; name one of {bound}, or give the \
          rule a workload"
     )]
-    NoEngine {
+    NoLocation {
         /// The rule's name.
         rule: String,
         /// The workload that could run nowhere.
@@ -111,12 +110,12 @@
         /// The locations that the workload is bound to, separated by commas.
         bound: String,
     },
-    /// A rule that denies a workload to everybody.
+    /// A rule that denies a workload to every customer.
     #[error(
-        "rule `{rule}` leaves workload `{workload}` with no engine for anybody; give the rule a customer, tables or a \
-         front, or add a rule before it that allows"
+        "rule `{rule}` leaves workload `{workload}` with no engine for any customer; give the rule a customer, tables or a \
+         front, or add an allowing rule of higher precedence"
     )]
-    AllDenied {
+    WorkloadDenied {
         /// The rule's name.
         rule: String,
         /// The workload.
@@ -127,55 +126,56 @@
         "the default 'deny' leaves workload `{workload}` with no engine, as no rule allows it; add one that does, or \
          state the default 'allow'"
     )]
-    NothingAllowed {
+    WorkloadNotAllowed {
         /// The workload.
         workload: String,
     },
     /// More rules than a file may hold.
-    #[error("holds {count} rules, more than {most}; give fewer")]
-    TooMany {
-        /// How many the file holds.
+    #[error("holds {count} rules, more than {max}; give fewer")]
+    TooManyRules {
+        /// The number of rules in the file.
         count: usize,
-        /// How many it may hold.
-        most: usize,
+        /// The number of rules allowed.
+        max: usize,
     },
 }
 
-/// An error with the path of what it is about; its line is looked up later.
+/// An error with the path of the value that is wrong; its line is looked up later.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LocatedProblem {
-    /// Where in the file, as in `rules[2].name`; empty for the file as a whole.
+    /// The path in the file, such as `rules[2].name`; empty for the file as a whole.
     pub path: String,
-    /// What is wrong there.
-    pub what: Problem,
+    /// What is wrong with the value.
+    pub problem: Problem,
 }
 
-/// One error, with the path and the line of what it is about.
+/// An error with the path and the line of the value that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileError {
-    /// Where in the file, as in `rules[2].name`; empty for the file as a whole.
+    /// The path in the file, such as `rules[2].name`; empty for the file as a whole.
     pub path: String,
-    /// The line on which that path begins, if it is known; the first line is 1.
+    /// The line on which the value begins, counted from 1, if it is known.
     pub line: Option<usize>,
-    /// What is wrong there.
-    pub what: Problem,
+    /// What is wrong with the value.
+    pub problem: Problem,
 }
 
 impl fmt::Display for FileError {
-    /// The line, the path and the error; what names its rule needs no path beside it.
+    /// Writes the line, the path and the error. The path is left out where the error names its
+    /// rule.
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         if let Some(line) = self.line {
             write!(out, "{line}:")?;
         }
-        let what = self.what.to_string();
-        if !self.path.is_empty() && !what.starts_with("rule `") {
+        let text = self.problem.to_string();
+        if !self.path.is_empty() && !text.starts_with("rule `") {
             write!(out, " {}:", self.path)?;
         }
-        write!(out, " {what}")
+        write!(out, " {text}")
     }
 }
 
-/// All errors of a file at once.
+/// All errors of a file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct FileErrors {
     /// The file's name, as the operator gave it.
@@ -186,39 +186,39 @@
 
 impl fmt::Display for FileErrors {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        for (at, error) in self.errors.iter().take(MAX_SHOWN).enumerate() {
-            let lead = if at == 0 { "" } else { "\n" };
-            write!(out, "{lead}{}:{error}", self.file)?;
+        for (at, error) in self.errors.iter().take(MAX_SHOWN_ERRORS).enumerate() {
+            let separator = if at == 0 { "" } else { "\n" };
+            write!(out, "{separator}{}:{error}", self.file)?;
         }
-        match self.errors.len().saturating_sub(MAX_SHOWN) {
+        match self.errors.len().saturating_sub(MAX_SHOWN_ERRORS) {
             0 => Ok(()),
-            more => write!(out, "\nand {more} more faults"),
+            hidden => write!(out, "\nand {hidden} more errors"),
         }
     }
 }
 
-/// Why a set that is well in itself does not become the fleet's.
+/// The reason why a valid rules file does not become the fleet's version.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refused {
-    /// The version stated is lower than the one in force.
+pub enum ChangeError {
+    /// The stated version is lower than the fleet's.
     #[error(
-        "{file}: version {stated} is not above the fleet's {has}, which stays; state {next} to change it"
+        "{file}: version {stated} is not above the fleet's {current}, which stays; state {next} to change it"
     )]
-    Old {
+    VersionTooLow {
         /// The file's name.
         file: String,
         /// The version that the file states.
         stated: u64,
         /// The fleet's version.
-        has: u64,
+        current: u64,
         /// The version to state instead.
         next: u64,
     },
-    /// The version stated is in force already, with another text.
+    /// The fleet already has the stated version, with a different text.
     #[error(
-        "{file}: version {stated} is the fleet's already, with other contents, which stay; state {next} to change them"
+        "{file}: version {stated} is already the fleet's, with other contents, which stay; state {next} to change them"
     )]
-    Other {
+    VersionTaken {
         /// The file's name.
         file: String,
         /// The version that the file states.
@@ -226,12 +226,12 @@
         /// The version to state instead.
         next: u64,
     },
-    /// Another front's change to the same version won the compare and swap.
+    /// Another front's change to the same version won the compare-and-swap.
     #[error(
-        "{file}: version {stated} lost to another front's change in the same moment, which stays; read it, and state \
+        "{file}: version {stated} lost to a concurrent change by another front, which stays; read it, and state \
          {next}"
     )]
-    Lost {
+    ConcurrentChange {
         /// The file's name.
         file: String,
         /// The version that the file states.
@@ -239,9 +239,9 @@
         /// The version to state instead.
         next: u64,
     },
-    /// A roll-back to a version that is kept no longer.
+    /// A roll-back to a version that is no longer kept.
     #[error("{file}: `roll_back_to` names version {to}, which is not among the last ones kept ({kept}); name one of them")]
-    NotKept {
+    VersionNotKept {
         /// The file's name.
         file: String,
         /// The version to roll back to.
@@ -250,13 +250,13 @@
         kept: String,
     },
     /// A text that is too long for the ledger.
-    #[error("{file}: holds {bytes} bytes, more than {most}; give fewer rules or shorter ones")]
-    TooLong {
+    #[error("{file}: holds {bytes} bytes, more than {max}; give fewer rules or shorter ones")]
+    TextTooLong {
         /// The file's name.
         file: String,
         /// The length of the text in bytes.
         bytes: usize,
         /// The length allowed, in bytes.
-        most: usize,
+        max: usize,
     },
 }
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -1,10 +1,13 @@
-//! Incarnations of a front that can write no more are folded into one table of the fleet, each row exactly once.
+//! Folds the counts of incarnations that can no longer write into one table of the fleet, each row
+//! exactly once.
 //!
-//! A later incarnation of the same front does it: it is in the list of incarnations, so an earlier one that goes on all
-//! the same can neither list nor count any more. It closes the pages of the earliest incarnation (a put of that one that
-//! is still on its way finds another version), adds its rows to each part of the fleet's table that they belong to, and
-//! then takes it out of the list. A part names, for each front, the last incarnation that is in it: what was added is
-//! never added again, whoever goes on from whatever step.
+//! A later incarnation of the same front folds an earlier one. The later one is in the list of
+//! incarnations, so an earlier process that is still running can neither list pages nor count any
+//! more. The fold closes the pages of the earliest incarnation (a put by that incarnation still in
+//! flight then finds another version and fails), adds its rows to the parts of the fleet's table
+//! that they belong to, and then removes it from the list. Each part records, for each front, the
+//! last incarnation added to it, so counts are never added twice, whichever process continues a
+//! fold and from whichever step.
 
 use std::collections::BTreeMap;
 
@@ -16,45 +19,46 @@
     decode, decode_counts, encode, encode_closed, folded_key, is_closed, list_key, page_key,
     IncarnationList, ListedIncarnation,
 };
-use super::{FoldStep, Hit, HitCounts, Hits, Pending, OTHERS};
+use super::{FoldStep, Hit, HitCounts, Hits, Pending, OVERFLOW_NAME};
 use crate::FrontId;
 
-/// Parts of the fleet's table.
-pub(super) const FOLDED_PARTS: usize = 16;
-/// Rows of a part; rows beyond are counted under any customer.
-const MAX_ROWS: usize = 256;
-/// Milliseconds for which the page of a folded incarnation stays closed, without its counts.
+/// The number of parts of the fleet's table.
+pub(super) const FOLDED_PART_COUNT: usize = 16;
+/// The number of rows in a part; further rows are counted under any customer and region.
+const MAX_PART_ROWS: usize = 256;
+/// Milliseconds for which a page of a folded incarnation stays closed, without its counts.
 const CLOSED_PAGE_MS: u64 = 7 * 86_400_000;
 
 /// A part of the fleet's table. Fields are positional in the stored part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Folded {
+pub(super) struct FoldedCounts {
     pub counts: HitCounts,
-    /// Of each front the last incarnation that is in it.
+    /// For each front, the last incarnation whose counts are included.
     incarnations: BTreeMap<FrontId, u64>,
 }
 
-impl Folded {
-    /// Whether the counts of an incarnation are in it. Incarnations are folded in their order.
-    pub fn has(&self, owner: Owner) -> bool {
+impl FoldedCounts {
+    /// Returns whether an incarnation's counts are included. Incarnations are folded in ascending
+    /// order.
+    pub fn contains(&self, owner: Owner) -> bool {
         self.incarnations
             .get(&owner.front)
             .is_some_and(|last| *last >= owner.incarnation)
     }
 
     fn add(&mut self, owner: Owner, rows: &HitCounts) {
-        if self.has(owner) {
+        if self.contains(owner) {
             return;
         }
         self.incarnations.insert(owner.front, owner.incarnation);
         for (hit, count) in rows {
-            let has_room = self.counts.contains_key(hit) || self.counts.len() < MAX_ROWS;
-            let hit = if has_room {
+            let fits = self.counts.contains_key(hit) || self.counts.len() < MAX_PART_ROWS;
+            let hit = if fits {
                 hit.clone()
             } else {
                 Hit {
-                    customer: OTHERS.to_string(),
-                    region: OTHERS.to_string(),
+                    customer: OVERFLOW_NAME.to_string(),
+                    region: OVERFLOW_NAME.to_string(),
                     ..hit.clone()
                 }
             };
@@ -63,15 +67,15 @@
     }
 }
 
-/// A part of the fleet's table with its version in the ledger; 0 where it is not there yet.
+/// A part of the fleet's table with its version in the ledger; 0 if it is not stored yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct VersionedPart {
-    pub folded: Folded,
+    pub folded: FoldedCounts,
     pub version: u64,
 }
 
 impl VersionedPart {
-    /// None where the entry is of a format that this build does not know.
+    /// Decodes an entry; `None` if its format is unknown to this build.
     pub fn read(entry: &Entry) -> Option<VersionedPart> {
         Some(VersionedPart {
             folded: decode(&entry.value)?,
@@ -80,40 +84,40 @@
     }
 }
 
-/// The part that a row belongs to; the same in every build.
-pub(super) fn part_of(hit: &Hit) -> usize {
+/// Returns the part that a row belongs to; it must be the same in every build.
+pub(super) fn part_index(hit: &Hit) -> usize {
     let texts = [&hit.rule, &hit.customer, &hit.region];
     let hash = fnv1a(texts.into_iter().flat_map(|text| text.bytes().chain([0])));
-    ((hash ^ (hash >> 32)) % FOLDED_PARTS as u64) as usize
+    ((hash ^ (hash >> 32)) % FOLDED_PART_COUNT as u64) as usize
 }
 
-/// A page as it was read, to be closed on its version.
+/// A page as it was read; it is closed on condition of this version.
 struct OpenPage {
     counts: HitCounts,
     version: u64,
 }
 
-/// An earlier incarnation on its way into the fleet's table.
+/// The fold of an earlier incarnation into the fleet's table.
 pub(super) struct Fold {
     owner: Owner,
-    /// The page that is to be closed next, once it was read.
-    open: Option<OpenPage>,
-    /// Its pages as they were closed.
-    pages: Vec<HitCounts>,
-    /// How many pages it has.
-    count: usize,
-    /// What has yet to be added, by part; None until all pages are closed.
-    left: Option<BTreeMap<usize, HitCounts>>,
-    /// The part that is to be added to next, once it was read.
-    part: Option<VersionedPart>,
-    /// Pages that were emptied.
-    blanked: usize,
-    asking: bool,
-    /// Of a format that this build does not know: it stays as it is.
-    stuck: bool,
+    /// The page to be closed next, once it has been read.
+    open_page: Option<OpenPage>,
+    /// The counts of the pages closed so far.
+    closed_pages: Vec<HitCounts>,
+    /// The number of the incarnation's pages.
+    page_count: usize,
+    /// The rows that have yet to be added, by part; `None` until all pages are closed.
+    remaining: Option<BTreeMap<usize, HitCounts>>,
+    /// The part to be added to next, once it has been read.
+    open_part: Option<VersionedPart>,
+    /// The number of pages emptied so far.
+    cleared: usize,
+    request_pending: bool,
+    /// Whether an entry has a format unknown to this build; the incarnation is then left as it is.
+    is_unreadable: bool,
 }
 
-/// A request to the ledger that brings a fold one step on.
+/// A request to the ledger for the next step of a fold.
 struct Request {
     step: FoldStep,
     key: Key,
@@ -127,29 +131,29 @@
                 front,
                 incarnation: listed.incarnation,
             },
-            open: None,
-            pages: Vec::new(),
-            count: listed.pages as usize,
-            left: None,
-            part: None,
-            blanked: 0,
-            asking: false,
-            stuck: false,
+            open_page: None,
+            closed_pages: Vec::new(),
+            page_count: listed.pages as usize,
+            remaining: None,
+            open_part: None,
+            cleared: 0,
+            request_pending: false,
+            is_unreadable: false,
         }
     }
 
-    /// The next request; None once nothing is left but to take it out of the list.
+    /// Returns the next request; `None` once only the removal from the list remains.
     fn next_request(&self, wall_ms: u64) -> Option<Request> {
-        if self.pages.len() < self.count {
+        if self.closed_pages.len() < self.page_count {
             return Some(self.close_page());
         }
-        let left = self.left.as_ref();
-        if let Some((part, rows)) = left.and_then(|left| left.first_key_value()) {
+        let remaining = self.remaining.as_ref();
+        if let Some((part, rows)) = remaining.and_then(|remaining| remaining.first_key_value()) {
             return Some(self.add_to_part(*part, rows));
         }
-        (self.blanked < self.count).then(|| Request {
-            step: FoldStep::Blanking,
-            key: self.page_key(self.blanked),
+        (self.cleared < self.page_count).then(|| Request {
+            step: FoldStep::Clearing,
+            key: self.page_key(self.cleared),
             operation: Operation::Put {
                 expects: None,
                 ends_ms: wall_ms.saturating_add(CLOSED_PAGE_MS),
@@ -159,19 +163,19 @@
     }
 
     fn close_page(&self) -> Request {
-        let operation = match &self.open {
+        let operation = match &self.open_page {
             None => Operation::Read,
             Some(page) => put(page.version, encode_closed(&page.counts)),
         };
         Request {
             step: FoldStep::Closing,
-            key: self.page_key(self.pages.len()),
+            key: self.page_key(self.closed_pages.len()),
             operation,
         }
     }
 
     fn add_to_part(&self, part: usize, rows: &HitCounts) -> Request {
-        let operation = match &self.part {
+        let operation = match &self.open_part {
             None => Operation::Read,
             Some(VersionedPart { folded, version }) => {
                 let mut folded = folded.clone();
@@ -186,12 +190,12 @@
         }
     }
 
-    /// Takes the incarnation out of the list.
-    fn drop_from(&self, list: IncarnationList) -> Request {
+    /// Returns the request that removes the incarnation from the list.
+    fn delist(&self, list: IncarnationList) -> Request {
         let mut entries = list.entries;
         entries.retain(|entry| entry.incarnation != self.owner.incarnation);
         Request {
-            step: FoldStep::Dropping,
+            step: FoldStep::Delisting,
             key: list_key(self.owner.front),
             operation: put(list.version, encode(&entries)),
         }
@@ -205,23 +209,24 @@
         match outcome {
             Outcome::Stands(entry) => match decode_counts(&entry.value) {
                 Some(counts) if is_closed(&entry.value) => {
-                    self.pages.push(counts);
-                    self.open = None;
+                    self.closed_pages.push(counts);
+                    self.open_page = None;
                 }
                 Some(counts) => {
                     let version = entry.version;
-                    self.open = Some(OpenPage { counts, version });
+                    self.open_page = Some(OpenPage { counts, version });
                 }
-                None => self.stuck = true,
+                None => self.is_unreadable = true,
             },
-            // Listed, and never written: it may not be any more.
+            // The page was listed but never written. Closing it keeps the incarnation from writing
+            // it later.
             Outcome::Absent => {
-                self.open = Some(OpenPage {
+                self.open_page = Some(OpenPage {
                     counts: HitCounts::new(),
                     version: 0,
                 });
             }
-            Outcome::Held(_) => self.open = None,
+            Outcome::Held(_) => self.open_page = None,
             Outcome::Unreachable | Outcome::Full => {}
         }
     }
@@ -229,34 +234,37 @@
     fn on_adding(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Stands(entry) => match VersionedPart::read(&entry) {
-                Some(part) if part.folded.has(self.owner) => {
-                    if let Some(left) = &mut self.left {
-                        left.pop_first();
+                Some(part) if part.folded.contains(self.owner) => {
+                    if let Some(remaining) = &mut self.remaining {
+                        remaining.pop_first();
                     }
-                    self.part = None;
+                    self.open_part = None;
                 }
-                Some(part) => self.part = Some(part),
-                None => self.stuck = true,
+                Some(part) => self.open_part = Some(part),
+                None => self.is_unreadable = true,
             },
-            Outcome::Absent if self.part.is_none() => self.part = Some(VersionedPart::default()),
-            _ => self.part = None,
+            Outcome::Absent if self.open_part.is_none() => {
+                self.open_part = Some(VersionedPart::default())
+            }
+            _ => self.open_part = None,
         }
     }
 
-    /// Once all pages are closed, sorts their rows by the parts that they belong to.
+    /// Once all pages are closed, groups their rows by the part that they belong to.
     fn sort_rows(&mut self) {
-        if self.left.is_some() || self.pages.len() != self.count {
+        if self.remaining.is_some() || self.closed_pages.len() != self.page_count {
             return;
         }
-        let mut left: BTreeMap<usize, HitCounts> = BTreeMap::new();
-        for (hit, count) in self.pages.iter().flatten() {
-            let rows = left.entry(part_of(hit)).or_default();
+        let mut remaining: BTreeMap<usize, HitCounts> = BTreeMap::new();
+        for (hit, count) in self.closed_pages.iter().flatten() {
+            let rows = remaining.entry(part_index(hit)).or_default();
             *rows.entry(hit.clone()).or_default() += count;
         }
-        self.left = Some(left);
+        self.remaining = Some(remaining);
     }
 }
 
+/// Returns a put that is applied only if the entry still has this version; 0 means no entry.
 fn put(version: u64, value: Vec<u8>) -> Operation {
     Operation::Put {
         expects: Some(version),
@@ -266,27 +274,27 @@
 }
 
 impl Hits {
-    /// Brings the earliest incarnation one step on; one after the other, so that what was folded is all up to an
-    /// incarnation.
+    /// Takes the next step of folding the earliest incarnation. Incarnations are folded one at a
+    /// time, so that each part includes every incarnation up to the last one recorded.
     pub(super) fn advance_fold(&mut self, wall_ms: u64, number: &mut impl FnMut() -> u64) {
         let Some(list) = self.list.clone() else {
             return;
         };
         if self.fold.is_none() {
             let earliest = self.earliest_to_fold(&list);
-            self.fold = earliest.map(|listed| Fold::new(self.own.front, listed));
+            self.fold = earliest.map(|listed| Fold::new(self.owner.front, listed));
         }
         let Some(fold) = &mut self.fold else { return };
-        if fold.asking || fold.stuck {
+        if fold.request_pending || fold.is_unreadable {
             return;
         }
         let request = match fold.next_request(wall_ms) {
             Some(request) => request,
-            None if self.listing => return,
-            None => fold.drop_from(list),
+            None if self.list_requested => return,
+            None => fold.delist(list),
         };
-        fold.asking = true;
-        self.ask(
+        fold.request_pending = true;
+        self.queue_request(
             number,
             Pending::Fold(request.step),
             request.key,
@@ -294,9 +302,10 @@
         );
     }
 
-    /// The earliest incarnation before this one. Only once this one is listed can an earlier one write no more.
+    /// Returns the earliest incarnation before this one. An earlier incarnation is certain not to
+    /// write any more only once this one is listed.
     fn earliest_to_fold(&self, list: &IncarnationList) -> Option<ListedIncarnation> {
-        let own = self.own.incarnation;
+        let own = self.owner.incarnation;
         if list.entries.iter().all(|entry| entry.incarnation != own) {
             return None;
         }
@@ -304,22 +313,22 @@
         earlier.min().copied()
     }
 
-    /// The ledger has answered a step.
+    /// Handles the ledger's answer to a step.
     pub(super) fn on_fold_answer(&mut self, step: FoldStep, outcome: Outcome) {
         let Some(fold) = &mut self.fold else { return };
-        fold.asking = false;
+        fold.request_pending = false;
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::Full);
         match step {
             _ if failed => {}
             FoldStep::Closing => fold.on_closing(outcome),
             FoldStep::Adding => fold.on_adding(outcome),
-            FoldStep::Blanking => fold.blanked += 1,
-            FoldStep::Dropping => return self.on_dropped(outcome),
+            FoldStep::Clearing => fold.cleared += 1,
+            FoldStep::Delisting => return self.on_delisted(outcome),
         }
         fold.sort_rows();
     }
 
-    fn on_dropped(&mut self, outcome: Outcome) {
+    fn on_delisted(&mut self, outcome: Outcome) {
         self.fold = None;
         match outcome {
             Outcome::Stands(entry) => {
@@ -329,7 +338,8 @@
                     version: entry.version,
                 });
             }
-            // The list has moved on: it is read anew, and what was folded is known by the parts.
+            // The list has changed meanwhile: it is read again, and the parts show which
+            // incarnations are folded.
             _ => self.list_is_stale = true,
         }
     }
--- a/crates/access/src/read/file.rs
+++ b/crates/access/src/read/file.rs
@@ -1,32 +1,32 @@
-//! A file of rules as a whole.
+//! Reads a rules file as a whole.
 
 use serde_json::{Map, Value};
 
-use super::reader::{whole, Reader};
+use super::reader::{read_unsigned, Reader};
 use super::RulesCommand;
 use crate::error::Problem;
 use crate::rule::{DefaultEffect, Rule, RuleSet};
 
-/// Rules in a file.
+/// The number of rules allowed in a file.
 const MAX_RULES: usize = 200_000;
 const KEYS: &str = "version, default, rules, roll_back_to, what_if";
-/// The keys of a roll-back.
+/// The keys allowed in a roll-back.
 const ROLL_BACK_KEYS: &str = "version, roll_back_to";
-/// The keys that don't go with a roll-back.
+/// The keys not allowed in a roll-back.
 const SET_KEYS: [&str; 3] = ["rules", "default", "what_if"];
 
 impl Reader<'_> {
-    /// None where the text can't be used; the reader then has the errors.
-    pub fn file(&mut self, text: &str) -> Option<RulesCommand> {
+    /// Returns `None` if the text cannot be used; the reader then holds the errors.
+    pub fn read_file(&mut self, text: &str) -> Option<RulesCommand> {
         let value: Value = match json5::from_str(text) {
             Ok(value) => value,
-            Err(e) => return self.problem("", Problem::Form(e.to_string())),
+            Err(e) => return self.fail("", Problem::Syntax(e.to_string())),
         };
         let Value::Object(file) = value else {
-            let needs = "object of version and rules";
-            return self.problem("", Problem::Kind { needs });
+            let needs = "an object of version and rules";
+            return self.fail("", Problem::WrongType { needs });
         };
-        self.keys("", &file, KEYS);
+        self.check_keys("", &file, KEYS);
         let version = self.version(&file);
         if let Some(to) = file.get("roll_back_to") {
             return self.roll_back(&file, version, to);
@@ -46,12 +46,12 @@
     fn version(&mut self, file: &Map<String, Value>) -> Option<u64> {
         let Some(value) = file.get("version") else {
             let needs = "a whole number that grows with each change";
-            return self.problem("version", Problem::Missing { needs });
+            return self.fail("version", Problem::Missing { needs });
         };
-        let needs = "whole number from 1";
-        whole(value)
+        let needs = "a whole number from 1";
+        read_unsigned(value)
             .filter(|version| *version > 0)
-            .or_else(|| self.problem("version", Problem::Kind { needs }))
+            .or_else(|| self.fail("version", Problem::WrongType { needs }))
     }
 
     fn roll_back(
@@ -62,10 +62,11 @@
     ) -> Option<RulesCommand> {
         for key in SET_KEYS.into_iter().filter(|key| file.contains_key(*key)) {
             let known = ROLL_BACK_KEYS;
-            self.report(key.to_string(), Problem::Key { known });
+            self.report(key.to_string(), Problem::UnknownKey { known });
         }
-        let needs = "version";
-        let to = whole(to).or_else(|| self.problem("roll_back_to", Problem::Kind { needs }))?;
+        let needs = "the version to restore";
+        let to = read_unsigned(to)
+            .or_else(|| self.fail("roll_back_to", Problem::WrongType { needs }))?;
         Some(RulesCommand::RollBack {
             version: version?,
             to,
@@ -75,12 +76,12 @@
     fn default_effect(&mut self, file: &Map<String, Value>) -> Option<DefaultEffect> {
         let needs = "'allow' or 'deny'";
         let Some(value) = file.get("default") else {
-            return self.problem("default", Problem::Missing { needs });
+            return self.fail("default", Problem::Missing { needs });
         };
         match value.as_str() {
             Some("allow") => Some(DefaultEffect::Allow),
             Some("deny") => Some(DefaultEffect::Deny),
-            _ => self.problem("default", Problem::Kind { needs }),
+            _ => self.fail("default", Problem::WrongType { needs }),
         }
     }
 
@@ -89,24 +90,24 @@
             Some(Value::Array(rules)) => rules,
             None => {
                 let needs = "a list of rules, which may be empty";
-                return self.problem("rules", Problem::Missing { needs });
+                return self.fail("rules", Problem::Missing { needs });
             }
             _ => {
-                let needs = "list of rules";
-                return self.problem("rules", Problem::Kind { needs });
+                let needs = "a list of rules";
+                return self.fail("rules", Problem::WrongType { needs });
             }
         };
         if rules.len() > MAX_RULES {
-            let what = Problem::TooMany {
+            let problem = Problem::TooManyRules {
                 count: rules.len(),
-                most: MAX_RULES,
+                max: MAX_RULES,
             };
-            return self.problem("rules", what);
+            return self.fail("rules", problem);
         }
         Some(rules)
     }
 
-    /// Whether the file only asks what its set would change.
+    /// Returns whether the file only asks what its rule set would change.
     fn what_if(&mut self, file: &Map<String, Value>) -> Option<bool> {
         let Some(value) = file.get("what_if") else {
             return Some(false);
@@ -114,14 +115,14 @@
         let needs = "true or false";
         value
             .as_bool()
-            .or_else(|| self.problem("what_if", Problem::Kind { needs }))
+            .or_else(|| self.fail("what_if", Problem::WrongType { needs }))
     }
 
-    /// The rules of the list; None where one is faulty. All are read, so that all errors are known.
+    /// Reads all rules, so that all errors are found; returns `None` if any rule has one.
     fn rules(&mut self, list: &[Value]) -> Option<Vec<Rule>> {
         let mut all = Some(Vec::new());
         for (at, value) in list.iter().enumerate() {
-            match (self.rule(at, value), &mut all) {
+            match (self.read_rule(at, value), &mut all) {
                 (Some(rules), Some(all)) => all.extend(rules),
                 (_, all) => *all = None,
             }
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -1,153 +1,158 @@
-//! What was asked here in the last hours, by kind and without texts; and what a set that is not in force would have
-//! decided of it.
+//! Records the statements received in the last hours by kind, without their texts, and reports
+//! which of them a proposed rule set would decide differently.
 
 use std::collections::{BTreeMap, HashMap};
 
+use crate::evaluate::{evaluate, Request};
 use crate::index::Index;
-use crate::judge::{judge, Request};
 use crate::shares::Limit;
-use crate::{Micros, Moment};
+use crate::{ClockReading, Micros};
 
-/// Kinds of statements, some 250 bytes each.
+/// The number of kinds of statements recorded; each takes about 250 bytes.
 const MAX_KINDS: usize = 4_096;
-/// Parts into which the time looked back at is cut.
-const PARTS: usize = 24;
+/// The number of slots into which the recorded time is divided.
+const SLOTS: usize = 24;
 
-/// What a set says of a statement.
+/// The decision of a rule set on a kind of statements.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Permission {
-    /// Turned away by a rule or by the default.
+    /// Denied by a rule or by the default.
     Denied,
-    /// At these locations (None: all), within these limits.
+    /// Allowed at some locations, within some limits.
     Allowed {
-        /// The locations at which it may be read; `None`: all.
+        /// The locations at which the statement may be read; `None` means all.
         locations: Option<Vec<String>>,
-        /// The limits that it counts against.
+        /// The limits that the statement counts against.
         limits: Vec<Limit>,
     },
 }
 
-/// Statements that two sets decide differently.
+/// Statements that two rule sets decide differently.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChangedDecision {
-    /// Whose statements they are.
+    /// The customer of the statements.
     pub customer: String,
     /// The workload of the statements.
     pub workload: String,
-    /// What the set in force says of them.
+    /// The decision of the rule set held.
     pub current: Permission,
-    /// What the other set would say of them.
+    /// The decision of the proposed rule set.
     pub proposed: Permission,
 }
 
-/// What a set would change, were it to hold now.
+/// The decisions that a rule set would change if it were in force now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WhatIfReport {
-    /// The version that holds, and the one that was asked about.
-    pub held: u64,
-    /// The version that was asked about.
-    pub version: u64,
-    /// How far the record goes back.
-    pub back: Micros,
-    /// Statements that the record holds.
+    /// The version held.
+    pub held_version: u64,
+    /// The proposed version.
+    pub proposed_version: u64,
+    /// How far back the record reaches, in microseconds.
+    pub covered_time: Micros,
+    /// The number of statements in the record.
     pub statements: u64,
-    /// Statements for whose kinds the record had no room.
-    pub unknown: u64,
-    /// The statements that would be decided differently, and how many there were of each kind.
+    /// The number of statements left out because the record had no space for their kind.
+    pub unrecorded: u64,
+    /// The statements that would be decided differently, with the number of each kind.
     pub changes: BTreeMap<ChangedDecision, u64>,
 }
 
-/// What was asked of one front over a sliding window of time, counted by kind.
+/// The statements that one front received in a sliding window of time, counted by kind.
 pub struct Record {
-    part: Micros,
-    begun: Option<Micros>,
-    /// The part that is being filled, since the clock began.
-    at: Micros,
-    kinds: HashMap<Request, [u32; PARTS]>,
-    unknown: [u64; PARTS],
+    slot_length: Micros,
+    started_at: Option<Micros>,
+    /// The slot being filled, counted from time 0 of the clock.
+    current_slot: Micros,
+    counts_by_request: HashMap<Request, [u32; SLOTS]>,
+    unrecorded: [u64; SLOTS],
 }
 
 impl Record {
-    /// Of the last so many microseconds; 0: of nothing.
-    pub fn new(back: Micros) -> Record {
-        let part = back / PARTS as Micros;
+    /// Creates a record of the last `window` microseconds; 0 disables it.
+    pub fn new(window: Micros) -> Record {
+        let slot_length = window / SLOTS as Micros;
         Record {
-            part,
-            begun: None,
-            at: 0,
-            kinds: HashMap::new(),
-            unknown: [0; PARTS],
+            slot_length,
+            started_at: None,
+            current_slot: 0,
+            counts_by_request: HashMap::new(),
+            unrecorded: [0; SLOTS],
         }
     }
 
-    /// Goes on to a time: what is older than the record goes back is forgotten.
+    /// Advances the record to a time and drops the slots that have left the window. Returns the
+    /// index of the present slot.
     fn advance(&mut self, now: Micros) -> usize {
-        let part = now.div_euclid(self.part);
-        let passed = if self.begun.is_none() {
+        let slot = now.div_euclid(self.slot_length);
+        let elapsed = if self.started_at.is_none() {
             0
         } else {
-            (part - self.at).clamp(0, PARTS as Micros)
+            (slot - self.current_slot).clamp(0, SLOTS as Micros)
         };
-        for gone in 0..passed {
-            let place = (part - gone).rem_euclid(PARTS as Micros) as usize;
-            for counts in self.kinds.values_mut() {
-                counts[place] = 0;
+        for age in 0..elapsed {
+            let expired = (slot - age).rem_euclid(SLOTS as Micros) as usize;
+            for counts in self.counts_by_request.values_mut() {
+                counts[expired] = 0;
             }
-            self.unknown[place] = 0;
+            self.unrecorded[expired] = 0;
         }
-        if passed > 0 {
-            self.kinds
+        if elapsed > 0 {
+            self.counts_by_request
                 .retain(|_, counts| counts.iter().any(|count| *count > 0));
         }
-        self.at = self.at.max(part);
-        self.begun.get_or_insert(now);
-        part.rem_euclid(PARTS as Micros) as usize
+        self.current_slot = self.current_slot.max(slot);
+        self.started_at.get_or_insert(now);
+        slot.rem_euclid(SLOTS as Micros) as usize
     }
 
     /// Counts one statement.
     pub fn add(&mut self, now: Micros, request: &Request) {
-        if self.part <= 0 {
+        if self.slot_length <= 0 {
             return;
         }
-        let place = self.advance(now);
-        if !self.kinds.contains_key(request) {
-            if self.kinds.len() >= MAX_KINDS {
-                self.unknown[place] += 1;
+        let slot = self.advance(now);
+        if !self.counts_by_request.contains_key(request) {
+            if self.counts_by_request.len() >= MAX_KINDS {
+                self.unrecorded[slot] += 1;
                 return;
             }
-            self.kinds.insert(request.clone(), [0; PARTS]);
+            self.counts_by_request.insert(request.clone(), [0; SLOTS]);
         }
-        if let Some(counts) = self.kinds.get_mut(request) {
-            counts[place] = counts[place].saturating_add(1);
+        if let Some(counts) = self.counts_by_request.get_mut(request) {
+            counts[slot] = counts[slot].saturating_add(1);
         }
     }
 
-    /// What a set would decide otherwise than the one held, of what was asked, were it asked now.
+    /// Reports the recorded statements that a proposed rule set would decide differently from the
+    /// one held if they were received now.
     pub fn compare(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         region: &str,
         held: &Index,
-        other: &Index,
+        proposed_rules: &Index,
         known: &crate::KnownNames,
     ) -> WhatIfReport {
         let mut report = WhatIfReport {
-            held: held.set.version,
-            version: other.set.version,
+            held_version: held.set.version,
+            proposed_version: proposed_rules.set.version,
             ..WhatIfReport::default()
         };
-        if self.part <= 0 {
+        if self.slot_length <= 0 {
             return report;
         }
         self.advance(at.steady);
-        let back = self.begun.map_or(0, |begun| at.steady - begun);
-        report.back = back.min(self.part * PARTS as Micros);
-        report.unknown = self.unknown.iter().sum();
-        for (request, counts) in &self.kinds {
+        let covered_time = self
+            .started_at
+            .map_or(0, |started_at| at.steady - started_at);
+        report.covered_time = covered_time.min(self.slot_length * SLOTS as Micros);
+        report.unrecorded = self.unrecorded.iter().sum();
+        for (request, counts) in &self.counts_by_request {
             let count = counts.iter().map(|count| u64::from(*count)).sum::<u64>();
             report.statements += count;
-            let by = |index: &Index| decided(index, known, region, request, at.wall_ms);
-            let (current, proposed) = (by(held), by(other));
+            let permission_under =
+                |index: &Index| permission(index, known, region, request, at.wall_ms);
+            let (current, proposed) = (permission_under(held), permission_under(proposed_rules));
             if current != proposed {
                 let (customer, workload) = (request.customer.clone(), request.workload.clone());
                 *report
@@ -165,20 +170,20 @@
     }
 }
 
-fn decided(
+fn permission(
     index: &Index,
     known: &crate::KnownNames,
     region: &str,
     request: &Request,
     wall_ms: u64,
 ) -> Permission {
-    let verdict = judge(index, region, request, wall_ms, None);
+    let verdict = evaluate(index, region, request, wall_ms, None);
     if verdict.denied.is_some() {
         return Permission::Denied;
     }
-    let places = verdict.allowed.as_ref();
+    let locations = verdict.allowed.as_ref();
     Permission::Allowed {
-        locations: places.map(|places| known.location_names(places)),
+        locations: locations.map(|locations| known.location_names(locations)),
         limits: index.limits(&verdict),
     }
 }
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -15,21 +15,21 @@
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn connections_are_made_at_their_pace_and_those_that_are_there_are_used_at_any_time() {
+fn new_connections_are_paced_and_existing_ones_are_used_at_any_time() {
     let event_loop: calloop::EventLoop<'static, LoopEvents> =
         calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowance = NetworkSettings {
+    let network = NetworkSettings {
         cancel: true,
         executions_per_connection: 2,
         ..NetworkSettings::default()
     };
-    let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
-    engines.limit(256);
+    let mut engines = Engines::new(event_loop.handle(), network, &Names::default());
+    engines.set_descriptor_limit(256);
     let mut dials = ConnectionPacer::new(true, 0, 0);
     dials.set_rate(0, 1.0);
     engines.dials.replace(dials);
-    engines.list(0, listed(listener.local_addr().unwrap()));
+    engines.update_engine(0, listed(listener.local_addr().unwrap()));
     let send = |engines: &mut Engines, now: Micros, ticket: Ticket| {
         let call = Rc::new(Call {
             id: ticket.to_string(),
@@ -49,13 +49,13 @@
             },
         );
     };
-    // The first connection may be made a second after the start.
+    // The first connection may be dialled one second after the start.
     assert_eq!(engines.capacity(SECOND - 1, 0), 0);
     send(&mut engines, SECOND - 1, 1);
     let withdrawn = |event: Option<Event>| {
         matches!(
             event,
-            Some(Event::Ended {
+            Some(Event::ExecutionEnded {
                 ending: Ending::Withdrawn,
                 ..
             })
@@ -68,7 +68,8 @@
         (engines.capacity(SECOND, 0), engines.connections.len()),
         (1, 1)
     );
-    // The connection takes another at once; a probe does not wait until a connection may be made: it is not sent then.
+    // The existing connection accepts another execution at once. A probe that would need a new connection is not
+    // sent instead of waiting for one.
     send(&mut engines, SECOND + 1, 3);
     assert_eq!(
         (engines.capacity(SECOND + 1, 0), engines.connections.len()),
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of engines: results put together from their pages, progress notes, answers to health checks.
+//! Replies of engines: results assembled from their pages, progress reports, answers to health checks.
 
 use std::io::{Error, ErrorKind};
 
@@ -8,22 +8,22 @@
 
 use super::connection::{ConnectionId, EngineConnection};
 use super::execution::{Execution, Stage};
-use super::result_pages::{PageOutcome, ResultPages, MOST_PAGES};
+use super::result_pages::{PageOutcome, ResultPages, MAX_PAGES};
 use super::{Engines, Event};
 use crate::execution::ExecutionId;
 use crate::link::{Broken, ReadOutcome};
 
-/// How far the lines of an input were taken.
-enum LinesTaken {
-    /// So many bytes were taken; the rest is less than a line.
+/// The outcome of handling the lines of an input.
+enum LinesOutcome {
+    /// This many bytes were consumed; the remaining bytes are an incomplete line.
     UpTo(usize),
     Unreadable(ParseError),
-    /// A line has closed the connection.
+    /// Handling a line closed the connection.
     ConnectionClosed,
 }
 
 impl Engines {
-    /// A connection has changed; true if there is more for another iteration.
+    /// Reads a connection that the event loop reported as ready; true if more is left for another iteration.
     pub fn read(&mut self, now: Micros, id: ConnectionId) -> bool {
         if !self.is_up(now, id) {
             return false;
@@ -33,19 +33,19 @@
         };
         let ReadOutcome { has_more, broken } = connection.link.read();
         let input = std::mem::take(&mut connection.link.input);
-        match self.take_lines(now, id, &input) {
-            LinesTaken::ConnectionClosed => return false,
-            LinesTaken::Unreadable(what) => {
+        match self.handle_lines(now, id, &input) {
+            LinesOutcome::ConnectionClosed => return false,
+            LinesOutcome::Unreadable(error) => {
                 log::warn!(
-                    "engine {}: {what}; its connection is closed",
+                    "engine {}: {error}; its connection is closed",
                     self.engine_name(id)
                 );
                 self.close(now, id, Ending::Unreadable);
             }
-            LinesTaken::UpTo(taken) => {
+            LinesOutcome::UpTo(consumed) => {
                 if let Some(connection) = self.connections.get_mut(&id) {
                     connection.link.input = input;
-                    connection.keep_partial_line(now, taken);
+                    connection.keep_partial_line(now, consumed);
                 }
             }
         }
@@ -55,7 +55,7 @@
         has_more
     }
 
-    /// Whether a connection is up. One that has just come up is noted so; one that failed is closed.
+    /// Whether a connection is up. One that has just come up is marked connected; one that failed is closed.
     fn is_up(&mut self, now: Micros, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
@@ -65,26 +65,26 @@
         }
         match connection.link.is_up() {
             Ok(true) => {
-                self.came_up(id);
+                self.mark_connected(id);
                 true
             }
             Ok(false) => false,
             Err(error) => {
-                self.close(now, id, ending_of_dial(&error));
+                self.close(now, id, ending_of_broken_dial(&error));
                 false
             }
         }
     }
 
-    /// A connection has come up: health checks that wait for it are written.
-    fn came_up(&mut self, id: ConnectionId) {
+    /// Marks a connection as up and writes the health checks that waited for it.
+    fn mark_connected(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         connection.up = true;
-        let engine = self.engines.get_mut(&connection.place);
-        if let Some(engine) = engine.filter(|engine| engine.failing) {
-            engine.failing = false;
+        let engine = self.engines.get_mut(&connection.engine_index);
+        if let Some(engine) = engine.filter(|engine| engine.is_unreachable) {
+            engine.is_unreachable = false;
             log::info!("engine {}: reached again", engine.id);
         }
         for tag in connection.probes.keys() {
@@ -92,48 +92,51 @@
         }
     }
 
-    /// Takes all whole lines of an input.
-    fn take_lines(&mut self, now: Micros, id: ConnectionId, input: &[u8]) -> LinesTaken {
-        let mut taken = 0;
+    /// Handles all complete lines of an input.
+    fn handle_lines(&mut self, now: Micros, id: ConnectionId, input: &[u8]) -> LinesOutcome {
+        let mut consumed = 0;
         loop {
-            match engine::read(&input[taken..], &self.report_names) {
-                Ok(None) => return LinesTaken::UpTo(taken),
-                Err(what) => return LinesTaken::Unreadable(what),
+            match engine::read(&input[consumed..], &self.report_names) {
+                Ok(None) => return LinesOutcome::UpTo(consumed),
+                Err(error) => return LinesOutcome::Unreadable(error),
                 Ok(Some(Decoded { len, message })) => {
-                    taken += len;
-                    self.take_line(now, id, message);
+                    consumed += len;
+                    self.handle_line(now, id, message);
                     if !self.connections.contains_key(&id) {
-                        return LinesTaken::ConnectionClosed;
+                        return LinesOutcome::ConnectionClosed;
                     }
                 }
             }
         }
     }
 
-    fn take_line(&mut self, now: Micros, id: ConnectionId, line: Reply) {
+    fn handle_line(&mut self, now: Micros, id: ConnectionId, line: Reply) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.last_reply = now;
+        connection.last_reply_at = now;
         if let ReplyKind::ProbeAnswer { healthy } = line.kind {
-            return self.take_probe_answer(id, healthy, line);
+            return self.handle_probe_answer(id, healthy, line);
         }
         let Some(&execution_id) = connection.open.get(line.id) else {
-            return self.take_late_reply(now, id, &line);
+            return self.handle_late_reply(now, id, &line);
         };
         let execution = self.executions.get_mut(&execution_id);
-        let Some(execution) = execution.filter(|execution| execution.stage == Stage::Out) else {
+        let Some(execution) = execution.filter(|execution| execution.stage == Stage::Sent) else {
             return;
         };
-        execution.last_reply = now;
-        if let Some(note) = note_of(&line.kind) {
-            return self.events.push(Event::Noted { execution_id, note });
+        execution.last_reply_at = now;
+        if let Some(progress) = progress_of(&line.kind) {
+            return self.events.push(Event::Progress {
+                execution_id,
+                progress,
+            });
         }
-        match execution.take_reply(now, &line, connection.link.output()) {
+        match execution.apply_reply(now, &line, connection.link.output()) {
             None => {}
             Some(Ending::Unreadable) => {
                 log::warn!(
-                    "engine {}: a spoilt result; its connection is closed",
+                    "engine {}: invalid result; its connection is closed",
                     self.engine_name(id)
                 );
                 self.close(now, id, Ending::Unreadable);
@@ -142,23 +145,23 @@
         }
     }
 
-    fn take_probe_answer(&mut self, id: ConnectionId, healthy: bool, line: Reply) {
+    fn handle_probe_answer(&mut self, id: ConnectionId, healthy: bool, line: Reply) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         if connection.probes.remove(line.id).is_some() {
-            self.events.push(Event::Probed {
-                place: connection.place,
+            self.events.push(Event::ProbeEnded {
+                engine_index: connection.engine_index,
                 alive: healthy,
                 report: line.report,
             });
         }
     }
 
-    /// What is said of an execution that was given up or is unknown means nothing any more, but that it runs on
-    /// no longer.
-    fn take_late_reply(&mut self, now: Micros, id: ConnectionId, line: &Reply) {
-        let is_over = matches!(
+    /// Handles a reply about an execution that was cancelled or is unknown. It only shows whether the execution
+    /// still runs; where cancelling is not allowed, one that has ended frees its place on the connection.
+    fn handle_late_reply(&mut self, now: Micros, id: ConnectionId, line: &Reply) {
+        let has_ended = matches!(
             line.kind,
             ReplyKind::FirstPage { .. }
                 | ReplyKind::Rejected
@@ -168,7 +171,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if is_over && !self.allowance.cancel && connection.cancelled.remove(line.id) {
+        if has_ended && !self.network.cancel && connection.cancelled.remove(line.id) {
             connection.idle_since = now;
             engine::write(
                 connection.link.output(),
@@ -177,7 +180,7 @@
         }
     }
 
-    /// An execution ends as its engine has said.
+    /// Ends an execution with the ending that its engine's reply determines.
     fn end_by_reply(
         &mut self,
         now: Micros,
@@ -204,12 +207,12 @@
         if ending == Ending::Answered {
             self.reuse.record_answer();
         } else {
-            let former_ids = if self.allowance.cancel {
+            let ended_ids = if self.network.cancel {
                 &mut connection.cancelled
             } else {
                 &mut connection.finished
             };
-            former_ids.insert(line.id.to_string());
+            ended_ids.insert(line.id.to_string());
         }
         log::debug!(
             "statement {}: execution {} ended: {ending:?}",
@@ -221,7 +224,7 @@
             Ending::Answered => pages.into_bytes(),
             _ => Vec::new(),
         };
-        self.events.push(Event::Ended {
+        self.events.push(Event::ExecutionEnded {
             execution_id,
             ending,
             report,
@@ -231,22 +234,22 @@
 }
 
 impl EngineConnection {
-    /// So many bytes of the input were taken; the rest is kept, and since when it is awaited.
-    fn keep_partial_line(&mut self, now: Micros, taken: usize) {
-        self.link.consume(taken);
-        let awaited_before = self.partial_line_since.filter(|_| taken == 0);
+    /// Drops the consumed bytes of the input and records since when the remaining partial line is incomplete.
+    fn keep_partial_line(&mut self, now: Micros, consumed: usize) {
+        self.link.consume(consumed);
+        let since_earlier = self.partial_line_since.filter(|_| consumed == 0);
         let is_partial = !self.link.input.is_empty();
-        self.partial_line_since = is_partial.then(|| awaited_before.unwrap_or(now));
+        self.partial_line_since = is_partial.then(|| since_earlier.unwrap_or(now));
     }
 }
 
 impl Execution {
-    /// Takes a reply that is no note; how the execution ends by it, if it does. Commands for further pages go to
-    /// `output`.
-    fn take_reply(&mut self, now: Micros, line: &Reply, output: &mut Vec<u8>) -> Option<Ending> {
+    /// Applies a reply that is no progress report; returns how the execution ends by it, if it does. Requests for
+    /// further pages are written to `output`.
+    fn apply_reply(&mut self, now: Micros, line: &Reply, output: &mut Vec<u8>) -> Option<Ending> {
         match line.kind {
-            ReplyKind::FirstPage { pages } => self.take_first_page(now, pages, line, output),
-            ReplyKind::Page { number } => self.take_page(now, number, line.bytes),
+            ReplyKind::FirstPage { pages } => self.add_first_page(now, pages, line, output),
+            ReplyKind::Page { number } => self.add_page(now, number, line.bytes),
             ReplyKind::Rejected if self.pages.is_none() => Some(Ending::Rejected),
             ReplyKind::Stale if self.pages.is_none() => Some(Ending::Stale),
             ReplyKind::Failed if self.pages.is_none() => Some(Ending::EngineFailed),
@@ -260,8 +263,9 @@
         }
     }
 
-    /// Takes the first page of a result of `count` pages and asks for the others; or a second copy of it.
-    fn take_first_page(
+    /// Adds the first page of a result of `count` pages and requests the others. A second copy of the first page
+    /// requests nothing.
+    fn add_first_page(
         &mut self,
         now: Micros,
         count: usize,
@@ -269,7 +273,7 @@
         output: &mut Vec<u8>,
     ) -> Option<Ending> {
         match &self.pages {
-            None if count <= MOST_PAGES => {
+            None if count <= MAX_PAGES => {
                 self.pages = Some(ResultPages::new(now, count, line.report.clone()));
                 for page in 1..count {
                     engine::write(output, &Command::FetchPage { id: line.id, page });
@@ -278,12 +282,12 @@
             Some(pages) if pages.count() == count => {}
             _ => return Some(Ending::Unreadable),
         }
-        self.take_page(now, 0, line.bytes)
+        self.add_page(now, 0, line.bytes)
     }
 
-    /// Takes a page; one that nobody asked for is passed over.
-    fn take_page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
-        match self.pages.as_mut()?.take(now, number, bytes) {
+    /// Adds a page; one without a first page before it is ignored.
+    fn add_page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
+        match self.pages.as_mut()?.add(now, number, bytes) {
             PageOutcome::Incomplete => None,
             PageOutcome::Complete => Some(Ending::Answered),
             PageOutcome::Malformed => Some(Ending::Unreadable),
@@ -291,8 +295,8 @@
     }
 }
 
-/// What a reply notes of an execution that goes on.
-fn note_of(kind: &ReplyKind) -> Option<ProgressReport> {
+/// The progress that a reply reports of a running execution, if it is a progress report.
+fn progress_of(kind: &ReplyKind) -> Option<ProgressReport> {
     match *kind {
         ReplyKind::ShareDone(share) => Some(ProgressReport::ShareDone(share)),
         ReplyKind::SpillsMb(mb) => Some(ProgressReport::SpillsMb(mb)),
@@ -302,18 +306,18 @@
     }
 }
 
-/// How executions end whose connection did not come up.
-fn ending_of_dial(error: &Error) -> Ending {
+/// How executions end whose connection failed to come up.
+fn ending_of_broken_dial(error: &Error) -> Ending {
     match error.kind() {
         ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
-        // Whoever resets a connection is there.
+        // A reset proves that the engine's machine is reachable.
         ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::ResetWhileConnecting,
         _ => Ending::ConnectTimeout,
     }
 }
 
-/// How executions end that are out on a connection which broke. One that this system gave up is closed from here: its
-/// engine may run them until it has read so.
+/// How executions in flight end when their connection breaks. A connection that this system gave up counts as
+/// closed by this front: the engine may run the executions until it notices.
 pub(super) fn ending_of(broken: Broken) -> Ending {
     match broken {
         Broken::Closed => Ending::Closed,
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -1,4 +1,4 @@
-//! Writes to engines, and the end of a connection.
+//! Writes to engines, and the closing of connections.
 
 use hallmux_dispatcher::{Ending, Micros, Terms};
 use hallmux_native_codec::engine::{self, Command, ExecutionRequest};
@@ -9,11 +9,11 @@
 use crate::execution::ExecutionId;
 use crate::link::Broken;
 
-/// Bytes that an engine may leave untaken: a thousand small statements.
-pub(super) const MOST_UNSENT: usize = 1 << 20;
+/// Maximum unsent output of a connection in bytes: about a thousand small statements.
+pub(super) const MAX_UNSENT_BYTES: usize = 1 << 20;
 
 impl Engines {
-    /// A connection is over: each execution on it ends by how much of it has left.
+    /// Closes a connection. Each execution on it ends according to how much of it was sent.
     pub(super) fn close(&mut self, now: Micros, id: ConnectionId, ending: Ending) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -21,18 +21,19 @@
         let was_lost = matches!(ending, Ending::Reset | Ending::Closed)
             && connection.up
             && !connection.open.is_empty();
-        if was_lost && connection.last_reply < connection.resumed_at {
+        if was_lost && connection.last_reply_at < connection.resumed_at {
             self.reuse
                 .record_loss(connection.idle_before, now - connection.resumed_at);
         }
-        if let Some(engine) = self.engines.get_mut(&connection.place) {
+        if let Some(engine) = self.engines.get_mut(&connection.engine_index) {
             engine.connections.retain(|other| *other != id);
-            log_end(engine, &connection, ending);
+            log_close(engine, &connection, ending);
         }
         self.end_open_executions(connection, ending);
-        self.settle_unsent_cancels(id, ending);
+        self.end_unsent_cancels(id, ending);
     }
 
+    /// Ends the executions that are open on a closed connection, and fails its health checks.
     fn end_open_executions(&mut self, connection: EngineConnection, ending: Ending) {
         let mut open: Vec<ExecutionId> = connection.open.into_values().collect();
         open.sort_unstable();
@@ -43,20 +44,20 @@
             let ending = match execution.stage {
                 Stage::Queued if connection.up => Ending::Withdrawn,
                 Stage::Writing => Ending::HalfWritten,
-                Stage::Queued | Stage::Out => ending,
+                Stage::Queued | Stage::Sent => ending,
             };
             self.end_execution(execution_id, ending, None);
         }
         for _ in connection.probes {
-            self.events.push(Event::Probed {
-                place: connection.place,
+            self.events.push(Event::ProbeEnded {
+                engine_index: connection.engine_index,
                 alive: false,
                 report: None,
             });
         }
     }
 
-    /// Sends what is to leave. Of what is queued only as much is begun as the network takes.
+    /// Sends pending output. Queued executions are written only as far as the sockets accept them.
     pub fn flush(&mut self, now: Micros) {
         let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in ids {
@@ -66,12 +67,12 @@
                 self.close(now, id, ending);
             }
         }
-        self.cancels_flushed(now);
+        self.mark_cancels_sent(now);
     }
 
-    /// Sends what the network takes over a connection that is up. A statement may have run once its last byte
-    /// has left, whatever becomes of the commands behind it. Guards against one that has left and passes for
-    /// half written: that would prove that it has not run.
+    /// Sends what the socket accepts over a connection that is up. A statement may have run once its last byte was
+    /// sent, even if the commands behind it were not. It is marked as sent here, because a partly written
+    /// statement is treated as one that has not run.
     pub(super) fn flush_connection(&mut self, id: ConnectionId) -> Result<(), Broken> {
         let connection = self.connections.get_mut(&id);
         let Some(connection) = connection.filter(|connection| connection.up) else {
@@ -84,12 +85,12 @@
             .take_if(|writing| link.has_sent_up_to(writing.end));
         let execution = written.and_then(|written| self.executions.get_mut(&written.execution_id));
         if let Some(execution) = execution {
-            execution.stage = Stage::Out;
+            execution.stage = Stage::Sent;
         }
         flushed
     }
 
-    /// Begins what is queued as far as the network takes it. An error is how the connection ends.
+    /// Writes queued executions as far as the socket accepts them. An error is the ending of the connection.
     fn write_queue(&mut self, now: Micros, id: ConnectionId) -> Result<(), Ending> {
         loop {
             self.flush_connection(id).map_err(replies::ending_of)?;
@@ -97,8 +98,8 @@
             let Some(connection) = connection.filter(|connection| connection.up) else {
                 return Ok(());
             };
-            if connection.link.unsent() > MOST_UNSENT {
-                // Closed from here: its engine has yet to read so, as of anything that is given up.
+            if connection.link.unsent() > MAX_UNSENT_BYTES {
+                // Closed by this front: as with any cancel, the engine has yet to notice.
                 return Err(Ending::ClosedHere);
             }
             if connection.link.unsent() > 0 {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Writes an execution to the output of its connection, or keeps it here where it may not leave any more.
+    /// Writes an execution to the output of its connection, or withdraws it if it may no longer be sent.
     fn write_or_withdraw(&mut self, now: Micros, id: ConnectionId, execution_id: ExecutionId) {
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
@@ -119,10 +120,10 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let engine = self.engines.get(&connection.place);
-        if let Some(why) = withheld_because(now, engine, &execution.terms) {
+        let engine = self.engines.get(&connection.engine_index);
+        if let Some(reason) = withhold_reason(now, engine, &execution.terms) {
             let ticket = execution_id.ticket;
-            log::debug!("statement {ticket}: its execution stays here: {why}");
+            log::debug!("statement {ticket}: its execution is withdrawn unsent: {reason}");
             return self.withdraw(id, execution_id);
         }
         let request = ExecutionRequest {
@@ -135,7 +136,7 @@
             statement: &execution.call.statement,
         };
         if connection.open.len() == 1 {
-            connection.resume(now, self.allowance.dial_timeout);
+            connection.resume(now, self.network.dial_timeout);
         }
         engine::write(connection.link.output(), &Command::Execute(request));
         execution.stage = Stage::Writing;
@@ -148,7 +149,8 @@
 }
 
 impl EngineConnection {
-    /// It is taken up for its only execution: notes how long it had been idle since an earlier one, if any.
+    /// Records that an idle connection is used again, and how long it was idle since an earlier execution; zero if
+    /// there was none.
     fn resume(&mut self, now: Micros, dial_timeout: Micros) {
         let dialled_at = self.dial_by - dial_timeout;
         let was_used = self.idle_since > dialled_at;
@@ -157,34 +159,40 @@
     }
 }
 
-/// Logs the end of a connection. An engine that can't be reached is named once, until it is reached again.
-fn log_end(engine: &mut Engine, connection: &EngineConnection, ending: Ending) {
+/// Logs the end of a connection. An engine that can't be reached is logged once until it is reached again.
+fn log_close(engine: &mut Engine, connection: &EngineConnection, ending: Ending) {
     if !connection.up && (connection.retired || ending == Ending::ResetWhileConnecting) {
-        log::debug!("engine {}: connection lost while it came up", engine.id);
-    } else if !connection.up && !std::mem::replace(&mut engine.failing, true) {
-        log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
+        log::debug!(
+            "engine {}: connection lost while it was being set up",
+            engine.id
+        );
+    } else if !connection.up && !std::mem::replace(&mut engine.is_unreachable, true) {
+        log::warn!(
+            "engine {}: can't be reached: {ending:?}; further failures are not logged until it is reached",
+            engine.id
+        );
     } else if connection.up && !connection.open.is_empty() {
         let count = connection.open.len();
         log::warn!(
-            "engine {}: connection lost with {count} executions: {ending:?}",
+            "engine {}: connection lost with {count} executions: {ending:?}; those already sent may have run",
             engine.id
         );
     }
 }
 
-/// Why an execution that has waited for its connection may not leave any more, if so.
-fn withheld_because(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
+/// Why an execution that waited for its connection may no longer be sent; `None` if it may.
+fn withhold_reason(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
     let Some(_) = engine.filter(|engine| engine.available) else {
-        // It is withdrawn as soon as the list says so; if it is found here, a drain would not have been kept.
+        // Retiring an engine withdraws its queued executions; one that is found here would have broken a drain.
         log::error!(
-            "engine {}: an execution was still queued for it",
-            engine.map_or("?", |e| &e.id)
+            "engine {}: an execution was still queued for it although it drains or is gone; it is withdrawn",
+            engine.map_or("?", |engine| &engine.id)
         );
-        return Some("its engine drains or is gone");
+        return Some("its engine drains or was removed");
     };
     if now >= terms.deadline {
-        return Some("its client's time is up");
+        return Some("its client's deadline has passed");
     }
-    // Guards against a repeat that comes after its engines have forgotten the first one.
-    (now >= terms.send_by).then_some("engines may not know it for a repeat any more")
+    // After this time engines no longer deduplicate a repeat of the first execution.
+    (now >= terms.send_by).then_some("engines may no longer deduplicate it")
 }
--- a/crates/front/src/event_loop/graceful_shutdown.rs
+++ b/crates/front/src/event_loop/graceful_shutdown.rs
@@ -10,7 +10,7 @@
 //! 4. Once no client or session is left and no ledger request is pending (`is_done`), the loop and the process end.
 
 use super::EventLoopState;
-use crate::fleet::LoggedGuard;
+use crate::fleet::LoggedBarrier;
 use crate::postgres::gateway::Gateway;
 use crate::shutdown::LedgerDependency;
 
@@ -75,6 +75,6 @@
             && self.clients.len() == 0
             && self.gateway.as_ref().is_none_or(Gateway::is_done)
             // Ledger entries that this front holds are released first.
-            && self.guard.as_ref().is_none_or(LoggedGuard::is_idle)
+            && self.guard.as_ref().is_none_or(LoggedBarrier::is_idle)
     }
 }
--- a/crates/front/src/execution.rs
+++ b/crates/front/src/execution.rs
@@ -2,15 +2,18 @@
 
 use hallmux_dispatcher::Ticket;
 
-/// An execution, by its statement's ticket and its number among that statement's executions. Ordered by ticket first.
+/// Identifies an execution by its statement's ticket and its number among that statement's executions. Ordered by
+/// ticket first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ExecutionId {
+    /// The ticket of the statement.
     pub ticket: Ticket,
+    /// The execution's number among those of the statement.
     pub number: usize,
 }
 
 impl ExecutionId {
-    /// The execution of this number of a statement.
+    /// Creates the id of the execution with this number of a statement.
     pub fn new(ticket: Ticket, number: usize) -> ExecutionId {
         ExecutionId { ticket, number }
     }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -1,5 +1,6 @@
-//! Gossip with other fronts over datagrams: what this front has seen of engines goes out, what others have seen
-//! comes in. Switched on by the operator's file; off, it is not there.
+//! Gossip with other fronts over datagrams: sends this front's reports about engines, receives
+//! those of its peers, and carries the messages of lease elections, the ledger and summaries.
+//! Created only if the operator's file enables gossip.
 
 mod log_lines;
 mod start;
@@ -22,57 +23,59 @@
 use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::copies::{random_disk_id, Copies, Write, WriteOutcome};
-use super::members::{members, LedgerMembers};
+use super::members::{ledger_members, LedgerMembers};
 use super::votes::Votes;
 use crate::shutdown::LedgerDependency;
 use log_lines::LogState;
 
-/// Datagrams taken before others are served.
+/// Maximum number of datagrams read in one iteration of the event loop, so that other sockets are
+/// served too.
 const DATAGRAMS_PER_ITERATION: usize = 64;
-/// Bits of an ask's number that a part of the front counts in; the byte above them says which part.
-const PART_SHIFT: u32 = 56;
+/// Number of low bits of a ledger request's number in which a component of the front counts its
+/// requests. The byte above them identifies the component.
+const COMPONENT_SHIFT: u32 = 56;
 
-/// A message on a channel beside gossip.
+/// A message that a peer sent on a channel other than gossip.
 pub struct PeerMessage {
-    /// The front that has sent it.
+    /// The front that sent the message.
     pub from: PeerId,
     pub bytes: Vec<u8>,
 }
 
-/// This front and the others, by their keys, where a ledger is kept.
+/// The identities of this front and of all fronts that use the ledger.
 pub struct LedgerFleet {
-    pub own: PeerId,
-    /// All fronts whose keys count.
+    pub local_id: PeerId,
+    /// All fronts whose keys are accepted.
     pub fronts: Vec<PeerId>,
 }
 
-/// The other fronts: the socket to them, and what is exchanged with them.
+/// This front's connection to its peers: the socket, the state of the exchange, and durable storage.
 pub struct Peers {
     socket: Rc<UdpSocket>,
     exchange: Exchange,
-    names: BTreeMap<PeerId, String>,
+    peer_names: BTreeMap<PeerId, String>,
     random: RandomState,
     draws_made: u64,
-    /// The clock that leases go by: it runs evenly on, whatever becomes of the wall clock.
-    started: Instant,
+    /// Origin of the monotonic clock that leases use; steps of the wall clock don't affect it.
+    steady_start: Instant,
     votes: Option<Votes>,
-    /// Where copies of promises are kept; none: in memory alone.
+    /// Storage of this front's ledger replicas; None if they are in memory only.
     copies: Option<Copies>,
-    /// A disk that fails leaves them in memory.
+    /// Whether replicas continue in memory after the disk has failed.
     memory_on_disk_failure: bool,
-    log: LogState,
+    log_state: LogState,
     messages: BTreeMap<Channel, Vec<PeerMessage>>,
-    /// Answers of the ledger that their part of this front has not taken yet.
-    done: Vec<LedgerAnswer>,
-    /// A ledger is kept.
+    /// Answers of the ledger that the requesting component has not taken yet.
+    ledger_answers: Vec<LedgerAnswer>,
+    /// Whether this front uses a ledger.
     has_ledger: bool,
 }
 
-fn keys(gossip: &Gossip) -> Rc<Keys> {
+fn peer_keys(gossip: &Gossip) -> Rc<Keys> {
     Keys::new(&gossip.peers.iter().map(|peer| peer.key).collect::<Vec<_>>())
 }
 
-fn names(gossip: &Gossip) -> BTreeMap<PeerId, String> {
+fn peer_names(gossip: &Gossip) -> BTreeMap<PeerId, String> {
     gossip
         .peers
         .iter()
@@ -81,47 +84,53 @@
 }
 
 impl Peers {
-    /// The file was read again: its keys count from now on.
+    /// Applies the peers' keys and the ledger members of a configuration that was read again.
+    /// Members that can't be used are logged and change nothing.
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
-        self.names = names(gossip);
-        self.exchange.set_keys(keys(gossip));
+        self.peer_names = peer_names(gossip);
+        self.exchange.set_keys(peer_keys(gossip));
         if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.has_ledger) {
-            let LedgerMembers { members, addresses } = members(ledger);
-            if let Err(e) = self
-                .exchange
-                .set_ledger_members(self.moment(now), members, addresses)
+            let LedgerMembers { members, addresses } = ledger_members(ledger);
+            if let Err(e) =
+                self.exchange
+                    .set_ledger_members(self.clock_reading(now), members, addresses)
             {
                 log::error!("gossip.ledger.members is left as it was: {e}");
             }
         }
-        log::info!("{} keys of other fronts count", gossip.peers.len());
+        log::info!(
+            "gossip.peers: {} keys of fronts are accepted from now on",
+            gossip.peers.len()
+        );
     }
 
     /// When `tick` is next due, in Unix microseconds.
     pub fn due(&self, now: Micros) -> Micros {
-        self.exchange.due(self.moment(now))
+        self.exchange.due(self.clock_reading(now))
     }
 
-    /// Datagrams have come; true if there are more for another iteration.
-    pub fn read(&mut self, now: Micros) -> bool {
-        self.apply_durable(now);
+    /// Reads datagrams that have arrived. Returns true if more may be left for the next iteration.
+    pub fn receive_datagrams(&mut self, now: Micros) -> bool {
+        self.apply_write_outcomes(now);
         let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut bytes) {
                 Ok((len, from)) => {
-                    let out = self.exchange.receive(self.moment(now), from, &bytes[..len]);
-                    self.send(now, out);
+                    let output =
+                        self.exchange
+                            .receive(self.clock_reading(now), from, &bytes[..len]);
+                    self.send(now, output);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                // A peer that is gone shows here; it will show as silent as well.
+                // The system reports an unreachable peer here. Gossip notices its silence itself.
                 Err(_) => {}
             }
         }
         true
     }
 
-    fn moment(&self, now: Micros) -> ClockReading {
-        let steady = self.started.elapsed().as_micros() as Micros;
+    fn clock_reading(&self, now: Micros) -> ClockReading {
+        let steady = self.steady_start.elapsed().as_micros() as Micros;
         ClockReading {
             now,
             steady,
@@ -129,12 +138,13 @@
         }
     }
 
-    /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
+    /// Returns the messages received on a channel other than gossip. At most
+    /// `DATAGRAMS_PER_ITERATION` messages of each channel are kept until they are taken.
     pub fn take_messages(&mut self, channel: Channel) -> Vec<PeerMessage> {
         for message in self.exchange.take_received() {
-            let kept = self.messages.entry(message.channel).or_default();
-            if kept.len() < DATAGRAMS_PER_ITERATION {
-                kept.push(PeerMessage {
+            let queue = self.messages.entry(message.channel).or_default();
+            if queue.len() < DATAGRAMS_PER_ITERATION {
+                queue.push(PeerMessage {
                     from: message.from,
                     bytes: message.bytes,
                 });
@@ -143,12 +153,13 @@
         self.messages.remove(&channel).unwrap_or_default()
     }
 
-    /// Sends such a message; what does not go out is as if it were lost on the way.
+    /// Sends a message on a channel other than gossip. One that can't be sent counts as lost on the
+    /// network.
     pub fn send_message(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
-        let at = self.moment(now);
+        let clock = self.clock_reading(now);
         let datagrams = self
             .exchange
-            .channel_datagram(at, to, channel, bytes)
+            .channel_datagram(clock, to, channel, bytes)
             .into_iter()
             .collect();
         self.send(
@@ -160,34 +171,37 @@
         );
     }
 
-    /// The other fronts whose messages count.
-    pub fn others(&self) -> Vec<PeerId> {
-        let own = peer_id(&self.exchange.public_key());
-        self.names
+    /// Returns the other fronts whose messages are accepted.
+    pub fn accepted_peers(&self) -> Vec<PeerId> {
+        let local_id = peer_id(&self.exchange.public_key());
+        self.peer_names
             .keys()
             .copied()
-            .filter(|peer| *peer != own)
+            .filter(|peer| *peer != local_id)
             .collect()
     }
 
-    /// A number of this front's own, so that not all fronts begin with the same peer in what they send by turns.
+    /// Returns a number specific to this front, so that fronts that send to their peers in rotation
+    /// start at different peers.
     pub fn spread_offset(&self) -> usize {
         peer_id(&self.exchange.public_key()) as usize
     }
 
-    /// Whether a probe on behalf of the fleet may leave now.
+    /// Whether a health check on behalf of the fleet may be sent now.
     pub fn may_probe(&self) -> bool {
         self.exchange
-            .may_probe(self.started.elapsed().as_micros() as Micros)
+            .may_probe(self.steady_start.elapsed().as_micros() as Micros)
     }
 
-    /// What does not go out is as if it were lost on the way.
-    fn send(&mut self, now: Micros, out: Output) {
-        for Datagram { to, bytes } in out.datagrams {
+    /// Sends datagrams and queues writes to disk. A datagram that can't be sent counts as lost on
+    /// the network.
+    fn send(&mut self, now: Micros, output: Output) {
+        for Datagram { to, bytes } in output.datagrams {
             let _ = self.socket.send_to(&bytes, to);
         }
         if let Some(votes) = &mut self.votes {
-            out.voter_saves
+            output
+                .voter_saves
                 .into_iter()
                 .for_each(|saved| votes.save(saved));
         }
@@ -195,7 +209,7 @@
             number,
             records,
             datagrams,
-        } in out.ledger_saves
+        } in output.ledger_saves
         {
             if let Some(copies) = &mut self.copies {
                 copies.save(Write {
@@ -205,88 +219,98 @@
                 });
                 continue;
             }
-            // In memory alone a copy is as lasting as it gets.
+            // Without a disk, a replica counts as durable at once.
             for Datagram { to, bytes } in datagrams {
                 let _ = self.socket.send_to(&bytes, to);
             }
-            let out = self.exchange.ledger_saved(self.moment(now), number, true);
-            self.send(now, out);
+            let output = self
+                .exchange
+                .ledger_saved(self.clock_reading(now), number, true);
+            self.send(now, output);
         }
     }
 
-    /// Applies writes of copies that have become durable, or have failed.
-    fn apply_durable(&mut self, now: Micros) {
-        let durable = self
+    /// Passes the outcomes of writes of replicas to the ledger. After a failed write, replicas move
+    /// to memory if the settings allow that.
+    fn apply_write_outcomes(&mut self, now: Micros) {
+        let outcomes = self
             .copies
             .as_ref()
-            .map(Copies::durable)
+            .map(Copies::take_outcomes)
             .unwrap_or_default();
-        for WriteOutcome { number, is_durable } in durable {
-            let at = self.moment(now);
-            let out = self.exchange.ledger_saved(at, number, is_durable);
-            self.send(now, out);
+        for WriteOutcome { number, is_durable } in outcomes {
+            let clock = self.clock_reading(now);
+            let output = self.exchange.ledger_saved(clock, number, is_durable);
+            self.send(now, output);
             if !is_durable && self.memory_on_disk_failure && self.copies.take().is_some() {
                 log::error!(
-                    "copies of promises are in memory alone from now on, as a front's that remembers nothing"
+                    "gossip.ledger.directory: the disk failed; this front keeps its ledger replicas in memory only until it is restarted, under a new disk identity"
                 );
-                let out = self.exchange.reset_ledger(at, random_disk_id());
-                self.send(now, out);
+                let output = self.exchange.reset_ledger(clock, random_disk_id());
+                self.send(now, output);
             }
         }
     }
 
-    /// Asks the ledger; the answer comes with `promised`.
-    pub fn ask(&mut self, now: Micros, ask: LedgerRequest) {
-        let out = self.exchange.submit_ledger_request(self.moment(now), ask);
-        self.send(now, out);
+    /// Submits a request to the ledger. `take_ledger_answers` returns its answer.
+    pub fn submit_ledger_request(&mut self, now: Micros, request: LedgerRequest) {
+        let output = self
+            .exchange
+            .submit_ledger_request(self.clock_reading(now), request);
+        self.send(now, output);
     }
 
-    /// What the ledger has answered to the part of this front whose asks have that highest byte.
-    pub fn ledger_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
-        self.done.extend(self.exchange.take_ledger_answers());
-        let (told, others) = std::mem::take(&mut self.done)
+    /// Returns the ledger's answers to the component whose request numbers have the same highest
+    /// byte as `request_number_base`.
+    pub fn take_ledger_answers(&mut self, request_number_base: u64) -> Vec<LedgerAnswer> {
+        self.ledger_answers
+            .extend(self.exchange.take_ledger_answers());
+        let (answers, remaining) = std::mem::take(&mut self.ledger_answers)
             .into_iter()
-            .partition(|done| done.number >> PART_SHIFT == part >> PART_SHIFT);
-        self.done = others;
-        told
+            .partition(|answer| {
+                answer.number >> COMPONENT_SHIFT == request_number_base >> COMPONENT_SHIFT
+            });
+        self.ledger_answers = remaining;
+        answers
     }
 
-    /// The fronts that keep the ledger and ask it; none where none is kept.
+    /// Returns the fronts that use the ledger; None if this front uses none.
     pub fn ledger_fleet(&self) -> Option<LedgerFleet> {
-        let fleet = || LedgerFleet {
-            own: peer_id(&self.exchange.public_key()),
-            fronts: self.names.keys().copied().collect(),
+        let ledger_fleet = || LedgerFleet {
+            local_id: peer_id(&self.exchange.public_key()),
+            fronts: self.peer_names.keys().copied().collect(),
         };
-        self.has_ledger.then(fleet)
+        self.has_ledger.then(ledger_fleet)
     }
 
-    /// Does what is due; the log says what is new, and what was refused.
+    /// Runs the timers of the exchange and logs new reports, changes and rejections.
     pub fn tick(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
-        self.apply_durable(now);
-        let before = self.exchange.fleet_size();
-        let at = self.moment(now);
+        self.apply_write_outcomes(now);
+        let previous_size = self.exchange.fleet_size();
+        let clock = self.clock_reading(now);
         let TickOutput {
             output,
             new_reports,
         } = self.exchange.tick(
-            at,
+            clock,
             dispatcher,
             &mut random_numbers(&self.random, &mut self.draws_made),
         );
         self.send(now, output);
         let size = self.exchange.fleet_size();
-        if size != before {
+        if size != previous_size {
             log_lines::log_fleet_size(size);
         }
         for report in &new_reports {
-            log_lines::log_peer_report(report, &self.names);
+            log_lines::log_peer_report(report, &self.peer_names);
         }
-        self.log.log_changes(now, at.steady, &self.exchange);
+        self.log_state
+            .log_changes(now, clock.steady, &self.exchange);
     }
 
-    /// What of the ledger depends on this front.
+    /// Returns in which way the ledger depends on this front.
     pub fn ledger_dependency(&self, now: Micros) -> LedgerDependency {
-        if self.exchange.is_needed_for_quorum(self.moment(now)) {
+        if self.exchange.is_needed_for_quorum(self.clock_reading(now)) {
             LedgerDependency::NeededForQuorum
         } else if self.exchange.has_shards_to_hand_over() {
             LedgerDependency::OwnsShards
@@ -295,14 +319,15 @@
         }
     }
 
-    /// This front ends: what it owns of the ledger is handed over, and some peers are notified, which notify the others.
+    /// Announces that this front shuts down: hands over its shards of the ledger and notifies some
+    /// peers, which notify the others.
     pub fn leave(&mut self, now: Micros) {
-        let out = self.exchange.hand_over_shards(self.moment(now));
-        self.send(now, out);
-        let wall = (now / 1000) as u64;
+        let output = self.exchange.hand_over_shards(self.clock_reading(now));
+        self.send(now, output);
+        let wall_ms = (now / 1000) as u64;
         let datagrams = self.exchange.leave(
             now,
-            wall,
+            wall_ms,
             &mut random_numbers(&self.random, &mut self.draws_made),
         );
         self.send(
@@ -315,7 +340,7 @@
     }
 }
 
-/// Numbers that nobody can predict.
+/// Returns a generator of numbers that other processes can't predict.
 fn random_numbers<'a>(
     random: &'a RandomState,
     draws_made: &'a mut u64,
--- a/crates/front/src/fleet/peers/log_lines.rs
+++ b/crates/front/src/fleet/peers/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the log on gossip: what is new, and what was refused.
+//! Log lines on gossip: new reports, changes of ownership and of the ledger, and rejected messages.
 
 use std::collections::BTreeMap;
 
@@ -10,33 +10,34 @@
 use hallmux_gossip::PeerId;
 use hallmux_ledger::Differences;
 
-/// Microseconds between lines of the log on what was refused.
+/// Microseconds between log lines on rejected messages.
 const LOG_INTERVAL: Micros = 10_000_000;
 
-/// What was logged last, so that a line comes only where something has changed.
+/// The state that was logged last, so that only changes are logged.
 #[derive(Default)]
 pub(super) struct LogState {
-    last_log: Micros,
-    refused: BTreeMap<VerificationError, u64>,
-    refused_acts: BTreeMap<&'static str, u64>,
-    ownership: Option<OwnedLease>,
-    /// Replicas of the ledger that were found to differ.
-    differences: Differences,
+    last_log_time: Micros,
+    logged_rejections: BTreeMap<VerificationError, u64>,
+    logged_ownership_rejections: BTreeMap<&'static str, u64>,
+    logged_lease: Option<OwnedLease>,
+    /// Counts of ledger replicas that differed from the majority.
+    logged_differences: Differences,
 }
 
 impl LogState {
-    /// Logs what has changed in the lease of the fleet's work, in the ledger and in what was refused. `steady` is the
-    /// time that leases go by.
+    /// Logs changes in the lease of the fleet's work, in the ledger's replicas and in the counts of
+    /// rejected messages. `steady` is the reading of the monotonic clock that leases use, in
+    /// microseconds.
     pub(super) fn log_changes(&mut self, now: Micros, steady: Micros, exchange: &Exchange) {
         self.log_ownership(exchange.owned_lease(steady));
-        self.log_refused_acts(now, exchange);
+        self.log_ownership_rejections(now, exchange);
         self.log_differences(exchange.replica_differences());
-        self.log_refused(now, exchange);
+        self.log_rejections(now, exchange);
     }
 
     fn log_ownership(&mut self, owned: Option<OwnedLease>) {
-        match (self.ownership, owned) {
-            (before, Some(OwnedLease { token })) if before != owned => {
+        match (self.logged_lease, owned) {
+            (previous, Some(OwnedLease { token })) if previous != owned => {
                 log::info!("owns the fleet's work under token {token}")
             }
             (Some(OwnedLease { token }), None) => {
@@ -44,64 +45,71 @@
             }
             _ => {}
         }
-        self.ownership = owned;
+        self.logged_lease = owned;
     }
 
-    fn log_refused_acts(&mut self, now: Micros, exchange: &Exchange) {
-        let refused = exchange.refused_acts();
-        if refused == self.refused_acts || !self.is_due(now) {
+    fn log_ownership_rejections(&mut self, now: Micros, exchange: &Exchange) {
+        let rejected = exchange.refused_acts();
+        if rejected == self.logged_ownership_rejections || !self.is_log_due(now) {
             return;
         }
-        log::warn!("words on the fleet's work that count for nothing so far: {refused:?}");
-        self.refused_acts = refused;
+        log::warn!(
+            "gossip.ownership: messages of other fronts rejected so far, by reason: {rejected:?}"
+        );
+        self.logged_ownership_rejections = rejected;
     }
 
     fn log_differences(&mut self, differences: Differences) {
-        if differences == self.differences {
+        if differences == self.logged_differences {
             return;
         }
-        self.differences = differences;
+        self.logged_differences = differences;
         let Differences {
             found,
             repaired_here,
         } = differences;
         log::warn!(
-            "ledger: {found} copies differed from the majority so far, {repaired_here} mended here; look at the disks"
+            "ledger: {found} copies differed from the majority so far, {repaired_here} of them repaired at this front; check the disks"
         );
     }
 
-    fn log_refused(&mut self, now: Micros, exchange: &Exchange) {
-        let refused = exchange.refused();
-        if refused == &self.refused || !self.is_due(now) {
+    fn log_rejections(&mut self, now: Micros, exchange: &Exchange) {
+        let rejected = exchange.refused();
+        if rejected == &self.logged_rejections || !self.is_log_due(now) {
             return;
         }
-        self.last_log = now;
-        self.refused = refused.clone();
+        self.last_log_time = now;
+        self.logged_rejections = rejected.clone();
         log::warn!(
-            "datagrams and reports of other fronts that count for nothing so far: {refused:?}"
+            "gossip: datagrams and reports of other fronts rejected so far, by reason: {rejected:?}"
         );
     }
 
-    fn is_due(&self, now: Micros) -> bool {
-        self.last_log + LOG_INTERVAL <= now
+    fn is_log_due(&self, now: Micros) -> bool {
+        self.last_log_time + LOG_INTERVAL <= now
     }
 }
 
+/// Logs the number of known fronts.
 pub(super) fn log_fleet_size(size: FleetSize) {
-    log::debug!("{} fronts are known, {} of them up", size.known, size.up);
+    log::debug!(
+        "gossip: {} fronts are known, {} of them up",
+        size.known,
+        size.up
+    );
 }
 
-/// What another front has seen of an engine.
+/// Logs a peer's report about an engine. `names` maps the peers to their names in the operator's file.
 pub(super) fn log_peer_report(report: &PeerReport, names: &BTreeMap<PeerId, String>) {
-    let name = names.get(&report.reporter).map_or("?", String::as_str);
-    let sighting = &report.status;
-    let drains = if sighting.drains { ", drains" } else { "" };
+    let reporter_name = names.get(&report.reporter).map_or("?", String::as_str);
+    let status = &report.status;
+    let drain_suffix = if status.drains { ", drains" } else { "" };
     log::info!(
-        "front {name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{drains}; {} ms ago",
-        sighting.engine,
-        sighting.failed,
-        sighting.answered,
-        sighting.silent_ms,
+        "front {reporter_name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{drain_suffix}; {} ms ago",
+        status.engine,
+        status.failed,
+        status.answered,
+        status.silent_ms,
         report.age / 1000
     );
 }
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -1,5 +1,6 @@
-//! The durable state of a voter in lease elections, in a file of its own: a thread writes it and then sends the messages
-//! that waited for it, so that neither a slow disk holds up decisions nor a message leaves before its vote is durable.
+//! Durable state of a voter in lease elections, in a file of its own. A thread writes the state and
+//! then sends the datagrams that wait for it. A slow disk therefore does not delay decisions, and
+//! no message is sent before its vote is durable.
 
 use std::fs::{File, TryLockError};
 use std::io::{ErrorKind, Write};
@@ -11,21 +12,22 @@
 
 use super::errors::VotesError;
 
-/// Writes that wait for the disk: some ten seconds' worth.
+/// Maximum number of writes that wait for the disk: the writes of some ten seconds.
 const QUEUE_LENGTH: usize = 1_024;
-const FILE: &str = "votes";
+const FILE_NAME: &str = "votes";
 
-/// The votes of a voter, made durable by a thread.
+/// The event loop's handle to the thread that stores a voter's state.
 pub struct Votes {
     writes: SyncSender<VoterSave>,
-    /// A write was lost: no message of the voter may leave any more until the front restarts.
-    silent: bool,
-    /// Held while this front runs: two on one directory would vote twice.
+    /// A write was lost: the voter sends no message until the front restarts.
+    has_failed: bool,
+    /// Locked while this front runs, because two fronts on one directory would vote twice.
     _lock: File,
 }
 
 impl Votes {
-    /// Opens the directory: what was saved there, if anything.
+    /// Opens the directory and starts the thread. Returns the state that was saved there; None if
+    /// there is none yet.
     pub fn open(
         directory: &str,
         socket: UdpSocket,
@@ -43,26 +45,26 @@
         std::fs::create_dir_all(&directory).map_err(disk_error("can't be made"))?;
         let lock = File::create(directory.join("lock")).map_err(disk_error("can't be written"))?;
         lock.try_lock().map_err(|why| match why {
-            TryLockError::WouldBlock => VotesError::Taken(name.clone()),
-            TryLockError::Error(why) => VotesError::Unlocked {
+            TryLockError::WouldBlock => VotesError::InUse(name.clone()),
+            TryLockError::Error(why) => VotesError::Lock {
                 directory: name.clone(),
                 why,
             },
         })?;
-        let saved = match std::fs::read(directory.join(FILE)) {
+        let saved = match std::fs::read(directory.join(FILE_NAME)) {
             Ok(saved) => Some(saved),
             Err(e) if e.kind() == ErrorKind::NotFound => None,
             Err(e) => return Err(disk_error("can't be read")(e)),
         };
-        let (writes, to_write) = sync_channel::<VoterSave>(QUEUE_LENGTH);
+        let (writes, pending_writes) = sync_channel::<VoterSave>(QUEUE_LENGTH);
         std::thread::Builder::new()
             .name("votes".to_string())
-            .spawn(move || write_all(&directory, &to_write, &socket))
+            .spawn(move || run_writer(&directory, &pending_writes, &socket))
             .map_err(VotesError::Thread)?;
         Ok((
             Votes {
                 writes,
-                silent: false,
+                has_failed: false,
                 _lock: lock,
             },
             saved,
@@ -71,45 +73,46 @@
 
     /// Queues a write; its datagrams are sent once it is durable.
     pub fn save(&mut self, saved: VoterSave) {
-        if self.silent {
+        if self.has_failed {
             return;
         }
         if let Err(e) = self.writes.try_send(saved) {
-            self.silent = true;
+            self.has_failed = true;
             if matches!(e, TrySendError::Full(_)) {
                 log::error!(
-                    "the disk is too slow for votes; this front votes no more in this life"
+                    "gossip.ownership.directory: {QUEUE_LENGTH} votes wait for the disk; this front casts no more votes until it is restarted"
                 );
             }
         }
     }
 }
 
-/// Makes each vote durable, then sends what waited for it. Ends with the first write that fails: no message of the
-/// voter may leave after that.
-fn write_all(directory: &Path, writes: &Receiver<VoterSave>, socket: &UdpSocket) {
+/// Makes each vote durable and then sends its datagrams. Returns at the first write that fails,
+/// because the voter must not send any message after that.
+fn run_writer(directory: &Path, writes: &Receiver<VoterSave>, socket: &UdpSocket) {
     for VoterSave { bytes, datagrams } in writes {
-        if let Err(e) = bytes.map_or(Ok(()), |bytes| write(directory, &bytes)) {
+        if let Err(e) = bytes.map_or(Ok(()), |bytes| replace_file(directory, &bytes)) {
             log::error!(
-                "{}: {e}; this front votes no more in this life",
+                "gossip.ownership.directory {}: {e}; this front casts no more votes until it is restarted",
                 directory.display()
             );
             return;
         }
-        // What does not go out is as if it were lost on the way.
+        // A datagram that can't be sent counts as lost on the network.
         for datagram in datagrams {
             let _ = socket.send_to(&datagram.bytes, datagram.to);
         }
     }
 }
 
-/// Writes the whole beside the old and puts it in its place, each step lasting.
-fn write(directory: &Path, bytes: &[u8]) -> std::io::Result<()> {
-    let beside = directory.join("votes.new");
-    let mut file = File::create(&beside)?;
+/// Replaces the file atomically: writes and syncs a temporary file, renames it, and syncs the
+/// directory.
+fn replace_file(directory: &Path, bytes: &[u8]) -> std::io::Result<()> {
+    let temporary_path = directory.join("votes.new");
+    let mut file = File::create(&temporary_path)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(&beside, directory.join(FILE))?;
+    std::fs::rename(&temporary_path, directory.join(FILE_NAME))?;
     File::open(directory)?.sync_all()
 }
 
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -1,4 +1,5 @@
-//! Loads wait here until they are marked in the ledger, and scattered statements for the marks.
+//! Holds loads (executions that may write) until their load markers are in the ledger, and requests
+//! load markers for scattered statements.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,21 +14,23 @@
 use hallmux_scatter::store::SummaryStore;
 
 use crate::execution::ExecutionId;
-use crate::fleet::rules::Ordered;
+use crate::fleet::rules::SendCommand;
 
-/// The highest byte of the numbers of this part's asks: others of one front have others.
-pub const ASK_NUMBERS: u64 = 3 << 56;
-/// Microseconds beyond a statement's end for which an execution of it may run on.
-const RUN_ON: Micros = 60_000_000;
-/// Groups of tables that a load is marked for; statements are shorter than that.
-const MOST_GROUPS: usize = 1_024;
+/// First number of the ledger requests for load markers. Its highest byte identifies them among the
+/// front's components.
+pub const REQUEST_NUMBER_BASE: u64 = 3 << 56;
+/// Microseconds beyond a statement's deadline for which an execution of it may continue to run.
+const EXECUTION_OVERRUN: Micros = 60_000_000;
+/// Maximum number of table groups that a load is marked for. Statements are too short to name more.
+const MAX_TABLE_GROUPS: usize = 1_024;
 /// Microseconds between reports to the dispatcher that an execution is still held.
 const REPORT_INTERVAL: Micros = 100_000;
 
-/// What an execution may write, as the protocol that it came in tells it.
+/// What an execution may write, as far as its protocol shows.
 pub enum Load {
     Call(Rc<Call>),
-    /// A unit of a session: the groups that it may write to, and its text where that is all there is to it.
+    /// A unit of a session: the table groups that it may write to, and its text if it consists of a
+    /// simple query only.
     Unit {
         groups: Vec<u32>,
         simple: Option<Vec<u8>>,
@@ -35,13 +38,15 @@
 }
 
 impl Load {
+    /// Returns the table groups that the load may write to.
     fn groups(&self) -> Vec<u32> {
         match self {
-            Load::Call(call) => tables::groups(&call.statement, MOST_GROUPS),
+            Load::Call(call) => tables::groups(&call.statement, MAX_TABLE_GROUPS),
             Load::Unit { groups, .. } => groups.clone(),
         }
     }
 
+    /// Returns the text of the load; None for a unit that is not a simple query.
     fn text(&self) -> Option<&[u8]> {
         match self {
             Load::Call(call) => Some(&call.statement),
@@ -50,129 +55,133 @@
     }
 }
 
-/// An execution that is held.
+/// An execution that is held until its load is marked.
 struct Held {
     place: usize,
     terms: Terms,
     load: Load,
 }
 
-/// What is to be asked of the ledger, and what became of loads meanwhile.
-pub struct DueAsks {
-    pub asks: Vec<LedgerRequest>,
+/// Requests to send to the ledger, and outcomes that need no request.
+pub struct DueRequests {
+    pub requests: Vec<LedgerRequest>,
     pub outcomes: Vec<LoadOutcome>,
 }
 
-/// Executions that wait until the marks of their loads are in the ledger.
+/// Executions that wait until their load markers are in the ledger.
 pub struct Loads {
     marker: Marker,
     held: HashMap<ExecutionId, Held>,
     /// Workloads whose statements may write.
-    writes: Vec<String>,
+    writing_workloads: Vec<String>,
     locations: Vec<String>,
     last_report: Micros,
-    /// Those that can't be marked, to be turned away.
+    /// Executions that can't be marked, to be rejected.
     unmarked: Vec<ExecutionId>,
 }
 
 /// The form in which a load is sent.
 pub enum Outgoing {
     Call(Rc<Call>),
-    /// A session's unit, with this text where it is to have another.
+    /// A session's unit. Its text is replaced by this one, if there is one.
     Unit(Option<Vec<u8>>),
 }
 
-/// What becomes of what waited.
+/// What follows for an execution that was held, or for scattered statements that wait for load markers.
 pub enum LoadOutcome {
-    /// It leaves, as it is to be sent.
+    /// The load is marked, and its execution is sent in this form.
     Send {
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         place: usize,
         terms: Terms,
         outgoing: Outgoing,
     },
-    TurnAway(ExecutionId),
+    Reject(ExecutionId),
     Other(Effect),
 }
 
 impl Loads {
-    /// `writes` are the workloads whose statements may write, `locations` the sites' names.
-    pub fn new(writes: Vec<String>, locations: Vec<String>) -> Loads {
+    /// `writing_workloads` are the workloads whose statements may write, `locations` the names of
+    /// the sites.
+    pub fn new(writing_workloads: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
-            marker: Marker::new(ASK_NUMBERS),
+            marker: Marker::new(REQUEST_NUMBER_BASE),
             held: HashMap::new(),
-            writes,
+            writing_workloads,
             locations,
             last_report: 0,
             unmarked: Vec::new(),
         }
     }
 
-    /// Holds an execution of what may write to groups of tables until it is marked. False: it needs no mark.
+    /// Holds an execution that may write until its load is marked. Returns false if it needs no
+    /// load marker.
     pub fn hold(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ordered: &Ordered,
+        command: &SendCommand,
         load: Load,
     ) -> bool {
-        let Ordered { place, terms, .. } = *ordered;
-        let sent = ordered.id();
-        if matches!(&load, Load::Call(call) if !self.writes.contains(&call.workload)) {
+        let SendCommand { place, terms, .. } = *command;
+        let execution_id = command.id();
+        if matches!(&load, Load::Call(call) if !self.writing_workloads.contains(&call.workload)) {
             return false;
         }
         let groups = load.groups();
-        if groups.len() > MOST_GROUPS {
-            // Not all could be marked.
-            self.unmarked.push(sent);
-            dispatcher.execution_held(now, sent.ticket, sent.number);
+        if groups.len() > MAX_TABLE_GROUPS {
+            // Not all its groups could be marked, so that it is rejected.
+            self.unmarked.push(execution_id);
+            dispatcher.execution_held(now, execution_id.ticket, execution_id.number);
             return true;
         }
         if groups.is_empty() || load.text().is_some_and(|text| sql::read(text).is_ok()) {
             return false;
         }
-        let by = |group| {
+        let affected_by = |group| {
             load.text().map_or(Affected::Anything, |text| {
                 Affected::of_statement(text, group)
             })
         };
-        let of = |group| (group, by(group));
-        let only = |touched: &Affected| matches!(touched, Affected::Rows { .. });
-        let mut touched: std::collections::BTreeMap<u32, Affected> =
-            groups.iter().map(|g| of(*g)).collect();
-        // Rows for one table alone are rows for no other group.
-        if touched.values().any(only) {
-            touched.retain(|_, touched| only(touched));
+        let group_entry = |group| (group, affected_by(group));
+        let is_rows = |affected: &Affected| matches!(affected, Affected::Rows { .. });
+        let mut affected: std::collections::BTreeMap<u32, Affected> =
+            groups.iter().map(|g| group_entry(*g)).collect();
+        // A statement whose affected rows are known writes to the table of those rows only, and to
+        // no other group.
+        if affected.values().any(is_rows) {
+            affected.retain(|_, affected| is_rows(affected));
         }
         let Some(site) = self.locations.get(dispatcher.engine_site(place).location) else {
             return false;
         };
-        let ends_ms = ((terms.deadline + RUN_ON).max(0) / 1000) as u64;
+        let ends_ms = ((terms.deadline + EXECUTION_OVERRUN).max(0) / 1000) as u64;
         self.marker.add_load(
-            (u64::from(sent.ticket), sent.number),
+            (u64::from(execution_id.ticket), execution_id.number),
             site,
             ends_ms,
-            touched,
+            affected,
         );
-        self.held.insert(sent, Held { place, terms, load });
-        dispatcher.execution_held(now, sent.ticket, sent.number);
+        self.held.insert(execution_id, Held { place, terms, load });
+        dispatcher.execution_held(now, execution_id.ticket, execution_id.number);
         true
     }
 
-    /// An execution is given up. True if it was held.
-    pub fn cancel(&mut self, sent: ExecutionId) -> bool {
-        self.marker.cancel((u64::from(sent.ticket), sent.number));
-        let before = self.unmarked.len();
-        self.unmarked.retain(|unmarked| *unmarked != sent);
-        self.held.remove(&sent).is_some() || self.unmarked.len() < before
+    /// Cancels an execution. Returns true if it was held, so it was never sent.
+    pub fn cancel(&mut self, execution_id: ExecutionId) -> bool {
+        self.marker
+            .cancel((u64::from(execution_id.ticket), execution_id.number));
+        let previous_len = self.unmarked.len();
+        self.unmarked.retain(|unmarked| *unmarked != execution_id);
+        self.held.remove(&execution_id).is_some() || self.unmarked.len() < previous_len
     }
 
-    /// A scattered statement waits for the marks of its group.
-    pub fn scatter(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
+    /// Requests the load markers of a table group for a scattered statement.
+    pub fn await_markers(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
         self.marker.await_marks(u64::from(ticket), group);
     }
 
-    /// When something is due though no answer comes, in Unix microseconds.
+    /// When `report_held` must run even if no answer arrives, in Unix microseconds.
     pub fn due(&self) -> Micros {
         if self.held.is_empty() {
             Micros::MAX
@@ -181,33 +190,36 @@
         }
     }
 
-    /// Reports to the dispatcher, now and then, that what is held still is.
+    /// Reports to the dispatcher every `REPORT_INTERVAL` that the held executions are still held.
     pub fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         if self.last_report + REPORT_INTERVAL <= now {
             self.last_report = now;
-            self.held
-                .keys()
-                .for_each(|sent| dispatcher.execution_held(now, sent.ticket, sent.number));
+            self.held.keys().for_each(|execution_id| {
+                dispatcher.execution_held(now, execution_id.ticket, execution_id.number)
+            });
         }
     }
 
-    /// What is to be asked of the ledger now, and what is known without asking.
-    pub fn asks(&mut self, now: Micros, book: &SummaryStore) -> DueAsks {
+    /// Returns the requests to send to the ledger now, and the outcomes that need no request.
+    pub fn due_requests(&mut self, now: Micros, store: &SummaryStore) -> DueRequests {
         let wall_ms = (now / 1000) as u64;
-        let (asks, follows) = self.marker.requests(wall_ms, |site, group| {
-            book.reported_loads(wall_ms, site, group)
+        let (requests, effects) = self.marker.requests(wall_ms, |site, group| {
+            store.reported_loads(wall_ms, site, group)
         });
-        let mut outcomes: Vec<LoadOutcome> = follows.into_iter().map(|f| self.outcome(f)).collect();
-        outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::TurnAway));
-        DueAsks {
-            asks: asks.into_iter().map(ask).collect(),
+        let mut outcomes: Vec<LoadOutcome> = effects
+            .into_iter()
+            .map(|effect| self.apply_effect(effect))
+            .collect();
+        outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::Reject));
+        DueRequests {
+            requests: requests.into_iter().map(ledger_request).collect(),
             outcomes,
         }
     }
 
-    /// What follows from an answer of the ledger.
-    pub fn done(&mut self, done: LedgerAnswer) -> Vec<LoadOutcome> {
-        let said = match done.outcome {
+    /// Returns the outcomes that follow from an answer of the ledger.
+    pub fn on_ledger_answer(&mut self, answer: LedgerAnswer) -> Vec<LoadOutcome> {
+        let reply = match answer.outcome {
             Outcome::Stands(entry) => LedgerReply::Stands {
                 version: entry.version,
                 value: entry.value,
@@ -220,15 +232,15 @@
             Outcome::Unreachable | Outcome::Full => LedgerReply::Unreachable,
         };
         self.marker
-            .on_reply(done.number, said)
+            .on_reply(answer.number, reply)
             .into_iter()
-            .map(|f| self.outcome(f))
+            .map(|effect| self.apply_effect(effect))
             .collect()
     }
 
-    fn outcome(&mut self, follows: Effect) -> LoadOutcome {
+    fn apply_effect(&mut self, effect: Effect) -> LoadOutcome {
         let sent = |(ticket, number): marker::Waiter| ExecutionId::new(ticket as u32, number);
-        match follows {
+        match effect {
             Effect::Send { load, numbers } => match self.held.remove(&sent(load)) {
                 Some(Held {
                     place,
@@ -244,27 +256,28 @@
                         (_, text) => Outgoing::Unit(text),
                     };
                     LoadOutcome::Send {
-                        sent: sent(load),
+                        execution_id: sent(load),
                         place,
                         terms,
                         outgoing,
                     }
                 }
-                None => LoadOutcome::TurnAway(sent(load)),
+                None => LoadOutcome::Reject(sent(load)),
             },
             Effect::Reject { load } => {
                 self.held.remove(&sent(load));
-                LoadOutcome::TurnAway(sent(load))
+                LoadOutcome::Reject(sent(load))
             }
             other => LoadOutcome::Other(other),
         }
     }
 }
 
-fn ask(ask: marker::LedgerRequest) -> LedgerRequest {
-    let operation = match ask.what {
+/// Converts a marker's request to one to the ledger.
+fn ledger_request(request: marker::LedgerRequest) -> LedgerRequest {
+    let operation = match request.what {
         marker::Operation::Read => Operation::Read,
-        // It never ends: what it says of versions holds for good.
+        // The entry never expires, because what it states about versions stays valid.
         marker::Operation::Put { expects, value } => Operation::Put {
             expects: Some(expects),
             ends_ms: 0,
@@ -272,10 +285,10 @@
         },
     };
     LedgerRequest {
-        number: ask.number,
+        number: request.number,
         key: Key {
             kind: Kind::Mark,
-            name: key(ask.group),
+            name: key(request.group),
         },
         operation,
     }
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -1,4 +1,4 @@
-//! Statements that are asked of several sites, from their reading to their final answer.
+//! Scattered statements, from their admission to their final answer.
 
 mod parts;
 mod sketches;
@@ -19,107 +19,108 @@
 use super::loads::Loads;
 use super::summaries::Summaries;
 
-/// Microseconds that an answer waits for an audit alone: most engines answer within it.
+/// Microseconds that a complete answer waits for audits only. Most engines answer within this time.
 const AUDIT_TIMEOUT: Micros = 250_000;
-/// Microseconds between lines of the log that say the same.
+/// Microseconds between log lines on the sites asked.
 const LOG_INTERVAL: Micros = 60_000_000;
 
-/// The final reply to a whole statement.
+/// The final reply to a scattered statement.
 #[derive(Debug, PartialEq)]
 pub enum FinalReply {
     Answer(Answer),
-    /// The dispatcher can't take its parts.
+    /// The dispatcher does not accept the statement's parts.
     Invalid(InvalidRequest),
 }
 
-/// A statement and its parts.
+/// A scattered statement and its parts.
 struct Statement {
     call: Rc<Call>,
     query: Query,
-    ends: Micros,
-    /// Sites that may be asked; None: all.
-    allowed: Option<Vec<String>>,
-    /// Of a join: the marks of its groups that are there.
-    group_marks: BTreeMap<u32, Option<Marks>>,
-    /// None while the marks of its group are awaited.
-    whole: Option<Gather>,
-    /// Parts that are out: place and ticket.
+    deadline: Micros,
+    /// Sites that may be asked; None means all.
+    allowed_sites: Option<Vec<String>>,
+    /// Of a join: the load markers of its table groups that the ledger has answered; None if the
+    /// ledger can't be reached.
+    group_markers: BTreeMap<u32, Option<Marks>>,
+    /// None while the statement waits for load markers.
+    gather: Option<Gather>,
+    /// Tickets of the parts that are at the dispatcher, by their index in the plan.
     tickets: BTreeMap<usize, Ticket>,
-    /// Sites that are asked though their summaries rule them out.
+    /// Sites that are asked although their summaries rule them out.
     ruled_out: Vec<RuledOut>,
 }
 
-/// A client's statement that is to be asked of several sites.
+/// A client's statement that is to be scattered.
 pub struct ScatterRequest {
     pub call: Rc<Call>,
     pub query: Query,
-    /// When an answer is of no use any more, in Unix microseconds.
-    pub ends: Micros,
-    /// The sites that rules allow; none given: all.
-    pub allowed: Option<Vec<String>>,
+    /// When the client no longer waits for an answer, in Unix microseconds.
+    pub deadline: Micros,
+    /// The sites that the access rules allow; None means all.
+    pub allowed_sites: Option<Vec<String>>,
 }
 
-/// A group of tables and the marks of its loads, as the ledger has them; none if it can't be reached.
+/// A table group and its load markers in the ledger; None if the ledger can't be reached.
 #[derive(Clone, Copy)]
-pub struct GroupMarks<'a> {
+pub struct GroupMarkers<'a> {
     pub group: u32,
-    pub marks: Option<&'a Marks>,
+    pub markers: Option<&'a Marks>,
 }
 
-/// A statement that waits for audits alone, until the time given.
+/// A statement that waits for audits only, until the given time.
 struct AuditWait {
     until: Micros,
     ticket: Ticket,
 }
 
-/// Which part of which whole a statement is.
-struct PartOf {
-    whole: Ticket,
-    /// The number of the part in the whole's plan.
-    place: usize,
+/// The parent statement of a part, and the part's index in the parent's plan.
+struct PartLink {
+    parent: Ticket,
+    /// Index of the part in the parent's plan.
+    part_index: usize,
 }
 
-/// Sites asked and left out so far, for the log.
+/// Numbers of sites asked and skipped so far, for the log.
 #[derive(Clone, Copy, Default)]
 struct SiteCounts {
     asked: u64,
     left_out: u64,
 }
 
-/// Statements that are asked of several sites.
+/// All scattered statements of this front, and what they need: summaries, load markers and audits.
 pub struct ScatteredStatements {
     settings: Scatter,
     sites: Vec<String>,
     pub summaries: Summaries,
-    /// Marks of loads, where the operator has them marked.
+    /// Loads and their markers, if the operator's file enables load markers.
     pub loads: Option<Loads>,
-    /// Audits of sites' summaries, where they are switched on, and statements that wait for nothing else, until when.
+    /// Audits of sites' summaries, if enabled, and the statements that wait for audits only.
     audits: Option<SiteAudits>,
     audit_waits: VecDeque<AuditWait>,
-    open: HashMap<Ticket, Statement>,
-    /// Whose parts they are, and in which places.
-    parts: HashMap<Ticket, PartOf>,
+    statements: HashMap<Ticket, Statement>,
+    /// The parts at the dispatcher, by their tickets.
+    parts: HashMap<Ticket, PartLink>,
     replies: Vec<(Ticket, FinalReply)>,
     counts: SiteCounts,
-    /// Of those asked, how many had no row, by why they were asked.
+    /// How many of the sites asked had no rows, by the reason why they were asked.
     asked_without_rows: BTreeMap<Reason, u64>,
-    last_log: Micros,
+    last_log_time: Micros,
 }
 
 impl ScatteredStatements {
-    /// Opens the files of summaries that the operator's file names.
+    /// Reads the summaries that the operator's file names. Fails if a site's key can't be used.
     pub fn new(
         settings: &Scatter,
         now: Micros,
         spread_offset: usize,
-        contract: &Settings,
+        agreement: &Settings,
     ) -> std::io::Result<ScatteredStatements> {
-        let locations = contract.names.locations.clone();
+        let locations = agreement.names.locations.clone();
         let loads = settings
             .marked
             .then(|| Loads::new(settings.writes.clone(), locations));
         log::info!(
-            "statements of {:?} are asked of sites {:?}",
+            "scatter: statements of workloads {:?} are scattered over sites {:?}",
             settings.workloads,
             settings.sites.keys()
         );
@@ -130,16 +131,17 @@
             settings: settings.clone(),
             audits: settings.audits.map(SiteAudits::new),
             audit_waits: VecDeque::new(),
-            open: HashMap::new(),
+            statements: HashMap::new(),
             parts: HashMap::new(),
             replies: Vec::new(),
             counts: SiteCounts::default(),
             asked_without_rows: BTreeMap::new(),
-            last_log: 0,
+            last_log_time: 0,
         })
     }
 
-    /// The operator's file was read again. One whose keys can't be used changes nothing.
+    /// Applies settings that were read again. Settings with a key that can't be used are logged and
+    /// change nothing.
     pub fn reload(&mut self, settings: &Scatter, now: Micros) {
         self.log_counts();
         match self.summaries.reload(settings, now) {
@@ -147,31 +149,33 @@
                 self.sites = settings.sites.keys().cloned().collect();
                 self.settings = settings.clone();
                 match (settings.audits, &mut self.audits) {
-                    (Some(terms), Some(audits)) => audits.set_terms(terms),
-                    (terms, audits) => *audits = terms.map(SiteAudits::new),
+                    (Some(settings), Some(audits)) => audits.reconfigure(settings),
+                    (settings, audits) => *audits = settings.map(SiteAudits::new),
                 }
             }
             Err(why) => log::error!("{why}; sites are left as they were"),
         }
     }
 
-    /// Whether statements of a workload are asked of several sites.
+    /// Whether statements of a workload are scattered.
     pub fn is_scattered(&self, workload: &str) -> bool {
         self.settings.workloads.iter().any(|w| w == workload)
     }
 
-    /// A client's statement passes for a load that a front has numbered: its site would take its word for it.
-    pub fn passes_for_numbered(&self, call: &Call) -> bool {
+    /// Whether a client's statement starts with the prefix by which fronts number marked loads. Its
+    /// site would take it for a marked load.
+    pub fn has_reserved_prefix(&self, call: &Call) -> bool {
         self.loads.is_some() && !numbers(&call.statement).is_empty()
     }
 
-    /// The one site that has all rows, where the operator's file names it.
+    /// Returns the site that has all rows, if the operator's file names one.
     pub fn whole_site(&self) -> Option<&str> {
         self.settings.whole_site.as_deref()
     }
 
-    /// A statement begins: its sites are asked at once, or once the marks of its group are known.
-    pub fn begin(
+    /// Starts a statement. Its sites are asked at once, or, if loads are marked, once the load
+    /// markers of its table groups are known.
+    pub fn start(
         &mut self,
         now: Micros,
         ticket: Ticket,
@@ -181,61 +185,63 @@
         let ScatterRequest {
             call,
             query,
-            ends,
-            allowed,
+            deadline,
+            allowed_sites,
         } = request;
         let mut groups = BTreeSet::from([query.group]);
         groups.extend(query.join.as_ref().map(|join| join.group));
-        let (group_marks, tickets, ruled_out) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+        let (group_markers, tickets, ruled_out) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         let statement = Statement {
             call,
             query,
-            ends,
-            allowed,
-            group_marks,
-            whole: None,
+            deadline,
+            allowed_sites,
+            group_markers,
+            gather: None,
             tickets,
             ruled_out,
         };
-        self.open.insert(ticket, statement);
+        self.statements.insert(ticket, statement);
         match &mut self.loads {
             Some(loads) => groups
                 .into_iter()
-                .for_each(|group| loads.scatter(ticket, group)),
+                .for_each(|group| loads.await_markers(ticket, group)),
             None => self.ask_sites(now, ticket, &LoadInfo::NoLoads, dispatcher),
         }
     }
 
-    /// A group's marks have come from the ledger for the statements that wait for them.
-    pub fn marks(
+    /// Applies the load markers of a table group to the statements and the audits that wait for them.
+    pub fn apply_group_markers(
         &mut self,
         now: Micros,
-        group_marks: GroupMarks,
+        group_markers: GroupMarkers,
         waiting: &[Ticket],
         dispatcher: &mut Dispatcher,
     ) {
-        let load_info = group_marks.marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
+        let load_info = group_markers
+            .markers
+            .map_or(LoadInfo::Unknown, LoadInfo::Marks);
         for ticket in waiting {
             if self
-                .open
+                .statements
                 .get(ticket)
                 .is_some_and(|statement| statement.query.join.is_some())
             {
-                self.marks_of_join(now, *ticket, group_marks, dispatcher);
+                self.apply_join_markers(now, *ticket, group_markers, dispatcher);
                 continue;
             }
-            let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.book);
+            let (wall_ms, store) = ((now / 1000) as u64, &self.summaries.store);
             if !self
                 .audits
                 .as_mut()
-                .is_some_and(|audits| audits.apply_marks(wall_ms, *ticket, &load_info, book))
+                .is_some_and(|audits| audits.apply_markers(wall_ms, *ticket, &load_info, store))
             {
                 self.ask_sites(now, *ticket, &load_info, dispatcher);
             }
         }
     }
 
-    /// Asks the sites that could have rows, or answers by what their summaries tell.
+    /// Asks the sites that can have rows, or answers from the sketches in their summaries.
     fn ask_sites(
         &mut self,
         now: Micros,
@@ -244,58 +250,61 @@
         dispatcher: &mut Dispatcher,
     ) {
         self.log_sites_asked(now, load_info);
-        let statement = self.open.get(&ticket);
-        let Some(statement) = statement.filter(|statement| statement.whole.is_none()) else {
+        let statement = self.statements.get(&ticket);
+        let Some(statement) = statement.filter(|statement| statement.gather.is_none()) else {
             return;
         };
         if statement.query.distinct.is_some() {
-            if let Some(answer) = self.by_sketch(now, statement, load_info) {
-                self.open.remove(&ticket);
+            if let Some(answer) = self.answer_from_sketches(now, statement, load_info) {
+                self.statements.remove(&ticket);
                 return self.replies.push((ticket, FinalReply::Answer(answer)));
             }
         }
         let Some(plan) = self.plan_sites(now, ticket, load_info) else {
             return;
         };
-        self.note_plan(now, ticket, &plan);
-        let Some(statement) = self.open.get_mut(&ticket) else {
+        self.record_plan(now, ticket, &plan);
+        let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
-        let rules = GatherRules {
+        let gather_rules = GatherRules {
             limit: statement.query.limit,
             partial: self.settings.partial.contains(&statement.call.customer),
             at_once: self.settings.at_once,
             most_bytes: self.settings.answer_bytes,
             combine: statement.query.combine.clone(),
         };
-        let (whole, acts) = Gather::new(plan.parts, plan.barred, rules);
-        statement.whole = Some(whole);
-        self.act(now, ticket, acts, dispatcher);
-        self.note_audit_wait(now, ticket);
+        let (gather, actions) = Gather::new(plan.parts, plan.barred, gather_rules);
+        statement.gather = Some(gather);
+        self.apply_actions(now, ticket, actions, dispatcher);
+        self.queue_audit_wait(now, ticket);
     }
 
     fn log_sites_asked(&mut self, now: Micros, load_info: &LoadInfo) {
-        if self.last_log + LOG_INTERVAL > now {
+        if self.last_log_time + LOG_INTERVAL > now {
             return;
         }
-        self.last_log = now;
+        self.last_log_time = now;
         if matches!(load_info, LoadInfo::Unknown) {
-            log::info!("the ledger gives no word on loads, so all sites are asked");
+            log::info!(
+                "scatter: the ledger does not answer for load markers, so all sites are asked"
+            );
         }
         self.log_counts();
     }
 
-    /// Which sites are asked and which are left out, audits among those asked.
+    /// Plans which sites are asked, including audits, and which are skipped. Returns None if the
+    /// statement has ended.
     fn plan_sites(&mut self, now: Micros, ticket: Ticket, load_info: &LoadInfo) -> Option<Plan> {
-        let statement = self.open.get(&ticket)?;
+        let statement = self.statements.get(&ticket)?;
         let query = &statement.query;
         let allowed: Option<Vec<&str>> = statement
-            .allowed
+            .allowed_sites
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
         let (sites, allowed) = (&self.sites, allowed.as_deref());
         if query.distinct.is_some() {
-            // The one site has all rows.
+            // One site has all rows, so that the others need not be asked.
             if let Some(site) = &self.settings.whole_site {
                 return Some(Plan::single_site(site, allowed));
             }
@@ -305,7 +314,7 @@
         let basis = Basis {
             sites,
             allowed,
-            summaries: &self.summaries.book,
+            summaries: &self.summaries.store,
             wall_ms: (now / 1000) as u64,
             loads: load_info,
             suspected: &is_suspect,
@@ -317,19 +326,20 @@
         if query.combine.is_some() {
             plan.ensure_one(sites, allowed);
         } else if query.join.is_none() {
-            // A join may be ruled out by either side, which no audit tells apart.
+            // Either side of a join may have ruled a site out, and an audit could not tell which.
             if let Some(audits) = &mut self.audits {
-                audits.audit(now, ticket, &mut plan, sites, allowed);
+                audits.add_audit(now, ticket, &mut plan, sites, allowed);
             }
         }
         Some(plan)
     }
 
-    /// Notes in a statement which sites are asked though they were ruled out, and counts those asked and left out.
-    fn note_plan(&mut self, now: Micros, ticket: Ticket, plan: &Plan) {
+    /// Records in a statement which sites are asked although they were ruled out, and counts the
+    /// sites asked and skipped.
+    fn record_plan(&mut self, now: Micros, ticket: Ticket, plan: &Plan) {
         self.counts.asked += plan.parts.len() as u64;
         self.counts.left_out += plan.pruned.len() as u64;
-        let Some(statement) = self.open.get_mut(&ticket) else {
+        let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
         statement.ruled_out.clear();
@@ -338,10 +348,10 @@
             return;
         }
         let wall_ms = (now / 1000) as u64;
-        let book = &mut self.summaries.book;
+        let store = &mut self.summaries.store;
         let ruled_out = plan.parts.iter().filter(|part| part.ruled_out);
         for part in ruled_out {
-            let summary = book.current(wall_ms, &part.site, query.group);
+            let summary = store.current(wall_ms, &part.site, query.group);
             statement.ruled_out.push(RuledOut {
                 site: part.site.clone(),
                 group: query.group,
@@ -349,17 +359,17 @@
             });
         }
         for site in &plan.pruned {
-            book.record_outcome(wall_ms, query, site, false);
+            store.record_outcome(wall_ms, query, site, false);
         }
     }
 
-    /// Notes a whole that waits for audits alone.
-    fn note_audit_wait(&mut self, now: Micros, ticket: Ticket) {
-        let whole = self
-            .open
+    /// Queues a statement that waits for audits only, to be answered after `AUDIT_TIMEOUT`.
+    fn queue_audit_wait(&mut self, now: Micros, ticket: Ticket) {
+        let gather = self
+            .statements
             .get(&ticket)
-            .and_then(|statement| statement.whole.as_ref());
-        if whole.is_some_and(Gather::only_audits_pending) {
+            .and_then(|statement| statement.gather.as_ref());
+        if gather.is_some_and(Gather::only_audits_pending) {
             self.audit_waits.push_back(AuditWait {
                 until: now + AUDIT_TIMEOUT,
                 ticket,
@@ -367,142 +377,159 @@
         }
     }
 
-    /// Answers those that have waited long enough for audits alone.
-    pub fn finish_audits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
+    /// Answers the statements that have waited for audits only until their timeout.
+    pub fn expire_audit_waits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         while let Some(wait) = self.audit_waits.pop_front_if(|wait| wait.until <= now) {
             let ticket = wait.ticket;
-            let whole = self
-                .open
+            let gather = self
+                .statements
                 .get_mut(&ticket)
-                .and_then(|statement| statement.whole.as_mut());
-            let acts = whole.map_or(Vec::new(), Gather::skip_audits);
-            self.act(now, ticket, acts, dispatcher);
+                .and_then(|statement| statement.gather.as_mut());
+            let actions = gather.map_or(Vec::new(), Gather::skip_audits);
+            self.apply_actions(now, ticket, actions, dispatcher);
         }
     }
 
-    fn act(&mut self, now: Micros, ticket: Ticket, acts: Vec<Action>, dispatcher: &mut Dispatcher) {
-        let mut acts = VecDeque::from(acts);
-        while let Some(act) = acts.pop_front() {
-            let Some(statement) = self.open.get_mut(&ticket) else {
+    /// Executes the actions of a statement's gather, and those that follow from them.
+    fn apply_actions(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        actions: Vec<Action>,
+        dispatcher: &mut Dispatcher,
+    ) {
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
+            let Some(statement) = self.statements.get_mut(&ticket) else {
                 return;
             };
-            match act {
-                Action::Start(place) => match submit_part(now, statement, place, dispatcher) {
-                    Ok(part) => {
-                        statement.tickets.insert(place, part);
-                        let whole = ticket;
-                        self.parts.insert(part, PartOf { whole, place });
-                    }
-                    Err(InvalidRequest::NoAllowedLocation) => {
-                        let whole = statement.whole.as_mut();
-                        let more = whole.map(|whole| whole.failed(place, PartFailure::Barred));
-                        acts.extend(more.unwrap_or_default());
+            match action {
+                Action::Start(part_index) => {
+                    match submit_part(now, statement, part_index, dispatcher) {
+                        Ok(part) => {
+                            statement.tickets.insert(part_index, part);
+                            let parent = ticket;
+                            self.parts.insert(part, PartLink { parent, part_index });
+                        }
+                        Err(InvalidRequest::NoAllowedLocation) => {
+                            let gather = statement.gather.as_mut();
+                            let further =
+                                gather.map(|gather| gather.failed(part_index, PartFailure::Barred));
+                            actions.extend(further.unwrap_or_default());
+                        }
+                        Err(invalid) => {
+                            self.abandon(now, ticket, dispatcher);
+                            return self.replies.push((ticket, FinalReply::Invalid(invalid)));
+                        }
                     }
-                    Err(invalid) => {
-                        self.abandon(now, ticket, dispatcher);
-                        return self.replies.push((ticket, FinalReply::Invalid(invalid)));
-                    }
-                },
-                Action::End(place) => {
-                    if let Some(part) = statement.tickets.remove(&place) {
+                }
+                Action::End(part_index) => {
+                    if let Some(part) = statement.tickets.remove(&part_index) {
                         self.parts.remove(&part);
                         dispatcher.client_left(now, part);
                     }
                 }
                 Action::Answer(answer) => {
-                    self.open.remove(&ticket);
+                    self.statements.remove(&ticket);
                     return self.replies.push((ticket, FinalReply::Answer(answer)));
                 }
             }
         }
     }
 
-    /// Final replies since the last call.
+    /// Returns the final replies since the last call.
     pub fn take_replies(&mut self) -> Vec<(Ticket, FinalReply)> {
         std::mem::take(&mut self.replies)
     }
 
-    /// A part has its answer, or has failed for good.
-    pub fn ended(
+    /// Handles the rows of a part, or its final failure.
+    pub fn part_ended(
         &mut self,
         now: Micros,
         part: Ticket,
-        ended: Result<Vec<u8>, PartFailure>,
+        outcome: Result<Vec<u8>, PartFailure>,
         dispatcher: &mut Dispatcher,
     ) {
-        let Some(PartOf {
-            whole: ticket,
-            place,
+        let Some(PartLink {
+            parent: ticket,
+            part_index,
         }) = self.parts.remove(&part)
         else {
             return;
         };
-        let Some(statement) = self.open.get_mut(&ticket) else {
+        let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
-        statement.tickets.remove(&place);
-        let Some(whole) = &mut statement.whole else {
+        statement.tickets.remove(&part_index);
+        let Some(gather) = &mut statement.gather else {
             return;
         };
-        let acts = match ended {
+        let actions = match outcome {
             Ok(rows) => {
-                self.note_rows(now, ticket, place, &rows, dispatcher);
-                let statement = self.open.get_mut(&ticket);
-                let whole = statement.and_then(|statement| statement.whole.as_mut());
-                whole.map_or(Vec::new(), |whole| whole.answered(place, rows))
+                self.record_rows(now, ticket, part_index, &rows, dispatcher);
+                let statement = self.statements.get_mut(&ticket);
+                let gather = statement.and_then(|statement| statement.gather.as_mut());
+                gather.map_or(Vec::new(), |gather| gather.answered(part_index, rows))
             }
-            Err(failed) => whole.failed(place, failed),
+            Err(failure) => gather.failed(part_index, failure),
         };
-        self.act(now, ticket, acts, dispatcher);
-        self.note_audit_wait(now, ticket);
+        self.apply_actions(now, ticket, actions, dispatcher);
+        self.queue_audit_wait(now, ticket);
     }
 
-    /// Learns from the rows of a part: whether its site had any, and what audits make of that.
-    fn note_rows(
+    /// Records whether a part's site had rows, and checks the answer if its summary had ruled the
+    /// site out.
+    fn record_rows(
         &mut self,
         now: Micros,
         ticket: Ticket,
-        place: usize,
+        part_index: usize,
         rows: &[u8],
         dispatcher: &mut Dispatcher,
     ) {
-        let Some(statement) = self.open.get(&ticket) else {
+        let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        let Some(whole) = &statement.whole else {
+        let Some(gather) = &statement.gather else {
             return;
         };
         let wall_ms = (now / 1000) as u64;
         let query = &statement.query;
-        let site = whole.site(place).unwrap_or_default();
+        let site = gather.site(part_index).unwrap_or_default();
         if rows.is_empty() {
-            if let Some(part) = whole.part(place) {
+            if let Some(part) = gather.part(part_index) {
                 *self.asked_without_rows.entry(part.reason).or_default() += 1;
             }
             self.summaries
-                .book
+                .store
                 .record_outcome(wall_ms, query, site, true);
         }
         let ruled_out = statement.ruled_out.iter().find(|out| out.site == site);
         let Some((audits, ruled_out)) = self.audits.as_mut().zip(ruled_out.cloned()) else {
             return;
         };
-        let check = dispatcher.new_ticket();
-        let lines = rows.iter().filter(|byte| **byte == b'\n').count();
-        if !audits.answered(check, ruled_out, query, lines as u64) {
+        let check_ticket = dispatcher.new_ticket();
+        let row_count = rows.iter().filter(|byte| **byte == b'\n').count();
+        if !audits.site_answered(check_ticket, ruled_out, query, row_count as u64) {
             return;
         }
         match &mut self.loads {
-            Some(loads) => loads.scatter(check, query.group),
+            Some(loads) => loads.await_markers(check_ticket, query.group),
             None => {
-                audits.apply_marks(wall_ms, check, &LoadInfo::NoLoads, &self.summaries.book);
+                audits.apply_markers(
+                    wall_ms,
+                    check_ticket,
+                    &LoadInfo::NoLoads,
+                    &self.summaries.store,
+                );
             }
         }
     }
 
-    /// Nobody waits for a whole statement any more. False if it is none of these.
+    /// Ends a statement whose client no longer waits, and its parts. Returns false if the statement
+    /// is not scattered.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket, dispatcher: &mut Dispatcher) -> bool {
-        let Some(statement) = self.open.remove(&ticket) else {
+        let Some(statement) = self.statements.remove(&ticket) else {
             return false;
         };
         for part in statement.tickets.into_values() {
@@ -512,51 +539,54 @@
         true
     }
 
-    /// When `tick` is next due; without other fronts there is nothing to spread.
+    /// When `tick` is next due, in Unix microseconds. Without peers there are no summaries to exchange.
     pub fn due(&self, has_peers: bool) -> Micros {
         let loads = self.loads.as_ref().map_or(Micros::MAX, Loads::due);
-        let hurry = self
+        let audit_due = self
             .audit_waits
             .front()
             .map_or(Micros::MAX, |wait| wait.until);
-        let chosen = self.summaries.choose_due().min(hurry);
+        let retention_due = self.summaries.retention_due().min(audit_due);
         match (self.replies.is_empty(), has_peers) {
-            (true, true) => self.summaries.due().min(loads).min(hurry),
-            (true, false) => chosen,
+            (true, true) => self.summaries.due().min(loads).min(audit_due),
+            (true, false) => retention_due,
             _ => 0,
         }
     }
 
-    /// Does what is due; returns messages to other fronts.
-    pub fn tick(&mut self, now: Micros, others: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
-        let heard = std::mem::take(&mut self.summaries.found);
+    /// Exchanges reports of false summaries between the audits and the peers, and returns the
+    /// messages to send to peers.
+    pub fn tick(&mut self, now: Micros, peers: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
+        let peer_reports = std::mem::take(&mut self.summaries.reported_false);
         if let Some(audits) = &mut self.audits {
-            audits.fronts = others.len() + 1;
-            heard.iter().for_each(|word| audits.receive_report(word));
+            audits.front_count = peers.len() + 1;
+            peer_reports
+                .iter()
+                .for_each(|report| audits.receive_report(report));
             audits
-                .found
+                .false_summaries
                 .drain(..)
-                .for_each(|word| self.summaries.report_false_word(now, &word));
+                .for_each(|summary| self.summaries.report_false_summary(now, &summary));
         }
-        self.summaries.tick(now, others)
+        self.summaries.tick(now, peers)
     }
 }
 
-/// Hands a part to the dispatcher, for the site at this place of the plan.
+/// Submits the part with this index in the plan to the dispatcher, restricted to its site.
 fn submit_part(
     now: Micros,
     statement: &Statement,
-    place: usize,
+    part_index: usize,
     dispatcher: &mut Dispatcher,
 ) -> Result<Ticket, InvalidRequest> {
-    let whole = statement.whole.as_ref();
-    let site = whole.and_then(|whole| whole.site(place));
+    let gather = statement.gather.as_ref();
+    let site = gather.and_then(|gather| gather.site(part_index));
     let request = StatementRequest {
         workload: &statement.call.workload,
         customer: &statement.call.customer,
         order_key: None,
         dedup_key: None,
-        time_left: statement.ends - now,
+        time_left: statement.deadline - now,
         work: statement.call.work_ms * 1000.0,
         memory_mb: statement.call.memory_mb,
         data_set: Some(statement.query.group),
--- a/crates/front/tests/scatter/portal.rs
+++ b/crates/front/tests/scatter/portal.rs
@@ -1,4 +1,4 @@
-//! A site's engine that speaks PostgreSQL, as far as these tests ask, and a client's session.
+//! A site's engine that speaks the part of PostgreSQL that these tests need, and a client session.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,10 +6,10 @@
 
 use hallmux_postgres::wire;
 
-use super::site::Held;
-use super::PATIENCE;
+use super::site::SiteState;
+use super::WAIT_TIMEOUT;
 
-/// One message: its kind and its body.
+/// Reads one message: its type byte and its body.
 fn message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
@@ -19,20 +19,20 @@
     Some((head[0], body))
 }
 
-/// Takes sessions for a site's rows; what a transaction writes is there from its COMMIT on.
-pub fn serves(held: std::sync::Arc<std::sync::Mutex<Held>>) -> SocketAddr {
+/// Accepts sessions for a site's rows. Rows written in a transaction become visible at its COMMIT.
+pub fn serve(state: std::sync::Arc<std::sync::Mutex<SiteState>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let held = held.clone();
-            std::thread::spawn(move || session(stream, &held));
+            let state = state.clone();
+            std::thread::spawn(move || session(stream, &state));
         }
     });
     at
 }
 
-fn session(mut stream: TcpStream, held: &std::sync::Mutex<Held>) -> Option<()> {
+fn session(mut stream: TcpStream, state: &std::sync::Mutex<SiteState>) -> Option<()> {
     let mut len = [0; 4];
     stream.read_exact(&mut len).ok()?;
     stream
@@ -57,12 +57,12 @@
         }
         let text = String::from_utf8(body[..body.len() - 1].to_vec()).ok()?;
         let mut out = Vec::new();
-        for one in text.split(';') {
-            match one.trim().to_ascii_lowercase().as_str() {
+        for statement in text.split(';') {
+            match statement.trim().to_ascii_lowercase().as_str() {
                 "begin" => open = true,
                 "commit" => {
                     open = false;
-                    held.lock().unwrap().load("", std::mem::take(&mut pending));
+                    state.lock().unwrap().load("", std::mem::take(&mut pending));
                 }
                 other => {
                     let values = other
@@ -74,7 +74,8 @@
                         .and_then(|id| id.trim().parse().ok());
                     pending.extend(row);
                     if !open {
-                        held.lock()
+                        state
+                            .lock()
                             .unwrap()
                             .load(&text, std::mem::take(&mut pending));
                     }
@@ -87,13 +88,13 @@
     }
 }
 
-/// A client's session.
+/// A client's PostgreSQL session.
 pub struct Client(TcpStream);
 
 impl Client {
     pub fn new(at: SocketAddr) -> Client {
         let mut stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut out = Vec::new();
         wire::write_startup(&mut out, &[("user", "loader"), ("database", "d")]);
         stream.write_all(&out).unwrap();
@@ -102,7 +103,7 @@
         client
     }
 
-    /// The kinds of messages up to the next word that it is ready.
+    /// Reads messages up to the next ReadyForQuery; returns their type bytes.
     fn until_ready(&mut self) -> String {
         let mut kinds = String::new();
         loop {
@@ -114,24 +115,25 @@
         }
     }
 
-    /// A simple query; false if it is answered with an error.
-    pub fn says(&mut self, text: &str) -> bool {
+    /// Sends a simple query; false if it is answered with an error.
+    pub fn query(&mut self, text: &str) -> bool {
         let mut out = Vec::new();
         wire::write_query(&mut out, text.as_bytes());
         self.0.write_all(&out).unwrap();
         !self.until_ready().contains('E')
     }
 
-    /// Parses a text, flushes, and goes on with another: the two parts of one unit. False if either is answered with an error.
-    pub fn says_in_parts(&mut self, first: &str, second: &str) -> bool {
-        let parse = |text: &str, behind: &[u8]| {
+    /// Parses a text, flushes, and parses a second one in the same unit. False if either is answered with an
+    /// error.
+    pub fn query_in_two_parses(&mut self, first: &str, second: &str) -> bool {
+        let parse = |text: &str, then: &[u8]| {
             let mut out = Vec::new();
             wire::write(&mut out, b'P', |out| {
                 wire::write_string(out, b"");
                 wire::write_string(out, text.as_bytes());
                 out.extend_from_slice(&[0; 2]);
             });
-            out.extend_from_slice(behind);
+            out.extend_from_slice(then);
             out
         };
         self.0.write_all(&parse(first, wire::FLUSH)).unwrap();
--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -1,7 +1,7 @@
-//! Anti-entropy: replicas are compared in the background. The leader sends the hashes of its
-//! entries, leaf by leaf, as of one entry of the log, and members that have applied just as much
-//! answer with theirs. A replica that differs from the majority has lost a write or read a bit
-//! wrong: it is sent the majority's state, at the rate for rebuilding replicas.
+//! Anti-entropy: the background comparison of the replicas of a shard. The leader sends the hashes
+//! of its entries, one per leaf, as of one index of the log; members that have applied exactly that
+//! index answer with theirs. A replica that differs from the majority has lost a write or read a
+//! corrupted bit; it is sent the majority's state, at the rate for rebuilding replicas.
 
 use std::collections::BTreeMap;
 
@@ -14,61 +14,68 @@
 use crate::messages::LedgerMessage;
 use crate::shard_view::ShardView;
 use crate::state::State;
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
-const INTERVAL: Micros = 60_000_000; // microseconds between comparisons of a shard
-/// Microseconds until a shard is compared again whose replicas differed.
-const RECHECK: Micros = 2_000_000;
-const ANSWER_TIMEOUT: Micros = 1_000_000; // microseconds that answers are waited for
+/// Microseconds between comparisons of a shard.
+const COMPARISON_INTERVAL: Micros = 60_000_000;
+/// Microseconds until the next comparison of a shard whose replicas differed.
+const RECHECK_INTERVAL: Micros = 2_000_000;
+/// Microseconds that the leader waits for the members' hashes.
+const ANSWER_TIMEOUT: Micros = 1_000_000;
 
 impl Ledger {
-    /// Begins a comparison of a shard that this front leads where one is due, and ends the one
-    /// before.
-    pub(crate) fn compare_replicas(&mut self, at: Moment, shard: u16) {
+    /// Concludes the previous comparison of a shard that this front leads, and starts the next one
+    /// if it is due.
+    pub(crate) fn compare_replicas(&mut self, at: ClockReading, shard: u16) {
         self.conclude_comparison(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         let Some(replica) = &view.replica else { return };
-        if at.steady < view.comparison.next || replica.members.len() < 2 || view.repair.is_some() {
+        if at.steady < view.comparison.next_due
+            || replica.members.len() < 2
+            || view.repair.is_some()
+        {
             return;
         }
-        if view.comparison.next == 0 {
-            // Shards are not compared all at once.
-            view.comparison.next = at.steady + INTERVAL / 16 * Micros::from(shard % 16 + 1);
+        if view.comparison.next_due == 0 {
+            // Spreads the first comparisons of the shards over the interval.
+            view.comparison.next_due =
+                at.steady + COMPARISON_INTERVAL / 16 * Micros::from(shard % 16 + 1);
             return;
         }
-        view.comparison.next = at.steady + ANSWER_TIMEOUT;
+        view.comparison.next_due = at.steady + ANSWER_TIMEOUT;
         view.comparison.index = replica.applied();
         let hashes = hashes(&replica.state);
-        view.comparison.hashes = BTreeMap::from([(self.own.front, hashes.clone())]);
+        view.comparison.hashes = BTreeMap::from([(self.local.front, hashes.clone())]);
         let (config, index) = (replica.config, replica.applied());
-        let others = replica.members.iter().map(|member| member.front);
+        let other_fronts = replica.members.iter().map(|member| member.front);
         let reads_hashes = |front: &FrontId| {
-            *front != self.own.front && self.transport.common_format(*front) >= TRANSFER_FORMAT
+            *front != self.local.front && self.transport.common_format(*front) >= TRANSFER_FORMAT
         };
-        let others: Vec<FrontId> = others.filter(reads_hashes).collect();
+        let other_fronts: Vec<FrontId> = other_fronts.filter(reads_hashes).collect();
         let message = LedgerMessage::Hashes {
             shard,
             config,
             index,
             hashes,
         };
-        for to in others {
+        for to in other_fronts {
             self.transport.send(at, to, &message, Pace::Fast);
         }
     }
 
-    /// Ends a comparison once its answers were waited for, and repairs what differs.
-    fn conclude_comparison(&mut self, at: Moment, shard: u16) {
-        let own = self.own.front;
+    /// Concludes a comparison once the time for answers is over, and repairs the replicas that
+    /// differ from the majority.
+    fn conclude_comparison(&mut self, at: ClockReading, shard: u16) {
+        let local = self.local.front;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         let Some(replica) = view
             .replica
             .as_ref()
-            .filter(|_| at.steady >= view.comparison.next)
+            .filter(|_| at.steady >= view.comparison.next_due)
         else {
             return;
         };
@@ -76,24 +83,27 @@
         if hashes.is_empty() {
             return;
         }
-        view.comparison.next = at.steady + INTERVAL;
-        let Some(right) = majority(&hashes, replica.members.len()) else {
+        view.comparison.next_due = at.steady + COMPARISON_INTERVAL;
+        let Some(majority_hashes) = majority(&hashes, replica.members.len()) else {
             return;
         };
-        let wrong: Vec<FrontId> = hashes
+        let differing: Vec<FrontId> = hashes
             .iter()
-            .filter(|(_, of)| **of != right)
+            .filter(|(_, member_hashes)| **member_hashes != majority_hashes)
             .map(|(f, _)| *f)
             .collect();
-        if wrong.is_empty() {
+        if differing.is_empty() {
             return;
         }
-        view.comparison.next = at.steady + RECHECK;
-        self.counters.differed += wrong.len() as u64;
+        view.comparison.next_due = at.steady + RECHECK_INTERVAL;
+        self.counters.differing += differing.len() as u64;
         let config = replica.config;
-        if wrong.contains(&own) {
-            // One of the majority leads the shard from now on, and repairs this front's replica.
-            let candidate = hashes.iter().find(|(_, of)| **of == right);
+        if differing.contains(&local) {
+            // This front's replica is wrong: a member of the majority takes over the shard and
+            // repairs it.
+            let candidate = hashes
+                .iter()
+                .find(|(_, member_hashes)| **member_hashes == majority_hashes);
             if let Some((candidate, _)) = candidate {
                 let message = LedgerMessage::TransferLeadership { shard, config };
                 self.transport.send(at, *candidate, &message, Pace::Fast);
@@ -106,17 +116,17 @@
             index: replica.applied(),
             state: encode(&replica.state),
         };
-        for to in wrong {
+        for to in differing {
             if !self.transport.is_busy(to, Pace::Repair) {
                 self.transport.send(at, to, &message, Pace::Repair);
             }
         }
     }
 
-    /// The hashes of another member: of the leader, or of one that answers it.
+    /// Handles hashes from another member: the leader's, or a member's answer to this leader.
     pub(crate) fn receive_hashes(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: ReplicaId,
         configuration: ConfigurationId,
         received: StateHashes,
@@ -139,8 +149,9 @@
         }
     }
 
-    /// Answers the leader's hashes once this replica has applied as much, and no more.
-    pub(crate) fn answer_hashes(&mut self, at: Moment, shard: u16) {
+    /// Answers the leader's hashes once this replica has applied the same index. If it is already
+    /// beyond that index, the request is dropped without an answer.
+    pub(crate) fn answer_hashes(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
@@ -164,7 +175,7 @@
         }
     }
 
-    /// The leader has found this replica to differ.
+    /// Replaces the state of this replica after the leader found it to differ from the majority.
     pub(crate) fn receive_repair(
         &mut self,
         from: ReplicaId,
@@ -180,13 +191,13 @@
             return;
         };
         if replica.leader() == Some(from.front) && replica.replace_state(index, state) {
-            self.counters.mended += 1;
-            self.touched.insert(configuration.shard);
+            self.counters.repaired_after_comparison += 1;
+            self.changed_shards.insert(configuration.shard);
         }
     }
 
-    /// The shard of a message of its comparison, if the sender and this front are members in the
-    /// same configuration.
+    /// The shard that a comparison message refers to, if the sender is a member and this front
+    /// holds a replica in the same configuration.
     fn view_for(
         &mut self,
         from: ReplicaId,
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Takes in packets of other fronts, and passes each message on to the part that it is for.
+//! Receives packets from other fronts, and dispatches each message to the code that handles it.
 
 use omnipaxos::messages::Message;
 
@@ -14,35 +14,36 @@
 use crate::peer::Peer;
 use crate::rejection::Rejection;
 use crate::replica::Replica;
-use crate::shard_view::Learned;
+use crate::shard_view::ReceivedSnapshot;
 use crate::state::{State, StateAt};
-use crate::{FrontId, Moment, Owner};
+use crate::{ClockReading, FrontId, Owner};
 
-/// A message of the consensus library, and its number in its sender's order; 0: it need not come in
-/// order.
+/// A message of the consensus library, and its number in its sender's order; 0 if the order does
+/// not matter.
 struct NumberedMessage {
     number: u64,
     message: Message<Batch>,
 }
 
 impl Ledger {
-    /// A packet of a front has come, whose signature holds.
-    pub fn receive(&mut self, at: Moment, from: FrontId, bytes: &[u8]) {
-        if from == self.own.front {
+    /// Handles a packet from another front. The caller has verified its signature.
+    pub fn receive(&mut self, at: ClockReading, from: FrontId, bytes: &[u8]) {
+        if from == self.local.front {
             return self.reject(Rejection::OwnPacket);
         }
         let packet = match self.transport.receive(at, from, bytes) {
             Ok(packet) => packet,
-            Err(why) => return self.reject(why),
+            Err(reason) => return self.reject(reason),
         };
-        let silent = |peer: &Peer| at.steady - peer.heard_at >= self.setup.repair_after;
-        let before = self.peers.get(&from).filter(|peer| !silent(peer));
-        if before.is_some_and(|peer| peer.incarnation > packet.incarnation) {
+        let silent = |peer: &Peer| at.steady - peer.last_seen >= self.setup.repair_after;
+        let known_peer = self.peers.get(&from).filter(|peer| !silent(peer));
+        if known_peer.is_some_and(|peer| peer.incarnation > packet.incarnation) {
             return self.reject(Rejection::EarlierIncarnation);
         }
-        self.away.returned(at.steady, &self.setup.members, from);
+        self.away
+            .mark_returned(at.steady, &self.setup.members, from);
         let peer = Peer {
-            heard_at: at.steady,
+            last_seen: at.steady,
             incarnation: packet.incarnation,
             disk: packet.disk,
             wall_ms: packet.wall_ms,
@@ -58,10 +59,10 @@
         for message in packet.messages {
             self.handle(at, sender, message);
         }
-        self.settle(at);
+        self.process_changes(at);
     }
 
-    fn handle(&mut self, at: Moment, sender: ReplicaIncarnation, message: LedgerMessage) {
+    fn handle(&mut self, at: ClockReading, sender: ReplicaIncarnation, message: LedgerMessage) {
         let from = sender.id.front;
         match message {
             LedgerMessage::Log {
@@ -97,11 +98,11 @@
         }
     }
 
-    /// Requests for entries, and what answers them.
-    fn handle_request(&mut self, at: Moment, from: FrontId, message: LedgerMessage) {
+    /// Handles requests for entries and the answers to them.
+    fn handle_request(&mut self, at: ClockReading, from: FrontId, message: LedgerMessage) {
         match message {
             LedgerMessage::Request { shard, command } => {
-                self.touched.insert(shard);
+                self.changed_shards.insert(shard);
                 self.receive_request(at, from, shard, command);
             }
             LedgerMessage::Reply {
@@ -124,17 +125,17 @@
                 number,
             } => {
                 let owner = Owner {
-                    front: self.own.front,
+                    front: self.local.front,
                     incarnation,
                 };
-                self.key_is_free(CommandId { owner, number });
+                self.on_key_free(CommandId { owner, number });
             }
-            _ => {} // answers to an earlier incarnation of this front
+            _ => {} // an answer to an earlier incarnation of this front
         }
     }
 
-    /// The comparison of replicas.
-    fn handle_comparison(&mut self, at: Moment, sender: ReplicaId, message: LedgerMessage) {
+    /// Handles messages of the comparison of replicas.
+    fn handle_comparison(&mut self, at: ClockReading, sender: ReplicaId, message: LedgerMessage) {
         match message {
             LedgerMessage::Hashes {
                 shard,
@@ -157,10 +158,11 @@
         }
     }
 
-    /// Who the members of a shard are, who can become one, and what a new one starts from.
+    /// Handles messages about a shard's members, candidates, and the state that a new member starts
+    /// from.
     fn handle_membership(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         sender: ReplicaIncarnation,
         message: LedgerMessage,
     ) {
@@ -198,7 +200,7 @@
         }
     }
 
-    /// The leader says that messages of its log may have been lost.
+    /// Handles the leader's notice that messages of its log may have been lost.
     fn receive_resync(&mut self, sender: ReplicaId, configuration: ConfigurationId) {
         let ConfigurationId { shard, config } = configuration;
         let view = self.shards.get_mut(usize::from(shard));
@@ -207,14 +209,14 @@
         };
         if replica.config == config && replica.members.contains(&sender) {
             replica.resync(sender.front);
-            self.touched.insert(shard);
+            self.changed_shards.insert(shard);
         }
     }
 
-    /// A snapshot for a front that is to become a member: kept until it does.
+    /// Stores a snapshot for a front that is about to become a member, until it does.
     fn receive_snapshot(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         from: FrontId,
         configuration: ConfigurationId,
         index: u64,
@@ -227,10 +229,10 @@
         let Some(state) = decode::<State>(state) else {
             return self.reject(Rejection::Malformed);
         };
-        if view.replica.is_some() || self.own.disk == 0 {
+        if view.replica.is_some() || self.local.disk == 0 {
             return;
         }
-        view.learned = Some(Learned {
+        view.received_snapshot = Some(ReceivedSnapshot {
             config,
             at: StateAt { index, state },
         });
@@ -242,22 +244,23 @@
         self.transport.send(at, from, &message, Pace::Fast);
     }
 
-    /// The new member of a change of members that this front leads has taken in the snapshot.
+    /// Records that the new member, in a membership change led by this front, has received the
+    /// snapshot.
     fn record_caught_up(&mut self, sender: ReplicaId, configuration: ConfigurationId, index: u64) {
         let view = self.shards.get_mut(usize::from(configuration.shard));
         let repair = view.and_then(|view| view.repair.as_mut());
-        let expected =
-            repair.filter(|repair| repair.into == sender && repair.config == configuration.config);
+        let expected = repair
+            .filter(|repair| repair.joining == sender && repair.config == configuration.config);
         if let Some(repair) = expected {
-            repair.caught_up = Some(index);
+            repair.caught_up_index = Some(index);
         }
     }
 
-    /// A message of the log: for the configuration that this front is in, an earlier one or a later
-    /// one.
+    /// Handles a message of the log, which may belong to this replica's configuration, an earlier
+    /// or a later one.
     fn receive_log_message(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         sender: ReplicaIncarnation,
         configuration: ConfigurationId,
         numbered: NumberedMessage,
@@ -269,21 +272,22 @@
             .shards
             .get(usize::from(shard))
             .and_then(|view| view.replica.as_ref());
-        if replica.is_some_and(behind) && self.touched.contains(&shard) {
-            // What came with it may have decided on the members that it is from.
-            self.settle_shard(at, shard);
+        if replica.is_some_and(behind) && self.changed_shards.contains(&shard) {
+            // Earlier messages of the same packet may have decided the configuration that this one
+            // belongs to.
+            self.process_shard(at, shard);
         }
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         match &mut view.replica {
             Some(replica) if replica.config == config => {
-                // One that came back with another disk does not speak for the member that it was.
+                // A front that came back with another disk is not the member that it was before.
                 if !replica.members.contains(&sender.id) {
                     return self.reject(Rejection::NotMember);
                 }
                 match replica.receive(sender, number, message) {
-                    Received::Accepted => _ = self.touched.insert(shard),
+                    Received::Accepted => _ = self.changed_shards.insert(shard),
                     Received::OutOfOrder => self.reject(Rejection::Overtaken),
                     Received::NotMember => self.reject(Rejection::NotMember),
                     Received::Contradiction => {
@@ -294,7 +298,7 @@
             }
             Some(replica) if replica.config > config => self.send_membership(at, sender.id, shard),
             _ => {
-                // Members speak of it: it has begun.
+                // A member sends messages of the shard's log, so the shard has started.
                 view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
                 self.announce(at, sender.id.front, shard);
             }
--- a/crates/ledger/src/key_queues.rs
+++ b/crates/ledger/src/key_queues.rs
@@ -1,31 +1,36 @@
-//! Queues of fronts that wait for a key that another front has, held by the shard's leader: in the
-//! order in which they came. The first one is told once the key is free, and for a while the key is
-//! reserved for it. Nothing depends on a queue: it is lost with its leader, and the fronts in it
-//! ask again by themselves.
+//! Queues of fronts that wait for a key held by another front, kept by the shard's leader in order
+//! of arrival. The first front is notified when the key is free, and the key stays reserved for it
+//! for a while. Queues are an optimisation and not replicated: they are lost with the leader, and
+//! the waiting fronts repeat their requests anyway.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::batch::{Command, CommandId};
 use crate::{Key, Kind, Micros, Operation, Outcome, Owner};
 
-/// Microseconds without a request until a front leaves a queue.
+/// Microseconds without a request after which a front is removed from a queue.
 const WAITER_TIMEOUT: Micros = 1_000_000;
-const RESERVED_FOR: Micros = 100_000; // microseconds for which a free key is reserved for the first
-const MAX_DEFERRAL: Micros = 200_000; // microseconds that a request is deferred at most
-const MAX_KEYS: usize = 1_024; // keys with a queue, of a shard
-const MAX_WAITING: usize = 64; // fronts in a queue; others ask again by themselves
+/// Microseconds for which a free key stays reserved for the first front in its queue.
+const RESERVATION_TIME: Micros = 100_000;
+/// Maximum time in microseconds that a request is deferred because of a reservation.
+const MAX_DEFERRAL: Micros = 200_000;
+/// Maximum number of keys with a queue, per shard.
+const MAX_KEYS: usize = 1_024;
+/// Maximum number of fronts in a queue; further fronts are not notified and retry on their own.
+const MAX_WAITERS: usize = 64;
 
-struct Waiting {
+struct Waiter {
     owner: Owner,
-    /// Of its latest request.
+    /// The number of the front's latest request.
     number: u64,
-    ends: Micros,
+    expires_at: Micros,
 }
 
 #[derive(Default)]
 struct KeyQueue {
-    waiting: VecDeque<Waiting>,
-    /// Until when the key is reserved for the first of them, which has been told that it is free.
+    waiting: VecDeque<Waiter>,
+    /// Until when the key is reserved for the first waiter, which has been notified that it is
+    /// free.
     reserved_until: Option<Micros>,
 }
 
@@ -33,8 +38,8 @@
 #[derive(Default)]
 pub(crate) struct KeyQueues(BTreeMap<Key, KeyQueue>);
 
-/// Whether it asks for a key that only one front can have at a time.
-fn claims(command: &Command) -> bool {
+/// Whether the command requests a key that only one front can hold at a time.
+fn is_exclusive_claim(command: &Command) -> bool {
     let kind = matches!(command.key.kind, Kind::Order | Kind::Dedup);
     kind && matches!(
         command.operation,
@@ -51,9 +56,9 @@
         self.0.clear();
     }
 
-    /// Takes in the outcome of a request, of a front that can be told when the key is free.
+    /// Updates the queue of a key after a request from a front that can be notified of free keys.
     pub fn record(&mut self, now: Micros, command: &Command, outcome: &Outcome) {
-        if !claims(command) {
+        if !is_exclusive_claim(command) {
             return;
         }
         match outcome {
@@ -75,48 +80,58 @@
             return;
         }
         let queue = self.0.entry(command.key.clone()).or_default();
-        let (owner, number, ends) = (command.owner, command.number, now + WAITER_TIMEOUT);
+        let (owner, number, expires_at) = (command.owner, command.number, now + WAITER_TIMEOUT);
         match queue
             .waiting
             .iter()
             .position(|waiting| waiting.owner == owner)
         {
             Some(position) => {
-                queue.waiting[position] = Waiting {
+                queue.waiting[position] = Waiter {
                     owner,
                     number,
-                    ends,
+                    expires_at,
                 };
                 if position == 0 {
-                    queue.reserved_until = None; // another was before it after all
+                    queue.reserved_until = None; // the key is held by another front after all
                 }
             }
-            None if queue.waiting.len() < MAX_WAITING => {
-                queue.waiting.push_back(Waiting {
+            None if queue.waiting.len() < MAX_WAITERS => {
+                queue.waiting.push_back(Waiter {
                     owner,
                     number,
-                    ends,
+                    expires_at,
                 });
             }
             None => {}
         }
     }
 
-    /// Whether a request that came then is put off, as the key is reserved for another front.
-    pub fn is_reserved_for_another(&self, now: Micros, command: &Command, came: Micros) -> bool {
+    /// Whether to defer a request received at `received_at`, as the key is reserved for another
+    /// front.
+    pub fn is_reserved_for_another(
+        &self,
+        now: Micros,
+        command: &Command,
+        received_at: Micros,
+    ) -> bool {
         let queue = self
             .0
             .get(&command.key)
             .filter(|queue| queue.reserved_until.is_some_and(|until| now < until));
         let first = queue.and_then(|queue| queue.waiting.front());
         first.is_some_and(|first| first.owner != command.owner)
-            && claims(command)
-            && now - came < MAX_DEFERRAL
+            && is_exclusive_claim(command)
+            && now - received_at < MAX_DEFERRAL
     }
 
-    /// The latest requests of the fronts that are to be told that a key is free.
-    pub fn freed_keys(&mut self, now: Micros, is_free: impl Fn(&Key) -> bool) -> Vec<CommandId> {
-        let mut freed = Vec::new();
+    /// The latest requests of the fronts to be notified that a key is free.
+    pub fn waiters_to_notify(
+        &mut self,
+        now: Micros,
+        is_free: impl Fn(&Key) -> bool,
+    ) -> Vec<CommandId> {
+        let mut notified = Vec::new();
         self.0.retain(|key, queue| {
             let first = queue.waiting.front().map(|first| first.owner);
             if queue
@@ -125,9 +140,10 @@
                 .is_some()
                 && queue.waiting.len() > 1
             {
-                queue.waiting.swap(0, 1); // it has not come: the next goes before it, once
+                // The notified front has not claimed the key: the next one goes before it, once.
+                queue.waiting.swap(0, 1);
             }
-            queue.waiting.retain(|waiting| waiting.ends > now);
+            queue.waiting.retain(|waiting| waiting.expires_at > now);
             let Some(next) = queue.waiting.front() else {
                 return false;
             };
@@ -135,15 +151,15 @@
                 queue.reserved_until = None;
             }
             if queue.reserved_until.is_none() && is_free(key) {
-                queue.reserved_until = Some(now + RESERVED_FOR);
-                freed.push(CommandId {
+                queue.reserved_until = Some(now + RESERVATION_TIME);
+                notified.push(CommandId {
                     owner: next.owner,
                     number: next.number,
                 });
             }
             true
         });
-        freed
+        notified
     }
 }
 
