--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -1,7 +1,7 @@
 //! Leader transfer: a front that shuts down asks another member of each shard that it leads to take
-//! over, which does so at once with a ballot of its own, without waiting for an election timeout.
-//! Asks that wait here are asked again there. A leader also yields a shard to the member that is
-//! preferred for it, so that leaders stay spread.
+//! over. That member starts a ballot at once, without waiting for an election timeout, and requests
+//! that were queued here are repeated there. A leader also yields a shard to the shard's preferred
+//! leader, which keeps the leaders spread.
 
 use std::collections::BTreeSet;
 
@@ -13,47 +13,49 @@
 use crate::peer::Peer;
 use crate::replica::Replica;
 use crate::shard_view::ShardView;
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
-/// Microseconds until another candidate is asked: some round trips and a sync.
-const RETRY: Micros = 150_000;
-/// Microseconds since a candidate was heard at most: three heartbeats.
-const HEARD_WITHIN: Micros = 1_000_000;
-/// Microseconds that a front runs, and a shard has one leader, before that yields.
-const SETTLED_AFTER: u64 = 2_000_000;
-const YIELD_INTERVAL: Micros = 500_000; // microseconds between shards that a front yields
+/// Microseconds until another candidate is asked: enough for some round trips and a sync.
+const RETRY_INTERVAL: Micros = 150_000;
+/// Maximum microseconds since the last packet of a candidate: three heartbeats.
+const MAX_SILENCE: Micros = 1_000_000;
+/// Microseconds for which a front has run, and a leader has led, before a shard is yielded.
+const SETTLING_TIME: u64 = 2_000_000;
+/// Minimum microseconds between two shards that a front yields.
+const YIELD_INTERVAL: Micros = 500_000;
 
 impl Peer {
-    /// It has run for a while, by its Unix clock and this one's.
-    fn is_settled(&self, at: Moment) -> bool {
-        at.wall_ms.saturating_sub(self.incarnation) >= SETTLED_AFTER / 1_000
+    /// Whether the peer has run for the settling time, by its Unix clock and this front's.
+    fn is_settled(&self, at: ClockReading) -> bool {
+        at.wall_ms.saturating_sub(self.incarnation) >= SETTLING_TIME / 1_000
     }
 }
 
 impl Ledger {
-    /// This front is shutting down: from now on it leads nothing that another front can lead.
-    pub fn begin_shutdown(&mut self, at: Moment) {
+    /// Starts to shut down: from now on this front hands over every shard that another front can
+    /// lead.
+    pub fn begin_shutdown(&mut self, at: ClockReading) {
         if self.shutdown.is_none() {
             self.shutdown = Some(Shutdown {
                 retry_at: at.steady,
                 attempts: 0,
             });
             self.transfer_leadership(at);
-            self.settle(at);
+            self.process_changes(at);
         }
     }
 
-    /// Whether it still leads a shard that another front could lead.
-    pub fn hands_over(&self) -> bool {
-        let others = self.shards.iter().filter(|view| view.members().len() > 1);
-        others
+    /// Whether this front still leads a shard that has other members.
+    pub fn leads_transferable_shard(&self) -> bool {
+        let shared_shards = self.shards.iter().filter(|view| view.members().len() > 1);
+        shared_shards
             .filter_map(|view| view.replica.as_ref())
             .any(Replica::is_leader)
     }
 
-    /// Asks candidates to take over the shards that this front leads, where that is due, and tells
-    /// all members that it is shutting down.
-    pub(crate) fn transfer_leadership(&mut self, at: Moment) {
+    /// Asks candidates to take over the shards that this front leads, if that is due, and announces
+    /// the shutdown to all members.
+    pub(crate) fn transfer_leadership(&mut self, at: ClockReading) {
         let now = at.steady;
         let Some(shutdown) = self
             .shutdown
@@ -62,7 +64,7 @@
         else {
             return;
         };
-        shutdown.retry_at = now + RETRY;
+        shutdown.retry_at = now + RETRY_INTERVAL;
         let attempt = shutdown.attempts;
         shutdown.attempts += 1;
         for view in &self.shards {
@@ -82,21 +84,27 @@
         self.announce_shutdown(at);
     }
 
-    /// The members that can lead a shard instead of this front, the best first; the next one is
-    /// asked where one does not take it, as it may be shutting down itself.
-    fn transfer_candidates(&self, at: Moment, view: &ShardView, replica: &Replica) -> Vec<FrontId> {
-        let heard_lately = |peer: &Peer| peer.disk != 0 && at.steady - peer.heard_at < HEARD_WITHIN;
+    /// The members that can take over a shard, the best first. Successive attempts ask different
+    /// candidates, as one that does not take over may be shutting down itself.
+    fn transfer_candidates(
+        &self,
+        at: ClockReading,
+        view: &ShardView,
+        replica: &Replica,
+    ) -> Vec<FrontId> {
+        let is_recently_seen =
+            |peer: &Peer| peer.disk != 0 && at.steady - peer.last_seen < MAX_SILENCE;
         let is_candidate = |front: &FrontId| {
-            *front != self.own.front
-                && self.peers.get(front).is_some_and(heard_lately)
+            *front != self.local.front
+                && self.peers.get(front).is_some_and(is_recently_seen)
                 && !self.away.is_away(*front)
                 && !self.is_shutting_down(*front)
                 && self.transport.common_format(*front) >= TRANSFER_FORMAT
         };
         let members = replica.members.iter().map(|member| member.front);
         let mut candidates: Vec<FrontId> = members.filter(is_candidate).collect();
-        let rank = |front: &FrontId| view.wanted.iter().position(|wanted| wanted == front);
-        // One that has just started may not know yet who leads the shard.
+        let rank = |front: &FrontId| view.target_fronts.iter().position(|target| target == front);
+        // A front that has just started may not know the shard's leader yet.
         let unsettled = |front: &FrontId| {
             self.peers
                 .get(front)
@@ -112,13 +120,14 @@
         candidates
     }
 
-    /// Tells the other members of all shards held here that this front is shutting down.
-    fn announce_shutdown(&mut self, at: Moment) {
+    /// Announces to the other members of all shards held here that this front is shutting down.
+    fn announce_shutdown(&mut self, at: ClockReading) {
         let replicas = self.shards.iter().filter_map(|view| view.replica.as_ref());
         let members =
             replicas.flat_map(|replica| replica.members.iter().map(|member| member.front));
-        let others: BTreeSet<FrontId> = members.filter(|front| *front != self.own.front).collect();
-        for to in others {
+        let other_fronts: BTreeSet<FrontId> =
+            members.filter(|front| *front != self.local.front).collect();
+        for to in other_fronts {
             if self.transport.common_format(to) >= FIRST_EXPLICIT_FORMAT {
                 self.transport
                     .send(at, to, &LedgerMessage::ShuttingDown, Pace::Fast);
@@ -126,7 +135,7 @@
         }
     }
 
-    /// Another front has said in its present incarnation that it is shutting down.
+    /// Whether another front has announced in its current incarnation that it is shutting down.
     fn is_shutting_down(&self, front: FrontId) -> bool {
         let peer = self.peers.get(&front).map(|peer| peer.incarnation);
         self.shutting_down
@@ -134,20 +143,20 @@
             .is_some_and(|incarnation| Some(*incarnation) == peer)
     }
 
-    /// Transfers a shard to the member that is preferred as its leader, once that one has run for a
-    /// while: a front that was restarted gets its part again.
-    pub(crate) fn yield_leadership(&mut self, at: Moment, shard: u16) {
-        let (now, own) = (at.steady, self.own.front);
+    /// Transfers a shard to its preferred leader once that front has run for the settling time, so
+    /// that a restarted front leads its share again.
+    pub(crate) fn yield_leadership(&mut self, at: ClockReading, shard: u16) {
+        let (now, local) = (at.steady, self.local.front);
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
         };
         let Some((replica, since)) = view.replica.as_ref().zip(view.leader_since) else {
             return;
         };
-        let busy = view.repair.is_some() || self.shutdown.is_some() || now < self.yield_at;
+        let busy = view.repair.is_some() || self.shutdown.is_some() || now < self.next_yield;
         let Some(to) = view
             .preferred_among(&replica.members)
-            .filter(|to| *to != own && !busy)
+            .filter(|to| *to != local && !busy)
         else {
             return;
         };
@@ -157,17 +166,17 @@
                 disk: peer.disk,
             };
             peer.is_settled(at)
-                && now - peer.heard_at < HEARD_WITHIN
+                && now - peer.last_seen < MAX_SILENCE
                 && replica.members.contains(&member)
         };
         let available = self.peers.get(&to).is_some_and(available)
             && !self.away.is_away(to)
             && !self.is_shutting_down(to);
         if available
-            && now - since >= SETTLED_AFTER as Micros
+            && now - since >= SETTLING_TIME as Micros
             && self.transport.common_format(to) >= TRANSFER_FORMAT
         {
-            self.yield_at = now + YIELD_INTERVAL;
+            self.next_yield = now + YIELD_INTERVAL;
             let message = LedgerMessage::TransferLeadership {
                 shard,
                 config: replica.config,
@@ -176,25 +185,28 @@
         }
     }
 
-    /// Whether a shard that this front keeps would have no majority without it, as others of its
-    /// members are away: an end had better wait for them. Of two that leave at once the one with
+    /// Whether a shard held here would have no quorum without this front because other members are
+    /// away; a shutdown should wait for them. Of two fronts that shut down at once, the one with
     /// the lower id does not wait for the other.
-    pub fn is_needed(&self, at: Moment) -> bool {
-        let here = |member: &ReplicaId| {
+    pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
+        let is_available = |member: &ReplicaId| {
             let peer = self
                 .peers
                 .get(&member.front)
                 .filter(|peer| peer.disk == member.disk);
-            let heard_lately = peer.is_some_and(|peer| at.steady - peer.heard_at < HEARD_WITHIN);
-            heard_lately && (!self.is_shutting_down(member.front) || member.front > self.own.front)
+            let is_recently_seen =
+                peer.is_some_and(|peer| at.steady - peer.last_seen < MAX_SILENCE);
+            is_recently_seen
+                && (!self.is_shutting_down(member.front) || member.front > self.local.front)
         };
         let needed = |replica: &Replica| {
-            let (majority, others) = (replica.members.len() / 2 + 1, replica.members.len() - 1);
+            let (majority, other_members) =
+                (replica.members.len() / 2 + 1, replica.members.len() - 1);
             let available = replica
                 .members
                 .iter()
-                .filter(|member| member.front != self.own.front && here(member));
-            majority <= others && available.count() < majority
+                .filter(|member| member.front != self.local.front && is_available(member));
+            majority <= other_members && available.count() < majority
         };
         self.shards
             .iter()
@@ -202,7 +214,7 @@
             .any(needed)
     }
 
-    /// The leader of a shard asks this front to take it over.
+    /// Handles the leader's request to take over a shard.
     pub(crate) fn accept_leadership(&mut self, from: FrontId, shard: u16, config: u32) {
         if self.shutdown.is_some() {
             return;
@@ -211,8 +223,8 @@
         let replica = view.and_then(|view| view.replica.as_mut());
         if let Some(replica) = replica.filter(|r| r.config == config && r.leader() == Some(from)) {
             replica.campaign();
-            self.counters.taken_over += 1;
-            self.touched.insert(shard);
+            self.counters.accepted_leaderships += 1;
+            self.changed_shards.insert(shard);
         }
     }
 
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is due at intervals: shards that have yet to start are bootstrapped, and missing replicas are replaced.
+//! Periodic work: bootstraps shards that have not started, and replaces missing replicas.
 
 use crate::bootstrap::{Bootstrap, Step};
 use crate::encoding::encode;
@@ -10,53 +10,68 @@
 use crate::rebalance::Move;
 use crate::records;
 use crate::repair::{missing_member, spare_front, MissingMember, Repair};
-use crate::replica::{Replica, FIRST};
+use crate::replica::{Replica, FIRST_INDEX};
 use crate::state::{Limits, State, StateAt};
-use crate::{FrontId, Micros, Moment};
+use crate::{ClockReading, FrontId, Micros};
 
-/// Microseconds between two runs of `maintain`, and between announcements of a front to another.
+/// Microseconds between two runs of `maintain`, and between announcements to the same front.
 pub(crate) const MAINTENANCE_INTERVAL: Micros = 250_000;
-const PROBES_AT_ONCE: usize = 8; // fronts that are asked at once whether a shard has started
+/// Fronts that are asked in one run whether a shard has started.
+const PROBES_AT_ONCE: usize = 8;
 
 impl Ledger {
-    /// Begins to bootstrap the shards that are placed on this front and that it knows nothing of: they have yet to start,
-    /// or it has lost its disk.
+    /// Starts to bootstrap the shards that are placed on this front and that it knows nothing of:
+    /// either they have not started, or this front has lost its disk.
     pub(crate) fn start_bootstraps(&mut self) {
-        let (own, copies) = (self.own.front, self.setup.copies);
+        let (local, replication_factor) = (self.local.front, self.setup.replication_factor);
         for view in &mut self.shards {
-            let placed = view.ranked.iter().take(copies).any(|front| *front == own);
-            if placed && view.replica.is_none() && view.barred == 0 && view.bootstrap.is_none() {
+            let placed = view
+                .ranked
+                .iter()
+                .take(replication_factor)
+                .any(|front| *front == local);
+            if placed
+                && view.replica.is_none()
+                && view.barred_config == 0
+                && view.bootstrap.is_none()
+            {
                 view.bootstrap = Some(Bootstrap::default());
             }
         }
     }
 
-    /// Takes the next step of a shard that has yet to start.
-    pub(crate) fn advance_bootstrap(&mut self, at: Moment, shard: u16) {
-        let own = ReplicaIncarnation {
-            id: self.own,
+    /// Takes the next step of a shard that has not started yet.
+    pub(crate) fn advance_bootstrap(&mut self, at: ClockReading, shard: u16) {
+        let local = ReplicaIncarnation {
+            id: self.local,
             incarnation: self.transport.incarnation,
         };
-        let copies = self.setup.copies;
+        let replication_factor = self.setup.replication_factor;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
-        let placed: Vec<FrontId> = view.ranked.iter().take(copies).copied().collect();
+        let placed: Vec<FrontId> = view
+            .ranked
+            .iter()
+            .take(replication_factor)
+            .copied()
+            .collect();
         let Some(bootstrap) = &mut view.bootstrap else {
             return;
         };
-        match bootstrap.next_step(own, &placed, &view.ranked) {
+        match bootstrap.next_step(local, &placed, &view.ranked) {
             Step::Wait => {}
             Step::Agree(agreed) => {
                 self.records.push(records::bootstrap(shard, &agreed));
-                view.announced.clear();
+                view.last_announced.clear();
                 self.send_agreed(at, shard, &placed, &agreed);
                 if placed.len() == 1 {
                     self.advance_bootstrap(at, shard);
                 }
             }
             Step::Start(members) => {
-                // The others start once they hear that this one has agreed, which it tells once more.
+                // The other fronts start once they learn that this front has agreed, so that is
+                // sent once more.
                 let agreed = bootstrap.agreed().to_vec();
                 self.send_agreed(at, shard, &placed, &agreed);
                 let state = State::new(Limits::of(&self.setup));
@@ -65,7 +80,7 @@
                     shard,
                     Configuration { config: 1, members },
                     StateAt {
-                        index: FIRST,
+                        index: FIRST_INDEX,
                         state,
                     },
                 );
@@ -73,15 +88,16 @@
         }
     }
 
-    /// Tells the fronts that a shard is placed on with whom this one has agreed to start it.
+    /// Sends the replicas with which this front has agreed to start a shard to the fronts that it
+    /// is placed on.
     fn send_agreed(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         shard: u16,
         placed: &[FrontId],
         agreed: &[ReplicaIncarnation],
     ) {
-        for to in placed.iter().filter(|front| **front != self.own.front) {
+        for to in placed.iter().filter(|front| **front != self.local.front) {
             let message = LedgerMessage::Available {
                 shard,
                 config: 0,
@@ -91,48 +107,54 @@
         }
     }
 
-    /// Asks and tells the fronts that a shard that has yet to start depends on.
-    fn drive_bootstrap(&mut self, at: Moment, shard: u16) {
+    /// Exchanges messages with the fronts that the start of a shard depends on.
+    fn drive_bootstrap(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
         };
-        let placed = view.ranked.iter().take(self.setup.copies).copied();
+        let placed = view
+            .ranked
+            .iter()
+            .take(self.setup.replication_factor)
+            .copied();
         let members = view.members().iter().map(|member| member.front);
-        let others: Vec<FrontId> = placed
+        let other_fronts: Vec<FrontId> = placed
             .chain(members)
-            .filter(|to| *to != self.own.front)
+            .filter(|to| *to != self.local.front)
             .collect();
-        let unheard = view.bootstrap.as_ref().filter(|_| view.config() == 0);
-        let unheard = unheard.map(|bootstrap| bootstrap.unheard(self.own.front, &view.ranked));
-        let turn = (at.steady / MAINTENANCE_INTERVAL) as usize * PROBES_AT_ONCE;
-        let unheard = unheard.unwrap_or_default();
-        for n in 0..unheard.len().min(PROBES_AT_ONCE) {
-            self.probe(at, unheard[(turn + n) % unheard.len()], shard);
+        let without_offer = view.bootstrap.as_ref().filter(|_| view.config() == 0);
+        let without_offer =
+            without_offer.map(|bootstrap| bootstrap.without_offer(self.local.front, &view.ranked));
+        let offset = (at.steady / MAINTENANCE_INTERVAL) as usize * PROBES_AT_ONCE;
+        let without_offer = without_offer.unwrap_or_default();
+        for n in 0..without_offer.len().min(PROBES_AT_ONCE) {
+            self.probe(at, without_offer[(offset + n) % without_offer.len()], shard);
         }
-        others
+        other_fronts
             .into_iter()
             .for_each(|to| self.announce(at, to, shard));
         self.advance_bootstrap(at, shard);
     }
 
-    /// Does what is due at intervals.
-    pub(crate) fn maintain(&mut self, at: Moment) {
-        if at.steady < self.maintain_at {
+    /// Runs the periodic work if it is due.
+    pub(crate) fn maintain(&mut self, at: ClockReading) {
+        if at.steady < self.next_maintenance {
             return;
         }
-        self.maintain_at = at.steady + MAINTENANCE_INTERVAL;
+        self.next_maintenance = at.steady + MAINTENANCE_INTERVAL;
         self.update_placement(at.steady);
-        // Whoever is on the list may have to read what is saved, and may be a build back by then.
-        let others = self
+        // Any front on the list may have to read the saved data, and may run the previous build by
+        // then.
+        let other_fronts = self
             .setup
             .members
             .iter()
             .map(|member| member.front)
-            .filter(|f| *f != self.own.front);
-        self.format = self
+            .filter(|f| *f != self.local.front);
+        self.proposal_format = self
             .setup
             .saved_format
-            .min(self.transport.common_format_of_all(others));
+            .min(self.transport.common_format_of_all(other_fronts));
         for shard in 0..self.setup.shards {
             let Some(view) = self.shards.get(usize::from(shard)) else {
                 continue;
@@ -147,8 +169,8 @@
         }
     }
 
-    /// Replaces a missing replica of a shard that this front leads, or moves one.
-    fn replace_missing(&mut self, at: Moment, shard: u16) {
+    /// Replaces a missing replica of a shard that this front leads, or moves one for balance.
+    fn replace_missing(&mut self, at: ClockReading, shard: u16) {
         let now = at.steady;
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
@@ -160,25 +182,31 @@
             return self.advance_repair(now, shard, repair);
         }
         let peer = |front: FrontId| self.peers.get(&front).copied();
-        let waits = |front, since| self.away.wait_until(&self.setup, front, since);
-        let own = self.own.front;
-        let missing = missing_member(now, since, waits, &replica.members, own, peer);
-        let Some(MissingMember { out, back }) = missing else {
-            if let Some(Move { out, into, ends }) = self.next_move(at, shard) {
-                self.start_replacement(at, shard, out, into, Some(ends));
+        let wait_until = |front, since| self.away.wait_until(&self.setup, front, since);
+        let local = self.local.front;
+        let missing = missing_member(now, since, wait_until, &replica.members, local, peer);
+        let Some(MissingMember { leaving, returned }) = missing else {
+            if let Some(Move {
+                leaving,
+                joining,
+                deadline,
+            }) = self.next_move(at, shard)
+            {
+                self.start_replacement(at, shard, leaving, joining, Some(deadline));
             }
             return;
         };
-        if back.is_none() {
-            self.declare_gone(now, out.front);
+        if returned.is_none() {
+            self.declare_gone(now, leaving.front);
         }
-        match back.or_else(|| self.spare_for(now, shard)) {
-            Some(into) => self.start_replacement(at, shard, out, into, None),
+        match returned.or_else(|| self.spare_for(now, shard)) {
+            Some(joining) => self.start_replacement(at, shard, leaving, joining, None),
             None => self.probe_spares(at, shard),
         }
     }
 
-    /// Goes on with a replacement: gives it up, or proposes the members once the new one has caught up.
+    /// Continues a replacement: aborts it, or proposes the new members once the new one has caught
+    /// up.
     fn advance_repair(&mut self, now: Micros, shard: u16, repair: Repair) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -186,26 +214,31 @@
         let Some(replica) = &mut view.replica else {
             return;
         };
-        let into = self.peers.get(&repair.into.front);
-        if repair.is_over(now, replica.config, into) {
+        let joining = self.peers.get(&repair.joining.front);
+        if repair.must_abort(now, replica.config, joining) {
             view.repair = None;
-        } else if repair.caught_up.is_some() {
+        } else if repair.caught_up_index.is_some() {
             replica.propose_members(now, repair.next(&replica.members));
-            self.touched.insert(shard);
+            self.changed_shards.insert(shard);
         }
     }
 
-    /// The front that is to hold a shard in place of a missing member.
+    /// The front that is to replace a missing member, if a suitable one is up.
     fn spare_for(&self, now: Micros, shard: u16) -> Option<ReplicaId> {
         let view = self.shards.get(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
         let peer = |front: FrontId| self.peers.get(&front).copied();
-        let order: Vec<FrontId> = view.wanted.iter().chain(&view.ranked).copied().collect();
+        let order: Vec<FrontId> = view
+            .target_fronts
+            .iter()
+            .chain(&view.ranked)
+            .copied()
+            .collect();
         spare_front(now, &order, &replica.members, peer)
     }
 
-    /// Asks fronts that hold no replica of a shard whether they can, two at a time.
-    fn probe_spares(&mut self, at: Moment, shard: u16) {
+    /// Asks fronts without a replica of the shard whether they can hold one, two per run.
+    fn probe_spares(&mut self, at: ClockReading, shard: u16) {
         let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
         };
@@ -218,26 +251,27 @@
             .filter(|front| !is_member(front))
             .copied()
             .collect();
-        let turn = (at.steady / MAINTENANCE_INTERVAL) as usize;
-        for to in (0..free.len().min(2)).filter_map(|n| free.get((turn * 2 + n) % free.len())) {
+        let offset = (at.steady / MAINTENANCE_INTERVAL) as usize;
+        for to in (0..free.len().min(2)).filter_map(|n| free.get((offset * 2 + n) % free.len())) {
             self.probe(at, *to, shard);
         }
     }
 
-    /// Asks a front whether it can hold a replica.
-    pub(crate) fn probe(&mut self, at: Moment, to: FrontId, shard: u16) {
+    /// Asks a front whether it can hold a replica of the shard.
+    pub(crate) fn probe(&mut self, at: ClockReading, to: FrontId, shard: u16) {
         self.transport
             .send(at, to, &LedgerMessage::Probe { shard }, Pace::Fast);
     }
 
-    /// Sends the state to the replica that is to replace another; `moves`: until when, where none is missing.
+    /// Sends the state to the replica that is to replace another. `move_deadline` is set for a move
+    /// for balance, and None if a replica is missing.
     fn start_replacement(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         shard: u16,
-        out: ReplicaId,
-        into: ReplicaId,
-        moves: Option<Micros>,
+        leaving: ReplicaId,
+        joining: ReplicaId,
+        move_deadline: Option<Micros>,
     ) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -246,12 +280,22 @@
         let config = replica.config;
         let (index, bytes) = (replica.applied(), replica.state.bytes());
         let state = encode(&replica.state);
-        let mut repair = Repair::new(at.steady, out, into, config, bytes, self.setup.repair_bytes);
-        (repair.moves, repair.ends) = (moves.is_some(), moves.unwrap_or(repair.ends));
+        let mut repair = Repair::new(
+            at.steady,
+            leaving,
+            joining,
+            config,
+            bytes,
+            self.setup.repair_bytes_per_s,
+        );
+        (repair.is_move, repair.deadline) = (
+            move_deadline.is_some(),
+            move_deadline.unwrap_or(repair.deadline),
+        );
         view.repair = Some(repair);
         self.transport.send(
             at,
-            into.front,
+            joining.front,
             &LedgerMessage::Snapshot {
                 shard,
                 config,
@@ -262,18 +306,18 @@
         );
     }
 
-    /// The time that goes with a round: the median of the members' Unix clocks, so that one that is far off ends no entry
-    /// of others.
-    pub(crate) fn wall_ms(&self, at: Moment, shard: u16) -> u64 {
+    /// The Unix time of a round: the median of the members' clocks, so that a member whose clock is
+    /// far off does not expire entries of others.
+    pub(crate) fn wall_ms(&self, at: ClockReading, shard: u16) -> u64 {
         let members = self
             .shards
             .get(usize::from(shard))
             .map_or(&[][..], |view| view.members());
-        let others = members
+        let other_fronts = members
             .iter()
-            .filter(|member| member.front != self.own.front);
-        let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.heard_at).max(0) / 1_000) as u64;
-        let mut walls: Vec<u64> = others
+            .filter(|member| member.front != self.local.front);
+        let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.last_seen).max(0) / 1_000) as u64;
+        let mut walls: Vec<u64> = other_fronts
             .filter_map(|k| self.peers.get(&k.front))
             .map(now)
             .collect();
--- a/crates/ledger/src/reassembly.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -1,5 +1,6 @@
-//! Puts long messages together again from their fragments: bounded in number and bytes, with missing fragments asked for
-//! again, and finished messages remembered so that a repeated fragment is only acknowledged.
+//! Reassembles long messages from their fragments. Their number and bytes are bounded, missing
+//! fragments are requested again, and completed messages are remembered so that a repeated fragment
+//! is only acknowledged.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +9,21 @@
 use crate::rejection::Rejection;
 use crate::{FrontId, Micros};
 
-const MAX_REASSEMBLIES: usize = 64; // messages of one front that are being put together
-const MAX_BUFFERED: usize = 32 * 1_024 * 1_024; // bytes of fragments that wait for others
-const GAP_TIMEOUT: Micros = 60_000; // microseconds without a fragment until gaps are asked for
-const TAIL_TIMEOUT: Micros = 400_000; // microseconds until fragments count as lost that may yet have to be sent
-const MAX_FINISHED: usize = 4_096; // messages that are complete and remembered as such
-const MAX_RESEND: usize = 256; // fragments asked for at once
+/// Maximum number of incomplete messages per sender.
+const MAX_REASSEMBLIES: usize = 64;
+/// Maximum bytes of buffered fragments.
+const MAX_BUFFERED: usize = 32 * 1_024 * 1_024;
+/// Microseconds without a fragment after which gaps are requested.
+const GAP_TIMEOUT: Micros = 60_000;
+/// Microseconds without a fragment after which fragments behind the last received one count as
+/// lost; until then they may not have been sent yet.
+const TAIL_TIMEOUT: Micros = 400_000;
+/// Maximum number of completed messages that are remembered.
+const MAX_FINISHED: usize = 4_096;
+/// Maximum number of fragments requested at once.
+const MAX_RESEND: usize = 256;
 
-/// A long message: its sender, and the number that the sender has given it.
+/// A long message, identified by its sender and the number that the sender gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageId {
     pub from: FrontId,
@@ -25,38 +33,38 @@
 /// One fragment of a long message.
 pub(crate) struct Fragment {
     pub index: u16,
-    /// Fragments of the message in all.
+    /// The number of fragments of the message.
     pub count: u16,
     pub bytes: Vec<u8>,
 }
 
-/// What a fragment has led to.
-pub(crate) enum Added {
-    /// Others of its message are missing.
+/// The result of adding a fragment.
+pub(crate) enum FragmentOutcome {
+    /// Other fragments of the message are missing.
     Incomplete,
-    /// Its message was complete before: the sender has missed the acknowledgement.
+    /// The message was complete before: the sender has missed the acknowledgement.
     Repeated,
-    /// Its message is complete now.
+    /// The message is complete now.
     Complete(Vec<u8>),
 }
 
 struct Partial {
     fragments: Vec<Option<Vec<u8>>>,
     buffered: usize,
-    touched: Micros,
-    asked: Micros,
+    last_activity: Micros,
+    last_request: Micros,
 }
 
 impl Partial {
-    /// Missing fragments that count as lost, and are not only waiting to be sent.
-    fn lost(&self, now: Micros) -> Vec<u16> {
-        // What follows the last that has come may only be waiting for its turn.
+    /// The missing fragments that count as lost, as opposed to not sent yet.
+    fn lost_fragments(&self, now: Micros) -> Vec<u16> {
+        // Fragments behind the last received one may not have been sent yet.
         let last = self
             .fragments
             .iter()
             .rposition(Option::is_some)
             .unwrap_or(0);
-        let sure = if now - self.touched >= TAIL_TIMEOUT {
+        let expected = if now - self.last_activity >= TAIL_TIMEOUT {
             self.fragments.len()
         } else {
             last
@@ -64,33 +72,33 @@
         let missing = self
             .fragments
             .iter()
-            .take(sure)
+            .take(expected)
             .enumerate()
             .filter(|(_, fragment)| fragment.is_none());
         missing.map(|(n, _)| n as u16).take(MAX_RESEND).collect()
     }
 }
 
-/// The long messages of all fronts that are being put together.
+/// The incomplete long messages of all senders.
 #[derive(Default)]
 pub(crate) struct Reassembly {
     partial: BTreeMap<MessageId, Partial>,
-    /// Messages that became complete, and when.
+    /// The completed messages, and when each was completed.
     finished: BTreeMap<MessageId, Micros>,
-    /// Bytes of all fragments that wait for others.
+    /// Bytes of all buffered fragments.
     buffered: usize,
 }
 
 impl Reassembly {
-    /// Takes in a fragment.
+    /// Adds a fragment. Fails if it is malformed or exceeds the limits.
     pub fn add(
         &mut self,
         now: Micros,
         id: MessageId,
         fragment: Fragment,
-    ) -> Result<Added, Rejection> {
+    ) -> Result<FragmentOutcome, Rejection> {
         if self.finished.contains_key(&id) {
-            return Ok(Added::Repeated);
+            return Ok(FragmentOutcome::Repeated);
         }
         let Fragment {
             index,
@@ -107,37 +115,37 @@
         if self.buffered + bytes.len() > MAX_BUFFERED {
             return Err(Rejection::TooManyFragments);
         }
-        let none = || Partial {
+        let empty = || Partial {
             fragments: vec![None; count.into()],
             buffered: 0,
-            touched: now,
-            asked: now,
+            last_activity: now,
+            last_request: now,
         };
-        let partial = self.partial.entry(id).or_insert_with(none);
+        let partial = self.partial.entry(id).or_insert_with(empty);
         let slot = partial
             .fragments
             .get_mut(usize::from(index))
             .ok_or(Rejection::Malformed)?;
-        partial.touched = now;
+        partial.last_activity = now;
         if slot.is_none() {
             partial.buffered += bytes.len();
             self.buffered += bytes.len();
             *slot = Some(bytes);
         }
         if partial.fragments.iter().any(Option::is_none) {
-            return Ok(Added::Incomplete);
+            return Ok(FragmentOutcome::Incomplete);
         }
         let partial = self.partial.remove(&id).ok_or(Rejection::Malformed)?;
         self.buffered -= partial.buffered;
         if self.finished.len() < MAX_FINISHED {
             self.finished.insert(id, now);
         }
-        Ok(Added::Complete(
+        Ok(FragmentOutcome::Complete(
             partial.fragments.into_iter().flatten().flatten().collect(),
         ))
     }
 
-    /// The number of long messages of a front that are incomplete.
+    /// The number of incomplete messages from a front.
     fn incomplete_of(&self, from: FrontId) -> usize {
         let first = MessageId { from, number: 0 };
         let last = MessageId {
@@ -147,22 +155,23 @@
         self.partial.range(first..=last).count()
     }
 
-    /// Forgets what its sender has abandoned; requests for fragments that count as lost, which their senders have to send again.
+    /// Drops messages that their senders have abandoned, and requests the fragments that count as
+    /// lost.
     pub fn request_missing(&mut self, now: Micros) -> Vec<OutgoingPayload> {
         self.finished.retain(|_, at| now - *at < 2 * ABANDON_AFTER);
         let buffered = &mut self.buffered;
         self.partial.retain(|_, partial| {
-            let stays = now - partial.touched < ABANDON_AFTER;
-            *buffered -= if stays { 0 } else { partial.buffered };
-            stays
+            let is_active = now - partial.last_activity < ABANDON_AFTER;
+            *buffered -= if is_active { 0 } else { partial.buffered };
+            is_active
         });
         let mut requests = Vec::new();
         for (id, partial) in &mut self.partial {
-            if now - partial.touched.max(partial.asked) < GAP_TIMEOUT {
+            if now - partial.last_activity.max(partial.last_request) < GAP_TIMEOUT {
                 continue;
             }
-            partial.asked = now;
-            let missing = partial.lost(now);
+            partial.last_request = now;
+            let missing = partial.lost_fragments(now);
             if !missing.is_empty() {
                 let payload = Payload::Resend {
                     id: id.number,
@@ -182,7 +191,7 @@
         let due = self
             .partial
             .values()
-            .map(|partial| partial.touched.max(partial.asked) + GAP_TIMEOUT);
+            .map(|partial| partial.last_activity.max(partial.last_request) + GAP_TIMEOUT);
         due.min().unwrap_or(Micros::MAX)
     }
 }
--- a/crates/ledger/src/replica/saving.rs
+++ b/crates/ledger/src/replica/saving.rs
@@ -1,4 +1,4 @@
-//! What a replica saves: the records of its log, its snapshot and its promises, as far as they have changed.
+//! Saves the changes of a replica: the records of its log, its snapshot and its Paxos promises.
 
 use hallmux_replica::LogState;
 
@@ -8,7 +8,7 @@
 use crate::Record;
 
 impl Replica {
-    /// Whether something must be durable before anything that follows from it is sent.
+    /// Whether changes must be durable before any message that depends on them is sent.
     pub fn must_save(&mut self) -> bool {
         if let Some(changes) = self.store.take_changes() {
             self.changes.must_persist |= changes.must_persist;
@@ -24,7 +24,7 @@
         self.changes.must_persist
     }
 
-    /// Adds what has changed since it was last saved to the records; the latest format that they are of.
+    /// Adds the changes since the last save to the records; returns the latest format among them.
     pub fn save_changes(&mut self, records: &mut Vec<Record>) -> u8 {
         let mut format = self.state.format();
         if !std::mem::take(&mut self.dirty) {
@@ -32,8 +32,8 @@
         }
         let changes = std::mem::take(&mut self.changes);
         let shard = self.shard;
-        let before = self.saved.clone();
-        self.saved = self.store.read(|log_state| {
+        let previously_saved = self.saved_indices.clone();
+        self.saved_indices = self.store.read(|log_state| {
             records.push(records::meta(format, shard, &self.meta(log_state)));
             if let Some(snapshot) = log_state.snapshot.as_ref().filter(|_| changes.snapshot) {
                 format = format.max(snapshot.format());
@@ -46,16 +46,16 @@
                 format = format.max(batch.tail.format());
                 records.push(records::entry(shard, index, batch));
             }
-            let compacted_away = before.start..compacted.min(before.end);
-            let cut_off = end.max(before.start)..before.end;
-            let gone = compacted_away.chain(cut_off);
-            records.extend(gone.map(|index| records::no_entry(shard, index)));
+            let compacted_away = previously_saved.start..compacted.min(previously_saved.end);
+            let cut_off = end.max(previously_saved.start)..previously_saved.end;
+            let removed = compacted_away.chain(cut_off);
+            records.extend(removed.map(|index| records::remove_entry(shard, index)));
             compacted..end
         });
         format
     }
 
-    /// What is saved beside the log and the snapshot.
+    /// The record that is saved in addition to the log and the snapshot.
     fn meta(&self, log_state: &LogState<Batch>) -> Meta {
         Meta {
             config: self.config,
@@ -69,9 +69,9 @@
         }
     }
 
-    /// Adds records that remove its log from what is saved.
+    /// Adds records that remove the saved log.
     pub fn remove_saved_log(&self, records: &mut Vec<Record>) {
-        let saved = self.saved.clone();
-        records.extend(saved.map(|index| records::no_entry(self.shard, index)));
+        let saved = self.saved_indices.clone();
+        records.extend(saved.map(|index| records::remove_entry(self.shard, index)));
     }
 }
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -1,4 +1,4 @@
-//! Takes in what the log of a shard has decided, and answers what was asked.
+//! Applies what the log of a shard has decided, and answers the requests.
 
 use crate::batch::CommandId;
 use crate::formats::KEY_QUEUE_FORMAT;
@@ -6,11 +6,11 @@
 use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
 use crate::replica::{DecidedCommand, MemberMessage};
-use crate::{LedgerAnswer, Micros, Moment, Outcome};
+use crate::{ClockReading, LedgerAnswer, Micros, Outcome};
 
 impl Ledger {
-    /// Takes in what a shard's log has decided, answers the requests, and sends the log's messages.
-    pub(crate) fn settle_shard(&mut self, at: Moment, shard: u16) {
+    /// Applies what a shard's log has decided, answers the requests, and sends the log's messages.
+    pub(crate) fn process_shard(&mut self, at: ClockReading, shard: u16) {
         let wall_ms = self.wall_ms(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -18,34 +18,35 @@
         let Some(replica) = &mut view.replica else {
             return;
         };
-        replica.format = self.format;
-        let settled = replica.settle(at.steady, wall_ms);
-        for DecidedCommand { command, outcome } in &settled.answers {
+        replica.format = self.proposal_format;
+        let advanced = replica.advance(at.steady, wall_ms);
+        for DecidedCommand { command, outcome } in &advanced.answers {
             let front = command.owner.front;
-            let learns_of_free_keys =
-                front == self.own.front || self.transport.common_format(front) >= KEY_QUEUE_FORMAT;
-            if learns_of_free_keys {
+            let can_be_notified = front == self.local.front
+                || self.transport.common_format(front) >= KEY_QUEUE_FORMAT;
+            if can_be_notified {
                 replica.key_queues.record(at.steady, command, outcome);
             }
         }
-        let freed = replica.freed_keys(at.steady, wall_ms);
+        let notified = replica.waiters_to_notify(at.steady, wall_ms);
         let messages = replica.take_messages();
         self.update_leadership(at.steady, shard);
-        self.counters.rounds += settled.rounds;
+        self.counters.rounds += advanced.rounds;
         for message in messages {
             self.send_to_member(at, shard, &message);
         }
-        for answer in settled.answers {
+        for answer in advanced.answers {
             self.answer(at, answer);
         }
-        for command in freed {
-            self.announce_free_key(at, command);
+        for command in notified {
+            self.notify_key_free(at, command);
         }
         self.answer_hashes(at, shard);
         self.adopt_next_members(at, shard);
     }
 
-    /// Keeps since when this front leads the shard; one that does not lead it changes no members.
+    /// Updates the time since which this front leads the shard; a front that does not lead it drops
+    /// its replacement in progress.
     fn update_leadership(&mut self, now: Micros, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
@@ -62,9 +63,9 @@
         }
     }
 
-    /// Sends a message of a shard's log. What would overtake a long one counts as lost instead: it is sent again once that
-    /// has come.
-    fn send_to_member(&mut self, at: Moment, shard: u16, message: &MemberMessage) {
+    /// Sends a message of a shard's log. A message that would overtake a long one to the same
+    /// member is dropped and counts as lost: the log sends it again later.
+    fn send_to_member(&mut self, at: ClockReading, shard: u16, message: &MemberMessage) {
         let pace = if message.is_ordered {
             Pace::Log(shard)
         } else {
@@ -77,10 +78,10 @@
     }
 
     /// Answers a request of this front or of another one.
-    fn answer(&mut self, at: Moment, answer: DecidedCommand) {
+    fn answer(&mut self, at: ClockReading, answer: DecidedCommand) {
         let DecidedCommand { command, outcome } = answer;
         let CommandId { owner, number } = command.id();
-        if owner.front != self.own.front {
+        if owner.front != self.local.front {
             let message = LedgerMessage::Reply {
                 incarnation: owner.incarnation,
                 number,
@@ -92,11 +93,11 @@
         }
     }
 
-    /// Tells the first front in a key's queue that the key is free.
-    fn announce_free_key(&mut self, at: Moment, command: CommandId) {
+    /// Notifies the first front in a key's queue that the key is free.
+    fn notify_key_free(&mut self, at: ClockReading, command: CommandId) {
         let CommandId { owner, number } = command;
-        if owner.front == self.own.front {
-            return self.key_is_free(command);
+        if owner.front == self.local.front {
+            return self.on_key_free(command);
         }
         let message = LedgerMessage::KeyFree {
             incarnation: owner.incarnation,
@@ -105,11 +106,11 @@
         self.transport.send(at, owner.front, &message, Pace::Fast);
     }
 
-    /// A key that this front asked for is free, and this front is the first in its queue.
-    pub(crate) fn key_is_free(&mut self, command: CommandId) {
+    /// Handles the notification that a key is free and this front is the first in its queue.
+    pub(crate) fn on_key_free(&mut self, command: CommandId) {
         let CommandId { owner, number } = command;
-        if owner.incarnation == self.setup.incarnation && !self.pending.is_waiting(number) {
-            self.done.push(LedgerAnswer {
+        if owner.incarnation == self.setup.incarnation && !self.pending.is_pending(number) {
+            self.pending_answers.push(LedgerAnswer {
                 number,
                 outcome: Outcome::Absent,
             });
