--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -104,7 +104,7 @@
             Stage::LoggingIn(_) if input.is_empty() => Consumed::NOTHING,
             Stage::LoggingIn(_) => self.advance_login(now, id, input, users, servers),
             Stage::Open(open_session) if open_session.skipping_to_sync => {
-                match open_session.session.skip(input) {
+                match open_session.session.skip_to_sync(input) {
                     Err(why) => {
                         why.write(connection.link.output(), true);
                         connection.closing = true;
@@ -113,7 +113,7 @@
                     Ok((used, found_sync)) => {
                         open_session.skipping_to_sync = !found_sync;
                         if found_sync {
-                            open_session.session.ready(connection.link.output());
+                            open_session.session.write_ready(connection.link.output());
                         }
                         Consumed {
                             bytes: used,
@@ -275,7 +275,7 @@
         let since = arrival_time(&connection.arrivals, used).unwrap_or(now);
         if let Some(running) = &mut open_session.running {
             running.parts.push(part.clone());
-            running.commits |= part.commits;
+            running.commits |= part.commits_transaction;
             self.events.push(Event::UnitPart {
                 ticket: running.ticket,
                 part,
@@ -286,7 +286,7 @@
         let transaction = open_session.session.transaction;
         let is_answered = open_session
             .session
-            .answers(&part, &mut self.catalogue, output);
+            .answer_locally(&part, &mut self.catalogue, output);
         if is_answered {
             return Consumed::with_more_to_read(used);
         }
@@ -373,6 +373,6 @@
         };
         wire::write_parameter(out, name, value);
     }
-    wire::write_key(out, key);
+    wire::write_backend_key(out, key);
     wire::write_ready(out, b'I');
 }
--- a/crates/native-codec/src/coordinator.rs
+++ b/crates/native-codec/src/coordinator.rs
@@ -1,18 +1,19 @@
-//! The protocol between a front and the coordinator: a long poll over HTTP for changes of the engine list.
+//! The protocol between a front and the coordinator: a long poll over HTTP for changes of the
+//! engine list.
 
 use serde::Deserialize;
 
 use crate::{Decoded, ParseError};
 
-/// Bytes of a response's head.
-const MAX_HEAD: usize = 16 << 10;
+/// The maximum length of a response's head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 const LINE_END: &[u8] = b"\r\n";
-/// Bytes of a response's body at the most.
-pub const LONGEST_BODY: usize = 8 << 20;
+/// The maximum length of a response's body, in bytes.
+pub const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// The request for the events after `follow`; the coordinator holds it open for `wait_ms` milliseconds, or
-/// until there are any.
+/// Returns the request for the events after number `follow`. The coordinator holds it open until
+/// there are any, for at most `wait_ms` milliseconds.
 pub fn poll_request(host: &str, follow: u64, wait_ms: i64) -> String {
     let target = format!("/v2/stream?follow={follow}&wait_ms={wait_ms}");
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
@@ -20,85 +21,90 @@
 
 /// An HTTP response.
 pub struct Response {
-    /// Whether the connection takes another request.
+    /// Whether the connection can be reused for another request.
     pub keep_alive: bool,
     /// The status code.
     pub status: u16,
-    /// The body, out of its chunks.
+    /// The body, with chunks joined.
     pub body: Vec<u8>,
 }
 
-/// Takes one response from the start of `input`; None until all of it has come. `ended` says that nothing
-/// more will come.
-pub fn read(input: &[u8], ended: bool) -> Result<Option<Decoded<Response>>, ParseError> {
+/// Decodes one response from the start of `input`; None if it is incomplete. `is_closed` means that
+/// the connection has ended and no more bytes will arrive.
+pub fn read(input: &[u8], is_closed: bool) -> Result<Option<Decoded<Response>>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let head_len = match head.parse(input).map_err(ParseError::new)? {
         httparse::Status::Complete(len) => len,
-        httparse::Status::Partial if input.len() > MAX_HEAD => {
-            return Err(ParseError::new("a head longer than agreed"));
+        httparse::Status::Partial if input.len() > MAX_HEAD_BYTES => {
+            return Err(ParseError::new("a response head over the size limit"));
         }
         httparse::Status::Partial => return Ok(None),
     };
     let status = head.code.unwrap_or(0);
-    let form = body_form(&head)?;
-    let ends_with_connection = form == BodyForm::UntilEnd;
-    let Some(body) = body(form, &input[head_len..], ended)? else {
+    let framing = body_framing(&head)?;
+    let ends_at_close = framing == BodyFraming::UntilClose;
+    let Some(body) = body(framing, &input[head_len..], is_closed)? else {
         return Ok(None);
     };
-    let may_stay = head.version == Some(1) && !header_has(&head, "connection", "close");
+    let allows_keep_alive =
+        head.version == Some(1) && !header_contains(&head, "connection", "close");
     Ok(Some(Decoded {
         len: head_len + body.len,
         message: Response {
-            keep_alive: may_stay && !ends_with_connection,
+            keep_alive: allows_keep_alive && !ends_at_close,
             status,
             body: body.message,
         },
     }))
 }
 
-/// How a response says where its body ends.
+/// How the end of a response's body is determined.
 #[derive(PartialEq)]
-enum BodyForm {
-    /// It comes in chunks.
+enum BodyFraming {
+    /// The body has chunked transfer coding.
     Chunked,
-    /// It has so many bytes.
+    /// The body has this number of bytes.
     Length(usize),
-    /// It goes on until the connection ends.
-    UntilEnd,
+    /// The body ends when the connection is closed.
+    UntilClose,
 }
 
-fn body_form(head: &httparse::Response) -> Result<BodyForm, ParseError> {
-    if header_has(head, "transfer-encoding", "chunked") {
-        return Ok(BodyForm::Chunked);
+fn body_framing(head: &httparse::Response) -> Result<BodyFraming, ParseError> {
+    if header_contains(head, "transfer-encoding", "chunked") {
+        return Ok(BodyFraming::Chunked);
     }
     if let Some(text) = header(head, "content-length") {
         return match text.parse() {
-            Ok(len) if len <= LONGEST_BODY => Ok(BodyForm::Length(len)),
-            _ => Err(ParseError::new("a length that can't be")),
+            Ok(len) if len <= MAX_BODY_BYTES => Ok(BodyFraming::Length(len)),
+            _ => Err(ParseError::new("an invalid Content-Length")),
         };
     }
     let has_no_body = matches!(head.code, Some(100..=199 | 204 | 304));
     Ok(if has_no_body {
-        BodyForm::Length(0)
+        BodyFraming::Length(0)
     } else {
-        BodyForm::UntilEnd
+        BodyFraming::UntilClose
     })
 }
 
-/// The body and the bytes that it took; None until all of it has come.
-fn body(form: BodyForm, input: &[u8], ended: bool) -> Result<Option<Decoded<Vec<u8>>>, ParseError> {
-    match form {
-        BodyForm::Chunked => chunks(input),
-        BodyForm::Length(len) => Ok(input.get(..len).map(whole_body)),
-        BodyForm::UntilEnd if input.len() > LONGEST_BODY => {
-            Err(ParseError::new("a body longer than agreed"))
+/// Decodes the body; None if it is incomplete.
+fn body(
+    framing: BodyFraming,
+    input: &[u8],
+    is_closed: bool,
+) -> Result<Option<Decoded<Vec<u8>>>, ParseError> {
+    match framing {
+        BodyFraming::Chunked => chunks(input),
+        BodyFraming::Length(len) => Ok(input.get(..len).map(decoded_body)),
+        BodyFraming::UntilClose if input.len() > MAX_BODY_BYTES => {
+            Err(ParseError::new("a response body over the size limit"))
         }
-        BodyForm::UntilEnd => Ok(ended.then(|| whole_body(input))),
+        BodyFraming::UntilClose => Ok(is_closed.then(|| decoded_body(input))),
     }
 }
 
-fn whole_body(bytes: &[u8]) -> Decoded<Vec<u8>> {
+fn decoded_body(bytes: &[u8]) -> Decoded<Vec<u8>> {
     Decoded {
         len: bytes.len(),
         message: bytes.to_vec(),
@@ -112,17 +118,17 @@
     Some(value.trim())
 }
 
-fn header_has(head: &httparse::Response, name: &str, word: &str) -> bool {
+fn header_contains(head: &httparse::Response, name: &str, word: &str) -> bool {
     header(head, name).is_some_and(|value| value.to_ascii_lowercase().contains(word))
 }
 
-/// The body out of its chunks.
+/// Joins the chunks of a body; None if they are incomplete.
 fn chunks(input: &[u8]) -> Result<Option<Decoded<Vec<u8>>>, ParseError> {
     let mut body = Vec::new();
     let mut at = 0;
     loop {
         let size = httparse::parse_chunk_size(&input[at..]);
-        let (head_len, len) = match size.map_err(|_| ParseError::new("a chunk without its size"))? {
+        let (head_len, len) = match size.map_err(|_| ParseError::new("an invalid chunk size"))? {
             httparse::Status::Complete(found) => found,
             httparse::Status::Partial => return Ok(None),
         };
@@ -134,8 +140,8 @@
                 message: body,
             }));
         }
-        if body.len() as u64 + len > LONGEST_BODY as u64 {
-            return Err(ParseError::new("a body longer than agreed"));
+        if body.len() as u64 + len > MAX_BODY_BYTES as u64 {
+            return Err(ParseError::new("a response body over the size limit"));
         }
         let len = len as usize;
         let Some(chunk) = input.get(at..at + len + LINE_END.len()) else {
@@ -146,7 +152,8 @@
     }
 }
 
-/// Bytes of the trailers, which end with an empty line; None until that has come.
+/// Returns the length of the trailers in bytes, including the empty line that ends them; None if
+/// they are incomplete.
 fn trailers_len(input: &[u8]) -> Option<usize> {
     let mut at = 0;
     loop {
@@ -160,29 +167,29 @@
     }
 }
 
-/// The coordinator's events up to a number. The wire names of fields are listed in `wire_names`.
+/// Events of the coordinator. The wire names of the fields are listed in `wire_names`.
 #[derive(Debug, Default, Deserialize)]
 pub struct Events {
-    /// The number of the last one: the next poll follows it.
+    /// The number of the last event, which the next poll follows.
     pub index: u64,
     /// The events, in order.
     pub updates: Vec<Update>,
 }
 
-/// One event.
+/// An event of the coordinator.
 #[derive(Debug, Deserialize)]
 pub struct Update {
     /// The event's number.
     pub index: u64,
-    /// Engines that are listed or change with it; None where it is of another kind.
+    /// The engines that the event lists or changes; None if the event is of another kind.
     #[serde(rename = "endpoints")]
     pub list: Option<EngineList>,
 }
 
-/// Entries of the engine list.
+/// A complete engine list, or changes to it.
 #[derive(Debug, Deserialize)]
 pub struct EngineList {
-    /// Whether these are all engines that there are, or only those that change.
+    /// Whether the entries are all engines, or only those that changed.
     #[serde(rename = "full", default)]
     pub is_full: bool,
     /// The entries.
@@ -193,40 +200,40 @@
 /// An engine as the coordinator lists it.
 #[derive(Debug, Deserialize)]
 pub struct Engine {
-    /// Identifies the engine.
+    /// The engine's id.
     pub id: String,
-    /// Where it listens: an IP address and a port.
+    /// The address at which the engine listens: an IP address and a port.
     #[serde(rename = "addr", default)]
     pub address: String,
-    /// The location's name, as the settings have it.
+    /// The name of the location in the settings.
     #[serde(rename = "zone", default)]
     pub location: String,
-    /// The kind's name, as the settings have it.
+    /// The name of the engine's kind in the settings.
     #[serde(default)]
     pub kind: String,
-    /// The cell that it belongs to, by number.
+    /// The number of the cell to which the engine belongs.
     #[serde(default)]
     pub cell: usize,
-    /// Whether it takes statements.
+    /// Whether the engine accepts statements.
     pub state: EngineState,
-    /// When it started, in milliseconds of Unix time, where that is recent enough to be sent; else 0.
+    /// The engine's start in milliseconds of Unix time; 0 if it was too long ago to be sent.
     #[serde(default)]
     pub started_ms: f64,
 }
 
-/// Whether an engine takes statements.
+/// Whether an engine accepts statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EngineState {
-    /// It does.
+    /// The engine accepts statements.
     Up,
-    /// It finishes what it has, and takes nothing new.
+    /// The engine finishes its executions and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The engine no longer exists.
     Removed,
 }
 
-/// Reads events from the body of a response.
+/// Parses the events in the body of a response.
 pub fn events(body: &[u8]) -> Result<Events, ParseError> {
     serde_json::from_slice(body).map_err(ParseError::new)
 }
--- a/crates/postgres/src/engine/login.rs
+++ b/crates/postgres/src/engine/login.rs
@@ -1,4 +1,5 @@
-//! The login of a front at an engine: password, MD5 and SCRAM-SHA-256, and what the engine tells of itself.
+//! The front's login at an engine: by password, MD5 or SCRAM-SHA-256, and the parameters that the
+//! engine reports.
 
 use postgres_protocol::authentication::md5_hash;
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
@@ -8,7 +9,7 @@
 use crate::wire::{self, CancelKey};
 use crate::ProtocolError;
 
-/// How many parameters an engine may report of itself; servers report some fifteen.
+/// The maximum number of parameters kept of an engine; servers report about 15.
 const MAX_PARAMETERS: usize = 64;
 
 /// The codes of the protocol's authentication requests.
@@ -21,7 +22,7 @@
     pub const SASL_FINAL: u32 = 12;
 }
 
-/// The big-endian number of four bytes at a place.
+/// Reads a big-endian u32 at an offset; None if the body is too short.
 fn u32_at(body: &[u8], at: usize) -> Option<u32> {
     let bytes = body.get(at..at + 4)?.try_into().ok()?;
     Some(u32::from_be_bytes(bytes))
@@ -32,7 +33,7 @@
 }
 
 impl EngineConnection {
-    /// Takes one message of the login: `message` with its header, `body` without.
+    /// Handles one message of the login: `message` includes its header, `body` does not.
     pub(super) fn login(
         &mut self,
         tag: u8,
@@ -62,7 +63,7 @@
             }
             b'N' | b'v' => {}
             other => {
-                return Err(ProtocolError::NotDue {
+                return Err(ProtocolError::UnexpectedMessage {
                     tag: other,
                     when: "during login",
                 })
@@ -71,7 +72,7 @@
         Ok(None)
     }
 
-    /// Answers one authentication request.
+    /// Answers one authentication request of the engine.
     fn authenticate(
         &mut self,
         tag: u8,
@@ -82,20 +83,24 @@
             Some(request::OK) => {}
             Some(request::CLEARTEXT_PASSWORD) => write_password(out, self.password().as_bytes()),
             Some(request::MD5_PASSWORD) => self.answer_md5(body, out)?,
-            Some(request::SASL) => self.begin_scram(out),
+            Some(request::SASL) => self.start_scram(out),
             Some(request::SASL_CONTINUE) => {
                 let exchange = self.scram_exchange(tag)?;
                 let proof = exchange.update(&body[4..]);
-                proof.map_err(|e| ProtocolError::Proof(e.to_string()))?;
+                proof.map_err(|e| ProtocolError::AuthenticationFailed(e.to_string()))?;
                 let message = exchange.message();
                 wire::write(out, b'p', |out| out.extend_from_slice(message));
             }
             Some(request::SASL_FINAL) => {
                 let proof = self.scram_exchange(tag)?.finish(&body[4..]);
-                proof.map_err(|e| ProtocolError::Proof(e.to_string()))?;
+                proof.map_err(|e| ProtocolError::AuthenticationFailed(e.to_string()))?;
+            }
+            Some(other) => return Err(ProtocolError::UnsupportedAuthentication(other)),
+            None => {
+                return Err(ProtocolError::Malformed(
+                    "an authentication request without a type",
+                ))
             }
-            Some(other) => return Err(ProtocolError::Login(other)),
-            None => return Err(ProtocolError::Malformed("a login of no kind")),
         }
         Ok(())
     }
@@ -106,14 +111,16 @@
 
     fn answer_md5(&self, body: &[u8], out: &mut Vec<u8>) -> Result<(), ProtocolError> {
         let salt = body.get(4..8).and_then(|salt| salt.try_into().ok());
-        let salt = salt.ok_or(ProtocolError::Malformed("an MD5 login without its salt"))?;
+        let salt = salt.ok_or(ProtocolError::Malformed(
+            "an MD5 authentication request without a salt",
+        ))?;
         let user = self.account.user.as_bytes();
         let hash = md5_hash(user, self.password().as_bytes(), salt);
         write_password(out, hash.as_bytes());
         Ok(())
     }
 
-    fn begin_scram(&mut self, out: &mut Vec<u8>) {
+    fn start_scram(&mut self, out: &mut Vec<u8>) {
         let exchange = ScramSha256::new(self.password().as_bytes(), ChannelBinding::unsupported());
         wire::write(out, b'p', |out| {
             wire::write_string(out, scram::MECHANISM.as_bytes());
@@ -123,12 +130,12 @@
         self.exchange = Some(Box::new(exchange));
     }
 
-    /// The SCRAM exchange that was begun; an error where none was.
+    /// Returns the SCRAM exchange in progress; an error if there is none.
     fn scram_exchange(&mut self, tag: u8) -> Result<&mut ScramSha256, ProtocolError> {
         let exchange = self.exchange.as_deref_mut();
-        exchange.ok_or(ProtocolError::NotDue {
+        exchange.ok_or(ProtocolError::UnexpectedMessage {
             tag,
-            when: "before SCRAM has begun",
+            when: "before SCRAM has started",
         })
     }
 
--- a/crates/postgres/src/sql/labels.rs
+++ b/crates/postgres/src/sql/labels.rs
@@ -1,62 +1,63 @@
-//! Labels in the comments that lead a statement, and the values that they and settings have.
+//! Labels in a statement's leading comments, and parsing of label and setting values.
 
-const MAX_LABEL_BYTES: usize = 4096; // bytes of leading comments that are looked at; labels take some hundred
+const MAX_LABEL_BYTES: usize = 4096; // of a leading comment; labels take some hundred
 
-/// What a statement is for the front, as far as it was told; empty where it was not.
+/// The labels of a statement or session; None where one was not given.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Label {
     /// The workload's name.
     pub workload: Option<String>,
     /// The customer's name.
     pub customer: Option<String>,
-    /// The order key: statements with equal ones run one after the other.
-    pub key: Option<String>,
-    /// Statements with equal ones take effect once.
+    /// The order key: statements with equal keys run one after the other.
+    pub order_key: Option<String>,
+    /// The deduplication key: statements with equal keys take effect once.
     pub dedup_key: Option<String>,
     /// The client's estimate of the work, in milliseconds on one core.
     pub work_ms: Option<String>,
     /// The client's estimate of the memory, in MB.
     pub memory_mb: Option<String>,
-    /// The time that it may take, in the form of the setting of that name.
+    /// The time limit, in the form of the setting `statement_timeout`.
     pub statement_timeout: Option<String>,
 }
 
 impl Label {
-    /// Takes one field by its name behind `hallmux.`; an empty value takes it back. False if there is none
-    /// such.
+    /// Sets one label by its name without the prefix `hallmux.`; an empty value removes it. False
+    /// if there is no such label.
     pub fn set(&mut self, name: &str, value: &str) -> bool {
-        let place = match name {
+        let field = match name {
             "workload" => &mut self.workload,
             "member" => &mut self.customer,
-            "key" => &mut self.key,
+            "key" => &mut self.order_key,
             "dedup_key" => &mut self.dedup_key,
             "work_ms" => &mut self.work_ms,
             "memory_mb" => &mut self.memory_mb,
             "statement_timeout" => &mut self.statement_timeout,
             _ => return false,
         };
-        *place = (!value.is_empty()).then(|| value.to_string());
+        *field = (!value.is_empty()).then(|| value.to_string());
         true
     }
 
-    /// What is set in `other` goes before what is set here.
+    /// Returns the labels of `other`, and those of `self` where `other` has none.
     pub fn overridden_by(&self, other: &Label) -> Label {
-        let either = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
+        let overridden = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
         Label {
-            workload: either(&self.workload, &other.workload),
-            customer: either(&self.customer, &other.customer),
-            key: either(&self.key, &other.key),
-            dedup_key: either(&self.dedup_key, &other.dedup_key),
-            work_ms: either(&self.work_ms, &other.work_ms),
-            memory_mb: either(&self.memory_mb, &other.memory_mb),
-            statement_timeout: either(&self.statement_timeout, &other.statement_timeout),
+            workload: overridden(&self.workload, &other.workload),
+            customer: overridden(&self.customer, &other.customer),
+            order_key: overridden(&self.order_key, &other.order_key),
+            dedup_key: overridden(&self.dedup_key, &other.dedup_key),
+            work_ms: overridden(&self.work_ms, &other.work_ms),
+            memory_mb: overridden(&self.memory_mb, &other.memory_mb),
+            statement_timeout: overridden(&self.statement_timeout, &other.statement_timeout),
         }
     }
 }
 
-/// The labels of the leading comments: `/*hallmux.workload='report',hallmux.key='k%201'*/`, as sqlcommenter
-/// writes them: values in quotes, their bytes in URL form. Names that are not known are others' labels.
-pub(super) fn label(text: &[u8]) -> Label {
+/// Parses the labels of the leading comments: `/*hallmux.workload='report',hallmux.key='k%201'*/`,
+/// in the format of sqlcommenter: values in quotes, URL-encoded. Unknown names belong to other
+/// tools and are ignored.
+pub(super) fn leading_labels(text: &[u8]) -> Label {
     let mut label = Label::default();
     let mut rest = text.trim_ascii_start();
     while let Some(inner) = rest.strip_prefix(b"/*") {
@@ -69,7 +70,7 @@
             let Some((name, value)) = pair.split_once('=') else {
                 continue;
             };
-            let Some(name) = decoded(name.trim())
+            let Some(name) = url_decoded(name.trim())
                 .strip_prefix("hallmux.")
                 .map(str::to_string)
             else {
@@ -80,14 +81,14 @@
                 .strip_prefix('\'')
                 .and_then(|v| v.strip_suffix('\''))
                 .unwrap_or(value);
-            label.set(&name, &decoded(value));
+            label.set(&name, &url_decoded(value));
         }
         rest = inner[end + 2..].trim_ascii_start();
     }
     label
 }
 
-fn decoded(text: &str) -> String {
+fn url_decoded(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((first, after)) = rest.split_first() {
@@ -107,8 +108,9 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A time as the servers' settings write it, in microseconds; plain numbers are milliseconds.
-pub fn time(text: &str) -> Option<i64> {
+/// Parses a duration as PostgreSQL's settings write it, and returns it in microseconds; a plain
+/// number is in milliseconds. None if it has another form.
+pub fn parse_duration_us(text: &str) -> Option<i64> {
     let text = text.trim().trim_matches('\'').trim();
     let at = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
