--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -83,12 +83,14 @@
         reason: String,
     },
     /// Brackets are nested deeper than any key.
-    #[error("{position}: brackets stand open {most} deep; no key is meant so deep, close some")]
+    #[error(
+        "{position}: brackets stand open {max_depth} deep; no key is meant so deep, close some"
+    )]
     TooDeep {
         /// The first bracket beyond that.
         position: TextPosition,
         /// The deepest that is allowed.
-        most: usize,
+        max_depth: usize,
     },
     /// A key is missing, unknown, or has a value that can't be used.
     #[error("{position}: {}", OneLine(.problem))]
@@ -160,24 +162,24 @@
         known: Vec<String>,
     },
     /// A number that is out of its range.
-    #[error("is not from {least} to {most}; give a value within")]
+    #[error("is not from {min} to {max}; give a value within")]
     OutOfRange {
         /// The lower bound.
-        least: String,
+        min: String,
         /// The upper bound.
-        most: String,
+        max: String,
     },
     /// A number under its lower bound.
-    #[error("is under {least}; give no less")]
+    #[error("is under {min}; give no less")]
     BelowMinimum {
         /// The lower bound.
-        least: String,
+        min: String,
     },
     /// A number over its upper bound.
-    #[error("is over {most}; give no more")]
+    #[error("is over {max}; give no more")]
     AboveMaximum {
         /// The upper bound.
-        most: String,
+        max: String,
     },
     /// A text that is no public key.
     #[error("is no key: 64 hexadecimal digits; give a public key, as a front's log tells its own at start")]
@@ -206,25 +208,25 @@
 }
 
 impl KeyProblem {
-    /// A number that is not from `least` to `most`.
-    pub fn out_of_range(least: impl fmt::Display, most: impl fmt::Display) -> KeyProblem {
+    /// A number that is not from `min` to `max`.
+    pub fn out_of_range(min: impl fmt::Display, max: impl fmt::Display) -> KeyProblem {
         KeyProblem::OutOfRange {
-            least: least.to_string(),
-            most: most.to_string(),
+            min: min.to_string(),
+            max: max.to_string(),
         }
     }
 
-    /// A number under `least`.
-    pub fn below_minimum(least: impl fmt::Display) -> KeyProblem {
+    /// A number under `min`.
+    pub fn below_minimum(min: impl fmt::Display) -> KeyProblem {
         KeyProblem::BelowMinimum {
-            least: least.to_string(),
+            min: min.to_string(),
         }
     }
 
-    /// A number over `most`.
-    pub fn above_maximum(most: impl fmt::Display) -> KeyProblem {
+    /// A number over `max`.
+    pub fn above_maximum(max: impl fmt::Display) -> KeyProblem {
         KeyProblem::AboveMaximum {
-            most: most.to_string(),
+            max: max.to_string(),
         }
     }
 
--- a/crates/config/src/error_tests.rs
+++ b/crates/config/src/error_tests.rs
@@ -97,7 +97,7 @@
     };
     let deep = Error::TooDeep {
         position: position(3, ""),
-        most: 64,
+        max_depth: 64,
     };
     let not_text = Error::NotUtf8 {
         position: TextPosition {
--- a/crates/config/src/operator_file/ledger.rs
+++ b/crates/config/src/operator_file/ledger.rs
@@ -37,7 +37,7 @@
     /// Its public key.
     pub key: PublicKey,
     /// Where it listens for other fronts.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Its location; copies of a shard are spread over locations.
     pub zone: String,
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnDiskFailure {
     /// Serves only what needs no promise.
-    Refuse,
+    Reject,
     /// Holds copies in memory alone, as a front that remembers nothing.
     Memory,
 }
@@ -65,25 +65,25 @@
     /// What this front does when its disk fails.
     pub on_disk_failure: OnDiskFailure,
     /// Copies of each shard.
-    pub copies: usize,
+    pub replication_factor: usize,
     /// Shards; the same for the life of the ledger.
     pub shards: u16,
     /// Entries of a shard; a full one refuses new promises.
-    pub most_entries: usize,
+    pub max_shard_entries: usize,
     /// Bytes of a shard; a full one refuses new promises.
-    pub most_bytes: usize,
+    pub max_shard_bytes: usize,
     /// After that a promise that has no majority is refused.
-    pub patience: Micros,
+    pub request_timeout: Micros,
     /// A front that has been silent for so long has its copies made again elsewhere.
     pub repair_after: Micros,
     /// Bytes a second, at each owner of a shard, for making copies again.
-    pub repair_bytes: u32,
+    pub repair_bytes_per_s: u32,
     /// Hundredths of the shards that may move at once; 0: none does.
-    pub moves_percent: u8,
+    pub max_moving_percent: u8,
     /// The same as `repair_after`, for a zone all of whose fronts are silent.
-    pub zone_after: Micros,
+    pub zone_repair_after: Micros,
     /// Milliseconds that the fronts' clocks may differ by.
-    pub clocks_apart_ms: u64,
+    pub clock_skew_ms: u64,
 }
 
 /// Checks the section; `peers` are the fronts known by name.
@@ -92,7 +92,7 @@
         text,
         section: "gossip.ledger",
     };
-    let copies = copies(&check, &file)?;
+    let replication_factor = replication_factor(&check, &file)?;
     check_ranges(&check, &file)?;
     check_directory(&check, &file)?;
     let on_disk_failure = on_disk_failure(&check, &file.on_disk_failure)?;
@@ -103,21 +103,21 @@
         directory: file.directory,
         disk_fault_file: file.drill,
         on_disk_failure,
-        copies,
+        replication_factor,
         shards: file.shards,
-        most_entries: file.most_entries,
-        most_bytes: file.most_bytes,
-        patience: micros(file.patience_ms),
+        max_shard_entries: file.most_entries,
+        max_shard_bytes: file.most_bytes,
+        request_timeout: micros(file.patience_ms),
         repair_after: micros(file.repair_after_ms),
-        repair_bytes: file.repair_bytes,
-        moves_percent: file.moves_percent,
-        zone_after: micros(file.zone_after_ms),
-        clocks_apart_ms: file.clocks_apart_ms,
+        repair_bytes_per_s: file.repair_bytes,
+        max_moving_percent: file.moves_percent,
+        zone_repair_after: micros(file.zone_after_ms),
+        clock_skew_ms: file.clocks_apart_ms,
     })
 }
 
 /// How many copies there are; the fleet has a name, and members to keep them.
-fn copies(check: &Checker, file: &LedgerFile) -> Result<usize, Error> {
+fn replication_factor(check: &Checker, file: &LedgerFile) -> Result<usize, Error> {
     if file.fleet.is_empty() {
         let problem =
             "names none; give the fleet a name: letters and records of another are told apart by it";
@@ -189,7 +189,7 @@
 
 fn on_disk_failure(check: &Checker, word: &str) -> Result<OnDiskFailure, Error> {
     match word {
-        "refuse" => Ok(OnDiskFailure::Refuse),
+        "refuse" => Ok(OnDiskFailure::Reject),
         "memory" => Ok(OnDiskFailure::Memory),
         _ => check.refuse(
             "on_disk_failure",
@@ -206,7 +206,7 @@
 ) -> Result<Vec<LedgerMember>, Error> {
     let mut members = Vec::new();
     let mut keys_seen = BTreeSet::new();
-    for (name, MemberFile { at, zone }) in named {
+    for (name, MemberFile { at: address, zone }) in named {
         let path = format!("members.{name}");
         let Some(key) = key_of(peers, &name) else {
             return check.refuse(&path, NOT_A_PEER);
@@ -215,7 +215,7 @@
             let problem = "has the key of another member; give each front a key of its own";
             return check.refuse(&path, problem);
         }
-        members.push(LedgerMember { key, at, zone });
+        members.push(LedgerMember { key, address, zone });
     }
     Ok(members)
 }
--- a/crates/config/src/operator_file/ledger_tests.rs
+++ b/crates/config/src/operator_file/ledger_tests.rs
@@ -21,14 +21,18 @@
     );
     let ledger = with(&good).unwrap().gossip.unwrap().ledger.unwrap();
     assert_eq!(
-        (ledger.copies, ledger.shards, ledger.patience),
+        (
+            ledger.replication_factor,
+            ledger.shards,
+            ledger.request_timeout
+        ),
         (3, 16, 500_000)
     );
     assert_eq!(
         (ledger.members.len(), ledger.members[1].zone.as_str()),
         (4, "z2")
     );
-    assert_eq!(ledger.on_disk_failure, OnDiskFailure::Refuse);
+    assert_eq!(ledger.on_disk_failure, OnDiskFailure::Reject);
     for (from, to, why) in [
         (
             "f4:",
--- a/crates/config/src/operator_file/overload.rs
+++ b/crates/config/src/operator_file/overload.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overload {
     /// Retries for each hundred first executions, over all fronts.
-    pub further_percent: u32,
+    pub retry_percent: u32,
     /// New connections into one engine, over all fronts.
     pub connections_per_second: u32,
     /// Probes into one engine, over all fronts.
@@ -55,7 +55,7 @@
 impl Default for Overload {
     fn default() -> Overload {
         Overload {
-            further_percent: DEFAULT_FURTHER_PERCENT,
+            retry_percent: DEFAULT_FURTHER_PERCENT,
             connections_per_second: DEFAULT_CONNECTIONS_PER_SECOND,
             probes_per_second: DEFAULT_PROBES_PER_SECOND,
         }
@@ -84,7 +84,7 @@
         }
     }
     Ok(Overload {
-        further_percent: file.further_percent,
+        retry_percent: file.further_percent,
         connections_per_second: file.connections_per_second,
         probes_per_second: file.probes_per_second,
     })
@@ -99,7 +99,7 @@
             ratio: f64::INFINITY,
             window: DEFAULT_RETRY_WINDOW,
         });
-        let ratio = f64::from(self.further_percent) / 100.0;
+        let ratio = f64::from(self.retry_percent) / 100.0;
         agreement.retry_allowance = Some(RetryAllowance {
             spare: agreed.spare / agreement.fronts.max(1.0),
             ratio: agreed.ratio.min(ratio),
--- a/crates/config/src/operator_file/postgres.rs
+++ b/crates/config/src/operator_file/postgres.rs
@@ -63,9 +63,9 @@
     /// Sessions at once.
     pub sessions: usize,
     /// The time for start-up and authentication.
-    pub start_up: Micros,
+    pub login_timeout: Micros,
     /// Prepared statements of a session.
-    pub statements: usize,
+    pub prepared_statements: usize,
     /// Portals open at once in a session's transaction.
     pub portals: usize,
     /// Settings that a session carries.
@@ -77,13 +77,13 @@
     /// Connections to an engine.
     pub engine_connections: usize,
     /// Prepared statements on a connection to an engine.
-    pub prepared: usize,
+    pub engine_prepared_statements: usize,
     /// How long an open transaction may stand idle.
-    pub transaction_idle: Micros,
+    pub transaction_idle_timeout: Micros,
     /// An engine connection that has been idle for so long is closed.
-    pub connection_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// An engine connection of that age is not reused.
-    pub connection_age: Micros,
+    pub max_connection_age: Micros,
 }
 
 /// Checks the section against the settings.
@@ -184,17 +184,17 @@
     check_limit(check, "connection_age_ms", file.connection_age_ms, MIN_MS)?;
     Ok(SessionLimits {
         sessions: file.sessions,
-        start_up: micros(file.start_up_ms),
-        statements: file.statements,
+        login_timeout: micros(file.start_up_ms),
+        prepared_statements: file.statements,
         portals: file.portals,
         settings: file.settings,
         message_bytes: file.message_bytes,
         buffer_bytes: file.buffer_bytes,
         engine_connections: file.engine_connections,
-        prepared: file.prepared,
-        transaction_idle: micros(file.transaction_idle_ms),
-        connection_idle: micros(file.connection_idle_ms),
-        connection_age: micros(file.connection_age_ms),
+        engine_prepared_statements: file.prepared,
+        transaction_idle_timeout: micros(file.transaction_idle_ms),
+        connection_idle_timeout: micros(file.connection_idle_ms),
+        max_connection_age: micros(file.connection_age_ms),
     })
 }
 
--- a/crates/config/src/operator_file/postgres_tests.rs
+++ b/crates/config/src/operator_file/postgres_tests.rs
@@ -23,7 +23,10 @@
     let postgres = read(GOOD).unwrap().postgres.unwrap();
     assert_eq!(postgres.users["portal"].engine_user, "portal");
     assert_eq!(
-        (postgres.limits.sessions, postgres.limits.statements),
+        (
+            postgres.limits.sessions,
+            postgres.limits.prepared_statements
+        ),
         (10, DEFAULT_STATEMENTS)
     );
     assert_eq!(postgres.engines[1].port, Some(5433));
--- a/crates/config/src/operator_file/rules.rs
+++ b/crates/config/src/operator_file/rules.rs
@@ -73,9 +73,9 @@
     /// Millionths that a clock may gain or lose.
     pub drift_ppm: u32,
     /// Between lines of the log with the fleet's counts.
-    pub tell_every: Micros,
+    pub log_interval: Micros,
     /// How long requests are remembered, by kind, to tell what other rules would change; 0: not at all.
-    pub remembers: Micros,
+    pub record_window: Micros,
 }
 
 /// Checks the section against the settings.
@@ -97,8 +97,8 @@
         customers: file.customers,
         lease: micros(file.lease_ms),
         drift_ppm: file.drift_ppm,
-        tell_every: micros(file.tell_every_ms),
-        remembers: micros(file.what_if_hours * MS_PER_HOUR),
+        log_interval: micros(file.tell_every_ms),
+        record_window: micros(file.what_if_hours * MS_PER_HOUR),
     })
 }
 
--- a/crates/config/src/operator_file/rules_tests.rs
+++ b/crates/config/src/operator_file/rules_tests.rs
@@ -7,7 +7,7 @@
     let good = "{ rules: { file: 'rules.json5', region: 'eu',\n regions: { eu: ['here'] },\n customers: ['acme'] } }";
     let rules = read(good).unwrap().rules.unwrap();
     assert_eq!(
-        (rules.lease, rules.drift_ppm, rules.tell_every),
+        (rules.lease, rules.drift_ppm, rules.log_interval),
         (3_000_000, 10_000, 60_000_000)
     );
     assert_eq!(rules.customers, Some(vec!["acme".to_string()]));
--- a/crates/config/src/operator_file/scatter.rs
+++ b/crates/config/src/operator_file/scatter.rs
@@ -35,30 +35,30 @@
     /// The schema that summaries of a group must be of.
     pub schemas: BTreeMap<u32, u32>,
     /// Loads go through fronts and are marked. False: no load goes through any.
-    pub marked: bool,
+    pub marks_loads: bool,
     /// Workloads whose statements may write: those that are not idempotent, and those named.
-    pub writes: Vec<String>,
+    pub writing_workloads: Vec<String>,
     /// Has all rows: what parts can't make up is asked there.
     pub whole_site: Option<String>,
     /// Customers that take an answer which says what is missing in it.
-    pub partial: Vec<String>,
+    pub partial_answer_customers: Vec<String>,
     /// Customers that take a number of distinct values by sketches, and how far it may be wrong, in
     /// millionths of it.
     pub distinct_error: BTreeMap<String, u32>,
     /// Groups whose rows with equal keys lie at one site, so that they may be joined there.
-    pub together: Vec<Vec<u32>>,
+    pub colocated_groups: Vec<Vec<u32>>,
     /// Milliseconds after which a summary is too old.
-    pub oldest_ms: u64,
+    pub max_summary_age_ms: u64,
     /// Milliseconds that a summary may come from the future, as clocks differ.
-    pub ahead_ms: u64,
+    pub max_summary_ahead_ms: u64,
     /// Summaries that are held.
-    pub most: usize,
+    pub max_summaries: usize,
     /// Parts of a statement with LIMIT that are in flight at once.
-    pub at_once: usize,
+    pub max_parallel_parts: usize,
     /// Bytes of an answer at the most.
-    pub answer_bytes: usize,
+    pub max_answer_bytes: usize,
     /// Summaries are held as far as they earn their bytes; None: all that come.
-    pub keep: Option<SummaryBudget>,
+    pub summary_budget: Option<SummaryBudget>,
     /// Sites that their summaries rule out are asked now and then all the same; None: never.
     pub audits: Option<Audits>,
 }
@@ -67,9 +67,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Audits {
     /// One statement of so many.
-    pub one_in: u64,
+    pub statements_per_audit: u64,
     /// At the most in a minute, by the whole fleet.
-    pub a_minute: u64,
+    pub max_per_minute: u64,
 }
 
 /// The budget under which summaries are held.
@@ -78,7 +78,7 @@
     /// Bytes of memory.
     pub memory_bytes: u64,
     /// Bytes a second for exchanging them with other fronts.
-    pub bytes_a_second: u64,
+    pub bytes_per_s: u64,
     /// Where what was learned outlives the front.
     pub file: Option<String>,
 }
@@ -95,36 +95,36 @@
     check_whole_site(&check, &file, &sites)?;
     check_customers(&check, &file, settings)?;
     check_writes(&check, &file, settings)?;
-    let marked = loads_are_marked(&check, &file)?;
+    let marks_loads = marks_loads(&check, &file)?;
     check_ranges(&check, &file)?;
-    let writes = writing_workloads(&file, settings);
+    let writing_workloads = writing_workloads(&file, settings);
     let distinct_error = file.distinct_error.into_iter();
     Ok(Scatter {
         workloads: file.workloads,
         sites,
         directory: file.directory,
         schemas,
-        marked,
-        writes,
+        marks_loads,
+        writing_workloads,
         whole_site: file.whole_site,
-        partial: file.partial,
+        partial_answer_customers: file.partial,
         distinct_error: distinct_error
             .map(|(name, error)| (name, millionths(error)))
             .collect(),
-        together: file.together,
-        oldest_ms: file.oldest_ms,
-        ahead_ms: file.ahead_ms,
-        most: file.most,
-        at_once: file.at_once,
-        answer_bytes: file.answer_bytes,
-        keep: file.keep.map(|keep| SummaryBudget {
+        colocated_groups: file.together,
+        max_summary_age_ms: file.oldest_ms,
+        max_summary_ahead_ms: file.ahead_ms,
+        max_summaries: file.most,
+        max_parallel_parts: file.at_once,
+        max_answer_bytes: file.answer_bytes,
+        summary_budget: file.keep.map(|keep| SummaryBudget {
             memory_bytes: keep.memory_kb * 1024,
-            bytes_a_second: keep.bytes_a_second,
+            bytes_per_s: keep.bytes_a_second,
             file: keep.file,
         }),
         audits: file.audits.map(|audits| Audits {
-            one_in: audits.one_in,
-            a_minute: audits.a_minute,
+            statements_per_audit: audits.one_in,
+            max_per_minute: audits.a_minute,
         }),
     })
 }
@@ -154,7 +154,7 @@
     Ok(())
 }
 
-fn loads_are_marked(check: &Checker, file: &ScatterFile) -> Result<bool, Error> {
+fn marks_loads(check: &Checker, file: &ScatterFile) -> Result<bool, Error> {
     match file.loads.as_deref() {
         None | Some("marked") => Ok(true),
         Some("none") => Ok(false),
--- a/crates/config/src/operator_file/scatter_tests.rs
+++ b/crates/config/src/operator_file/scatter_tests.rs
@@ -10,7 +10,7 @@
     );
     let scatter = read(&good).unwrap().scatter.unwrap();
     assert_eq!(
-        (scatter.schemas.get(&17), scatter.marked),
+        (scatter.schemas.get(&17), scatter.marks_loads),
         (Some(&3), false)
     );
     for (from, to, why) in [
--- a/crates/config/src/operator_file/sections.rs
+++ b/crates/config/src/operator_file/sections.rs
@@ -142,7 +142,7 @@
     scatter: Option<&Scatter>,
     gossip: Option<&Gossip>,
 ) -> Result<(), Error> {
-    let is_marked = scatter.is_some_and(|scatter| scatter.marked);
+    let is_marked = scatter.is_some_and(|scatter| scatter.marks_loads);
     let has_ledger = gossip.is_some_and(|gossip| gossip.ledger.is_some());
     if is_marked && !has_ledger {
         let problem = "'marked' needs gossip.ledger, where marks stand; add it, or say 'none' where no load goes through fronts";
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -51,7 +51,7 @@
     /// Executions that may be open at once on a connection to an engine; 1 at least.
     pub executions_per_connection: usize,
     /// Statements that a front may hold at once; those beyond are rejected.
-    pub most_held: usize,
+    pub max_held_statements: usize,
     /// Microseconds after the client's time is up in which a final answer still counts.
     pub answer_slack: Micros,
     /// Executions may be cancelled at engines.
@@ -114,7 +114,7 @@
         dial_timeout: micros(bounds.dial_timeout_ms.unwrap_or(DEFAULT_CONNECT_TIMEOUT_MS)),
         keepalive: micros(bounds.keepalive_ms.unwrap_or(DEFAULT_KEEPALIVE_MS)),
         executions_per_connection: bounds.streams_per_conn.unwrap_or(1).max(1),
-        most_held: bounds.most_held.unwrap_or(DEFAULT_MAX_HELD),
+        max_held_statements: bounds.most_held.unwrap_or(DEFAULT_MAX_HELD),
         answer_slack: micros(options.rules.answer_slack_ms),
         cancel: bounds.cancelling,
     }
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -54,7 +54,7 @@
             };
             return Err(Error::TooDeep {
                 position,
-                most: MAX_OPEN_BRACKETS,
+                max_depth: MAX_OPEN_BRACKETS,
             });
         }
     }
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -43,7 +43,7 @@
             listener: listener.map_err(|error| StartError::component(&error))?,
             dispatcher: Dispatcher::new(settings, config.seed),
             answer_slack: settings.network.answer_slack,
-            max_statements: settings.network.most_held,
+            max_statements: settings.network.max_held_statements,
             max_bytes: 0,
             max_clients: 0,
             is_memory_full: false,
@@ -121,8 +121,8 @@
     let gateway = Gateway::new(postgres, &config.settings, handle.clone(), rules);
     let mut gateway = gateway.map_err(|error| StartError::component(&error))?;
     let scatter = config.operator.scatter.as_ref();
-    if let Some(scatter) = scatter.filter(|scatter| scatter.marked) {
-        gateway.writing_workloads = scatter.writes.clone();
+    if let Some(scatter) = scatter.filter(|scatter| scatter.marks_loads) {
+        gateway.writing_workloads = scatter.writing_workloads.clone();
     }
     Ok(Some(gateway))
 }
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -30,7 +30,7 @@
     let addresses = ledger
         .members
         .iter()
-        .map(|m| (peer_id(&m.key), m.at))
+        .map(|m| (peer_id(&m.key), m.address))
         .collect();
     LedgerMembers {
         members: ledger.members.iter().map(member).collect(),
@@ -45,16 +45,16 @@
     // Replicas in memory end with the incarnation, so that each incarnation counts as another disk.
     let disk = RandomState::new().hash_one(incarnation).max(1);
     let setup = Setup {
-        replication_factor: ledger.copies,
+        replication_factor: ledger.replication_factor,
         shards: ledger.shards,
-        max_shard_entries: ledger.most_entries,
-        max_shard_bytes: ledger.most_bytes,
-        request_timeout: ledger.patience,
+        max_shard_entries: ledger.max_shard_entries,
+        max_shard_bytes: ledger.max_shard_bytes,
+        request_timeout: ledger.request_timeout,
         repair_after: ledger.repair_after,
-        repair_bytes_per_s: ledger.repair_bytes,
-        max_moving_percent: ledger.moves_percent,
-        zone_repair_after: ledger.zone_after,
-        clock_skew_ms: ledger.clocks_apart_ms,
+        repair_bytes_per_s: ledger.repair_bytes_per_s,
+        max_moving_percent: ledger.max_moving_percent,
+        zone_repair_after: ledger.zone_repair_after,
+        clock_skew_ms: ledger.clock_skew_ms,
         ..Setup::new(&ledger.fleet, local_id, incarnation, disk, members)
     };
     LedgerSetup { setup, addresses }
--- a/crates/front/src/fleet/rules/start.rs
+++ b/crates/front/src/fleet/rules/start.rs
@@ -67,7 +67,7 @@
                 length: rules.lease,
                 drift_ppm: rules.drift_ppm,
             },
-            record_window: rules.remembers,
+            record_window: rules.record_window,
             first_request_number: REQUEST_NUMBER_BASE,
         };
         let local_ledger = is_alone.then(|| local_ledger(owner)).transpose()?;
@@ -85,8 +85,8 @@
             statement_numbers: HashMap::new(),
             decisions: Vec::new(),
             next_report_time: 0,
-            next_log_time: rules.tell_every,
-            log_interval: rules.tell_every,
+            next_log_time: rules.log_interval,
+            log_interval: rules.log_interval,
             logged_revoked_count: 0,
             logged_hits: None,
             logged_limits: BTreeMap::new(),
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -176,8 +176,8 @@
     ) -> Self {
         let bounds = pool::Bounds {
             each_engine: limits.engine_connections,
-            idle: limits.connection_idle,
-            age: limits.connection_age,
+            idle: limits.connection_idle_timeout,
+            age: limits.max_connection_age,
         };
         Servers {
             handle,
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -166,7 +166,8 @@
                 return Err(dial_ending(&e));
             }
         };
-        let engine = EngineConnection::new(who, self.limits.prepared, link.output());
+        let engine =
+            EngineConnection::new(who, self.limits.engine_prepared_statements, link.output());
         let dial_by = now + self.network.dial_timeout;
         self.pools.connecting(now, engine_index, account, id);
         self.connecting.insert(id, dial_by);
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -40,17 +40,17 @@
         };
         let limits = SessionLimits {
             sessions: 10,
-            start_up: 5_000_000,
-            statements: 10,
+            login_timeout: 5_000_000,
+            prepared_statements: 10,
             portals: 10,
             settings: 10,
             message_bytes: 1 << 20,
             buffer_bytes: 1 << 16,
             engine_connections: 4,
-            prepared: 10,
-            transaction_idle: 60_000_000,
-            connection_idle: 60_000_000,
-            connection_age: 60_000_000,
+            engine_prepared_statements: 10,
+            transaction_idle_timeout: 60_000_000,
+            connection_idle_timeout: 60_000_000,
+            max_connection_age: 60_000_000,
         };
         let mut servers = Servers::new(events.handle(), allowance, limits);
         servers.update_engine(ENGINE_INDEX, listed(engine, true));
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -152,7 +152,7 @@
     /// No sessions yet, within the limits of the operator's file.
     pub fn new(limits: &hallmux_config::SessionLimits) -> Self {
         let bounds = Bounds {
-            statements: limits.statements,
+            statements: limits.prepared_statements,
             portals: limits.portals,
             settings: limits.settings,
             bytes: limits.message_bytes,
@@ -162,8 +162,8 @@
             tickets: HashMap::new(),
             catalogue: Catalogue::default(),
             bounds,
-            login_timeout: limits.start_up,
-            transaction_idle_timeout: limits.transaction_idle,
+            login_timeout: limits.login_timeout,
+            transaction_idle_timeout: limits.transaction_idle_timeout,
             buffer_bytes: limits.buffer_bytes,
             held_bytes: 0,
             last_id: 0,
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -40,8 +40,8 @@
 
 fn audit_settings(settings: hallmux_config::Audits) -> AuditSettings {
     AuditSettings {
-        one_in: settings.one_in,
-        per_second: settings.a_minute as f64 / 60.0,
+        one_in: settings.statements_per_audit,
+        per_second: settings.max_per_minute as f64 / 60.0,
     }
 }
 
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -117,8 +117,8 @@
     ) -> std::io::Result<ScatteredStatements> {
         let locations = agreement.names.locations.clone();
         let loads = settings
-            .marked
-            .then(|| Loads::new(settings.writes.clone(), locations));
+            .marks_loads
+            .then(|| Loads::new(settings.writing_workloads.clone(), locations));
         log::info!(
             "scatter: statements of workloads {:?} are scattered over sites {:?}",
             settings.workloads,
@@ -269,9 +269,12 @@
         };
         let gather_rules = GatherRules {
             limit: statement.query.limit,
-            partial: self.settings.partial.contains(&statement.call.customer),
-            at_once: self.settings.at_once,
-            most_bytes: self.settings.answer_bytes,
+            partial: self
+                .settings
+                .partial_answer_customers
+                .contains(&statement.call.customer),
+            at_once: self.settings.max_parallel_parts,
+            most_bytes: self.settings.max_answer_bytes,
             combine: statement.query.combine.clone(),
         };
         let (gather, actions) = Gather::new(plan.parts, plan.barred, gather_rules);
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -31,7 +31,7 @@
             let join_groups = |join: &Join| [group, join.group];
             let is_colocated = |both: [u32; 2]| {
                 let together = |groups: &Vec<u32>| both.iter().all(|group| groups.contains(group));
-                both[0] == both[1] || self.settings.together.iter().any(together)
+                both[0] == both[1] || self.settings.colocated_groups.iter().any(together)
             };
             if let Some([a, b]) = query
                 .join
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -42,7 +42,7 @@
 fn budget(keep: &hallmux_config::SummaryBudget) -> Budget {
     Budget {
         memory: keep.memory_bytes as f64,
-        traffic: keep.bytes_a_second as f64,
+        traffic: keep.bytes_per_s as f64,
     }
 }
 
@@ -61,9 +61,9 @@
             .map(key)
             .collect::<std::io::Result<BTreeMap<_, _>>>()?,
         schemas: settings.schemas.clone(),
-        oldest_ms: settings.oldest_ms,
-        ahead_ms: settings.ahead_ms,
-        most: settings.most,
+        oldest_ms: settings.max_summary_age_ms,
+        ahead_ms: settings.max_summary_ahead_ms,
+        most: settings.max_summaries,
     })
 }
 
@@ -101,7 +101,7 @@
     /// Applies the budget. If there was none before, restores the saved statistics; without a
     /// budget in the settings, all summaries are retained.
     fn configure_retention(&mut self, settings: &Scatter, now: Micros) {
-        let Some(keep_settings) = &settings.keep else {
+        let Some(keep_settings) = &settings.summary_budget else {
             self.store.retention = None;
             return;
         };
