--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -152,7 +152,7 @@
         known: Vec<&'static str>,
     },
     /// A name that is not among those of another part of the configuration.
-    #[error("'{name}' is not among {whose}: {}; name one of them", listed(.known))]
+    #[error("'{name}' is not among {whose}: {}; name one of them", list_names(.known))]
     UnknownName {
         /// The name.
         name: String,
@@ -197,7 +197,7 @@
 /// Names in an error's text, which stays one line; of more only the number is given.
 const MAX_LISTED: usize = 16;
 
-fn listed(names: &[String]) -> String {
+fn list_names(names: &[String]) -> String {
     let shown: Vec<&str> = names.iter().take(MAX_LISTED).map(String::as_str).collect();
     let more = names.len().saturating_sub(shown.len());
     match (shown.is_empty(), more) {
--- a/crates/config/src/key_lines.rs
+++ b/crates/config/src/key_lines.rs
@@ -32,18 +32,18 @@
 
 /// The path and line of each key and element of a text that is known to be well-formed.
 fn path_lines(text: &str) -> Vec<PathLine> {
-    let mut walk = Walk::default();
+    let mut tracker = PathTracker::default();
     for TokenOnLine { token, line } in Scanner::new(text) {
         match token {
-            Token::Word(text) => walk.word = Some(Word { text, line }),
-            Token::Punctuation(':') => walk.key(),
-            Token::Punctuation('{') => walk.open_object(line),
-            Token::Punctuation('[') => walk.open_array(line),
-            Token::Punctuation(',') => walk.value_ends(),
-            Token::Punctuation(_) => walk.close(),
+            Token::Word(text) => tracker.last_word = Some(Word { text, line }),
+            Token::Punctuation(':') => tracker.begin_value(),
+            Token::Punctuation('{') => tracker.open_object(line),
+            Token::Punctuation('[') => tracker.open_array(line),
+            Token::Punctuation(',') => tracker.end_value(),
+            Token::Punctuation(_) => tracker.close(),
         }
     }
-    walk.found
+    tracker.lines
 }
 
 /// A word of the text, until it is known whether it is a key or a value.
@@ -63,22 +63,22 @@
 
 /// The paths of the text so far, and where in it the next token is.
 #[derive(Default)]
-struct Walk {
-    found: Vec<PathLine>,
+struct PathTracker {
+    lines: Vec<PathLine>,
     /// The path of the value that comes next, or is open.
     path: Vec<String>,
     open: Vec<Container>,
     /// The last word.
-    word: Option<Word>,
+    last_word: Option<Word>,
     /// A colon came: what follows is a value.
-    value_next: bool,
+    expects_value: bool,
 }
 
-impl Walk {
+impl PathTracker {
     /// Notes the line of the path. A path that is too deep is not so much as copied, as it may be as long as the text.
-    fn note(&mut self, line: usize) {
+    fn record_line(&mut self, line: usize) {
         if self.path.len() <= MAX_DEPTH {
-            self.found.push(PathLine {
+            self.lines.push(PathLine {
                 path: self.path.clone(),
                 line,
             });
@@ -86,29 +86,29 @@
     }
 
     /// The last word is a key.
-    fn key(&mut self) {
-        if self.value_next {
+    fn begin_value(&mut self) {
+        if self.expects_value {
             return; // not so in a well-formed text
         }
-        let key = self.word.take().unwrap_or(Word {
+        let key = self.last_word.take().unwrap_or(Word {
             text: String::new(),
             line: 1,
         });
         self.path.push(key.text);
-        self.note(key.line);
-        self.value_next = true;
+        self.record_line(key.line);
+        self.expects_value = true;
     }
 
     fn open_object(&mut self, line: usize) {
         self.enter_element(line);
         self.open.push(Container::Object);
-        self.value_next = false;
+        self.expects_value = false;
     }
 
     fn open_array(&mut self, line: usize) {
         self.enter_element(line);
         self.open.push(Container::Array { next: 0 });
-        self.value_next = false;
+        self.expects_value = false;
     }
 
     /// Where an array is open, its next element begins: the path leads there. Returns whether it does.
@@ -118,30 +118,30 @@
         };
         self.path.push(next.to_string());
         *next += 1;
-        self.note(line);
+        self.record_line(line);
         true
     }
 
     /// A value is over. A word may have been an element of an array.
-    fn value_ends(&mut self) {
-        if let Some(word) = self.word.take() {
+    fn end_value(&mut self) {
+        if let Some(word) = self.last_word.take() {
             if self.enter_element(word.line) {
                 self.path.pop();
             }
         }
-        if self.value_next {
+        if self.expects_value {
             self.path.pop();
         }
-        self.value_next = false;
+        self.expects_value = false;
     }
 
     /// An object or an array is over, and with it the last value in it.
     fn close(&mut self) {
-        self.value_ends();
+        self.end_value();
         self.open.pop();
         // What closes was itself a value of a key, or an element.
         let is_element = matches!(self.open.last(), Some(Container::Array { .. }));
-        self.value_next = !is_element && !self.path.is_empty();
+        self.expects_value = !is_element && !self.path.is_empty();
         if is_element {
             self.path.pop();
         }
--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -10,7 +10,7 @@
 
 use crate::error::{Error, KeyProblem, TextPosition};
 use crate::operator_file::OperatorConfig;
-use crate::settings::{settings_of, Settings};
+use crate::settings::{parse_section, Settings};
 use crate::text::{self, Section};
 
 const DEFAULT_MEMORY_MB: u64 = 192;
@@ -20,10 +20,10 @@
 /// File descriptors: half are for clients, the rest for engines, and each needs one.
 const MIN_SOCKETS: usize = 2;
 /// The coordinator's events so far, where the file has none: it sends all.
-const NO_EVENTS: &str = r#"{"index":0,"updates":[]}"#;
+const EMPTY_EVENTS: &str = r#"{"index":0,"updates":[]}"#;
 const DEFAULT_LOG_LEVEL: &str = "info";
 /// The variable that names the operator's own file.
-const OPERATOR: &str = "HALLMUX_OPERATOR";
+const OPERATOR_VARIABLE: &str = "HALLMUX_OPERATOR";
 const ADDRESS_REMEDY: &str = "give an address and a port, like 127.0.0.1:9090";
 const SEED_REMEDY: &str = "give up to 16 hexadecimal digits";
 const LOG_LEVEL_REMEDY: &str = "give one of off, error, warn, info, debug, trace";
@@ -102,7 +102,7 @@
             expected: "the path of this front's JSON file",
         };
         let path = variables.get("NODE_CONFIG").ok_or(unset)?;
-        let text = text::file("NODE_CONFIG", path)?;
+        let text = text::read_file("NODE_CONFIG", path)?;
         NodeConfig::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
     }
 
@@ -113,23 +113,23 @@
             file: Section {
                 name: "",
                 text,
-                lines: 0,
+                line_offset: 0,
             },
         };
         let file: File = sources.file.read()?;
-        let seed = file.seed.ok_or_else(|| missing("seed"))?;
+        let seed = file.seed.ok_or_else(|| missing_key("seed"))?;
         let limits = sources.limits(file.limits)?;
-        let settings = file.settings.ok_or_else(|| missing("settings"))?;
-        let mut settings = settings_of(&sources.section("settings", settings))?;
+        let settings = file.settings.ok_or_else(|| missing_key("settings"))?;
+        let mut settings = parse_section(&sources.section("settings", settings))?;
         let operator = sources.operator(&settings)?;
         operator.apply(&mut settings.agreement);
         Ok(NodeConfig {
-            name: sources.text("NODE_NAME", "name", file.name)?,
+            name: sources.variable_or_key("NODE_NAME", "name", file.name)?,
             listen: sources.address("NODE_LISTEN", "listen", file.listen)?,
             seed: sources.seed(&seed)?,
             limits,
             coordinator: sources.coordinator(file.coordinator)?,
-            known_events: file.known.map_or(NO_EVENTS, RawValue::get).to_string(),
+            known_events: file.known.map_or(EMPTY_EVENTS, RawValue::get).to_string(),
             settings,
             operator,
             log_level: log_level(variables)?,
@@ -151,7 +151,7 @@
         Section {
             name,
             text: raw.get(),
-            lines: text::lines_before(self.file.text, raw.get()),
+            line_offset: text::lines_before(self.file.text, raw.get()),
         }
     }
 
@@ -181,19 +181,19 @@
 
     fn seed(&self, digits: &str) -> Result<u64, Error> {
         let seed = u64::from_str_radix(digits, 16);
-        self.parsed("seed", digits, seed, SEED_REMEDY)
+        self.parse_result("seed", digits, seed, SEED_REMEDY)
     }
 
     fn coordinator(&self, address: Option<String>) -> Result<Option<SocketAddr>, Error> {
         let Some(address) = address else {
             return Ok(None);
         };
-        let parsed = self.parsed("coordinator", &address, address.parse(), ADDRESS_REMEDY);
+        let parsed = self.parse_result("coordinator", &address, address.parse(), ADDRESS_REMEDY);
         parsed.map(Some)
     }
 
     /// The value of a variable, or else of a key.
-    fn text(
+    fn variable_or_key(
         &self,
         variable: &'static str,
         key: &str,
@@ -212,15 +212,15 @@
         key: &str,
         in_file: Option<String>,
     ) -> Result<SocketAddr, Error> {
-        let value = self.text(variable, key, in_file)?;
+        let value = self.variable_or_key(variable, key, in_file)?;
         if self.variables.contains_key(variable) {
-            return from_variable(variable, &value, ADDRESS_REMEDY);
+            return parse_variable(variable, &value, ADDRESS_REMEDY);
         }
-        self.parsed(key, &value, value.parse(), ADDRESS_REMEDY)
+        self.parse_result(key, &value, value.parse(), ADDRESS_REMEDY)
     }
 
     /// The value of a key as it was read, or an error that names the key.
-    fn parsed<T, E: std::fmt::Display>(
+    fn parse_result<T, E: std::fmt::Display>(
         &self,
         key: &str,
         value: &str,
@@ -239,21 +239,21 @@
 
     /// The operator's own file, if a variable names one.
     fn operator(&self, settings: &Settings) -> Result<OperatorConfig, Error> {
-        let Some(path) = self.variables.get(OPERATOR) else {
+        let Some(path) = self.variables.get(OPERATOR_VARIABLE) else {
             return Ok(OperatorConfig::default());
         };
-        let text = text::file(OPERATOR, path)?;
-        OperatorConfig::parse(&text, settings).map_err(|e| e.in_file(OPERATOR, path))
+        let text = text::read_file(OPERATOR_VARIABLE, path)?;
+        OperatorConfig::parse(&text, settings).map_err(|e| e.in_file(OPERATOR_VARIABLE, path))
     }
 }
 
 fn log_level(variables: &HashMap<String, String>) -> Result<log::LevelFilter, Error> {
     let level = variables.get("HALLMUX_LOG");
     let level = level.map_or(DEFAULT_LOG_LEVEL, String::as_str);
-    from_variable("HALLMUX_LOG", level, LOG_LEVEL_REMEDY)
+    parse_variable("HALLMUX_LOG", level, LOG_LEVEL_REMEDY)
 }
 
-fn missing(key: &str) -> Error {
+fn missing_key(key: &str) -> Error {
     let position = TextPosition {
         path: key.to_string(),
         ..TextPosition::default()
@@ -264,7 +264,7 @@
     }
 }
 
-fn from_variable<T>(variable: &'static str, value: &str, remedy: &'static str) -> Result<T, Error>
+fn parse_variable<T>(variable: &'static str, value: &str, remedy: &'static str) -> Result<T, Error>
 where
     T: FromStr<Err: std::fmt::Display>,
 {
--- a/crates/config/src/operator_file/checker.rs
+++ b/crates/config/src/operator_file/checker.rs
@@ -28,7 +28,7 @@
 
 impl Checker<'_> {
     /// The error of a key of the section.
-    pub fn refuse<T>(&self, key: &str, problem: impl Into<KeyProblem>) -> Result<T, Error> {
+    pub fn reject<T>(&self, key: &str, problem: impl Into<KeyProblem>) -> Result<T, Error> {
         Err(key_error(
             self.text,
             &format!("{}.{key}", self.section),
@@ -37,21 +37,21 @@
     }
 
     /// Refuses a number that is not from `least` to `most`.
-    pub fn range<T: PartialOrd + Copy + fmt::Display>(
+    pub fn require_range<T: PartialOrd + Copy + fmt::Display>(
         &self,
         key: &str,
         value: T,
-        least: T,
-        most: T,
+        min: T,
+        max: T,
     ) -> Result<(), Error> {
-        match (least..=most).contains(&value) {
+        match (min..=max).contains(&value) {
             true => Ok(()),
-            false => self.refuse(key, KeyProblem::out_of_range(least, most)),
+            false => self.reject(key, KeyProblem::out_of_range(min, max)),
         }
     }
 
     /// Refuses a name that is not among those of another part of the configuration, which `whose` names.
-    pub fn known(
+    pub fn require_known(
         &self,
         key: &str,
         name: &str,
@@ -60,15 +60,15 @@
     ) -> Result<(), Error> {
         match known.iter().any(|other| other == name) {
             true => Ok(()),
-            false => self.refuse(key, KeyProblem::unknown_name(name, whose, known)),
+            false => self.reject(key, KeyProblem::unknown_name(name, whose, known)),
         }
     }
 }
 
 /// The error of a text that is no JSON5.
 pub fn malformed(error: &json5::Error) -> Error {
-    let at = error.position();
-    let (line, column) = (at.map(|at| at.line + 1), at.map(|at| at.column + 1));
+    let position = error.position();
+    let (line, column) = (position.map(|p| p.line + 1), position.map(|p| p.column + 1));
     Error::Malformed {
         position: TextPosition {
             line,
--- a/crates/config/src/operator_file/gossip.rs
+++ b/crates/config/src/operator_file/gossip.rs
@@ -6,9 +6,9 @@
 use serde::Deserialize;
 
 use super::checker::key_error;
-use super::ledger::{ledger, Ledger, LedgerFile};
-use super::overload::{overload, Overload, OverloadFile};
-use super::ownership::{ownership, Ownership, OwnershipFile};
+use super::ledger::{check_ledger, Ledger, LedgerFile};
+use super::overload::{check_overload, Overload, OverloadFile};
+use super::ownership::{check_ownership, Ownership, OwnershipFile};
 use super::peers::{parse_key, GossipPeer};
 use crate::error::{Error, KeyProblem};
 
@@ -60,7 +60,7 @@
 }
 
 /// Checks the section.
-pub fn gossip(text: &str, file: GossipFile) -> Result<Gossip, Error> {
+pub fn check_gossip(text: &str, file: GossipFile) -> Result<Gossip, Error> {
     let peers = peers(text, file.peers)?;
     if file.zone_quorum > MAX_ZONE_QUORUM {
         return Err(key_error(
@@ -71,15 +71,15 @@
     }
     let ownership = file
         .ownership
-        .map(|section| ownership(text, section, &peers))
+        .map(|section| check_ownership(text, section, &peers))
         .transpose()?;
     let overload = file
         .overload
-        .map(|section| overload(text, section))
+        .map(|section| check_overload(text, section))
         .transpose()?;
     let ledger = file
         .ledger
-        .map(|section| ledger(text, section, &peers))
+        .map(|section| check_ledger(text, section, &peers))
         .transpose()?;
     Ok(Gossip {
         listen: file.listen,
--- a/crates/config/src/operator_file/ledger.rs
+++ b/crates/config/src/operator_file/ledger.rs
@@ -17,19 +17,19 @@
 use crate::error::Error;
 
 /// Copies of each shard: with three one may be lost and a majority still knows.
-const DEFAULT_COPIES: usize = 3;
-const MAX_COPIES: usize = 9;
+const DEFAULT_REPLICATION_FACTOR: usize = 3;
+const MAX_REPLICATION_FACTOR: usize = 9;
 const MAX_SHARDS: u16 = 1_024;
-const MAX_ENTRIES: usize = 1 << 20;
-const MIN_BYTES: usize = 4_096;
+const MAX_SHARD_ENTRIES: usize = 1 << 20;
+const MIN_SHARD_BYTES: usize = 4_096;
 /// A copy of a shard has to fit the pieces of one message.
-const MAX_BYTES: usize = 2 << 20;
-const MIN_PATIENCE_MS: f64 = 50.0;
-const MAX_PATIENCE_MS: f64 = 10_000.0;
+const MAX_SHARD_BYTES: usize = 2 << 20;
+const MIN_REQUEST_TIMEOUT_MS: f64 = 50.0;
+const MAX_REQUEST_TIMEOUT_MS: f64 = 10_000.0;
 const MIN_REPAIR_AFTER_MS: f64 = 1_000.0;
 const MAX_REPAIR_AFTER_MS: f64 = 86_400_000.0;
-const MIN_REPAIR_BYTES: u32 = 1_024;
-const MAX_CLOCKS_APART_MS: u64 = 60_000;
+const MIN_REPAIR_BYTES_PER_S: u32 = 1_024;
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
 /// A front that keeps copies of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -87,7 +87,7 @@
 }
 
 /// Checks the section; `peers` are the fronts known by name.
-pub fn ledger(text: &str, file: LedgerFile, peers: &[GossipPeer]) -> Result<Ledger, Error> {
+pub fn check_ledger(text: &str, file: LedgerFile, peers: &[GossipPeer]) -> Result<Ledger, Error> {
     let check = Checker {
         text,
         section: "gossip.ledger",
@@ -121,65 +121,73 @@
     if file.fleet.is_empty() {
         let problem =
             "names none; give the fleet a name: letters and records of another are told apart by it";
-        return check.refuse("fleet", problem);
+        return check.reject("fleet", problem);
     }
     if file.members.is_empty() {
         let problem = "names none; name the fronts that keep copies, or leave the ledger out";
-        return check.refuse("members", problem);
+        return check.reject("members", problem);
     }
     let members = file.members.len();
-    let most = MAX_COPIES.min(members);
-    let copies = file.copies.unwrap_or(DEFAULT_COPIES.min(members));
-    if copies == 0 || copies > most {
-        let problem =
-            format!("is not from 1 to {most}; give as many as members are named at most, and no more than 9");
-        return check.refuse("copies", problem);
+    let max = MAX_REPLICATION_FACTOR.min(members);
+    let copies = file
+        .copies
+        .unwrap_or(DEFAULT_REPLICATION_FACTOR.min(members));
+    if copies == 0 || copies > max {
+        let problem = format!(
+            "is not from 1 to {max}; give as many as members are named at most, and no more than 9"
+        );
+        return check.reject("copies", problem);
     }
     Ok(copies)
 }
 
 fn check_ranges(check: &Checker, file: &LedgerFile) -> Result<(), Error> {
-    check.range("shards", file.shards, 1, MAX_SHARDS)?;
-    check.range("most_entries", file.most_entries, 1, MAX_ENTRIES)?;
-    check.range("most_bytes", file.most_bytes, MIN_BYTES, MAX_BYTES)?;
-    check.range(
+    check.require_range("shards", file.shards, 1, MAX_SHARDS)?;
+    check.require_range("most_entries", file.most_entries, 1, MAX_SHARD_ENTRIES)?;
+    check.require_range(
+        "most_bytes",
+        file.most_bytes,
+        MIN_SHARD_BYTES,
+        MAX_SHARD_BYTES,
+    )?;
+    check.require_range(
         "patience_ms",
         file.patience_ms,
-        MIN_PATIENCE_MS,
-        MAX_PATIENCE_MS,
+        MIN_REQUEST_TIMEOUT_MS,
+        MAX_REQUEST_TIMEOUT_MS,
     )?;
-    check.range(
+    check.require_range(
         "repair_after_ms",
         file.repair_after_ms,
         MIN_REPAIR_AFTER_MS,
         MAX_REPAIR_AFTER_MS,
     )?;
-    if file.repair_bytes < MIN_REPAIR_BYTES {
+    if file.repair_bytes < MIN_REPAIR_BYTES_PER_S {
         let problem = "is under 1024 a second; give more, or no copy is made again in time";
-        return check.refuse("repair_bytes", problem);
+        return check.reject("repair_bytes", problem);
     }
-    check.range("moves_percent", file.moves_percent, 0, 100)?;
-    check.range(
+    check.require_range("moves_percent", file.moves_percent, 0, 100)?;
+    check.require_range(
         "zone_after_ms",
         file.zone_after_ms,
         file.repair_after_ms,
         MAX_REPAIR_AFTER_MS,
     )?;
-    if file.clocks_apart_ms > MAX_CLOCKS_APART_MS {
-        return check.refuse("clocks_apart_ms", "is over 60000; set the clocks instead");
+    if file.clocks_apart_ms > MAX_CLOCK_SKEW_MS {
+        return check.reject("clocks_apart_ms", "is over 60000; set the clocks instead");
     }
     Ok(())
 }
 
 fn check_directory(check: &Checker, file: &LedgerFile) -> Result<(), Error> {
     if file.directory.as_ref().is_some_and(String::is_empty) {
-        return check.refuse(
+        return check.reject(
             "directory",
             "names none; leave the key out to keep copies in memory alone",
         );
     }
     if file.drill.is_some() && file.directory.is_none() {
-        return check.refuse(
+        return check.reject(
             "drill",
             "needs gossip.ledger.directory; name one, or leave the drill out",
         );
@@ -191,7 +199,7 @@
     match word {
         "refuse" => Ok(OnDiskFailure::Reject),
         "memory" => Ok(OnDiskFailure::Memory),
-        _ => check.refuse(
+        _ => check.reject(
             "on_disk_failure",
             "is neither 'refuse' nor 'memory'; give one of them",
         ),
@@ -209,11 +217,11 @@
     for (name, MemberFile { at: address, zone }) in named {
         let path = format!("members.{name}");
         let Some(key) = key_of(peers, &name) else {
-            return check.refuse(&path, NOT_A_PEER);
+            return check.reject(&path, NOT_A_PEER);
         };
         if !keys_seen.insert(key) {
             let problem = "has the key of another member; give each front a key of its own";
-            return check.refuse(&path, problem);
+            return check.reject(&path, problem);
         }
         members.push(LedgerMember { key, address, zone });
     }
--- a/crates/config/src/operator_file/ledger/file.rs
+++ b/crates/config/src/operator_file/ledger/file.rs
@@ -8,18 +8,18 @@
 
 const DEFAULT_SHARDS: u16 = 16;
 /// Entries of a shard.
-const DEFAULT_ENTRIES: usize = 4_096;
+const DEFAULT_SHARD_ENTRIES: usize = 4_096;
 /// Bytes of a shard.
-const DEFAULT_BYTES: usize = 512 * 1_024;
-const DEFAULT_PATIENCE_MS: f64 = 500.0;
+const DEFAULT_SHARD_BYTES: usize = 512 * 1_024;
+const DEFAULT_REQUEST_TIMEOUT_MS: f64 = 500.0;
 /// Longer than a restart takes: that is no loss of a copy.
 const DEFAULT_REPAIR_AFTER_MS: f64 = 30_000.0;
 /// Bytes a second.
-const DEFAULT_REPAIR_BYTES: u32 = 65_536;
-const DEFAULT_MOVES_PERCENT: u8 = 25;
+const DEFAULT_REPAIR_BYTES_PER_S: u32 = 65_536;
+const DEFAULT_MAX_MOVING_PERCENT: u8 = 25;
 /// Longer than a zone's power or uplink is mostly away.
-const DEFAULT_ZONE_AFTER_MS: f64 = 600_000.0;
-const DEFAULT_CLOCKS_APART_MS: u64 = 500;
+const DEFAULT_ZONE_REPAIR_AFTER_MS: f64 = 600_000.0;
+const DEFAULT_CLOCK_SKEW_MS: u64 = 500;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -69,15 +69,15 @@
 }
 
 fn default_entries() -> usize {
-    DEFAULT_ENTRIES
+    DEFAULT_SHARD_ENTRIES
 }
 
 fn default_bytes() -> usize {
-    DEFAULT_BYTES
+    DEFAULT_SHARD_BYTES
 }
 
 fn default_patience() -> f64 {
-    DEFAULT_PATIENCE_MS
+    DEFAULT_REQUEST_TIMEOUT_MS
 }
 
 fn default_repair_after() -> f64 {
@@ -85,17 +85,17 @@
 }
 
 fn default_repair_bytes() -> u32 {
-    DEFAULT_REPAIR_BYTES
+    DEFAULT_REPAIR_BYTES_PER_S
 }
 
 fn default_moves_percent() -> u8 {
-    DEFAULT_MOVES_PERCENT
+    DEFAULT_MAX_MOVING_PERCENT
 }
 
 fn default_zone_after() -> f64 {
-    DEFAULT_ZONE_AFTER_MS
+    DEFAULT_ZONE_REPAIR_AFTER_MS
 }
 
 fn default_clocks_apart() -> u64 {
-    DEFAULT_CLOCKS_APART_MS
+    DEFAULT_CLOCK_SKEW_MS
 }
--- a/crates/config/src/operator_file/overload.rs
+++ b/crates/config/src/operator_file/overload.rs
@@ -7,13 +7,13 @@
 use crate::error::{Error, KeyProblem};
 
 /// Retries for each hundred first executions, over all fronts.
-const DEFAULT_FURTHER_PERCENT: u32 = 8;
+const DEFAULT_RETRY_PERCENT: u32 = 8;
 /// New connections a second into one engine, over all fronts.
 const DEFAULT_CONNECTIONS_PER_SECOND: u32 = 200;
 /// Probes a second into one engine, over all fronts.
 const DEFAULT_PROBES_PER_SECOND: u32 = 100;
 /// Connections or probes a second.
-const MAX_PER_SECOND: u32 = 1_000_000;
+const MAX_RATE_PER_SECOND: u32 = 1_000_000;
 /// Microseconds over which retries are counted, where the settings name no window.
 const DEFAULT_RETRY_WINDOW: Micros = 10_000_000;
 
@@ -37,7 +37,7 @@
 }
 
 fn default_further_percent() -> u32 {
-    DEFAULT_FURTHER_PERCENT
+    DEFAULT_RETRY_PERCENT
 }
 
 /// The fleet sheds load as one. It keeps retries to a share of first executions over all fronts, and new connections
@@ -55,7 +55,7 @@
 impl Default for Overload {
     fn default() -> Overload {
         Overload {
-            retry_percent: DEFAULT_FURTHER_PERCENT,
+            retry_percent: DEFAULT_RETRY_PERCENT,
             connections_per_second: DEFAULT_CONNECTIONS_PER_SECOND,
             probes_per_second: DEFAULT_PROBES_PER_SECOND,
         }
@@ -63,7 +63,7 @@
 }
 
 /// Checks the section.
-pub fn overload(text: &str, file: OverloadFile) -> Result<Overload, Error> {
+pub fn check_overload(text: &str, file: OverloadFile) -> Result<Overload, Error> {
     if file.further_percent > 100 {
         return Err(key_error(
             text,
@@ -75,11 +75,11 @@
         ("connections_per_second", file.connections_per_second),
         ("probes_per_second", file.probes_per_second),
     ] {
-        if value > MAX_PER_SECOND {
+        if value > MAX_RATE_PER_SECOND {
             return Err(key_error(
                 text,
                 &format!("gossip.overload.{key}"),
-                KeyProblem::above_maximum(MAX_PER_SECOND),
+                KeyProblem::above_maximum(MAX_RATE_PER_SECOND),
             ));
         }
     }
@@ -105,10 +105,10 @@
             ratio: agreed.ratio.min(ratio),
             ..agreed
         });
-        let connections = bound(self.connections_per_second);
-        let probes = bound(self.probes_per_second);
-        let is_bounded = connections.is_finite() || probes.is_finite();
-        agreement.budgets = is_bounded.then_some(EngineBudgets {
+        let connections = rate_limit(self.connections_per_second);
+        let probes = rate_limit(self.probes_per_second);
+        let is_limited = connections.is_finite() || probes.is_finite();
+        agreement.budgets = is_limited.then_some(EngineBudgets {
             connections,
             probes,
         });
@@ -116,10 +116,10 @@
 }
 
 /// A bound a second; 0 is none.
-fn bound(per_second: u32) -> f64 {
+fn rate_limit(per_second: u32) -> f64 {
     match per_second {
         0 => f64::INFINITY,
-        bound => f64::from(bound),
+        limit => f64::from(limit),
     }
 }
 
--- a/crates/config/src/operator_file/ownership.rs
+++ b/crates/config/src/operator_file/ownership.rs
@@ -64,7 +64,7 @@
 }
 
 /// Checks the section; `peers` are the fronts known by name.
-pub fn ownership(
+pub fn check_ownership(
     text: &str,
     file: OwnershipFile,
     peers: &[GossipPeer],
@@ -74,19 +74,19 @@
         section: "gossip.ownership",
     };
     if !matches!(file.voters.len(), 3 | 5) {
-        return check.refuse(
+        return check.reject(
             "voters",
             "names neither 3 nor 5 fronts; name as many of gossip.peers",
         );
     }
-    check.range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
+    check.require_range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
     if file.drift_ppm > MAX_DRIFT_PPM {
-        return check.refuse("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
+        return check.reject("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
     }
     if file.directory.is_empty() {
         let problem =
             "names none; name one on a lasting disk, as a voter that forgets its votes must not vote again";
-        return check.refuse("directory", problem);
+        return check.reject("directory", problem);
     }
     Ok(Ownership {
         fleet: file.fleet,
@@ -105,7 +105,7 @@
     let mut voters = Vec::new();
     for (name, address) in named {
         let Some(key) = key_of(peers, &name) else {
-            return check.refuse(&format!("voters.{name}"), NOT_A_PEER);
+            return check.reject(&format!("voters.{name}"), NOT_A_PEER);
         };
         voters.push(OwnershipVoter { key, address });
     }
--- a/crates/config/src/operator_file/postgres.rs
+++ b/crates/config/src/operator_file/postgres.rs
@@ -87,19 +87,23 @@
 }
 
 /// Checks the section against the settings.
-pub fn postgres(text: &str, file: PostgresFile, settings: &Settings) -> Result<Postgres, Error> {
+pub fn check_postgres(
+    text: &str,
+    file: PostgresFile,
+    settings: &Settings,
+) -> Result<Postgres, Error> {
     let check = Checker {
         text,
         section: "postgres",
     };
     if file.engines.is_empty() {
         let problem = "names no engines; name kinds that speak PostgreSQL, or leave 'postgres' out";
-        return check.refuse("engines", problem);
+        return check.reject("engines", problem);
     }
     for (i, engines) in file.engines.iter().enumerate() {
         for (k, kind) in engines.kinds.iter().enumerate() {
             let key = format!("engines[{i}].kinds[{k}]");
-            check.known(&key, kind, "the settings' kinds", &settings.names.kinds)?;
+            check.require_known(&key, kind, "the settings' kinds", &settings.names.kinds)?;
         }
     }
     let mut users = BTreeMap::new();
@@ -122,10 +126,10 @@
 
 fn user(check: &Checker, name: &str, file: UserFile, settings: &Settings) -> Result<User, Error> {
     let path = format!("users.{name}");
-    check_proof(check, &path, &file)?;
+    check_authentication(check, &path, &file)?;
     let names = &settings.names;
     if let Some(member) = &file.member {
-        check.known(
+        check.require_known(
             &format!("{path}.member"),
             member,
             "the settings' customers",
@@ -133,7 +137,7 @@
         )?;
     }
     if let Some(workload) = &file.workload {
-        check.known(
+        check.require_known(
             &format!("{path}.workload"),
             workload,
             "the settings' workloads",
@@ -150,38 +154,38 @@
 }
 
 /// A user proves who it is by a verifier, or is trusted.
-fn check_proof(check: &Checker, path: &str, file: &UserFile) -> Result<(), Error> {
+fn check_authentication(check: &Checker, path: &str, file: &UserFile) -> Result<(), Error> {
     match (&file.verifier, file.trust) {
-        (None, false) => check.refuse(path, "needs 'verifier', or 'trust: true'; give one of them"),
-        (Some(_), true) => check.refuse(path, "has both 'verifier' and 'trust'; leave one out"),
+        (None, false) => check.reject(path, "needs 'verifier', or 'trust: true'; give one of them"),
+        (Some(_), true) => check.reject(path, "has both 'verifier' and 'trust'; leave one out"),
         (Some(verifier), false) if !is_verifier(verifier) => {
             let form = "SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY";
             let problem = format!("is not of the form {form}; copy it from pg_authid");
-            check.refuse(&format!("{path}.verifier"), problem)
+            check.reject(&format!("{path}.verifier"), problem)
         }
         _ => Ok(()),
     }
 }
 
 fn limits(check: &Checker, file: LimitsFile) -> Result<SessionLimits, Error> {
-    check_limit(check, "sessions", file.sessions as f64, 1.0)?;
-    check_limit(check, "start_up_ms", file.start_up_ms, MIN_MS)?;
-    check_limit(check, "statements", file.statements as f64, 1.0)?;
-    check_limit(check, "portals", file.portals as f64, 1.0)?;
-    check_limit(check, "settings", file.settings as f64, 1.0)?;
-    check_limit(check, "message_bytes", file.message_bytes as f64, MIN_BYTES)?;
-    check_limit(check, "buffer_bytes", file.buffer_bytes as f64, MIN_BYTES)?;
+    require_limit(check, "sessions", file.sessions as f64, 1.0)?;
+    require_limit(check, "start_up_ms", file.start_up_ms, MIN_MS)?;
+    require_limit(check, "statements", file.statements as f64, 1.0)?;
+    require_limit(check, "portals", file.portals as f64, 1.0)?;
+    require_limit(check, "settings", file.settings as f64, 1.0)?;
+    require_limit(check, "message_bytes", file.message_bytes as f64, MIN_BYTES)?;
+    require_limit(check, "buffer_bytes", file.buffer_bytes as f64, MIN_BYTES)?;
     let connections = file.engine_connections as f64;
-    check_limit(check, "engine_connections", connections, 1.0)?;
-    check_limit(check, "prepared", file.prepared as f64, 1.0)?;
-    check_limit(
+    require_limit(check, "engine_connections", connections, 1.0)?;
+    require_limit(check, "prepared", file.prepared as f64, 1.0)?;
+    require_limit(
         check,
         "transaction_idle_ms",
         file.transaction_idle_ms,
         MIN_MS,
     )?;
-    check_limit(check, "connection_idle_ms", file.connection_idle_ms, MIN_MS)?;
-    check_limit(check, "connection_age_ms", file.connection_age_ms, MIN_MS)?;
+    require_limit(check, "connection_idle_ms", file.connection_idle_ms, MIN_MS)?;
+    require_limit(check, "connection_age_ms", file.connection_age_ms, MIN_MS)?;
     Ok(SessionLimits {
         sessions: file.sessions,
         login_timeout: micros(file.start_up_ms),
@@ -198,16 +202,16 @@
     })
 }
 
-fn check_limit(check: &Checker, key: &str, value: f64, least: f64) -> Result<(), Error> {
-    if (least..=MAX_LIMIT).contains(&value) {
+fn require_limit(check: &Checker, key: &str, value: f64, min: f64) -> Result<(), Error> {
+    if (min..=MAX_LIMIT).contains(&value) {
         return Ok(());
     }
     let problem = if value > MAX_LIMIT {
         KeyProblem::above_maximum(MAX_LIMIT)
     } else {
-        KeyProblem::below_minimum(least)
+        KeyProblem::below_minimum(min)
     };
-    check.refuse(&format!("limits.{key}"), problem)
+    check.reject(&format!("limits.{key}"), problem)
 }
 
 /// The form alone; the protocol's own module reads what it holds.
@@ -224,10 +228,14 @@
     let Some((stored, server)) = keys.split_once(':') else {
         return false;
     };
-    let base64 = |c: char| c.is_ascii_alphanumeric() || "+/=".contains(c);
-    let key = |text: &str| text.len() == 44 && text.chars().all(base64);
-    let number = iterations.parse::<u32>().is_ok_and(|n| n > 0);
-    number && !salt.is_empty() && salt.chars().all(base64) && key(stored) && key(server)
+    let is_base64 = |c: char| c.is_ascii_alphanumeric() || "+/=".contains(c);
+    let is_key = |text: &str| text.len() == 44 && text.chars().all(is_base64);
+    let has_iterations = iterations.parse::<u32>().is_ok_and(|n| n > 0);
+    has_iterations
+        && !salt.is_empty()
+        && salt.chars().all(is_base64)
+        && is_key(stored)
+        && is_key(server)
 }
 
 #[cfg(test)]
--- a/crates/config/src/operator_file/postgres/file.rs
+++ b/crates/config/src/operator_file/postgres/file.rs
@@ -8,9 +8,9 @@
 
 const DEFAULT_SESSIONS: usize = 5_000;
 /// Milliseconds for start-up and authentication.
-const DEFAULT_START_UP_MS: f64 = 5_000.0;
+const DEFAULT_LOGIN_TIMEOUT_MS: f64 = 5_000.0;
 /// Prepared statements of a session.
-pub const DEFAULT_STATEMENTS: usize = 1_000;
+pub const DEFAULT_PREPARED_STATEMENTS: usize = 1_000;
 /// Portals open at once in a session's transaction.
 const DEFAULT_PORTALS: usize = 100;
 /// Settings that a session may carry.
@@ -22,7 +22,7 @@
 /// Connections to an engine: its own limit is usually 100.
 const DEFAULT_ENGINE_CONNECTIONS: usize = 64;
 /// Prepared statements on an engine connection.
-const DEFAULT_PREPARED: usize = 256;
+const DEFAULT_ENGINE_PREPARED_STATEMENTS: usize = 256;
 const DEFAULT_TRANSACTION_IDLE_MS: f64 = 10_000.0;
 const DEFAULT_CONNECTION_IDLE_MS: f64 = 60_000.0;
 const DEFAULT_CONNECTION_AGE_MS: f64 = 3_600_000.0;
@@ -77,14 +77,14 @@
     fn default() -> Self {
         LimitsFile {
             sessions: DEFAULT_SESSIONS,
-            start_up_ms: DEFAULT_START_UP_MS,
-            statements: DEFAULT_STATEMENTS,
+            start_up_ms: DEFAULT_LOGIN_TIMEOUT_MS,
+            statements: DEFAULT_PREPARED_STATEMENTS,
             portals: DEFAULT_PORTALS,
             settings: DEFAULT_SETTINGS,
             message_bytes: DEFAULT_MESSAGE_BYTES,
             buffer_bytes: DEFAULT_BUFFER_BYTES,
             engine_connections: DEFAULT_ENGINE_CONNECTIONS,
-            prepared: DEFAULT_PREPARED,
+            prepared: DEFAULT_ENGINE_PREPARED_STATEMENTS,
             transaction_idle_ms: DEFAULT_TRANSACTION_IDLE_MS,
             connection_idle_ms: DEFAULT_CONNECTION_IDLE_MS,
             connection_age_ms: DEFAULT_CONNECTION_AGE_MS,
--- a/crates/config/src/operator_file/postgres_tests.rs
+++ b/crates/config/src/operator_file/postgres_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `postgres` module.
 
 use super::super::sections::tests::read;
-use super::file::DEFAULT_STATEMENTS;
+use super::file::DEFAULT_PREPARED_STATEMENTS;
 
 const GOOD: &str = "{
     // comments and bare keys
@@ -27,7 +27,7 @@
             postgres.limits.sessions,
             postgres.limits.prepared_statements
         ),
-        (10, DEFAULT_STATEMENTS)
+        (10, DEFAULT_PREPARED_STATEMENTS)
     );
     assert_eq!(postgres.engines[1].port, Some(5433));
     assert!(read("{}").unwrap().postgres.is_none());
--- a/crates/config/src/operator_file/rules.rs
+++ b/crates/config/src/operator_file/rules.rs
@@ -19,9 +19,9 @@
 const DEFAULT_WHAT_IF_HOURS: f64 = 6.0;
 const MAX_WHAT_IF_HOURS: f64 = 168.0;
 const MS_PER_HOUR: f64 = 3_600_000.0;
-const DEFAULT_TELL_EVERY_MS: f64 = 60_000.0;
-const MIN_TELL_EVERY_MS: f64 = 1_000.0;
-const MAX_TELL_EVERY_MS: f64 = 86_400_000.0;
+const DEFAULT_LOG_INTERVAL_MS: f64 = 60_000.0;
+const MIN_LOG_INTERVAL_MS: f64 = 1_000.0;
+const MAX_LOG_INTERVAL_MS: f64 = 86_400_000.0;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -54,7 +54,7 @@
 }
 
 fn default_tell_every_ms() -> f64 {
-    DEFAULT_TELL_EVERY_MS
+    DEFAULT_LOG_INTERVAL_MS
 }
 
 /// Where the rules are, and all that they may be about.
@@ -79,13 +79,13 @@
 }
 
 /// Checks the section against the settings.
-pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
+pub fn check_rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
     let check = Checker {
         text,
         section: "rules",
     };
     if file.file.is_empty() {
-        return check.refuse("file", "names none; give the path of the file of rules");
+        return check.reject("file", "names none; give the path of the file of rules");
     }
     check_regions(&check, &file, &settings.names)?;
     check_customers(&check, &file, &settings.names)?;
@@ -107,15 +107,15 @@
     for (region, locations) in &file.regions {
         for (index, location) in locations.iter().enumerate() {
             let key = format!("regions.{region}[{index}]");
-            check.known(&key, location, "the settings' locations", &names.locations)?;
+            check.require_known(&key, location, "the settings' locations", &names.locations)?;
         }
         if locations.is_empty() {
-            return check.refuse(&format!("regions.{region}"), "holds no location; name one");
+            return check.reject(&format!("regions.{region}"), "holds no location; name one");
         }
     }
     let named = file.regions.keys();
     let regions: Vec<String> = named.chain(&names.locations).cloned().collect();
-    check.known("region", &file.region, "the regions", &regions)
+    check.require_known("region", &file.region, "the regions", &regions)
 }
 
 /// Customers are those of the settings, where these name any.
@@ -125,23 +125,23 @@
     }
     for (index, customer) in file.customers.iter().flatten().enumerate() {
         let key = format!("customers[{index}]");
-        check.known(&key, customer, "the settings' customers", &names.customers)?;
+        check.require_known(&key, customer, "the settings' customers", &names.customers)?;
     }
     Ok(())
 }
 
 fn check_ranges(check: &Checker, file: &RulesFile) -> Result<(), Error> {
-    check.range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
+    check.require_range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
     if file.drift_ppm > MAX_DRIFT_PPM {
-        return check.refuse("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
+        return check.reject("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
     }
-    check.range(
+    check.require_range(
         "tell_every_ms",
         file.tell_every_ms,
-        MIN_TELL_EVERY_MS,
-        MAX_TELL_EVERY_MS,
+        MIN_LOG_INTERVAL_MS,
+        MAX_LOG_INTERVAL_MS,
     )?;
-    check.range("what_if_hours", file.what_if_hours, 0.0, MAX_WHAT_IF_HOURS)
+    check.require_range("what_if_hours", file.what_if_hours, 0.0, MAX_WHAT_IF_HOURS)
 }
 
 #[cfg(test)]
--- a/crates/config/src/operator_file/scatter.rs
+++ b/crates/config/src/operator_file/scatter.rs
@@ -13,11 +13,11 @@
 use super::peers::{parse_key, PublicKey};
 use crate::error::{Error, KeyProblem};
 
-const MIN_OLDEST_MS: u64 = 1_000;
-const MAX_OLDEST_MS: u64 = 604_800_000;
-const MAX_AHEAD_MS: u64 = 600_000;
+const MIN_SUMMARY_AGE_MS: u64 = 1_000;
+const MAX_SUMMARY_AGE_MS: u64 = 604_800_000;
+const MAX_SUMMARY_AHEAD_MS: u64 = 600_000;
 const MAX_SUMMARIES: usize = 65_536;
-const MAX_AT_ONCE: usize = 1_000;
+const MAX_PARALLEL_PARTS: usize = 1_000;
 /// The part by which a number of distinct values may be wrong.
 const MAX_DISTINCT_ERROR: f64 = 0.5;
 const MIN_ANSWER_BYTES: usize = 1_000;
@@ -84,7 +84,7 @@
 }
 
 /// Checks the section against the settings.
-pub fn scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
+pub fn check_scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
     let check = Checker {
         text,
         section: "scatter",
@@ -109,7 +109,7 @@
         whole_site: file.whole_site,
         partial_answer_customers: file.partial,
         distinct_error: distinct_error
-            .map(|(name, error)| (name, millionths(error)))
+            .map(|(name, error)| (name, to_millionths(error)))
             .collect(),
         colocated_groups: file.together,
         max_summary_age_ms: file.oldest_ms,
@@ -129,7 +129,7 @@
     })
 }
 
-fn millionths(part: f64) -> u32 {
+fn to_millionths(part: f64) -> u32 {
     (part * 1e6) as u32
 }
 
@@ -142,14 +142,14 @@
         return Ok(());
     };
     let known: Vec<String> = sites.keys().cloned().collect();
-    check.known("whole_site", site, "scatter.sites", &known)
+    check.require_known("whole_site", site, "scatter.sites", &known)
 }
 
 fn check_writes(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.workloads;
     for (index, name) in file.writes.iter().enumerate() {
         let key = format!("writes[{index}]");
-        check.known(&key, name, "the settings' workloads", known)?;
+        check.require_known(&key, name, "the settings' workloads", known)?;
     }
     Ok(())
 }
@@ -160,7 +160,7 @@
         Some("none") => Ok(false),
         Some(other) => {
             let problem = format!("'{other}' is neither 'marked' nor 'none'; give one of them");
-            check.refuse("loads", problem)
+            check.reject("loads", problem)
         }
     }
 }
@@ -182,14 +182,14 @@
     let known = &settings.names.workloads;
     for (n, name) in file.workloads.iter().enumerate() {
         let key = format!("workloads[{n}]");
-        check.known(&key, name, "the settings' workloads", known)?;
-        let at = known.iter().position(|other| other == name);
-        let effect = at
-            .and_then(|at| settings.agreement.workloads.get(at))
+        check.require_known(&key, name, "the settings' workloads", known)?;
+        let index = known.iter().position(|other| other == name);
+        let effect = index
+            .and_then(|index| settings.agreement.workloads.get(index))
             .map(|w| w.effect);
         if effect != Some(Effect::Idempotent) {
             let problem = format!("'{name}' is not idempotent; name workloads that only read");
-            return check.refuse(&key, problem);
+            return check.reject(&key, problem);
         }
     }
     Ok(())
@@ -204,7 +204,7 @@
     let mut sites = BTreeMap::new();
     for (name, key) in &file.sites {
         let path = format!("sites.{name}");
-        check.known(
+        check.require_known(
             &path,
             name,
             "the settings' areas",
@@ -212,11 +212,11 @@
         )?;
         match parse_key(key) {
             Some(key) => _ = sites.insert(name.clone(), key),
-            None => return check.refuse(&path, KeyProblem::InvalidPublicKey),
+            None => return check.reject(&path, KeyProblem::InvalidPublicKey),
         }
     }
     if file.workloads.is_empty() || sites.is_empty() {
-        return check.refuse(
+        return check.reject(
             "sites",
             "names none, or no workloads; leave 'scatter' out to switch it off",
         );
@@ -231,7 +231,7 @@
             Ok(number) => _ = schemas.insert(number, *schema),
             Err(_) => {
                 let key = format!("schemas.{group}");
-                return check.refuse(&key, "is no number of a table group; give one");
+                return check.reject(&key, "is no number of a table group; give one");
             }
         }
     }
@@ -242,7 +242,7 @@
 fn check_customers(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.customers;
     for (n, name) in file.partial.iter().enumerate() {
-        check.known(
+        check.require_known(
             &format!("partial[{n}]"),
             name,
             "the settings' customers",
@@ -251,9 +251,9 @@
     }
     for (name, error) in &file.distinct_error {
         let key = format!("distinct_error.{name}");
-        check.known(&key, name, "the settings' customers", known)?;
+        check.require_known(&key, name, "the settings' customers", known)?;
         if !(0.0..=MAX_DISTINCT_ERROR).contains(error) {
-            return check.refuse(
+            return check.reject(
                 &key,
                 format!("is not from 0 to {MAX_DISTINCT_ERROR}, a part of the number"),
             );
@@ -263,23 +263,28 @@
 }
 
 fn check_ranges(check: &Checker, file: &ScatterFile) -> Result<(), Error> {
-    check.range("oldest_ms", file.oldest_ms, MIN_OLDEST_MS, MAX_OLDEST_MS)?;
-    check.range("ahead_ms", file.ahead_ms, 0, MAX_AHEAD_MS)?;
-    check.range("most", file.most, 1, MAX_SUMMARIES)?;
-    check.range("at_once", file.at_once, 1, MAX_AT_ONCE)?;
-    check.range(
+    check.require_range(
+        "oldest_ms",
+        file.oldest_ms,
+        MIN_SUMMARY_AGE_MS,
+        MAX_SUMMARY_AGE_MS,
+    )?;
+    check.require_range("ahead_ms", file.ahead_ms, 0, MAX_SUMMARY_AHEAD_MS)?;
+    check.require_range("most", file.most, 1, MAX_SUMMARIES)?;
+    check.require_range("at_once", file.at_once, 1, MAX_PARALLEL_PARTS)?;
+    check.require_range(
         "answer_bytes",
         file.answer_bytes,
         MIN_ANSWER_BYTES,
         MAX_ANSWER_BYTES,
     )?;
     if let Some(keep) = &file.keep {
-        check.range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
-        check.range("keep.bytes_a_second", keep.bytes_a_second, 100, 1 << 24)?;
+        check.require_range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
+        check.require_range("keep.bytes_a_second", keep.bytes_a_second, 100, 1 << 24)?;
     }
     if let Some(audits) = &file.audits {
-        check.range("audits.one_in", audits.one_in, 1, 1_000_000)?;
-        check.range("audits.a_minute", audits.a_minute, 1, 60_000)?;
+        check.require_range("audits.one_in", audits.one_in, 1, 1_000_000)?;
+        check.require_range("audits.a_minute", audits.a_minute, 1, 60_000)?;
     }
     Ok(())
 }
--- a/crates/config/src/operator_file/scatter/file.rs
+++ b/crates/config/src/operator_file/scatter/file.rs
@@ -6,13 +6,13 @@
 use serde::Deserialize;
 
 /// Milliseconds after which a summary is too old.
-const DEFAULT_OLDEST_MS: u64 = 600_000;
+const DEFAULT_SUMMARY_AGE_MS: u64 = 600_000;
 /// Milliseconds that a summary may come from the future: as far as fronts' clocks may differ.
-const DEFAULT_AHEAD_MS: u64 = 10_000;
+const DEFAULT_SUMMARY_AHEAD_MS: u64 = 10_000;
 /// Summaries that are held.
-const DEFAULT_SUMMARIES: usize = 4_096;
+const DEFAULT_MAX_SUMMARIES: usize = 4_096;
 /// Parts of a statement with LIMIT that are in flight at once.
-const DEFAULT_AT_ONCE: usize = 4;
+const DEFAULT_PARALLEL_PARTS: usize = 4;
 const DEFAULT_ANSWER_BYTES: usize = 1 << 20;
 
 #[derive(Deserialize)]
@@ -63,19 +63,19 @@
 }
 
 fn default_oldest_ms() -> u64 {
-    DEFAULT_OLDEST_MS
+    DEFAULT_SUMMARY_AGE_MS
 }
 
 fn default_ahead_ms() -> u64 {
-    DEFAULT_AHEAD_MS
+    DEFAULT_SUMMARY_AHEAD_MS
 }
 
 fn default_summaries() -> usize {
-    DEFAULT_SUMMARIES
+    DEFAULT_MAX_SUMMARIES
 }
 
 fn default_at_once() -> usize {
-    DEFAULT_AT_ONCE
+    DEFAULT_PARALLEL_PARTS
 }
 
 fn default_answer_bytes() -> usize {
--- a/crates/config/src/operator_file/sections.rs
+++ b/crates/config/src/operator_file/sections.rs
@@ -6,15 +6,15 @@
 use crate::settings::{micros, Settings};
 
 use super::checker::{key_error, malformed, rejected};
-use super::gossip::{gossip, Gossip, GossipFile};
-use super::postgres::{postgres, Postgres, PostgresFile};
-use super::rules::{rules, Rules, RulesFile};
-use super::scatter::{scatter, Scatter, ScatterFile};
+use super::gossip::{check_gossip, Gossip, GossipFile};
+use super::postgres::{check_postgres, Postgres, PostgresFile};
+use super::rules::{check_rules, Rules, RulesFile};
+use super::scatter::{check_scatter, Scatter, ScatterFile};
 use crate::error::{Error, KeyProblem};
 use crate::text::check_depth;
 
 /// Milliseconds by which a clock may be set off either way.
-const MAX_AHEAD_MS: f64 = 600_000.0;
+const MAX_CLOCK_OFFSET_MS: f64 = 600_000.0;
 
 /// The file as it is written. Its name is part of errors' texts, as are those of the sections' types.
 #[derive(Deserialize)]
@@ -92,27 +92,27 @@
 impl OperatorConfig {
     /// Reads the file's text and checks it against the settings. An error names line and key.
     pub fn parse(text: &str, settings: &Settings) -> Result<OperatorConfig, Error> {
-        let file = read(text)?;
+        let file = parse_file(text)?;
         let postgres = file
             .postgres
-            .map(|section| postgres(text, section, settings))
+            .map(|section| check_postgres(text, section, settings))
             .transpose()?;
         let gossip = file
             .gossip
-            .map(|section| gossip(text, section))
+            .map(|section| check_gossip(text, section))
             .transpose()?;
         let rules = file
             .rules
-            .map(|section| rules(text, section, settings))
+            .map(|section| check_rules(text, section, settings))
             .transpose()?;
         let scatter = file
             .scatter
-            .map(|section| scatter(text, section, settings))
+            .map(|section| check_scatter(text, section, settings))
             .transpose()?;
-        check_marks(text, scatter.as_ref(), gossip.as_ref())?;
+        check_load_markers(text, scatter.as_ref(), gossip.as_ref())?;
         let load_signal = file
             .load_signal
-            .map(|word| load_signal(text, &word, settings))
+            .map(|word| parse_load_signal(text, &word, settings))
             .transpose()?;
         let clock_offset = clock_offset(text, file.clock_ahead_ms)?;
         Ok(OperatorConfig {
@@ -127,7 +127,7 @@
 }
 
 /// Reads the text; what its sections say is still to be checked.
-fn read(text: &str) -> Result<File, Error> {
+fn parse_file(text: &str) -> Result<File, Error> {
     check_depth(text)?;
     // Once for the form alone, as only that pass sees what follows the end.
     json5::from_str::<serde::de::IgnoredAny>(text).map_err(|e| malformed(&e))?;
@@ -137,14 +137,14 @@
 }
 
 /// Marks of loads stand in the ledger.
-fn check_marks(
+fn check_load_markers(
     text: &str,
     scatter: Option<&Scatter>,
     gossip: Option<&Gossip>,
 ) -> Result<(), Error> {
-    let is_marked = scatter.is_some_and(|scatter| scatter.marks_loads);
+    let marks_loads = scatter.is_some_and(|scatter| scatter.marks_loads);
     let has_ledger = gossip.is_some_and(|gossip| gossip.ledger.is_some());
-    if is_marked && !has_ledger {
+    if marks_loads && !has_ledger {
         let problem = "'marked' needs gossip.ledger, where marks stand; add it, or say 'none' where no load goes through fronts";
         return Err(key_error(text, "scatter.loads", problem));
     }
@@ -152,18 +152,18 @@
 }
 
 fn clock_offset(text: &str, ahead_ms: f64) -> Result<Micros, Error> {
-    if !ahead_ms.is_finite() || ahead_ms.abs() > MAX_AHEAD_MS {
+    if !ahead_ms.is_finite() || ahead_ms.abs() > MAX_CLOCK_OFFSET_MS {
         return Err(key_error(
             text,
             "clock_ahead_ms",
-            KeyProblem::out_of_range(-MAX_AHEAD_MS, MAX_AHEAD_MS),
+            KeyProblem::out_of_range(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS),
         ));
     }
     Ok(micros(ahead_ms))
 }
 
 /// A shape of deployment that the settings' reports do not have is refused: the front would read nothing.
-fn load_signal(text: &str, word: &str, settings: &Settings) -> Result<LoadSignal, Error> {
+fn parse_load_signal(text: &str, word: &str, settings: &Settings) -> Result<LoadSignal, Error> {
     let signal = match word {
         "in_flight" => LoadSignal::InFlight,
         "utilization" => LoadSignal::Utilization,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -5,7 +5,7 @@
 
 use hallmux::interface::{Agreement, Micros, ReportLayout, RetryAllowance, Workload};
 
-use self::check::{check, meaning, EFFECTS, GROUPS};
+use self::check::{check, resolve_name, EFFECTS, GROUPS};
 use self::options::{Extra, Options, Report, Rules};
 use crate::error::Error;
 use crate::text::Section;
@@ -72,16 +72,16 @@
 impl Settings {
     /// Reads the settings' JSON text. Keys that are not known are ignored.
     pub fn parse(text: &str) -> Result<Settings, Error> {
-        settings_of(&Section {
+        parse_section(&Section {
             name: "options",
             text,
-            lines: 0,
+            line_offset: 0,
         })
     }
 }
 
 /// Reads the settings as a section of a larger text.
-pub(crate) fn settings_of(section: &Section) -> Result<Settings, Error> {
+pub(crate) fn parse_section(section: &Section) -> Result<Settings, Error> {
     let options: Options = section.read()?;
     check(section, &options)?;
     let workloads = (0..options.request_classes.len())
@@ -133,8 +133,8 @@
         slo_time: micros(class.aim_ms),
         slo_stretch: class.aim_stretch,
         statement_timeout: micros(class.deadline_ms),
-        effect: meaning(section, &path("repeat"), &class.repeat, &EFFECTS)?,
-        dedup_group: meaning(section, &path("group"), group, &GROUPS)?,
+        effect: resolve_name(section, &path("repeat"), &class.repeat, &EFFECTS)?,
+        dedup_group: resolve_name(section, &path("group"), group, &GROUPS)?,
         dedup_window: micros(class.dedup_window_ms),
         in_order: class.in_turn,
         threads: extra.parallelism.get(index).copied().unwrap_or(1.0),
@@ -148,10 +148,10 @@
 /// Which figures a load report holds. `x0` and `x1` are the site's own: a text says what each means.
 fn report_layout(report: &Report, extra: &Extra) -> ReportLayout {
     let index = |name: &str| report.names.iter().position(|n| n == name);
-    let tells_memory =
+    let describes_memory =
         |text: &Option<String>| text.as_deref().is_some_and(|t| t.contains("memory"));
-    let x0 = index("x0").filter(|_| tells_memory(&extra.report_x0));
-    let x1 = index("x1").filter(|_| tells_memory(&extra.report_x1));
+    let x0 = index("x0").filter(|_| describes_memory(&extra.report_x0));
+    let x1 = index("x1").filter(|_| describes_memory(&extra.report_x1));
     ReportLayout {
         active: index("active"),
         busy: index("cpu"),
@@ -170,7 +170,7 @@
 
 fn agreement(options: Options, workloads: Vec<Workload>) -> Agreement {
     let (bounds, rules) = (&options.bounds, &options.rules);
-    let longest_retry_after_ms = bounds
+    let max_retry_after_ms = bounds
         .max_retry_after_ms
         .unwrap_or(DEFAULT_MAX_RETRY_AFTER_MS);
     Agreement {
@@ -196,7 +196,7 @@
         cancel: bounds.cancelling,
         subscribe: options.discovery.as_deref() == Some("subscribe"),
         max_attempts: bounds.most_tries.unwrap_or(1),
-        max_retry_after: bounds.retry_after.then(|| micros(longest_retry_after_ms)),
+        max_retry_after: bounds.retry_after.then(|| micros(max_retry_after_ms)),
         order_gap: micros(rules.turn_gap_ms),
         initial_capacity_share: rules.cold_from,
         warm_up_time: micros(rules.warm_within_ms),
--- a/crates/config/src/settings/check.rs
+++ b/crates/config/src/settings/check.rs
@@ -10,41 +10,41 @@
 const MAX_FIGURE: f64 = 1e12;
 
 /// A word of the settings and what it stands for.
-pub struct Word<T> {
-    text: &'static str,
-    meaning: T,
+pub struct NamedValue<T> {
+    name: &'static str,
+    value: T,
 }
 
-const fn stands_for<T>(text: &'static str, meaning: T) -> Word<T> {
-    Word { text, meaning }
+const fn named<T>(name: &'static str, value: T) -> NamedValue<T> {
+    NamedValue { name, value }
 }
 
 /// The words of `requestClasses[].repeat`.
-pub const EFFECTS: [Word<Effect>; 3] = [
-    stands_for("repeatable", Effect::Idempotent),
-    stands_for("by_key", Effect::Deduplicated),
-    stands_for("once", Effect::NonIdempotent),
+pub const EFFECTS: [NamedValue<Effect>; 3] = [
+    named("repeatable", Effect::Idempotent),
+    named("by_key", Effect::Deduplicated),
+    named("once", Effect::NonIdempotent),
 ];
 /// The words of `requestClasses[].group`.
-pub const GROUPS: [Word<DedupGroup>; 3] = [
-    stands_for("all", DedupGroup::All),
-    stands_for("zone", DedupGroup::Location),
-    stands_for("cell", DedupGroup::Cell),
+pub const GROUPS: [NamedValue<DedupGroup>; 3] = [
+    named("all", DedupGroup::All),
+    named("zone", DedupGroup::Location),
+    named("cell", DedupGroup::Cell),
 ];
 
 /// What the word at a path stands for.
-pub fn meaning<T: Copy>(
+pub fn resolve_name<T: Copy>(
     section: &Section,
     path: &str,
     text: &str,
-    known: &[Word<T>],
+    known: &[NamedValue<T>],
 ) -> Result<T, Error> {
-    if let Some(word) = known.iter().find(|word| word.text == text) {
-        return Ok(word.meaning);
+    if let Some(entry) = known.iter().find(|entry| entry.name == text) {
+        return Ok(entry.value);
     }
     let problem = KeyProblem::UnknownWord {
         word: text.to_string(),
-        known: known.iter().map(|word| word.text).collect(),
+        known: known.iter().map(|entry| entry.name).collect(),
     };
     Err(section.error(path, problem))
 }
@@ -88,7 +88,7 @@
         self.optional(path, count.map(|count| count as f64))
     }
 
-    fn each(&self, path: &str, values: &[f64]) -> Result<(), Error> {
+    fn figures(&self, path: &str, values: &[f64]) -> Result<(), Error> {
         for (index, value) in values.iter().enumerate() {
             self.figure(&format!("{path}[{index}]"), *value)?;
         }
@@ -114,9 +114,9 @@
     }
 
     fn extra(&self, extra: &Extra) -> Result<(), Error> {
-        self.each("extra.parallelism", &extra.parallelism)?;
-        self.each("extra.memoryByKindMb", &extra.memory_by_kind_mb)?;
-        self.each("extra.sizeCores", &extra.size_cores)?;
+        self.figures("extra.parallelism", &extra.parallelism)?;
+        self.figures("extra.memoryByKindMb", &extra.memory_by_kind_mb)?;
+        self.figures("extra.sizeCores", &extra.size_cores)?;
         self.optional("extra.largestShare", extra.largest_share)?;
         self.figure("extra.tellsEveryMs", extra.tells_every_ms)
     }
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -10,26 +10,26 @@
 const MAX_OPEN_BRACKETS: usize = 64;
 
 /// Reads the file that a variable names.
-pub fn file(variable: &'static str, path: &str) -> Result<String, Error> {
+pub fn read_file(variable: &'static str, path: &str) -> Result<String, Error> {
     let unreadable = |e: std::io::Error| Error::UnreadableFile {
         variable,
         path: path.to_string(),
         reason: e.to_string(),
     };
-    text(std::fs::read(path).map_err(unreadable)?).map_err(|e| e.in_file(variable, path))
+    decode_utf8(std::fs::read(path).map_err(unreadable)?).map_err(|e| e.in_file(variable, path))
 }
 
-fn text(bytes: Vec<u8>) -> Result<String, Error> {
+fn decode_utf8(bytes: Vec<u8>) -> Result<String, Error> {
     String::from_utf8(bytes).map_err(|e| {
-        let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
+        let valid = &e.as_bytes()[..e.utf8_error().valid_up_to()];
         Error::NotUtf8 {
-            position: position_behind(&String::from_utf8_lossy(good)),
+            position: end_position(&String::from_utf8_lossy(valid)),
         }
     })
 }
 
 /// The position behind a text.
-fn position_behind(text: &str) -> TextPosition {
+fn end_position(text: &str) -> TextPosition {
     let last_line = text.rsplit('\n').next().unwrap_or_default();
     TextPosition {
         line: Some(1 + text.matches('\n').count()),
@@ -61,22 +61,22 @@
     Ok(())
 }
 
-/// A JSON text within a larger one: what its key is called there, and on which line it begins.
+/// A JSON text within a larger one: what its key is called reported, and on which line it begins.
 pub struct Section<'a> {
     pub name: &'a str,
     pub text: &'a str,
     /// Lines of the larger text before it.
-    pub lines: usize,
+    pub line_offset: usize,
 }
 
 impl<'a> Section<'a> {
     /// Where a key of it is; the path is of this section alone.
     pub fn position(&self, path: &str) -> TextPosition {
-        let line = Some(line_of(self.text, path).unwrap_or(1) + self.lines);
+        let line = Some(line_of(self.text, path).unwrap_or(1) + self.line_offset);
         TextPosition {
             line,
             column: None,
-            path: joined(self.name, path),
+            path: join_path(self.name, path),
         }
     }
 
@@ -92,32 +92,32 @@
     pub fn read<T: Deserialize<'a>>(&self) -> Result<T, Error> {
         let mut reader = serde_json::Deserializer::from_str(self.text);
         let read = serde_path_to_error::deserialize(&mut reader);
-        let read = read.map_err(|e| self.rejected(&e.path().to_string(), e.inner()))?;
-        reader.end().map_err(|e| self.rejected("", &e))?;
+        let read = read.map_err(|e| self.parse_error(&e.path().to_string(), e.inner()))?;
+        reader.end().map_err(|e| self.parse_error("", &e))?;
         Ok(read)
     }
 
-    fn rejected(&self, path: &str, error: &serde_json::Error) -> Error {
+    fn parse_error(&self, path: &str, error: &serde_json::Error) -> Error {
         let text = error.to_string();
         let reason = text
             .rsplit_once(" at line ")
             .map_or(text.as_str(), |(reason, _)| reason)
             .to_string();
-        let there = TextPosition {
-            line: Some(error.line() + self.lines),
+        let reported = TextPosition {
+            line: Some(error.line() + self.line_offset),
             // A column of the first line counts from where this section begins.
-            column: (self.lines == 0 || error.line() > 1).then_some(error.column()),
-            path: joined(self.name, path),
+            column: (self.line_offset == 0 || error.line() > 1).then_some(error.column()),
+            path: join_path(self.name, path),
         };
         if !error.is_data() {
             return Error::Malformed {
-                position: there,
+                position: reported,
                 reason,
             };
         }
         let mut position = self.position(path);
-        if position.line == there.line {
-            position.column = there.column;
+        if position.line == reported.line {
+            position.column = reported.column;
         }
         let problem = KeyProblem::Rejected {
             reason,
@@ -131,7 +131,7 @@
 }
 
 /// Steps of a path that the library could not name count as none.
-fn joined(name: &str, path: &str) -> String {
+fn join_path(name: &str, path: &str) -> String {
     let path = path.trim_end_matches(['.', '?']);
     match (name, path) {
         (name, "") => name.to_string(),
