--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of a configuration. Every text reads "where: what is wrong; what an operator can do", in one line.
+//! Configuration errors. Every error text is one line of the form "position: problem; remedy".
 
 use std::fmt;
 
 use crate::one_line::OneLine;
 
-/// Where in a text an error is.
+/// The position of an error in a text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TextPosition {
-    /// Counted from 1; None where it is not known.
+    /// The line, counted from 1; None if unknown.
     pub line: Option<usize>,
-    /// Characters, counted from 1; None where it is not known.
+    /// The column in characters, counted from 1; None if unknown.
     pub column: Option<usize>,
-    /// The path of the key, like `requestClasses[1].aimMs`; empty for the text itself.
+    /// The path of the key, like `requestClasses[1].aimMs`; empty for the whole text.
     pub path: String,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Why a configuration can't be used.
+/// The reason why a configuration can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// An environment variable is missing.
@@ -39,7 +39,7 @@
     Unset {
         /// The variable.
         variable: &'static str,
-        /// What its value has to be.
+        /// The value to set it to.
         expected: &'static str,
     },
     /// An environment variable has a value that can't be used.
@@ -49,12 +49,12 @@
         variable: &'static str,
         /// The value.
         value: String,
-        /// What is wrong with it.
+        /// The problem with it.
         reason: String,
-        /// What an operator can do.
+        /// The remedy for an operator.
         remedy: &'static str,
     },
-    /// The file that a variable names can't be read.
+    /// A file that an environment variable names can't be read.
     #[error(
         "{variable}: {}: can't be read: {}; name a file that the front's user may read",
         OneLine(.path),
@@ -65,103 +65,103 @@
         variable: &'static str,
         /// The file's path.
         path: String,
-        /// The system's error.
+        /// The operating system's error.
         reason: String,
     },
-    /// A text is not UTF-8 from a position on.
+    /// A text contains a byte sequence that is not UTF-8.
     #[error("{position}: not UTF-8; write the file as UTF-8")]
     NotUtf8 {
-        /// From where on.
+        /// The position of the first error.
         position: TextPosition,
     },
-    /// A text is no JSON, or no JSON5, from a position on.
-    #[error("{position}: {}; mend the text from there on", OneLine(.reason))]
+    /// A text is not well-formed JSON or JSON5.
+    #[error("{position}: {}; correct the text from there on", OneLine(.reason))]
     Malformed {
-        /// From where on.
+        /// The position of the first error.
         position: TextPosition,
-        /// What is wrong with it.
+        /// The problem with it.
         reason: String,
     },
-    /// Brackets are nested deeper than any key.
+    /// Brackets are nested deeper than allowed.
     #[error(
-        "{position}: brackets stand open {max_depth} deep; no key is meant so deep, close some"
+        "{position}: brackets are nested over {max_depth} deep; no key is nested so deep, close some"
     )]
     TooDeep {
-        /// The first bracket beyond that.
+        /// The first bracket over the limit.
         position: TextPosition,
-        /// The deepest that is allowed.
+        /// The maximum depth.
         max_depth: usize,
     },
     /// A key is missing, unknown, or has a value that can't be used.
     #[error("{position}: {}", OneLine(.problem))]
     Key {
-        /// Where it is.
+        /// The position of the key.
         position: TextPosition,
-        /// What is wrong.
+        /// The problem.
         problem: Box<KeyProblem>,
     },
-    /// An error of a file, by the variable that names the file.
+    /// An error in a file that an environment variable names.
     #[error("{variable}: {}: {error}", OneLine(.path))]
     InFile {
         /// The variable that names the file.
         variable: &'static str,
         /// The file's path.
         path: String,
-        /// The error.
+        /// The error in the file.
         error: Box<Error>,
     },
 }
 
-/// What is wrong with a key that is in its place, or should be.
+/// The problem with a key that is present or required.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyProblem {
-    /// A key that there has to be is not there.
+    /// A required key is missing.
     #[error("missing in NODE_CONFIG; add it as docs/configuration.md shows")]
     Missing,
-    /// Neither the key nor the variable that stands for it is there.
+    /// Neither the key nor the environment variable that replaces it is set.
     #[error("missing in NODE_CONFIG, and {variable} is not set; add the key or set the variable")]
     MissingWithVariable {
-        /// The variable that can stand for the key.
+        /// The environment variable that can replace the key.
         variable: &'static str,
     },
-    /// In the words of the library: a wrong type, a key that is missing, unknown or there twice, a number too
-    /// large.
+    /// The parser rejected the key: a wrong type, a key that is missing, unknown or duplicated, or
+    /// a number that is too large.
     #[error("{reason}; {hint}")]
     Rejected {
-        /// What is wrong with it.
+        /// The problem with it.
         reason: String,
-        /// Where the right form is shown.
+        /// The document that shows the correct form.
         hint: &'static str,
     },
-    /// A text from which no value can be read.
+    /// A text that can't be parsed as a value.
     #[error("'{value}': {reason}; {remedy}")]
     InvalidValue {
         /// The value.
         value: String,
-        /// What is wrong with it.
+        /// The problem with it.
         reason: String,
-        /// What an operator can do.
+        /// The remedy for an operator.
         remedy: &'static str,
     },
-    /// A text that is none of a fixed set.
+    /// A text that is not one of a fixed set.
     #[error("unknown word '{word}'; give one of {}", .known.join(", "))]
     UnknownWord {
         /// The text.
         word: String,
-        /// What it may be.
+        /// The allowed texts.
         known: Vec<&'static str>,
     },
-    /// A name that is not among those of another part of the configuration.
+    /// A name that another part of the configuration does not define.
     #[error("'{name}' is not among {whose}: {}; name one of them", list_names(.known))]
     UnknownName {
         /// The name.
         name: String,
-        /// What it should be among.
+        /// The names among which it should be, such as "the settings' kinds".
         whose: &'static str,
-        /// The names there.
+        /// The defined names.
         known: Vec<String>,
     },
-    /// A number that is out of its range.
+    /// A number outside its range.
     #[error("is not from {min} to {max}; give a value within")]
     OutOfRange {
         /// The lower bound.
@@ -169,32 +169,33 @@
         /// The upper bound.
         max: String,
     },
-    /// A number under its lower bound.
+    /// A number below its lower bound.
     #[error("is under {min}; give no less")]
     BelowMinimum {
         /// The lower bound.
         min: String,
     },
-    /// A number over its upper bound.
+    /// A number above its upper bound.
     #[error("is over {max}; give no more")]
     AboveMaximum {
         /// The upper bound.
         max: String,
     },
-    /// A text that is no public key.
-    #[error("is no key: 64 hexadecimal digits; give a public key, as a front's log tells its own at start")]
+    /// A text that is not a public key.
+    #[error("is not a public key of 64 hexadecimal digits; give the key that the front's log prints at start")]
     InvalidPublicKey,
-    /// A problem of one key alone.
+    /// A problem specific to one key.
     #[error("{problem}; {remedy}")]
     Other {
-        /// What is wrong.
+        /// The problem.
         problem: String,
-        /// What an operator can do.
+        /// The remedy for an operator.
         remedy: String,
     },
 }
 
-/// Names in an error's text, which stays one line; of more only the number is given.
+/// Maximum number of names listed in an error text, to keep the line short; only the number of the
+/// remaining names is given.
 const MAX_LISTED: usize = 16;
 
 fn list_names(names: &[String]) -> String {
@@ -208,7 +209,7 @@
 }
 
 impl KeyProblem {
-    /// A number that is not from `min` to `max`.
+    /// The problem of a number outside the range from `min` to `max`.
     pub fn out_of_range(min: impl fmt::Display, max: impl fmt::Display) -> KeyProblem {
         KeyProblem::OutOfRange {
             min: min.to_string(),
@@ -216,21 +217,21 @@
         }
     }
 
-    /// A number under `min`.
+    /// The problem of a number below `min`.
     pub fn below_minimum(min: impl fmt::Display) -> KeyProblem {
         KeyProblem::BelowMinimum {
             min: min.to_string(),
         }
     }
 
-    /// A number over `max`.
+    /// The problem of a number above `max`.
     pub fn above_maximum(max: impl fmt::Display) -> KeyProblem {
         KeyProblem::AboveMaximum {
             max: max.to_string(),
         }
     }
 
-    /// A name that is not among those of `whose`, which are `known`.
+    /// The problem of a name that is not among `known`; `whose` describes these names.
     pub fn unknown_name(name: &str, whose: &'static str, known: &[String]) -> KeyProblem {
         KeyProblem::UnknownName {
             name: name.to_string(),
@@ -240,7 +241,7 @@
     }
 }
 
-/// From "what is wrong; what to do".
+/// Splits a text of the form "problem; remedy".
 impl From<&str> for KeyProblem {
     fn from(text: &str) -> KeyProblem {
         let (problem, remedy) = text
@@ -259,7 +260,7 @@
     }
 }
 
-/// For callers whose errors are texts.
+/// Converts an error for callers that report errors as texts.
 impl From<Error> for String {
     fn from(error: Error) -> String {
         error.to_string()
@@ -267,7 +268,8 @@
 }
 
 impl Error {
-    /// The same as an error of the file that a variable names, where it is one of a text.
+    /// Adds the environment variable and the path of the file to an error in a text. Other errors
+    /// are unchanged.
     pub(crate) fn in_file(self, variable: &'static str, path: &str) -> Error {
         match self {
             Error::NotUtf8 { .. }
--- a/crates/config/src/error_tests.rs
+++ b/crates/config/src/error_tests.rs
@@ -12,24 +12,24 @@
     }
 }
 
-/// Where, what is wrong, what to do: each is there, in this order and in one line.
-fn has_shape(text: &str, place: &str) {
+/// Asserts that a text is one line with the position, the problem and the remedy, in this order.
+fn assert_shape(text: &str, position: &str) {
     let Some((before, remedy)) = text.rsplit_once("; ") else {
         panic!("no remedy: {text}")
     };
     let problem = before
-        .strip_prefix(place)
+        .strip_prefix(position)
         .and_then(|rest| rest.strip_prefix(": "));
     assert!(
         problem.is_some_and(|problem| problem.len() > 4),
-        "no place and what is wrong: {text}"
+        "no position and problem: {text}"
     );
     assert!(remedy.len() >= 8 && !text.contains('\n'), "{text}");
 }
 
 #[test]
-fn every_kind_of_key_says_what_is_wrong_and_what_to_do() {
-    let kinds = [
+fn every_key_problem_states_position_problem_and_remedy() {
+    let problems = [
         KeyProblem::Missing,
         KeyProblem::MissingWithVariable {
             variable: "NODE_NAME",
@@ -53,13 +53,13 @@
         KeyProblem::below_minimum(10),
         KeyProblem::above_maximum(64),
         KeyProblem::InvalidPublicKey,
-        KeyProblem::from("names none; name one"),
-        KeyProblem::from("names none, and its author says nothing more".to_string()),
+        KeyProblem::from("is empty; name one"),
+        KeyProblem::from("is empty, without a remedy".to_string()),
     ];
     let mut seen = HashSet::new();
-    for problem in kinds {
+    for problem in problems {
         seen.insert(std::mem::discriminant(&problem));
-        // No kind is left out above: a new one does not build here.
+        // Exhaustive: a variant that is added must be added here and above.
         match &problem {
             KeyProblem::Missing
             | KeyProblem::MissingWithVariable { .. }
@@ -78,9 +78,9 @@
             problem: Box::new(problem),
         }
         .to_string();
-        has_shape(&text, "line 7: gossip.peers.n1");
+        assert_shape(&text, "line 7: gossip.peers.n1");
     }
-    assert_eq!(seen.len(), 11, "a kind is left out");
+    assert_eq!(seen.len(), 11, "a variant is missing");
     let many: Vec<String> = (0..18).map(|n| format!("k{n}")).collect();
     let text = KeyProblem::unknown_name("x", "the settings' kinds", &many).to_string();
     assert!(
@@ -90,16 +90,16 @@
 }
 
 #[test]
-fn every_error_says_where_what_and_what_to_do() {
+fn every_error_states_position_problem_and_remedy() {
     let key = Error::Key {
         position: position(7, "seed"),
         problem: Box::new(KeyProblem::Missing),
     };
-    let deep = Error::TooDeep {
+    let too_deep = Error::TooDeep {
         position: position(3, ""),
         max_depth: 64,
     };
-    let not_text = Error::NotUtf8 {
+    let not_utf8 = Error::NotUtf8 {
         position: TextPosition {
             column: Some(4),
             ..position(2, "")
@@ -122,7 +122,7 @@
     };
     let in_file = |error: &Error| error.clone().in_file("HALLMUX_OPERATOR", "op.json5");
     let mut seen = HashSet::new();
-    for (error, place) in [
+    for (error, position) in [
         (
             Error::Unset {
                 variable: "NODE_CONFIG",
@@ -132,21 +132,21 @@
         ),
         (variable.clone(), "NODE_LISTEN"),
         (unreadable.clone(), "NODE_CONFIG: a.json"),
-        (not_text.clone(), "line 2, column 4"),
+        (not_utf8.clone(), "line 2, column 4"),
         (malformed.clone(), "line 3: settings"),
-        (deep.clone(), "line 3"),
+        (too_deep.clone(), "line 3"),
         (key.clone(), "line 7: seed"),
         (in_file(&key), "HALLMUX_OPERATOR: op.json5: line 7: seed"),
-        (in_file(&deep), "HALLMUX_OPERATOR: op.json5: line 3"),
+        (in_file(&too_deep), "HALLMUX_OPERATOR: op.json5: line 3"),
         (
-            in_file(&not_text),
+            in_file(&not_utf8),
             "HALLMUX_OPERATOR: op.json5: line 2, column 4",
         ),
         (
             in_file(&malformed),
             "HALLMUX_OPERATOR: op.json5: line 3: settings",
         ),
-        // What is not of the file is not said to be.
+        // Errors that are not in the file do not name it.
         (in_file(&variable), "NODE_LISTEN"),
         (in_file(&unreadable), "NODE_CONFIG: a.json"),
     ] {
@@ -156,17 +156,17 @@
             Error::NotUtf8 { .. } | Error::Malformed { .. } | Error::TooDeep { .. } => {}
             Error::Key { .. } | Error::InFile { .. } => {}
         }
-        has_shape(&error.to_string(), place);
+        assert_shape(&error.to_string(), position);
     }
-    assert_eq!(seen.len(), 8, "a kind is left out");
+    assert_eq!(seen.len(), 8, "a variant is missing");
 }
 
-/// A text with each character that could end a line, and one that steers a terminal.
-const BREAKING: &str = "a\nb\rc\u{85}d\u{2028}e\u{2029}f\u{1b}[2J\u{0}";
+/// A text with each character that ends a line, and a terminal control sequence.
+const CONTROL_CHARACTERS: &str = "a\nb\rc\u{85}d\u{2028}e\u{2029}f\u{1b}[2J\u{0}";
 
 #[test]
-fn an_error_that_quotes_a_line_break_stays_on_one_line() {
-    let breaking = || BREAKING.to_string();
+fn line_breaks_and_control_characters_in_quoted_text_are_escaped() {
+    let control_characters = || CONTROL_CHARACTERS.to_string();
     let at = |path: &str| TextPosition {
         line: Some(7),
         column: None,
@@ -177,49 +177,49 @@
         problem: Box::new(problem),
     };
     let key = Error::Key {
-        position: at(BREAKING),
+        position: at(CONTROL_CHARACTERS),
         problem: Box::new(KeyProblem::Missing),
     };
     let unreadable = Error::UnreadableFile {
         variable: "NODE_CONFIG",
-        path: breaking(),
-        reason: breaking(),
+        path: control_characters(),
+        reason: control_characters(),
     };
     let variable = Error::Variable {
         variable: "NODE_LISTEN",
-        value: breaking(),
-        reason: breaking(),
+        value: control_characters(),
+        reason: control_characters(),
         remedy: "give an address and a port",
     };
     let errors = [
         key.clone(),
-        key.in_file("HALLMUX_OPERATOR", BREAKING),
+        key.in_file("HALLMUX_OPERATOR", CONTROL_CHARACTERS),
         unreadable,
         variable,
         Error::Malformed {
-            position: at(BREAKING),
-            reason: breaking(),
+            position: at(CONTROL_CHARACTERS),
+            reason: control_characters(),
         },
         problem(KeyProblem::Rejected {
-            reason: breaking(),
+            reason: control_characters(),
             hint: "the example shows each key",
         }),
         problem(KeyProblem::InvalidValue {
-            value: breaking(),
-            reason: breaking(),
+            value: control_characters(),
+            reason: control_characters(),
             remedy: "give another",
         }),
         problem(KeyProblem::UnknownWord {
-            word: breaking(),
+            word: control_characters(),
             known: vec!["all", "zone"],
         }),
         problem(KeyProblem::unknown_name(
-            BREAKING,
+            CONTROL_CHARACTERS,
             "the settings' kinds",
-            &[breaking()],
+            &[control_characters()],
         )),
         problem(KeyProblem::from(format!(
-            "{BREAKING} can't be used; give another"
+            "{CONTROL_CHARACTERS} can't be used; give another"
         ))),
     ];
     for error in errors {
--- a/crates/config/src/key_lines.rs
+++ b/crates/config/src/key_lines.rs
@@ -1,12 +1,13 @@
-//! The lines of keys and elements in a JSON or JSON5 text, by their paths.
+//! Finds the line of a key or an array element in a JSON or JSON5 text by its path.
 
 use crate::scanner::{Scanner, Token, TokenOnLine};
 
-/// Steps of a path that is looked for. Guards against a text of brackets alone, which has paths without number.
+/// Maximum number of steps of a recorded path. It bounds the memory used for a text of only
+/// brackets, each of which adds a longer path.
 const MAX_DEPTH: usize = 32;
 
-/// The line, counted from 1, on which the value at a path like `a.b[2].c` begins, or that of its nearest parent that
-/// is there. None where not even the first step is there.
+/// The first line, counted from 1, of the value at a path like `a.b[2].c`, or of its nearest
+/// ancestor that exists. None if not even the first step exists.
 pub fn line_of(text: &str, path: &str) -> Option<usize> {
     let steps = path.replace('[', ".").replace(']', "");
     let mut wanted: Vec<&str> = steps.split('.').filter(|step| !step.is_empty()).collect();
@@ -24,13 +25,14 @@
     }
 }
 
-/// Where the value at a path begins.
+/// The first line of the value at a path.
 struct PathLine {
     path: Vec<String>,
     line: usize,
 }
 
-/// The path and line of each key and element of a text that is known to be well-formed.
+/// The path and line of each key and array element of a well-formed text. Another text gives
+/// arbitrary lines.
 fn path_lines(text: &str) -> Vec<PathLine> {
     let mut tracker = PathTracker::default();
     for TokenOnLine { token, line } in Scanner::new(text) {
@@ -46,36 +48,37 @@
     tracker.lines
 }
 
-/// A word of the text, until it is known whether it is a key or a value.
+/// A word of the text that may be a key or a value.
 struct Word {
     text: String,
     line: usize,
 }
 
-/// An object or an array that is open.
+/// An object or an array whose end has not been reached.
 enum Container {
     Object,
     Array {
-        /// The index of its next element.
+        /// The index of the next element.
         next: usize,
     },
 }
 
-/// The paths of the text so far, and where in it the next token is.
+/// The paths found so far, and the position of the next token.
 #[derive(Default)]
 struct PathTracker {
     lines: Vec<PathLine>,
-    /// The path of the value that comes next, or is open.
+    /// The path of the value that follows or is open.
     path: Vec<String>,
     open: Vec<Container>,
-    /// The last word.
+    /// The last word, until it is used as a key or a value.
     last_word: Option<Word>,
-    /// A colon came: what follows is a value.
+    /// Whether a colon was read: the next token begins a value.
     expects_value: bool,
 }
 
 impl PathTracker {
-    /// Notes the line of the path. A path that is too deep is not so much as copied, as it may be as long as the text.
+    /// Records the line of the current path. A path over [`MAX_DEPTH`] is not copied, as it may be
+    /// as long as the text.
     fn record_line(&mut self, line: usize) {
         if self.path.len() <= MAX_DEPTH {
             self.lines.push(PathLine {
@@ -85,10 +88,10 @@
         }
     }
 
-    /// The last word is a key.
+    /// Handles a colon: the last word is a key, and its value begins.
     fn begin_value(&mut self) {
         if self.expects_value {
-            return; // not so in a well-formed text
+            return; // only in a malformed text
         }
         let key = self.last_word.take().unwrap_or(Word {
             text: String::new(),
@@ -111,7 +114,8 @@
         self.expects_value = false;
     }
 
-    /// Where an array is open, its next element begins: the path leads there. Returns whether it does.
+    /// If the innermost container is an array, extends the path to its next element. Returns
+    /// whether it did.
     fn enter_element(&mut self, line: usize) -> bool {
         let Some(Container::Array { next }) = self.open.last_mut() else {
             return false;
@@ -122,7 +126,7 @@
         true
     }
 
-    /// A value is over. A word may have been an element of an array.
+    /// Handles the end of a value. A pending word may be an element of an array.
     fn end_value(&mut self) {
         if let Some(word) = self.last_word.take() {
             if self.enter_element(word.line) {
@@ -135,11 +139,11 @@
         self.expects_value = false;
     }
 
-    /// An object or an array is over, and with it the last value in it.
+    /// Handles the end of an object or an array, and of the last value in it.
     fn close(&mut self) {
         self.end_value();
         self.open.pop();
-        // What closes was itself a value of a key, or an element.
+        // The closed container was itself the value of a key, or an element.
         let is_element = matches!(self.open.last(), Some(Container::Array { .. }));
         self.expects_value = !is_element && !self.path.is_empty();
         if is_element {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! Reads, checks and defaults all configuration of hallmux: the settings object, for the simulator's adapter
-//! and the front alike; a front's environment variables and the file that `NODE_CONFIG` names; and the
-//! operator's own file.
+//! Reads and checks the configuration of hallmux and applies its defaults: the settings object,
+//! which the simulator adapter and the front share; a front's environment variables and the file
+//! that `NODE_CONFIG` names; and the operator's file.
 //!
-//! Times are microseconds ([`hallmux::interface::Micros`]) unless a name ends in another unit; keys of files
-//! are in the unit that their name ends in. Every [`Error`] says in one line where it is, what is wrong and
-//! what an operator can do.
+//! Times are microseconds ([`hallmux::interface::Micros`]) unless a name ends in another unit; keys
+//! of files use the unit that their name ends in. Every [`Error`] is one line that states the
+//! position, the problem and the remedy.
 
 #![warn(missing_docs)]
 
--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -15,20 +15,21 @@
 
 const DEFAULT_MEMORY_MB: u64 = 192;
 const MIN_MEMORY_MB: u64 = 1;
-/// File descriptors.
+/// Default number of file descriptors.
 const DEFAULT_SOCKETS: usize = 1024;
-/// File descriptors: half are for clients, the rest for engines, and each needs one.
+/// Minimum number of file descriptors: half are for clients and half for engines, and each side
+/// needs one.
 const MIN_SOCKETS: usize = 2;
-/// The coordinator's events so far, where the file has none: it sends all.
+/// Replaces a missing `known`: at index 0 the coordinator sends all events.
 const EMPTY_EVENTS: &str = r#"{"index":0,"updates":[]}"#;
 const DEFAULT_LOG_LEVEL: &str = "info";
-/// The variable that names the operator's own file.
+/// The environment variable that names the operator's file.
 const OPERATOR_VARIABLE: &str = "HALLMUX_OPERATOR";
 const ADDRESS_REMEDY: &str = "give an address and a port, like 127.0.0.1:9090";
 const SEED_REMEDY: &str = "give up to 16 hexadecimal digits";
 const LOG_LEVEL_REMEDY: &str = "give one of off, error, warn, info, debug, trace";
 
-/// The file as it is written. Its name is part of errors' texts, as is that of `FileLimits`.
+/// The file's keys. The type names `File` and `FileLimits` appear in error texts.
 #[derive(Deserialize)]
 struct File<'a> {
     name: Option<String>,
@@ -59,43 +60,44 @@
     }
 }
 
-/// What the machine grants this front.
+/// Resource limits of this front.
 #[derive(Clone, Debug)]
 pub struct NodeLimits {
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory_bytes: u64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
 /// The configuration of one front.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Its name, as the log gives it.
+    /// The front's name in the log.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address on which the front accepts clients.
     pub listen: SocketAddr,
-    /// The seed of its random choices.
+    /// The seed of the front's random number generator.
     pub seed: u64,
-    /// What the machine grants it.
+    /// Resource limits.
     pub limits: NodeLimits,
-    /// The coordinator to poll for the engine list; without one, the list stays as `known_events` has it.
+    /// The coordinator to poll for the engine list; without one, the list stays as in
+    /// `known_events`.
     pub coordinator: Option<SocketAddr>,
-    /// The coordinator's events so far, as the body of one of its responses.
+    /// The coordinator's earlier events, in the form of a response body.
     pub known_events: String,
-    /// The settings object, with what the operator's file changes in it.
+    /// The settings object with the changes of the operator's file applied.
     pub settings: Settings,
-    /// What the operator's own file switches on; without one, nothing.
+    /// The operator's file; every feature is off without one.
     pub operator: OperatorConfig,
-    /// Lines below this level are left out of the log.
+    /// The least severe level that is logged.
     pub log_level: log::LevelFilter,
-    /// For fault injection: a file that holds the time in place of the machine's clock.
+    /// For fault injection: a file that supplies the time instead of the machine's clock.
     pub clock_file: Option<PathBuf>,
 }
 
 impl NodeConfig {
-    /// Reads the environment variables given and the files that they name: `NODE_CONFIG`, which has to be
-    /// there, and `HALLMUX_OPERATOR`.
+    /// Reads the given environment variables and the files that they name: `NODE_CONFIG`, which is
+    /// required, and `HALLMUX_OPERATOR`.
     pub fn read(variables: &HashMap<String, String>) -> Result<NodeConfig, Error> {
         let unset = Error::Unset {
             variable: "NODE_CONFIG",
@@ -106,7 +108,8 @@
         NodeConfig::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
     }
 
-    /// Reads the text of the file that `NODE_CONFIG` names. Variables go before its keys.
+    /// Parses the text of the file that `NODE_CONFIG` names. Environment variables take precedence
+    /// over its keys.
     pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
         let sources = Sources {
             variables,
@@ -138,15 +141,15 @@
     }
 }
 
-/// What a configuration is read from. Variables go before keys of the file: they are what the one who started the
-/// program sees.
+/// The sources of a configuration. Environment variables take precedence over keys of the file,
+/// because they are what the person who starts the program sees.
 struct Sources<'a> {
     variables: &'a HashMap<String, String>,
     file: Section<'a>,
 }
 
 impl<'a> Sources<'a> {
-    /// An object of the file that is read by itself.
+    /// A section for the raw value of a key of the file.
     fn section(&self, name: &'a str, raw: &'a RawValue) -> Section<'a> {
         Section {
             name,
@@ -155,7 +158,8 @@
         }
     }
 
-    /// What the machine grants. Guards against limits under which a front would start and serve nobody.
+    /// Reads the resource limits, and rejects values with which a front would start but could serve
+    /// no client.
     fn limits(&self, raw: Option<&'a RawValue>) -> Result<NodeLimits, Error> {
         let limits = match raw {
             Some(raw) => self.checked_limits(raw)?,
@@ -192,7 +196,7 @@
         parsed.map(Some)
     }
 
-    /// The value of a variable, or else of a key.
+    /// The value of an environment variable, or of a key if the variable is not set.
     fn variable_or_key(
         &self,
         variable: &'static str,
@@ -219,7 +223,7 @@
         self.parse_result(key, &value, value.parse(), ADDRESS_REMEDY)
     }
 
-    /// The value of a key as it was read, or an error that names the key.
+    /// Turns a failed parse of a key's value into an error that names the key.
     fn parse_result<T, E: std::fmt::Display>(
         &self,
         key: &str,
@@ -237,7 +241,7 @@
         })
     }
 
-    /// The operator's own file, if a variable names one.
+    /// Reads the operator's file, if a variable names one.
     fn operator(&self, settings: &Settings) -> Result<OperatorConfig, Error> {
         let Some(path) = self.variables.get(OPERATOR_VARIABLE) else {
             return Ok(OperatorConfig::default());
--- a/crates/config/src/one_line.rs
+++ b/crates/config/src/one_line.rs
@@ -1,11 +1,12 @@
-//! Text that stays on one line whatever it quotes.
+//! Display of arbitrary text on a single line.
 
 use std::fmt::{self, Write};
 
-/// Displays a value on one line: line breaks and other control characters are written as escapes, like `\n`.
+/// Displays a value on one line: line breaks and other control characters are written as escapes,
+/// like `\n`.
 ///
-/// Guards against quoted texts of a file, a client or an engine that would break an error or a log record into
-/// several lines, or steer an operator's terminal.
+/// Text quoted from a file, a client or an engine could otherwise split an error or a log record
+/// into several lines, or send control sequences to an operator's terminal.
 pub struct OneLine<T>(pub T);
 
 impl<T: fmt::Display> fmt::Display for OneLine<T> {
@@ -31,7 +32,7 @@
     }
 }
 
-/// Control characters, and the separators of lines and paragraphs that Unicode has beside them.
+/// Whether a character is a control character or one of Unicode's line and paragraph separators.
 fn breaks_line(c: char) -> bool {
     c.is_control() || matches!(c, '\u{2028}' | '\u{2029}')
 }
--- a/crates/config/src/operator_file/checker.rs
+++ b/crates/config/src/operator_file/checker.rs
@@ -1,11 +1,11 @@
-//! Checks of keys of the operator's file, and their errors: each names the line and the key.
+//! Checks for keys of the operator's file; each error names the line and the key.
 
 use std::fmt;
 
 use crate::error::{Error, KeyProblem, TextPosition};
 use crate::key_lines::line_of;
 
-/// The error of the key at a path like `a.b[2].c`.
+/// An error for the key at a path like `a.b[2].c`.
 pub fn key_error(text: &str, path: &str, problem: impl Into<KeyProblem>) -> Error {
     let position = TextPosition {
         line: line_of(text, path),
@@ -18,16 +18,16 @@
     }
 }
 
-/// Checks keys of one section of the operator's file; an error names line and key.
+/// Checks keys of one section of the operator's file; an error names the line and the key.
 pub struct Checker<'a> {
-    /// The whole file.
+    /// The text of the file.
     pub text: &'a str,
-    /// The section's path.
+    /// The path of the section.
     pub section: &'static str,
 }
 
 impl Checker<'_> {
-    /// The error of a key of the section.
+    /// Returns an error for a key of the section.
     pub fn reject<T>(&self, key: &str, problem: impl Into<KeyProblem>) -> Result<T, Error> {
         Err(key_error(
             self.text,
@@ -36,7 +36,7 @@
         ))
     }
 
-    /// Refuses a number that is not from `least` to `most`.
+    /// Rejects a number outside the range from `min` to `max`.
     pub fn require_range<T: PartialOrd + Copy + fmt::Display>(
         &self,
         key: &str,
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Refuses a name that is not among those of another part of the configuration, which `whose` names.
+    /// Rejects a name that is not in `known`, the names of another part of the configuration that
+    /// `whose` describes.
     pub fn require_known(
         &self,
         key: &str,
@@ -65,7 +66,7 @@
     }
 }
 
-/// The error of a text that is no JSON5.
+/// The error for a text that is not well-formed JSON5.
 pub fn malformed(error: &json5::Error) -> Error {
     let position = error.position();
     let (line, column) = (position.map(|p| p.line + 1), position.map(|p| p.column + 1));
@@ -79,7 +80,7 @@
     }
 }
 
-/// The error of a key that the library rejects, in a text that is JSON5.
+/// The error for a key that the JSON5 parser rejects in a well-formed text.
 pub fn rejected(text: &str, path: &str, error: &json5::Error) -> Error {
     let hint = "deploy/operator.example.json5 shows each key";
     key_error(
@@ -92,7 +93,7 @@
     )
 }
 
-/// The library's text without the position, which is that of the value's end.
+/// The parser's message without its position, which is the end of the value instead of its start.
 fn reason(error: &json5::Error) -> String {
     error
         .to_string()
--- a/crates/config/src/operator_file/gossip.rs
+++ b/crates/config/src/operator_file/gossip.rs
@@ -12,7 +12,7 @@
 use super::peers::{parse_key, GossipPeer};
 use crate::error::{Error, KeyProblem};
 
-/// Fronts that may have to agree on the loss of a zone.
+/// Maximum of `zone_quorum`.
 const MAX_ZONE_QUORUM: usize = 64;
 
 #[derive(Deserialize)]
@@ -35,31 +35,31 @@
     crate::settings::ZONE_QUORUM
 }
 
-/// Messages between fronts: where they come in, whose count, whom to ask first.
+/// Settings for messages between fronts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gossip {
-    /// Where datagrams of other fronts come in.
+    /// The address on which datagrams from other fronts are received.
     pub listen: SocketAddr,
-    /// The address that is advertised to other fronts, where it is not the one it listens on.
+    /// The address advertised to other fronts, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The file that holds the secret half of this front's key pair, as 64 hexadecimal digits.
+    /// The path of the file with this front's secret key as 64 hexadecimal digits.
     pub secret_file: String,
-    /// The other fronts whose messages count.
+    /// The other fronts whose messages are accepted.
     pub peers: Vec<GossipPeer>,
-    /// Fronts to ask first, and now and then.
+    /// The addresses of fronts to contact at start, and periodically afterwards.
     pub seeds: Vec<SocketAddr>,
-    /// Trusted fronts of as many vantages have to report most of a zone as failed before the fleet leaves it;
-    /// 0: it never does.
+    /// Number of vantages whose trusted fronts must report most of a zone as failed before the
+    /// fleet evacuates it; 0: a zone is never evacuated.
     pub zone_quorum: usize,
-    /// One owner at a time for work on behalf of the fleet, where voters are named.
+    /// Leases that give work on behalf of the fleet one owner at a time; None: off.
     pub ownership: Option<Ownership>,
-    /// What outlives a machine, where copies of it are kept.
+    /// The replicated ledger; None: off.
     pub ledger: Option<Ledger>,
-    /// Overload shed by the fleet as one, where that is asked for.
+    /// Overload protection across the fleet; None: off.
     pub overload: Option<Overload>,
 }
 
-/// Checks the section.
+/// Checks the section, with its subsections.
 pub fn check_gossip(text: &str, file: GossipFile) -> Result<Gossip, Error> {
     let peers = peers(text, file.peers)?;
     if file.zone_quorum > MAX_ZONE_QUORUM {
--- a/crates/config/src/operator_file/ledger.rs
+++ b/crates/config/src/operator_file/ledger.rs
@@ -1,5 +1,5 @@
-//! The section `gossip.ledger`: which fronts keep copies of promises, how many, where, and within what
-//! bounds.
+//! The section `gossip.ledger`: the fronts that hold replicas of the ledger, their number and
+//! placement, and the limits of the ledger.
 
 mod file;
 
@@ -16,13 +16,13 @@
 use super::peers::{key_of, GossipPeer, PublicKey, NOT_A_PEER};
 use crate::error::Error;
 
-/// Copies of each shard: with three one may be lost and a majority still knows.
+/// Replicas of each shard: with three, a majority remains after the loss of one.
 const DEFAULT_REPLICATION_FACTOR: usize = 3;
 const MAX_REPLICATION_FACTOR: usize = 9;
 const MAX_SHARDS: u16 = 1_024;
 const MAX_SHARD_ENTRIES: usize = 1 << 20;
 const MIN_SHARD_BYTES: usize = 4_096;
-/// A copy of a shard has to fit the pieces of one message.
+/// Limited because a replica of a shard must fit the fragments of one message.
 const MAX_SHARD_BYTES: usize = 2 << 20;
 const MIN_REQUEST_TIMEOUT_MS: f64 = 50.0;
 const MAX_REQUEST_TIMEOUT_MS: f64 = 10_000.0;
@@ -31,62 +31,62 @@
 const MIN_REPAIR_BYTES_PER_S: u32 = 1_024;
 const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
-/// A front that keeps copies of the ledger.
+/// A front that holds replicas of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerMember {
-    /// Its public key.
+    /// The front's public key.
     pub key: PublicKey,
-    /// Where it listens for other fronts.
+    /// The address on which it receives messages from other fronts.
     pub address: SocketAddr,
-    /// Its location; copies of a shard are spread over locations.
+    /// The front's location; the replicas of a shard are spread over locations.
     pub zone: String,
 }
 
-/// What a front does whose disk fails while it runs.
+/// The reaction of a running front to a failure of its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnDiskFailure {
-    /// Serves only what needs no promise.
+    /// Serves only statements that need no ledger entry.
     Reject,
-    /// Holds copies in memory alone, as a front that remembers nothing.
+    /// Holds replicas in memory only, like a front that has lost its disk.
     Memory,
 }
 
-/// The ledger of promises: what fronts have promised, in copies that outlive a machine with its disk.
+/// The replicated ledger, whose entries survive the loss of a machine with its disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ledger {
-    /// The fleet's name; messages and records of another are refused.
+    /// The fleet's name; messages and records of another fleet are rejected.
     pub fleet: String,
-    /// The fronts that keep copies.
+    /// The fronts that hold replicas.
     pub members: Vec<LedgerMember>,
-    /// Where this front's copies are kept; without one they are in memory alone.
+    /// The directory of this front's replicas; None: they are in memory only.
     pub directory: Option<String>,
-    /// For fault injection: a file that says what befalls the disk that `directory` lies on.
+    /// For fault injection: a file that describes faults of the disk that holds `directory`.
     pub disk_fault_file: Option<String>,
-    /// What this front does when its disk fails.
+    /// This front's reaction to a failure of its disk.
     pub on_disk_failure: OnDiskFailure,
-    /// Copies of each shard.
+    /// Number of replicas of each shard.
     pub replication_factor: usize,
-    /// Shards; the same for the life of the ledger.
+    /// Number of shards; it can't change during the lifetime of the ledger.
     pub shards: u16,
-    /// Entries of a shard; a full one refuses new promises.
+    /// Maximum number of entries of a shard; a full shard rejects new entries.
     pub max_shard_entries: usize,
-    /// Bytes of a shard; a full one refuses new promises.
+    /// Maximum size of a shard in bytes; a full shard rejects new entries.
     pub max_shard_bytes: usize,
-    /// After that a promise that has no majority is refused.
+    /// Time after which a request for an entry without a majority is rejected.
     pub request_timeout: Micros,
-    /// A front that has been silent for so long has its copies made again elsewhere.
+    /// Time without a message from a front after which its replicas are rebuilt on other fronts.
     pub repair_after: Micros,
-    /// Bytes a second, at each owner of a shard, for making copies again.
+    /// Bytes a second that each owner of a shard uses to rebuild replicas.
     pub repair_bytes_per_s: u32,
-    /// Hundredths of the shards that may move at once; 0: none does.
+    /// Maximum share of the shards that move at once, in percent; 0: none moves.
     pub max_moving_percent: u8,
-    /// The same as `repair_after`, for a zone all of whose fronts are silent.
+    /// Like `repair_after`, for a zone all of whose fronts are silent.
     pub zone_repair_after: Micros,
-    /// Milliseconds that the fronts' clocks may differ by.
+    /// Maximum difference of the fronts' clocks in milliseconds.
     pub clock_skew_ms: u64,
 }
 
-/// Checks the section; `peers` are the fronts known by name.
+/// Checks the section; each member must be one of `peers`.
 pub fn check_ledger(text: &str, file: LedgerFile, peers: &[GossipPeer]) -> Result<Ledger, Error> {
     let check = Checker {
         text,
@@ -116,15 +116,16 @@
     })
 }
 
-/// How many copies there are; the fleet has a name, and members to keep them.
+/// The number of replicas of each shard. The fleet must have a name and members.
 fn replication_factor(check: &Checker, file: &LedgerFile) -> Result<usize, Error> {
     if file.fleet.is_empty() {
         let problem =
-            "names none; give the fleet a name: letters and records of another are told apart by it";
+            "is empty; give the fleet a name, by which messages and records of other fleets are recognised";
         return check.reject("fleet", problem);
     }
     if file.members.is_empty() {
-        let problem = "names none; name the fronts that keep copies, or leave the ledger out";
+        let problem =
+            "names no member; name the fronts that hold replicas, or leave the ledger out";
         return check.reject("members", problem);
     }
     let members = file.members.len();
@@ -134,7 +135,7 @@
         .unwrap_or(DEFAULT_REPLICATION_FACTOR.min(members));
     if copies == 0 || copies > max {
         let problem = format!(
-            "is not from 1 to {max}; give as many as members are named at most, and no more than 9"
+            "is not from 1 to {max}; give no more than the number of members, and no more than 9"
         );
         return check.reject("copies", problem);
     }
@@ -163,7 +164,8 @@
         MAX_REPAIR_AFTER_MS,
     )?;
     if file.repair_bytes < MIN_REPAIR_BYTES_PER_S {
-        let problem = "is under 1024 a second; give more, or no copy is made again in time";
+        let problem =
+            "is under 1024 bytes a second; give more, or lost replicas are not rebuilt in time";
         return check.reject("repair_bytes", problem);
     }
     check.require_range("moves_percent", file.moves_percent, 0, 100)?;
@@ -174,7 +176,10 @@
         MAX_REPAIR_AFTER_MS,
     )?;
     if file.clocks_apart_ms > MAX_CLOCK_SKEW_MS {
-        return check.reject("clocks_apart_ms", "is over 60000; set the clocks instead");
+        return check.reject(
+            "clocks_apart_ms",
+            "is over 60000; synchronise the clocks instead",
+        );
     }
     Ok(())
 }
@@ -183,7 +188,7 @@
     if file.directory.as_ref().is_some_and(String::is_empty) {
         return check.reject(
             "directory",
-            "names none; leave the key out to keep copies in memory alone",
+            "is empty; leave the key out to keep replicas in memory only",
         );
     }
     if file.drill.is_some() && file.directory.is_none() {
@@ -206,7 +211,7 @@
     }
 }
 
-/// Members are peers, each with a key of its own.
+/// Reads the members: peers with distinct public keys.
 fn members(
     check: &Checker,
     named: BTreeMap<String, MemberFile>,
--- a/crates/config/src/operator_file/ledger/file.rs
+++ b/crates/config/src/operator_file/ledger/file.rs
@@ -1,5 +1,5 @@
-//! The section `gossip.ledger` as the file has it: its keys and their defaults. The types' names are part
-//! of errors' texts.
+//! The keys of the section `gossip.ledger` and their defaults. The type names appear in error
+//! texts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 use serde::Deserialize;
 
 const DEFAULT_SHARDS: u16 = 16;
-/// Entries of a shard.
+/// Maximum number of entries of a shard.
 const DEFAULT_SHARD_ENTRIES: usize = 4_096;
-/// Bytes of a shard.
+/// Maximum size of a shard.
 const DEFAULT_SHARD_BYTES: usize = 512 * 1_024;
 const DEFAULT_REQUEST_TIMEOUT_MS: f64 = 500.0;
-/// Longer than a restart takes: that is no loss of a copy.
+/// Longer than a restart, which loses no replica.
 const DEFAULT_REPAIR_AFTER_MS: f64 = 30_000.0;
-/// Bytes a second.
+/// Bytes a second that each owner of a shard uses to rebuild replicas.
 const DEFAULT_REPAIR_BYTES_PER_S: u32 = 65_536;
 const DEFAULT_MAX_MOVING_PERCENT: u8 = 25;
-/// Longer than a zone's power or uplink is mostly away.
+/// Longer than most outages of a zone's power or uplink.
 const DEFAULT_ZONE_REPAIR_AFTER_MS: f64 = 600_000.0;
 const DEFAULT_CLOCK_SKEW_MS: u64 = 500;
 
--- a/crates/config/src/operator_file/ledger_tests.rs
+++ b/crates/config/src/operator_file/ledger_tests.rs
@@ -4,7 +4,7 @@
 use super::OnDiskFailure;
 
 #[test]
-fn the_ledger_names_known_members_and_its_bounds_are_checked() {
+fn ledger_with_unknown_member_or_value_out_of_range_is_rejected() {
     let key = |n: u8| format!("{n:02x}").repeat(32);
     let peers: Vec<String> = (1..=4).map(|n| format!("f{n}: '{}'", key(n))).collect();
     let with = |ledger: &str| {
@@ -33,7 +33,7 @@
         (4, "z2")
     );
     assert_eq!(ledger.on_disk_failure, OnDiskFailure::Reject);
-    for (from, to, why) in [
+    for (from, to, expected) in [
         (
             "f4:",
             "f9:",
@@ -102,16 +102,16 @@
         (
             "'/var/lib/hallmux'",
             "''",
-            "gossip.ledger.directory: names none",
+            "gossip.ledger.directory: is empty",
         ),
         (
             "directory: '/var/lib/hallmux'",
             "drill: 'd'",
             "gossip.ledger.drill: needs gossip.ledger.directory",
         ),
-        ("'campus'", "''", "gossip.ledger.fleet: names none"),
+        ("'campus'", "''", "gossip.ledger.fleet: is empty"),
     ] {
-        let refused = with(&good.replace(from, to)).unwrap_err();
-        assert!(refused.starts_with(&format!("line 2: {why}")), "{refused}");
+        let error = with(&good.replace(from, to)).unwrap_err();
+        assert!(error.starts_with(&format!("line 2: {expected}")), "{error}");
     }
 }
--- a/crates/config/src/operator_file/mod.rs
+++ b/crates/config/src/operator_file/mod.rs
@@ -1,7 +1,7 @@
-//! The operator's own file: JSON5, named by the variable `HALLMUX_OPERATOR`. It switches on what the
-//! platform's configuration knows nothing of; without it everything here is off, and unknown keys end the
-//! start. Each section of the file has a module here that reads and checks it; `sections` joins
-//! them.
+//! The operator's file: JSON5, named by the environment variable `HALLMUX_OPERATOR`. It enables the
+//! features that the platform's configuration does not cover; without the file all of them are off.
+//! An unknown key is an error that prevents the start. Each section of the file has a module that
+//! reads and checks it; `sections` combines them.
 
 mod checker;
 mod gossip;
--- a/crates/config/src/operator_file/overload.rs
+++ b/crates/config/src/operator_file/overload.rs
@@ -1,4 +1,4 @@
-//! The section `gossip.overload`: load shed by the fleet as one.
+//! The section `gossip.overload`: overload protection with limits for the whole fleet.
 
 use hallmux::interface::{Agreement, EngineBudgets, Micros, RetryAllowance};
 use serde::Deserialize;
@@ -6,15 +6,15 @@
 use super::checker::key_error;
 use crate::error::{Error, KeyProblem};
 
-/// Retries for each hundred first executions, over all fronts.
+/// Maximum number of retries for each hundred first executions, over all fronts.
 const DEFAULT_RETRY_PERCENT: u32 = 8;
-/// New connections a second into one engine, over all fronts.
+/// Maximum number of new connections to one engine a second, over all fronts.
 const DEFAULT_CONNECTIONS_PER_SECOND: u32 = 200;
-/// Probes a second into one engine, over all fronts.
+/// Maximum number of probes of one engine a second, over all fronts.
 const DEFAULT_PROBES_PER_SECOND: u32 = 100;
-/// Connections or probes a second.
+/// Upper bound of the limits of connections and probes a second.
 const MAX_RATE_PER_SECOND: u32 = 1_000_000;
-/// Microseconds over which retries are counted, where the settings name no window.
+/// Microseconds over which retries are counted if the settings have no retry allowance.
 const DEFAULT_RETRY_WINDOW: Micros = 10_000_000;
 
 #[derive(Deserialize)]
@@ -40,15 +40,15 @@
     DEFAULT_RETRY_PERCENT
 }
 
-/// The fleet sheds load as one. It keeps retries to a share of first executions over all fronts, and new connections
-/// and probes into each engine to so many a second; 0: no bound.
+/// Limits that the fleet applies as a whole: retries as a share of first executions, and new
+/// connections and probes for each engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overload {
-    /// Retries for each hundred first executions, over all fronts.
+    /// Maximum number of retries for each hundred first executions, over all fronts.
     pub retry_percent: u32,
-    /// New connections into one engine, over all fronts.
+    /// Maximum number of new connections to one engine a second, over all fronts; 0: unlimited.
     pub connections_per_second: u32,
-    /// Probes into one engine, over all fronts.
+    /// Maximum number of probes of one engine a second, over all fronts; 0: unlimited.
     pub probes_per_second: u32,
 }
 
@@ -91,8 +91,9 @@
 }
 
 impl Overload {
-    /// Each front's part of the fleet's budget: its own first executions count, and what the settings leave
-    /// to spare is divided by the fronts, so that one that has just started has little.
+    /// Sets this front's part of the fleet's budgets. Its retries are limited by its own first
+    /// executions, and the spare attempts of the settings are divided by the number of fronts, so
+    /// that a front that has just started has few.
     pub fn apply(&self, agreement: &mut Agreement) {
         let agreed = agreement.retry_allowance.unwrap_or(RetryAllowance {
             spare: 0.0,
@@ -115,7 +116,7 @@
     }
 }
 
-/// A bound a second; 0 is none.
+/// A limit a second; 0 means unlimited.
 fn rate_limit(per_second: u32) -> f64 {
     match per_second {
         0 => f64::INFINITY,
--- a/crates/config/src/operator_file/overload_tests.rs
+++ b/crates/config/src/operator_file/overload_tests.rs
@@ -5,7 +5,7 @@
 use hallmux::interface::{Agreement, EngineBudgets, RetryAllowance};
 
 #[test]
-fn the_share_is_read_and_checked_and_the_budget_is_the_fleets() {
+fn limits_are_checked_and_the_spare_budget_is_divided_by_the_fronts() {
     let gossip = |inner: &str| {
         let key = "0f".repeat(32);
         format!("{{ gossip: {{ listen: '127.0.0.1:0', secret_file: 's', peers: {{ a: '{key}' }}{inner} }} }}")
@@ -16,39 +16,40 @@
         overload(", overload: {}").unwrap(),
         Some(Overload::default())
     );
-    let why = overload(",\n overload: { further_percent: 101 }").unwrap_err();
+    let error = overload(",\n overload: { further_percent: 101 }").unwrap_err();
     assert!(
-        why.to_string()
+        error
+            .to_string()
             .starts_with("line 2: gossip.overload.further_percent"),
-        "{why}"
+        "{error}"
     );
     assert!(overload(", overload: { furthest: 1 }").is_err());
     for (key, value) in [
         ("connections_per_second", "-1"),
         ("probes_per_second", "1000001"),
     ] {
-        let why = overload(&format!(",\n overload: {{ {key}: {value} }}")).unwrap_err();
+        let error = overload(&format!(",\n overload: {{ {key}: {value} }}")).unwrap_err();
         assert!(
-            why.starts_with(&format!("line 2: gossip.overload.{key}: ")),
-            "{why}"
+            error.starts_with(&format!("line 2: gossip.overload.{key}: ")),
+            "{error}"
         );
     }
-    let few = overload(", overload: { connections_per_second: 30, probes_per_second: 0 }")
+    let limits = overload(", overload: { connections_per_second: 30, probes_per_second: 0 }")
         .unwrap()
         .unwrap();
-    let mut bound = Agreement::default();
-    few.apply(&mut bound);
+    let mut agreement = Agreement::default();
+    limits.apply(&mut agreement);
     let budgets = EngineBudgets {
         connections: 30.0,
         probes: f64::INFINITY,
     };
-    assert_eq!(bound.budgets, Some(budgets));
+    assert_eq!(agreement.budgets, Some(budgets));
     Overload {
         connections_per_second: 0,
-        ..few
+        ..limits
     }
-    .apply(&mut bound);
-    assert_eq!(bound.budgets, None);
+    .apply(&mut agreement);
+    assert_eq!(agreement.budgets, None);
     let mut agreed = Agreement {
         fronts: 20.0,
         ..Agreement::default()
@@ -59,9 +60,9 @@
         window: 1,
     });
     Overload::default().apply(&mut agreed);
-    let further = agreed.retry_allowance.unwrap();
+    let allowance = agreed.retry_allowance.unwrap();
     assert_eq!(
-        (further.spare, further.ratio, further.window),
+        (allowance.spare, allowance.ratio, allowance.window),
         (0.5, 0.05, 1)
     );
     agreed.retry_allowance = None;
--- a/crates/config/src/operator_file/ownership.rs
+++ b/crates/config/src/operator_file/ownership.rs
@@ -1,4 +1,5 @@
-//! The section `gossip.ownership`: one owner at a time for work on behalf of the fleet, by leases.
+//! The section `gossip.ownership`: leases that give work on behalf of the fleet one owner at a
+//! time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +16,7 @@
 const DEFAULT_LEASE_MS: f64 = 3_000.0;
 const MIN_LEASE_MS: f64 = 500.0;
 const MAX_LEASE_MS: f64 = 60_000.0;
-/// Millionths: far more than a quartz drifts, for machines that are throttled.
+/// Parts per million: far more than the drift of a quartz clock, to allow for throttled machines.
 const DEFAULT_DRIFT_PPM: u32 = 10_000;
 const MAX_DRIFT_PPM: u32 = 200_000;
 
@@ -39,31 +40,31 @@
     DEFAULT_DRIFT_PPM
 }
 
-/// A front that grants leases.
+/// A front that votes on leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnershipVoter {
-    /// Its public key.
+    /// The front's public key.
     pub key: PublicKey,
-    /// Where it listens for other fronts.
+    /// The address on which it receives messages from other fronts.
     pub address: SocketAddr,
 }
 
-/// Who grants the leases of work on behalf of the fleet, and for how long.
+/// The voters that grant leases for work on behalf of the fleet, and the terms of the leases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ownership {
-    /// The fleet's name; votes of another are refused.
+    /// The fleet's name; votes from another fleet are rejected.
     pub fleet: String,
-    /// The fronts that grant leases.
+    /// The fronts that vote on leases: 3 or 5.
     pub voters: Vec<OwnershipVoter>,
-    /// Where a voter keeps what it must not forget.
+    /// The directory in which a voter stores its durable state.
     pub directory: String,
-    /// How long a lease holds.
+    /// The duration of a lease.
     pub lease: Micros,
-    /// Millionths that a clock may gain or lose.
+    /// Maximum drift of a clock in parts per million.
     pub drift_ppm: u32,
 }
 
-/// Checks the section; `peers` are the fronts known by name.
+/// Checks the section; each voter must be one of `peers`.
 pub fn check_ownership(
     text: &str,
     file: OwnershipFile,
@@ -85,7 +86,7 @@
     }
     if file.directory.is_empty() {
         let problem =
-            "names none; name one on a lasting disk, as a voter that forgets its votes must not vote again";
+            "is empty; name a directory on a durable disk, as a voter that loses its votes must not vote again";
         return check.reject("directory", problem);
     }
     Ok(Ownership {
--- a/crates/config/src/operator_file/ownership_tests.rs
+++ b/crates/config/src/operator_file/ownership_tests.rs
@@ -4,7 +4,7 @@
 use super::OwnershipVoter;
 
 #[test]
-fn ownership_names_three_or_five_known_voters_and_a_directory() {
+fn ownership_requires_three_or_five_known_voters_and_a_directory() {
     let key = |n: u8| format!("{n:02x}").repeat(32);
     let peers: Vec<String> = (1..=4).map(|n| format!("f{n}: '{}'", key(n))).collect();
     let with = |ownership: &str| {
@@ -28,7 +28,7 @@
         address: "127.0.0.1:2".parse().unwrap(),
     };
     assert_eq!(owned.voters[1], second);
-    for (from, to, why) in [
+    for (from, to, expected) in [
         (
             ", f3: '127.0.0.1:3'",
             "",
@@ -52,14 +52,17 @@
         (
             "'/var/lib/hallmux'",
             "''",
-            "gossip.ownership.directory: names none",
+            "gossip.ownership.directory: is empty",
         ),
     ] {
         let text =
             format!("fleet: 'campus', {voters}, directory: '/var/lib/hallmux'").replace(from, to);
-        let refused = with(&text).unwrap_err();
-        assert!(refused.starts_with(&format!("line 2: {why}")), "{refused}");
+        let error = with(&text).unwrap_err();
+        assert!(error.starts_with(&format!("line 2: {expected}")), "{error}");
     }
-    let silent = with(&format!("fleet: 'campus', {voters}")).unwrap_err();
-    assert!(silent.contains("directory"), "{silent}");
+    let without_directory = with(&format!("fleet: 'campus', {voters}")).unwrap_err();
+    assert!(
+        without_directory.contains("directory"),
+        "{without_directory}"
+    );
 }
--- a/crates/config/src/operator_file/peers.rs
+++ b/crates/config/src/operator_file/peers.rs
@@ -1,27 +1,28 @@
-//! The fronts of `gossip.peers` by name, which other keys of the section refer to.
+//! The fronts in `gossip.peers`, to which other keys of the section refer by name.
 
-/// The problem of a name in a section of gossip's that is no peer's.
+/// The problem of a name in a subsection of `gossip` that is not the name of a peer.
 pub const NOT_A_PEER: &str = "is not among gossip.peers; add its public key there, or name another";
 
-/// The public half of a front's key pair.
+/// The public key of a front.
 pub type PublicKey = [u8; 32];
 
-/// Another front whose messages count.
+/// Another front whose messages are accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipPeer {
-    /// The name that the log gives it.
+    /// The front's name in the log.
     pub name: String,
-    /// Its public key.
+    /// The front's public key.
     pub key: PublicKey,
 }
 
-/// The key of the peer of a name.
+/// The public key of the peer with a name; None if no peer has it.
 pub fn key_of(peers: &[GossipPeer], name: &str) -> Option<PublicKey> {
     let peer = peers.iter().find(|peer| peer.name == name)?;
     Some(peer.key)
 }
 
-/// Thirty-two bytes of a key, from 64 hexadecimal digits with white space around; None for any other text.
+/// Parses a key of 32 bytes from 64 hexadecimal digits, ignoring surrounding white space. None for
+/// any other text.
 pub fn parse_key(text: &str) -> Option<[u8; 32]> {
     let digits = text.trim().as_bytes();
     if digits.len() != 64 {
--- a/crates/config/src/operator_file/postgres.rs
+++ b/crates/config/src/operator_file/postgres.rs
@@ -1,4 +1,4 @@
-//! The section `postgres`: sessions by PostgreSQL's protocol.
+//! The section `postgres`: sessions over PostgreSQL's protocol.
 
 mod file;
 
@@ -14,75 +14,76 @@
 use super::checker::Checker;
 use crate::error::{Error, KeyProblem};
 
-/// The upper bound of each limit: times beyond it could not be added up.
+/// The upper bound of each limit: larger times could not be added without overflow.
 const MAX_LIMIT: f64 = 1e12;
 const MIN_BYTES: f64 = 1024.0;
 const MIN_MS: f64 = 10.0;
 
-/// PostgreSQL sessions: where they come in, which engines they go to, who may open them.
+/// Settings for PostgreSQL sessions: the listening address, the engines, the users and the limits.
 #[derive(Clone, Debug)]
 pub struct Postgres {
-    /// Where clients connect.
+    /// The address on which client connections are accepted.
     pub listen: SocketAddr,
-    /// The engines that take sessions.
+    /// The engines that serve sessions.
     pub engines: Vec<PostgresEngines>,
-    /// Who may open sessions, by name.
+    /// The users who may open sessions, by name.
     pub users: BTreeMap<String, User>,
-    /// Bounds on sessions.
+    /// Limits of sessions.
     pub limits: SessionLimits,
 }
 
-/// Engines of the list that speak PostgreSQL.
+/// Engines in the engine list that speak the PostgreSQL protocol.
 #[derive(Clone, Debug)]
 pub struct PostgresEngines {
-    /// Their kinds, by name.
+    /// Names of the engine kinds.
     pub kinds: Vec<String>,
-    /// Beside lines, at this port of the listed address; without it at the listed address itself, and no
-    /// lines.
+    /// The PostgreSQL port of engines that serve the line protocol at their listed address. None:
+    /// the listed address serves PostgreSQL, and the engines do not serve the line protocol.
     pub port: Option<u16>,
 }
 
-/// How a user of PostgreSQL sessions proves who it is, and what its statements are by default.
+/// The authentication of a user of PostgreSQL sessions, and the defaults of its statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct User {
-    /// The SCRAM-SHA-256 verifier in the form of `pg_authid`; without one the user is trusted.
+    /// The SCRAM-SHA-256 verifier in the form of `pg_authid`; None: the user is trusted without a
+    /// password.
     pub verifier: Option<String>,
-    /// The customer that its statements belong to by default, by name.
+    /// The name of the default customer of the user's statements.
     pub customer: Option<String>,
-    /// The workload of its statements by default, by name.
+    /// The name of the default workload of the user's statements.
     pub workload: Option<String>,
     /// The user's name at the engines.
     pub engine_user: String,
-    /// Its password at the engines.
+    /// The user's password at the engines.
     pub engine_password: Option<String>,
 }
 
-/// Bounds on sessions.
+/// Limits of sessions.
 #[derive(Clone, Debug)]
 pub struct SessionLimits {
-    /// Sessions at once.
+    /// Maximum number of concurrent sessions.
     pub sessions: usize,
-    /// The time for start-up and authentication.
+    /// Maximum time for startup and authentication.
     pub login_timeout: Micros,
-    /// Prepared statements of a session.
+    /// Maximum number of prepared statements of a session.
     pub prepared_statements: usize,
-    /// Portals open at once in a session's transaction.
+    /// Maximum number of open portals in a session's transaction.
     pub portals: usize,
-    /// Settings that a session carries.
+    /// Maximum number of settings of a session.
     pub settings: usize,
-    /// Bytes of a client's message or unit.
+    /// Maximum size in bytes of a client's message or unit.
     pub message_bytes: usize,
-    /// Bytes of a result that are held before they go on to the client.
+    /// Bytes of a result that are buffered for a client.
     pub buffer_bytes: usize,
-    /// Connections to an engine.
+    /// Maximum number of connections to an engine.
     pub engine_connections: usize,
-    /// Prepared statements on a connection to an engine.
+    /// Maximum number of prepared statements on a connection to an engine.
     pub engine_prepared_statements: usize,
-    /// How long an open transaction may stand idle.
+    /// Maximum idle time of an open transaction.
     pub transaction_idle_timeout: Micros,
-    /// An engine connection that has been idle for so long is closed.
+    /// Idle time after which an engine connection is closed.
     pub connection_idle_timeout: Micros,
-    /// An engine connection of that age is not reused.
+    /// Age from which an engine connection is not reused.
     pub max_connection_age: Micros,
 }
 
@@ -153,7 +154,7 @@
     })
 }
 
-/// A user proves who it is by a verifier, or is trusted.
+/// Checks that a user has either a well-formed verifier or `trust`, and not both.
 fn check_authentication(check: &Checker, path: &str, file: &UserFile) -> Result<(), Error> {
     match (&file.verifier, file.trust) {
         (None, false) => check.reject(path, "needs 'verifier', or 'trust: true'; give one of them"),
@@ -214,7 +215,7 @@
     check.reject(&format!("limits.{key}"), problem)
 }
 
-/// The form alone; the protocol's own module reads what it holds.
+/// Whether a text has the form of a verifier. The protocol module decodes its contents.
 fn is_verifier(text: &str) -> bool {
     let Some((head, keys)) = text
         .strip_prefix("SCRAM-SHA-256$")
--- a/crates/config/src/operator_file/postgres/file.rs
+++ b/crates/config/src/operator_file/postgres/file.rs
@@ -1,5 +1,4 @@
-//! The section `postgres` as the file has it: its keys and their defaults. The types' names are part
-//! of errors' texts.
+//! The keys of the section `postgres` and their defaults. The type names appear in error texts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,21 +6,21 @@
 use serde::Deserialize;
 
 const DEFAULT_SESSIONS: usize = 5_000;
-/// Milliseconds for start-up and authentication.
+/// Maximum time for startup and authentication.
 const DEFAULT_LOGIN_TIMEOUT_MS: f64 = 5_000.0;
-/// Prepared statements of a session.
+/// Maximum number of prepared statements of a session.
 pub const DEFAULT_PREPARED_STATEMENTS: usize = 1_000;
-/// Portals open at once in a session's transaction.
+/// Maximum number of open portals in a session's transaction.
 const DEFAULT_PORTALS: usize = 100;
-/// Settings that a session may carry.
+/// Maximum number of settings of a session.
 const DEFAULT_SETTINGS: usize = 64;
-/// Bytes of a message or a unit of a client.
+/// Maximum size of a client's message or unit.
 const DEFAULT_MESSAGE_BYTES: usize = 1 << 20;
-/// Bytes of a result that are held before they go on to the client.
+/// Bytes of a result that are buffered for a client.
 const DEFAULT_BUFFER_BYTES: usize = 64 << 10;
-/// Connections to an engine: its own limit is usually 100.
+/// Connections to an engine: below an engine's own limit, which is usually 100.
 const DEFAULT_ENGINE_CONNECTIONS: usize = 64;
-/// Prepared statements on an engine connection.
+/// Maximum number of prepared statements on an engine connection.
 const DEFAULT_ENGINE_PREPARED_STATEMENTS: usize = 256;
 const DEFAULT_TRANSACTION_IDLE_MS: f64 = 10_000.0;
 const DEFAULT_CONNECTION_IDLE_MS: f64 = 60_000.0;
--- a/crates/config/src/operator_file/postgres_tests.rs
+++ b/crates/config/src/operator_file/postgres_tests.rs
@@ -19,7 +19,7 @@
 }";
 
 #[test]
-fn a_whole_file_is_read_and_the_rest_defaulted() {
+fn missing_limits_get_their_defaults() {
     let postgres = read(GOOD).unwrap().postgres.unwrap();
     assert_eq!(postgres.users["portal"].engine_user, "portal");
     assert_eq!(
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn what_is_unknown_or_wrong_is_named_with_its_path_and_line() {
-    for (from, to, says) in [
+fn unknown_key_or_invalid_value_is_rejected_with_path_and_line() {
+    for (from, to, expected) in [
         (
             "sessions: 10",
             "sesions: 10",
@@ -89,8 +89,8 @@
         ),
     ] {
         let text = GOOD.replace(from, to);
-        let why = read(&text).unwrap_err();
-        assert!(why.starts_with(says), "{to}: {why}");
+        let error = read(&text).unwrap_err();
+        assert!(error.starts_with(expected), "{to}: {error}");
     }
     assert!(read("{ postgres: ").unwrap_err().contains("line 1"));
     assert!(read("{} x").is_err());
--- a/crates/config/src/operator_file/rules.rs
+++ b/crates/config/src/operator_file/rules.rs
@@ -13,7 +13,7 @@
 const DEFAULT_LEASE_MS: f64 = 3_000.0;
 const MIN_LEASE_MS: f64 = 500.0;
 const MAX_LEASE_MS: f64 = 60_000.0;
-/// Millionths: far more than a quartz drifts, for machines that are throttled.
+/// Parts per million: far more than the drift of a quartz clock, to allow for throttled machines.
 const DEFAULT_DRIFT_PPM: u32 = 10_000;
 const MAX_DRIFT_PPM: u32 = 200_000;
 const DEFAULT_WHAT_IF_HOURS: f64 = 6.0;
@@ -57,24 +57,26 @@
     DEFAULT_LOG_INTERVAL_MS
 }
 
-/// Where the rules are, and all that they may be about.
+/// The file of access rules, the names that the rules may use, and the terms under which they
+/// apply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rules {
-    /// The file of rules; SIGHUP reads it again.
+    /// The path of the file of rules; it is read again on SIGHUP.
     pub file: String,
-    /// Where this front stands, for rules about where a statement is asked.
+    /// This front's region, for rules about the region in which a statement arrives.
     pub region: String,
-    /// Names for some of the settings' locations together.
+    /// Named groups of the settings' locations.
     pub regions: BTreeMap<String, Vec<String>>,
-    /// The customers that rules may be about; None: all.
+    /// The customers to which rules may refer; None: all.
     pub customers: Option<Vec<String>>,
-    /// How long a front may go on by the rules it has without hearing from their owner.
+    /// How long a front may apply its rules without a message from their owner.
     pub lease: Micros,
-    /// Millionths that a clock may gain or lose.
+    /// Maximum drift of a clock in parts per million.
     pub drift_ppm: u32,
-    /// Between lines of the log with the fleet's counts.
+    /// The interval between log lines with the fleet's counts.
     pub log_interval: Micros,
-    /// How long requests are remembered, by kind, to tell what other rules would change; 0: not at all.
+    /// How long requests are recorded, by kind, to report what proposed rules would change; 0: not
+    /// at all.
     pub record_window: Micros,
 }
 
@@ -85,7 +87,7 @@
         section: "rules",
     };
     if file.file.is_empty() {
-        return check.reject("file", "names none; give the path of the file of rules");
+        return check.reject("file", "is empty; give the path of the file of rules");
     }
     check_regions(&check, &file, &settings.names)?;
     check_customers(&check, &file, &settings.names)?;
@@ -102,7 +104,8 @@
     })
 }
 
-/// Regions hold locations of the settings, and this front's region is one of them.
+/// Checks that each region holds only locations of the settings, and that this front's region is
+/// defined.
 fn check_regions(check: &Checker, file: &RulesFile, names: &Names) -> Result<(), Error> {
     for (region, locations) in &file.regions {
         for (index, location) in locations.iter().enumerate() {
@@ -118,7 +121,7 @@
     check.require_known("region", &file.region, "the regions", &regions)
 }
 
-/// Customers are those of the settings, where these name any.
+/// Checks that the customers are in the settings, if these name any customer.
 fn check_customers(check: &Checker, file: &RulesFile, names: &Names) -> Result<(), Error> {
     if names.customers.is_empty() {
         return Ok(());
--- a/crates/config/src/operator_file/rules_tests.rs
+++ b/crates/config/src/operator_file/rules_tests.rs
@@ -3,7 +3,7 @@
 use crate::operator_file::sections::tests::read;
 
 #[test]
-fn rules_speak_of_what_the_settings_name() {
+fn rules_with_unknown_name_or_value_out_of_range_are_rejected() {
     let good = "{ rules: { file: 'rules.json5', region: 'eu',\n regions: { eu: ['here'] },\n customers: ['acme'] } }";
     let rules = read(good).unwrap().rules.unwrap();
     assert_eq!(
@@ -11,12 +11,8 @@
         (3_000_000, 10_000, 60_000_000)
     );
     assert_eq!(rules.customers, Some(vec!["acme".to_string()]));
-    for (from, to, says) in [
-        (
-            "'rules.json5'",
-            "''",
-            "line 1: rules.file: names none; give",
-        ),
+    for (from, to, expected) in [
+        ("'rules.json5'", "''", "line 1: rules.file: is empty; give"),
         (
             "region: 'eu'",
             "region: 'us'",
@@ -63,7 +59,7 @@
             "line 1: rules.fiel: unknown field",
         ),
     ] {
-        let why = read(&good.replace(from, to)).unwrap_err();
-        assert!(why.starts_with(says), "{to}: {why}");
+        let error = read(&good.replace(from, to)).unwrap_err();
+        assert!(error.starts_with(expected), "{to}: {error}");
     }
 }
--- a/crates/config/src/operator_file/scatter.rs
+++ b/crates/config/src/operator_file/scatter.rs
@@ -1,4 +1,4 @@
-//! The section `scatter`: statements over data at several sites.
+//! The section `scatter`: statements over data that is spread over several sites.
 
 mod file;
 
@@ -18,68 +18,74 @@
 const MAX_SUMMARY_AHEAD_MS: u64 = 600_000;
 const MAX_SUMMARIES: usize = 65_536;
 const MAX_PARALLEL_PARTS: usize = 1_000;
-/// The part by which a number of distinct values may be wrong.
+/// Maximum relative error of a number of distinct values.
 const MAX_DISTINCT_ERROR: f64 = 0.5;
 const MIN_ANSWER_BYTES: usize = 1_000;
 const MAX_ANSWER_BYTES: usize = 1 << 26;
 
-/// Which statements are asked of several sites, and what holds for them.
+/// The statements that are sent to several sites, and the rules for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scatter {
-    /// Workloads whose statements are, by name.
+    /// Names of the workloads whose statements are sent to several sites.
     pub workloads: Vec<String>,
-    /// Locations whose engines hold a part of the data, and the keys that sign their summaries.
+    /// Locations whose engines hold a part of the data, each with the public key that verifies its
+    /// summaries.
     pub sites: BTreeMap<String, PublicKey>,
-    /// Where summaries are read from, at start and by SIGHUP.
+    /// The directory from which summaries are read at start and on SIGHUP.
     pub directory: Option<String>,
-    /// The schema that summaries of a group must be of.
+    /// The schema number that summaries of a table group must have.
     pub schemas: BTreeMap<u32, u32>,
-    /// Loads go through fronts and are marked. False: no load goes through any.
+    /// Whether loads go through fronts, which mark them. False: no load goes through a front.
     pub marks_loads: bool,
-    /// Workloads whose statements may write: those that are not idempotent, and those named.
+    /// Workloads whose statements may write: those that are not idempotent, and those that the file
+    /// names.
     pub writing_workloads: Vec<String>,
-    /// Has all rows: what parts can't make up is asked there.
+    /// The site with all rows; statements that can't be answered from parts are sent there.
     pub whole_site: Option<String>,
-    /// Customers that take an answer which says what is missing in it.
+    /// Customers that accept a partial answer, which names the missing sites.
     pub partial_answer_customers: Vec<String>,
-    /// Customers that take a number of distinct values by sketches, and how far it may be wrong, in
-    /// millionths of it.
+    /// Customers that accept a number of distinct values estimated from sketches, with the maximum
+    /// relative error in parts per million.
     pub distinct_error: BTreeMap<String, u32>,
-    /// Groups whose rows with equal keys lie at one site, so that they may be joined there.
+    /// Sets of table groups whose rows with equal keys are at the same site, so that they can be
+    /// joined there.
     pub colocated_groups: Vec<Vec<u32>>,
-    /// Milliseconds after which a summary is too old.
+    /// Maximum age of a summary in milliseconds.
     pub max_summary_age_ms: u64,
-    /// Milliseconds that a summary may come from the future, as clocks differ.
+    /// Milliseconds by which a summary may be ahead of this front's clock, as clocks differ.
     pub max_summary_ahead_ms: u64,
-    /// Summaries that are held.
+    /// Maximum number of summaries held.
     pub max_summaries: usize,
-    /// Parts of a statement with LIMIT that are in flight at once.
+    /// Maximum number of parts in flight at once of a statement with LIMIT.
     pub max_parallel_parts: usize,
-    /// Bytes of an answer at the most.
+    /// Maximum size of an answer in bytes.
     pub max_answer_bytes: usize,
-    /// Summaries are held as far as they earn their bytes; None: all that come.
+    /// The budget for which summaries compete by their benefit; None: every received summary is
+    /// held.
     pub summary_budget: Option<SummaryBudget>,
-    /// Sites that their summaries rule out are asked now and then all the same; None: never.
+    /// How often a statement is sent to a site that its summaries exclude, to verify them; None:
+    /// never.
     pub audits: Option<Audits>,
 }
 
-/// How often sites that their summaries rule out are asked all the same.
+/// The rate of audits: statements sent to a site that its summaries exclude, to verify them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Audits {
-    /// One statement of so many.
+    /// One of this many statements is audited.
     pub statements_per_audit: u64,
-    /// At the most in a minute, by the whole fleet.
+    /// Maximum number of audits a minute, over the whole fleet.
     pub max_per_minute: u64,
 }
 
-/// The budget under which summaries are held.
+/// The budget for holding and exchanging summaries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SummaryBudget {
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory_bytes: u64,
-    /// Bytes a second for exchanging them with other fronts.
+    /// Bytes a second for exchanging summaries with other fronts.
     pub bytes_per_s: u64,
-    /// Where what was learned outlives the front.
+    /// The file in which the learned benefits of summaries are kept across restarts; None: not
+    /// kept.
     pub file: Option<String>,
 }
 
@@ -165,7 +171,8 @@
     }
 }
 
-/// Workloads whose statements may write: those that are not idempotent, and those that the file names.
+/// Workloads whose statements may write: those that are not idempotent, and those that the file
+/// names.
 fn writing_workloads(file: &ScatterFile, settings: &Settings) -> Vec<String> {
     let names = settings.names.workloads.iter();
     names
@@ -177,7 +184,7 @@
         .collect()
 }
 
-/// Workloads are known and only read.
+/// Checks that the workloads are defined and idempotent.
 fn check_workloads(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.workloads;
     for (n, name) in file.workloads.iter().enumerate() {
@@ -195,7 +202,8 @@
     Ok(())
 }
 
-/// Sites are locations, each with a key; there is one at least, and a workload.
+/// Reads the sites: locations, each with a valid public key. At least one site and one workload are
+/// required.
 fn sites(
     check: &Checker,
     file: &ScatterFile,
@@ -218,7 +226,7 @@
     if file.workloads.is_empty() || sites.is_empty() {
         return check.reject(
             "sites",
-            "names none, or no workloads; leave 'scatter' out to switch it off",
+            "names no site, or scatter.workloads is empty; name both, or leave 'scatter' out to switch it off",
         );
     }
     Ok(sites)
@@ -231,14 +239,17 @@
             Ok(number) => _ = schemas.insert(number, *schema),
             Err(_) => {
                 let key = format!("schemas.{group}");
-                return check.reject(&key, "is no number of a table group; give one");
+                return check.reject(
+                    &key,
+                    "is not the number of a table group; give a number from 0 to 4294967295",
+                );
             }
         }
     }
     Ok(schemas)
 }
 
-/// Customers with terms of their own are known, and the terms make sense.
+/// Checks that the customers with special terms are defined, and that the terms are in range.
 fn check_customers(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.customers;
     for (n, name) in file.partial.iter().enumerate() {
@@ -255,7 +266,9 @@
         if !(0.0..=MAX_DISTINCT_ERROR).contains(error) {
             return check.reject(
                 &key,
-                format!("is not from 0 to {MAX_DISTINCT_ERROR}, a part of the number"),
+                format!(
+                    "is not from 0 to {MAX_DISTINCT_ERROR}; give the relative error as a fraction"
+                ),
             );
         }
     }
--- a/crates/config/src/operator_file/scatter/file.rs
+++ b/crates/config/src/operator_file/scatter/file.rs
@@ -1,17 +1,16 @@
-//! The section `scatter` as the file has it: its keys and their defaults. The types' names are part
-//! of errors' texts.
+//! The keys of the section `scatter` and their defaults. The type names appear in error texts.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
-/// Milliseconds after which a summary is too old.
+/// Maximum age of a summary in milliseconds.
 const DEFAULT_SUMMARY_AGE_MS: u64 = 600_000;
-/// Milliseconds that a summary may come from the future: as far as fronts' clocks may differ.
+/// Milliseconds by which a summary may be ahead: the maximum difference of the fronts' clocks.
 const DEFAULT_SUMMARY_AHEAD_MS: u64 = 10_000;
-/// Summaries that are held.
+/// Maximum number of summaries held.
 const DEFAULT_MAX_SUMMARIES: usize = 4_096;
-/// Parts of a statement with LIMIT that are in flight at once.
+/// Maximum number of parts in flight at once of a statement with LIMIT.
 const DEFAULT_PARALLEL_PARTS: usize = 4;
 const DEFAULT_ANSWER_BYTES: usize = 1 << 20;
 
--- a/crates/config/src/operator_file/scatter_tests.rs
+++ b/crates/config/src/operator_file/scatter_tests.rs
@@ -3,7 +3,7 @@
 use super::super::sections::tests::read;
 
 #[test]
-fn what_names_nothing_known_is_refused_with_its_line() {
+fn unknown_name_or_value_out_of_range_is_rejected_with_its_line() {
     let good = format!(
         "{{ scatter: {{\nloads: 'none', workloads: ['lookup'],\nsites: {{ here: '{}' }},\nschemas: {{ '17': 3 }} }} }}",
         "0f".repeat(32)
@@ -13,7 +13,7 @@
         (scatter.schemas.get(&17), scatter.marks_loads),
         (Some(&3), false)
     );
-    for (from, to, why) in [
+    for (from, to, expected) in [
         (
             "'lookup'",
             "'pay'",
@@ -24,8 +24,16 @@
             "there:",
             "line 3: scatter.sites.there: 'there' is not among",
         ),
-        ("'0f", "'0", "line 3: scatter.sites.here: is no key"),
-        ("'17'", "'x'", "line 4: scatter.schemas.x: is no number"),
+        (
+            "'0f",
+            "'0",
+            "line 3: scatter.sites.here: is not a public key",
+        ),
+        (
+            "'17'",
+            "'x'",
+            "line 4: scatter.schemas.x: is not the number",
+        ),
         (
             "schemas:",
             "whole_site: 'x', schemas:",
@@ -72,9 +80,9 @@
             "audits: { one_in: 9, a_minute: 0 }, schemas:",
             "line 4: scatter.audits.a_minute: is",
         ),
-        ("'lookup'", "", "line 3: scatter.sites: names none"),
+        ("'lookup'", "", "line 3: scatter.sites: names no site"),
     ] {
-        let refused = read(&good.replace(from, to)).unwrap_err();
-        assert!(refused.starts_with(why), "{refused}");
+        let error = read(&good.replace(from, to)).unwrap_err();
+        assert!(error.starts_with(expected), "{error}");
     }
 }
--- a/crates/config/src/operator_file/sections.rs
+++ b/crates/config/src/operator_file/sections.rs
@@ -1,4 +1,4 @@
-//! The whole file: its sections, and the keys that belong to none of them.
+//! The operator's file as a whole: its sections, and the keys outside any section.
 
 use hallmux::interface::{Agreement, Micros, ReportLayout};
 use serde::Deserialize;
@@ -13,10 +13,10 @@
 use crate::error::{Error, KeyProblem};
 use crate::text::check_depth;
 
-/// Milliseconds by which a clock may be set off either way.
+/// Maximum clock offset in milliseconds, ahead or behind.
 const MAX_CLOCK_OFFSET_MS: f64 = 600_000.0;
 
-/// The file as it is written. Its name is part of errors' texts, as are those of the sections' types.
+/// The file's keys. The type names of the file and of its sections appear in error texts.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -29,37 +29,37 @@
     clock_ahead_ms: f64,
 }
 
-/// All that the operator has switched on.
+/// The features that the operator's file enables.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
-    /// PostgreSQL sessions.
+    /// PostgreSQL sessions; None: off.
     pub postgres: Option<Postgres>,
-    /// Messages between fronts, and what rests on them.
+    /// Messages between fronts, and the features that depend on them; None: off.
     pub gossip: Option<Gossip>,
-    /// Regional access rules of customers.
+    /// Regional access rules of customers; None: off.
     pub rules: Option<Rules>,
-    /// Statements that are asked of several sites.
+    /// Statements that are sent to several sites; None: off.
     pub scatter: Option<Scatter>,
-    /// Which figure of the engines' load reports tells what they hold; where silent, as the settings name
-    /// them.
+    /// The figure of the engines' load reports that measures their load; None: the settings' report
+    /// names decide.
     pub load_signal: Option<LoadSignal>,
-    /// For fault injection: this front's clock reads so much more than the machine's; negative: less.
+    /// For fault injection: the offset of this front's clock from the machine's; positive: ahead.
     pub clock_offset: Micros,
 }
 
-/// The shape of deployment as the engines' reports show it: they tell the statements in flight (the earlier
-/// shape), or only their utilization, the share of cores busy, with statements waiting for memory (the
-/// later).
+/// The load figure in the engines' reports. The earlier form of deployment reports the statements
+/// in flight; the later one reports only the utilization, the share of cores busy, with the
+/// statements that wait for memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// Reports tell the statements in flight.
+    /// The number of statements in flight.
     InFlight,
-    /// Reports tell the share of cores busy.
+    /// The share of cores busy.
     Utilization,
 }
 
 impl LoadSignal {
-    /// The name that the settings give the figure in a load report.
+    /// The name of the figure in the settings' `report.names`.
     fn report_figure(self) -> &'static str {
         match self {
             LoadSignal::InFlight => "active",
@@ -69,7 +69,7 @@
 }
 
 impl OperatorConfig {
-    /// Changes what the settings agree by what the operator has chosen.
+    /// Applies the operator's file to the agreement.
     pub(crate) fn apply(&self, agreement: &mut Agreement) {
         self.apply_load_signal(&mut agreement.report);
         let Some(gossip) = &self.gossip else { return };
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Makes the decision module read the figure chosen and leave the other.
+    /// Makes the decision module read only the selected load figure.
     pub fn apply_load_signal(&self, report: &mut ReportLayout) {
         match self.load_signal {
             Some(LoadSignal::InFlight) => report.busy = None,
@@ -90,7 +90,8 @@
 }
 
 impl OperatorConfig {
-    /// Reads the file's text and checks it against the settings. An error names line and key.
+    /// Parses the file's text and checks it against the settings. An error names the line and the
+    /// key.
     pub fn parse(text: &str, settings: &Settings) -> Result<OperatorConfig, Error> {
         let file = parse_file(text)?;
         let postgres = file
@@ -126,17 +127,18 @@
     }
 }
 
-/// Reads the text; what its sections say is still to be checked.
+/// Parses the text without checking the contents of its sections.
 fn parse_file(text: &str) -> Result<File, Error> {
     check_depth(text)?;
-    // Once for the form alone, as only that pass sees what follows the end.
+    // A first pass checks only the syntax, because the second does not read text after the end of
+    // the value.
     json5::from_str::<serde::de::IgnoredAny>(text).map_err(|e| malformed(&e))?;
     let mut reader = json5::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut reader)
         .map_err(|e| rejected(text, &e.path().to_string(), e.inner()))
 }
 
-/// Marks of loads stand in the ledger.
+/// Checks that a ledger is configured if loads are marked, as load markers are stored in it.
 fn check_load_markers(
     text: &str,
     scatter: Option<&Scatter>,
@@ -145,7 +147,7 @@
     let marks_loads = scatter.is_some_and(|scatter| scatter.marks_loads);
     let has_ledger = gossip.is_some_and(|gossip| gossip.ledger.is_some());
     if marks_loads && !has_ledger {
-        let problem = "'marked' needs gossip.ledger, where marks stand; add it, or say 'none' where no load goes through fronts";
+        let problem = "'marked' needs gossip.ledger, which stores load markers; add it, or give 'none' if no load goes through fronts";
         return Err(key_error(text, "scatter.loads", problem));
     }
     Ok(())
@@ -162,7 +164,8 @@
     Ok(micros(ahead_ms))
 }
 
-/// A shape of deployment that the settings' reports do not have is refused: the front would read nothing.
+/// Parses the load signal. A figure that is missing from the settings' reports is rejected, because
+/// the front would read no load at all.
 fn parse_load_signal(text: &str, word: &str, settings: &Settings) -> Result<LoadSignal, Error> {
     let signal = match word {
         "in_flight" => LoadSignal::InFlight,
--- a/crates/config/src/operator_file/sections_tests.rs
+++ b/crates/config/src/operator_file/sections_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `sections` module, and the reader that the tests of its sections use.
+//! Unit tests of the `sections` module, and the parser that the tests of the sections share.
 
 use super::{LoadSignal, OperatorConfig};
 
@@ -6,7 +6,8 @@
     "customers": [{"name": "acme"}],
     "requestClasses": [{"name": "lookup", "aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable"}]}"#;
 
-/// Reads a text against settings that name one workload, customer, location and two kinds.
+/// Parses an operator's file against settings with one workload, one customer, one location and two
+/// kinds.
 pub fn read(text: &str) -> Result<OperatorConfig, String> {
     Ok(OperatorConfig::parse(
         text,
@@ -15,11 +16,11 @@
 }
 
 #[test]
-fn the_example_is_read_with_every_part() {
+fn example_file_is_accepted_with_every_section() {
     let text = include_str!("../../../../deploy/operator.example.json5");
     let more = SETTINGS.replace(r#"["here"]"#, r#"["here", "std-eu", "std-us", "std-ap"]"#);
     let settings = crate::Settings::parse(&more).unwrap();
-    // These settings have no reports.
+    // These settings define no load report.
     let example =
         OperatorConfig::parse(&text.replace("load_signal: 'in_flight',", ""), &settings).unwrap();
     assert!(example.postgres.is_some() && example.gossip.is_some() && example.scatter.is_some());
@@ -31,19 +32,19 @@
     "requestClasses": [{"name": "lookup", "aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable"}]}"#;
 
 #[test]
-fn the_load_signal_follows_the_reports_unless_chosen_and_a_mix_is_refused() {
+fn load_signal_missing_from_the_reports_is_rejected() {
     let settings = crate::Settings::parse(REPORTING).unwrap();
-    let places = &settings.agreement.report;
+    let layout = &settings.agreement.report;
     assert_eq!(
-        (places.active, places.busy, places.waiting),
+        (layout.active, layout.busy, layout.waiting),
         (None, Some(0), Some(1))
     );
-    // Where the file is silent, nothing changes: the settings alone choose the shape.
-    let silent = OperatorConfig::parse("{}", &settings).unwrap();
-    assert_eq!(silent.load_signal, None);
+    // Without the key, the settings alone select the load figure.
+    let without_key = OperatorConfig::parse("{}", &settings).unwrap();
+    assert_eq!(without_key.load_signal, None);
     let chosen = OperatorConfig::parse("{ load_signal: 'utilization' }", &settings).unwrap();
     assert_eq!(chosen.load_signal, Some(LoadSignal::Utilization));
-    // The earlier shape with reports of the later one: refused, with the key and its line.
+    // The earlier load signal with reports of the later form is rejected with the key and its line.
     let mixed = OperatorConfig::parse("{\n  load_signal: 'in_flight',\n}", &settings)
         .unwrap_err()
         .to_string();
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_chosen_load_signal_leaves_the_other_figure_unread() {
+fn selected_load_signal_disables_the_other_figure() {
     let both = REPORTING.replace(r#"["cpu", "waiting"]"#, r#"["active", "cpu"]"#);
     let settings = crate::Settings::parse(&both).unwrap();
     let (mut earlier, mut later) = (
--- a/crates/config/src/scanner.rs
+++ b/crates/config/src/scanner.rs
@@ -1,19 +1,19 @@
-//! The tokens of a JSON or JSON5 text, each with its line. Any text is scanned to its end; whether it is
-//! well-formed is for the readers to say.
+//! Tokenizer for JSON and JSON5 texts that records the line of each token. Any text is scanned to
+//! its end; the parsers decide whether it is well-formed.
 
 use std::iter::Peekable;
 use std::str::Chars;
 
-/// A token; comments and white space are none.
+/// A token of a text. Comments and white space produce no token.
 #[derive(Debug, PartialEq)]
 pub enum Token {
     /// A bracket, a brace, a comma or a colon.
     Punctuation(char),
-    /// A string without its quotes and backslashes, or a run of any other characters.
+    /// A string without its quotes and escaping backslashes, or a run of any other characters.
     Word(String),
 }
 
-/// A token and the line on which it begins, counted from 1.
+/// A token and its first line, counted from 1.
 #[derive(Debug, PartialEq)]
 pub struct TokenOnLine {
     pub token: Token,
@@ -44,9 +44,9 @@
         while self.rest.next_if(|c| *c != '\n').is_some() {}
     }
 
-    /// Skips to the end of a block comment of which the slash is behind.
+    /// Skips to the end of a block comment whose opening slash has been consumed.
     fn skip_block_comment(&mut self) {
-        self.advance(); // the star that opens it does not close it
+        self.advance(); // the opening star is not part of the closing `*/`
         let mut last = ' ';
         while let Some(c) = self.advance() {
             if last == '*' && c == '/' {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The rest of a string of which the opening quote is behind.
+    /// Reads the rest of a string whose opening quote has been consumed.
     fn string(&mut self, quote: char) -> String {
         let mut text = String::new();
         while let Some(c) = self.advance().filter(|c| *c != quote) {
@@ -65,7 +65,7 @@
         text
     }
 
-    /// The rest of a word that begins with a character.
+    /// Reads the rest of a word whose first character has been consumed.
     fn word(&mut self, first: char) -> String {
         let ends = |c: char| c.is_whitespace() || "{}[],:\"'/".contains(c);
         let mut text = String::from(first);
--- a/crates/config/src/scanner_tests.rs
+++ b/crates/config/src/scanner_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn each_token_comes_with_the_line_on_which_it_begins() {
+fn each_token_has_its_first_line() {
     let text = "{ // a: 1\n a: 1.5e3, /* b:\n 2 */ 'c d'\n:[ \"e\\\"f\",true/**/]}";
     let found = [
         ("{", 1),
@@ -37,17 +37,17 @@
 }
 
 #[test]
-fn a_line_that_goes_on_within_a_string_counts() {
+fn line_break_within_a_string_is_counted() {
     assert_eq!(tokens("'a\\\nb' c"), expected(&[("<a\nb>", 1), ("<c>", 2)]));
 }
 
 #[test]
-fn a_comment_is_not_closed_by_the_star_that_opens_it() {
+fn opening_star_of_a_comment_does_not_close_it() {
     assert_eq!(tokens("/*/ a */ b"), expected(&[("<b>", 1)]));
 }
 
 #[test]
-fn what_is_not_closed_ends_with_the_text() {
+fn unclosed_string_or_comment_ends_with_the_text() {
     for (text, found) in [
         ("'a", "<a>"),
         ("a /* b", "<a>"),
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings object: what the decision module reads of it, and what the network code needs.
+//! The settings object, split into the part for the decision module and the part for the network
+//! code.
 
 mod check;
 mod options;
@@ -10,67 +11,67 @@
 use crate::error::Error;
 use crate::text::Section;
 
-/// Fronts of as many vantages have to report a zone as failed before the fleet leaves it, where the
-/// operator's file says nothing: one front may be cut off alone.
+/// Default number of vantages whose fronts must report a zone as failed before the fleet evacuates
+/// it. One report is not enough, because a single front may be partitioned from the zone.
 pub const ZONE_QUORUM: usize = 2;
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 const DEFAULT_KEEPALIVE_MS: f64 = 15_000.0;
-/// Statements that a front may hold at once.
+/// Maximum number of statements that a front holds at once.
 const DEFAULT_MAX_HELD: usize = 20_000;
 const DEFAULT_MAX_RETRY_AFTER_MS: f64 = 1000.0;
-/// The narrowest group.
+/// The narrowest deduplication group.
 const DEFAULT_DEDUP_GROUP: &str = "cell";
 
-/// Microseconds of a time in milliseconds.
+/// Converts milliseconds to microseconds, rounded to the nearest one.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
-/// The names that the settings give to what the decision module knows by its index.
+/// The names in the settings of the items that the decision module identifies by index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of the workloads.
+    /// Names of the workloads.
     pub workloads: Vec<String>,
-    /// Of the customers.
+    /// Names of the customers.
     pub customers: Vec<String>,
-    /// Of the engines' locations.
+    /// Names of the engines' locations.
     pub locations: Vec<String>,
-    /// Of the kinds of engines.
+    /// Names of the engine kinds.
     pub kinds: Vec<String>,
-    /// Of the figures of a load report.
+    /// Names of the figures in a load report.
     pub report: Vec<String>,
 }
 
-/// What the settings say for the network code alone; the decision module does not read it.
+/// Settings for the network code; the decision module does not use them.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkSettings {
-    /// Microseconds after which a connection that is not up never will be.
+    /// Microseconds after which a connection attempt has failed.
     pub dial_timeout: Micros,
     /// Microseconds after which engines close idle connections.
     pub keepalive: Micros,
-    /// Executions that may be open at once on a connection to an engine; 1 at least.
+    /// Maximum number of concurrent executions on a connection to an engine; at least 1.
     pub executions_per_connection: usize,
-    /// Statements that a front may hold at once; those beyond are rejected.
+    /// Maximum number of statements that a front holds at once; further ones are rejected.
     pub max_held_statements: usize,
-    /// Microseconds after the client's time is up in which a final answer still counts.
+    /// Microseconds after the client's deadline in which a final answer still counts.
     pub answer_slack: Micros,
-    /// Executions may be cancelled at engines.
+    /// Whether executions may be cancelled at engines.
     pub cancel: bool,
 }
 
-/// All that the settings object says.
+/// The parsed settings object.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// For the decision module.
+    /// Settings for the decision module.
     pub agreement: Agreement,
-    /// Names by index, for the log and for what comes over the network.
+    /// Names by index, for the log and for received messages.
     pub names: Names,
-    /// For the network code.
+    /// Settings for the network code.
     pub network: NetworkSettings,
 }
 
 impl Settings {
-    /// Reads the settings' JSON text. Keys that are not known are ignored.
+    /// Parses and checks the settings' JSON text. Unknown keys are ignored.
     pub fn parse(text: &str) -> Result<Settings, Error> {
         parse_section(&Section {
             name: "options",
@@ -80,7 +81,7 @@
     }
 }
 
-/// Reads the settings as a section of a larger text.
+/// Parses and checks the settings in a section of a larger text.
 pub(crate) fn parse_section(section: &Section) -> Result<Settings, Error> {
     let options: Options = section.read()?;
     check(section, &options)?;
@@ -120,7 +121,7 @@
     }
 }
 
-/// The workload at an index of `requestClasses`.
+/// Converts the entry at an index of `requestClasses` to a workload.
 fn workload(section: &Section, options: &Options, index: usize) -> Result<Workload, Error> {
     let class = &options.request_classes[index];
     let extra = &options.extra;
@@ -145,7 +146,8 @@
     })
 }
 
-/// Which figures a load report holds. `x0` and `x1` are the site's own: a text says what each means.
+/// The indexes of the known figures in a load report. `x0` and `x1` are specific to a site; a text
+/// in the settings describes each, and the one that describes memory is the memory granted.
 fn report_layout(report: &Report, extra: &Extra) -> ReportLayout {
     let index = |name: &str| report.names.iter().position(|n| n == name);
     let describes_memory =
--- a/crates/config/src/settings/check.rs
+++ b/crates/config/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Refuses figures of the settings that could not be calculated with, and words that stand for nothing.
+//! Checks the numbers of the settings for their range, and resolves names of a fixed set.
 
 use hallmux::interface::{DedupGroup, Effect};
 
@@ -6,10 +6,11 @@
 use crate::error::{Error, KeyProblem};
 use crate::text::Section;
 
-/// The upper bound of every figure: sums of many such milliseconds stay whole numbers.
+/// The upper bound of every number: sums of many such milliseconds are still exact integers in an
+/// `f64`.
 const MAX_FIGURE: f64 = 1e12;
 
-/// A word of the settings and what it stands for.
+/// A name in the settings and the value that it denotes.
 pub struct NamedValue<T> {
     name: &'static str,
     value: T,
@@ -19,20 +20,20 @@
     NamedValue { name, value }
 }
 
-/// The words of `requestClasses[].repeat`.
+/// The values of `requestClasses[].repeat`.
 pub const EFFECTS: [NamedValue<Effect>; 3] = [
     named("repeatable", Effect::Idempotent),
     named("by_key", Effect::Deduplicated),
     named("once", Effect::NonIdempotent),
 ];
-/// The words of `requestClasses[].group`.
+/// The values of `requestClasses[].group`.
 pub const GROUPS: [NamedValue<DedupGroup>; 3] = [
     named("all", DedupGroup::All),
     named("zone", DedupGroup::Location),
     named("cell", DedupGroup::Cell),
 ];
 
-/// What the word at a path stands for.
+/// The value of the name at a path; a name that is not in `known` is an error.
 pub fn resolve_name<T: Copy>(
     section: &Section,
     path: &str,
@@ -49,7 +50,7 @@
     Err(section.error(path, problem))
 }
 
-/// Refuses what is negative, and what is so large that no sum of it would be right.
+/// Rejects numbers that are negative, or so large that sums of them would be inexact.
 pub fn check(section: &Section, options: &Options) -> Result<(), Error> {
     let check = FigureChecker { section };
     check.figure("instances", options.instances)?;
@@ -66,7 +67,7 @@
     check.rules(&options.rules)
 }
 
-/// Checks figures of the settings; an error names line and key.
+/// Checks numbers of the settings; an error names the line and the key.
 struct FigureChecker<'a> {
     section: &'a Section<'a>,
 }
--- a/crates/config/src/settings/options.rs
+++ b/crates/config/src/settings/options.rs
@@ -1,4 +1,4 @@
-//! The settings object as its JSON text has it; times are in milliseconds.
+//! The settings object as written in JSON; times are in milliseconds.
 
 use serde::Deserialize;
 
@@ -27,7 +27,7 @@
     pub rules: Rules,
 }
 
-/// One of `requestClasses`: a workload.
+/// An element of `requestClasses`: a workload.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Class {
@@ -51,7 +51,7 @@
     pub areas_only: Option<Vec<usize>>,
 }
 
-/// One of `customers`.
+/// An element of `customers`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Customer {
@@ -60,7 +60,7 @@
     pub allowance_per_s: Option<f64>,
 }
 
-/// `bounds`: what a front may do and hold.
+/// `bounds`: features that a front may use, and its limits.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Bounds {
@@ -75,12 +75,12 @@
     pub most_tries: Option<usize>,
 }
 
-/// `extra`: what only some sites say.
+/// `extra`: settings that only some sites provide.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Extra {
     pub class_waits: Vec<bool>,
-    /// Its type is checked; nothing uses it.
+    /// Unused; only its type is checked.
     #[serde(rename = "costInAnswers")]
     _cost_in_answers: bool,
     pub writes_tables: Vec<bool>,
@@ -95,7 +95,7 @@
     pub tells_every_ms: f64,
 }
 
-/// `report`: the figures of engines' load reports.
+/// `report`: the names of the figures in engines' load reports, and how the reports arrive.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Report {
@@ -103,7 +103,7 @@
     pub source: Option<String>,
 }
 
-/// `rules`: the figures of the rules that no front may break.
+/// `rules`: the parameters of the rules that every front must obey.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Rules {
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -1,4 +1,4 @@
-//! Texts of configuration: files read whole, and where in them an error is.
+//! Reading of configuration files, and positions of errors in them.
 
 use serde::Deserialize;
 
@@ -6,10 +6,10 @@
 use crate::key_lines::line_of;
 use crate::scanner::{Scanner, Token, TokenOnLine};
 
-/// Brackets that may stand open: the readers take a stack frame for each.
+/// Maximum nesting depth of brackets: the parsers use a stack frame for each level.
 const MAX_OPEN_BRACKETS: usize = 64;
 
-/// Reads the file that a variable names.
+/// Reads the UTF-8 file that an environment variable names.
 pub fn read_file(variable: &'static str, path: &str) -> Result<String, Error> {
     let unreadable = |e: std::io::Error| Error::UnreadableFile {
         variable,
@@ -28,7 +28,7 @@
     })
 }
 
-/// The position behind a text.
+/// The position directly after the end of a text.
 fn end_position(text: &str) -> TextPosition {
     let last_line = text.rsplit('\n').next().unwrap_or_default();
     TextPosition {
@@ -38,7 +38,8 @@
     }
 }
 
-/// Refuses brackets that stand open deeper than any key is meant, before a reader that calls itself for each.
+/// Rejects a text whose brackets are nested deeper than any key, before a recursive parser reads
+/// it.
 pub fn check_depth(text: &str) -> Result<(), Error> {
     let mut open = 0usize;
     for TokenOnLine { token, line } in Scanner::new(text) {
@@ -61,16 +62,17 @@
     Ok(())
 }
 
-/// A JSON text within a larger one: what its key is called reported, and on which line it begins.
+/// A JSON text that is part of a larger text.
 pub struct Section<'a> {
+    /// The path of its key in the larger text.
     pub name: &'a str,
     pub text: &'a str,
-    /// Lines of the larger text before it.
+    /// Number of lines of the larger text that precede this section.
     pub line_offset: usize,
 }
 
 impl<'a> Section<'a> {
-    /// Where a key of it is; the path is of this section alone.
+    /// The position of a key of this section; `path` is relative to the section.
     pub fn position(&self, path: &str) -> TextPosition {
         let line = Some(line_of(self.text, path).unwrap_or(1) + self.line_offset);
         TextPosition {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The error of a key of it.
+    /// An error for a key of this section.
     pub fn error(&self, path: &str, problem: impl Into<KeyProblem>) -> Error {
         Error::Key {
             position: self.position(path),
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Reads it as JSON, passing over keys that are not known.
+    /// Deserializes the section as JSON and ignores unknown keys.
     pub fn read<T: Deserialize<'a>>(&self) -> Result<T, Error> {
         let mut reader = serde_json::Deserializer::from_str(self.text);
         let read = serde_path_to_error::deserialize(&mut reader);
@@ -105,7 +107,8 @@
             .to_string();
         let reported = TextPosition {
             line: Some(error.line() + self.line_offset),
-            // A column of the first line counts from where this section begins.
+            // Columns on the section's first line count from the start of the section, which is the
+            // start of the line only if no line precedes it.
             column: (self.line_offset == 0 || error.line() > 1).then_some(error.column()),
             path: join_path(self.name, path),
         };
@@ -121,7 +124,7 @@
         }
         let problem = KeyProblem::Rejected {
             reason,
-            hint: "docs/configuration.md says what is meant",
+            hint: "docs/configuration.md describes each key",
         };
         Error::Key {
             position,
@@ -130,7 +133,8 @@
     }
 }
 
-/// Steps of a path that the library could not name count as none.
+/// Joins a section's path and a path within it. Trailing `?` steps, which the library could not
+/// name, are dropped.
 fn join_path(name: &str, path: &str) -> String {
     let path = path.trim_end_matches(['.', '?']);
     match (name, path) {
@@ -140,7 +144,7 @@
     }
 }
 
-/// Lines of a text before a section of it, which is borrowed from it.
+/// Number of lines of `text` before `section`, which must be a slice of `text`; 0 if it is not.
 pub fn lines_before(text: &str, section: &str) -> usize {
     let offset = (section.as_ptr() as usize).checked_sub(text.as_ptr() as usize);
     let before = offset.and_then(|offset| text.get(..offset));
--- a/crates/front/tests/refused/main.rs
+++ b/crates/front/tests/refused/main.rs
@@ -181,7 +181,10 @@
             OPERATOR_FILE_WITH_ERROR.replace(":\n", "\n"),
             "line 4, column 5: expected colon",
         ),
-        ("[".repeat(100_000), "line 1: brackets stand open 64 deep"),
+        (
+            "[".repeat(100_000),
+            "line 1: brackets are nested over 64 deep",
+        ),
     ] {
         let operator = folder.file("operator.json5", text.as_bytes());
         let message = start_error(&config, Some(&operator));
