--- a/crates/config/tests/random_faults/layout.rs
+++ b/crates/config/tests/random_faults/layout.rs
@@ -1,29 +1,31 @@
-//! Writes JSON with a line for each key and element, so that the line of each is known, with one thing changed.
+//! Writes JSON with each key and array element on its own line, records the lines, and applies one
+//! change.
 
 use std::collections::BTreeMap;
 
 use serde_json::Value;
 
-/// A change of the value at a path.
+/// A change at a path.
 #[derive(Clone, Debug)]
 pub enum Change {
     None,
-    /// By another text.
+    /// Replaces the value by a text.
     Replace(String),
     Remove,
-    /// So that it is there twice.
+    /// Writes the key or element twice.
     Duplicate,
-    /// One more key, and its value, into the object there.
+    /// Adds a key and the text of its value to the object at the path.
     Insert(String, String),
 }
 
+/// A written text and its lines.
 pub struct Layout {
     pub text: String,
-    /// The line of each path.
+    /// The line of each path, counted from 1.
     pub lines: BTreeMap<String, usize>,
 }
 
-/// Paths of all values, as errors word them.
+/// The paths of all values, as error texts write them.
 pub fn paths(value: &Value) -> Vec<String> {
     layout(value, "", &Change::None)
         .lines
@@ -32,22 +34,23 @@
         .collect()
 }
 
-pub fn layout(value: &Value, at: &str, change: &Change) -> Layout {
+/// Writes a value with a change at `changed_path`.
+pub fn layout(value: &Value, changed_path: &str, change: &Change) -> Layout {
     let mut out = Layout {
         text: String::new(),
         lines: BTreeMap::from([(String::new(), 1)]),
     };
-    out.write(value, "", at, change);
+    out.write(value, "", changed_path, change);
     out.text.push('\n');
     out
 }
 
 impl Layout {
-    fn write(&mut self, value: &Value, path: &str, at: &str, change: &Change) {
+    fn write(&mut self, value: &Value, path: &str, changed_path: &str, change: &Change) {
         let entries: Vec<(String, String, &Value)> = match value {
             Value::Object(map) => {
                 let key = |key: &String| format!("{}: ", Value::from(key.as_str()));
-                let below = |key: &String| {
+                let child_path = |key: &String| {
                     if path.is_empty() {
                         key.clone()
                     } else {
@@ -55,43 +58,45 @@
                     }
                 };
                 map.iter()
-                    .map(|(k, value)| (below(k), key(k), value))
+                    .map(|(k, value)| (child_path(k), key(k), value))
                     .collect()
             }
             Value::Array(list) => {
-                let below = |n: usize| format!("{path}[{n}]");
+                let child_path = |n: usize| format!("{path}[{n}]");
                 list.iter()
                     .enumerate()
-                    .map(|(n, value)| (below(n), String::new(), value))
+                    .map(|(n, value)| (child_path(n), String::new(), value))
                     .collect()
             }
             _ => return self.text.push_str(&value.to_string()),
         };
         self.text.push(if value.is_object() { '{' } else { '[' });
         let mut first = true;
-        let next = |out: &mut Layout, first: &mut bool| {
+        let separator = |out: &mut Layout, first: &mut bool| {
             out.text
                 .push_str(if std::mem::take(first) { "\n" } else { ",\n" });
         };
-        for (below, key, value) in entries {
-            let times = match change {
-                Change::Remove if below == at => 0,
-                Change::Duplicate if below == at => 2,
+        for (child_path, key, value) in entries {
+            let copies = match change {
+                Change::Remove if child_path == changed_path => 0,
+                Change::Duplicate if child_path == changed_path => 2,
                 _ => 1,
             };
-            for _ in 0..times {
-                next(self, &mut first);
+            for _ in 0..copies {
+                separator(self, &mut first);
                 let line = 1 + self.text.matches('\n').count();
-                self.lines.entry(below.clone()).or_insert(line);
+                self.lines.entry(child_path.clone()).or_insert(line);
                 self.text.push_str(&key);
                 match change {
-                    Change::Replace(text) if below == at => self.text.push_str(text),
-                    _ => self.write(value, &below, at, change),
+                    Change::Replace(text) if child_path == changed_path => self.text.push_str(text),
+                    _ => self.write(value, &child_path, changed_path, change),
                 }
             }
         }
-        if let (Change::Insert(key, text), true) = (change, path == at && value.is_object()) {
-            next(self, &mut first);
+        if let (Change::Insert(key, text), true) =
+            (change, path == changed_path && value.is_object())
+        {
+            separator(self, &mut first);
             let line = 1 + self.text.matches('\n').count();
             self.lines.insert(
                 if path.is_empty() {
--- a/crates/config/tests/random_faults/main.rs
+++ b/crates/config/tests/random_faults/main.rs
@@ -1,5 +1,6 @@
-//! Random faults in a configuration: one thing in a full one is changed, as a person or a corrupted disk may change
-//! it. It is refused with the line and the key, or accepted as the documents say, and nothing panics on the way.
+//! Random faults in a configuration: one change, such as a person or a corrupted disk may make, is
+//! applied to a complete configuration. It must be rejected with the line and the key, or accepted
+//! as documented, without a panic.
 
 mod layout;
 mod operators;
@@ -10,7 +11,7 @@
 use hallmux_config::NodeConfig;
 use proptest::prelude::*;
 
-/// Texts that are values of some type, within and beyond bounds.
+/// JSON texts of values of each type, within and beyond the bounds.
 pub const VALUES: [&str; 16] = [
     "\"soon\"",
     "\"\"",
@@ -35,19 +36,21 @@
     NodeConfig::parse(&variables, text).map_err(|e| e.to_string())
 }
 
-/// Asserts that an error is one line that says what is wrong and what to do. Returns the line it names, if any.
-pub fn assert_shape(said: &str) -> Option<usize> {
+/// Asserts that an error is one line with a problem and a remedy. Returns the line number in it, if
+/// any.
+pub fn assert_shape(message: &str) -> Option<usize> {
     assert!(
-        !said.contains('\n') && said.contains(": ") && said.contains("; "),
-        "{said}"
+        !message.contains('\n') && message.contains(": ") && message.contains("; "),
+        "{message}"
     );
-    let rest = &said[said.find("line ")? + 5..];
+    let rest = &message[message.find("line ")? + 5..];
     rest[..rest.find(|c: char| !c.is_ascii_digit())?]
         .parse()
         .ok()
 }
 
-/// A corruption such as a disk or an editor may cause: cut short, bytes gone, bytes changed.
+/// A corruption such as a disk or an editor may cause: truncation, lost bytes, a changed byte or an
+/// inserted byte.
 pub fn corruption() -> impl Strategy<Value = (prop::sample::Index, prop::sample::Index, u8, u8)> {
     (
         any::<prop::sample::Index>(),
@@ -59,21 +62,21 @@
 
 pub fn corrupt(
     text: &str,
-    (at, len, how, with): (prop::sample::Index, prop::sample::Index, u8, u8),
+    (position, length, kind, byte): (prop::sample::Index, prop::sample::Index, u8, u8),
 ) -> String {
     let mut bytes = text.as_bytes().to_vec();
-    let at = at.index(bytes.len());
-    match how {
-        0 => bytes.truncate(at),
-        1 => _ = bytes.drain(at..(at + 1 + len.index(40)).min(bytes.len())),
-        2 => bytes[at] = with,
-        _ => bytes.insert(at, b"{}[]:,\"'/*\\\n"[usize::from(with) % 12]),
+    let position = position.index(bytes.len());
+    match kind {
+        0 => bytes.truncate(position),
+        1 => _ = bytes.drain(position..(position + 1 + length.index(40)).min(bytes.len())),
+        2 => bytes[position] = byte,
+        _ => bytes.insert(position, b"{}[]:,\"'/*\\\n"[usize::from(byte) % 12]),
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
 #[test]
-fn brackets_without_end_are_refused() {
+fn unclosed_brackets_and_texts_that_are_no_json_are_rejected() {
     for text in [
         "[".repeat(200_000),
         "{\"a\":".repeat(100_000),
@@ -82,7 +85,7 @@
     ] {
         assert_shape(&read(&text).unwrap_err());
     }
-    // Under a key that is not known they are passed over, as any value is.
+    // Under an unknown key deep nesting is ignored, like any other value.
     let deep = format!(
         "{{\"seed\": \"1\", \"more\": {}{}}}",
         "[".repeat(100_000),
--- a/crates/config/tests/random_faults/settings.rs
+++ b/crates/config/tests/random_faults/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object, in the configuration of a front.
+//! Random faults in the settings object within the configuration of a front.
 
 use hallmux_config::NodeConfig;
 use hallmux_dispatcher::{Dispatcher, ListScope, Listing, Mode, Protocol, StatementRequest};
@@ -8,8 +8,9 @@
 use crate::layout::{layout, paths, Change};
 use crate::{assert_shape, corrupt, corruption, read, VALUES};
 
-/// Several classes of every effect and group, tenants, and names that no program would think of.
-fn station() -> Value {
+/// A node configuration with every key: classes of every effect and deduplication group, customers,
+/// and names with unusual characters.
+fn node_config() -> Value {
     let class = |name: &str, repeat: &str, worth: f64| {
         json!({"name": name, "aimMs": 800.0, "aimStretch": 2.0, "deadlineMs": 6000.0, "lateShare": 0.25, "stream": false,
             "repeat": repeat, "worth": worth})
@@ -59,29 +60,29 @@
     Text,
     Effect,
     Group,
-    Holder,
-    /// Of no key that is read.
+    Container,
+    /// The value of a key that is not read.
     Unknown,
 }
 
-/// What a key is, and whether null stands for none.
+/// The kind of the value at a path, and whether null is accepted as an absent value.
 fn kind(path: &str, value: Option<&Value>) -> (Kind, bool) {
     let Some(path) = path.strip_prefix("settings.") else {
         return (Kind::Unknown, true);
     };
-    let plain: String = path.chars().filter(|c| !c.is_ascii_digit()).collect();
-    let plain = plain
+    let generic_path: String = path.chars().filter(|c| !c.is_ascii_digit()).collect();
+    let generic_path = generic_path
         .strip_prefix("extra.reportX")
-        .map_or(plain.clone(), |_| "extra.reportX".to_string());
-    let (parent, key) = plain.rsplit_once('.').unwrap_or(("", &plain));
+        .map_or(generic_path.clone(), |_| "extra.reportX".to_string());
+    let (parent, key) = generic_path.rsplit_once('.').unwrap_or(("", &generic_path));
     match (parent, key) {
         ("requestClasses[]", "repeat") => (Kind::Effect, false),
         ("requestClasses[]", "group") => (Kind::Group, true),
         ("requestClasses[]", "kindsAllowed[]" | "areasOnly[]") => (Kind::Count, false),
-        ("requestClasses[]", "kindsAllowed" | "areasOnly") => (Kind::Holder, true),
+        ("requestClasses[]", "kindsAllowed" | "areasOnly") => (Kind::Container, true),
         ("requestClasses[]", "stream") | ("rules", "askWithinMs") => (Kind::Unknown, true),
         ("customers[]", "share") | ("extra", "notes") => (Kind::Unknown, true),
-        ("" | "goal", key) if key.starts_with("tiers") || plain.starts_with("goal") => {
+        ("" | "goal", key) if key.starts_with("tiers") || generic_path.starts_with("goal") => {
             (Kind::Unknown, true)
         }
         ("bounds", "streamsPerConn" | "mostHeld" | "mostTries") => (Kind::Count, true),
@@ -93,28 +94,28 @@
             Some(Value::Bool(_)) => (Kind::Flag, false),
             Some(Value::Number(_)) => (Kind::Figure, false),
             Some(Value::String(_)) => (Kind::Text, false),
-            _ => (Kind::Holder, false),
+            _ => (Kind::Container, false),
         },
     }
 }
 
-/// Whether the text is a value that the key may have; None where it has to be tried.
-fn fits((kind, none): (Kind, bool), text: &str) -> Option<bool> {
+/// Whether a text is a valid value of a kind; None if that depends on the contents.
+fn is_valid((kind, accepts_null): (Kind, bool), text: &str) -> Option<bool> {
     if kind == Kind::Unknown {
         return Some(true);
     }
     let value = serde_json::from_str::<Value>(text);
     let Ok(value) = value else { return Some(false) };
     if value.is_null() {
-        return Some(none);
+        return Some(accepts_null);
     }
     match kind {
         Kind::Figure => Some(value.as_f64().is_some_and(|v| (0.0..=1e12).contains(&v))),
         Kind::Count => Some(value.as_u64().is_some()),
         Kind::Flag => Some(value.is_boolean()),
         Kind::Text => Some(value.is_string()),
-        Kind::Effect | Kind::Group | Kind::Unknown => Some(false), // none of the values drawn is a word
-        Kind::Holder => {
+        Kind::Effect | Kind::Group | Kind::Unknown => Some(false), // none of the drawn values is a valid name
+        Kind::Container => {
             if value.is_array() || value.is_object() {
                 None
             } else {
@@ -124,10 +125,10 @@
     }
 }
 
-/// What was read is then used: a statement of each class is taken and decided on.
-fn use_config(station: &NodeConfig) {
-    let mut dispatcher = Dispatcher::new(&station.settings, station.seed);
-    let names = &station.settings.names;
+/// Uses a configuration: submits a statement of each workload and lets the dispatcher decide on it.
+fn use_config(node_config: &NodeConfig) {
+    let mut dispatcher = Dispatcher::new(&node_config.settings, node_config.seed);
+    let names = &node_config.settings.names;
     for (n, location) in names.locations.iter().enumerate() {
         let kind = names.kinds.first().map_or("", String::as_str);
         let id = format!("e{n}");
@@ -166,59 +167,59 @@
 }
 
 fn read_and_use(text: &str) -> Result<(), String> {
-    read(text).map(|station| use_config(&station))
+    read(text).map(|node_config| use_config(&node_config))
 }
 
 #[test]
-fn a_full_configuration_is_accepted() {
-    read_and_use(&layout(&station(), "", &Change::None).text).unwrap();
+fn complete_configuration_is_accepted() {
+    read_and_use(&layout(&node_config(), "", &Change::None).text).unwrap();
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn another_value_is_accepted_or_refused_with_its_line_and_key(
+    fn replaced_value_is_accepted_or_rejected_with_its_line_and_key(
         at in any::<prop::sample::Index>(),
         value in prop::sample::select(&VALUES[..]),
     ) {
-        let station = station();
-        let paths: Vec<String> = paths(&station).into_iter().filter(|p| p.starts_with("settings.")).collect();
+        let node_config = node_config();
+        let paths: Vec<String> = paths(&node_config).into_iter().filter(|p| p.starts_with("settings.")).collect();
         let path = at.get(&paths);
-        let was = station.pointer(&format!("/{}", path.replace('[', "/").replace(']', "").replace('.', "/")));
-        let written = layout(&station, path, &Change::Replace(value.to_string()));
-        let read = read_and_use(&written.text);
-        if let Some(fits) = fits(kind(path, was), value) {
-            prop_assert_eq!(read.is_ok(), fits, "{} becomes {}: {:?}", path, value, read);
+        let original = node_config.pointer(&format!("/{}", path.replace('[', "/").replace(']', "").replace('.', "/")));
+        let changed = layout(&node_config, path, &Change::Replace(value.to_string()));
+        let result = read_and_use(&changed.text);
+        if let Some(is_valid) = is_valid(kind(path, original), value) {
+            prop_assert_eq!(result.is_ok(), is_valid, "{} becomes {}: {:?}", path, value, result);
         }
-        if let Err(said) = read {
-            prop_assert_eq!(assert_shape(&said), written.lines.get(path).copied(), "{}", &said);
-            prop_assert!(said.contains(path.as_str()), "{}: {}", path, said);
+        if let Err(message) = result {
+            prop_assert_eq!(assert_shape(&message), changed.lines.get(path).copied(), "{}", &message);
+            prop_assert!(message.contains(path.as_str()), "{}: {}", path, message);
         }
     }
 
     #[test]
-    fn a_key_that_is_gone_or_there_twice_is_defaulted_or_refused(
+    fn removed_or_duplicated_key_is_defaulted_or_rejected(
         at in any::<prop::sample::Index>(),
-        twice in any::<bool>(),
+        duplicate in any::<bool>(),
     ) {
-        let station = station();
-        let paths = paths(&station);
+        let node_config = node_config();
+        let paths = paths(&node_config);
         let path = at.get(&paths);
-        let change = if twice { Change::Duplicate } else { Change::Remove };
-        let written = layout(&station, path, &change);
+        let change = if duplicate { Change::Duplicate } else { Change::Remove };
+        let changed = layout(&node_config, path, &change);
         let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
-        let needed = ["seed", "name", "settings", "settings.instances", "settings.requestClasses", "settings.rules"];
-        let needs = needed.contains(&path.as_str())
+        let required_keys = ["seed", "name", "settings", "settings.instances", "settings.requestClasses", "settings.rules"];
+        let is_required = required_keys.contains(&path.as_str())
             || path.starts_with("settings.requestClasses[") && ["aimMs", "deadlineMs", "repeat"].contains(&key);
-        match read_and_use(&written.text) {
-            Ok(()) => prop_assert!(twice || !needs, "{} may not be gone", path),
-            Err(said) => {
-                prop_assert!(twice || needs, "{}: {}", path, said);
-                prop_assert!(said.contains(key), "{}: {}", path, said);
-                // A key twice may be told at the second, or at what holds both.
-                if let (Some(line), false) = (assert_shape(&said), twice) {
-                    prop_assert_eq!(Some(&line), written.lines.get(parent), "{}", said);
+        match read_and_use(&changed.text) {
+            Ok(()) => prop_assert!(duplicate || !is_required, "{} is required", path),
+            Err(message) => {
+                prop_assert!(duplicate || is_required, "{}: {}", path, message);
+                prop_assert!(message.contains(key), "{}: {}", path, message);
+                // A duplicated key may be reported at its second occurrence or at its parent.
+                if let (Some(line), false) = (assert_shape(&message), duplicate) {
+                    prop_assert_eq!(Some(&line), changed.lines.get(parent), "{}", message);
                 }
             }
         }
@@ -230,22 +231,22 @@
         value in prop::sample::select(&VALUES[..]),
         key in "[a-z.\\[\\]\"\\\\ \u{e4}]{1,12}",
     ) {
-        let station = station();
-        let mut objects = paths(&station);
+        let node_config = node_config();
+        let mut objects = paths(&node_config);
         objects.push(String::new());
         let path = at.get(&objects);
-        let written = layout(&station, path, &Change::Insert(format!("zz{key}"), value.to_string()));
-        let read = read_and_use(&written.text);
-        prop_assert!(read.is_ok(), "{:?}", read);
+        let changed = layout(&node_config, path, &Change::Insert(format!("zz{key}"), value.to_string()));
+        let result = read_and_use(&changed.text);
+        prop_assert!(result.is_ok(), "{:?}", result);
     }
 
     #[test]
-    fn a_corrupted_text_is_accepted_or_refused_in_one_line(how in corruption()) {
-        let written = layout(&station(), "", &Change::None);
-        let text = corrupt(&written.text, how);
-        if let Err(said) = read_and_use(&text) {
-            let line = assert_shape(&said);
-            prop_assert!(line.is_none_or(|line| line <= text.matches('\n').count() + 1), "{}", said);
+    fn corrupted_text_is_accepted_or_rejected_with_one_line(corruption_kind in corruption()) {
+        let changed = layout(&node_config(), "", &Change::None);
+        let text = corrupt(&changed.text, corruption_kind);
+        if let Err(message) = read_and_use(&text) {
+            let line = assert_shape(&message);
+            prop_assert!(line.is_none_or(|line| line <= text.matches('\n').count() + 1), "{}", message);
         }
     }
 }
