--- a/crates/config/src/key_lines.rs
+++ b/crates/config/src/key_lines.rs
@@ -72,8 +72,8 @@
     open: Vec<Container>,
     /// The last word, until it is used as a key or a value.
     last_word: Option<Word>,
-    /// Whether a colon was read: the next token begins a value.
-    expects_value: bool,
+    /// Whether the last step of `path` is a key of the innermost open object.
+    path_ends_with_key: bool,
 }
 
 impl PathTracker {
@@ -90,7 +90,7 @@
 
     /// Handles a colon: the last word is a key, and its value begins.
     fn begin_value(&mut self) {
-        if self.expects_value {
+        if self.path_ends_with_key {
             return; // only in a malformed text
         }
         let key = self.last_word.take().unwrap_or(Word {
@@ -99,19 +99,19 @@
         });
         self.path.push(key.text);
         self.record_line(key.line);
-        self.expects_value = true;
+        self.path_ends_with_key = true;
     }
 
     fn open_object(&mut self, line: usize) {
         self.enter_element(line);
         self.open.push(Container::Object);
-        self.expects_value = false;
+        self.path_ends_with_key = false;
     }
 
     fn open_array(&mut self, line: usize) {
         self.enter_element(line);
         self.open.push(Container::Array { next: 0 });
-        self.expects_value = false;
+        self.path_ends_with_key = false;
     }
 
     /// If the innermost container is an array, extends the path to its next element. Returns
@@ -133,10 +133,10 @@
                 self.path.pop();
             }
         }
-        if self.expects_value {
+        if self.path_ends_with_key {
             self.path.pop();
         }
-        self.expects_value = false;
+        self.path_ends_with_key = false;
     }
 
     /// Handles the end of an object or an array, and of the last value in it.
@@ -145,7 +145,7 @@
         self.open.pop();
         // The closed container was itself the value of a key, or an element.
         let is_element = matches!(self.open.last(), Some(Container::Array { .. }));
-        self.expects_value = !is_element && !self.path.is_empty();
+        self.path_ends_with_key = !is_element && !self.path.is_empty();
         if is_element {
             self.path.pop();
         }
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -7,7 +7,7 @@
 use crate::scanner::{Scanner, Token, TokenOnLine};
 
 /// Maximum nesting depth of brackets: the parsers use a stack frame for each level.
-const MAX_OPEN_BRACKETS: usize = 64;
+const MAX_NESTING_DEPTH: usize = 64;
 
 /// Reads the UTF-8 file that an environment variable names.
 pub fn read_file(variable: &'static str, path: &str) -> Result<String, Error> {
@@ -48,14 +48,14 @@
             Token::Punctuation('}' | ']') => open = open.saturating_sub(1),
             _ => {}
         }
-        if open > MAX_OPEN_BRACKETS {
+        if open > MAX_NESTING_DEPTH {
             let position = TextPosition {
                 line: Some(line),
                 ..TextPosition::default()
             };
             return Err(Error::TooDeep {
                 position,
-                max_depth: MAX_OPEN_BRACKETS,
+                max_depth: MAX_NESTING_DEPTH,
             });
         }
     }
