--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -10,25 +10,26 @@
 
 use crate::error::{Error, KeyProblem, TextPosition};
 use crate::operator_file::OperatorConfig;
-use crate::settings::{settings_of, Settings};
+use crate::settings::{parse_section, Settings};
 use crate::text::{self, Section};
 
 const DEFAULT_MEMORY_MB: u64 = 192;
 const MIN_MEMORY_MB: u64 = 1;
-/// File descriptors.
+/// Default number of file descriptors.
 const DEFAULT_SOCKETS: usize = 1024;
-/// File descriptors: half are for clients, the rest for engines, and each needs one.
+/// Minimum number of file descriptors: half are for clients and half for engines, and each side
+/// needs one.
 const MIN_SOCKETS: usize = 2;
-/// The coordinator's events so far, where the file has none: it sends all.
-const NO_EVENTS: &str = r#"{"index":0,"updates":[]}"#;
+/// Replaces a missing `known`: at index 0 the coordinator sends all events.
+const EMPTY_EVENTS: &str = r#"{"index":0,"updates":[]}"#;
 const DEFAULT_LOG_LEVEL: &str = "info";
-/// The variable that names the operator's own file.
-const OPERATOR: &str = "HALLMUX_OPERATOR";
+/// The environment variable that names the operator's file.
+const OPERATOR_VARIABLE: &str = "HALLMUX_OPERATOR";
 const ADDRESS_REMEDY: &str = "give an address and a port, like 127.0.0.1:9090";
 const SEED_REMEDY: &str = "give up to 16 hexadecimal digits";
 const LOG_LEVEL_REMEDY: &str = "give one of off, error, warn, info, debug, trace";
 
-/// The file as it is written. Its name is part of errors' texts, as is that of `FileLimits`.
+/// The file's keys. The type names `File` and `FileLimits` appear in error texts.
 #[derive(Deserialize)]
 struct File<'a> {
     name: Option<String>,
@@ -59,77 +60,79 @@
     }
 }
 
-/// What the machine grants this front.
+/// Resource limits of this front.
 #[derive(Clone, Debug)]
 pub struct NodeLimits {
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory_bytes: u64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
 /// The configuration of one front.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Its name, as the log gives it.
+    /// The front's name in the log.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address on which the front accepts clients.
     pub listen: SocketAddr,
-    /// The seed of its random choices.
+    /// The seed of the front's random number generator.
     pub seed: u64,
-    /// What the machine grants it.
+    /// Resource limits.
     pub limits: NodeLimits,
-    /// The coordinator to poll for the engine list; without one, the list stays as `known_events` has it.
+    /// The coordinator to poll for the engine list; without one, the list stays as in
+    /// `known_events`.
     pub coordinator: Option<SocketAddr>,
-    /// The coordinator's events so far, as the body of one of its responses.
+    /// The coordinator's earlier events, in the form of a response body.
     pub known_events: String,
-    /// The settings object, with what the operator's file changes in it.
+    /// The settings object with the changes of the operator's file applied.
     pub settings: Settings,
-    /// What the operator's own file switches on; without one, nothing.
+    /// The operator's file; every feature is off without one.
     pub operator: OperatorConfig,
-    /// Lines below this level are left out of the log.
+    /// The least severe level that is logged.
     pub log_level: log::LevelFilter,
-    /// For fault injection: a file that holds the time in place of the machine's clock.
+    /// For fault injection: a file that supplies the time instead of the machine's clock.
     pub clock_file: Option<PathBuf>,
 }
 
 impl NodeConfig {
-    /// Reads the environment variables given and the files that they name: `NODE_CONFIG`, which has to be
-    /// there, and `HALLMUX_OPERATOR`.
+    /// Reads the given environment variables and the files that they name: `NODE_CONFIG`, which is
+    /// required, and `HALLMUX_OPERATOR`.
     pub fn read(variables: &HashMap<String, String>) -> Result<NodeConfig, Error> {
         let unset = Error::Unset {
             variable: "NODE_CONFIG",
             expected: "the path of this front's JSON file",
         };
         let path = variables.get("NODE_CONFIG").ok_or(unset)?;
-        let text = text::file("NODE_CONFIG", path)?;
+        let text = text::read_file("NODE_CONFIG", path)?;
         NodeConfig::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
     }
 
-    /// Reads the text of the file that `NODE_CONFIG` names. Variables go before its keys.
+    /// Parses the text of the file that `NODE_CONFIG` names. Environment variables take precedence
+    /// over its keys.
     pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
         let sources = Sources {
             variables,
             file: Section {
                 name: "",
                 text,
-                lines: 0,
+                line_offset: 0,
             },
         };
         let file: File = sources.file.read()?;
-        let seed = file.seed.ok_or_else(|| missing("seed"))?;
+        let seed = file.seed.ok_or_else(|| missing_key("seed"))?;
         let limits = sources.limits(file.limits)?;
-        let settings = file.settings.ok_or_else(|| missing("settings"))?;
-        let mut settings = settings_of(&sources.section("settings", settings))?;
+        let settings = file.settings.ok_or_else(|| missing_key("settings"))?;
+        let mut settings = parse_section(&sources.section("settings", settings))?;
         let operator = sources.operator(&settings)?;
         operator.apply(&mut settings.agreement);
         Ok(NodeConfig {
-            name: sources.text("NODE_NAME", "name", file.name)?,
+            name: sources.variable_or_key("NODE_NAME", "name", file.name)?,
             listen: sources.address("NODE_LISTEN", "listen", file.listen)?,
             seed: sources.seed(&seed)?,
             limits,
             coordinator: sources.coordinator(file.coordinator)?,
-            known_events: file.known.map_or(NO_EVENTS, RawValue::get).to_string(),
+            known_events: file.known.map_or(EMPTY_EVENTS, RawValue::get).to_string(),
             settings,
             operator,
             log_level: log_level(variables)?,
@@ -138,24 +141,25 @@
     }
 }
 
-/// What a configuration is read from. Variables go before keys of the file: they are what the one who started the
-/// program sees.
+/// The sources of a configuration. Environment variables take precedence over keys of the file,
+/// because they are what the person who starts the program sees.
 struct Sources<'a> {
     variables: &'a HashMap<String, String>,
     file: Section<'a>,
 }
 
 impl<'a> Sources<'a> {
-    /// An object of the file that is read by itself.
+    /// A section for the raw value of a key of the file.
     fn section(&self, name: &'a str, raw: &'a RawValue) -> Section<'a> {
         Section {
             name,
             text: raw.get(),
-            lines: text::lines_before(self.file.text, raw.get()),
+            line_offset: text::lines_before(self.file.text, raw.get()),
         }
     }
 
-    /// What the machine grants. Guards against limits under which a front would start and serve nobody.
+    /// Reads the resource limits, and rejects values with which a front would start but could serve
+    /// no client.
     fn limits(&self, raw: Option<&'a RawValue>) -> Result<NodeLimits, Error> {
         let limits = match raw {
             Some(raw) => self.checked_limits(raw)?,
@@ -181,19 +185,19 @@
 
     fn seed(&self, digits: &str) -> Result<u64, Error> {
         let seed = u64::from_str_radix(digits, 16);
-        self.parsed("seed", digits, seed, SEED_REMEDY)
+        self.parse_result("seed", digits, seed, SEED_REMEDY)
     }
 
     fn coordinator(&self, address: Option<String>) -> Result<Option<SocketAddr>, Error> {
         let Some(address) = address else {
             return Ok(None);
         };
-        let parsed = self.parsed("coordinator", &address, address.parse(), ADDRESS_REMEDY);
+        let parsed = self.parse_result("coordinator", &address, address.parse(), ADDRESS_REMEDY);
         parsed.map(Some)
     }
 
-    /// The value of a variable, or else of a key.
-    fn text(
+    /// The value of an environment variable, or of a key if the variable is not set.
+    fn variable_or_key(
         &self,
         variable: &'static str,
         key: &str,
@@ -212,15 +216,15 @@
         key: &str,
         in_file: Option<String>,
     ) -> Result<SocketAddr, Error> {
-        let value = self.text(variable, key, in_file)?;
+        let value = self.variable_or_key(variable, key, in_file)?;
         if self.variables.contains_key(variable) {
-            return from_variable(variable, &value, ADDRESS_REMEDY);
+            return parse_variable(variable, &value, ADDRESS_REMEDY);
         }
-        self.parsed(key, &value, value.parse(), ADDRESS_REMEDY)
+        self.parse_result(key, &value, value.parse(), ADDRESS_REMEDY)
     }
 
-    /// The value of a key as it was read, or an error that names the key.
-    fn parsed<T, E: std::fmt::Display>(
+    /// Turns a failed parse of a key's value into an error that names the key.
+    fn parse_result<T, E: std::fmt::Display>(
         &self,
         key: &str,
         value: &str,
@@ -237,23 +241,23 @@
         })
     }
 
-    /// The operator's own file, if a variable names one.
+    /// Reads the operator's file, if a variable names one.
     fn operator(&self, settings: &Settings) -> Result<OperatorConfig, Error> {
-        let Some(path) = self.variables.get(OPERATOR) else {
+        let Some(path) = self.variables.get(OPERATOR_VARIABLE) else {
             return Ok(OperatorConfig::default());
         };
-        let text = text::file(OPERATOR, path)?;
-        OperatorConfig::parse(&text, settings).map_err(|e| e.in_file(OPERATOR, path))
+        let text = text::read_file(OPERATOR_VARIABLE, path)?;
+        OperatorConfig::parse(&text, settings).map_err(|e| e.in_file(OPERATOR_VARIABLE, path))
     }
 }
 
 fn log_level(variables: &HashMap<String, String>) -> Result<log::LevelFilter, Error> {
     let level = variables.get("HALLMUX_LOG");
     let level = level.map_or(DEFAULT_LOG_LEVEL, String::as_str);
-    from_variable("HALLMUX_LOG", level, LOG_LEVEL_REMEDY)
+    parse_variable("HALLMUX_LOG", level, LOG_LEVEL_REMEDY)
 }
 
-fn missing(key: &str) -> Error {
+fn missing_key(key: &str) -> Error {
     let position = TextPosition {
         path: key.to_string(),
         ..TextPosition::default()
@@ -264,7 +268,7 @@
     }
 }
 
-fn from_variable<T>(variable: &'static str, value: &str, remedy: &'static str) -> Result<T, Error>
+fn parse_variable<T>(variable: &'static str, value: &str, remedy: &'static str) -> Result<T, Error>
 where
     T: FromStr<Err: std::fmt::Display>,
 {
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -176,8 +176,8 @@
     ) -> Self {
         let bounds = pool::Bounds {
             per_engine: limits.engine_connections,
-            idle_timeout_us: limits.connection_idle,
-            max_age_us: limits.connection_age,
+            idle_timeout_us: limits.connection_idle_timeout,
+            max_age_us: limits.max_connection_age,
         };
         Servers {
             handle,
