--- a/crates/config/src/operator_file/ledger/file.rs
+++ b/crates/config/src/operator_file/ledger/file.rs
@@ -9,13 +9,14 @@
 const DEFAULT_SHARDS: u16 = 16;
 /// Maximum number of entries of a shard.
 const DEFAULT_SHARD_ENTRIES: usize = 4_096;
-/// Maximum size of a shard.
+/// Maximum size of a shard in bytes.
 const DEFAULT_SHARD_BYTES: usize = 512 * 1_024;
 const DEFAULT_REQUEST_TIMEOUT_MS: f64 = 500.0;
 /// Longer than a restart, which loses no replica.
 const DEFAULT_REPAIR_AFTER_MS: f64 = 30_000.0;
 /// Bytes a second that each owner of a shard uses to rebuild replicas.
 const DEFAULT_REPAIR_BYTES_PER_S: u32 = 65_536;
+/// Maximum share of the shards that move at once.
 const DEFAULT_MAX_MOVING_PERCENT: u8 = 25;
 /// Longer than most outages of a zone's power or uplink.
 const DEFAULT_ZONE_REPAIR_AFTER_MS: f64 = 600_000.0;
--- a/crates/config/src/operator_file/scatter.rs
+++ b/crates/config/src/operator_file/scatter.rs
@@ -18,7 +18,7 @@
 const MAX_SUMMARY_AHEAD_MS: u64 = 600_000;
 const MAX_SUMMARIES: usize = 65_536;
 const MAX_PARALLEL_PARTS: usize = 1_000;
-/// Maximum relative error of a number of distinct values.
+/// Maximum relative error of a number of distinct values, as a fraction.
 const MAX_DISTINCT_ERROR: f64 = 0.5;
 const MIN_ANSWER_BYTES: usize = 1_000;
 const MAX_ANSWER_BYTES: usize = 1 << 26;
@@ -60,8 +60,8 @@
     pub max_parallel_parts: usize,
     /// Maximum size of an answer in bytes.
     pub max_answer_bytes: usize,
-    /// The budget for which summaries compete by their benefit; None: every received summary is
-    /// held.
+    /// The budget within which summaries are held, chosen by their benefit; None: every received
+    /// summary is held.
     pub summary_budget: Option<SummaryBudget>,
     /// How often a statement is sent to a site that its summaries exclude, to verify them; None:
     /// never.
--- a/crates/front/src/clients/idle.rs
+++ b/crates/front/src/clients/idle.rs
@@ -10,14 +10,15 @@
 const IDLE_CHECK_INTERVAL: Micros = 200_000;
 /// Microseconds; clients close idle connections after 4 s, so one that is idle for longer is abandoned.
 const IDLE_TIMEOUT: Micros = 6_000_000;
-/// Microseconds for a message to be complete; for the first one since the connection was accepted.
+/// Microseconds within which a message has to be complete; for the first message they start when
+/// the connection is accepted.
 const MESSAGE_TIMEOUT: Micros = 2_000_000;
-/// Microseconds between fragments of a message that is still being sent.
+/// Maximum microseconds between fragments of a message that is still being sent.
 const FRAGMENT_TIMEOUT: Micros = 500_000;
 
 impl Clients {
-    /// Closes connections that are abandoned, that have sent nothing yet, or that have sent only part of a message. Their
-    /// open statements are answered first.
+    /// Closes connections that are abandoned, and those that for too long have sent nothing or only
+    /// part of a message. A connection with an open statement is kept until that is answered.
     pub fn expire(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.lingering.expire(now);
         if now < self.next_idle_check {
@@ -45,7 +46,9 @@
         self.ids_where(is_expired)
     }
 
-    /// Whether a message that has started is not complete in time.
+    /// Whether a message is not complete in time: `MESSAGE_TIMEOUT` and `FRAGMENT_TIMEOUT` have
+    /// both passed, or, even while fragments arrive, the longer of `longest_timeout` and
+    /// `IDLE_TIMEOUT`.
     fn is_message_overdue(&self, now: Micros, client: &Client) -> bool {
         let started_at = client.message_incomplete_since.unwrap_or(now);
         let is_stalled =
@@ -53,7 +56,8 @@
         is_stalled || started_at + self.longest_timeout.max(IDLE_TIMEOUT) <= now
     }
 
-    /// Clients without open statements that have left answers unread for longer than any client waits.
+    /// Clients without open statements that have left answers unread for longer than any client
+    /// waits, or for `MESSAGE_TIMEOUT` if their connection is being closed.
     fn abandoned(&self, now: Micros) -> Vec<ClientId> {
         let is_abandoned = |_: &ClientId, client: &Client| {
             let is_unread_by_client = client.open.is_empty() && client.link.unsent() > 0;
@@ -103,8 +107,9 @@
         }
     }
 
-    /// Whether a last read of a connection that is to be closed as idle finds no input. Guards against closing over a
-    /// request that arrived since the connection was last read: the request is served and the connection stays.
+    /// Whether a last read of a connection that is to be closed as idle finds no input; true if the
+    /// connection does not exist. Guards against losing a request that arrived since the connection
+    /// was last read: the request is served and the connection stays.
     fn has_nothing_unread(&mut self, id: ClientId) -> bool {
         let Some(client) = self.clients.get_mut(&id) else {
             return true;
--- a/crates/front/src/clients/input.rs
+++ b/crates/front/src/clients/input.rs
@@ -8,8 +8,8 @@
 use super::{ClientId, Clients, Event, MAX_UNSENT_BYTES};
 use crate::link::ReadOutcome;
 
-/// Bytes read from a client in an iteration, beyond which at most one chunk is read: enough for all statements that it
-/// may have open.
+/// Bytes read from a client in an iteration of the event loop: enough for all statements that the
+/// client may have open. The last read may exceed this by less than one chunk.
 pub(super) const READ_SIZE: usize = 16 << 10;
 
 /// The context that the messages of one read share.
@@ -69,7 +69,8 @@
 }
 
 impl Client {
-    /// Handles all complete messages. After an unreadable one no more are handled.
+    /// Handles all complete messages. After an unreadable one no more are handled, and the
+    /// connection is closed.
     fn handle_messages(&mut self, now: Micros, context: &ReadContext, events: &mut Vec<Event>) {
         let mut consumed = 0;
         let unreadable = loop {
--- a/crates/front/src/engines/connection.rs
+++ b/crates/front/src/engines/connection.rs
@@ -7,7 +7,8 @@
 use crate::execution::ExecutionId;
 use crate::link::Link;
 
-/// Maximum number of ids of ended executions that a connection remembers; beyond it accepts no more executions.
+/// Maximum number of ids of ended executions that a connection remembers. A connection with this
+/// many accepts no more executions.
 const MAX_FINISHED_IDS: usize = 128;
 
 /// Identifies a connection by its number among all that were dialled.
@@ -20,13 +21,16 @@
     pub(super) up: bool,
     /// Accepts no more executions: the engine was replaced or removed, or the connection was silent too long.
     pub(super) retired: bool,
+    /// When the connection has to be up.
     pub(super) dial_by: Micros,
     pub(super) last_reply_at: Micros,
     /// Since when an incomplete line has been waiting for its remaining bytes.
     pub(super) partial_line_since: Option<Micros>,
     pub(super) idle_since: Micros,
-    /// How long the connection had been idle when it was last used again, and when that was.
+    /// How long the connection had been idle when it was last used after being idle; 0 if it had
+    /// not been used before.
     pub(super) idle_before: Micros,
+    /// When the connection was last used after being idle; at first, when it was dialled.
     pub(super) resumed_at: Micros,
     pub(super) queue: VecDeque<ExecutionId>,
     /// The execution that is being written; commands may follow it in the output.
@@ -49,7 +53,9 @@
     pub(super) end: usize,
 }
 
-/// The order in which connections of an engine are preferred: the greatest first.
+/// The order in which connections of an engine are preferred, the greatest first: a connection that
+/// is up and without unsent output, then the one with the most executions and health checks in
+/// flight, then the one that became idle last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     has_sent_all: bool,
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -13,7 +13,8 @@
 pub(super) const MAX_UNSENT_BYTES: usize = 1 << 20;
 
 impl Engines {
-    /// Closes a connection. Each execution on it ends according to how much of it was sent.
+    /// Closes a connection. Each execution on the connection ends according to how much of the
+    /// execution was sent.
     pub(super) fn close(&mut self, now: Micros, id: ConnectionId, ending: Ending) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -90,7 +91,8 @@
         flushed
     }
 
-    /// Writes queued executions as far as the socket accepts them. An error is the ending of the connection.
+    /// Writes queued executions as far as the socket accepts them. The error is the ending with
+    /// which the connection has to be closed.
     fn write_queue(&mut self, now: Micros, id: ConnectionId) -> Result<(), Ending> {
         loop {
             self.flush_connection(id).map_err(replies::ending_of)?;
@@ -183,7 +185,8 @@
 /// Why an execution that waited for its connection may no longer be sent; `None` if it may.
 fn withhold_reason(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
     let Some(_) = engine.filter(|engine| engine.available) else {
-        // Retiring an engine withdraws its queued executions; one that is found here would have broken a drain.
+        // Retiring an engine withdraws its queued executions, so none is expected here. One that is
+        // found must not be sent to an engine that drains.
         log::error!(
             "engine {}: an execution was still queued for it although it drains or is gone; it is withdrawn",
             engine.map_or("?", |engine| &engine.id)
@@ -193,6 +196,6 @@
     if now >= terms.deadline {
         return Some("its client's deadline has passed");
     }
-    // After this time engines no longer deduplicate a repeat of the first execution.
+    // From `send_by` on engines may no longer deduplicate a repeat of the first execution.
     (now >= terms.send_by).then_some("engines may no longer deduplicate it")
 }
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -232,7 +232,8 @@
         }
     }
 
-    /// What a statement may write; None if loads are not marked.
+    /// What a statement may write; None if loads are not marked, if a session's unit needs no load
+    /// marker, or if the statement is not known any more.
     fn load(&mut self, ticket: Ticket) -> Option<Load> {
         self.scatter.as_ref()?.loads.as_ref()?;
         if self.is_session_statement(ticket) {
@@ -241,8 +242,8 @@
         self.call(ticket).map(Load::Call)
     }
 
-    /// Whether the access rules still allow an execution. To be called immediately before it is sent: nothing may happen
-    /// in between.
+    /// Whether the access rules still allow an execution; if not, its statement is ended. To be
+    /// called immediately before the execution is sent: nothing may happen in between.
     pub(super) fn recheck_access_rules(&mut self, ordered: SendCommand) -> bool {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         let allows = |rules: &SharedRules| {
@@ -339,6 +340,8 @@
             .unwrap_or(ticket)
     }
 
+    /// The call of a client's statement, or of a part of a scattered statement; None if the ticket
+    /// belongs to neither.
     fn call(&self, ticket: Ticket) -> Option<Rc<Call>> {
         let part = || {
             self.scatter
--- a/crates/front/src/event_loop/graceful_shutdown.rs
+++ b/crates/front/src/event_loop/graceful_shutdown.rs
@@ -3,10 +3,11 @@
 //! 1. At once (`shut_down`): health checks of clients are answered as unhealthy; the ledger shards that this front owns
 //!    are handed over and other fronts are notified that it leaves; the sites' summaries are saved. The front still
 //!    accepts connections and statements.
-//! 2. After the grace period (`crate::shutdown`, longer while the ledger depends on this front), for a few more
-//!    iterations: connections that wait in the listener's queue are accepted and read.
-//! 3. Then (`close_if_due`), in each iteration: the listeners are closed, new statements are rejected, and connections
-//!    without pending answers are closed.
+//! 2. After the grace period (`crate::shutdown`, longer while the ledger depends on this front),
+//!    for a few more iterations of the event loop: connections that wait in the listener's queue
+//!    are accepted and read.
+//! 3. Then (`close_if_due`), in each iteration: the listeners are closed, new statements are
+//!    rejected, and connections without pending answers are closed.
 //! 4. Once no client or session is left and no ledger request is pending (`is_done`), the loop and the process end.
 
 use super::EventLoopState;
@@ -61,7 +62,8 @@
         }
     }
 
-    /// How the ledger's dependency on this front delays its shutdown; `None` before SIGTERM.
+    /// How the ledger's dependency on this front delays the shutdown of the front;
+    /// `LedgerDependency::None` before SIGTERM and on a front without peers.
     fn ledger_dependency(&self) -> LedgerDependency {
         let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
         peers.map_or(LedgerDependency::None, |peers| {
@@ -69,7 +71,8 @@
         })
     }
 
-    /// Whether the process may end after SIGTERM: the listener is closed and every statement is answered.
+    /// Whether the process may end after SIGTERM: the listener is closed, no client or session is
+    /// left, and no ledger request is pending.
     pub fn is_done(&self) -> bool {
         !self.listener.is_open()
             && self.clients.len() == 0
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -37,7 +37,8 @@
 /// for it.
 #[derive(Clone, Copy)]
 pub struct SendCommand {
-    /// The statement that the access rules checked: of a part of a scattered statement its parent.
+    /// The statement that the access rules checked: for a part of a scattered statement, its
+    /// parent.
     pub checked_ticket: Ticket,
     pub ticket: Ticket,
     pub execution: usize,
@@ -85,7 +86,9 @@
     statements: BTreeMap<u64, Statement>,
     statement_numbers: HashMap<Ticket, u64>,
     decisions: Vec<RuleDecision>,
+    /// When the held executions are next reported to the dispatcher, in Unix microseconds.
     next_report_time: Micros,
+    /// When hits and limits are next logged, in microseconds since `steady_start`.
     next_log_time: Micros,
     log_interval: Micros,
     logged_revoked_count: u64,
@@ -214,8 +217,8 @@
         }
     }
 
-    /// Returns true if an execution may proceed. Otherwise holds it until a decision on its
-    /// statement follows.
+    /// Returns true if an execution may proceed, as one of a statement that the rules have not
+    /// checked always may. Otherwise holds the execution until a decision on its statement follows.
     pub fn hold_or_pass(
         &mut self,
         now: Micros,
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -27,7 +27,8 @@
 
 impl Votes {
     /// Opens the directory and starts the thread. Returns the state that was saved there; None if
-    /// there is none yet.
+    /// there is none yet. Fails if the directory can't be used, if another front uses it, or if the
+    /// thread can't be started.
     pub fn open(
         directory: &str,
         socket: UdpSocket,
@@ -71,7 +72,8 @@
         ))
     }
 
-    /// Queues a write; its datagrams are sent once it is durable.
+    /// Queues a write; its datagrams are sent once it is durable. Once a write was lost,
+    /// all further ones are dropped with their datagrams.
     pub fn save(&mut self, saved: VoterSave) {
         if self.has_failed {
             return;
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -18,7 +18,9 @@
 const MAX_UNSENT_BYTES: usize = 4 << 20;
 
 impl Servers {
-    /// Sends a unit over the connection that holds its transaction, or over one from its pool.
+    /// Sends a unit over the connection that holds its transaction, or over one from its pool. The
+    /// execution ends as withdrawn if the engine is not up, or if the connection that held the
+    /// transaction is gone, no longer holds it, or belongs to another engine.
     pub fn send(
         &mut self,
         now: Micros,
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -55,8 +55,9 @@
     pub may_have_run: bool,
     pub time_up: bool,
     pub cancelled: bool,
-    /// Part of the answer was forwarded; `cut_within_message` if that part ends within a message.
+    /// Part of the answer was forwarded.
     pub answer_started: bool,
+    /// The forwarded part of the answer ends within a message.
     cut_within_message: bool,
     pub execution_id: Option<ExecutionId>,
     pub order_key: Option<String>,
@@ -68,11 +69,11 @@
     pub user: Rc<User>,
     pub account: AccountId,
     pub running: Option<RunningUnit>,
-    /// The connection that holds its transaction.
+    /// The engine's connection that holds the session's transaction.
     pub pin: Option<Pin>,
-    /// Order keys that its transaction holds.
+    /// Order keys that the session's transaction holds.
     pub held_order_keys: Vec<String>,
-    /// Groups of tables that its transaction may have written to, if loads are marked.
+    /// Groups of tables that the session's transaction may have written to, if loads are marked.
     pub touched_groups: BTreeSet<u32>,
     /// The current unit has its answer: its input is skipped up to its Sync.
     skipping_to_sync: bool,
@@ -118,13 +119,13 @@
     changed: BTreeSet<SessionId>,
     /// Sessions that have not read all of their output.
     with_unsent: BTreeSet<SessionId>,
-    /// Sessions whose answers are not read from their engines at present, because they lag behind
-    /// in reading them.
+    /// Sessions whose answers are not read from their engines at present, because the clients lag
+    /// behind in reading them.
     paused: BTreeSet<SessionId>,
     /// Sessions that are not read at present: their input waits for units in flight.
     unread: BTreeSet<SessionId>,
     lingering: Lingering,
-    /// How many lingering connections have descriptors of their own.
+    /// How many lingering connections have descriptors beside those of clients.
     lingering_descriptors: usize,
     pub events: Vec<Event>,
     /// Sessions with input that may contain a unit.
@@ -185,8 +186,8 @@
         self.connections.len()
     }
 
-    /// The number of connections that use descriptors of clients, including lingering ones beyond
-    /// those that have descriptors of their own.
+    /// The number of connections that use descriptors of clients, including the lingering ones in
+    /// excess of `lingering_descriptors`.
     pub fn len(&self) -> usize {
         self.connections.len()
             + self
@@ -200,7 +201,7 @@
         self.connections.is_empty() && self.lingering.len() == 0
     }
 
-    /// When the first lingering connection is dropped.
+    /// When the first lingering connection is dropped; `Micros::MAX` if there is none.
     pub fn due(&self) -> Micros {
         self.lingering.due()
     }
@@ -237,7 +238,7 @@
         self.tickets.contains_key(&ticket)
     }
 
-    /// A session whose login is over.
+    /// A session whose login is over; None if the session is gone or still logs in.
     pub fn open_session(&mut self, id: SessionId) -> Option<&mut OpenSession> {
         match &mut self.connections.get_mut(&id)?.stage {
             Stage::Open(open_session) => Some(open_session),
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -73,7 +73,7 @@
     ticket: Ticket,
 }
 
-/// The parent statement of a part, and the part's index in the parent's plan.
+/// Links a part to its parent statement.
 struct PartLink {
     parent: Ticket,
     /// Index of the part in the parent's plan.
@@ -542,7 +542,8 @@
         true
     }
 
-    /// When `tick` is next due, in Unix microseconds. Without peers there are no summaries to exchange.
+    /// When `tick` is next due, in Unix microseconds; 0, which is at once, if replies wait to be
+    /// taken. Without peers there are no summaries to exchange.
     pub fn due(&self, has_peers: bool) -> Micros {
         let loads = self.loads.as_ref().map_or(Micros::MAX, Loads::due);
         let audit_due = self
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -13,9 +13,9 @@
 
 impl EngineConnection {
     /// Reads the engine's bytes up to the first message that causes an event. Messages for the
-    /// client are appended to `to_client`, of which reading stops once it exceeds `client_capacity`
-    /// bytes; messages for the engine are appended to `out`. Returns the number of bytes of `input`
-    /// that were consumed, and the event.
+    /// client are appended to `to_client`; reading stops once that exceeds `client_capacity` bytes.
+    /// Messages for the engine are appended to `out`. Returns the number of bytes of `input` that
+    /// were consumed, and the event, if any.
     pub fn read(
         &mut self,
         input: &[u8],
@@ -228,7 +228,7 @@
     }
 
     /// Drops the answers expected up to the next Sync, as an engine skips all messages up to it
-    /// after an error. Not called for a simple query, which ends by itself.
+    /// after an error. Not called for a simple query, which ends without a Sync.
     fn skip_to_sync(&mut self) {
         loop {
             match self.expected.pop_front() {
--- a/crates/scatter/src/load.rs
+++ b/crates/scatter/src/load.rs
@@ -8,13 +8,14 @@
 use crate::load_markers::{Affected, Cell};
 use crate::sql::{self, literal, plain_name};
 
-// Larger loads are recorded with fewer columns, or as changing anything.
+// Maximum encoded size of what a load adds, in bytes. Larger loads are recorded with fewer columns,
+// or as changing anything.
 const MAX_MARKER_ROWS_BYTES: usize = 256;
-// The same holds for loads with more distinct rows.
+// Maximum number of distinct rows. Loads with more are recorded in the same way.
 const MAX_MARKER_ROWS: usize = 64;
 
 /// The rows of an `INSERT ... VALUES` into a table of the group that has no other effect; None for
-/// other statements.
+/// other statements, and for rows that a load marker can't store.
 pub(crate) fn rows(statement: Statement, group: u32) -> Option<Affected> {
     let Statement::Insert(insert) = statement else {
         return None;
@@ -75,7 +76,8 @@
 }
 
 /// The columns whose values are certain even if a row exists already: those of the conflict target
-/// and those that are set to the new value. Other columns may keep their old values.
+/// and those that are set to the new value. Other columns may keep their old values. None if there
+/// is no such column, or if the clause has a form that is not evaluated here.
 fn reliable_columns(on: &OnInsert, columns: &[String]) -> Option<Vec<usize>> {
     let OnInsert::OnConflict(OnConflict {
         conflict_target,
@@ -124,7 +126,8 @@
 }
 
 /// Reduces the rows to what a load marker stores. If they are too many, the columns with the fewest
-/// distinct values are kept: a load of a day's rows is identified by its day.
+/// distinct values are kept: a load of a day's rows is identified by its day. None if not even one
+/// column fits, or if a row has another number of values than there are columns.
 fn shorten(
     table: String,
     columns: &[String],
--- a/crates/scatter/src/load_markers.rs
+++ b/crates/scatter/src/load_markers.rs
@@ -129,8 +129,8 @@
             .filter(|bytes| bytes.len() <= MAX_MARKERS_BYTES)
     }
 
-    /// Adds a marker for a load at a site that can't be running from `ends_ms` on. Returns the
-    /// load's number.
+    /// Adds a marker for a load at a site. From `ends_ms`, in Unix milliseconds, the load can't be
+    /// running. Returns the load's number.
     pub fn add(&mut self, site: &str, ends_ms: u64, touched: Affected) -> u64 {
         let site = self.sites.entry(site.to_string()).or_default();
         site.last += 1;
@@ -146,9 +146,10 @@
     }
 
     /// Removes markers that settled summaries cover, and records which loads can't be running any
-    /// more. `wall_ms` is the front's clock minus the clock skew allowed between fronts. Once a
-    /// marker is removed, a front whose summary is older than the one that covered the loads must
-    /// ask the site. A marker is therefore kept until peers are expected to hold that summary.
+    /// more. `wall_ms` is the front's clock, in Unix milliseconds, minus the clock skew allowed
+    /// between fronts. Once a marker is removed, a front whose summary is older than the one that
+    /// covered the loads must ask the site. A marker is therefore kept until peers are expected to
+    /// hold that summary.
     pub fn clean_up<'a>(
         &mut self,
         wall_ms: u64,
@@ -170,7 +171,8 @@
     }
 
     /// Shortens the entry until it can be stored: removes the markers that the newest summaries
-    /// cover, then merges the oldest markers of each site.
+    /// cover, then merges the oldest markers of each site. An entry that is too long even with one
+    /// marker per site is left so, and `bytes` returns None.
     pub fn shrink_to_fit<'a>(&mut self, reported_loads: impl Fn(&str) -> ReportedLoads<'a>) {
         let mut limits = REDUCED_SITE_MARKERS.iter();
         let mut cleared_covered = false;
@@ -193,8 +195,8 @@
         self.reason_to_ask(summary, table, condition).is_none()
     }
 
-    /// What loads that the summary does not cover may have changed. None if the summary is too old
-    /// to tell.
+    /// What loads that the summary does not cover may have changed; empty if no load at
+    /// its site was ever marked. None if the summary is too old to tell.
     pub fn uncovered(&self, summary: &Summary) -> Option<Vec<&Affected>> {
         let Some(site) = self.sites.get(&summary.site) else {
             return Some(Vec::new());
@@ -275,7 +277,8 @@
         }
     }
 
-    /// Merges the oldest markers until at most `limit` are left.
+    /// Merges the oldest markers until at most `limit` are left, at least one. A merged marker
+    /// counts as changing anything.
     fn merge_oldest(&mut self, limit: usize) {
         while self.markers.len() > limit.max(1) {
             let first = self.markers.remove(0);
--- a/crates/scatter/src/runs.rs
+++ b/crates/scatter/src/runs.rs
@@ -1,5 +1,5 @@
-//! The ranges that contain the values of a column of numbers, with no value between them. They rule
-//! out what the bounds can't once a few values lie far from the others.
+//! Runs: the ranges that contain the values of a column of numbers, with no value between the
+//! ranges. Runs rule out what the column's bounds can't once a few values lie far from the others.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,9 @@
 
 /// The maximum number of runs of a column, which take some 1,500 bytes.
 pub const MAX_RUNS: usize = 256;
-// For layered summaries, whose signed part all fronts hold.
+// The maximum for layered summaries, whose signed part all fronts hold.
 pub(crate) const MAX_LAYERED_RUNS: usize = 64;
-// While rows are added.
+// The maximum while rows are added.
 const MAX_BUILDER_RUNS: usize = 4_096;
 
 /// The first and the last value of each run, in ascending order.
