--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -17,8 +17,9 @@
             .min(self.shares.due(steady))
     }
 
-    /// Does the work that is due: renews the lease, reads and changes the version, stores counts,
-    /// and moves shares of limits. Must be called at [`Access::due`]; an earlier call does no harm.
+    /// Does the work that is due: renews the lease, reads and changes the version of the rules,
+    /// stores hit counts, and moves shares of limits. Must be called at [`Access::due`]; an earlier
+    /// call does no harm.
     pub fn tick(&mut self, at: ClockReading) {
         self.versions.tick(at);
         self.shares
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Handles an answer of the ledger. Returns false if the request was not made here.
+    /// Handles an answer of the ledger. Returns false if this `Access` did not make the request.
     pub fn on_ledger_answer(&mut self, at: ClockReading, answer: LedgerAnswer) -> bool {
         let LedgerAnswer { number, outcome } = answer;
         let versions = &mut self.versions;
@@ -64,7 +65,8 @@
         self.hits.request_fleet_hits(at);
     }
 
-    /// Returns the work to be done since the last call. Each item is returned once.
+    /// Returns the ledger requests to send and the events and results produced since the last call.
+    /// Each item is returned once.
     pub fn take_output(&mut self) -> Output {
         let mut ledger_requests = std::mem::take(&mut self.versions.ledger_requests);
         ledger_requests.append(&mut self.hits.ledger_requests);
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -1,5 +1,5 @@
-//! Folds the counts of incarnations that can no longer write into one table of the fleet, each row
-//! exactly once.
+//! Folds the hit counts of earlier incarnations, which can no longer write, into one table of the
+//! fleet, each row exactly once.
 //!
 //! A later incarnation of the same front folds an earlier one. The later one is in the list of
 //! incarnations, so an earlier process that is still running can neither list pages nor count any
@@ -24,9 +24,10 @@
 
 /// The number of parts of the fleet's table.
 pub(super) const FOLDED_PART_COUNT: usize = 16;
-/// The number of rows in a part; further rows are counted under any customer and region.
+/// The number of rows in a part up to which new rows are added; further hits are counted for each
+/// rule under `OVERFLOW_NAME` as the customer and the region.
 const MAX_PART_ROWS: usize = 256;
-/// Milliseconds for which a page of a folded incarnation stays closed, without its counts.
+/// Milliseconds for which a page of a folded incarnation stays closed after its counts are removed.
 const CLOSED_PAGE_MS: u64 = 7 * 86_400_000;
 
 /// A part of the fleet's table. Fields are positional in the stored part.
@@ -91,7 +92,7 @@
     ((hash ^ (hash >> 32)) % FOLDED_PART_COUNT as u64) as usize
 }
 
-/// A page as it was read; it is closed on condition of this version.
+/// A page as it was read; it is closed only if its entry still has this version.
 struct OpenPage {
     counts: HitCounts,
     version: u64,
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -1,5 +1,5 @@
-//! Changes the fleet's version: stores the parts of a file, then the head, and later confirms that
-//! the version is in force.
+//! Changes the fleet's version of the rules: stores the parts of a file, then the head, which names
+//! the version, and later confirms that the version is in force.
 
 use hallmux_ledger::{Entry, Key, Operation};
 
@@ -15,11 +15,12 @@
 use crate::{ClockReading, Micros};
 
 impl Versions {
-    /// Proposes a file's rules as the fleet's version, in place of any earlier proposal.
+    /// Proposes a file's rules as the fleet's version, in place of any earlier proposal. A what-if
+    /// file only withdraws the earlier proposal.
     pub fn propose(&mut self, file: &str, text: &str, command: RulesCommand) {
         self.proposal = None;
         if matches!(command, RulesCommand::WhatIf(_)) {
-            return; // a what-if file changes nothing
+            return; // a what-if file does not change the fleet's version
         }
         if text.len() > MAX_TEXT_BYTES {
             return self
@@ -107,7 +108,8 @@
 
     /// Takes the next step of a proposal: stores its parts, then changes the head.
     pub(super) fn advance_proposal(&mut self, at: ClockReading) {
-        // A proposal that is not above the head is never stored, however the head was read.
+        // A proposal whose version is not higher than the head's must never be stored, whichever
+        // request the head was read by.
         self.resolve_proposal();
         let Some(proposal) = self
             .proposal
@@ -198,7 +200,7 @@
             .head
             .as_ref()
             .is_some_and(|stored| stored.head.current == to);
-        // Parts that no version needs any more expire after a while.
+        // Parts that no version needs any more expire after `DROPPED_PARTS_MS`.
         for key in dropped.into_iter().flat_map(part_keys) {
             let operation = Operation::Put {
                 expects: None,
--- a/crates/dispatcher/src/send_capacity.rs
+++ b/crates/dispatcher/src/send_capacity.rs
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Records that an execution was sent to an engine. The scheduler has deducted it already, so
-    /// the capacity must be reported again.
+    /// Records that an execution was sent to an engine. The scheduler has deducted the execution
+    /// from the reported capacity already, so the capacity must be reported again even if it equals
+    /// the last report.
     pub fn sent(&mut self, engine_index: EngineIndex) {
         self.reported.remove(&engine_index);
     }
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -1,4 +1,5 @@
-//! Statements: the state of each from its arrival until it is finished with nothing in flight.
+//! Statements: the state of each from its arrival until it is finished and has no execution in
+//! flight.
 
 use hallmux::interface::{Effect, Micros, Workload};
 
@@ -32,7 +33,7 @@
 }
 
 /// The time from the first execution during which engines drop repeats of a workload's statements;
-/// None if they never do.
+/// None if they never drop them.
 pub fn repeat_window(workload: &Workload) -> Option<Micros> {
     (workload.effect == Effect::Deduplicated).then_some(workload.dedup_window)
 }
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Removes and returns the watched statements that finished with nothing in flight since the
-    /// last call.
+    /// Removes and returns the watched statements that, since the last call, have finished and have
+    /// no execution in flight.
     pub fn watched_ends(&mut self) -> Vec<Ticket> {
         std::mem::take(&mut self.watched_ends)
     }
--- a/crates/fleet/src/exchange/reports.rs
+++ b/crates/fleet/src/exchange/reports.rs
@@ -1,5 +1,5 @@
-//! Reports on engines: sends this front's observations, and passes the reports of other fronts to the
-//! dispatcher.
+//! Reports on engines: sends this front's observations, and passes the reports of other fronts to
+//! the dispatcher.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,18 +12,19 @@
 use super::Exchange;
 use crate::{engine_hash, ClockReading};
 
-/// Granularity of reported silence in milliseconds. Each step is a new report that all fronts forward, so finer
-/// steps cost more traffic.
+/// Granularity of reported silence in milliseconds. Each step is a new report that all fronts
+/// forward, so finer steps cost more traffic.
 const SILENCE_STEP_MS: Micros = 500;
 /// Maximum number of reporters that the dispatcher distinguishes in one incarnation of this front.
+/// Once this number is reached, no further reports are passed to the dispatcher.
 const MAX_REPORTERS: usize = 4_096;
 
 /// A peer and the hash of an engine that it reports on.
 pub(super) type ReportedEngine = (PeerId, u64);
 
 impl Exchange {
-    /// Reports this front's observations of engines, worst first, and its ownership report; applies the ownership
-    /// reports of other fronts.
+    /// Reports this front's observations of engines, by longest silence and then by most failures,
+    /// and its ownership report; applies the ownership reports of other fronts.
     pub(super) fn report_observations(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let observations = dispatcher.observations(at.now);
         let mut sightings: Vec<EngineStatus> = observations.iter().map(sighting).collect();
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Passes changed peer reports to the dispatcher; returns those on engines that the peer's previous report did
-    /// not list.
+    /// Passes changed peer reports to the dispatcher; returns those on engines that the peer's
+    /// previous report did not list.
     pub(super) fn pass_peer_reports(
         &mut self,
         now: Micros,
@@ -49,7 +50,8 @@
         let reports = self.node.peer_reports(now);
         for report in &reports {
             let known = self.known_reports.get(&reported_engine(report));
-            // The number of reporters is bounded, because keys, and with them reporters, come and go.
+            // The number of reporters is bounded, because a front that changes its key counts as a
+            // new reporter.
             if known == Some(&report.status) || self.reporters.len() >= MAX_REPORTERS {
                 continue;
             }
--- a/crates/fleet/src/ledger_barrier/key_state.rs
+++ b/crates/fleet/src/ledger_barrier/key_state.rs
@@ -1,8 +1,8 @@
-//! The state of one ledger key that this front holds or waits for. At most one request for a key is pending at
-//! a time.
+//! The state of one ledger key that this front holds or waits for. At most one request for a key is
+//! pending at a time.
 //!
-//! `requests` decides what to request from the ledger, `answers` processes its answers, and `dedup_window`
-//! determines how long engines drop repeats of a dedup key.
+//! `requests` decides what to request from the ledger, `answers` processes its answers, and
+//! `dedup_window` determines how long engines drop repeats of a dedup key.
 
 mod answers;
 mod dedup_window;
@@ -16,9 +16,9 @@
 use super::refusal::Refusal;
 use super::requirements::{EngineGroup, RequestId};
 
-/// Microseconds until a key that another front holds is requested again; doubles with each attempt. The ledger
-/// notifies this front when the key is free; retries cover lost notifications, and fronts of an earlier build
-/// that send none.
+/// Microseconds until a key that another front holds is requested again; doubles with each attempt.
+/// The ledger notifies this front when the key is free; retries cover lost notifications, and
+/// fronts of an earlier build that send none.
 const RETRY_BACKOFF: Micros = 40_000;
 /// Upper limit of the backoff in microseconds, and so of the time that a free key stays unused.
 const MAX_RETRY_BACKOFF: Micros = 320_000;
@@ -28,7 +28,8 @@
 const REQUEST_TIMEOUT: Micros = 600_000;
 /// Microseconds until a failed request to free a key is repeated.
 const FREE_RETRY_INTERVAL: Micros = 1_000_000;
-/// Milliseconds for which a transaction's key is claimed; the claim is renewed after half of that time.
+/// Milliseconds for which a transaction's key is claimed; the claim is renewed after half of that
+/// time.
 const TRANSACTION_CLAIM_MS: u64 = 20_000;
 
 /// The purpose of the pending request.
@@ -36,7 +37,8 @@
 enum Purpose {
     /// Holds the key for executions in this group.
     Claim { group: EngineGroup },
-    /// Keeps other fronts from the key for a while, although this front has no execution in flight under it.
+    /// Keeps other fronts from the key until the reservation expires, although this front has no
+    /// execution in flight under it.
     Reserve,
     /// Frees the key.
     Free,
@@ -47,7 +49,8 @@
 /// Whether a shard has answered this front since it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShardState {
-    /// The shard has not answered, and the front has started so recently that the shard may still be starting.
+    /// The shard has not answered, and the front has started so recently that the shard may still
+    /// be starting.
     Starting,
     /// The shard has answered, or should have done so by now.
     Started,
@@ -56,7 +59,8 @@
 /// The result of a claim or an answer for the executions that wait for a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// The waiting executions must be checked again: some may now be released, or the next request is due.
+    /// The waiting executions must be checked again: some may now be released, or the next request
+    /// is due.
     Recheck,
     /// The executions of these statements can't acquire the key, for this reason.
     Refuse {
@@ -92,7 +96,8 @@
 /// The state of one key that this front holds or waits for.
 pub(super) struct KeyState {
     kind: Kind,
-    /// Microseconds past a statement's end for which other executions are kept from the key.
+    /// Microseconds past a statement's end for which other executions are kept from the key; for a
+    /// dedup key, the time during which engines drop repeats.
     retention_after_end: Micros,
     /// The claims of the executions that wait for the key, by statement.
     waiting: BTreeMap<Ticket, Claim>,
@@ -106,7 +111,8 @@
     group: EngineGroup,
     /// The version of the entry that the next request replaces; 0 if there is none.
     version: u64,
-    /// Unix milliseconds until which this front may hold the key, counting requests that no answer confirmed.
+    /// Unix milliseconds until which this front may hold the key, counting requests that no answer
+    /// confirmed.
     may_be_held_until_ms: u64,
     /// The id of the request that makes this front's entry, by which the entry is recognized.
     request_id: RequestId,
@@ -130,13 +136,15 @@
     may_still_run: bool,
     /// Unix milliseconds from which no execution released by this front can still be running.
     runs_until_ms: u64,
-    /// For a dedup key: the statement whose execution was the first one released under this front's entry.
+    /// For a dedup key: the statement whose execution was the first one released under this front's
+    /// entry.
     first_executed: Option<Ticket>,
-    /// For a dedup key: Unix milliseconds until which engines are sure to drop a repeat of the first execution
-    /// released here. Until an execution is released, the time counts from the request that made the entry.
+    /// For a dedup key: Unix milliseconds until which engines are sure to drop a repeat of the
+    /// first execution released here. Until an execution is released, the time counts from the
+    /// request that made the entry.
     dropped_until_ms: u64,
-    /// The same limit for the executions under an entry that existed before this front's: all executions of
-    /// this front repeat those.
+    /// The same limit for the executions under an entry that existed before this front's: all
+    /// executions of this front repeat those. None if there was no such entry.
     inherited_dropped_until_ms: Option<u64>,
 }
 
@@ -175,7 +183,8 @@
         self.blocked
     }
 
-    /// Whether this front needs the key no longer and has nothing left to request for it.
+    /// Whether this front no longer needs the key, has no pending request for it, and can no longer
+    /// hold it.
     pub fn is_discardable(&self, now: Micros) -> bool {
         self.is_unused()
             && self.pending_request.is_none()
@@ -202,13 +211,14 @@
             && !self.is_dedup_expired(now, ticket)
     }
 
-    /// Whether the key is available to a statement: the entry of a non-idempotent statement is exclusive to it.
+    /// Whether the key is available to a statement: the entry of a non-idempotent statement is
+    /// exclusive to it.
     fn is_for_statement(&self, ticket: Ticket) -> bool {
         self.kind != Kind::Begun || self.executing.iter().all(|other| *other == ticket)
     }
 
-    /// Whether the key is held for a group: a dedup key is held for one group only, and for none while it is
-    /// requested for another.
+    /// Whether the key is held for a group: a dedup key is held for one group only, and for none
+    /// while it is requested for another.
     fn is_for_group(&self, group: EngineGroup) -> bool {
         if self.kind != Kind::Dedup {
             return true;
@@ -256,8 +266,8 @@
         }
     }
 
-    /// Records that a statement has ended. The key stays reserved if an execution under it may still run, or,
-    /// for keys other than order keys, if one may have run.
+    /// Records that a statement has ended. The key stays reserved if an execution under it may
+    /// still run, or, for keys other than order keys, if one may have run.
     pub fn end_statement(&mut self, now: Micros, statement: StatementFinished) {
         self.waiting.remove(&statement.ticket);
         let reserves = if self.kind == Kind::Order {
@@ -276,7 +286,8 @@
         self.transactions += 1;
     }
 
-    /// Records that a transaction has ended. If it `may_still_run`, the key stays reserved for a while.
+    /// Records that a transaction has ended. If it `may_still_run`, the key stays reserved for
+    /// `retention_after_end`.
     pub fn release_transaction(&mut self, now: Micros, may_still_run: bool) {
         self.transactions = self.transactions.saturating_sub(1);
         if may_still_run {
@@ -288,9 +299,9 @@
         self.reserved_until = self.reserved_until.max(now + self.retention_after_end);
     }
 
-    /// Processes the ledger's notification that the key is free and this front is next in its queue. Returns
-    /// whether the key must be requested now: false if `number` is not that of the latest claim, or another
-    /// front no longer blocks the key.
+    /// Processes the ledger's notification that the key is free and this front is next in its
+    /// queue. Returns whether the key must be requested now: false if `number` is not that of the
+    /// latest claim, if another front no longer blocks the key, or if a request is pending.
     pub fn key_available(&mut self, now: Micros, number: u64) -> bool {
         let next = self.blocked && self.claim_number == number && self.pending_request.is_none();
         if next {
--- a/crates/fleet/src/ownership/messages.rs
+++ b/crates/fleet/src/ownership/messages.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Adds the pending lease requests, and the pending outputs of this front's voter, to `out`; a voter's datagrams
-    /// are sent only after its save.
+    /// Adds the pending lease requests, and the pending outputs of this front's voter, to `out`; a
+    /// voter's datagrams are sent only after its save.
     pub fn send(&mut self, at: ClockReading, node: &mut Node, out: &mut Output) {
         for request in std::mem::take(&mut self.requests) {
             if request.to == self.local_id {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Converts the voter's messages to datagrams; passes its replies to this front directly to the lease holder.
+    /// Converts the voter's messages to datagrams; passes its replies to this front directly to the
+    /// lease holder. Messages to fronts whose address is unknown are dropped.
     fn voter_datagrams(
         &mut self,
         at: ClockReading,
@@ -89,7 +90,8 @@
     }
 }
 
-/// Seals a lease message in a datagram. None if the channel's rate limit is exceeded.
+/// Seals a lease message in a datagram. None if the message is too long for a datagram or exceeds
+/// the channel's rate limit.
 fn seal(
     at: ClockReading,
     node: &mut Node,
--- a/crates/gossip/src/load_reports.rs
+++ b/crates/gossip/src/load_reports.rs
@@ -131,8 +131,8 @@
             .map(|(reporter, _)| *reporter)
     }
 
-    /// Picks reports to send within `budget` bytes: those sent least often first, among them the
-    /// latest, each at most `MAX_SENDS` times.
+    /// Picks reports to send within `budget` bytes: those sent least often first and, among those
+    /// sent equally often, the latest first; each at most `MAX_SENDS` times.
     pub fn pick_to_send(&mut self, now: Micros, mut budget: usize) -> Vec<Signed> {
         let is_eligible =
             |report: &&mut StoredReport| report.is_current(now) && report.times_sent < MAX_SENDS;
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -49,7 +49,8 @@
     pub failed: u8,
     /// Executions that were answered in the last few seconds, capped at 255.
     pub answered: u8,
-    /// Milliseconds without an answer while executions are in flight; 0 if the engine answers.
+    /// Milliseconds without an answer while executions are in flight, capped at 65,535; 0 if the
+    /// engine answers.
     pub silent_ms: u16,
     /// Whether the engine announced that it drains or shuts down.
     pub drains: bool,
--- a/crates/gossip/src/seal/peer.rs
+++ b/crates/gossip/src/seal/peer.rs
@@ -3,9 +3,11 @@
 use super::VerificationError;
 use crate::Micros;
 
-/// Maximum distance by which a sender's datagrams may arrive out of order.
+/// Maximum distance, in datagram numbers, by which a sender's datagrams may arrive out of order.
 const SEQUENCE_WINDOW: u32 = 256;
-/// Microseconds that a datagram may be in transit beyond the minimum delay seen.
+/// Microseconds that a datagram may be in transit beyond the minimum delay seen. Also the length of
+/// the time windows of that minimum, and the silence after which an earlier incarnation of the
+/// sender is accepted.
 pub(super) const TIME_WINDOW: Micros = 10_000_000;
 
 /// The replay protection state of a front, derived from its datagrams.
@@ -36,13 +38,14 @@
         window_started: 0,
     };
 
-    /// The minimum apparent delay in milliseconds: the clock offset plus the network delay.
+    /// The minimum apparent delay in milliseconds: the clock offset plus the network delay;
+    /// `i64::MAX` if no datagram was recorded in the time windows.
     pub(super) fn min_delay_ms(&self) -> i64 {
         self.min_delay_ms[0].min(self.min_delay_ms[1])
     }
 
-    /// Checks, before the signature, whether a datagram can be new. `delay_ms` is its apparent
-    /// delay.
+    /// Checks, before the signature is verified, whether a datagram can be new. `delay_ms` is its
+    /// apparent delay.
     pub(super) fn check(
         &self,
         now: Micros,
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -71,13 +71,14 @@
             .map(|held| held.token)
     }
 
-    /// The end of the lease, in the past if it has expired; None if the front never held it or was
-    /// denied the last renewal.
+    /// The end of the lease, in the past if it has expired; None if the front never held it or a
+    /// request was denied since.
     pub fn valid_until(&self) -> Option<Micros> {
         self.held.map(|held| held.valid_until)
     }
 
-    /// Takes the progress of the previous owner: Some once after each grant.
+    /// Takes the progress of the previous owner: Some once after each grant of a new token, not
+    /// after renewals.
     pub fn take_inherited_progress(&mut self) -> Option<Vec<u8>> {
         self.inherited_progress.take()
     }
@@ -161,7 +162,7 @@
                 }
                 self.held = Some(held);
             }
-            // Another front holds the lease, or may hold it already.
+            // Another front may hold the lease already.
             Reply::Denied { .. } => self.held = None,
             Reply::NotLeader { leader, .. } => {
                 let leader_index = self.voters.iter().position(|voter| voter == leader);
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -78,7 +78,8 @@
     pub number: u64,
     /// The token of the lease to renew; None requests a new lease.
     pub token: Option<Token>,
-    /// The progress of the work, stored with the lease for the next owner.
+    /// The progress of the work, stored with the lease for the next owner; empty in a request for a
+    /// new lease.
     pub progress: Vec<u8>,
 }
 
@@ -95,7 +96,8 @@
         /// lease.
         progress: Vec<u8>,
     },
-    /// Another front holds the lease, or may still hold it.
+    /// The last owner may still hold the lease, or the lease to be renewed is no longer the current
+    /// one.
     Denied {
         /// The number of the request.
         number: u64,
@@ -168,7 +170,7 @@
     pub request: Request,
 }
 
-/// Encodes an envelope with postcard.
+/// Encodes an envelope with postcard. A failure yields no bytes.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
     postcard::to_stdvec(envelope).unwrap_or_default()
 }
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -31,7 +31,7 @@
     pub local_id: FrontId,
     /// All voters, in any order.
     pub voters: Vec<FrontId>,
-    /// The duration of a lease.
+    /// The duration of a lease and the clock drift it tolerates.
     pub terms: LeaseTerms,
 }
 
@@ -154,8 +154,8 @@
         self.collect_output(now)
     }
 
-    /// Handles a message from a front whose signature was verified. Messages of another fleet and
-    /// log messages that do not come from the voter they name are ignored.
+    /// Handles a message whose sender `from` was verified by its signature. Messages of another
+    /// fleet and log messages that do not come from the voter they name are ignored.
     pub fn receive(&mut self, now: Micros, from: FrontId, envelope: Envelope) -> Output {
         if envelope.fleet != self.fleet {
             return Output::default();
@@ -176,8 +176,9 @@
         self.collect_output(now)
     }
 
-    /// Handles a front's request for a lease or its renewal. If the voter is not ready it sends no
-    /// reply; the front then repeats the request.
+    /// Handles a front's request for a lease or its renewal. The voter sends no reply if it knows
+    /// no leader, is the leader but not ready, or finds the progress too long; the front then
+    /// repeats the request.
     fn handle_request(&mut self, now: Micros, requester: FrontId, request: Request) {
         let number = request.number;
         let Some(leader) = self.leader() else { return };
@@ -222,8 +223,8 @@
     }
 
     /// Whether the last owner's lease has certainly expired, whichever voter confirmed it and when.
-    /// The block counts from when this voter became the leader, from when it learned of the last
-    /// confirmation, and from its own start.
+    /// The block must have passed since this voter became the leader, since it learned of the last
+    /// confirmation, and since its own start.
     fn is_free(&self, now: Micros, task: Task) -> bool {
         let block_has_passed = |since: Micros| now >= since + self.terms.blocked_for();
         let since_leading = self.leading_since.is_some_and(block_has_passed);
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -1,4 +1,5 @@
-//! Periodic work: bootstraps shards that have not started, and replaces missing replicas.
+//! Periodic work: bootstraps shards that have not started and, for shards that this front leads,
+//! replaces missing replicas, moves replicas for balance, compares them and transfers leadership.
 
 use crate::bootstrap::{Bootstrap, Step};
 use crate::encoding::encode;
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Takes the next step of a shard that has not started yet.
+    /// Takes the next step of bootstrapping a shard.
     pub(crate) fn advance_bootstrap(&mut self, at: ClockReading, shard: u16) {
         let local = ReplicaIncarnation {
             id: self.local,
@@ -70,8 +71,8 @@
                 }
             }
             Step::Start(members) => {
-                // The other fronts start once they learn that this front has agreed, so that is
-                // sent once more.
+                // The other fronts start once they learn that this front has agreed, so its
+                // agreement is sent once more.
                 let agreed = bootstrap.agreed().to_vec();
                 self.send_agreed(at, shard, &placed, &agreed);
                 let state = State::new(Limits::of(&self.setup));
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -24,7 +24,7 @@
 
 /// Maximum number of requests that wait for a round.
 const MAX_QUEUED: usize = 4_096;
-/// Bytes of requests in a round: some datagrams to each member.
+/// Bytes of requests at which a round takes no more of them: a few datagrams to each member.
 const BATCH_BYTES: usize = 8_192;
 /// Microseconds for which a membership change has priority over the next round.
 const MEMBER_CHANGE_TIMEOUT: Micros = 250_000;
@@ -97,7 +97,8 @@
 
 impl Replica {
     /// Creates the replica of a configuration from the state that its members agree on; it becomes
-    /// durable with the next save.
+    /// durable with the next save. `preferred`: this front wins the first election if there is no
+    /// leader yet. None if the log cannot be created, for example because `local` is not a member.
     pub fn create(
         shard: u16,
         configuration: &Configuration,
@@ -122,7 +123,8 @@
         Some(replica)
     }
 
-    /// Restores the replica from its saved state.
+    /// Restores the replica from its saved state. None if the log cannot be created, for example
+    /// because `local` is not a member.
     pub fn open(
         shard: u16,
         configuration: &Configuration,
@@ -206,7 +208,8 @@
         self.log.receive(from, message)
     }
 
-    /// Queues a request on the leader; false if the queue is full.
+    /// Queues a request on the leader, unless it is queued or proposed already; false if the queue
+    /// is full.
     pub fn enqueue(&mut self, command: Command, received_at: Micros, deadline: Micros) -> bool {
         if self.queue.len() >= MAX_QUEUED {
             return false;
@@ -266,7 +269,8 @@
         advanced
     }
 
-    /// Proposes the queued requests, as many as fit in a round; false if none is proposed.
+    /// Proposes the queued requests, as many as fit in a round, and drops those whose deadline has
+    /// passed; false if none is proposed.
     fn propose_batch(&mut self, now: Micros, wall_ms: u64) -> bool {
         let (mut commands, mut bytes) = (Vec::new(), 0);
         for waiting in std::mem::take(&mut self.queue) {
@@ -348,7 +352,8 @@
     }
 
     /// The base from which a new member starts the next configuration if it has this log's entries
-    /// up to the given index.
+    /// up to the given index: the later entries, or a snapshot if this log no longer has all of
+    /// them.
     pub fn base_after(&self, index: u64) -> Base {
         let from = usize::try_from(index).unwrap_or_default();
         let DecidedSuffix { state, batches } = self.log.decided_since(from);
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -31,8 +31,8 @@
 }
 
 impl Tail {
-    /// The members in the given format, or in the first format if the given one does not name
-    /// itself.
+    /// Creates the tail with these members in the given format, or in the first format if data of
+    /// the given format does not name its format.
     pub fn of(format: u8, next: Option<Vec<ReplicaId>>) -> Tail {
         match next {
             next if format >= FIRST_EXPLICIT_FORMAT => Tail::Explicit { format, next },
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -3,8 +3,8 @@
 //! Inputs: the engines' load reports and this front's load on them, in threads and megabytes.
 //!
 //! A front sees only its own statements. As a report ages, every peer is assumed to have added as
-//! much load as this front has since. Without new reports the estimate decays or, if limits are
-//! pooled, drifts to the typical load.
+//! much load as this front has since. Without new reports the estimate decays towards zero or, if
+//! limits are pooled, moves towards the typical load.
 //!
 //! Source: our extension, `docs/design.md`, "Changed, and when each change acts" and "learning".
 
@@ -14,10 +14,10 @@
 use crate::policy::estimates::MIN_SAMPLE_WEIGHT;
 use crate::random::positive_or;
 
-/// Share of the reported load that each engine check removes; half is gone after about 10 s.
+/// Share of the reported load that each engine check removes; half is removed after about 10 s.
 const PEER_LOAD_DECAY: f64 = 0.007;
-/// Share by which each engine check moves an engine's reported load to the typical one; half in
-/// 3.5 s.
+/// Share of the difference between an engine's reported load and the typical one that each engine
+/// check removes; half is removed after about 3.5 s.
 const PEER_LOAD_DRIFT_TO_TYPICAL: f64 = 0.02;
 /// Age up to which a report is fresh; reports arrive about once per second.
 const FRESH_REPORT_AGE: Micros = SECOND;
@@ -31,7 +31,7 @@
     pub engine: EngineId,
     /// The index of the engine's kind; `None` if it was never listed.
     pub kind: Option<usize>,
-    /// The engine's cores and memory.
+    /// The engine's cores, and its memory in MB.
     pub size: Load,
     /// This front's load on the engine.
     pub local_load: Load,
@@ -85,7 +85,8 @@
     }
 
     /// The estimated current load of peers, assuming that each has added as much as this front
-    /// since the report.
+    /// since the report. `fronts` is the number of fronts, including this one. A decrease of this
+    /// front's load counts likewise, so the result may be negative.
     pub fn peer_load(&self, engine: EngineId, local_load: Load, fronts: f64) -> Load {
         let known = &self.engines[engine];
         let mut added = local_load;
@@ -95,12 +96,13 @@
         peer_load
     }
 
-    /// Clears the load of an engine that has restarted.
+    /// Clears the estimated load of peers on an engine that has restarted.
     pub fn reset(&mut self, engine: EngineId) {
         self.engines[engine].load = Load::default();
     }
 
-    /// Makes an engine count as full until its next report.
+    /// Makes an engine count as full: sets the threads that peers are estimated to use to
+    /// `threads`. Later reports and engine checks change the estimate as usual.
     pub fn assume_full(&mut self, engine: EngineId, threads: f64) {
         self.engines[engine].load.threads = threads;
     }
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Ages the estimates, which are uncertain. `shape` gives an engine's kind and cores.
+    /// Ages the estimates by one engine check: towards zero if limits are kept per engine, towards
+    /// the typical load if they are pooled. `shape` returns an engine's kind and cores.
     pub fn decay(&mut self, shape: impl Fn(EngineId) -> (Option<usize>, f64)) {
         for typical_peer_load in &mut self.typical_peer_load {
             typical_peer_load.blend(Load::default(), PEER_LOAD_DECAY);
--- a/src/policy/shedding.rs
+++ b/src/policy/shedding.rs
@@ -14,8 +14,8 @@
 
 /// Value share of a late answer below which a statement that must be late is shed at once.
 const MIN_LATE_VALUE_SHARE_TO_RUN: f64 = 0.25;
-/// Mean time after which a rejected client may retry, in seconds, spread by half in both
-/// directions.
+/// Mean time after which a rejected client may retry, in seconds. The actual time varies uniformly
+/// from half to one and a half times the mean.
 const RETRY_AFTER_SECONDS: f64 = 0.3;
 
 /// The inputs of the rule for a held statement.
@@ -51,7 +51,8 @@
     }
 
     /// The reason to end the statement when its urgency has changed, if any. Past its latest start
-    /// it is kept and sent before all others, unless statements wait that can still be timely.
+    /// it is kept and sent before all others, unless statements wait that can still be timely
+    /// (`timely_waiting`). It always ends at its rejection time, shortly before its deadline.
     pub fn reason_at_expiry(&self, timely_waiting: bool, now: Micros) -> Option<RejectReason> {
         if now >= rejection_time(self.timing.deadline) {
             return Some(RejectReason::Expiring);
@@ -62,8 +63,8 @@
     }
 }
 
-/// The time after which a rejected client may retry, limited to `longest`; `None` if rejections
-/// name no time. `draw` is in [0, 1).
+/// The time after which a rejected client may retry, limited to `longest`. If `longest` is `None`,
+/// rejections name no time and the result is `None`. `draw` is in [0, 1).
 pub fn retry_after(draw: f64, longest: Option<Micros>) -> Option<Micros> {
     let wait = RETRY_AFTER_SECONDS * (0.5 + draw) * SECOND as f64;
     longest.map(|longest| longest.min(wait as Micros))
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -11,9 +11,10 @@
 
 /// The inputs that are the same for all engines while one statement is placed.
 struct PlacementScan {
-    /// Whether peer reports reduce the limits of the engines that they suspect.
+    /// Whether the suspicions of peer reports reduce the limits of engines.
     apply_suspicion: bool,
-    /// Whether engines of evacuated zones are excluded, as the statement may use others.
+    /// Whether engines of evacuated zones are excluded, because the statement may use engines of
+    /// other zones.
     avoid_evacuated: bool,
     pool: Pool,
 }
@@ -63,7 +64,8 @@
             entry.is_some_and(|entry| statement.allows(workload, entry))
         };
         let allowed = || (0..self.engines.open.len()).filter(is_allowed);
-        // If all engines that the statement may use are suspected, suspicion is ignored.
+        // If all engines that the statement may use are suspected, suspicion is ignored; likewise
+        // evacuation, if all are in evacuated zones.
         PlacementScan {
             apply_suspicion: self.peer_evidence.has_adverse()
                 && allowed().any(|engine| self.peer_limit_share(engine) >= 1.0),
@@ -102,8 +104,8 @@
         })
     }
 
-    /// Whether some workload bound to certain locations or kinds needs the engine, while the
-    /// statement's workload is not bound.
+    /// Whether some workload that is bound to certain locations or kinds may use the engine, while
+    /// the statement's workload is not bound.
     fn is_scarce(&self, statement: &Statement, engine: EngineId) -> bool {
         let is_bound =
             |workload: &Workload| workload.kinds.is_some() || workload.locations.is_some();
--- a/src/scheduler/zones.rs
+++ b/src/scheduler/zones.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Records that an engine is healthy. If this reopens its evacuated zone, the engines of the
-    /// zone warm up.
+    /// Records that an engine is healthy; has no effect unless the engine is a suspect of an
+    /// evacuated zone. If this reopens the zone, the engines of the zone warm up.
     pub(super) fn mark_healthy(&mut self, engine: EngineId) {
         if !self.peer_evidence.is_suspect(engine) {
             return;
@@ -53,7 +53,8 @@
         }
     }
 
-    /// The suspect of the evacuated zones at a share, in [0, 1), of their count.
+    /// Picks one of the listed suspects of the evacuated zones by its relative position `share`, in
+    /// [0, 1). `None` if there are no such suspects.
     pub(super) fn pick_suspect(&self, share: f64) -> Option<EngineId> {
         let is_listed = |engine: &EngineId| self.engines.is_listed(*engine);
         let suspects: Vec<EngineId> = self.peer_evidence.suspects().filter(is_listed).collect();
