--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -25,7 +25,7 @@
 #[derive(Parser)]
 struct Lab {
     #[command(subcommand)]
-    what: Command,
+    command: Command,
 }
 
 #[derive(Subcommand)]
@@ -113,20 +113,20 @@
 }
 
 impl OmittedRule {
-    fn spoils(self) -> Mutation {
-        let whole = Mutation::default();
+    fn mutation(self) -> Mutation {
+        let no_mutation = Mutation::default();
         match self {
             OmittedRule::Act => Mutation {
                 acts_first: true,
-                ..whole
+                ..no_mutation
             },
             OmittedRule::Identity => Mutation {
                 keeps_identity: true,
-                ..whole
+                ..no_mutation
             },
             OmittedRule::Save => Mutation {
                 sends_first: true,
-                ..whole
+                ..no_mutation
             },
         }
     }
@@ -164,7 +164,7 @@
 }
 
 fn main() -> ExitCode {
-    let (seed, units, rounds) = match Lab::parse().what {
+    let (seed, units, rounds) = match Lab::parse().command {
         Command::Prove {
             subject: Subject::Soak,
             seed,
@@ -172,7 +172,7 @@
             ..
         } => {
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-            return proof_result("soak", seed, prove::soak::run(seed, other.as_deref()));
+            return print_proof_result("soak", seed, prove::soak::run(seed, other.as_deref()));
         }
         Command::Prove {
             subject: Subject::Postgres,
@@ -195,13 +195,13 @@
             ..
         } => {
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-            let spoil = without.map(OmittedRule::spoils).unwrap_or_default();
-            let way = prove::promises::RunOptions {
+            let mutation = without.map(OmittedRule::mutation).unwrap_or_default();
+            let options = prove::promises::RunOptions {
                 small,
                 simulated,
                 fronts,
                 copies,
-                spoil,
+                mutation,
             };
             if let Some(only) = only {
                 let played = match only {
@@ -209,14 +209,18 @@
                     PromisePart::Sites => prove::sites::run(seed, small),
                     PromisePart::Rules => prove::rules::run(seed, small),
                     PromisePart::Roll => prove::roll::run(seed, small, other.as_deref()),
-                    PromisePart::Deaths => prove::deaths::run(seed, way),
+                    PromisePart::Deaths => prove::deaths::run(seed, options),
                 };
-                return proof_result("promises", seed, played);
+                return print_proof_result("promises", seed, played);
             }
             if long {
-                return proof_result("promises long", seed, prove::long::run(seed, minutes, way));
+                return print_proof_result(
+                    "promises long",
+                    seed,
+                    prove::long::run(seed, minutes, options),
+                );
             }
-            return proof_result("promises", seed, prove::promises::run(seed, way));
+            return print_proof_result("promises", seed, prove::promises::run(seed, options));
         }
         Command::Fleet {
             scenario,
@@ -231,7 +235,7 @@
                 simulated,
                 fronts,
             };
-            return fleet_run(&scenario, options);
+            return run_fleet(&scenario, options);
         }
         Command::Measure { subject } => {
             let measured = match subject {
@@ -245,18 +249,18 @@
             };
             return match measured {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(why) => {
-                    eprintln!("measure: {why}");
+                Err(error) => {
+                    eprintln!("measure: {error}");
                     ExitCode::FAILURE
                 }
             };
         }
     };
     let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    proof_result(
+    print_proof_result(
         "postgres",
         seed,
-        prove::postgres::run(prove::postgres::Size {
+        prove::postgres::run(prove::postgres::RunSize {
             seed,
             units,
             rounds,
@@ -265,10 +269,10 @@
 }
 
 /// Prints the last line of a proof.
-fn proof_result(name: &str, seed: u64, run: Result<(bool, String), String>) -> ExitCode {
+fn print_proof_result(name: &str, seed: u64, run: Result<(bool, String), String>) -> ExitCode {
     let (passed, tallies) = match run {
         Ok(found) => found,
-        Err(why) => (false, why),
+        Err(error) => (false, error),
     };
     println!("prove {name} seed {seed}: {} {tallies}", verdict(passed));
     exit_code(passed)
@@ -282,7 +286,7 @@
     fronts: Option<usize>,
 }
 
-fn fleet_run(path: &std::path::Path, options: FleetOptions) -> ExitCode {
+fn run_fleet(path: &std::path::Path, options: FleetOptions) -> ExitCode {
     let FleetOptions {
         seed,
         beside_quorum,
@@ -292,8 +296,8 @@
     let read = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     let scenario = match read.and_then(|text| scenario::Scenario::parse(&text, simulated, fronts)) {
         Ok(scenario) => scenario,
-        Err(why) => {
-            eprintln!("fleet: {}: {why}", path.display());
+        Err(error) => {
+            eprintln!("fleet: {}: {error}", path.display());
             return ExitCode::from(2);
         }
     };
@@ -313,16 +317,18 @@
         fleet::run
     };
     let passed = match beside_quorum {
-        Some(quorum) => fleet_beside(&scenario, &format!("{name} seed {seed}"), quorum, &|s| {
-            play(s, seed)
-        }),
-        None => fleet_result(&format!("{name} seed {seed}"), play(&scenario, seed)),
+        Some(quorum) => {
+            run_fleet_comparison(&scenario, &format!("{name} seed {seed}"), quorum, &|s| {
+                play(s, seed)
+            })
+        }
+        None => print_fleet_result(&format!("{name} seed {seed}"), play(&scenario, seed)),
     };
     exit_code(passed)
 }
 
 /// Plays the other quorum first, then the file's, on the same seed; each line as it would stand alone.
-fn fleet_beside(
+fn run_fleet_comparison(
     scenario: &scenario::Scenario,
     name: &str,
     quorum: usize,
@@ -344,9 +350,9 @@
                     run.line()
                 )
             }
-            Err(why) => {
+            Err(error) => {
                 all_passed = false;
-                println!("fleet {name} ({label}): FAIL {why}");
+                println!("fleet {name} ({label}): FAIL {error}");
             }
         }
     }
@@ -354,11 +360,11 @@
 }
 
 /// Prints what a fleet's run came to, and its last line; whether it passed.
-fn fleet_result(name: &str, played: Result<Run, String>) -> bool {
+fn print_fleet_result(name: &str, played: Result<Run, String>) -> bool {
     let run = match played {
         Ok(run) => run,
-        Err(why) => {
-            println!("fleet {name}: FAIL {why}");
+        Err(error) => {
+            println!("fleet {name}: FAIL {error}");
             return false;
         }
     };
--- a/crates/lab/src/measure/fleet.rs
+++ b/crates/lab/src/measure/fleet.rs
@@ -19,7 +19,7 @@
     "gossip_bytes_per_front_s",
 ];
 /// Of a run with an owner that is stopped past its lease.
-const OWNED: [&str; 7] = [
+const OWNER_FIGURES: [&str; 7] = [
     "owners",
     "owner_passed_on",
     "probes_of_earlier_owners",
@@ -28,9 +28,9 @@
     "unanswered",
     "gossip_bytes_per_s",
 ];
-const STALL: &str = include_str!("../../fleet/owner-stall.toml");
-const RETURN: &str = include_str!("../../fleet/zone-return.toml");
-const AWAY: &str = include_str!("../../fleet/zone-away.toml");
+const OWNER_STALL: &str = include_str!("../../fleet/owner-stall.toml");
+const ZONE_RETURN: &str = include_str!("../../fleet/zone-return.toml");
+const ZONE_AWAY: &str = include_str!("../../fleet/zone-away.toml");
 
 pub fn median(mut values: Vec<i64>) -> i64 {
     values.sort_unstable();
@@ -39,14 +39,17 @@
 
 /// Prints a row for each day, size and way: the median of the seeds, and least and most of them.
 pub fn measure() -> Result<(), String> {
-    println!("| day | fronts | voters | {} |", OWNED.join(" | "));
-    println!("| --- | --- | --- |{}", " --- |".repeat(OWNED.len()));
+    println!("| day | fronts | voters | {} |", OWNER_FIGURES.join(" | "));
+    println!(
+        "| --- | --- | --- |{}",
+        " --- |".repeat(OWNER_FIGURES.len())
+    );
     for size in [5, 20, 40] {
         for voters in [None, Some(3), Some(5)] {
-            let mut scenario = Scenario::parse(STALL, true, Some(size))?;
+            let mut scenario = Scenario::parse(OWNER_STALL, true, Some(size))?;
             scenario.fleet.voters = voters;
             let way = voters.map_or("none".to_string(), |voters| voters.to_string());
-            row(&scenario, ("owner-stall", &way), &OWNED)?;
+            print_row(&scenario, ("owner-stall", &way), &OWNER_FIGURES)?;
         }
     }
     println!(
@@ -54,12 +57,12 @@
         FIGURES.join(" | ")
     );
     println!("| --- | --- | --- |{}", " --- |".repeat(FIGURES.len()));
-    for (day, text) in [("zone-return", RETURN), ("zone-away", AWAY)] {
+    for (day, text) in [("zone-return", ZONE_RETURN), ("zone-away", ZONE_AWAY)] {
         for size in SIZES {
             for (way, quorum) in [("off", Some(0)), ("on", None)] {
                 let mut scenario = Scenario::parse(text, true, Some(size))?;
                 scenario.fleet.zone_quorum = quorum;
-                row(&scenario, (day, way), &FIGURES)?;
+                print_row(&scenario, (day, way), &FIGURES)?;
             }
         }
     }
@@ -86,7 +89,11 @@
 }
 
 /// Plays a scenario and prints its row.
-fn row(scenario: &Scenario, (day, way): (&str, &str), figures: &[&str]) -> Result<(), String> {
+fn print_row(
+    scenario: &Scenario,
+    (day, way): (&str, &str),
+    figures: &[&str],
+) -> Result<(), String> {
     let size = scenario.fleet.fronts;
     let runs = runs(scenario, &format!("{day}, {size} fronts, {way}"))?;
     let cell = |figure: &&str| {
--- a/crates/lab/src/measure/gossip.rs
+++ b/crates/lab/src/measure/gossip.rs
@@ -11,8 +11,8 @@
 
 use sim::{Fleet, SECOND};
 
-const SETTLES: Micros = 15 * SECOND; // until all that start at once have found each other
-const LOOK: Micros = 50_000; // microseconds between looks at who has heard
+const SETTLE_TIME: Micros = 15 * SECOND; // until all that start at once have found each other
+const CHECK_INTERVAL: Micros = 50_000; // microseconds between looks at who has heard
 const ROUNDS: usize = 3; // suspicions, each of another front
 
 /// Prints a row for each size; an error is a suspicion that did not reach all.
@@ -23,7 +23,7 @@
         let began = Instant::now();
         let mut fleet = Fleet::with_seeds(size, 42, 3);
         fleet.loss_rate = loss;
-        fleet.run(SETTLES);
+        fleet.run(SETTLE_TIME);
         let before = fleet.bytes_sent();
         let since = fleet.now;
         let (mut nine, mut all) = (Vec::new(), Vec::new());
@@ -42,7 +42,7 @@
             );
             let mut heard = 0;
             while heard < size - 1 && fleet.now < at + 8 * SECOND {
-                fleet.run(fleet.now + LOOK);
+                fleet.run(fleet.now + CHECK_INTERVAL);
                 heard = fleet.fronts_with_report_on(engine).len();
                 if heard * 10 >= (size - 1) * 9 && nine.len() == round {
                     nine.push((fleet.now - at) / 1000);
--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -11,10 +11,10 @@
 use crate::simulated;
 
 const SIZES: [usize; 4] = [5, 20, 40, 300];
-const PER_FRONT: u64 = 2; // statements a second and front
+const STATEMENTS_PER_FRONT: u64 = 2; // statements a second and front
 const SECONDS: u64 = 24;
-const LOST_MS: u64 = 8_000; // milliseconds of load until a disk is lost
-const GONE_MS: u64 = 1_000; // milliseconds until its front is back
+const DISK_LOST_MS: u64 = 8_000; // milliseconds of load until a disk is lost
+const FRONT_AWAY_MS: u64 = 1_000; // milliseconds until its front is back
 const SEED: u64 = 7;
 
 /// What is told of each size.
@@ -24,22 +24,22 @@
     cpu_ms: f64,
     promise_ms: f64,
     plain_ms: f64,
-    again_ms: f64,
+    repair_ms: f64,
     late: usize,
     refused: usize,
 }
 
-fn day(fronts: usize, copies: usize, faults: Vec<Fault>) -> Scenario {
-    let way = RunOptions {
+fn scenario_of(fronts: usize, copies: usize, faults: Vec<Fault>) -> Scenario {
+    let options = RunOptions {
         small: true,
         simulated: true,
         fronts: Some(fronts),
         copies,
         ..RunOptions::default()
     };
-    let mut scenario = draw(SEED, way);
+    let mut scenario = draw(SEED, options);
     (scenario.faults, scenario.seconds) = (faults, SECONDS);
-    scenario.load.per_second = PER_FRONT * fronts as u64;
+    scenario.load.per_second = STATEMENTS_PER_FRONT * fronts as u64;
     // As many keys for each front: whoever waits for another's key measures that.
     scenario
         .classes
@@ -51,11 +51,11 @@
 
 /// Milliseconds beyond their work that the completed statements of some classes took; the median.
 fn beyond_work(scenario: &Scenario, run: &Run, promised: bool) -> f64 {
-    let own = |o: &&Offered| {
+    let is_counted = |o: &&Offered| {
         let completed = matches!(o.asked.outcome, Outcome::Completed { .. });
         completed && scenario.classes[o.class].needs_promise() == promised
     };
-    let mut took: Vec<f64> = (run.asked.iter().filter(own))
+    let mut took: Vec<f64> = (run.asked.iter().filter(is_counted))
         .map(|o| {
             let work = scenario.classes[o.class]
                 .work_ms
@@ -66,8 +66,8 @@
     super::spread(&mut took).median
 }
 
-fn row(fronts: usize, copies: usize) -> Result<Row, String> {
-    let quiet = day(fronts, copies, Vec::new());
+fn measure_row(fronts: usize, copies: usize) -> Result<Row, String> {
+    let quiet = scenario_of(fronts, copies, Vec::new());
     let began = Instant::now();
     let run = simulated::run(&quiet, SEED)?;
     let cpu_ms = began.elapsed().as_secs_f64() * 1000.0 / (fronts as f64 * SECONDS as f64);
@@ -77,27 +77,27 @@
         beyond_work(&quiet, &run, true),
         beyond_work(&quiet, &run, false),
     );
-    let (mut again_ms, mut late, mut refused) = (f64::NAN, 0, 0);
+    let (mut repair_ms, mut late, mut refused) = (f64::NAN, 0, 0);
     if copies > 0 {
         let most = tally(&run, "keeps_most") as usize;
         let lost = Fault {
             front: most,
-            ..fault(FaultKind::LoseDisk, LOST_MS, GONE_MS)
+            ..fault(FaultKind::LoseDisk, DISK_LOST_MS, FRONT_AWAY_MS)
         };
-        let day = day(fronts, copies, vec![lost]);
-        let run = simulated::run(&day, SEED)?;
+        let loss_run = scenario_of(fronts, copies, vec![lost]);
+        let run = simulated::run(&loss_run, SEED)?;
         if tally(&run, "copies_made_again") > 0 {
-            again_ms = tally(&run, "copies_again_ms") as f64;
+            repair_ms = tally(&run, "copies_again_ms") as f64;
         }
         // While copies are made again, of those that the lost front itself had none.
         let after = |o: &&Offered| !o.asked.may_be_lost && o.front != most;
-        let slo = |o: &Offered| day.classes[o.class].slo_ms as i64 * 1000;
-        let came = |o: &Offered| matches!(o.asked.outcome, Outcome::Completed { .. });
-        let others = || run.asked.iter().filter(after);
-        late = others()
-            .filter(|o| came(o) && o.asked.answered - o.asked.sent > slo(o))
+        let slo = |o: &Offered| loss_run.classes[o.class].slo_ms as i64 * 1000;
+        let completed = |o: &Offered| matches!(o.asked.outcome, Outcome::Completed { .. });
+        let later_statements = || run.asked.iter().filter(after);
+        late = later_statements()
+            .filter(|o| completed(o) && o.asked.answered - o.asked.sent > slo(o))
             .count();
-        refused = others()
+        refused = later_statements()
             .filter(|o| matches!(o.asked.outcome, Outcome::Error(_)))
             .count();
     }
@@ -107,7 +107,7 @@
         cpu_ms,
         promise_ms,
         plain_ms,
-        again_ms,
+        repair_ms,
         late,
         refused,
     })
@@ -127,25 +127,25 @@
 }
 
 pub fn measure() -> Result<(), String> {
-    println!("Simulated, seed {SEED}, {PER_FRONT} statements a second and front for {SECONDS} s, 3 in 7 need a promise:");
+    println!("Simulated, seed {SEED}, {STATEMENTS_PER_FRONT} statements a second and front for {SECONDS} s, 3 in 7 need a promise:");
     println!();
     println!("| fronts | copies | bytes a second a front | machine's ms a front and second | beyond its work: needs a promise, ms | needs none, ms | all copies again, ms | late by the loss | refused |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut rows = Vec::new();
     for fronts in SIZES {
         for copies in [0, 3] {
-            let row = row(fronts, copies)?;
+            let row = measure_row(fronts, copies)?;
             let Row {
                 bytes,
                 cpu_ms,
                 promise_ms,
                 plain_ms,
-                again_ms,
+                repair_ms,
                 late,
                 refused,
                 ..
             } = row;
-            println!("| {fronts} | {copies} | {bytes:.0} | {cpu_ms:.2} | {promise_ms:.1} | {plain_ms:.1} | {again_ms:.0} | {late} | {refused} |");
+            println!("| {fronts} | {copies} | {bytes:.0} | {cpu_ms:.2} | {promise_ms:.1} | {plain_ms:.1} | {repair_ms:.0} | {late} | {refused} |");
             if copies > 0 {
                 rows.push(row);
             }
@@ -157,7 +157,7 @@
         exponent(&rows, |r| r.bytes),
         exponent(&rows, |r| r.cpu_ms),
         exponent(&rows, |r| r.promise_ms),
-        exponent(&rows, |r| r.again_ms),
+        exponent(&rows, |r| r.repair_ms),
     );
     Ok(())
 }
--- a/crates/lab/src/measure/overload.rs
+++ b/crates/lab/src/measure/overload.rs
@@ -8,13 +8,13 @@
 use crate::rig::scenario::{Budgets, Scenario};
 
 const SIZES: [usize; 4] = [5, 20, 40, 300];
-const OFFERED: [u64; 5] = [50, 100, 150, 200, 300]; // percent of what the engines bear
-const BORNE: u64 = 640; // statements a second that the engines of the day bear
-const DAY: &str = include_str!("../../fleet/overload.toml");
+const OFFERED_PERCENT: [u64; 5] = [50, 100, 150, 200, 300]; // percent of what the engines bear
+const CAPACITY_PER_SECOND: u64 = 640; // statements a second that the engines of the day bear
+const OVERLOAD: &str = include_str!("../../fleet/overload.toml");
 const RELEASE: &str = include_str!("../../fleet/release.toml");
 const CUSTOMERS: &str = include_str!("../../fleet/overload-customers.toml");
-const WAYS: [(&str, bool); 2] = [("off", false), ("on", true)];
-const SHED: [&str; 7] = [
+const FLEET_MODES: [(&str, bool); 2] = [("off", false), ("on", true)];
+const OVERLOAD_FIGURES: [&str; 7] = [
     "in_time_per_s",
     "worth_per_s",
     "attempts_over_first_pct",
@@ -23,13 +23,13 @@
     "refused",
     "unanswered",
 ];
-const RELEASED: [&str; 4] = [
+const RELEASE_FIGURES: [&str; 4] = [
     "released_connections_most_s",
     "released_probes_most_s",
     "released_connections",
     "released_in_time_pct",
 ];
-const BAR: i64 = 20; // statements a second that one sign of the plot stands for
+const STATEMENTS_PER_BAR_SIGN: i64 = 20; // statements a second that one sign of the plot stands for
 
 /// The middle, least and most of a figure over the runs.
 fn cell(runs: &[Run], figure: &str) -> (i64, String) {
@@ -46,12 +46,12 @@
     }
 }
 
-fn row(head: &str, runs: &[Run], figures: &[&str]) {
+fn print_row(head: &str, runs: &[Run], figures: &[&str]) {
     let cells: Vec<String> = figures.iter().map(|figure| cell(runs, figure).1).collect();
     println!("| {head} | {} |", cells.join(" | "));
 }
 
-fn heads(first: &str, figures: &[&str]) {
+fn print_header(first: &str, figures: &[&str]) {
     println!("| {first} | {} |", figures.join(" | "));
     println!(
         "|{}",
@@ -61,33 +61,37 @@
 
 /// Prints the tables and the plot.
 pub fn measure() -> Result<(), String> {
-    heads(
+    print_header(
         "offered, % of what is borne | fronts | the fleet as one",
-        &SHED,
+        &OVERLOAD_FIGURES,
     );
     let mut plot = Vec::new();
     let mut held = Vec::new();
     for size in SIZES {
         let mut goodput = [Vec::new(), Vec::new()];
-        for percent in OFFERED {
-            for (n, (way, as_one)) in WAYS.into_iter().enumerate() {
-                let mut scenario = Scenario::parse(DAY, true, Some(size))?;
-                scenario.load.per_second = BORNE * percent / 100;
+        for percent in OFFERED_PERCENT {
+            for (n, (mode, as_one)) in FLEET_MODES.into_iter().enumerate() {
+                let mut scenario = Scenario::parse(OVERLOAD, true, Some(size))?;
+                scenario.load.per_second = CAPACITY_PER_SECOND * percent / 100;
                 scenario.fleet.sheds_as_one = as_one;
-                let runs = runs(&scenario, &format!("{size} fronts, {percent} %, {way}"))?;
-                row(&format!("{percent} | {size} | {way}"), &runs, &SHED);
+                let runs = runs(&scenario, &format!("{size} fronts, {percent} %, {mode}"))?;
+                print_row(
+                    &format!("{percent} | {size} | {mode}"),
+                    &runs,
+                    &OVERLOAD_FIGURES,
+                );
                 goodput[n].push(cell(&runs, "in_time_per_s").0);
             }
         }
-        for ((way, _), goodput) in WAYS.iter().zip(&goodput) {
+        for ((mode, _), goodput) in FLEET_MODES.iter().zip(&goodput) {
             let peak = goodput.iter().max().copied().unwrap_or(0).max(1);
             held.push(format!(
-                "| {size} | {way} | {} |",
+                "| {size} | {mode} | {} |",
                 goodput.last().unwrap_or(&0) * 100 / peak
             ));
-            let bars = OFFERED.iter().zip(goodput).map(|(percent, good)| {
-                let bar = "#".repeat((good / BAR) as usize);
-                format!("{size:>4} {way:>4} {percent:>4} %  {bar} {good}")
+            let bars = OFFERED_PERCENT.iter().zip(goodput).map(|(percent, good)| {
+                let bar = "#".repeat((good / STATEMENTS_PER_BAR_SIGN) as usize);
+                format!("{size:>4} {mode:>4} {percent:>4} %  {bar} {good}")
             });
             plot.extend(bars);
         }
@@ -96,16 +100,19 @@
         "\n| fronts | the fleet as one | goodput at three times over its peak, % |\n| --- | --- | --- |"
     );
     held.iter().for_each(|line| println!("{line}"));
-    println!("\n```\nfronts, as one, offered: goodput, answers in time a second ({BAR} a sign)");
+    println!("\n```\nfronts, as one, offered: goodput, answers in time a second ({STATEMENTS_PER_BAR_SIGN} a sign)");
     plot.iter().for_each(|line| println!("{line}"));
     println!("```\n");
-    released()?;
-    customers()
+    measure_release()?;
+    measure_customers()
 }
 
 /// Seven fronts in ten killed at once and started anew, with the budgets and without.
-fn released() -> Result<(), String> {
-    heads("fronts | budgets, a second into each engine", &RELEASED);
+fn measure_release() -> Result<(), String> {
+    print_header(
+        "fronts | budgets, a second into each engine",
+        &RELEASE_FIGURES,
+    );
     for size in SIZES.into_iter().chain([12]) {
         for most in [0, 10, 100] {
             let mut scenario = Scenario::parse(RELEASE, true, Some(size))?;
@@ -114,12 +121,12 @@
                 probes_per_second: most,
             };
             let runs = runs(&scenario, &format!("release, {size} fronts, {most}"))?;
-            let way = if most == 0 {
+            let mode = if most == 0 {
                 "off".to_string()
             } else {
                 most.to_string()
             };
-            row(&format!("{size} | {way}"), &runs, &RELEASED);
+            print_row(&format!("{size} | {mode}"), &runs, &RELEASE_FIGURES);
         }
     }
     println!();
@@ -127,13 +134,13 @@
 }
 
 /// What of each customer's statements came in time, where one asks for more than its share.
-fn customers() -> Result<(), String> {
+fn measure_customers() -> Result<(), String> {
     println!("| fronts | the fleet as one | customer, workload | asked | in time, % |\n| --- | --- | --- | --- | --- |");
     for size in SIZES {
-        for (way, as_one) in WAYS {
+        for (mode, as_one) in FLEET_MODES {
             let mut scenario = Scenario::parse(CUSTOMERS, true, Some(size))?;
             scenario.fleet.sheds_as_one = as_one;
-            let runs = runs(&scenario, &format!("customers, {size} fronts, {way}"))?;
+            let runs = runs(&scenario, &format!("customers, {size} fronts, {mode}"))?;
             for (n, class) in scenario.classes.iter().enumerate() {
                 let asked: Vec<_> = runs
                     .iter()
@@ -148,7 +155,7 @@
                 let share = in_time.count() * 100 / asked.len().max(1);
                 let (customer, workload) = (&class.customer, &class.name);
                 println!(
-                    "| {size} | {way} | {customer}, {workload} | {} | {share} |",
+                    "| {size} | {mode} | {customer}, {workload} | {} | {share} |",
                     asked.len()
                 );
             }
--- a/crates/lab/src/measure/portal.rs
+++ b/crates/lab/src/measure/portal.rs
@@ -14,9 +14,9 @@
 use crate::scripted::session::Session;
 
 const ROUNDS: usize = 7;
-const WARM: Duration = Duration::from_millis(200);
-const ROUND: Duration = Duration::from_millis(1000);
-const IDLE: usize = 5_000;
+const WARM_UP: Duration = Duration::from_millis(200);
+const ROUND_DURATION: Duration = Duration::from_millis(1000);
+const IDLE_SESSIONS: usize = 5_000;
 
 /// The median and how far the rounds lie apart.
 fn spread(values: &mut [f64]) -> (f64, f64, f64) {
@@ -34,7 +34,7 @@
     statement: tokio_postgres::Statement,
 }
 
-async fn target(port: u16) -> Result<Target, String> {
+async fn connect_target(port: u16) -> Result<Target, String> {
     let why = |e: tokio_postgres::Error| e.to_string();
     let at = format!("host=127.0.0.1 port={port} user=portal dbname=x");
     let (client, connection) = tokio_postgres::connect(&at, NoTls).await.map_err(why)?;
@@ -51,7 +51,7 @@
 async fn latency(target: &Target) -> Result<(f64, f64), String> {
     let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
     let began = Instant::now();
-    while began.elapsed() < WARM + ROUND {
+    while began.elapsed() < WARM_UP + ROUND_DURATION {
         let since = Instant::now();
         let rows = target
             .client
@@ -60,7 +60,7 @@
         if rows.map_err(|e| e.to_string())?.len() != 1 {
             return Err("not one row".into());
         }
-        if began.elapsed() > WARM {
+        if began.elapsed() > WARM_UP {
             times
                 .record(since.elapsed().as_nanos() as u64)
                 .map_err(|e| e.to_string())?;
@@ -91,9 +91,9 @@
             Ok(())
         }));
     }
-    std::thread::sleep(WARM);
+    std::thread::sleep(WARM_UP);
     let (before, since) = (count.load(SeqCst), Instant::now());
-    std::thread::sleep(ROUND);
+    std::thread::sleep(ROUND_DURATION);
     let rate = (count.load(SeqCst) - before) as f64 / since.elapsed().as_secs_f64();
     stop.store(true, SeqCst);
     for thread in threads {
@@ -127,8 +127,8 @@
     let (mut direct_rate, mut through_rate, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
     let targets = runtime.block_on(async {
         Ok::<_, String>((
-            target(engine.at.port()).await?,
-            target(front.sessions.port()).await?,
+            connect_target(engine.at.port()).await?,
+            connect_target(front.sessions.port()).await?,
         ))
     })?;
     let added = |all: &mut Vec<f64>, without: &[f64], with: &[f64]| {
@@ -147,7 +147,8 @@
         direct_rate.push(throughput(targets.0.port, 32)?);
         let before = front.cpu_micros();
         let rate = throughput(targets.1.port, 32)?;
-        let used = (front.cpu_micros() - before) as f64 / (WARM + ROUND).as_micros() as f64;
+        let used =
+            (front.cpu_micros() - before) as f64 / (WARM_UP + ROUND_DURATION).as_micros() as f64;
         through_rate.push(rate);
         cpu.push(used);
     }
@@ -160,7 +161,7 @@
     let at = front.sessions;
     drop(Session::open(at, "portal", false).map_err(why)?);
     let before = front.memory_kb();
-    let idle: Result<Vec<Session>, _> = (0..IDLE)
+    let idle: Result<Vec<Session>, _> = (0..IDLE_SESSIONS)
         .map(|_| Session::open(at, "portal", false))
         .collect();
     let idle = idle.map_err(why)?;
@@ -202,6 +203,6 @@
     );
     let (c, c0, c1) = spread(&mut cpu);
     println!("| of one core, at that rate | - | {c:.2} ({c0:.2} to {c1:.2}) | - | 1 |");
-    println!("| bytes for each of {IDLE} idle sessions | - | {each:.0} | - | 8,192 |");
+    println!("| bytes for each of {IDLE_SESSIONS} idle sessions | - | {each:.0} | - | 8,192 |");
     Ok(())
 }
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -13,21 +13,21 @@
 
 const ROUNDS: usize = 7;
 const FRONTS: usize = 5;
-const ASKED: u64 = 200; // statements of each kind, fleet and round
-const WAYS: [usize; 4] = [0, 1, 3, 5]; // copies; 0: no ledger
-const RULES: [usize; 3] = [10, 1_000, 100_000];
-const DECIDED: usize = 20_000; // decisions of the index in a round; of a walk a number that takes as long
+const STATEMENTS_PER_ROUND: u64 = 200; // statements of each kind, fleet and round
+const COPIES: [usize; 4] = [0, 1, 3, 5]; // copies; 0: no ledger
+const RULE_COUNTS: [usize; 3] = [10, 1_000, 100_000];
+const DECISIONS_PER_ROUND: usize = 20_000; // decisions of the index in a round; of a walk a number that takes as long
 
 /// Prints all tables; an error is a run that could not be made.
 pub fn measure() -> Result<(), String> {
-    rules();
-    added()?;
+    measure_rules();
+    measure_copies()?;
     super::sites::measure()?;
     super::grown::measure()
 }
 
 /// The same fleet with as many copies, no faults, and statements that take no time on an engine.
-fn quiet(copies: usize) -> Scenario {
+fn quiet_scenario(copies: usize) -> Scenario {
     let mut scenario = draw(
         7,
         RunOptions {
@@ -44,9 +44,14 @@
 }
 
 /// Microseconds of one statement after the other, each over a connection of its own; the median.
-fn asked(fleet: &Fleet, first: u64, fields: &[(&str, &str)], keyed: bool) -> Result<f64, String> {
+fn median_latency_us(
+    fleet: &Fleet,
+    first: u64,
+    fields: &[(&str, &str)],
+    keyed: bool,
+) -> Result<f64, String> {
     let mut times = Vec::new();
-    for number in first..first + ASKED {
+    for number in first..first + STATEMENTS_PER_ROUND {
         let member = &fleet.members[(number % FRONTS as u64) as usize];
         let at = member
             .front
@@ -71,9 +76,9 @@
     Ok(spread(&mut times).median)
 }
 
-fn added() -> Result<(), String> {
-    let fleets: Vec<Fleet> = (WAYS.iter())
-        .map(|copies| Fleet::start(&quiet(*copies), *copies as u64))
+fn measure_copies() -> Result<(), String> {
+    let fleets: Vec<Fleet> = (COPIES.iter())
+        .map(|copies| Fleet::start(&quiet_scenario(*copies), *copies as u64))
         .collect::<Result<_, _>>()?;
     let plain = [("verb", "lookup"), ("team", "acme"), ("limit", "4000")];
     let load = [("verb", "log-load"), ("team", "acme"), ("limit", "4000")];
@@ -81,18 +86,18 @@
     // Until every shard has an owner and each front knows it.
     for fleet in &fleets {
         for _ in 0..ROUNDS {
-            let _ = asked(fleet, first, &load, true);
-            first += ASKED;
+            let _ = median_latency_us(fleet, first, &load, true);
+            first += STATEMENTS_PER_ROUND;
         }
     }
-    let mut times = vec![(Vec::new(), Vec::new()); WAYS.len()];
+    let mut times = vec![(Vec::new(), Vec::new()); COPIES.len()];
     for _ in 0..ROUNDS {
         for (fleet, times) in fleets.iter().zip(&mut times) {
             for (fields, keyed, into) in
                 [(&plain, false, &mut times.0), (&load, true, &mut times.1)]
             {
-                into.push(asked(fleet, first, fields, keyed)?);
-                first += ASKED;
+                into.push(median_latency_us(fleet, first, fields, keyed)?);
+                first += STATEMENTS_PER_ROUND;
             }
         }
     }
@@ -102,7 +107,7 @@
         .first()
         .map(|(_, keyed)| keyed.clone())
         .unwrap_or_default();
-    for (copies, (unkeyed, keyed)) in WAYS.iter().zip(&mut times) {
+    for (copies, (unkeyed, keyed)) in COPIES.iter().zip(&mut times) {
         let mut more: Vec<f64> = keyed
             .iter()
             .zip(&none)
@@ -124,7 +129,7 @@
 }
 
 /// So many rules about customers, workloads and groups of tables.
-fn set(count: usize) -> RuleSet {
+fn rule_set(count: usize) -> RuleSet {
     let rule = |n: usize| Rule {
         name: format!("r{n}"),
         customer: (!n.is_multiple_of(3)).then(|| format!("c{}", n % 2_000)),
@@ -152,11 +157,11 @@
     RuleSet::new(1, DefaultEffect::Allow, (0..count).map(rule).collect())
 }
 
-fn rules() {
+fn measure_rules() {
     println!("| rules, {ROUNDS} rounds in turn | index, ns a decision | plain walk, ns a decision | walk / index |");
     println!("| --- | --- | --- | --- |");
-    for count in RULES {
-        let (walk, index) = (set(count), Index::new(set(count)));
+    for count in RULE_COUNTS {
+        let (walk, index) = (rule_set(count), Index::new(rule_set(count)));
         let attributes: Vec<(String, String, u32)> = (0..1_000usize)
             .map(|n| {
                 let at = n.wrapping_mul(7_919) % count;
@@ -181,12 +186,13 @@
                 (0..decisions).for_each(decide);
                 since.elapsed().as_nanos() as f64 / decisions as f64
             };
-            let fast = per(DECIDED, &|n| {
+            let fast = per(DECISIONS_PER_ROUND, &|n| {
                 _ = std::hint::black_box(index.find(&one(n), 1))
             });
-            let slow = per((DECIDED * 10 / count).clamp(50, DECIDED), &|n| {
-                _ = std::hint::black_box(walk.find_linear(&one(n), 1))
-            });
+            let slow = per(
+                (DECISIONS_PER_ROUND * 10 / count).clamp(50, DECISIONS_PER_ROUND),
+                &|n| _ = std::hint::black_box(walk.find_linear(&one(n), 1)),
+            );
             indexed.push(fast);
             walked.push(slow);
             ratios.push(slow / fast);
--- a/crates/lab/src/measure/sites.rs
+++ b/crates/lab/src/measure/sites.rs
@@ -1,7 +1,7 @@
 //! `measure sites`: sites that statements over several are asked of, beside all of them and beside those that
 //! have a row, with loads at several rates, in processes.
 
-use crate::prove::sites::{measured, SitesAsked};
+use crate::prove::sites::{measure_sites, SitesAsked};
 
 const RATES: [f64; 3] = [0.0, 1.0, 10.0]; // loads a second
 const SECONDS: u64 = 24;
@@ -13,7 +13,7 @@
          rows missing | asked for nothing, by why |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let mut lost = 0;
+    let mut missing_rows = 0;
     for (rate, seed) in RATES.into_iter().zip(1..) {
         let SitesAsked {
             scatters,
@@ -22,24 +22,24 @@
             asked,
             with_rows,
             missing,
-            needless,
-        } = measured(seed, rate, SECONDS)?;
+            unnecessary,
+        } = measure_sites(seed, rate, SECONDS)?;
         let ratio = asked as f64 / with_rows.max(1) as f64;
-        let why: Vec<String> = needless
+        let reasons: Vec<String> = unnecessary
             .iter()
-            .map(|(why, count)| format!("{why} {count}"))
+            .map(|(reasons, count)| format!("{reasons} {count}"))
             .collect();
-        let why = if why.is_empty() {
+        let reasons = if reasons.is_empty() {
             "none".to_string()
         } else {
-            why.join(", ")
+            reasons.join(", ")
         };
         let counts = format!("{scatters} | {loads} | {all} | {asked} | {with_rows}");
-        println!("| {rate} | {counts} | {ratio:.2} | {missing} | {why} |");
-        lost += missing;
+        println!("| {rate} | {counts} | {ratio:.2} | {missing} | {reasons} |");
+        missing_rows += missing;
     }
-    if lost > 0 {
-        return Err(format!("{lost} rows missing"));
+    if missing_rows > 0 {
+        return Err(format!("{missing_rows} rows missing"));
     }
     Ok(())
 }
--- a/crates/lab/src/prove/deaths_tests.rs
+++ b/crates/lab/src/prove/deaths_tests.rs
@@ -4,14 +4,14 @@
 
 #[test]
 fn each_run_has_both_rounds_and_never_loses_two_disks_of_a_round() {
-    let way = RunOptions {
+    let options = RunOptions {
         simulated: true,
         copies: 3,
         ..RunOptions::default()
     };
     for seed in 0..100 {
-        let whole = draw(seed, way);
-        assert_eq!(whole, draw(seed, way));
+        let whole = draw(seed, options);
+        assert_eq!(whole, draw(seed, options));
         let count = |what: FaultKind| whole.faults.iter().filter(|f| f.what == what).count();
         // Twice: all disks slow and three of four killed; one emptied between two that are killed.
         assert_eq!(
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -17,40 +17,40 @@
 use crate::rig::member::MemberOptions;
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario, Step};
 
-const FIRST_MS: u64 = 2_500; // milliseconds of load before the first loss
+const FIRST_LOSS_MS: u64 = 2_500; // milliseconds of load before the first loss
 const SLOT_MS: u64 = 7_000; // milliseconds from one loss to the next: the repair lies between
 const REPAIR_AFTER_MS: u64 = 1_500; // milliseconds without a sign of a disk until its copies are made again
-const SLOW_MS: u64 = 2_000; // milliseconds of a sync
-const AFTER_MS: u64 = 3_000;
-const MOST_SECONDS: u64 = 60;
-const LEAST_RUN_PERCENT: i64 = 50; // of the statements that need a promise; with fewer most were refused
-const STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
+const SYNC_DELAY_MS: u64 = 2_000; // milliseconds of a sync
+const LOAD_AFTER_MS: u64 = 3_000;
+const MAX_SECONDS: u64 = 60;
+const MIN_RUN_PERCENT: i64 = 50; // of the statements that need a promise; with fewer most were refused
+const LOSS_STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
 
 struct Disks {
     /// What befalls a disk of a front that owns shards, and when.
-    owners: Vec<Fault>,
+    owner_faults: Vec<Fault>,
     played: Vec<Fault>,
     /// What the fronts whose disks were slow or full have said of it.
-    said: Vec<(FaultKind, usize)>,
+    log_line_counts: Vec<(FaultKind, usize)>,
 }
 
 impl FleetHooks for Disks {
     fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
-        let due = self
-            .owners
+        let is_due = self
+            .owner_faults
             .first()
             .is_some_and(|f| f.at_ms as i64 * 1000 <= since);
-        if !due {
+        if !is_due {
             return Vec::new();
         }
         // One whose disk was slow may keep no copies any more: others took its place.
-        let before: Vec<usize> = self.played.iter().map(|fault| fault.front).collect();
-        let Some(front) = fleet.busiest(&before) else {
+        let already_faulted: Vec<usize> = self.played.iter().map(|fault| fault.front).collect();
+        let Some(front) = fleet.busiest(&already_faulted) else {
             return Vec::new();
         };
         let fault = Fault {
             front,
-            ..self.owners.remove(0)
+            ..self.owner_faults.remove(0)
         };
         self.played.push(fault.clone());
         vec![fault]
@@ -62,7 +62,7 @@
                 FaultKind::DiskFull => "keeps no copies there any more",
                 _ => "a commit took",
             };
-            self.said
+            self.log_line_counts
                 .push((fault.what, fleet.members[fault.front].said(text).len()));
         }
     }
@@ -70,39 +70,39 @@
 
 /// The run of a seed; and what befalls owners' disks.
 fn draw(seed: u64, small: bool) -> (Scenario, Vec<Fault>) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x6469_736b);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6469_736b);
     let fronts = 5;
-    let mut steps = STEPS.to_vec();
-    steps.shuffle(&mut chance);
+    let mut steps = LOSS_STEPS.to_vec();
+    steps.shuffle(&mut rng);
     if small {
         steps.truncate(1);
     }
-    let mut others: Vec<usize> = (0..fronts).collect();
-    others.shuffle(&mut chance);
-    let mut at = FIRST_MS;
+    let mut loss_order: Vec<usize> = (0..fronts).collect();
+    loss_order.shuffle(&mut rng);
+    let mut at = FIRST_LOSS_MS;
     let mut faults = Vec::new();
-    for (step, front) in steps.iter().zip(others) {
+    for (step, front) in steps.iter().zip(loss_order) {
         // Away for less than the repair waits, or for more.
-        let gone = fault(
+        let loss = fault(
             FaultKind::LoseDisk,
-            at + chance.random_range(0..300),
-            chance.random_range(500..2_500),
+            at + rng.random_range(0..300),
+            rng.random_range(500..2_500),
         );
         faults.push(Fault {
             front,
             step: Some(*step),
-            ..gone
+            ..loss
         });
         at += SLOT_MS;
     }
     let slow = Fault {
-        delay_ms: SLOW_MS,
+        delay_ms: SYNC_DELAY_MS,
         ..fault(FaultKind::DiskSlow, at, 4_500)
     };
     let full = fault(FaultKind::DiskFull, at + SLOT_MS, 2_500);
-    let owners = vec![slow, full];
-    let end_ms = at + 2 * SLOT_MS + AFTER_MS;
-    let (keys, work_ms) = (chance.random_range(20..30), chance.random_range(60..140));
+    let owner_faults = vec![slow, full];
+    let end_ms = at + 2 * SLOT_MS + LOAD_AFTER_MS;
+    let (keys, work_ms) = (rng.random_range(20..30), rng.random_range(60..140));
     let keyed = Class {
         share: 2.0,
         asks_again: 2,
@@ -110,7 +110,7 @@
     };
     let once = Class {
         asks_again: 2,
-        ..shape::once(chance.random_range(30..90))
+        ..shape::once(rng.random_range(30..90))
     };
     let scenario = Scenario {
         seed: Some(seed),
@@ -136,13 +136,13 @@
             once,
         ],
     };
-    (scenario, owners)
+    (scenario, owner_faults)
 }
 
 /// A folder of the run's for what befalls disks.
-struct Folder(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -151,11 +151,11 @@
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
 pub fn run(seed: u64, small: bool) -> Result<(bool, String), String> {
     let began = Instant::now();
-    let (mut scenario, owners) = draw(seed, small);
+    let (mut scenario, owner_faults) = draw(seed, small);
     let name = format!("hallmux-disks-{}-{seed}", std::process::id());
-    let folder = Folder(std::env::temp_dir().join(name));
+    let folder = TempFolder(std::env::temp_dir().join(name));
     std::fs::create_dir_all(&folder.0).map_err(|e| e.to_string())?;
-    let beside = (0..scenario.fleet.fronts).map(|front| {
+    let member_options = (0..scenario.fleet.fronts).map(|front| {
         let drill = folder.0.join(format!("drill{front}"));
         let ledger = format!(
             ", shards: 4, repair_after_ms: {REPAIR_AFTER_MS}, drill: '{}'",
@@ -167,20 +167,20 @@
             ..MemberOptions::default()
         }
     });
-    let fleet = Fleet::start_with(&scenario, seed, beside.collect(), None)?;
-    let planned = owners.len();
+    let fleet = Fleet::start_with(&scenario, seed, member_options.collect(), None)?;
+    let planned = owner_faults.len();
     let mut disks = Disks {
-        owners,
+        owner_faults,
         played: Vec::new(),
-        said: Vec::new(),
+        log_line_counts: Vec::new(),
     };
     let (account, pids) = play(fleet, &scenario, seed, &mut disks)?;
     let steps = scenario.faults.len() as i64;
     scenario.faults.extend(disks.played.clone());
     let mut run = judge(&scenario, &account, pids);
-    was_played(&mut run, &disks, (planned, steps), &scenario);
+    check_coverage(&mut run, &disks, (planned, steps), &scenario);
     let seconds = began.elapsed().as_secs();
-    if seconds >= MOST_SECONDS {
+    if seconds >= MAX_SECONDS {
         run.violations
             .entry("run")
             .or_default()
@@ -193,7 +193,12 @@
 }
 
 /// A run in which too little happened proves nothing.
-fn was_played(run: &mut Run, disks: &Disks, (planned, steps): (usize, i64), scenario: &Scenario) {
+fn check_coverage(
+    run: &mut Run,
+    disks: &Disks,
+    (planned, steps): (usize, i64),
+    scenario: &Scenario,
+) {
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
     let (promised, ran) = (
         tally("promised") - tally("asked_again"),
@@ -210,12 +215,12 @@
             disks.played.len()
         ));
     }
-    for (what, said) in disks.said.iter().filter(|(_, said)| *said == 0) {
+    for (what, said) in disks.log_line_counts.iter().filter(|(_, said)| *said == 0) {
         add(format!(
             "{what:?}: the front has not met it ({said} lines of its log)"
         ));
     }
-    if promised < scenario.seconds as i64 * 5 || ran * 100 < promised * LEAST_RUN_PERCENT {
+    if promised < scenario.seconds as i64 * 5 || ran * 100 < promised * MIN_RUN_PERCENT {
         add(format!("{ran} of {promised} that need a promise ran"));
     }
 }
--- a/crates/lab/src/prove/long.rs
+++ b/crates/lab/src/prove/long.rs
@@ -15,14 +15,14 @@
 
 const SLOT_MS: u64 = 40_000; // milliseconds from one machine lost with its disk to the next: the repair lies between
 const QUIET_MS: u64 = 10_000; // milliseconds at the end of each in which nothing is played
-const LEAST: usize = 4; // further faults of a slot
-const MOST: usize = 8;
-const PER_SECOND: u64 = 20;
-const CUTS_DOWN: Duration = Duration::from_secs(600); // for which a failing day is cut down
-const GROWN: i64 = 3; // halves: the last quarter of a day may hold so much more than the first
-const GROWN_BYTES: i64 = 131_072; // and so many bytes
-const STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
-const OTHERS: [FaultKind; 14] = [
+const MIN_FAULTS_PER_SLOT: usize = 4; // further faults of a slot
+const MAX_FAULTS_PER_SLOT: usize = 8;
+const STATEMENTS_PER_SECOND: u64 = 20;
+const SHRINK_TIME_LIMIT: Duration = Duration::from_secs(600); // for which a failing day is cut down
+const MAX_GROWTH_HALVES: i64 = 3; // halves: the last quarter of a day may hold so much more than the first
+const GROWTH_ALLOWANCE_BYTES: i64 = 131_072; // and so many bytes
+const LOSS_STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
+const FAULT_KINDS: [FaultKind; 14] = [
     FaultKind::Stall,
     FaultKind::Stall,
     FaultKind::Kill,
@@ -40,7 +40,7 @@
 ];
 
 /// What may be played once at a time, as one undoes the other.
-fn is_alike(a: &Fault, b: &Fault) -> bool {
+fn conflicts(a: &Fault, b: &Fault) -> bool {
     let cut = |f: &Fault| matches!(f.what, FaultKind::FrontsSplit | FaultKind::FrontsSplitOut);
     let away = |f: &Fault| {
         matches!(
@@ -56,98 +56,98 @@
 }
 
 /// The day of a seed.
-pub fn draw(seed: u64, minutes: u64, way: RunOptions) -> Scenario {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x6c6f_6e67);
-    let short = promises::draw(
+pub fn draw(seed: u64, minutes: u64, options: RunOptions) -> Scenario {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6c6f_6e67);
+    let base = promises::draw(
         seed,
         RunOptions {
             small: false,
             simulated: true,
-            ..way
+            ..options
         },
     );
-    let (fronts, zones) = (short.fleet.fronts, short.fleet.zones);
+    let (fronts, zones) = (base.fleet.fronts, base.fleet.zones);
     let seconds = (minutes * 60).max(SLOT_MS / 1000);
     let mut faults: Vec<Fault> = Vec::new();
     for slot in 0..seconds * 1000 / SLOT_MS {
         let begins = slot * SLOT_MS;
-        let step = chance
+        let step = rng
             .random_bool(0.7)
-            .then(|| STEPS[chance.random_range(0..STEPS.len())]);
-        let at = begins + chance.random_range(1_000..5_000);
-        let gone = fault(FaultKind::LoseDisk, at, chance.random_range(500..8_000));
+            .then(|| LOSS_STEPS[rng.random_range(0..LOSS_STEPS.len())]);
+        let at = begins + rng.random_range(1_000..5_000);
+        let loss = fault(FaultKind::LoseDisk, at, rng.random_range(500..8_000));
         faults.push(Fault {
-            front: chance.random_range(0..fronts),
+            front: rng.random_range(0..fronts),
             step,
-            ..gone
+            ..loss
         });
-        for _ in 0..chance.random_range(LEAST..=MOST) {
-            let Some(what) = OTHERS.choose(&mut chance) else {
+        for _ in 0..rng.random_range(MIN_FAULTS_PER_SLOT..=MAX_FAULTS_PER_SLOT) {
+            let Some(what) = FAULT_KINDS.choose(&mut rng) else {
                 continue;
             };
-            let for_ms = chance.random_range(300..6_000);
-            let at = begins + chance.random_range(1_000..SLOT_MS - QUIET_MS - for_ms);
-            let (delay_ms, percent) = (chance.random_range(5..120), chance.random_range(5..40));
+            let for_ms = rng.random_range(300..6_000);
+            let at = begins + rng.random_range(1_000..SLOT_MS - QUIET_MS - for_ms);
+            let (delay_ms, percent) = (rng.random_range(5..120), rng.random_range(5..40));
             let drawn = Fault {
                 front: match what {
                     FaultKind::FrontsSplit | FaultKind::FrontsSplitOut => {
-                        chance.random_range(1..fronts - 1)
+                        rng.random_range(1..fronts - 1)
                     }
-                    _ => chance.random_range(0..fronts),
+                    _ => rng.random_range(0..fronts),
                 },
-                zone: chance.random_range(0..zones),
+                zone: rng.random_range(0..zones),
                 delay_ms,
                 percent,
                 ..fault(*what, at, for_ms)
             };
-            let second = (*what == FaultKind::FrontsSplit && chance.random_bool(0.4))
-                .then(|| chance.random_range(drawn.front + 1..fronts));
-            let meets =
+            let second = (*what == FaultKind::FrontsSplit && rng.random_bool(0.4))
+                .then(|| rng.random_range(drawn.front + 1..fronts));
+            let overlaps =
                 |f: &&Fault| f.at_ms <= at + for_ms + 2_000 && at <= f.at_ms + f.for_ms + 2_000;
-            if !faults.iter().filter(meets).any(|f| is_alike(f, &drawn)) {
+            if !faults.iter().filter(overlaps).any(|f| conflicts(f, &drawn)) {
                 faults.push(Fault { second, ..drawn });
             }
         }
     }
     faults.sort_by_key(|f| f.at_ms);
     let load = Load {
-        per_second: PER_SECOND,
-        ..short.load
+        per_second: STATEMENTS_PER_SECOND,
+        ..base.load
     };
     Scenario {
         seconds,
         faults,
         load,
-        ..short
+        ..base
     }
 }
 
 /// What grows without end is a fault of its own.
-fn grown(run: &mut Run) {
+fn check_growth(run: &mut Run) {
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
     for (early, late) in [
         ("disk_bytes_early", "disk_bytes_late"),
         ("ledger_bytes_early", "ledger_bytes_late"),
     ] {
         let (early, at_last) = (tally(early), tally(late));
-        if at_last > early * GROWN / 2 + GROWN_BYTES {
-            let said = format!("{late}: {at_last} after {early}");
-            run.violations.entry("grows").or_default().push(said);
+        if at_last > early * MAX_GROWTH_HALVES / 2 + GROWTH_ALLOWANCE_BYTES {
+            let message = format!("{late}: {at_last} after {early}");
+            run.violations.entry("grows").or_default().push(message);
         }
     }
 }
 
-fn play(scenario: &Scenario, seed: u64, way: RunOptions) -> Result<Run, String> {
-    let mut run = run_with(scenario, seed, way.spoil)?;
-    grown(&mut run);
+fn play(scenario: &Scenario, seed: u64, options: RunOptions) -> Result<Run, String> {
+    let mut run = run_with(scenario, seed, options.mutation)?;
+    check_growth(&mut run);
     Ok(run)
 }
 
 /// Plays the day of a seed: whether it passed, and the tallies of its line.
-pub fn run(seed: u64, minutes: u64, way: RunOptions) -> Result<(bool, String), String> {
+pub fn run(seed: u64, minutes: u64, options: RunOptions) -> Result<(bool, String), String> {
     let began = Instant::now();
-    let scenario = draw(seed, minutes, way);
-    let run = play(&scenario, seed, way)?;
+    let scenario = draw(seed, minutes, options);
+    let run = play(&scenario, seed, options)?;
     for (rule, found) in &run.violations {
         found
             .iter()
@@ -162,28 +162,31 @@
         run.line()
     );
     if !passed {
-        cut_down(&scenario, seed, way, &run);
+        print_smallest_failing_run(&scenario, seed, options, &run);
     }
     Ok((passed, line))
 }
 
 /// Says which faults the day fails by: any that breaks one of the rules that it broke.
-fn cut_down(scenario: &Scenario, seed: u64, way: RunOptions, run: &Run) {
+fn print_smallest_failing_run(scenario: &Scenario, seed: u64, options: RunOptions, run: &Run) {
     let broken: Vec<&str> = run.violations.keys().copied().collect();
     let fails = |tried: &Scenario| {
-        let found = play(tried, seed, way)
+        let found = play(tried, seed, options)
             .map(|run| run.violations)
             .unwrap_or_default();
         broken.iter().any(|rule| found.contains_key(rule))
     };
-    let (least, plays) = smallest(scenario, CUTS_DOWN, fails);
+    let (smallest_failing, plays) = smallest(scenario, SHRINK_TIME_LIMIT, fails);
     println!(
         "{} of {} faults are enough, {} s of load, found in {plays} plays:",
-        least.faults.len(),
+        smallest_failing.faults.len(),
         scenario.faults.len(),
-        least.seconds
+        smallest_failing.seconds
     );
-    least.faults.iter().for_each(|fault| println!("{fault:?}"));
+    smallest_failing
+        .faults
+        .iter()
+        .for_each(|fault| println!("{fault:?}"));
 }
 
 #[cfg(test)]
--- a/crates/lab/src/prove/long_tests.rs
+++ b/crates/lab/src/prove/long_tests.rs
@@ -4,15 +4,15 @@
 
 #[test]
 fn a_long_day_has_every_kind_of_fault_several_at_once_and_time_for_repair() {
-    let way = RunOptions {
+    let options = RunOptions {
         copies: 3,
         fronts: Some(6),
         ..RunOptions::default()
     };
     for seed in 0..20 {
-        let day = draw(seed, 60, way);
-        assert_eq!(day, draw(seed, 60, way));
-        assert!(OTHERS
+        let day = draw(seed, 60, options);
+        assert_eq!(day, draw(seed, 60, options));
+        assert!(FAULT_KINDS
             .iter()
             .all(|what| day.faults.iter().any(|f| f.what == *what)));
         let at_once = |f: &Fault| {
--- a/crates/lab/src/prove/played.rs
+++ b/crates/lab/src/prove/played.rs
@@ -3,7 +3,7 @@
 use crate::record::account::Run;
 use crate::rig::scenario::{Fault, FaultKind};
 
-const MOST_PRINTED: usize = 8; // violations printed of each rule
+const MAX_PRINTED_VIOLATIONS: usize = 8; // violations printed of each rule
 
 /// A fault with nothing drawn yet but its kind and its time.
 pub fn fault(what: FaultKind, at_ms: u64, for_ms: u64) -> Fault {
@@ -24,25 +24,25 @@
 
 /// Prints what was found; whether it passed, and the tallies of its line.
 pub(super) fn end(run: &Run, more: &str) -> (bool, String) {
-    print_found(run);
+    print_violations(run);
     for (fault, from, to) in &run.played {
         eprintln!("played {from} to {to}: {fault:?}");
     }
-    last_line(run, more)
+    print_pids(run, more)
 }
 
 /// Prints the table of a run, and some violations of each rule.
-pub(super) fn print_found(run: &Run) {
+pub(super) fn print_violations(run: &Run) {
     eprint!("{}", run.table);
     for (rule, found) in &run.violations {
-        for what in found.iter().take(MOST_PRINTED) {
+        for what in found.iter().take(MAX_PRINTED_VIOLATIONS) {
             eprintln!("{rule}: {what}");
         }
     }
 }
 
 /// Prints the processes of a run; whether it passed, and the tallies of its line.
-pub(super) fn last_line(run: &Run, more: &str) -> (bool, String) {
+pub(super) fn print_pids(run: &Run, more: &str) -> (bool, String) {
     let pids: Vec<String> = run.pids.iter().map(u32::to_string).collect();
     println!("pids {}", pids.join(","));
     let violations: usize = run.violations.values().map(Vec::len).sum();
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -16,25 +16,25 @@
 use self::faults::FAULTS;
 use self::load::{Load, LoadOutcome};
 use self::notes::Notes;
-use self::sampling::Memory;
+use self::sampling::FrontMemory;
 use self::setup::{is_big, Setup, ENGINES};
 use crate::check::{check, Agreed, Outcome, StatementRecord, Transaction, Violations};
 use crate::rig::Front;
 use crate::scripted;
 
-const LONGEST: Duration = Duration::from_secs(45); // until no more is asked, however little was accepted
-const SAMPLE: Duration = Duration::from_millis(20); // from one look at the front's memory to the next
-const SLACK: i64 = 400_000; // microseconds for a final answer on a busy machine
-const GRACE: i64 = 2_000_000; // microseconds after which nothing new goes to an engine that drains
-const FURTHER: (f64, f64, i64) = (10.0, 0.2, 10_000_000); // spare, share and window of further executions
-const OPEN_AT_END: usize = 3; // transactions that are open when the front is asked to end
-const LEAST_PER_TIMEOUT: usize = 50; // accepted units to one that ran into its time limit; fewer: something hangs
-const LEAST_PER_REJECTION: usize = 20; // accepted units to one turned away; fewer: engines are too short
-const MOST_PRINTED: usize = 12; // violations printed of each rule
+const MAX_DURATION: Duration = Duration::from_secs(45); // until no more is asked, however little was accepted
+const MEMORY_SAMPLE_INTERVAL: Duration = Duration::from_millis(20); // from one look at the front's memory to the next
+const ANSWER_SLACK_US: i64 = 400_000; // microseconds for a final answer on a busy machine
+const DRAIN_GRACE_US: i64 = 2_000_000; // microseconds after which nothing new goes to an engine that drains
+const RETRY_BUDGET: (f64, f64, i64) = (10.0, 0.2, 10_000_000); // spare, share and window of further executions
+const OPEN_TRANSACTIONS_AT_END: usize = 3; // transactions that are open when the front is asked to end
+const MIN_ACCEPTED_PER_TIMEOUT: usize = 50; // accepted units to one that ran into its time limit; fewer: something hangs
+const MIN_ACCEPTED_PER_REJECTION: usize = 20; // accepted units to one turned away; fewer: engines are too short
+const MAX_PRINTED_VIOLATIONS: usize = 12; // violations printed of each rule
 
 /// What a run is to be.
 #[derive(Clone, Copy)]
-pub struct Size {
+pub struct RunSize {
     pub seed: u64,
     pub units: usize,
     /// How often each fault is played at least.
@@ -42,40 +42,44 @@
 }
 
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
-pub fn run(size: Size) -> Result<(bool, String), String> {
+pub fn run(size: RunSize) -> Result<(bool, String), String> {
     let began = Instant::now();
     let mut setup = Setup::start()?;
     let mut load = Load::start(size.seed, &setup)?;
     let memory = wait_until_enough(size, began, &mut setup);
-    let mut wrong = Violations::new();
+    let mut violations = Violations::new();
     if !setup.front.is_up() {
         add(
-            &mut wrong,
+            &mut violations,
             "front",
             format!("it ended: {:?}", setup.front.last()),
         );
     }
     // The planned end comes while clients ask and transactions are open.
-    let open = scripted::open_transactions(setup.front.sessions, &setup.notes, OPEN_AT_END);
+    let open =
+        scripted::open_transactions(setup.front.sessions, &setup.notes, OPEN_TRANSACTIONS_AT_END);
     let ended_at = setup.notes.records.now();
-    end_front(&mut setup.front, &setup.notes, &mut wrong);
-    load.clients_ended();
-    let told_of_end = open
+    terminate_front(&mut setup.front, &setup.notes, &mut violations);
+    load.join_clients();
+    let notified_sessions = open
         .into_iter()
         .map(scripted::Open::was_told)
-        .filter(|told| *told)
+        .filter(|notified| *notified)
         .count();
-    let played = load.ended()?;
-    let seen = ClientRecords::of(&setup.notes, ended_at)?;
-    check_seen(&seen, &setup.notes, &played, &mut wrong)?;
-    wrong.entry("memory").or_default().extend(memory.wrong());
-    let mut tallies = outcomes(&seen.asked);
+    let played = load.join()?;
+    let client_records = ClientRecords::of(&setup.notes, ended_at)?;
+    check_rules(&client_records, &setup.notes, &played, &mut violations)?;
+    violations
+        .entry("memory")
+        .or_default()
+        .extend(memory.violation());
+    let mut tallies = outcomes(&client_records.asked);
     for (key, value) in [
-        ("accepted", seen.accepted),
-        ("asked", seen.asked.len()),
-        ("transactions", seen.transactions.len()),
+        ("accepted", client_records.accepted),
+        ("asked", client_records.asked.len()),
+        ("transactions", client_records.transactions.len()),
         ("drains", played.drains.len()),
-        ("told_at_end", told_of_end),
+        ("told_at_end", notified_sessions),
         ("memory_kb", memory.late_kb as usize),
         ("settled_kb", memory.early_kb as usize),
         (
@@ -94,32 +98,32 @@
     for (fault, count) in &played.faults {
         *tallies.entry((*fault).into()).or_default() += count;
     }
-    check_enough(size, &seen, &tallies, &mut wrong);
-    Ok(result(&wrong, tallies))
+    check_coverage(size, &client_records, &tallies, &mut violations);
+    Ok(result(&violations, tallies))
 }
 
 /// Lets the load go on until enough was accepted and played, or the front is gone; samples its memory.
-fn wait_until_enough(size: Size, began: Instant, setup: &mut Setup) -> Memory {
-    let mut memory = Memory::default();
+fn wait_until_enough(size: RunSize, began: Instant, setup: &mut Setup) -> FrontMemory {
+    let mut memory = FrontMemory::default();
     let Setup { front, notes, .. } = setup;
-    let enough = || {
+    let is_enough = || {
         let played = notes.rounds.load(SeqCst).min(notes.drains.load(SeqCst));
         notes.count.load(SeqCst) >= size.units && played >= size.rounds
     };
-    while began.elapsed() < LONGEST && !enough() && front.is_up() {
-        std::thread::sleep(SAMPLE);
+    while began.elapsed() < MAX_DURATION && !is_enough() && front.is_up() {
+        std::thread::sleep(MEMORY_SAMPLE_INTERVAL);
         memory.sample(notes.count.load(SeqCst), front.memory_kb());
     }
     memory
 }
 
 /// Asks the front to end, and clients with it.
-fn end_front(front: &mut Front, notes: &Notes, wrong: &mut Violations) {
+fn terminate_front(front: &mut Front, notes: &Notes, violations: &mut Violations) {
     front.terminate();
     notes.stop.store(true, SeqCst);
     let ended = front.ended();
     if ended.is_none_or(|(well, _)| !well) {
-        add(wrong, "front", format!("after SIGTERM: {ended:?}"));
+        add(violations, "front", format!("after SIGTERM: {ended:?}"));
     }
 }
 
@@ -158,11 +162,11 @@
 }
 
 /// Checks all rules on what clients and engines wrote down.
-fn check_seen(
-    seen: &ClientRecords,
+fn check_rules(
+    client_records: &ClientRecords,
     notes: &Notes,
     played: &LoadOutcome,
-    wrong: &mut Violations,
+    violations: &mut Violations,
 ) -> Result<(), String> {
     let engine_events = notes
         .records
@@ -171,15 +175,20 @@
         .map_err(|e| e.to_string())?
         .clone();
     let agreed = Agreed {
-        grace: GRACE,
-        slack: SLACK,
+        grace: DRAIN_GRACE_US,
+        slack: ANSWER_SLACK_US,
         waited: played.waited.clone(),
         bound_to: (0..ENGINES).filter(|engine| is_big(*engine)).collect(),
-        further: Some(FURTHER),
+        further: Some(RETRY_BUDGET),
         drains: played.drains.clone(),
     };
-    for (rule, found) in check(&seen.asked, &seen.transactions, &engine_events, &agreed) {
-        wrong.entry(rule).or_default().extend(found);
+    for (rule, found) in check(
+        &client_records.asked,
+        &client_records.transactions,
+        &engine_events,
+        &agreed,
+    ) {
+        violations.entry(rule).or_default().extend(found);
     }
     Ok(())
 }
@@ -200,40 +209,47 @@
 }
 
 /// A run in which too little happened proves nothing.
-fn check_enough(
-    size: Size,
-    seen: &ClientRecords,
+fn check_coverage(
+    size: RunSize,
+    client_records: &ClientRecords,
     tallies: &BTreeMap<String, usize>,
-    wrong: &mut Violations,
+    violations: &mut Violations,
 ) {
-    let accepted = seen.accepted;
+    let accepted = client_records.accepted;
     if accepted < size.units {
-        add(wrong, "run", format!("{accepted} of {} units", size.units));
+        add(
+            violations,
+            "run",
+            format!("{accepted} of {} units", size.units),
+        );
     }
-    let ended_by =
-        |a: &StatementRecord, code: &str| matches!(&a.outcome, Outcome::Error(own) if own == code);
+    let ended_by = |a: &StatementRecord, code: &str| matches!(&a.outcome, Outcome::Error(expected) if expected == code);
     // Faults are short: what runs into its time limit without having been asked to stands still somewhere.
-    let timed_out = seen
+    let timed_out = client_records
         .asked
         .iter()
         .filter(|a| !a.cancels && ended_by(a, "57014"))
         .count();
-    if timed_out * LEAST_PER_TIMEOUT > accepted {
+    if timed_out * MIN_ACCEPTED_PER_TIMEOUT > accepted {
         add(
-            wrong,
+            violations,
             "run",
             format!("{timed_out} ran into their time limit"),
         );
     }
     // Nor are engines so short that much is turned away.
-    let turned_away = seen.asked.iter().filter(|a| ended_by(a, "53000")).count();
-    if turned_away * LEAST_PER_REJECTION > accepted {
-        add(wrong, "run", format!("{turned_away} turned away"));
+    let rejected = client_records
+        .asked
+        .iter()
+        .filter(|a| ended_by(a, "53000"))
+        .count();
+    if rejected * MIN_ACCEPTED_PER_REJECTION > accepted {
+        add(violations, "run", format!("{rejected} turned away"));
     }
     for fault in FAULTS.into_iter().chain(["drains"]) {
         if tallies.get(fault).copied().unwrap_or(0) < size.rounds {
             add(
-                wrong,
+                violations,
                 "run",
                 format!("{fault} were not played {} times", size.rounds),
             );
@@ -242,13 +258,13 @@
 }
 
 /// Prints what was found; whether the run passed, and the tallies of its line.
-fn result(wrong: &Violations, mut tallies: BTreeMap<String, usize>) -> (bool, String) {
-    for (rule, found) in wrong {
-        for what in found.iter().take(MOST_PRINTED) {
+fn result(violations: &Violations, mut tallies: BTreeMap<String, usize>) -> (bool, String) {
+    for (rule, found) in violations {
+        for what in found.iter().take(MAX_PRINTED_VIOLATIONS) {
             eprintln!("{rule}: {what}");
         }
     }
-    let count: usize = wrong.values().map(Vec::len).sum();
+    let count: usize = violations.values().map(Vec::len).sum();
     tallies.insert("violations".into(), count);
     let line: Vec<String> = tallies
         .iter()
@@ -257,8 +273,8 @@
     (count == 0, line.join(" "))
 }
 
-fn add(wrong: &mut Violations, rule: &'static str, what: String) {
-    wrong.entry(rule).or_default().push(what);
+fn add(violations: &mut Violations, rule: &'static str, what: String) {
+    violations.entry(rule).or_default().push(what);
 }
 
 #[cfg(test)]
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -19,18 +19,18 @@
     sessions: SocketAddr,
     notes: &Arc<Notes>,
 ) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xb07);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xb07);
     let mut number = 1;
-    while !notes.over() {
-        let key = format!("both{}", chance.random_range(0..3));
-        let mut waits = Vec::new();
+    while !notes.is_stopping() {
+        let key = format!("both{}", rng.random_range(0..3));
+        let mut pending = Vec::new();
         for _ in 0..4 {
             let asked = StatementRecord {
                 key: key.clone(),
                 rows: 1,
-                ..notes.fresh(Repeat::Deduplicated)
+                ..notes.new_statement(Repeat::Deduplicated)
             };
-            let answer = match chance.random_bool(0.5) {
+            let answer = match rng.random_bool(0.5) {
                 true => ask_in_lines(lines, number, &asked),
                 false => ask_in_session(sessions, &asked),
             };
@@ -45,17 +45,17 @@
                     ..asked
                 }
             });
-            waits.push((
+            pending.push((
                 wait,
                 session::round_trip(sessions)
                     .ok()
                     .map(|()| notes.records.now()),
             ));
         }
-        for (wait, taken) in waits {
+        for (wait, taken) in pending {
             wait.join()
                 .into_iter()
-                .for_each(|asked| notes.note(StatementRecord { taken, ..asked }));
+                .for_each(|asked| notes.record(StatementRecord { taken, ..asked }));
         }
     }
 }
--- a/crates/lab/src/prove/postgres/load.rs
+++ b/crates/lab/src/prove/postgres/load.rs
@@ -9,7 +9,7 @@
 
 use tokio::runtime::Runtime;
 
-use super::clients::client;
+use super::clients::run_client;
 use super::faults::{play_drains, play_faults};
 use super::keys::both_protocols;
 use super::notes::Notes;
@@ -19,10 +19,10 @@
 use crate::scripted;
 
 const CLIENTS: usize = 48;
-const SCRIPTS: u64 = 6; // threads that play scripted sessions
+const SCRIPT_THREADS: u64 = 6; // threads that play scripted sessions
 const CLIENT_THREADS: usize = 3; // on which all clients of the library run
-const CLIENT_ENDS: Duration = Duration::from_secs(6); // within which a client ends when it is to
-const RUNTIME_ENDS: Duration = Duration::from_secs(2);
+const CLIENT_STOP_TIMEOUT: Duration = Duration::from_secs(6); // within which a client ends when it is to
+const RUNTIME_STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The threads of a run.
 pub(super) struct Load {
@@ -67,7 +67,7 @@
             let notes = notes.clone();
             std::thread::spawn(move || scripted::play(seed ^ (n << 32), sessions, &notes))
         };
-        let scripts = (0..SCRIPTS).map(script).collect();
+        let scripts = (0..SCRIPT_THREADS).map(script).collect();
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(CLIENT_THREADS)
             .enable_all()
@@ -76,7 +76,7 @@
         let port = sessions.port();
         let clients = (0..CLIENTS)
             .map(|n| {
-                runtime.spawn(client(
+                runtime.spawn(run_client(
                     seed.wrapping_add(n as u64 * 7919),
                     port,
                     notes.clone(),
@@ -100,11 +100,11 @@
     }
 
     /// Waits until clients and scripted sessions have ended, which they do once the notes say so.
-    pub(super) fn clients_ended(&mut self) {
+    pub(super) fn join_clients(&mut self) {
         let clients = std::mem::take(&mut self.clients);
         self.runtime.block_on(async {
             for client in clients {
-                let _ = tokio::time::timeout(CLIENT_ENDS, client).await;
+                let _ = tokio::time::timeout(CLIENT_STOP_TIMEOUT, client).await;
             }
         });
         for script in self.scripts.drain(..) {
@@ -113,13 +113,13 @@
     }
 
     /// Waits for all that is left, and gives what was seen.
-    pub(super) fn ended(self) -> Result<LoadOutcome, String> {
+    pub(super) fn join(self) -> Result<LoadOutcome, String> {
         let drains = self.drains.join().map_err(|_| "drains")?;
         let faults = self.faults.join().map_err(|_| "faults")?;
         let _ = self.keys.join();
         self.notes.done.store(true, SeqCst);
         let waited = self.sampler.join().map_err(|_| "sampling of waits")?;
-        self.runtime.shutdown_timeout(RUNTIME_ENDS);
+        self.runtime.shutdown_timeout(RUNTIME_STOP_TIMEOUT);
         Ok(LoadOutcome {
             faults,
             drains,
--- a/crates/lab/src/prove/postgres/notes.rs
+++ b/crates/lab/src/prove/postgres/notes.rs
@@ -48,7 +48,7 @@
     }
 
     /// Writes down a statement with its outcome.
-    pub fn note(&self, asked: StatementRecord) {
+    pub fn record(&self, asked: StatementRecord) {
         if matches!(asked.outcome, Outcome::Completed { .. } | Outcome::Error(_)) {
             self.count.fetch_add(1, SeqCst);
         }
@@ -58,12 +58,12 @@
     }
 
     /// A statement that is about to be asked.
-    pub fn fresh(&self, repeat: Repeat) -> StatementRecord {
+    pub fn new_statement(&self, repeat: Repeat) -> StatementRecord {
         StatementRecord::new(self.id(), self.records.now(), TIMEOUT, repeat)
     }
 
     /// Whether clients are to end.
-    pub fn over(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stop.load(SeqCst)
     }
 
--- a/crates/lab/src/prove/postgres/setup.rs
+++ b/crates/lab/src/prove/postgres/setup.rs
@@ -11,7 +11,7 @@
 
 pub(super) const ENGINES: usize = 5;
 const BIG_ENGINES: usize = 2; // the last engines: of the kind that bound statements need
-const SOCKETS: usize = 2048; // descriptors that the front may use
+const FRONT_DESCRIPTORS: usize = 2048; // descriptors that the front may use
 
 const OPERATOR: &str = "{ postgres: { listen: '127.0.0.1:0', engines: [{ kinds: ['std', 'big'] }],
     users: {
@@ -43,7 +43,7 @@
             .collect();
         list.push((name(ENGINES), lines_at, "lines", "up"));
         coordinator.tell(true, &list);
-        let front = Front::start(&settings(), OPERATOR, &coordinator, SOCKETS)?;
+        let front = Front::start(&settings(), OPERATOR, &coordinator, FRONT_DESCRIPTORS)?;
         Ok(Setup {
             engines,
             coordinator,
--- a/crates/lab/src/prove/postgres_tests.rs
+++ b/crates/lab/src/prove/postgres_tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn sessions_keep_the_rules_among_faults() {
     for seed in [1, 2] {
-        let (passed, tallies) = run(Size {
+        let (passed, tallies) = run(RunSize {
             seed,
             units: 3_000,
             rounds: 1,
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::played::{fault, last_line, print_found};
+use super::played::{fault, print_pids, print_violations};
 use super::shape;
 use crate::check::Outcome;
 use crate::record::account::{Offered, Run};
@@ -16,14 +16,14 @@
 use crate::simulated::{self, Mutation};
 
 const SLOT_MS: u64 = 5_000; // milliseconds from one fault to the next: its own time, and the repair after it
-const FIRST_MS: u64 = 2_000; // milliseconds of load before the first
-const AFTER_MS: u64 = 3_000; // milliseconds of load after the last slot
-const MOST_SECONDS: u64 = 60; // within which a run ends by itself
-const APART_MS: u64 = 500; // milliseconds that the ledger bears between any two fronts' clocks by default
-const STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
+const FIRST_FAULT_MS: u64 = 2_000; // milliseconds of load before the first
+const LOAD_AFTER_MS: u64 = 3_000; // milliseconds of load after the last slot
+const MAX_SECONDS: u64 = 60; // within which a run ends by itself
+const MAX_CLOCK_SKEW_MS: u64 = 500; // milliseconds that the ledger bears between any two fronts' clocks by default
+const LOSS_STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
 /// Statements that need a promise and ran, of a hundred asked: with fewer, most were refused or lost.
-const LEAST_RUN_PERCENT: i64 = 50;
-const LATE: i64 = 300_000; // microseconds beyond its timeout after which an answer is printed
+const MIN_RUN_PERCENT: i64 = 50;
+const LATE_ANSWER_US: i64 = 300_000; // microseconds beyond its timeout after which an answer is printed
 
 /// How a run is to be played.
 #[derive(Clone, Copy, Debug, Default)]
@@ -35,11 +35,11 @@
     /// Fronts that a promise stands on; 0: none keeps any for another, and the run is to fail.
     pub copies: usize,
     /// In simulated time, a rule taken out: the run is to fail.
-    pub spoil: Mutation,
+    pub mutation: Mutation,
 }
 
 /// The kinds of trouble that a run takes its turn of; each of them comes in a whole run.
-const KINDS: [&str; 7] = [
+const FAULT_KINDS: [&str; 7] = [
     "loss",
     "loss_again",
     "cut_two",
@@ -48,18 +48,22 @@
     "bad_links",
     "end",
 ];
-const SMALL: usize = 3; // kinds in a small run
+const SMALL_RUN_KINDS: usize = 3; // kinds in a small run
 
 /// The run of a seed.
-pub fn draw(seed: u64, way: RunOptions) -> Scenario {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let fronts = way.fronts.unwrap_or_else(|| chance.random_range(5..=7));
-    let kinds = shape::draw_kinds(&mut chance, &KINDS, way.small.then_some((SMALL, "loss")));
+pub fn draw(seed: u64, options: RunOptions) -> Scenario {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let fronts = options.fronts.unwrap_or_else(|| rng.random_range(5..=7));
+    let kinds = shape::draw_kinds(
+        &mut rng,
+        &FAULT_KINDS,
+        options.small.then_some((SMALL_RUN_KINDS, "loss")),
+    );
     let mut faults = Vec::new();
     let mut lost = None;
     for (slot, kind) in kinds.iter().enumerate() {
-        let at = FIRST_MS + slot as u64 * SLOT_MS + chance.random_range(0..500);
-        let drawn = draw_faults(&mut chance, kind, at, fronts, lost);
+        let at = FIRST_FAULT_MS + slot as u64 * SLOT_MS + rng.random_range(0..500);
+        let drawn = draw_faults(&mut rng, kind, at, fronts, lost);
         lost = drawn
             .iter()
             .find(|fault| fault.what == FaultKind::LoseDisk)
@@ -67,7 +71,7 @@
             .or(lost);
         faults.extend(drawn);
     }
-    let (keys, work_ms) = (chance.random_range(12..20), chance.random_range(60..160));
+    let (keys, work_ms) = (rng.random_range(12..20), rng.random_range(60..160));
     let keyed = Class {
         share: 2.0,
         asks_again: 2,
@@ -75,14 +79,14 @@
     };
     let once = Class {
         asks_again: 2,
-        ..shape::once(chance.random_range(30..90))
+        ..shape::once(rng.random_range(30..90))
     };
     Scenario {
         seed: Some(seed),
-        seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
+        seconds: (FIRST_FAULT_MS + kinds.len() as u64 * SLOT_MS + LOAD_AFTER_MS) / 1000,
         fleet: FleetShape {
-            clocks_apart_ms: APART_MS / 2, // of the machine's, either way
-            copies: (way.copies > 0).then_some(way.copies),
+            clocks_apart_ms: MAX_CLOCK_SKEW_MS / 2, // of the machine's, either way
+            copies: (options.copies > 0).then_some(options.copies),
             ..shape::fleet(fronts)
         },
         load: Load {
@@ -106,69 +110,61 @@
 
 /// The faults of a slot that begins at `at`; `lost` is the front whose disk was lost before.
 fn draw_faults(
-    chance: &mut Pcg64Mcg,
+    rng: &mut Pcg64Mcg,
     kind: &str,
     at: u64,
     fronts: usize,
     lost: Option<usize>,
 ) -> Vec<Fault> {
-    let mut front = chance.random_range(0..fronts);
-    let split = chance.random_range(1..fronts - 1);
+    let mut front = rng.random_range(0..fronts);
+    let split = rng.random_range(1..fronts - 1);
     match kind {
         "loss" | "loss_again" => {
             // The second is another front's, after the repair of the first.
             while lost == Some(front) {
-                front = chance.random_range(0..fronts);
+                front = rng.random_range(0..fronts);
             }
-            let step = Some(STEPS[chance.random_range(0..STEPS.len())]);
-            let gone = fault(FaultKind::LoseDisk, at, chance.random_range(500..1_500));
+            let step = Some(LOSS_STEPS[rng.random_range(0..LOSS_STEPS.len())]);
+            let loss = fault(FaultKind::LoseDisk, at, rng.random_range(500..1_500));
             vec![Fault {
                 front,
                 step,
-                ..gone
+                ..loss
             }]
         }
         "cut_two" => {
-            let cut = fault(
-                FaultKind::FrontsSplit,
-                at,
-                chance.random_range(2_000..4_000),
-            );
+            let cut = fault(FaultKind::FrontsSplit, at, rng.random_range(2_000..4_000));
             vec![Fault {
                 front: split,
                 ..cut
             }]
         }
         "cut_three" => {
-            let cut = fault(
-                FaultKind::FrontsSplit,
-                at,
-                chance.random_range(2_000..3_500),
-            );
+            let cut = fault(FaultKind::FrontsSplit, at, rng.random_range(2_000..3_500));
             vec![Fault {
                 front: split,
-                second: Some(chance.random_range(split + 1..fronts)),
+                second: Some(rng.random_range(split + 1..fronts)),
                 ..cut
             }]
         }
         "stall" => {
-            let stall = fault(FaultKind::Stall, at, chance.random_range(3_000..4_500));
+            let stall = fault(FaultKind::Stall, at, rng.random_range(3_000..4_500));
             vec![Fault { front, ..stall }]
         }
         // Asked to end: it hands over what it owns, and nothing that it was asked is excused.
         "end" => vec![Fault {
             front,
-            ..fault(FaultKind::Term, at, chance.random_range(500..2_000))
+            ..fault(FaultKind::Term, at, rng.random_range(500..2_000))
         }],
-        _ => draw_bad_links(chance, at, split),
+        _ => draw_bad_links(rng, at, split),
     }
 }
 
 /// Messages between fronts lost, doubled and out of order, and one side heard by none for part of that time.
-fn draw_bad_links(chance: &mut Pcg64Mcg, at: u64, split: usize) -> Vec<Fault> {
-    let for_ms = chance.random_range(3_000..4_500);
-    let delay_ms = chance.random_range(5..60);
-    let percent = chance.random_range(5..30);
+fn draw_bad_links(rng: &mut Pcg64Mcg, at: u64, split: usize) -> Vec<Fault> {
+    let for_ms = rng.random_range(3_000..4_500);
+    let delay_ms = rng.random_range(5..60);
+    let percent = rng.random_range(5..30);
     vec![
         Fault {
             percent,
@@ -190,39 +186,39 @@
 }
 
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
-pub fn run(seed: u64, way: RunOptions) -> Result<(bool, String), String> {
+pub fn run(seed: u64, options: RunOptions) -> Result<(bool, String), String> {
     let began = Instant::now();
-    let scenario = draw(seed, way);
-    let mut run = match way.simulated {
-        true => simulated::run_with(&scenario, seed, way.spoil)?,
+    let scenario = draw(seed, options);
+    let mut run = match options.simulated {
+        true => simulated::run_with(&scenario, seed, options.mutation)?,
         false => rig::fleet::run(&scenario, seed)?,
     };
-    check_enough(&mut run, &scenario);
+    check_coverage(&mut run, &scenario);
     let seconds = began.elapsed().as_secs();
     // Starting so many processes takes what the machine gives.
-    let own =
+    let run_seconds =
         (seconds as i64 - run.tallies.get("start_seconds").copied().unwrap_or(0)).max(0) as u64;
-    if !way.simulated && own >= MOST_SECONDS {
+    if !options.simulated && run_seconds >= MAX_SECONDS {
         run.violations
             .entry("run")
             .or_default()
             .push(format!("took {seconds} s"));
     }
-    print_found(&run);
+    print_violations(&run);
     print_late_and_refused(&run);
     for (fault, from, to) in &run.played {
         eprintln!("from {} to {} ms", from / 1000, to / 1000);
         eprintln!("played {fault:?}");
     }
     let fronts = scenario.fleet.fronts;
-    Ok(last_line(
+    Ok(print_pids(
         &run,
         &format!("fronts={fronts} seconds={seconds}"),
     ))
 }
 
 /// A run in which too little happened proves nothing.
-fn check_enough(run: &mut Run, scenario: &Scenario) {
+fn check_coverage(run: &mut Run, scenario: &Scenario) {
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
     let steps = scenario.faults.iter().filter(|f| f.step.is_some()).count() as i64;
@@ -243,7 +239,7 @@
         tally("promised") - tally("asked_again"),
         tally("promised_runs"),
     );
-    if promised < scenario.seconds as i64 * 10 || ran * 100 < promised * LEAST_RUN_PERCENT {
+    if promised < scenario.seconds as i64 * 10 || ran * 100 < promised * MIN_RUN_PERCENT {
         add(format!("{ran} of {promised} that need a promise ran"));
     }
 }
@@ -253,7 +249,7 @@
     for o in run
         .asked
         .iter()
-        .filter(|o| o.asked.answered - o.asked.sent > o.asked.timeout + LATE)
+        .filter(|o| o.asked.answered - o.asked.sent > o.asked.timeout + LATE_ANSWER_US)
     {
         eprintln!("late: {o:?}");
     }
--- a/crates/lab/src/prove/promises_tests.rs
+++ b/crates/lab/src/prove/promises_tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_seed_draws_one_schedule_with_a_loss_and_the_whole_one_has_all_kinds() {
-    let way = RunOptions {
+    let options = RunOptions {
         small: false,
         simulated: false,
         fronts: None,
@@ -12,8 +12,8 @@
         ..RunOptions::default()
     };
     for seed in 0..200 {
-        let whole = draw(seed, way);
-        assert_eq!(whole, draw(seed, way));
+        let whole = draw(seed, options);
+        assert_eq!(whole, draw(seed, options));
         let count = |what: FaultKind| whole.faults.iter().filter(|f| f.what == what).count();
         let losses: Vec<_> = whole
             .faults
@@ -33,7 +33,13 @@
         let fits =
             |f: &Fault| f.at_ms + f.for_ms < whole.seconds * 1000 && f.front < whole.fleet.fronts;
         assert!(whole.faults.iter().all(fits), "{seed}: {:?}", whole.faults);
-        let small = draw(seed, RunOptions { small: true, ..way });
+        let small = draw(
+            seed,
+            RunOptions {
+                small: true,
+                ..options
+            },
+        );
         assert!(small.faults.iter().any(|f| f.what == FaultKind::LoseDisk) && small.seconds <= 20);
     }
 }
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -19,12 +19,12 @@
 use crate::rig::member::MemberOptions;
 use crate::rig::scenario::{Class, Fault, FaultKind, Load, Scenario};
 
-const FIRST: i64 = 2_000_000; // microseconds of load before the first end
-const PAUSE: i64 = 700_000; // microseconds with all fronts there between ends
-const MIXED: i64 = 2_500_000; // the same while the fleet is as it is to be for a while
-const AFTER: i64 = 2_000_000; // microseconds of load after the last start
-const LOOK_MS: u64 = 400; // milliseconds from a SIGTERM until its front is looked for: its door is open till then
-const MOST_SECONDS: u64 = 90; // within which a run ends by itself
+const FIRST_TERMINATION_US: i64 = 2_000_000; // microseconds of load before the first end
+const PAUSE_US: i64 = 700_000; // microseconds with all fronts there between ends
+const MIXED_PAUSE_US: i64 = 2_500_000; // the same while the fleet is as it is to be for a while
+const LOAD_AFTER_US: i64 = 2_000_000; // microseconds of load after the last start
+const RESTART_CHECK_DELAY_MS: u64 = 400; // milliseconds from a SIGTERM until its front is looked for: its door is open till then
+const MAX_SECONDS: u64 = 90; // within which a run ends by itself
 const TERMS: Terms = Terms {
     most_wait: 1_000_000,
     most_end: 8_000_000,
@@ -40,9 +40,9 @@
 
 /// The steps of a roll: a tenth of the fleet at a time, of one zone, or `across` of several: an end then waits where a
 /// shard would lack two of its copies.
-fn steps(order: &[usize], zones: usize, across: bool, other: bool) -> Vec<RollStep> {
+fn steps(order: &[usize], zones: usize, across_zones: bool, other: bool) -> Vec<RollStep> {
     let tenth = order.len().div_ceil(10);
-    let groups: Vec<Vec<usize>> = match across {
+    let groups: Vec<Vec<usize>> = match across_zones {
         true => order.chunks(tenth).map(<[usize]>::to_vec).collect(),
         false => {
             let zone = |zone: usize| {
@@ -66,7 +66,7 @@
         .map(|fronts| RollStep {
             fronts,
             other,
-            pause: PAUSE,
+            pause: PAUSE_US,
         })
         .collect()
 }
@@ -75,26 +75,28 @@
     steps: VecDeque<RollStep>,
     other: Option<PathBuf>,
     /// Since when all are there.
-    since: i64,
+    all_up_since: i64,
     played: Vec<Fault>,
 }
 
 impl FleetHooks for Roll {
     fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
         if !fleet.is_whole() {
-            self.since = since;
+            self.all_up_since = since;
         }
-        let due = self.steps.front().is_some_and(|step| {
-            since >= FIRST && since - self.since >= step.pause && fleet.is_whole()
+        let is_due = self.steps.front().is_some_and(|step| {
+            since >= FIRST_TERMINATION_US
+                && since - self.all_up_since >= step.pause
+                && fleet.is_whole()
         });
-        let Some(step) = due.then(|| self.steps.pop_front()).flatten() else {
+        let Some(step) = is_due.then(|| self.steps.pop_front()).flatten() else {
             return Vec::new();
         };
         let ends = step.fronts.iter().map(|front| {
             fleet.members[*front].becomes(self.other.clone().filter(|_| step.other));
             Fault {
                 front: *front,
-                ..fault(FaultKind::Term, since as u64 / 1000, LOOK_MS)
+                ..fault(FaultKind::Term, since as u64 / 1000, RESTART_CHECK_DELAY_MS)
             }
         });
         let ends: Vec<Fault> = ends.collect();
@@ -103,38 +105,38 @@
     }
 
     fn is_done(&self, since: i64) -> bool {
-        self.steps.is_empty() && since - self.since >= AFTER
+        self.steps.is_empty() && since - self.all_up_since >= LOAD_AFTER_US
     }
 }
 
 /// The run of a seed: its fleet, and who ends when.
 fn draw(seed: u64, small: bool, mixed: bool) -> (Scenario, Vec<RollStep>) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x726f_6c6c);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x726f_6c6c);
     let fronts = if small {
         6
     } else {
-        chance.random_range(6..=if mixed { 8 } else { 12 })
+        rng.random_range(6..=if mixed { 8 } else { 12 })
     };
     let fleet = shape::fleet(fronts);
     let mut order: Vec<usize> = (0..fronts).collect();
-    order.shuffle(&mut chance);
-    let across = chance.random_bool(0.5);
-    let mut steps_of = |which: &dyn Fn(usize) -> bool, other: bool| {
-        order.shuffle(&mut chance);
-        let own: Vec<usize> = order.iter().copied().filter(|n| which(*n)).collect();
-        let mut all = steps(&own, fleet.zones, across, other);
+    order.shuffle(&mut rng);
+    let across_zones = rng.random_bool(0.5);
+    let mut steps_of = |is_selected: &dyn Fn(usize) -> bool, other: bool| {
+        order.shuffle(&mut rng);
+        let selected: Vec<usize> = order.iter().copied().filter(|n| is_selected(*n)).collect();
+        let mut all = steps(&selected, fleet.zones, across_zones, other);
         all.first_mut()
             .into_iter()
-            .for_each(|step| step.pause = MIXED);
+            .for_each(|step| step.pause = MIXED_PAUSE_US);
         all
     };
     let plan = match mixed {
         false => steps_of(&|_| true, false),
         // Half of it is the other build: on to this one, back to the other, and half of it on again.
         true => {
-            let on = steps_of(&is_other, false);
+            let on = steps_of(&starts_as_other_build, false);
             let back = steps_of(&|_| true, true);
-            [on, back, steps_of(&is_other, false)].concat()
+            [on, back, steps_of(&starts_as_other_build, false)].concat()
         }
     };
     let classes = vec![
@@ -144,13 +146,13 @@
         },
         Class {
             share: 2.0,
-            ..shape::keyed(chance.random_range(30..50), chance.random_range(60..140))
+            ..shape::keyed(rng.random_range(30..50), rng.random_range(60..140))
         },
-        shape::once(chance.random_range(30..90)),
+        shape::once(rng.random_range(30..90)),
     ];
     let scenario = Scenario {
         seed: Some(seed),
-        seconds: MOST_SECONDS,
+        seconds: MAX_SECONDS,
         fleet,
         load: Load {
             per_second: 60,
@@ -166,7 +168,7 @@
 }
 
 /// Which fronts of a mixed fleet begin as the other build.
-fn is_other(front: usize) -> bool {
+fn starts_as_other_build(front: usize) -> bool {
     front % 2 == 1
 }
 
@@ -175,18 +177,22 @@
     let began = Instant::now();
     let (mut scenario, plan) = draw(seed, small, other.is_some());
     let fronts = scenario.fleet.fronts;
-    let first = |front: usize| other.map(Path::to_path_buf).filter(|_| is_other(front));
-    let beside = (0..fronts).map(|front| MemberOptions {
-        program: first(front),
+    let initial_program = |front: usize| {
+        other
+            .map(Path::to_path_buf)
+            .filter(|_| starts_as_other_build(front))
+    };
+    let member_options = (0..fronts).map(|front| MemberOptions {
+        program: initial_program(front),
         ..MemberOptions::default()
     });
-    let fleet = Fleet::start_with(&scenario, seed, beside.collect(), None)?;
+    let fleet = Fleet::start_with(&scenario, seed, member_options.collect(), None)?;
     let planned = plan.iter().map(|step| step.fronts.len()).sum::<usize>();
     let other = other.map(Path::to_path_buf);
     let mut roll = Roll {
         steps: plan.into(),
         other,
-        since: 0,
+        all_up_since: 0,
         played: Vec::new(),
     };
     let (account, pids) = play(fleet, &scenario, seed, &mut roll)?;
@@ -200,7 +206,7 @@
     scenario.faults = roll.played;
     let mut run = judge(&scenario, &account, pids);
     rolled::check(&mut run.violations, &account, TERMS, &mut run.tallies);
-    was_played(&mut run, planned, &scenario);
+    check_coverage(&mut run, planned, &scenario);
     let seconds = began.elapsed().as_secs();
     Ok(end(
         &run,
@@ -209,12 +215,12 @@
 }
 
 /// A run in which too little happened proves nothing.
-fn was_played(run: &mut Run, planned: usize, scenario: &Scenario) {
+fn check_coverage(run: &mut Run, planned: usize, scenario: &Scenario) {
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
     let (ends, out) = (tally("ends"), tally("ends_with_promises_out"));
     let (promised, during) = (tally("promised_runs"), tally("waited_during_ends"));
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
-    if ends < planned as i64 || tally_of(&run.played) < planned {
+    if ends < planned as i64 || count_terminations(&run.played) < planned {
         add(format!("{ends} of {planned} ends were played"));
     }
     if out * 4 < ends || during < ends {
@@ -230,7 +236,7 @@
     }
 }
 
-fn tally_of(played: &[(Fault, i64, i64)]) -> usize {
+fn count_terminations(played: &[(Fault, i64, i64)]) -> usize {
     played
         .iter()
         .filter(|(fault, ..)| fault.what == FaultKind::Term)
--- a/crates/lab/src/prove/roll_tests.rs
+++ b/crates/lab/src/prove/roll_tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn all_fronts_end_a_tenth_at_a_time_of_one_zone_or_of_several() {
-    let mut across = false;
+    let mut across_zones = false;
     for seed in 0..200 {
         let (scenario, plan) = draw(seed, false, false);
         let fronts = scenario.fleet.fronts;
@@ -15,17 +15,19 @@
         assert!(plan
             .iter()
             .all(|step| step.fronts.len() <= fronts.div_ceil(10)));
-        across |= plan
+        across_zones |= plan
             .iter()
             .any(|step| step.fronts.iter().any(|n| n % 3 != step.fronts[0] % 3));
     }
-    assert!(across);
+    assert!(across_zones);
 }
 
 #[test]
 fn a_mixed_fleet_goes_on_back_and_half_on_again() {
     let (scenario, plan) = draw(4, true, true);
-    let mut other: Vec<bool> = (0..scenario.fleet.fronts).map(is_other).collect();
+    let mut other: Vec<bool> = (0..scenario.fleet.fronts)
+        .map(starts_as_other_build)
+        .collect();
     let mut counts = vec![other.iter().filter(|o| **o).count()];
     for step in &plan {
         step.fronts.iter().for_each(|n| other[*n] = step.other);
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -23,20 +23,20 @@
 use crate::rig::rules::{self, Files, RuleLogs, Set, DENIED, RULED};
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario};
 
-const FIRST_MS: u64 = 1_000; // milliseconds of load before the first change
+const FIRST_CHANGE_MS: u64 = 1_000; // milliseconds of load before the first change
 const SLOT_MS: u64 = 6_500; // milliseconds from one change to the next
-const AFTER_MS: u64 = 3_000; // milliseconds of load after the last
-const READY: Duration = Duration::from_secs(15); // until the first version is in force; a busy machine takes some of it
-const LAST: Duration = Duration::from_secs(8); // until the last version is in force, and for the fleet's hits
-const ON_ITS_WAY: i64 = 700_000; // microseconds until what left before "in force" has begun, on a busy machine
-const MOST_SECONDS: u64 = 60;
-const LEAST_RUN: i64 = 50; // executions that a rule was about; with fewer a run proves nothing
-const LEAST_OTHERS: usize = 20; // statements of others while fronts are closed; fewer say nothing
-const LOOKUP: usize = 0; // places among the classes
-const REPORT: usize = 1;
-const AUDIT: usize = 2;
-const KINDS: [&str; 4] = ["two", "stalled", "cut", "killed"];
-const SMALL: usize = 2; // kinds in a small run
+const LOAD_AFTER_MS: u64 = 3_000; // milliseconds of load after the last
+const READY_TIMEOUT: Duration = Duration::from_secs(15); // until the first version is in force; a busy machine takes some of it
+const FINAL_VERSION_TIMEOUT: Duration = Duration::from_secs(8); // until the last version is in force, and for the fleet's hits
+const IN_FLIGHT_US: i64 = 700_000; // microseconds until what left before "in force" has begun, on a busy machine
+const MAX_SECONDS: u64 = 60;
+const MIN_RULED_RUNS: i64 = 50; // executions that a rule was about; with fewer a run proves nothing
+const MIN_OTHER_STATEMENTS: usize = 20; // statements of others while fronts are closed; fewer say nothing
+const LOOKUP_CLASS: usize = 0; // places among the classes
+const REPORT_CLASS: usize = 1;
+const AUDIT_CLASS: usize = 2;
+const CHANGE_KINDS: [&str; 4] = ["two", "stalled", "cut", "killed"];
+const SMALL_RUN_KINDS: usize = 2; // kinds in a small run
 
 /// A change of the rules: when, which files at which fronts.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,32 +57,39 @@
 
 /// The run of a seed.
 fn draw(seed: u64, small: bool) -> Plan {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7275_6c65);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7275_6c65);
     let (fronts, zones) = (5, 3);
-    let kinds = shape::draw_kinds(&mut chance, &KINDS, small.then_some((SMALL, "cut")));
+    let kinds = shape::draw_kinds(
+        &mut rng,
+        &CHANGE_KINDS,
+        small.then_some((SMALL_RUN_KINDS, "cut")),
+    );
     let mut set = Set {
         version: 1,
-        barred: BTreeSet::from([chance.random_range(0..zones)]),
+        barred: BTreeSet::from([rng.random_range(0..zones)]),
     };
     let first = set.clone();
     let (mut faults, mut changes, mut old) = (Vec::new(), Vec::new(), Vec::new());
     for (slot, kind) in kinds.iter().enumerate() {
-        let at = FIRST_MS + slot as u64 * SLOT_MS + chance.random_range(0..300);
+        let at = FIRST_CHANGE_MS + slot as u64 * SLOT_MS + rng.random_range(0..300);
         let mut others: Vec<usize> = (0..fronts).collect();
-        others.shuffle(&mut chance);
-        let now = draw_next(&set, zones, &mut chance);
+        others.shuffle(&mut rng);
+        let next_set = draw_next(&set, zones, &mut rng);
         let (files, fault) = match *kind {
             "two" => {
-                let mut rival = draw_next(&set, zones, &mut chance);
-                while rival == now {
-                    rival = draw_next(&set, zones, &mut chance);
+                let mut rival = draw_next(&set, zones, &mut rng);
+                while rival == next_set {
+                    rival = draw_next(&set, zones, &mut rng);
                 }
-                (vec![(others[0], now.clone()), (others[1], rival)], None)
+                (
+                    vec![(others[0], next_set.clone()), (others[1], rival)],
+                    None,
+                )
             }
             "stalled" => {
-                let away = fault(FaultKind::Stall, at, chance.random_range(4_000..5_000));
+                let away = fault(FaultKind::Stall, at, rng.random_range(4_000..5_000));
                 (
-                    vec![(others[0], now.clone())],
+                    vec![(others[0], next_set.clone())],
                     Some(Fault {
                         front: others[1],
                         ..away
@@ -90,24 +97,24 @@
                 )
             }
             "cut" => {
-                let below = chance.random_range(1..fronts);
+                let below = rng.random_range(1..fronts);
                 let cut = Fault {
                     front: below,
                     ..fault(FaultKind::FrontsSplit, at, 5_500)
                 };
                 // On either side: one of them has the majority of whoever keeps the rules.
-                let sides = [
-                    chance.random_range(0..below),
-                    chance.random_range(below..fronts),
-                ];
-                (sides.map(|front| (front, now.clone())).to_vec(), Some(cut))
+                let sides = [rng.random_range(0..below), rng.random_range(below..fronts)];
+                (
+                    sides.map(|front| (front, next_set.clone())).to_vec(),
+                    Some(cut),
+                )
             }
             _ => {
                 // It comes back with the file that it had, by then an old one.
-                let gone = fault(FaultKind::Kill, at, chance.random_range(3_000..4_000));
+                let gone = fault(FaultKind::Kill, at, rng.random_range(3_000..4_000));
                 old.push((at + 5_500, others[2]));
                 (
-                    vec![(others[0], now.clone())],
+                    vec![(others[0], next_set.clone())],
                     Some(Fault {
                         front: others[1],
                         ..gone
@@ -121,7 +128,7 @@
             files,
             kind,
         });
-        set = now;
+        set = next_set;
     }
     let scenario = scenario(seed, &kinds, (fronts, zones), faults);
     Plan {
@@ -133,13 +140,13 @@
 }
 
 /// The next version: a zone more is barred than before, or another: always something that was allowed.
-fn draw_next(set: &Set, zones: usize, chance: &mut Pcg64Mcg) -> Set {
+fn draw_next(set: &Set, zones: usize, rng: &mut Pcg64Mcg) -> Set {
     let open: Vec<usize> = (0..zones)
         .filter(|zone| !set.barred.contains(zone))
         .collect();
-    let mut barred = BTreeSet::from([open[chance.random_range(0..open.len())]]);
-    if chance.random_bool(0.5) {
-        barred.insert(chance.random_range(0..zones));
+    let mut barred = BTreeSet::from([open[rng.random_range(0..open.len())]]);
+    if rng.random_bool(0.5) {
+        barred.insert(rng.random_range(0..zones));
     }
     Set {
         version: set.version + 1,
@@ -165,7 +172,7 @@
     };
     Scenario {
         seed: Some(seed),
-        seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
+        seconds: (FIRST_CHANGE_MS + kinds.len() as u64 * SLOT_MS + LOAD_AFTER_MS) / 1000,
         fleet: FleetShape {
             zones,
             ..shape::fleet(fronts)
@@ -210,8 +217,8 @@
     }
 
     /// The sets that were the fleet's, in order, each with when it was first offered.
-    fn lived(&self) -> Vec<(i64, Set)> {
-        let own = |(at, front, set): &(i64, usize, Set)| {
+    fn accepted_sets(&self) -> Vec<(i64, Set)> {
+        let fleet_set = |(at, front, set): &(i64, usize, Set)| {
             let rivals = || {
                 self.offered
                     .iter()
@@ -226,45 +233,46 @@
             let judged = self.logs.judged.contains_key(&set.version);
             (judged && (alone || won)).then(|| (*at, set.clone()))
         };
-        let mut all: Vec<(i64, Set)> = self.offered.iter().filter_map(own).collect();
+        let mut all: Vec<(i64, Set)> = self.offered.iter().filter_map(fleet_set).collect();
         all.sort_by_key(|(at, set)| (set.version, *at));
         all.dedup_by_key(|(_, set)| set.version);
         all
     }
 
-    fn bars(&self, end: i64) -> Vec<BarredZone> {
-        let (lived, mut bars) = (self.lived(), Vec::new());
-        for (n, (_, set)) in lived.iter().enumerate() {
+    fn barred_zones(&self, end: i64) -> Vec<BarredZone> {
+        let (accepted_sets, mut barred_zones) = (self.accepted_sets(), Vec::new());
+        for (n, (_, set)) in accepted_sets.iter().enumerate() {
             let Some(in_force) = self.logs.in_force.get(&set.version) else {
                 continue;
             };
             for zone in &set.barred {
-                let ends = lived[n + 1..]
+                let ends = accepted_sets[n + 1..]
                     .iter()
                     .find(|(_, later)| !later.barred.contains(zone));
                 let until = ends.map_or(end, |(at, _)| *at);
-                let in_force = in_force + ON_ITS_WAY;
-                bars.push(BarredZone {
-                    class: Some(REPORT),
+                let in_force = in_force + IN_FLIGHT_US;
+                barred_zones.push(BarredZone {
+                    class: Some(REPORT_CLASS),
                     zone: *zone,
                     in_force,
                     until,
                 });
             }
         }
-        bars
+        barred_zones
     }
 }
 
 impl FleetHooks for Rules {
     fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
-        let until = Instant::now() + READY;
+        let until = Instant::now() + READY_TIMEOUT;
         while Instant::now() < until {
-            let judges = |m: &std::sync::Arc<crate::rig::member::Member>| {
+            let has_rules = |m: &std::sync::Arc<crate::rig::member::Member>| {
                 !m.said("knows which rules hold").is_empty()
                     || !m.said("judges by version 1 ").is_empty()
             };
-            if fleet.members.iter().all(judges) && rules::read_logs(fleet).in_force.contains_key(&1)
+            if fleet.members.iter().all(has_rules)
+                && rules::read_logs(fleet).in_force.contains_key(&1)
             {
                 return Ok(());
             }
@@ -272,7 +280,7 @@
         }
         Err(format!(
             "the first rules were not in force after {} s",
-            READY.as_secs()
+            READY_TIMEOUT.as_secs()
         ))
     }
 
@@ -308,13 +316,13 @@
             .map(|(_, _, set)| set.version)
             .max()
             .unwrap_or(1);
-        let until = Instant::now() + LAST;
+        let until = Instant::now() + FINAL_VERSION_TIMEOUT;
         self.logs = rules::read_logs(fleet);
         while !self.logs.in_force.contains_key(&last) && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(50));
             self.logs = rules::read_logs(fleet);
         }
-        self.hits = rules::hits(fleet, self.asked_front, LAST);
+        self.hits = rules::hits(fleet, self.asked_front, FINAL_VERSION_TIMEOUT);
     }
 }
 
@@ -344,9 +352,9 @@
     };
     let (account, pids) = play(fleet, &scenario, seed, &mut rules)?;
     let mut run = judge(&scenario, &account, pids);
-    checked(&mut run, &rules, &planned, &scenario, &account);
+    check_run(&mut run, &rules, &planned, &scenario, &account);
     let seconds = began.elapsed().as_secs();
-    if seconds >= MOST_SECONDS {
+    if seconds >= MAX_SECONDS {
         run.violations
             .entry("run")
             .or_default()
@@ -355,20 +363,20 @@
     Ok(end(&run, &format!("fronts={fronts} seconds={seconds}")))
 }
 
-fn checked(
+fn check_run(
     run: &mut Run,
     rules: &Rules,
     planned: &[Change],
     scenario: &Scenario,
     account: &Account,
 ) {
-    let wrong = &mut run.violations;
+    let violations = &mut run.violations;
     let ran = executions(&account.engine_events, &account.sent_by);
     let end = i64::MAX;
-    let bars = rules.bars(end);
+    let barred_zones = rules.barred_zones(end);
     let zone = |engine: usize| engine / scenario.fleet.engines_per_zone;
-    barred::check(wrong, &ran, &account.asked, (&bars, &zone));
-    denied(wrong, account);
+    barred::check(violations, &ran, &account.asked, (&barred_zones, &zone));
+    check_denied(violations, account);
     let class = |id: &str| {
         account
             .asked
@@ -376,19 +384,26 @@
             .find(|o| o.asked.id == id)
             .map(|o| o.class)
     };
-    let ruled = ran.iter().filter(|x| class(&x.id) == Some(REPORT)).count() as i64;
+    let ruled = ran
+        .iter()
+        .filter(|x| class(&x.id) == Some(REPORT_CLASS))
+        .count() as i64;
     run.tallies.insert("ruled_runs", ruled);
     run.tallies
         .insert("versions_in_force", rules.logs.in_force.len() as i64);
-    run.tallies.insert("bars", bars.len() as i64);
-    let mut add = |rule: &'static str, what: String| wrong.entry(rule).or_default().push(what);
-    if ruled < LEAST_RUN {
+    run.tallies.insert("bars", barred_zones.len() as i64);
+    let mut add = |rule: &'static str, what: String| violations.entry(rule).or_default().push(what);
+    if ruled < MIN_RULED_RUNS {
         add("run", format!("{ruled} executions that a rule was about"));
     }
-    let lived: BTreeSet<u64> = rules.lived().iter().map(|(_, set)| set.version).collect();
+    let accepted_sets: BTreeSet<u64> = rules
+        .accepted_sets()
+        .iter()
+        .map(|(_, set)| set.version)
+        .collect();
     for change in planned {
         let version = change.files[0].1.version;
-        if !lived.contains(&version) || !rules.logs.in_force.contains_key(&version) {
+        if !accepted_sets.contains(&version) || !rules.logs.in_force.contains_key(&version) {
             add(
                 "run",
                 format!(
@@ -418,11 +433,11 @@
     if killed && old < 2 {
         add("run", format!("{old} of 2 old files were refused"));
     }
-    counted(run, rules, account);
+    check_hits(run, rules, account);
 }
 
 /// What is denied runs nowhere; and a front that can't know the rules turns away nobody else's statements.
-fn denied(wrong: &mut Violations, account: &Account) {
+fn check_denied(violations: &mut Violations, account: &Account) {
     let refused = |o: &Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
     let second = |o: &Offered| (o.front, o.asked.answered / 1_000_000);
     let began: BTreeSet<&str> = (account.engine_events.iter())
@@ -434,64 +449,82 @@
     for o in account
         .asked
         .iter()
-        .filter(|o| o.class == AUDIT && began.contains(o.asked.id.as_str()))
+        .filter(|o| o.class == AUDIT_CLASS && began.contains(o.asked.id.as_str()))
     {
-        wrong
+        violations
             .entry("barred_read")
             .or_default()
             .push(format!("{}: ran, but is denied", o.asked.id));
     }
-    let closed = account
+    let closed_seconds = account
         .asked
         .iter()
-        .filter(|o| o.class == REPORT && refused(o) && !o.barred);
-    let closed: BTreeSet<(usize, i64)> = closed.map(second).collect();
+        .filter(|o| o.class == REPORT_CLASS && refused(o) && !o.barred);
+    let closed_seconds: BTreeSet<(usize, i64)> = closed_seconds.map(second).collect();
     let others: Vec<&Offered> = account
         .asked
         .iter()
-        .filter(|o| o.class == LOOKUP && closed.contains(&second(o)))
+        .filter(|o| o.class == LOOKUP_CLASS && closed_seconds.contains(&second(o)))
         .collect();
     let away = others.iter().filter(|o| refused(o)).count();
     // A busy machine's fronts turn some away by themselves.
-    if others.len() >= LEAST_OTHERS && away * 2 > others.len() {
+    if others.len() >= MIN_OTHER_STATEMENTS && away * 2 > others.len() {
         let said = format!(
             "{away} of {} of customers without rules, while fronts were closed",
             others.len()
         );
-        wrong.entry("groundless_refusal").or_default().push(said);
+        violations
+            .entry("groundless_refusal")
+            .or_default()
+            .push(said);
     }
 }
 
 /// The fleet's hits, asked of one front, against what clients had answered.
-fn counted(run: &mut Run, rules: &Rules, account: &Account) {
+fn check_hits(run: &mut Run, rules: &Rules, account: &Account) {
     let Some(fleet_hits) = &rules.hits else {
         let said = format!("front {} did not tell the fleet's hits", rules.asked_front);
         return run.violations.entry("run").or_default().push(said);
     };
     // A refusal for want of the ledger or of the rules came before the hit, or after: it may count or not.
-    let sure = |o: &Offered| match &o.asked.outcome {
+    let is_certain = |o: &Offered| match &o.asked.outcome {
         Outcome::Completed { .. } => true,
-        Outcome::Error(_) => o.barred && o.class == AUDIT,
+        Outcome::Error(_) => o.barred && o.class == AUDIT_CLASS,
         _ => false,
     };
-    let asked: Vec<Offered> = (account.asked.iter().filter(|o| o.class != LOOKUP).cloned())
-        .map(|mut o| {
-            if !sure(&o) {
-                o.asked.outcome = Outcome::Lost;
-            }
-            o
-        })
-        .collect();
+    let asked: Vec<Offered> = (account
+        .asked
+        .iter()
+        .filter(|o| o.class != LOOKUP_CLASS)
+        .cloned())
+    .map(|mut o| {
+        if !is_certain(&o) {
+            o.asked.outcome = Outcome::Lost;
+        }
+        o
+    })
+    .collect();
     run.tallies.insert("hits", fleet_hits.values().sum());
-    run.tallies
-        .insert("hits_sure", asked.iter().filter(|o| sure(o)).count() as i64);
+    run.tallies.insert(
+        "hits_sure",
+        asked.iter().filter(|o| is_certain(o)).count() as i64,
+    );
     run.tallies.insert(
         "hits_unsure",
-        asked.iter().filter(|o| !sure(o)).count() as i64,
+        asked.iter().filter(|o| !is_certain(o)).count() as i64,
     );
     let of = |o: &Offered, rule: &str| Some(format!("{rule} r{}", o.front));
-    let decided = |o: &Offered| of(o, if o.class == AUDIT { "denied" } else { "bound" });
-    let counts = |o: &Offered| of(o, "counted").filter(|_| o.class == REPORT);
+    let decision_key = |o: &Offered| {
+        of(
+            o,
+            if o.class == AUDIT_CLASS {
+                "denied"
+            } else {
+                "bound"
+            },
+        )
+    };
+    let count_key = |o: &Offered| of(o, "counted").filter(|_| o.class == REPORT_CLASS);
     let split = |counting: bool| {
         let holds = |rule: &str| rule.starts_with("counted") == counting;
         fleet_hits
@@ -500,8 +533,8 @@
             .map(|(rule, n)| (rule.clone(), *n))
             .collect()
     };
-    hits::check(&mut run.violations, &asked, &split(false), &decided);
-    hits::check(&mut run.violations, &asked, &split(true), &counts);
+    hits::check(&mut run.violations, &asked, &split(false), &decision_key);
+    hits::check(&mut run.violations, &asked, &split(true), &count_key);
 }
 
 #[cfg(test)]
--- a/crates/lab/src/prove/shape.rs
+++ b/crates/lab/src/prove/shape.rs
@@ -9,16 +9,16 @@
 /// The kinds of trouble of a run, in the order drawn. A small run has so many of them, the named one always
 /// among these.
 pub(super) fn draw_kinds(
-    chance: &mut Pcg64Mcg,
+    rng: &mut Pcg64Mcg,
     kinds: &[&'static str],
     small: Option<(usize, &str)>,
 ) -> Vec<&'static str> {
     let mut drawn = kinds.to_vec();
-    drawn.shuffle(chance);
+    drawn.shuffle(rng);
     if let Some((count, always)) = small {
         drawn.sort_by_key(|kind| *kind != always);
         drawn.truncate(count);
-        drawn.shuffle(chance);
+        drawn.shuffle(rng);
     }
     drawn
 }
@@ -56,7 +56,7 @@
     Class {
         effect: Effect::Deduplicated,
         keys,
-        ..promised("log-load", work_ms)
+        ..promised_class("log-load", work_ms)
     }
 }
 
@@ -64,11 +64,11 @@
 pub(super) fn once(work_ms: u64) -> Class {
     Class {
         effect: Effect::NonIdempotent,
-        ..promised("pay", work_ms)
+        ..promised_class("pay", work_ms)
     }
 }
 
-fn promised(name: &str, work_ms: u64) -> Class {
+fn promised_class(name: &str, work_ms: u64) -> Class {
     Class {
         importance: 8.0,
         work_ms: Some(work_ms),
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -23,21 +23,21 @@
 use crate::rig::member::Member;
 use crate::rig::scenario::{Class, Effect, Fault, FaultKind, FleetShape, Load, Scenario};
 use crate::rig::sites::{Sites, BAD};
-use seen::{asked, counted, held, read, AnswerRecords, Loaded};
+use seen::{count_asked_sites, count_reasons, final_rows, parse_rows, AnswerRecords, LoadRecord};
 
 const SITES: usize = 5;
-const RANGE: i64 = 1_000; // values of a site lie in a range of its own, loads' anywhere
-const FIRST_ROWS: usize = 40; // of each site
-const TELL: Duration = Duration::from_millis(1_200); // between summaries of a site
-const SCATTERS: f64 = 22.0; // a second
-const LOADS: f64 = 3.0; // a second
-const WARM_US: i64 = 4_000_000; // microseconds at the beginning of what is measured that do not count
-const NUMBERS: u64 = 1 << 40; // statements of the plain load have lower ones
-const MOST_SECONDS: u64 = 60;
-const NEEDLESS: &str = "asked and without rows"; // in fronts' logs, behind how many they asked
-const LEAST_WHOLE: usize = 100; // scatters answered in whole; with fewer a run proves nothing
+const VALUES_PER_SITE: i64 = 1_000; // values of a site lie in a range of its own, loads' anywhere
+const INITIAL_ROWS_PER_SITE: usize = 40; // of each site
+const SUMMARY_INTERVAL: Duration = Duration::from_millis(1_200); // between summaries of a site
+const SCATTERS_PER_SECOND: f64 = 22.0; // a second
+const LOADS_PER_SECOND: f64 = 3.0; // a second
+const WARM_UP_US: i64 = 4_000_000; // microseconds at the beginning of what is measured that do not count
+const FIRST_STATEMENT_NUMBER: u64 = 1 << 40; // statements of the plain load have lower ones
+const MAX_SECONDS: u64 = 60;
+const UNNECESSARY_SITES_TEXT: &str = "asked and without rows"; // in fronts' logs, behind how many they asked
+const MIN_COMPLETE_SCATTERS: usize = 100; // scatters answered in whole; with fewer a run proves nothing
 
-const LEAST_ROWS: i64 = 100; // told in answers
+const MIN_ROWS: i64 = 100; // told in answers
 
 struct Plan {
     sites: Arc<Sites>,
@@ -45,20 +45,20 @@
     stop: Arc<AtomicBool>,
     clients: Option<std::thread::JoinHandle<()>>,
     seed: u64,
-    chance: Pcg64Mcg,
-    told_at: Instant,
-    turns: usize,
+    rng: Pcg64Mcg,
+    summaries_written_at: Instant,
+    bad_summaries_written: usize,
     /// Loads a second, and whether summaries that must count for nothing come too.
     loads: f64,
-    spoils: bool,
+    writes_bad_summaries: bool,
     /// What was wrong with summaries that fronts have refused, and how often.
     refused: BTreeMap<&'static str, usize>,
     /// The last word of each front on sites that it asked for nothing.
-    needless: Vec<String>,
+    unnecessary_lines: Vec<String>,
 }
 
 /// Statements until the run ends, each by a client of its own.
-fn clients(
+fn run_clients(
     (seed, loads): (u64, f64),
     members: &[Arc<Member>],
     records: &Arc<Records>,
@@ -66,15 +66,19 @@
     stop: &AtomicBool,
 ) {
     let (gap, loads) = (
-        Duration::from_secs_f64(1.0 / (SCATTERS + loads)),
-        loads / (SCATTERS + loads),
+        Duration::from_secs_f64(1.0 / (SCATTERS_PER_SECOND + loads)),
+        loads / (SCATTERS_PER_SECOND + loads),
+    );
+    let (mut rng, mut number, mut waits) = (
+        Pcg64Mcg::seed_from_u64(seed),
+        FIRST_STATEMENT_NUMBER,
+        Vec::new(),
     );
-    let (mut chance, mut number, mut waits) = (Pcg64Mcg::seed_from_u64(seed), NUMBERS, Vec::new());
     while !stop.load(SeqCst) {
         std::thread::sleep(gap);
         number += 1;
         let here: Vec<&Arc<Member>> = members.iter().filter(|m| !m.away.load(SeqCst)).collect();
-        let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else {
+        let Some(member) = here.get(rng.random_range(0..here.len().max(1))) else {
             continue;
         };
         let Some(at) = member
@@ -85,16 +89,16 @@
         else {
             continue;
         };
-        let (front, loads) = (member.number, chance.random_bool(loads));
-        let from = chance.random_range(0..SITES as i64 * RANGE);
-        let to = if chance.random_bool(0.6) {
+        let (front, loads) = (member.number, rng.random_bool(loads));
+        let from = rng.random_range(0..SITES as i64 * VALUES_PER_SITE);
+        let to = if rng.random_bool(0.6) {
             from
         } else {
-            from + chance.random_range(0..RANGE / 4)
+            from + rng.random_range(0..VALUES_PER_SITE / 4)
         };
         let (records, seen) = (records.clone(), seen.clone());
         waits.push(std::thread::spawn(move || {
-            let id = format!("{}{}", if loads { "l" } else { "q" }, number - NUMBERS);
+            let id = format!("{}{}", if loads { "l" } else { "q" }, number - FIRST_STATEMENT_NUMBER);
             let verb = if loads { "load" } else { "lookup" };
             let fields =
                 [("verb", verb), ("team", "acme"), ("limit", "4000"), ("cpu", "10"), ("heap_mb", "0")];
@@ -110,10 +114,10 @@
             if loads {
                 let acknowledged = if body.is_some() { answered } else { i64::MAX };
                 if let Ok(mut all) = seen.loads.lock() {
-                    all.push(Loaded { id, value: from, sent, acknowledged, front });
+                    all.push(LoadRecord { id, value: from, sent, acknowledged, front });
                 }
             } else if let Ok(mut all) = seen.scatters.lock() {
-                let rows = body.map(|body| read(&String::from_utf8_lossy(&body)));
+                let rows = body.map(|body| parse_rows(&String::from_utf8_lossy(&body)));
                 let without = BTreeSet::new();
                 all.push((front, Scatter { id, between: (from, to), sent, answered, rows, without }));
             }
@@ -124,25 +128,25 @@
 
 impl Plan {
     /// Every site's summary at two fronts, from which others hear of it; and one that must count for nothing.
-    fn tell(&mut self, fleet: &Fleet) {
+    fn write_summaries(&mut self, fleet: &Fleet) {
         let fronts = fleet.members.len();
-        let mut fronts_told = BTreeSet::new();
+        let mut notified_fronts = BTreeSet::new();
         for site in 0..SITES {
-            let front = self.chance.random_range(0..fronts);
+            let front = self.rng.random_range(0..fronts);
             self.sites.tell(site, front);
-            fronts_told.insert(front);
+            notified_fronts.insert(front);
         }
-        if self.spoils {
-            let (what, _) = BAD[self.turns % BAD.len()];
+        if self.writes_bad_summaries {
+            let (what, _) = BAD[self.bad_summaries_written % BAD.len()];
             let (site, front) = (
-                self.chance.random_range(0..SITES),
-                self.chance.random_range(0..fronts),
+                self.rng.random_range(0..SITES),
+                self.rng.random_range(0..fronts),
             );
             self.sites.tell_badly(site, front, what);
-            fronts_told.insert(front);
-            self.turns += 1;
+            notified_fronts.insert(front);
+            self.bad_summaries_written += 1;
         }
-        let here = fronts_told
+        let here = notified_fronts
             .iter()
             .map(|front| &fleet.members[*front])
             .filter(|m| !m.away.load(SeqCst));
@@ -152,7 +156,7 @@
 
 impl FleetHooks for Plan {
     fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
-        self.tell(fleet);
+        self.write_summaries(fleet);
         let (seed, members, records) = (
             (self.seed, self.loads),
             fleet.members.clone(),
@@ -160,15 +164,15 @@
         );
         let (seen, stop) = (self.seen.clone(), self.stop.clone());
         self.clients = Some(std::thread::spawn(move || {
-            clients(seed, &members, &records, &seen, &stop)
+            run_clients(seed, &members, &records, &seen, &stop)
         }));
         Ok(())
     }
 
     fn turn(&mut self, fleet: &Fleet, _: i64) -> Vec<Fault> {
-        if self.told_at.elapsed() >= TELL {
-            self.told_at = Instant::now();
-            self.tell(fleet);
+        if self.summaries_written_at.elapsed() >= SUMMARY_INTERVAL {
+            self.summaries_written_at = Instant::now();
+            self.write_summaries(fleet);
         }
         Vec::new()
     }
@@ -188,40 +192,46 @@
                 .insert(what, fleet.members.iter().map(said).sum());
         }
         for member in &fleet.members {
-            let before = member.said(NEEDLESS).len();
+            let before = member.said(UNNECESSARY_SITES_TEXT).len();
             member.signal(Signal::SIGHUP);
             let since = Instant::now();
-            while member.said(NEEDLESS).len() == before && since.elapsed() < TELL {
+            while member.said(UNNECESSARY_SITES_TEXT).len() == before
+                && since.elapsed() < SUMMARY_INTERVAL
+            {
                 std::thread::sleep(Duration::from_millis(10));
             }
-            self.needless
-                .extend(member.said(NEEDLESS).pop().map(|(_, line)| line));
+            self.unnecessary_lines.extend(
+                member
+                    .said(UNNECESSARY_SITES_TEXT)
+                    .pop()
+                    .map(|(_, line)| line),
+            );
         }
     }
 }
 
 /// The run of a seed.
 fn draw(seed: u64, small: bool) -> Scenario {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7369_7465);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7369_7465);
     let fronts = 5;
     let cut = fault(
         FaultKind::FrontsSplit,
-        6_000 + chance.random_range(0..500),
+        6_000 + rng.random_range(0..500),
         5_000,
     );
     let mut faults = vec![Fault {
-        front: chance.random_range(1..fronts),
+        front: rng.random_range(1..fronts),
         ..cut
     }];
     if !small {
-        let gone = fault(
+        let killed = fault(
             FaultKind::Kill,
-            15_000 + chance.random_range(0..500),
-            chance.random_range(500..2_000),
+            15_000 + rng.random_range(0..500),
+            rng.random_range(500..2_000),
         );
         faults.push(Fault {
-            front: chance.random_range(0..fronts),
-            ..gone
+            front: rng.random_range(0..fronts),
+            ..killed
         });
     }
     let load = Class {
@@ -259,25 +269,26 @@
 }
 
 /// The values that each site holds at first.
-fn first(seed: u64) -> Vec<Vec<i64>> {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+fn initial_values(seed: u64) -> Vec<Vec<i64>> {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut values = |site: i64| -> Vec<i64> {
-        (0..FIRST_ROWS)
-            .map(|_| site * RANGE + chance.random_range(0..RANGE))
+        (0..INITIAL_ROWS_PER_SITE)
+            .map(|_| site * VALUES_PER_SITE + rng.random_range(0..VALUES_PER_SITE))
             .collect()
     };
     (0..SITES as i64).map(&mut values).collect()
 }
 
 /// Plays a scenario among sites, with so many loads a second.
-fn played(
+fn play_scenario(
     scenario: &Scenario,
     seed: u64,
     loads: f64,
-    spoils: bool,
+    writes_bad_summaries: bool,
 ) -> Result<(Plan, Account, Vec<u32>), String> {
     let fronts = scenario.fleet.fronts;
-    let sites = Arc::new(Sites::new(first(seed), 1, fronts, seed).map_err(|e| e.to_string())?);
+    let sites =
+        Arc::new(Sites::new(initial_values(seed), 1, fronts, seed).map_err(|e| e.to_string())?);
     let holds: Arc<dyn RowStore> = sites.clone();
     let fleet = Fleet::start_with(scenario, seed, sites.beside(fronts), Some(holds))?;
     let mut plan = Plan {
@@ -286,13 +297,13 @@
         stop: Arc::default(),
         clients: None,
         seed,
-        chance: Pcg64Mcg::seed_from_u64(seed ^ 0x7465_6c6c),
-        told_at: Instant::now(),
-        turns: 0,
+        rng: Pcg64Mcg::seed_from_u64(seed ^ 0x7465_6c6c),
+        summaries_written_at: Instant::now(),
+        bad_summaries_written: 0,
         loads,
-        spoils,
+        writes_bad_summaries,
         refused: BTreeMap::new(),
-        needless: Vec::new(),
+        unnecessary_lines: Vec::new(),
     };
     let (account, pids) = play(fleet, scenario, seed, &mut plan)?;
     Ok((plan, account, pids))
@@ -309,15 +320,15 @@
     pub with_rows: i64,
     pub missing: usize,
     /// Asked and without rows, by why.
-    pub needless: BTreeMap<String, u64>,
+    pub unnecessary: BTreeMap<String, u64>,
 }
 
 /// Plays a quiet fleet with so many loads a second.
-pub fn measured(seed: u64, loads: f64, seconds: u64) -> Result<SitesAsked, String> {
+pub fn measure_sites(seed: u64, loads: f64, seconds: u64) -> Result<SitesAsked, String> {
     let mut scenario = draw(seed, true);
     (scenario.seconds, scenario.faults) = (seconds, Vec::new());
-    let (plan, account, _) = played(&scenario, seed, loads, false)?;
-    let (held, mut violations) = held((&plan.sites, &plan.seen), &first(seed));
+    let (plan, account, _) = play_scenario(&scenario, seed, loads, false)?;
+    let (held, mut violations) = final_rows((&plan.sites, &plan.seen), &initial_values(seed));
     let lock = |_| "a client's thread broke".to_string();
     let scatters = plan.seen.scatters.lock().map_err(|e| lock(e.to_string()))?;
     let loads = plan
@@ -336,21 +347,21 @@
         .map(|(_, scatter)| scatter.clone())
         .collect();
     rows::check(&mut violations, &all, &held);
-    let whole: Vec<&Scatter> = (all.iter())
-        .filter(|scatter| scatter.rows.is_some() && scatter.sent > began + WARM_US)
+    let complete: Vec<&Scatter> = (all.iter())
+        .filter(|scatter| scatter.rows.is_some() && scatter.sent > began + WARM_UP_US)
         .collect();
-    let (asked, with_rows) = asked(&whole, &held, &account);
-    let needless = counted(&plan.needless);
+    let (asked, with_rows) = count_asked_sites(&complete, &held, &account);
+    let unnecessary = count_reasons(&plan.unnecessary_lines);
     let missing = violations.values().map(Vec::len).sum();
-    let all = (whole.len() * SITES) as i64;
+    let all = (complete.len() * SITES) as i64;
     Ok(SitesAsked {
-        scatters: whole.len(),
+        scatters: complete.len(),
         loads,
         all,
         asked,
         with_rows,
         missing,
-        needless,
+        unnecessary,
     })
 }
 
@@ -358,12 +369,12 @@
 pub fn run(seed: u64, small: bool) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed, small);
-    let (plan, account, pids) = played(&scenario, seed, LOADS, true)?;
-    let first = &first(seed);
+    let (plan, account, pids) = play_scenario(&scenario, seed, LOADS_PER_SECOND, true)?;
+    let initial = &initial_values(seed);
     let mut run = judge(&scenario, &account, pids);
-    checked(&mut run, &plan, first, &account);
+    check_run(&mut run, &plan, initial, &account);
     let seconds = began.elapsed().as_secs();
-    if seconds >= MOST_SECONDS {
+    if seconds >= MAX_SECONDS {
         run.violations
             .entry("run")
             .or_default()
@@ -375,8 +386,8 @@
     ))
 }
 
-fn checked(run: &mut Run, plan: &Plan, first: &[Vec<i64>], account: &Account) {
-    let (held, violations) = held((&plan.sites, &plan.seen), first);
+fn check_run(run: &mut Run, plan: &Plan, initial: &[Vec<i64>], account: &Account) {
+    let (held, violations) = final_rows((&plan.sites, &plan.seen), initial);
     for (what, all) in violations {
         run.violations.entry(what).or_default().extend(all);
     }
@@ -388,14 +399,14 @@
         .map(|(_, scatter)| scatter.clone())
         .collect();
     rows::check(&mut run.violations, &all, &held);
-    let whole = scatters
+    let complete = scatters
         .iter()
         .filter(|(_, scatter)| scatter.rows.is_some());
-    let whole: Vec<&(usize, Scatter)> = whole.collect();
-    let answered: Vec<&Scatter> = whole.iter().map(|(_, scatter)| scatter).collect();
-    let (of, least) = asked(&answered, &held, account);
+    let complete: Vec<&(usize, Scatter)> = complete.collect();
+    let answered: Vec<&Scatter> = complete.iter().map(|(_, scatter)| scatter).collect();
+    let (of, least) = count_asked_sites(&answered, &held, account);
     // Loads acknowledged on one side of a cut, and scatters asked on the other after that while it lasted.
-    let mut across = 0;
+    let mut scatters_across_cut = 0;
     for (fault, from, to) in account
         .played
         .iter()
@@ -403,7 +414,7 @@
     {
         let side = |front: usize| fault.split().group(front);
         let inside = |at: i64| *from <= at && at < *to;
-        let done: Vec<&Loaded> = loads
+        let done: Vec<&LoadRecord> = loads
             .iter()
             .filter(|load| inside(load.sent) && inside(load.acknowledged))
             .collect();
@@ -413,12 +424,12 @@
                     .iter()
                     .any(|l| side(l.front) != side(front) && l.acknowledged < scatter.sent)
         };
-        across += whole
+        scatters_across_cut += complete
             .iter()
             .filter(|(front, scatter)| other(*front, scatter))
             .count() as i64;
     }
-    let rows = whole
+    let rows = complete
         .iter()
         .flat_map(|(_, scatter)| &scatter.rows)
         .map(Vec::len)
@@ -427,22 +438,22 @@
         .iter()
         .filter(|load| load.acknowledged < i64::MAX)
         .count() as i64;
-    let needless = counted(&plan.needless);
-    let without = |why: &str| needless.get(why).map_or(0, |count| *count as i64);
+    let unnecessary = count_reasons(&plan.unnecessary_lines);
+    let without = |why: &str| unnecessary.get(why).map_or(0, |count| *count as i64);
     for (key, value) in [
         ("needless_bounds", without("bounds")),
         ("needless_no_summary", without("no summary")),
         ("needless_no_word", without("no word on loads")),
         ("needless_summary_behind", without("summary behind")),
         ("scatters", scatters.len() as i64),
-        ("scatters_whole", whole.len() as i64),
+        ("scatters_whole", complete.len() as i64),
         ("loads", loads.len() as i64),
         ("loads_acknowledged", acknowledged),
-        ("sites_all", (whole.len() * SITES) as i64),
+        ("sites_all", (complete.len() * SITES) as i64),
         ("sites_asked", of),
         ("sites_true", least),
         ("rows", rows),
-        ("across_a_cut", across),
+        ("across_a_cut", scatters_across_cut),
         (
             "summaries_refused",
             plan.refused.values().sum::<usize>() as i64,
@@ -451,13 +462,13 @@
         run.tallies.insert(key, value);
     }
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
-    if whole.len() < LEAST_WHOLE || acknowledged < 10 || rows < LEAST_ROWS {
+    if complete.len() < MIN_COMPLETE_SCATTERS || acknowledged < 10 || rows < MIN_ROWS {
         add(format!(
             "{} scatters in whole, {rows} rows, {acknowledged} loads acknowledged",
-            whole.len()
+            complete.len()
         ));
     }
-    if across == 0 {
+    if scatters_across_cut == 0 {
         add("no scatter came on one side of a cut after a load on the other".to_string());
     }
     for (what, _) in plan.refused.iter().filter(|(_, said)| **said == 0) {
--- a/crates/lab/src/prove/sites/seen.rs
+++ b/crates/lab/src/prove/sites/seen.rs
@@ -9,7 +9,7 @@
 use crate::rig::sites::Sites;
 
 /// A load as its client saw it: its value, when it was sent and acknowledged, and at which front.
-pub(super) struct Loaded {
+pub(super) struct LoadRecord {
     pub(super) id: String,
     pub(super) value: i64,
     pub(super) sent: i64,
@@ -20,11 +20,11 @@
 #[derive(Default)]
 pub(super) struct AnswerRecords {
     pub(super) scatters: Mutex<Vec<(usize, Scatter)>>,
-    pub(super) loads: Mutex<Vec<Loaded>>,
+    pub(super) loads: Mutex<Vec<LoadRecord>>,
 }
 
 /// Rows of an answer: site and value in each line.
-pub(super) fn read(body: &str) -> Vec<(usize, i64)> {
+pub(super) fn parse_rows(body: &str) -> Vec<(usize, i64)> {
     let row = |line: &str| {
         let mut columns = line.split('\t');
         Some((columns.next()?.parse().ok()?, columns.next()?.parse().ok()?))
@@ -35,11 +35,11 @@
 pub(super) type Violations = BTreeMap<&'static str, Vec<String>>;
 
 /// The rows at each site in the end, and loads acknowledged whose rows are nowhere.
-pub(super) fn held(
+pub(super) fn final_rows(
     (sites, seen): (&Sites, &AnswerRecords),
     first: &[Vec<i64>],
 ) -> (Vec<Row>, Violations) {
-    let there = |site: usize| {
+    let initial_rows = |site: usize| {
         first[site].iter().map(move |value| Row {
             site,
             value: *value,
@@ -47,7 +47,7 @@
             acknowledged: 0,
         })
     };
-    let mut held: Vec<Row> = (0..first.len()).flat_map(there).collect();
+    let mut held: Vec<Row> = (0..first.len()).flat_map(initial_rows).collect();
     let mut violations = Violations::new();
     let (Ok(loads), Ok(landed)) = (seen.loads.lock(), sites.landed.lock()) else {
         return (held, violations);
@@ -62,8 +62,8 @@
                 acknowledged,
             }),
             None if acknowledged < i64::MAX => {
-                let said = format!("{}: acknowledged, and its row is nowhere", load.id);
-                violations.entry("row_missing").or_default().push(said);
+                let message = format!("{}: acknowledged, and its row is nowhere", load.id);
+                violations.entry("row_missing").or_default().push(message);
             }
             None => {}
         }
@@ -72,36 +72,45 @@
 }
 
 /// Sites that were asked, by the engines' records, and those with a row that matches.
-pub(super) fn asked(whole: &[&Scatter], held: &[Row], account: &Account) -> (i64, i64) {
+pub(super) fn count_asked_sites(
+    complete: &[&Scatter],
+    held: &[Row],
+    account: &Account,
+) -> (i64, i64) {
     let mut asked: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
     for event in &account.engine_events {
         if let Kind::Began { id, .. } = &event.kind {
             asked.entry(id).or_default().insert(event.engine);
         }
     }
-    let (mut of, mut least) = (0, 0);
-    for scatter in whole {
-        of += asked.get(scatter.id.as_str()).map_or(0, BTreeSet::len) as i64;
+    let (mut asked_count, mut matching_count) = (0, 0);
+    for scatter in complete {
+        asked_count += asked.get(scatter.id.as_str()).map_or(0, BTreeSet::len) as i64;
         let matches = |row: &&Row| {
             (scatter.between.0..=scatter.between.1).contains(&row.value)
                 && row.acknowledged < scatter.sent
         };
-        least += held
+        matching_count += held
             .iter()
             .filter(matches)
             .map(|row| row.site)
             .collect::<BTreeSet<_>>()
             .len() as i64;
     }
-    (of, least)
+    (asked_count, matching_count)
 }
 
 /// Sites that fronts asked for nothing, by why, from the last word of each on them.
-pub(super) fn counted(said: &[String]) -> BTreeMap<String, u64> {
+pub(super) fn count_reasons(lines: &[String]) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
-    for line in said {
-        let of = line.rsplit_once("without rows, ").map_or("", |(_, of)| of);
-        for (why, count) in of.split(", ").filter_map(|one| one.rsplit_once(": ")) {
+    for line in lines {
+        let asked_count = line
+            .rsplit_once("without rows, ")
+            .map_or("", |(_, asked_count)| asked_count);
+        for (why, count) in asked_count
+            .split(", ")
+            .filter_map(|one| one.rsplit_once(": "))
+        {
             *counts.entry(why.to_string()).or_default() += count.parse::<u64>().unwrap_or(0);
         }
     }
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -15,7 +15,7 @@
 
 const SECOND_US: i64 = 1_000_000;
 /// How far a wall clock is from the machine's, by its steps: some seconds, an hour.
-const AHEAD: [i64; 8] = [
+const CLOCK_OFFSETS_US: [i64; 8] = [
     0,
     -SECOND_US / 2,
     3 * SECOND_US,
@@ -25,16 +25,16 @@
     3_600 * SECOND_US,
     -3_600 * SECOND_US,
 ];
-const BETWEEN_STEPS: std::ops::RangeInclusive<i64> = 400_000..=2_500_000; // microseconds
-const BETWEEN_SHORTAGES: std::ops::RangeInclusive<i64> = 300_000..=1_500_000; // microseconds
-const SHORTAGE: std::ops::RangeInclusive<i64> = 50_000..=700_000; // microseconds for which calls fail
-const MOST_FAILURES: std::ops::RangeInclusive<i64> = 1..=60; // of a shortage: also a start that tries again ends it
+const CLOCK_STEP_INTERVAL_US: std::ops::RangeInclusive<i64> = 400_000..=2_500_000; // microseconds
+const SHORTAGE_INTERVAL_US: std::ops::RangeInclusive<i64> = 300_000..=1_500_000; // microseconds
+const SHORTAGE_DURATION_US: std::ops::RangeInclusive<i64> = 50_000..=700_000; // microseconds for which calls fail
+const MAX_FAILURES: std::ops::RangeInclusive<i64> = 1..=60; // of a shortage: also a start that tries again ends it
 /// How many of a thousand calls fail: at most all, for a moment.
-const RATES: [u16; 4] = [20, 150, 500, 1_000];
+const FAILURE_RATES_PERMILLE: [u16; 4] = [20, 150, 500, 1_000];
 /// Connections that break are lost to all that is out on them: few.
-const BROKEN_RATES: [u16; 2] = [5, 30];
-const CROWDED: f64 = 0.25; // share of runs in which idle clients hold all the descriptors that clients may
-const CROWD: usize = SOCKETS / 2; // connections to each front: so many are clients' share
+const BROKEN_READ_RATES_PERMILLE: [u16; 2] = [5, 30];
+const CROWD_PROBABILITY: f64 = 0.25; // share of runs in which idle clients hold all the descriptors that clients may
+const CROWD_CONNECTIONS_PER_FRONT: usize = SOCKETS / 2; // connections to each front: so many are clients' share
 const TALLIES: [&str; Call::ALL.len()] = [
     "failed_accepts",
     "failed_sockets",
@@ -53,7 +53,7 @@
 
 /// What befalls the machines of all fronts of a run.
 pub(super) struct Machines {
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     faults: Vec<MachineFaults>,
     folder: PathBuf,
     next_step: i64,
@@ -63,7 +63,7 @@
     /// Connections of idle clients.
     crowd: Vec<TcpStream>,
     /// What was played, and when, in microseconds since the load began.
-    played: Vec<(i64, String)>,
+    events: Vec<(i64, String)>,
 }
 
 impl Machines {
@@ -80,7 +80,7 @@
             )
         });
         Ok(Machines {
-            chance: Pcg64Mcg::seed_from_u64(seed ^ 0x6d61_6368),
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0x6d61_6368),
             faults: faults.collect::<Result<_>>()?,
             folder,
             next_step: 0,
@@ -88,7 +88,7 @@
             shortages: Vec::new(),
             steps: 0,
             crowd: Vec::new(),
-            played: Vec::new(),
+            events: Vec::new(),
         })
     }
 
@@ -108,46 +108,48 @@
         self.faults.iter().map(options).collect()
     }
 
-    fn step_a_clock(&mut self, since: i64) -> Result<()> {
-        let front = self.chance.random_range(0..self.faults.len());
-        let ahead = *AHEAD.choose(&mut self.chance).unwrap_or(&0);
+    fn step_clock(&mut self, since: i64) -> Result<()> {
+        let front = self.rng.random_range(0..self.faults.len());
+        let ahead = *CLOCK_OFFSETS_US.choose(&mut self.rng).unwrap_or(&0);
         self.faults[front].set_wall_clock_ahead(ahead)?;
         self.steps += 1;
-        self.played.push((
+        self.events.push((
             since,
             format!("front {front}: its wall clock is {} ms ahead", ahead / 1000),
         ));
         Ok(())
     }
 
-    fn begin_shortage(&mut self, since: i64) -> Result<()> {
-        let front = self.chance.random_range(0..self.faults.len());
-        let call = *Call::ALL.choose(&mut self.chance).unwrap_or(&Call::Accept);
+    fn start_shortage(&mut self, since: i64) -> Result<()> {
+        let front = self.rng.random_range(0..self.faults.len());
+        let call = *Call::ALL.choose(&mut self.rng).unwrap_or(&Call::Accept);
         let rates: &[u16] = if call == Call::BrokenRead {
-            &BROKEN_RATES
+            &BROKEN_READ_RATES_PERMILLE
         } else {
-            &RATES
+            &FAILURE_RATES_PERMILLE
         };
-        let rate = *rates.choose(&mut self.chance).unwrap_or(&0);
-        let until = since + self.chance.random_range(SHORTAGE);
-        let most = self.chance.random_range(MOST_FAILURES);
-        self.faults[front].fail_at_most(call, rate, most)?;
+        let rate = *rates.choose(&mut self.rng).unwrap_or(&0);
+        let until = since + self.rng.random_range(SHORTAGE_DURATION_US);
+        let max_failures = self.rng.random_range(MAX_FAILURES);
+        self.faults[front].fail_at_most(call, rate, max_failures)?;
         self.shortages.push(Shortage { front, call, until });
         let ms = (until - since) / 1000;
-        self.played.push((
+        self.events.push((
             since,
-            format!("front {front}: {rate} of 1000 {call:?} fail for {ms} ms, {most} at most"),
+            format!(
+                "front {front}: {rate} of 1000 {call:?} fail for {ms} ms, {max_failures} at most"
+            ),
         ));
         Ok(())
     }
 
     fn end_shortages(&mut self, since: i64) -> Result<()> {
-        let (over, lasting) = std::mem::take(&mut self.shortages)
+        let (ended, remaining) = std::mem::take(&mut self.shortages)
             .into_iter()
             .partition(|s| s.until <= since);
-        self.shortages = lasting;
-        let over: Vec<Shortage> = over;
-        for Shortage { front, call, .. } in over {
+        self.shortages = remaining;
+        let ended: Vec<Shortage> = ended;
+        for Shortage { front, call, .. } in ended {
             // Another one of the same call may go on: then it is over with this one.
             self.faults[front].fail(call, 0)?;
         }
@@ -155,14 +157,14 @@
     }
 
     /// Idle clients connect to each front, as many as it may hold.
-    fn gather_crowd(&mut self, fleet: &Fleet) -> Result<()> {
+    fn connect_crowd(&mut self, fleet: &Fleet) -> Result<()> {
         for member in &fleet.members {
             let address = member
                 .front
                 .lock()
                 .ok()
                 .and_then(|front| front.as_ref().map(|front| front.lines));
-            for address in std::iter::repeat_n(address, CROWD).flatten() {
+            for address in std::iter::repeat_n(address, CROWD_CONNECTIONS_PER_FRONT).flatten() {
                 self.crowd.push(TcpStream::connect(address)?);
             }
         }
@@ -171,19 +173,19 @@
 
     fn advance(&mut self, since: i64) -> Result<()> {
         if since >= self.next_step {
-            self.step_a_clock(since)?;
-            self.next_step = since + self.chance.random_range(BETWEEN_STEPS);
+            self.step_clock(since)?;
+            self.next_step = since + self.rng.random_range(CLOCK_STEP_INTERVAL_US);
         }
         self.end_shortages(since)?;
         if since >= self.next_shortage {
-            self.begin_shortage(since)?;
-            self.next_shortage = since + self.chance.random_range(BETWEEN_SHORTAGES);
+            self.start_shortage(since)?;
+            self.next_shortage = since + self.rng.random_range(SHORTAGE_INTERVAL_US);
         }
         Ok(())
     }
 
     /// How often each was played, over all fronts.
-    pub(super) fn played(&self) -> Result<Vec<(&'static str, i64)>> {
+    pub(super) fn tallies(&self) -> Result<Vec<(&'static str, i64)>> {
         let mut all = vec![
             ("clock_steps", self.steps),
             ("crowd", self.crowd.len() as i64),
@@ -197,7 +199,7 @@
 
     /// Prints what was played, in the order of time.
     pub(super) fn print(&self) {
-        self.played
+        self.events
             .iter()
             .for_each(|(at, what)| eprintln!("played at {at}: {what}"));
     }
@@ -205,15 +207,15 @@
 
 impl FleetHooks for Machines {
     fn ready(&mut self, fleet: &Fleet) -> std::result::Result<(), String> {
-        match self.chance.random_bool(CROWDED) {
-            true => self.gather_crowd(fleet).map_err(|e| e.to_string()),
+        match self.rng.random_bool(CROWD_PROBABILITY) {
+            true => self.connect_crowd(fleet).map_err(|e| e.to_string()),
             false => Ok(()),
         }
     }
 
     fn turn(&mut self, _fleet: &Fleet, since: i64) -> Vec<Fault> {
         if let Err(why) = self.advance(since) {
-            self.played.push((since, format!("not played: {why}")));
+            self.events.push((since, format!("not played: {why}")));
         }
         Vec::new()
     }
--- a/crates/lab/src/prove/soak_tests.rs
+++ b/crates/lab/src/prove/soak_tests.rs
@@ -17,11 +17,11 @@
                 fault.front
             );
             if fault.what == FaultKind::Term {
-                ends[fault.front] = free + LONGEST_END_MS;
+                ends[fault.front] = free + MAX_SHUTDOWN_MS;
             }
         }
         assert!(
-            scenario.faults.len() > 3 && free <= SECONDS * 1000,
+            scenario.faults.len() > 3 && free <= LOAD_SECONDS * 1000,
             "{seed}"
         );
     }
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -19,7 +19,7 @@
 pub fn play(seed: u64, at: SocketAddr, notes: &Arc<Notes>) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut turn = chance.random_range(0..SCRIPTS.len());
-    while !notes.over() {
+    while !notes.is_stopping() {
         // One that an engine's fault ends early has written down what it owed.
         let _ = SCRIPTS[turn % SCRIPTS.len()](at, &mut chance, notes);
         turn += 1;
@@ -45,12 +45,12 @@
     StatementRecord {
         rows,
         may_fail: Some("42P01"),
-        ..notes.fresh(Repeat::Idempotent)
+        ..notes.new_statement(Repeat::Idempotent)
     }
 }
 
 fn note(notes: &Notes, asked: StatementRecord, outcome: Outcome) {
-    notes.note(StatementRecord {
+    notes.record(StatementRecord {
         outcome,
         answered: notes.records.now(),
         ..asked
--- a/crates/lab/src/simulated/tests.rs
+++ b/crates/lab/src/simulated/tests.rs
@@ -18,7 +18,7 @@
             simulated: true,
             fronts: Some(5),
             copies,
-            spoil,
+            mutation: spoil,
         };
         let mut scenario = draw(*seed, way);
         // The first loss is of the front that has most to lose by now.
@@ -54,7 +54,7 @@
         simulated: true,
         small,
         copies: 3,
-        spoil,
+        mutation: spoil,
         ..RunOptions::default()
     };
     let run = run_with(&deaths::draw(seed, way), seed, spoil).unwrap();
