--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! The laboratory: real fronts among stand-ins, faults on demand, checkers and measurements.
+//! The laboratory: runs real fronts among stand-in engines and clients, injects faults, checks the
+//! records, and measures.
 
 mod check;
 mod engine;
@@ -21,7 +22,7 @@
 use rig::{fleet, scenario};
 use simulated::Mutation;
 
-/// Proves and measures hallmux on loopback.
+/// Checks and measures hallmux on loopback.
 #[derive(Parser)]
 struct Lab {
     #[command(subcommand)]
@@ -30,85 +31,91 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a run drawn from a seed and checks the rules on what clients and engines wrote down.
+    /// Runs a load with faults drawn from a seed and checks the rules on the records of clients and
+    /// engines.
     Prove {
         subject: Subject,
-        /// Drawn and printed where it is not given.
+        /// Seed of the run; drawn at random and printed if absent.
         #[arg(long)]
         seed: Option<u64>,
-        /// How many units are to be accepted at least.
+        /// Of postgres: minimum number of units that must be accepted.
         #[arg(long, default_value_t = 20_000)]
         units: usize,
-        /// How often each fault is to be played at least.
+        /// Of postgres: minimum number of times that each fault is injected.
         #[arg(long, default_value_t = 3)]
         rounds: usize,
-        /// Of promises: three faults instead of all.
+        /// Of promises: a short run with some kinds of faults (three by default) instead of all.
         #[arg(long)]
         small: bool,
         /// Of promises: in simulated time, without processes.
         #[arg(long)]
         simulated: bool,
-        /// Of promises: so many fronts instead of 5 to 7.
+        /// Of promises: number of fronts, instead of 5 to 7.
         #[arg(long)]
         fronts: Option<usize>,
-        /// Of promises: fronts that each stands on; with 0 none keeps any for another, and the run is to fail.
+        /// Of promises: replicas of each ledger entry; 0 disables replication, and the run is
+        /// expected to fail.
         #[arg(long, default_value_t = 3)]
         copies: usize,
-        /// Of promises: one part of them, with faults of its own.
+        /// Of promises: run one part only, with its own faults.
         #[arg(long)]
         only: Option<PromisePart>,
-        /// Of promises: a long day in simulated time, all kinds of faults, several at once; a failing one is cut down.
+        /// Of promises: a long run in simulated time with concurrent faults of all kinds; a failing
+        /// run is reduced to a smaller one.
         #[arg(long)]
         long: bool,
-        /// Of a long day: how long, in simulated minutes.
+        /// Of a long run: its length, in simulated minutes.
         #[arg(long, default_value_t = 20)]
         minutes: u64,
-        /// The front's program of another build. Of a roll: half of the fleet is of it, then none, all, and half again; of
-        /// a soak: all are.
+        /// Path of the front program of another build. In a rolling restart half of the fleet
+        /// starts with it, then none, all, and half again use it; in a soak run all fronts use it.
         #[arg(long)]
         other: Option<std::path::PathBuf>,
-        /// Of promises, in simulated time: a rule is taken out, and the run is to fail.
+        /// Of promises, in simulated time: removes a rule; the run is expected to fail.
         #[arg(long)]
         without: Option<OmittedRule>,
     },
-    /// Plays a fleet scenario: many fronts, engines in zones, faults between them; checks the record.
+    /// Runs a fleet scenario: many fronts, engines in zones, faults between them; checks the
+    /// record.
     Fleet {
-        /// The scenario, in TOML.
+        /// Path of the scenario file, in TOML.
         scenario: std::path::PathBuf,
-        /// Drawn and printed where neither this nor the file gives one.
+        /// Seed of the run; drawn at random and printed if neither this option nor the file gives
+        /// one.
         #[arg(long)]
         seed: Option<u64>,
-        /// Plays the same seed a second time with this `zone_quorum` (0: the fleet never leaves a zone), side by side.
+        /// Also runs the same seed with this `zone_quorum` (0: the fleet never evacuates a zone),
+        /// and prints both results.
         #[arg(long)]
         beside_quorum: Option<usize>,
-        /// In simulated time, without processes: up to 1,000 fronts.
+        /// Runs in simulated time, without processes: up to 1,000 fronts.
         #[arg(long)]
         simulated: bool,
-        /// So many fronts instead of the file's.
+        /// Number of fronts, instead of the file's.
         #[arg(long)]
         fronts: Option<usize>,
     },
-    /// Measures beside a plain way, and prints a table.
+    /// Measures against a baseline, and prints a table.
     Measure { subject: Measurement },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Subject {
     Postgres,
-    /// What fronts keep for each other, among faults between them.
+    /// The replicated ledger of the fronts, with faults between them.
     Promises,
-    /// Fronts that share nothing, of drawn settings, on machines whose clocks and system calls fail.
+    /// Independent fronts with drawn settings, on machines whose clocks and system calls fail.
     Soak,
 }
 
-/// A rule that promises rest on.
+/// A rule that the replicated ledger depends on, and that a run can leave out.
 #[derive(Clone, Copy, ValueEnum)]
 enum OmittedRule {
-    /// Executions leave before their promise stands.
+    /// Executions are sent before their ledger entries are replicated.
     Act,
-    /// An emptied disk comes back under the identity that it had.
+    /// A front whose disk was emptied returns under its previous identity.
     Identity,
-    /// Words leave before what they rest on is lasting.
+    /// Messages are sent before the state that they depend on is durable.
     Save,
 }
 
@@ -134,32 +141,36 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum PromisePart {
-    /// Copies on disk: machines lost at each step of a promise, a full disk and a slow one.
+    /// Replicas on disk: machines lost at each step of a ledger entry, a full disk and a slow one.
     Disks,
-    /// Statements over several sites among loads, with summaries that must count for nothing.
+    /// Statements over several sites with concurrent loads, and summaries that fronts must reject.
     Sites,
-    /// Access rules that change while fronts are cut off, stopped and killed.
+    /// Access rules that change while fronts are partitioned, stalled and killed.
     Rules,
-    /// The whole fleet ended by SIGTERM and started anew, a tenth at a time.
+    /// A rolling restart of the whole fleet by SIGTERM, a tenth at a time.
     Roll,
-    /// In simulated time: fronts that die while disks are slow, and a second one right after a return.
+    /// In simulated time: fronts that die while disks are slow, and a second one right after a
+    /// front returns.
     Deaths,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Measurement {
     Postgres,
-    /// In simulated time alone, for now.
+    /// Spread of a gossip report; in simulated time only.
     Gossip,
-    /// Fleets of several sizes in simulated time, the fleet's word on a zone off and on.
+    /// Fleets of several sizes in simulated time, with the fleet-wide evacuation of a zone off and
+    /// on.
     Fleet,
-    /// What a promise costs, and a decision of the access rules.
+    /// The costs of a ledger entry and of an access decision.
     Promises,
-    /// Of promises, the part about statements over several sites: sites asked with loads at several rates.
+    /// The part of `promises` about statements over several sites: sites asked, with loads at
+    /// several rates.
     Sites,
-    /// Of promises, the part in simulated time: fleets of 5 to 300 fronts.
+    /// The part of `promises` in simulated time: fleets of 5 to 300 fronts.
     Grown,
-    /// The same under overload, from half of what the engines bear to three times.
+    /// Fleets of the same sizes under overload, offered from half to three times the capacity of
+    /// the engines.
     Overload,
 }
 
@@ -268,7 +279,7 @@
     )
 }
 
-/// Prints the last line of a proof.
+/// Prints the result line of a `prove` run and returns its exit code.
 fn print_proof_result(name: &str, seed: u64, run: Result<(bool, String), String>) -> ExitCode {
     let (passed, tallies) = match run {
         Ok(found) => found,
@@ -278,7 +289,7 @@
     exit_code(passed)
 }
 
-/// How a fleet scenario is played.
+/// Options of a fleet run.
 struct FleetOptions {
     seed: Option<u64>,
     beside_quorum: Option<usize>,
@@ -327,7 +338,8 @@
     exit_code(passed)
 }
 
-/// Plays the other quorum first, then the file's, on the same seed; each line as it would stand alone.
+/// Runs the scenario with the other quorum first, then with the file's, on the same seed; prints
+/// one result line for each.
 fn run_fleet_comparison(
     scenario: &scenario::Scenario,
     name: &str,
@@ -359,7 +371,7 @@
     all_passed
 }
 
-/// Prints what a fleet's run came to, and its last line; whether it passed.
+/// Prints the table, violations and result line of a fleet run; returns whether it passed.
 fn print_fleet_result(name: &str, played: Result<Run, String>) -> bool {
     let run = match played {
         Ok(run) => run,
--- a/crates/lab/src/measure/fleet.rs
+++ b/crates/lab/src/measure/fleet.rs
@@ -1,5 +1,5 @@
-//! `measure fleet`: the same simulated days at several fleet sizes, with the fleet's word on a zone switched off and
-//! on side by side on the same seeds.
+//! `measure fleet`: the same simulated scenarios at several fleet sizes, with fleet-wide evacuation
+//! of a zone off and on, on the same seeds.
 
 use crate::record::account::Run;
 use crate::rig::scenario::Scenario;
@@ -7,7 +7,7 @@
 
 const SIZES: [usize; 4] = [5, 20, 40, 300];
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// What is told of each run.
+/// Figures printed of each run.
 const FIGURES: [&str; 8] = [
     "zone_lost_sent",
     "zone_lost_last_sent_ms",
@@ -18,7 +18,7 @@
     "unanswered",
     "gossip_bytes_per_front_s",
 ];
-/// Of a run with an owner that is stopped past its lease.
+/// Figures printed of a run in which an owner is stalled longer than its lease.
 const OWNER_FIGURES: [&str; 7] = [
     "owners",
     "owner_passed_on",
@@ -32,12 +32,13 @@
 const ZONE_RETURN: &str = include_str!("../../fleet/zone-return.toml");
 const ZONE_AWAY: &str = include_str!("../../fleet/zone-away.toml");
 
+/// Returns the median; panics if there are no values.
 pub fn median(mut values: Vec<i64>) -> i64 {
     values.sort_unstable();
     values[values.len() / 2]
 }
 
-/// Prints a row for each day, size and way: the median of the seeds, and least and most of them.
+/// Prints a row for each scenario, size and mode: the median over the seeds, with least and most.
 pub fn measure() -> Result<(), String> {
     println!("| day | fronts | voters | {} |", OWNER_FIGURES.join(" | "));
     println!(
@@ -69,7 +70,7 @@
     Ok(())
 }
 
-/// Plays a scenario on each seed at once; an error where a rule is broken.
+/// Runs a scenario on all seeds concurrently. Returns an error if a run fails or breaks a rule.
 pub fn runs(scenario: &Scenario, what: &str) -> Result<Vec<Run>, String> {
     let runs: Vec<Result<Run, String>> = std::thread::scope(|scope| {
         let started: Vec<_> = SEEDS
@@ -78,7 +79,7 @@
             .collect();
         let ended = started.into_iter().map(|run| run.join());
         ended
-            .map(|run| run.unwrap_or_else(|_| Err("a run panicked".to_string())))
+            .map(|run| run.unwrap_or_else(|_| Err("the thread of a run panicked".to_string())))
             .collect()
     });
     let runs: Vec<Run> = runs.into_iter().collect::<Result<_, _>>()?;
@@ -88,7 +89,7 @@
     }
 }
 
-/// Plays a scenario and prints its row.
+/// Runs a scenario and prints its row.
 fn print_row(
     scenario: &Scenario,
     (day, way): (&str, &str),
--- a/crates/lab/src/measure/gossip.rs
+++ b/crates/lab/src/measure/gossip.rs
@@ -1,4 +1,4 @@
-//! `measure gossip`, the part in simulated time: how fast a suspicion spreads, and what it costs each front.
+//! `measure gossip`, in simulated time: how fast a suspicion spreads, and what it costs each front.
 
 use std::time::Instant;
 
@@ -6,16 +6,18 @@
 use hallmux_gossip::Micros;
 
 #[path = "../../../gossip/tests/fleet/sim.rs"]
-#[allow(dead_code)] // the tests of the crate use the rest
+#[allow(dead_code)] // the tests of the gossip crate use the rest
 mod sim;
 
 use sim::{Fleet, SECOND};
 
-const SETTLE_TIME: Micros = 15 * SECOND; // until all that start at once have found each other
-const CHECK_INTERVAL: Micros = 50_000; // microseconds between looks at who has heard
-const ROUNDS: usize = 3; // suspicions, each of another front
+/// Time until all fronts that start at once have found each other.
+const SETTLE_TIME: Micros = 15 * SECOND;
+/// Microseconds between checks of which fronts have the report.
+const CHECK_INTERVAL: Micros = 50_000;
+const ROUNDS: usize = 3; // suspicions, each reported by another front
 
-/// Prints a row for each size; an error is a suspicion that did not reach all.
+/// Prints a row for each size.
 pub fn spread(sizes: &[usize]) -> Result<(), String> {
     println!("| fronts | loss | nine in ten have heard, ms | all have, ms | bytes a second a front, most | wall s |");
     println!("| --- | --- | --- | --- | --- | --- |");
--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -1,5 +1,6 @@
-//! `measure promises`, the part in simulated time: what a fleet of promises costs each front as it grows, and how
-//! long copies of a lost disk are missing; each with the exponent of its growth.
+//! `measure grown`, the part of `measure promises` in simulated time: what the replicated ledger
+//! costs each front as the fleet grows, and how long replicas of a lost disk are missing; each with
+//! the exponent of its growth.
 
 use std::time::Instant;
 
@@ -14,10 +15,10 @@
 const STATEMENTS_PER_FRONT: u64 = 2; // statements a second and front
 const SECONDS: u64 = 24;
 const DISK_LOST_MS: u64 = 8_000; // milliseconds of load until a disk is lost
-const FRONT_AWAY_MS: u64 = 1_000; // milliseconds until its front is back
+const FRONT_AWAY_MS: u64 = 1_000; // milliseconds until the front of the lost disk is back
 const SEED: u64 = 7;
 
-/// What is told of each size.
+/// The figures of one fleet size.
 struct Row {
     fronts: usize,
     bytes: f64,
@@ -29,6 +30,7 @@
     refused: usize,
 }
 
+/// Returns the scenario of a fleet size.
 fn scenario_of(fronts: usize, copies: usize, faults: Vec<Fault>) -> Scenario {
     let options = RunOptions {
         small: true,
@@ -40,7 +42,8 @@
     let mut scenario = draw(SEED, options);
     (scenario.faults, scenario.seconds) = (faults, SECONDS);
     scenario.load.per_second = STATEMENTS_PER_FRONT * fronts as u64;
-    // As many keys for each front: whoever waits for another's key measures that.
+    // The number of keys grows with the fleet: otherwise the wait for other statements of the key
+    // would be part of the result.
     scenario
         .classes
         .iter_mut()
@@ -49,7 +52,8 @@
     scenario
 }
 
-/// Milliseconds beyond their work that the completed statements of some classes took; the median.
+/// Returns the median of the milliseconds beyond their work that completed statements took, of the
+/// classes that need a ledger entry (`promised`) or of the others.
 fn beyond_work(scenario: &Scenario, run: &Run, promised: bool) -> f64 {
     let is_counted = |o: &&Offered| {
         let completed = matches!(o.asked.outcome, Outcome::Completed { .. });
@@ -66,6 +70,7 @@
     super::spread(&mut took).median
 }
 
+/// Runs a fleet without faults and, with replicas, one that loses a disk; returns their figures.
 fn measure_row(fronts: usize, copies: usize) -> Result<Row, String> {
     let quiet = scenario_of(fronts, copies, Vec::new());
     let began = Instant::now();
@@ -89,7 +94,8 @@
         if tally(&run, "copies_made_again") > 0 {
             repair_ms = tally(&run, "copies_again_ms") as f64;
         }
-        // While copies are made again, of those that the lost front itself had none.
+        // Statements that meet the rebuild of replicas: those of the lost front itself do not
+        // count.
         let after = |o: &&Offered| !o.asked.may_be_lost && o.front != most;
         let slo = |o: &Offered| loss_run.classes[o.class].slo_ms as i64 * 1000;
         let completed = |o: &Offered| matches!(o.asked.outcome, Outcome::Completed { .. });
@@ -113,7 +119,7 @@
     })
 }
 
-/// The slope of the logarithms by least squares.
+/// Fits the exponent of growth: the slope of the logarithms by least squares.
 fn exponent(rows: &[Row], of: impl Fn(&Row) -> f64) -> f64 {
     let points: Vec<(f64, f64)> = rows
         .iter()
@@ -126,6 +132,7 @@
     above / points.iter().map(|p| (p.0 - x).powi(2)).sum::<f64>()
 }
 
+/// Prints the table and the exponents. Returns an error if a run fails.
 pub fn measure() -> Result<(), String> {
     println!("Simulated, seed {SEED}, {STATEMENTS_PER_FRONT} statements a second and front for {SECONDS} s, 3 in 7 need a promise:");
     println!();
--- a/crates/lab/src/measure/mod.rs
+++ b/crates/lab/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements: ours beside a plain or earlier way, alternating in one run.
+//! Measurements: each compares an implementation with a baseline, alternating within one run.
 
 pub mod fleet;
 pub mod gossip;
--- a/crates/lab/src/measure/overload.rs
+++ b/crates/lab/src/measure/overload.rs
@@ -1,6 +1,7 @@
-//! `measure overload`: what is served, attempted and refused from half of what the engines bear to three times, and what
-//! fronts put on engines after seven in ten of them were killed and started anew; what the operator's file switches on
-//! for the fleet as one off and on side by side, on the same seeds, in simulated time.
+//! `measure overload`, in simulated time: answers in time, attempts and rejections with a load of
+//! half to three times the capacity of the engines, and the connections and probes that engines
+//! receive after seven in ten fronts were killed and restarted. Fleet-wide shedding and the fleet's
+//! budgets are compared off and on, on the same seeds.
 
 use super::fleet::{median, runs};
 use crate::check::Outcome;
@@ -8,8 +9,9 @@
 use crate::rig::scenario::{Budgets, Scenario};
 
 const SIZES: [usize; 4] = [5, 20, 40, 300];
-const OFFERED_PERCENT: [u64; 5] = [50, 100, 150, 200, 300]; // percent of what the engines bear
-const CAPACITY_PER_SECOND: u64 = 640; // statements a second that the engines of the day bear
+/// Percent of the capacity of the engines.
+const OFFERED_PERCENT: [u64; 5] = [50, 100, 150, 200, 300];
+const CAPACITY_PER_SECOND: u64 = 640; // capacity of the scenario's engines, in statements a second
 const OVERLOAD: &str = include_str!("../../fleet/overload.toml");
 const RELEASE: &str = include_str!("../../fleet/release.toml");
 const CUSTOMERS: &str = include_str!("../../fleet/overload-customers.toml");
@@ -31,7 +33,7 @@
 ];
 const STATEMENTS_PER_BAR_SIGN: i64 = 20; // statements a second that one sign of the plot stands for
 
-/// The middle, least and most of a figure over the runs.
+/// Returns the median of a figure over the runs, and a table cell with its range as well.
 fn cell(runs: &[Run], figure: &str) -> (i64, String) {
     let values: Vec<i64> = runs
         .iter()
@@ -59,7 +61,7 @@
     );
 }
 
-/// Prints the tables and the plot.
+/// Prints the tables and the plot. Returns an error if a run fails or breaks a rule.
 pub fn measure() -> Result<(), String> {
     print_header(
         "offered, % of what is borne | fronts | the fleet as one",
@@ -107,7 +109,7 @@
     measure_customers()
 }
 
-/// Seven fronts in ten killed at once and started anew, with the budgets and without.
+/// Measures seven fronts in ten killed at once and restarted, with several budgets and without.
 fn measure_release() -> Result<(), String> {
     print_header(
         "fronts | budgets, a second into each engine",
@@ -133,7 +135,8 @@
     Ok(())
 }
 
-/// What of each customer's statements came in time, where one asks for more than its share.
+/// Measures the share of each customer's statements answered in time, where one customer exceeds
+/// its share of the load.
 fn measure_customers() -> Result<(), String> {
     println!("| fronts | the fleet as one | customer, workload | asked | in time, % |\n| --- | --- | --- | --- | --- |");
     for size in SIZES {
--- a/crates/lab/src/measure/portal.rs
+++ b/crates/lab/src/measure/portal.rs
@@ -1,5 +1,5 @@
-//! `measure postgres`: clients through a front beside the same clients straight on the same stand-in, in turn,
-//! several rounds in one run.
+//! `measure postgres`: clients through a front compared with the same clients connected directly to
+//! the same stand-in engine, alternating over several rounds of one run.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 const ROUND_DURATION: Duration = Duration::from_millis(1000);
 const IDLE_SESSIONS: usize = 5_000;
 
-/// The median and how far the rounds lie apart.
+/// Returns the median, least and most of the rounds.
 fn spread(values: &mut [f64]) -> (f64, f64, f64) {
     values.sort_by(f64::total_cmp);
     (
@@ -34,6 +34,7 @@
     statement: tokio_postgres::Statement,
 }
 
+/// Connects a client and prepares the statement.
 async fn connect_target(port: u16) -> Result<Target, String> {
     let why = |e: tokio_postgres::Error| e.to_string();
     let at = format!("host=127.0.0.1 port={port} user=portal dbname=x");
@@ -47,7 +48,8 @@
     })
 }
 
-/// Microseconds of one warm extended query after the other: median and 99th percentile.
+/// Returns the latency of consecutive extended queries on a warm connection, in microseconds:
+/// median and 99th percentile.
 async fn latency(target: &Target) -> Result<(f64, f64), String> {
     let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
     let began = Instant::now();
@@ -70,8 +72,8 @@
     Ok((at(0.5), at(0.99)))
 }
 
-/// Units a second from as many sessions at once as given, each with one on its way; scripted, so that the
-/// client's own work stays small.
+/// Returns the units a second of so many concurrent sessions, each with one unit in flight;
+/// scripted, so that the client's own work stays small.
 fn throughput(port: u16, sessions: usize) -> Result<f64, String> {
     let (stop, count) = (
         Arc::new(AtomicBool::new(false)),
@@ -99,19 +101,20 @@
     for thread in threads {
         thread
             .join()
-            .map_err(|_| "a client")?
+            .map_err(|_| "a client's thread panicked")?
             .map_err(|e| e.to_string())?;
     }
     Ok(rate)
 }
 
-/// Prints the table; an error is a run that could not be made.
+/// Prints the table. Returns an error if a run fails.
 pub fn postgres() -> Result<(), String> {
     let why = |e: std::io::Error| e.to_string();
     let engine = Engine::start(0, Records::new(), false).map_err(why)?;
     let coordinator = Coordinator::start().map_err(why)?;
     coordinator.tell(true, &[("e0".to_string(), engine.at, "pg", "up")]);
-    // Cores without end, so that the module's bounds hold nothing back: what is measured is the way.
+    // So many cores that the dispatcher's limits hold nothing back: only the path through the front
+    // counts.
     let settings = json!({"instances": 1, "areas": ["here"], "kinds": ["pg"], "rules": {},
         "bounds": {"cancelling": true, "mostTries": 3, "retryAfter": true},
         "extra": {"sizeCores": [512], "memoryByKindMb": [1048576]},
@@ -155,7 +158,7 @@
     let (mut medians, mut tails) = (Vec::new(), Vec::new());
     added(&mut medians, &direct.0, &through.0);
     added(&mut tails, &direct.1, &through.1);
-    // A front of its own, so that what the rounds have left free is not counted as room for sessions.
+    // A new front, so that memory freed after the rounds does not count as room for sessions.
     drop(front);
     let front = Front::start(&settings, operator, &coordinator, 16_000)?;
     let at = front.sessions;
@@ -165,7 +168,8 @@
         .map(|_| Session::open(at, "portal", false))
         .collect();
     let idle = idle.map_err(why)?;
-    std::thread::sleep(Duration::from_millis(2_500)); // until buffers at rest are let go of
+    // Waits until the buffers of idle sessions are released.
+    std::thread::sleep(Duration::from_millis(2_500));
     let each = (front.memory_kb() - before) as f64 * 1024.0 / idle.len() as f64;
     println!(
         "| measured, {ROUNDS} rounds in turn | straight | through the front | difference or ratio | aim |"
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -1,5 +1,6 @@
-//! `measure promises`: what a statement that needs a promise takes longer by the copies that it stands on, and what a
-//! decision of the access rules costs by their number, each beside the plain way, in turn, in one run.
+//! `measure promises`: the added latency of a statement that needs a ledger entry, by its number of
+//! replicas, and the cost of an access decision, by the number of rules; each compared with a
+//! baseline in alternating rounds of one run.
 
 use std::time::Instant;
 
@@ -14,11 +15,13 @@
 const ROUNDS: usize = 7;
 const FRONTS: usize = 5;
 const STATEMENTS_PER_ROUND: u64 = 200; // statements of each kind, fleet and round
-const COPIES: [usize; 4] = [0, 1, 3, 5]; // copies; 0: no ledger
+const COPIES: [usize; 4] = [0, 1, 3, 5]; // replicas; 0: no ledger
 const RULE_COUNTS: [usize; 3] = [10, 1_000, 100_000];
-const DECISIONS_PER_ROUND: usize = 20_000; // decisions of the index in a round; of a walk a number that takes as long
+/// Decisions by the index in a round; the linear search makes fewer, in inverse proportion to the
+/// rules.
+const DECISIONS_PER_ROUND: usize = 20_000;
 
-/// Prints all tables; an error is a run that could not be made.
+/// Prints all tables. Returns an error if a run fails.
 pub fn measure() -> Result<(), String> {
     measure_rules();
     measure_copies()?;
@@ -26,7 +29,8 @@
     super::grown::measure()
 }
 
-/// The same fleet with as many copies, no faults, and statements that take no time on an engine.
+/// Returns the scenario of a fleet with so many replicas and without faults; its statements take no
+/// time on an engine.
 fn quiet_scenario(copies: usize) -> Scenario {
     let mut scenario = draw(
         7,
@@ -43,7 +47,8 @@
     scenario
 }
 
-/// Microseconds of one statement after the other, each over a connection of its own; the median.
+/// Returns the median latency in microseconds of consecutive statements, each over its own
+/// connection.
 fn median_latency_us(
     fleet: &Fleet,
     first: u64,
@@ -76,6 +81,7 @@
     Ok(spread(&mut times).median)
 }
 
+/// Prints the latency of statements by the number of replicas.
 fn measure_copies() -> Result<(), String> {
     let fleets: Vec<Fleet> = (COPIES.iter())
         .map(|copies| Fleet::start(&quiet_scenario(*copies), *copies as u64))
@@ -83,7 +89,7 @@
     let plain = [("verb", "lookup"), ("team", "acme"), ("limit", "4000")];
     let load = [("verb", "log-load"), ("team", "acme"), ("limit", "4000")];
     let mut first = 1;
-    // Until every shard has an owner and each front knows it.
+    // Warms up until every shard has an owner and each front knows it.
     for fleet in &fleets {
         for _ in 0..ROUNDS {
             let _ = median_latency_us(fleet, first, &load, true);
@@ -128,7 +134,7 @@
     Ok(())
 }
 
-/// So many rules about customers, workloads and groups of tables.
+/// Creates `count` rules about customers, workloads and groups of tables.
 fn rule_set(count: usize) -> RuleSet {
     let rule = |n: usize| Rule {
         name: format!("r{n}"),
@@ -157,6 +163,7 @@
     RuleSet::new(1, DefaultEffect::Allow, (0..count).map(rule).collect())
 }
 
+/// Prints the cost of an access decision by the number of rules.
 fn measure_rules() {
     println!("| rules, {ROUNDS} rounds in turn | index, ns a decision | plain walk, ns a decision | walk / index |");
     println!("| --- | --- | --- | --- |");
--- a/crates/lab/src/measure/sites.rs
+++ b/crates/lab/src/measure/sites.rs
@@ -1,12 +1,12 @@
-//! `measure sites`: sites that statements over several are asked of, beside all of them and beside those that
-//! have a row, with loads at several rates, in processes.
+//! `measure sites`: how many sites statements over several sites ask, compared with all sites and
+//! with those that have a matching row, with loads at several rates, in processes.
 
 use crate::prove::sites::{measure_sites, SitesAsked};
 
 const RATES: [f64; 3] = [0.0, 1.0, 10.0]; // loads a second
 const SECONDS: u64 = 24;
 
-/// Prints the table; an error is a run that could not be made, or a row missing.
+/// Prints the table. Returns an error if a run fails or a row is missing.
 pub fn measure() -> Result<(), String> {
     println!(
         "| loads a second | scatters | loads | sites of all | asked | with true rows | asked / true | \
--- a/crates/lab/src/measure/spread.rs
+++ b/crates/lab/src/measure/spread.rs
@@ -1,6 +1,6 @@
-//! The median of several rounds and how far they lie apart.
+//! The median and range of several rounds.
 
-/// Printed as `median (least to most)`.
+/// A median with least and most; printed as `median (least to most)`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
     pub median: f64,
@@ -8,6 +8,7 @@
     pub most: f64,
 }
 
+/// Sorts the values and returns their spread, all `NaN` if there are none.
 pub fn spread(values: &mut [f64]) -> Spread {
     values.sort_by(f64::total_cmp);
     let at = |place: usize| values.get(place).copied().unwrap_or(f64::NAN);
--- a/crates/lab/src/prove.rs
+++ b/crates/lab/src/prove.rs
@@ -1,5 +1,6 @@
-//! `prove`: runs drawn from a seed, played among faults and checked on what clients and engines wrote down. Each
-//! subject is a module of its own; what the proofs of promises share stands in `played` and `shape`.
+//! `prove`: runs drawn from a seed, with faults, checked on the records of clients and engines.
+//! Each subject has its own module; `played` and `shape` hold what the runs of the replicated
+//! ledger share.
 
 pub mod deaths;
 pub mod disks;
--- a/crates/lab/src/prove/deaths.rs
+++ b/crates/lab/src/prove/deaths.rs
@@ -1,6 +1,7 @@
-//! `prove promises --only deaths`, in simulated time: nearly all fronts die at once while every disk is slow, and
-//! a second front dies right before one returns with an empty disk. Statements run for long, so that a promise
-//! that was forgotten is seen: another front begins the same order key while the first execution still runs.
+//! `prove promises --only deaths`, in simulated time: nearly all fronts die at once while every
+//! disk is slow, and a second front dies right before one returns with an empty disk. Statements
+//! run for long, so that a lost ledger entry shows: another front starts the same order key while
+//! the first execution still runs.
 
 use std::time::Instant;
 
@@ -14,20 +15,26 @@
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario};
 use crate::simulated::run_with;
 
-/// Keeps these draws apart from those of the other proofs of the same seed.
+/// Separates these draws from those of the other subjects with the same seed.
 const SEED_STREAM: u64 = 0x6465_6174_6873;
 const FIRST_ROUND_MS: u64 = 2_000; // milliseconds of load before the first round
-const SLOT_MS: u64 = 12_000; // milliseconds from one round to the next: its own time, and the repair after it
+/// Milliseconds from one round to the next: the faults, and the repair after them.
+const SLOT_MS: u64 = 12_000;
 const LOAD_AFTER_MS: u64 = 3_000; // milliseconds of load after the last slot
-const FRONTS: usize = 4; // any three of them hold a quarter of the shards alone, with three copies
-const CLOCK_SKEW_MS: u64 = 250; // milliseconds of the machine's clock, either way; the ledger bears twice that
-const MIN_RUN_PERCENT: i64 = 30; // of the statements that need a promise; with fewer, most were refused
+/// With three replicas any three of four fronts hold a quarter of the shards alone.
+const FRONTS: usize = 4;
+/// Milliseconds from the machine's clock, either way; the ledger tolerates twice that.
+const CLOCK_SKEW_MS: u64 = 250;
+/// Percentage of the statements that need a ledger entry that must run; with fewer, most were
+/// rejected.
+const MIN_RUN_PERCENT: i64 = 30;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Round {
-    /// All disks get slow, then all fronts but one die at once.
+    /// All disks become slow, then all fronts but one die at once.
     SlowDisks,
-    /// One front misses what two others agree on; one of those loses its disk and returns, and the other dies.
+    /// One front misses what two others agree on; one of those loses its disk and returns, and the
+    /// other dies.
     SecondLoss,
 }
 
@@ -38,7 +45,8 @@
     Round::SecondLoss,
 ];
 
-/// All disks are slow from `at`; a while later all fronts but one die, and return once the disks are well again.
+/// All disks are slow from `at`; 1 to 2.5 s later all fronts but one die, and return once the disks
+/// are fast again.
 fn slow_disks(rng: &mut Pcg64Mcg, at: u64, fronts: usize) -> Vec<Fault> {
     let delay_ms = rng.random_range(1_000..=2_000);
     let deaths_at = at + rng.random_range(1_000..2_500);
@@ -61,7 +69,8 @@
     slow.chain(killed).collect()
 }
 
-/// `missed` is away while the others agree; it returns as `emptied` loses its disk and `killed` dies for longer.
+/// `missed` is down while the others agree; it returns as `emptied` loses its disk and `killed`
+/// dies for longer.
 fn second_loss(rng: &mut Pcg64Mcg, at: u64, fronts: usize) -> Vec<Fault> {
     let mut order: Vec<usize> = (0..fronts).collect();
     order.shuffle(rng);
@@ -90,7 +99,7 @@
     ]
 }
 
-/// The run of a seed.
+/// Draws the scenario of a seed.
 pub fn draw(seed: u64, options: RunOptions) -> Scenario {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ SEED_STREAM);
     let fronts = options.fronts.unwrap_or(FRONTS);
@@ -137,7 +146,7 @@
     }
 }
 
-/// Plays the run of a seed: whether it passed, and the tallies of its line.
+/// Runs a seed; returns whether it passed and the tallies of its result line.
 pub fn run(seed: u64, options: RunOptions) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed, options);
@@ -148,7 +157,7 @@
         tally("promised_runs"),
     );
     if promised < scenario.seconds as i64 * 5 || ran * 100 < promised * MIN_RUN_PERCENT {
-        let message = format!("{ran} of {promised} that need a promise ran");
+        let message = format!("{ran} of {promised} statements that need a ledger entry ran");
         run.violations.entry("run").or_default().push(message);
     }
     let (fronts, seconds) = (scenario.fleet.fronts, began.elapsed().as_secs());
--- a/crates/lab/src/prove/deaths_tests.rs
+++ b/crates/lab/src/prove/deaths_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_run_has_both_rounds_and_never_loses_two_disks_of_a_round() {
+fn each_run_has_both_rounds_and_another_front_is_dead_when_a_lost_disk_returns() {
     let options = RunOptions {
         simulated: true,
         copies: 3,
@@ -13,7 +13,8 @@
         let whole = draw(seed, options);
         assert_eq!(whole, draw(seed, options));
         let count = |what: FaultKind| whole.faults.iter().filter(|f| f.what == what).count();
-        // Twice: all disks slow and three of four killed; one emptied between two that are killed.
+        // Two rounds of each kind: all disks slow and three of four fronts killed; one disk emptied
+        // between two fronts that are killed.
         assert_eq!(
             (
                 count(FaultKind::DiskSlow),
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -1,6 +1,6 @@
-//! `prove promises --only disks`: copies of promises on disk. A machine is lost with its disk at each step of a promise
-//! in turn, a different front each time with the repair between; the disk of a front that owns shards gets slow, and
-//! then takes nothing at all.
+//! `prove promises --only disks`: replicas of ledger entries on disk. A machine is lost with its
+//! disk at each step of an entry, a different front each time, with the repair between. Then the
+//! disk of a front that owns shards becomes slow, and the disk of another rejects all writes.
 
 use std::path::PathBuf;
 use std::time::Instant;
@@ -18,19 +18,24 @@
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario, Step};
 
 const FIRST_LOSS_MS: u64 = 2_500; // milliseconds of load before the first loss
-const SLOT_MS: u64 = 7_000; // milliseconds from one loss to the next: the repair lies between
-const REPAIR_AFTER_MS: u64 = 1_500; // milliseconds without a sign of a disk until its copies are made again
-const SYNC_DELAY_MS: u64 = 2_000; // milliseconds of a sync
+/// Milliseconds from one loss to the next; the repair takes place between.
+const SLOT_MS: u64 = 7_000;
+/// Milliseconds without a sign of a disk until its replicas are rebuilt.
+const REPAIR_AFTER_MS: u64 = 1_500;
+const SYNC_DELAY_MS: u64 = 2_000; // duration of a sync on the slow disk
 const LOAD_AFTER_MS: u64 = 3_000;
 const MAX_SECONDS: u64 = 60;
-const MIN_RUN_PERCENT: i64 = 50; // of the statements that need a promise; with fewer most were refused
+/// Percentage of the statements that need a ledger entry that must run; with fewer, most were
+/// rejected.
+const MIN_RUN_PERCENT: i64 = 50;
 const LOSS_STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
 
+/// Injects the faults of owners' disks.
 struct Disks {
-    /// What befalls a disk of a front that owns shards, and when.
+    /// Faults of the disks of fronts that own shards, still to be injected, in order of time.
     owner_faults: Vec<Fault>,
     played: Vec<Fault>,
-    /// What the fronts whose disks were slow or full have said of it.
+    /// For each slow or full disk, how many log lines of its front report the fault.
     log_line_counts: Vec<(FaultKind, usize)>,
 }
 
@@ -43,7 +48,7 @@
         if !is_due {
             return Vec::new();
         }
-        // One whose disk was slow may keep no copies any more: others took its place.
+        // A front whose disk was slow may hold no replicas any more, as others replaced it.
         let already_faulted: Vec<usize> = self.played.iter().map(|fault| fault.front).collect();
         let Some(front) = fleet.busiest(&already_faulted) else {
             return Vec::new();
@@ -68,7 +73,7 @@
     }
 }
 
-/// The run of a seed; and what befalls owners' disks.
+/// Draws the scenario of a seed, and the faults of owners' disks.
 fn draw(seed: u64, small: bool) -> (Scenario, Vec<Fault>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6469_736b);
     let fronts = 5;
@@ -82,7 +87,7 @@
     let mut at = FIRST_LOSS_MS;
     let mut faults = Vec::new();
     for (step, front) in steps.iter().zip(loss_order) {
-        // Away for less than the repair waits, or for more.
+        // The machine is down for less than the repair delay, or for longer.
         let loss = fault(
             FaultKind::LoseDisk,
             at + rng.random_range(0..300),
@@ -139,7 +144,7 @@
     (scenario, owner_faults)
 }
 
-/// A folder of the run's for what befalls disks.
+/// Temporary folder of the run for the control files of disk faults; removed on drop.
 struct TempFolder(PathBuf);
 
 impl Drop for TempFolder {
@@ -148,7 +153,7 @@
     }
 }
 
-/// Plays the run of a seed: whether it passed, and the tallies of its line.
+/// Runs a seed; returns whether it passed and the tallies of its result line.
 pub fn run(seed: u64, small: bool) -> Result<(bool, String), String> {
     let began = Instant::now();
     let (mut scenario, owner_faults) = draw(seed, small);
@@ -184,7 +189,7 @@
         run.violations
             .entry("run")
             .or_default()
-            .push(format!("took {seconds} s"));
+            .push(format!("the run took {seconds} s"));
     }
     Ok(end(
         &run,
@@ -192,7 +197,7 @@
     ))
 }
 
-/// A run in which too little happened proves nothing.
+/// Adds violations if the run exercised too little to mean anything.
 fn check_coverage(
     run: &mut Run,
     disks: &Disks,
@@ -211,17 +216,17 @@
     }
     if disks.played.len() < planned {
         add(format!(
-            "{} of {planned} disks were slow or full",
+            "{} of {planned} slow or full disks were injected",
             disks.played.len()
         ));
     }
     for (what, said) in disks.log_line_counts.iter().filter(|(_, said)| *said == 0) {
-        add(format!(
-            "{what:?}: the front has not met it ({said} lines of its log)"
-        ));
+        add(format!("{what:?}: {said} log lines of the front report it"));
     }
     if promised < scenario.seconds as i64 * 5 || ran * 100 < promised * MIN_RUN_PERCENT {
-        add(format!("{ran} of {promised} that need a promise ran"));
+        add(format!(
+            "{ran} of {promised} statements that need a ledger entry ran"
+        ));
     }
 }
 
--- a/crates/lab/src/prove/disks_tests.rs
+++ b/crates/lab/src/prove/disks_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_step_is_played_on_a_front_of_its_own_with_the_repair_between() {
+fn each_step_hits_a_different_front_with_time_for_repair_between() {
     for seed in 0..200 {
         let (whole, owner_faults) = draw(seed, false);
         let mut steps: Vec<_> = whole.faults.iter().filter_map(|f| f.step).collect();
--- a/crates/lab/src/prove/long.rs
+++ b/crates/lab/src/prove/long.rs
@@ -1,5 +1,6 @@
-//! `prove promises --long`: a long day in simulated time, with faults of every kind drawn from the seed, several at
-//! once, while fronts come and go. A day that fails is cut down to the faults that it fails by.
+//! `prove promises --long`: a long run in simulated time, with faults of every kind drawn from the
+//! seed, several at once, while fronts leave and return. A failing run is reduced to the faults
+//! that it needs to fail.
 
 use std::time::{Duration, Instant};
 
@@ -13,14 +14,17 @@
 use crate::rig::scenario::{Fault, FaultKind, Load, Scenario, Step};
 use crate::simulated::{run_with, smallest};
 
-const SLOT_MS: u64 = 40_000; // milliseconds from one machine lost with its disk to the next: the repair lies between
-const QUIET_MS: u64 = 10_000; // milliseconds at the end of each in which nothing is played
-const MIN_FAULTS_PER_SLOT: usize = 4; // further faults of a slot
+/// Milliseconds from one machine lost with its disk to the next; the repair takes place between.
+const SLOT_MS: u64 = 40_000;
+const QUIET_MS: u64 = 10_000; // milliseconds at the end of each slot without faults
+const MIN_FAULTS_PER_SLOT: usize = 4; // faults of a slot beside the lost machine
 const MAX_FAULTS_PER_SLOT: usize = 8;
 const STATEMENTS_PER_SECOND: u64 = 20;
-const SHRINK_TIME_LIMIT: Duration = Duration::from_secs(600); // for which a failing day is cut down
-const MAX_GROWTH_HALVES: i64 = 3; // halves: the last quarter of a day may hold so much more than the first
-const GROWTH_ALLOWANCE_BYTES: i64 = 131_072; // and so many bytes
+/// Time limit for reducing a failing run.
+const SHRINK_TIME_LIMIT: Duration = Duration::from_secs(600);
+/// Limit of the last quarter's size relative to the first quarter's, in halves.
+const MAX_GROWTH_HALVES: i64 = 3;
+const GROWTH_ALLOWANCE_BYTES: i64 = 131_072; // bytes of growth allowed on top
 const LOSS_STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
 const FAULT_KINDS: [FaultKind; 14] = [
     FaultKind::Stall,
@@ -39,7 +43,7 @@
     FaultKind::LinkCutBack,
 ];
 
-/// What may be played once at a time, as one undoes the other.
+/// Whether two faults may not overlap, as the end of one would undo the other.
 fn conflicts(a: &Fault, b: &Fault) -> bool {
     let cut = |f: &Fault| matches!(f.what, FaultKind::FrontsSplit | FaultKind::FrontsSplitOut);
     let away = |f: &Fault| {
@@ -55,7 +59,7 @@
         || link(a) && link(b)
 }
 
-/// The day of a seed.
+/// Draws the scenario of a seed.
 pub fn draw(seed: u64, minutes: u64, options: RunOptions) -> Scenario {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6c6f_6e67);
     let base = promises::draw(
@@ -122,7 +126,7 @@
     }
 }
 
-/// What grows without end is a fault of its own.
+/// Reports unbounded growth of disks and ledgers as a violation.
 fn check_growth(run: &mut Run) {
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
     for (early, late) in [
@@ -143,7 +147,7 @@
     Ok(run)
 }
 
-/// Plays the day of a seed: whether it passed, and the tallies of its line.
+/// Runs a seed; returns whether it passed and the tallies of its result line.
 pub fn run(seed: u64, minutes: u64, options: RunOptions) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed, minutes, options);
@@ -167,7 +171,7 @@
     Ok((passed, line))
 }
 
-/// Says which faults the day fails by: any that breaks one of the rules that it broke.
+/// Prints a smallest set of faults with which the run still breaks one of the same rules.
 fn print_smallest_failing_run(scenario: &Scenario, seed: u64, options: RunOptions, run: &Run) {
     let broken: Vec<&str> = run.violations.keys().copied().collect();
     let fails = |tried: &Scenario| {
--- a/crates/lab/src/prove/long_tests.rs
+++ b/crates/lab/src/prove/long_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_long_day_has_every_kind_of_fault_several_at_once_and_time_for_repair() {
+fn a_long_run_has_every_kind_of_fault_with_overlaps_and_time_for_repair() {
     let options = RunOptions {
         copies: 3,
         fronts: Some(6),
--- a/crates/lab/src/prove/played.rs
+++ b/crates/lab/src/prove/played.rs
@@ -1,11 +1,12 @@
-//! What proofs of promises share: a fault with nothing drawn yet, and a run's last words.
+//! What the runs of the replicated ledger share: a fault with default parameters, and the output of
+//! a run.
 
 use crate::record::account::Run;
 use crate::rig::scenario::{Fault, FaultKind};
 
 const MAX_PRINTED_VIOLATIONS: usize = 8; // violations printed of each rule
 
-/// A fault with nothing drawn yet but its kind and its time.
+/// Creates a fault of a kind and time (in milliseconds), all other parameters at their defaults.
 pub fn fault(what: FaultKind, at_ms: u64, for_ms: u64) -> Fault {
     let (zone, front, delay_ms, percent) = (0, 0, 0, 0);
     Fault {
@@ -22,7 +23,8 @@
     }
 }
 
-/// Prints what was found; whether it passed, and the tallies of its line.
+/// Prints the table, violations and injected faults; returns whether the run passed and the tallies
+/// of its result line.
 pub(super) fn end(run: &Run, more: &str) -> (bool, String) {
     print_violations(run);
     for (fault, from, to) in &run.played {
@@ -31,7 +33,7 @@
     print_pids(run, more)
 }
 
-/// Prints the table of a run, and some violations of each rule.
+/// Prints the table of a run, and the first violations of each rule.
 pub(super) fn print_violations(run: &Run) {
     eprint!("{}", run.table);
     for (rule, found) in &run.violations {
@@ -41,7 +43,7 @@
     }
 }
 
-/// Prints the processes of a run; whether it passed, and the tallies of its line.
+/// Prints the process ids of a run; returns whether it passed and the tallies of its result line.
 pub(super) fn print_pids(run: &Run, more: &str) -> (bool, String) {
     let pids: Vec<String> = run.pids.iter().map(u32::to_string).collect();
     println!("pids {}", pids.join(","));
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -1,5 +1,6 @@
-//! `prove postgres`: a real front among engines that crash, drain, reset, stall, answer late and lose commits,
-//! with clients of a library and scripted sessions. All is drawn from the seed.
+//! `prove postgres`: a real front among engines that crash, drain, reset, stall, answer late and
+//! lose commits, with clients of a library and scripted sessions. Faults and load are drawn from
+//! the seed.
 
 mod clients;
 mod faults;
@@ -22,26 +23,34 @@
 use crate::rig::Front;
 use crate::scripted;
 
-const MAX_DURATION: Duration = Duration::from_secs(45); // until no more is asked, however little was accepted
-const MEMORY_SAMPLE_INTERVAL: Duration = Duration::from_millis(20); // from one look at the front's memory to the next
-const ANSWER_SLACK_US: i64 = 400_000; // microseconds for a final answer on a busy machine
-const DRAIN_GRACE_US: i64 = 2_000_000; // microseconds after which nothing new goes to an engine that drains
-const RETRY_BUDGET: (f64, f64, i64) = (10.0, 0.2, 10_000_000); // spare, share and window of further executions
-const OPEN_TRANSACTIONS_AT_END: usize = 3; // transactions that are open when the front is asked to end
-const MIN_ACCEPTED_PER_TIMEOUT: usize = 50; // accepted units to one that ran into its time limit; fewer: something hangs
-const MIN_ACCEPTED_PER_REJECTION: usize = 20; // accepted units to one turned away; fewer: engines are too short
+/// Time after which the run ends, however little was accepted.
+const MAX_DURATION: Duration = Duration::from_secs(45);
+/// Interval between samples of the front's memory.
+const MEMORY_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Microseconds by which a final answer may be late on a busy machine.
+const ANSWER_SLACK_US: i64 = 400_000;
+/// Microseconds after which no new statement is sent to a draining engine.
+const DRAIN_GRACE_US: i64 = 2_000_000;
+/// Spare attempts, share, and window in microseconds of the retry budget.
+const RETRY_BUDGET: (f64, f64, i64) = (10.0, 0.2, 10_000_000);
+/// Transactions that are open when the front is terminated.
+const OPEN_TRANSACTIONS_AT_END: usize = 3;
+/// Minimum of accepted units for each one that timed out; with fewer, something hangs.
+const MIN_ACCEPTED_PER_TIMEOUT: usize = 50;
+/// Minimum of accepted units for each rejected one; with fewer, the engines lack capacity.
+const MIN_ACCEPTED_PER_REJECTION: usize = 20;
 const MAX_PRINTED_VIOLATIONS: usize = 12; // violations printed of each rule
 
-/// What a run is to be.
+/// Seed and size of a run.
 #[derive(Clone, Copy)]
 pub struct RunSize {
     pub seed: u64,
     pub units: usize,
-    /// How often each fault is played at least.
+    /// Minimum number of times that each fault is injected.
     pub rounds: usize,
 }
 
-/// Plays the run of a seed: whether it passed, and the tallies of its line.
+/// Runs a seed; returns whether it passed and the tallies of its result line.
 pub fn run(size: RunSize) -> Result<(bool, String), String> {
     let began = Instant::now();
     let mut setup = Setup::start()?;
@@ -52,10 +61,10 @@
         add(
             &mut violations,
             "front",
-            format!("it ended: {:?}", setup.front.last()),
+            format!("the front exited: {:?}", setup.front.last()),
         );
     }
-    // The planned end comes while clients ask and transactions are open.
+    // The front is terminated while clients send statements and transactions are open.
     let open =
         scripted::open_transactions(setup.front.sessions, &setup.notes, OPEN_TRANSACTIONS_AT_END);
     let ended_at = setup.notes.records.now();
@@ -102,7 +111,8 @@
     Ok(result(&violations, tallies))
 }
 
-/// Lets the load go on until enough was accepted and played, or the front is gone; samples its memory.
+/// Waits until enough units were accepted and faults injected, the time limit is reached, or the
+/// front has exited; samples its memory.
 fn wait_until_enough(size: RunSize, began: Instant, setup: &mut Setup) -> FrontMemory {
     let mut memory = FrontMemory::default();
     let Setup { front, notes, .. } = setup;
@@ -117,7 +127,7 @@
     memory
 }
 
-/// Asks the front to end, and clients with it.
+/// Sends SIGTERM to the front, stops the clients, and waits for the front's exit.
 fn terminate_front(front: &mut Front, notes: &Notes, violations: &mut Violations) {
     front.terminate();
     notes.stop.store(true, SeqCst);
@@ -127,7 +137,7 @@
     }
 }
 
-/// What clients saw.
+/// Records of the clients.
 struct ClientRecords {
     asked: Vec<StatementRecord>,
     transactions: Vec<Transaction>,
@@ -137,7 +147,7 @@
 impl ClientRecords {
     fn of(notes: &Notes, ended_at: i64) -> Result<ClientRecords, String> {
         let asked = notes.asked.lock().map_err(|e| e.to_string())?.clone();
-        // Where the front has ended, what came late was no longer its to answer.
+        // Answers that arrive after the front has exited are not expected of it.
         let asked: Vec<StatementRecord> = asked
             .into_iter()
             .map(|a| StatementRecord {
@@ -161,7 +171,7 @@
     }
 }
 
-/// Checks all rules on what clients and engines wrote down.
+/// Checks all rules on the records of clients and engines.
 fn check_rules(
     client_records: &ClientRecords,
     notes: &Notes,
@@ -193,7 +203,7 @@
     Ok(())
 }
 
-/// How many statements ended in each way.
+/// Counts statements by outcome.
 fn outcomes(asked: &[StatementRecord]) -> BTreeMap<String, usize> {
     let mut tallies = BTreeMap::new();
     for a in asked {
@@ -208,7 +218,7 @@
     tallies
 }
 
-/// A run in which too little happened proves nothing.
+/// Adds violations if the run exercised too little to mean anything.
 fn check_coverage(
     size: RunSize,
     client_records: &ClientRecords,
@@ -224,7 +234,7 @@
         );
     }
     let ended_by = |a: &StatementRecord, code: &str| matches!(&a.outcome, Outcome::Error(expected) if expected == code);
-    // Faults are short: what runs into its time limit without having been asked to stands still somewhere.
+    // Faults are short: a statement that times out without having been meant to is stuck somewhere.
     let timed_out = client_records
         .asked
         .iter()
@@ -234,30 +244,34 @@
         add(
             violations,
             "run",
-            format!("{timed_out} ran into their time limit"),
+            format!("{timed_out} statements timed out"),
         );
     }
-    // Nor are engines so short that much is turned away.
+    // The engines have enough capacity for few statements to be rejected.
     let rejected = client_records
         .asked
         .iter()
         .filter(|a| ended_by(a, "53000"))
         .count();
     if rejected * MIN_ACCEPTED_PER_REJECTION > accepted {
-        add(violations, "run", format!("{rejected} turned away"));
+        add(
+            violations,
+            "run",
+            format!("{rejected} statements were rejected"),
+        );
     }
     for fault in FAULTS.into_iter().chain(["drains"]) {
         if tallies.get(fault).copied().unwrap_or(0) < size.rounds {
             add(
                 violations,
                 "run",
-                format!("{fault} were not played {} times", size.rounds),
+                format!("{fault} were injected fewer than {} times", size.rounds),
             );
         }
     }
 }
 
-/// Prints what was found; whether the run passed, and the tallies of its line.
+/// Prints the violations; returns whether the run passed and the tallies of its result line.
 fn result(violations: &Violations, mut tallies: BTreeMap<String, usize>) -> (bool, String) {
     for (rule, found) in violations {
         for what in found.iter().take(MAX_PRINTED_VIOLATIONS) {
--- a/crates/lab/src/prove/postgres/clients.rs
+++ b/crates/lab/src/prove/postgres/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a library: units of every kind, and transactions.
+//! Clients that use the `tokio_postgres` library: units of every kind, and transactions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,6 +10,7 @@
 use super::notes::{Notes, TIMEOUT};
 use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
 
+/// Returns the outcome of an answer: that of its rows, the error's code, or `Lost` without one.
 pub fn outcome<T>(
     answer: Result<T, tokio_postgres::Error>,
     rows: impl FnOnce(T) -> Outcome,
@@ -23,7 +24,8 @@
     }
 }
 
-/// Whether the rows are those of the statement, in order and whole.
+/// Returns `Completed` if the rows are those of the statement, in order and unchanged; otherwise
+/// `Spoilt`.
 fn check_rows(asked: &StatementRecord, rows: &[tokio_postgres::Row]) -> Outcome {
     let has_expected_text = |n: usize, row: &tokio_postgres::Row| {
         row.try_get::<_, &str>(0)
@@ -39,7 +41,7 @@
     }
 }
 
-/// One client after the other with a connection of its own, until the run ends.
+/// Runs clients one after the other, each with its own connection, until the run ends.
 pub(super) async fn run_client(seed: u64, port: u16, notes: Arc<Notes>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let user = "portal";
@@ -64,7 +66,8 @@
             if notes.is_stopping() || client.is_closed() {
                 break;
             }
-            // Prepared only now and then, so that units land where theirs is not known.
+            // Statements are prepared only occasionally, so that units reach engine connections
+            // that have not prepared them.
             if statements.len() < texts.len() && rng.random_bool(0.2) {
                 if let Ok(statement) = client.prepare(texts[statements.len()]).await {
                     statements.push(statement);
@@ -77,6 +80,7 @@
     }
 }
 
+/// Runs a unit of a drawn kind, or a transaction.
 async fn run_unit(
     client: &mut Client,
     statements: &[tokio_postgres::Statement],
@@ -160,7 +164,7 @@
             simple_query_statement(client, "", asked, 0, notes).await;
         }
         76..80 => {
-            // A pipeline: five units on their way at once.
+            // A pipeline: five units in flight at once.
             let units: Vec<StatementRecord> = (0..5)
                 .map(|_| notes.new_statement(Repeat::Idempotent))
                 .collect();
@@ -177,7 +181,7 @@
             }
         }
         80..83 => {
-            // More than the front holds back: rows go on while the engine still sends.
+            // More than the front buffers: rows are forwarded while the engine still sends.
             let rows = 400;
             let asked = StatementRecord {
                 rows,
@@ -197,7 +201,7 @@
     }
 }
 
-/// An engine may refuse to prepare what it is asked to, here by a code of its own.
+/// An engine may fail to prepare a statement, here with a code of its own.
 fn may_fail_to_parse(asked: StatementRecord) -> StatementRecord {
     StatementRecord {
         may_fail: Some("42P01"),
@@ -205,6 +209,7 @@
     }
 }
 
+/// Builds the text of a statement that works for `ms` milliseconds.
 pub(super) fn text(label: &str, asked: &StatementRecord, ms: u64) -> String {
     let fails = asked.fails.unwrap_or_default();
     format!(
@@ -213,7 +218,7 @@
     )
 }
 
-/// One statement in a simple query.
+/// Runs one statement as a simple query.
 async fn simple_query_statement(
     client: &Client,
     label: &str,
@@ -230,7 +235,8 @@
     });
 }
 
-/// A transaction of some statements, with a portal in one of three, ended one way or the other.
+/// Runs a transaction of some statements, three in ten of them through a portal, and commits or
+/// rolls it back.
 async fn transaction(client: &mut Client, rng: &mut Pcg64Mcg, notes: &Arc<Notes>) {
     let number = match notes.transactions.lock() {
         Ok(mut all) => {
@@ -303,7 +309,7 @@
             result = outcome(answer, |rows| check_rows(&asked, &rows));
         }
         failed |= !matches!(result, Outcome::Completed { .. });
-        let timeout = 4 * TIMEOUT; // several units, each with its own
+        let timeout = 4 * TIMEOUT; // several units, each with its own timeout
         notes.record(StatementRecord {
             outcome: result,
             answered: notes.records.now(),
@@ -332,7 +338,8 @@
     let result = outcome(answer, |()| Outcome::Completed { rows: 0 });
     control(result.clone(), asked);
     if let Ok(mut all) = notes.transactions.lock() {
-        // What a library does not tell is whether COMMIT was answered with ROLLBACK: then nothing was kept.
+        // The library does not report whether COMMIT was answered with ROLLBACK; in that case
+        // nothing was kept.
         all[number] = Transaction {
             statements: done,
             commit: commits.then_some(result),
--- a/crates/lab/src/prove/postgres/faults.rs
+++ b/crates/lab/src/prove/postgres/faults.rs
@@ -1,4 +1,4 @@
-//! Faults and drains, drawn from the seed and played until the run ends.
+//! Faults and drains, drawn from the seed and injected until the run ends.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
@@ -27,7 +27,7 @@
 
 type FaultCounts = BTreeMap<&'static str, usize>;
 
-/// Lets one engine after the other drain until the run ends; says which and when.
+/// Drains one engine after the other until the run ends; returns which and when.
 pub(super) fn play_drains(
     seed: u64,
     engines: &[Arc<Engine>],
@@ -44,7 +44,7 @@
         let e = &engines[rng.random_range(0..engines.len())];
         report_state(e, "draining");
         let from = notes.records.now();
-        // Longer than the grace, so that what comes late shows.
+        // Longer than the grace period, so that statements sent too late are detected.
         std::thread::sleep(Duration::from_millis(rng.random_range(2_100..2_600)));
         drains.push(Drain {
             engine: e.number,
@@ -58,7 +58,7 @@
     drains
 }
 
-/// Plays faults until the run ends, while engines drain; says how often each was played.
+/// Injects faults until the run ends, while engines drain; returns how often each was injected.
 pub(super) fn play_faults(seed: u64, engines: &[Arc<Engine>], notes: &Notes) -> FaultCounts {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xfa17);
     let mut played = FaultCounts::new();
@@ -66,7 +66,8 @@
     let sleep = |ms: u64| std::thread::sleep(Duration::from_millis(ms));
     sleep(300);
     while !notes.is_stopping() {
-        // In turn, so that each is played however short the run; the rest is drawn.
+        // Faults rotate, so that each is injected however short the run; engines and parameters are
+        // drawn.
         let fault = FAULTS[next_fault % FAULTS.len()];
         next_fault += 1;
         let e = &engines[rng.random_range(0..engines.len())];
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -1,4 +1,4 @@
-//! The same order keys from both protocols.
+//! Statements with the same order keys over both protocols.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,8 @@
 use crate::lines;
 use crate::scripted::session;
 
-/// The same order keys from both protocols, each statement sent once the front is known to have taken the last.
+/// Sends statements with the same order keys over both protocols, each once the front is known to
+/// have accepted the one before.
 pub(super) fn both_protocols(
     seed: u64,
     lines: SocketAddr,
@@ -38,7 +39,7 @@
             let records = notes.records.clone();
             let wait = std::thread::spawn(move || {
                 let outcome = answer.map_or(Outcome::Lost, |answer| answer());
-                // What a Thrift client calls aborted may or may not have run.
+                // A statement that a Thrift client sees aborted may or may not have run.
                 StatementRecord {
                     outcome,
                     answered: records.now(),
@@ -60,7 +61,7 @@
     }
 }
 
-/// What waits for the answer to a statement that has left.
+/// Waits for the answer to a statement that was sent.
 type PendingAnswer = Box<dyn FnOnce() -> Outcome + Send>;
 
 fn ask_in_lines(
--- a/crates/lab/src/prove/postgres/load.rs
+++ b/crates/lab/src/prove/postgres/load.rs
@@ -1,5 +1,5 @@
-//! All that goes on in a run of `prove postgres` beside the front: clients, scripted sessions, faults, drains, and
-//! the sampling of how long the machine lets somebody wait.
+//! The threads of a `prove postgres` run beside the front: clients, scripted sessions, faults,
+//! drains, and the sampling of processor waits.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering::SeqCst;
@@ -19,12 +19,12 @@
 use crate::scripted;
 
 const CLIENTS: usize = 48;
-const SCRIPT_THREADS: u64 = 6; // threads that play scripted sessions
-const CLIENT_THREADS: usize = 3; // on which all clients of the library run
-const CLIENT_STOP_TIMEOUT: Duration = Duration::from_secs(6); // within which a client ends when it is to
+const SCRIPT_THREADS: u64 = 6; // threads that run scripted sessions
+const CLIENT_THREADS: usize = 3; // threads on which all clients of the library run
+const CLIENT_STOP_TIMEOUT: Duration = Duration::from_secs(6); // time limit for a client to stop
 const RUNTIME_STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The threads of a run.
+/// The running threads of a run.
 pub(super) struct Load {
     notes: Arc<Notes>,
     drains: JoinHandle<Vec<Drain>>,
@@ -36,9 +36,9 @@
     sampler: JoinHandle<ProcessorWaits>,
 }
 
-/// What the threads of a run have seen.
+/// Results of the threads of a run.
 pub(super) struct LoadOutcome {
-    /// How often each fault was played.
+    /// How often each fault was injected.
     pub(super) faults: BTreeMap<&'static str, usize>,
     pub(super) drains: Vec<Drain>,
     /// How long the harness and the front waited for a processor.
@@ -46,7 +46,7 @@
 }
 
 impl Load {
-    /// Starts all of them, each with chance of its own from the seed.
+    /// Starts all threads, each with its own random generator derived from the seed.
     pub(super) fn start(seed: u64, setup: &Setup) -> Result<Load, String> {
         let notes = &setup.notes;
         let (sessions, lines, front) = (setup.front.sessions, setup.front.lines, setup.front.pid());
@@ -99,7 +99,8 @@
         })
     }
 
-    /// Waits until clients and scripted sessions have ended, which they do once the notes say so.
+    /// Waits until clients and scripted sessions have ended, which they do once `Notes::stop` is
+    /// set.
     pub(super) fn join_clients(&mut self) {
         let clients = std::mem::take(&mut self.clients);
         self.runtime.block_on(async {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Waits for all that is left, and gives what was seen.
+    /// Waits for the remaining threads and returns their results.
     pub(super) fn join(self) -> Result<LoadOutcome, String> {
         let drains = self.drains.join().map_err(|_| "drains")?;
         let faults = self.faults.join().map_err(|_| "faults")?;
--- a/crates/lab/src/prove/postgres/notes.rs
+++ b/crates/lab/src/prove/postgres/notes.rs
@@ -1,4 +1,5 @@
-//! What the clients and the harness of `prove postgres` write down while a run goes on, shared by all its threads.
+//! Records that the clients and the harness of `prove postgres` write during a run, shared by all
+//! its threads.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
@@ -9,25 +10,25 @@
 /// The agreed statement timeout of all workloads, in microseconds.
 pub(super) const TIMEOUT: i64 = 3_000_000;
 
-/// All that is written down of a run.
+/// The shared records and state of a run.
 pub struct Notes {
     pub records: Arc<Records>,
     pub asked: Mutex<Vec<StatementRecord>>,
     pub transactions: Mutex<Vec<Transaction>>,
-    /// Statements that were accepted: completed, or ended by an error of their own.
+    /// Accepted statements: completed, or ended by an error.
     pub count: AtomicUsize,
-    /// Clients are to end.
+    /// Whether clients shall stop.
     pub stop: AtomicBool,
-    /// All clients have ended.
+    /// Whether all clients have ended.
     pub(super) done: AtomicBool,
-    /// How often each fault was played by now, and engines drained.
+    /// How often every fault was injected so far (that of the rarest), and how many drains ended.
     pub(super) rounds: AtomicUsize,
     pub(super) drains: AtomicUsize,
     next: AtomicU64,
 }
 
 impl Notes {
-    /// Notes of a run that begins.
+    /// Creates the records of a run that starts.
     pub(super) fn new(records: Arc<Records>) -> Notes {
         Notes {
             records,
@@ -42,12 +43,12 @@
         }
     }
 
-    /// An id that no other statement of the run has.
+    /// Returns an id that is unique in the run.
     pub fn id(&self) -> String {
         self.next.fetch_add(1, SeqCst).to_string()
     }
 
-    /// Writes down a statement with its outcome.
+    /// Records a statement with its outcome.
     pub fn record(&self, asked: StatementRecord) {
         if matches!(asked.outcome, Outcome::Completed { .. } | Outcome::Error(_)) {
             self.count.fetch_add(1, SeqCst);
@@ -57,12 +58,12 @@
         }
     }
 
-    /// A statement that is about to be asked.
+    /// Creates the record of a statement that is about to be sent.
     pub fn new_statement(&self, repeat: Repeat) -> StatementRecord {
         StatementRecord::new(self.id(), self.records.now(), TIMEOUT, repeat)
     }
 
-    /// Whether clients are to end.
+    /// Whether clients shall stop.
     pub fn is_stopping(&self) -> bool {
         self.stop.load(SeqCst)
     }
--- a/crates/lab/src/prove/postgres/sampling.rs
+++ b/crates/lab/src/prove/postgres/sampling.rs
@@ -1,4 +1,5 @@
-//! What the harness samples while a run goes on: the front's memory, and how long the machine lets somebody wait.
+//! Samples taken during a run: the front's memory, and how long the machine makes threads wait for
+//! a processor.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,12 +8,14 @@
 use crate::check::ProcessorWaits;
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
-const OVERSLEEP_ALLOWANCE_US: i64 = 2_000; // microseconds that a sleeper may oversleep on an idle machine
+/// Microseconds that a sleep may overrun on an idle machine.
+const OVERSLEEP_ALLOWANCE_US: i64 = 2_000;
 /// Accepted units after which buffers and tables have grown to what the load needs.
 const SETTLED_UNITS: usize = 10_000;
-const MEMORY_GROWTH_ALLOWANCE_KB: u64 = 2_048; // kB beside a fifth that it may grow from then on
+/// Growth in kB that is allowed from then on, on top of a fifth.
+const MEMORY_GROWTH_ALLOWANCE_KB: u64 = 2_048;
 
-/// The front's memory, from when it has settled.
+/// The front's memory in kB when it has settled (0 before) and at the last sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrontMemory {
     pub early_kb: u64,
@@ -20,7 +23,7 @@
 }
 
 impl FrontMemory {
-    /// Samples it again, with so many units accepted by now.
+    /// Adds a sample of the memory in kB, with the number of units accepted by now.
     pub fn sample(&mut self, units: usize, kb: u64) {
         if self.early_kb == 0 && units >= SETTLED_UNITS {
             self.early_kb = kb;
@@ -28,7 +31,7 @@
         self.late_kb = kb;
     }
 
-    /// What is wrong with it. A run too short to settle says nothing.
+    /// Returns a violation if memory has grown too much. A run too short to settle has none.
     pub fn violation(&self) -> Option<String> {
         let grown = self.early_kb > 0
             && self.late_kb > self.early_kb * 12 / 10 + MEMORY_GROWTH_ALLOWANCE_KB;
@@ -41,8 +44,8 @@
     }
 }
 
-/// Samples every few milliseconds how long the harness has overslept and the front has waited for a processor,
-/// until the run ends.
+/// Samples every few milliseconds, until the run ends, for how long the harness has overslept and
+/// the front has waited for a processor.
 pub fn sample_waits(front: u32, notes: &Arc<Notes>) -> ProcessorWaits {
     let (mut samples, mut overslept, mut front_waited) = (Vec::new(), 0, 0);
     let before = processor_wait_us(front);
@@ -52,14 +55,16 @@
         let now = notes.records.now();
         overslept +=
             (now - slept - SAMPLE_INTERVAL.as_micros() as i64 - OVERSLEEP_ALLOWANCE_US).max(0);
-        // An answer passes both, one after the other.
-        front_waited = (processor_wait_us(front) - before).max(front_waited); // once it has ended nothing more is counted
+        // An answer passes through both, one after the other, so the waits add up.
+        // The count reads 0 once the front has exited.
+        front_waited = (processor_wait_us(front) - before).max(front_waited);
         samples.push((now, overslept + front_waited));
     }
     ProcessorWaits { samples }
 }
 
-/// Microseconds for which the front's one thread could run and had no processor, as the kernel counts them.
+/// Returns the microseconds for which the front's only thread was runnable without a processor, as
+/// the kernel counts them.
 fn processor_wait_us(front: u32) -> i64 {
     let text = std::fs::read_to_string(format!("/proc/{front}/schedstat")).unwrap_or_default();
     text.split_whitespace()
--- a/crates/lab/src/prove/postgres/sampling_tests.rs
+++ b/crates/lab/src/prove/postgres/sampling_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn memory_that_grows_after_it_has_settled_is_found() {
+fn memory_growth_after_the_settling_point_is_a_violation() {
     let run = |samples: &[(usize, u64)]| {
         let mut memory = FrontMemory::default();
         samples
@@ -11,7 +11,7 @@
             .for_each(|(units, kb)| memory.sample(*units, *kb));
         memory.violation()
     };
-    // Growth until then is no fault, and a short run says nothing.
+    // Growth before the settling point is allowed, and a short run has no violation.
     assert_eq!(
         run(&[(100, 11_000), (SETTLED_UNITS, 17_000), (70_000, 20_000)]),
         None
--- a/crates/lab/src/prove/postgres/setup.rs
+++ b/crates/lab/src/prove/postgres/setup.rs
@@ -1,4 +1,4 @@
-//! What a run of `prove postgres` is made of: engines, the coordinator that lists them, and a front among them.
+//! The parts of a `prove postgres` run: engines, the coordinator that lists them, and a front.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::rig::{Coordinator, Front};
 
 pub(super) const ENGINES: usize = 5;
-const BIG_ENGINES: usize = 2; // the last engines: of the kind that bound statements need
+const BIG_ENGINES: usize = 2; // the last engines: of the only kind that may run bound statements
 const FRONT_DESCRIPTORS: usize = 2048; // descriptors that the front may use
 
 const OPERATOR: &str = "{ postgres: { listen: '127.0.0.1:0', engines: [{ kinds: ['std', 'big'] }],
@@ -20,7 +20,7 @@
     },
     limits: { transaction_idle_ms: 5000, buffer_bytes: 32768, prepared: 8, engine_connections: 24 } } }";
 
-/// A front with its engines and its coordinator, and the notes of the run.
+/// A front with its engines and coordinator, and the records of the run.
 pub(super) struct Setup {
     pub(super) engines: Vec<Arc<Engine>>,
     pub(super) coordinator: Arc<Coordinator>,
@@ -29,7 +29,7 @@
 }
 
 impl Setup {
-    /// Starts all of them.
+    /// Starts the engines, the coordinator and the front.
     pub(super) fn start() -> Result<Setup, String> {
         let why = |e: std::io::Error| e.to_string();
         let records = Records::new();
@@ -53,12 +53,12 @@
     }
 }
 
-/// The engine's name in the coordinator's list.
+/// Returns the engine's name in the coordinator's list.
 pub(super) fn name(engine: usize) -> String {
     format!("e{engine}")
 }
 
-/// The engine's kind in the coordinator's list.
+/// Returns the engine's kind in the coordinator's list.
 pub(super) fn kind(engine: usize) -> &'static str {
     if is_big(engine) {
         "big"
--- a/crates/lab/src/prove/postgres_tests.rs
+++ b/crates/lab/src/prove/postgres_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn sessions_keep_the_rules_among_faults() {
+fn sessions_violate_no_rule_under_faults() {
     for seed in [1, 2] {
         let (passed, tallies) = run(RunSize {
             seed,
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -1,6 +1,7 @@
-//! `prove promises`: fronts that keep promises for each other, a load that shares order keys over all of them, and a
-//! schedule of faults drawn from the seed: disks lost at steps of a promise, cuts in two and three, stalls past a
-//! lease, words lost, doubled, late and out of order.
+//! `prove promises`: fronts with a replicated ledger, a load that uses the same order keys at all
+//! of them, and a schedule of faults drawn from the seed: disks lost at steps of a ledger entry,
+//! partitions in two and three, stalls longer than a lease, messages lost, duplicated, delayed and
+//! reordered.
 
 use std::time::Instant;
 
@@ -15,30 +16,36 @@
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario, Step};
 use crate::simulated::{self, Mutation};
 
-const SLOT_MS: u64 = 5_000; // milliseconds from one fault to the next: its own time, and the repair after it
-const FIRST_FAULT_MS: u64 = 2_000; // milliseconds of load before the first
+/// Milliseconds from one fault to the next: the fault, and the repair after it.
+const SLOT_MS: u64 = 5_000;
+const FIRST_FAULT_MS: u64 = 2_000; // milliseconds of load before the first fault
 const LOAD_AFTER_MS: u64 = 3_000; // milliseconds of load after the last slot
-const MAX_SECONDS: u64 = 60; // within which a run ends by itself
-const MAX_CLOCK_SKEW_MS: u64 = 500; // milliseconds that the ledger bears between any two fronts' clocks by default
+const MAX_SECONDS: u64 = 60; // time limit of a run, without the start of its processes
+/// Milliseconds between any two fronts' clocks that the ledger tolerates by default.
+const MAX_CLOCK_SKEW_MS: u64 = 500;
 const LOSS_STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
-/// Statements that need a promise and ran, of a hundred asked: with fewer, most were refused or lost.
+/// Percentage of the statements that need a ledger entry that must run: with fewer, most were
+/// rejected or lost.
 const MIN_RUN_PERCENT: i64 = 50;
-const LATE_ANSWER_US: i64 = 300_000; // microseconds beyond its timeout after which an answer is printed
+/// Microseconds beyond its timeout after which an answer is printed.
+const LATE_ANSWER_US: i64 = 300_000;
 
-/// How a run is to be played.
+/// Options of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunOptions {
-    /// Three faults instead of all.
+    /// Three kinds of faults instead of all.
     pub small: bool,
+    /// Simulated time, without processes.
     pub simulated: bool,
+    /// Number of fronts; `None` for the number drawn or fixed by the subject.
     pub fronts: Option<usize>,
-    /// Fronts that a promise stands on; 0: none keeps any for another, and the run is to fail.
+    /// Replicas of each ledger entry; 0 disables replication, and the run is expected to fail.
     pub copies: usize,
-    /// In simulated time, a rule taken out: the run is to fail.
+    /// In simulated time, the rule that is removed: the run is expected to fail.
     pub mutation: Mutation,
 }
 
-/// The kinds of trouble that a run takes its turn of; each of them comes in a whole run.
+/// The kinds of faults, one in each slot; a full run has all of them.
 const FAULT_KINDS: [&str; 7] = [
     "loss",
     "loss_again",
@@ -48,9 +55,9 @@
     "bad_links",
     "end",
 ];
-const SMALL_RUN_KINDS: usize = 3; // kinds in a small run
+const SMALL_RUN_KINDS: usize = 3; // kinds of faults in a small run
 
-/// The run of a seed.
+/// Draws the scenario of a seed.
 pub fn draw(seed: u64, options: RunOptions) -> Scenario {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let fronts = options.fronts.unwrap_or_else(|| rng.random_range(5..=7));
@@ -85,7 +92,7 @@
         seed: Some(seed),
         seconds: (FIRST_FAULT_MS + kinds.len() as u64 * SLOT_MS + LOAD_AFTER_MS) / 1000,
         fleet: FleetShape {
-            clocks_apart_ms: MAX_CLOCK_SKEW_MS / 2, // of the machine's, either way
+            clocks_apart_ms: MAX_CLOCK_SKEW_MS / 2, // from the machine's clock, either way
             copies: (options.copies > 0).then_some(options.copies),
             ..shape::fleet(fronts)
         },
@@ -108,7 +115,7 @@
     }
 }
 
-/// The faults of a slot that begins at `at`; `lost` is the front whose disk was lost before.
+/// Draws the faults of a slot that begins at `at`; `lost` is the front whose disk was lost before.
 fn draw_faults(
     rng: &mut Pcg64Mcg,
     kind: &str,
@@ -120,7 +127,7 @@
     let split = rng.random_range(1..fronts - 1);
     match kind {
         "loss" | "loss_again" => {
-            // The second is another front's, after the repair of the first.
+            // The second loss is of another front, after the repair of the first.
             while lost == Some(front) {
                 front = rng.random_range(0..fronts);
             }
@@ -151,7 +158,7 @@
             let stall = fault(FaultKind::Stall, at, rng.random_range(3_000..4_500));
             vec![Fault { front, ..stall }]
         }
-        // Asked to end: it hands over what it owns, and nothing that it was asked is excused.
+        // On SIGTERM the front hands over its shards; no statement is excused.
         "end" => vec![Fault {
             front,
             ..fault(FaultKind::Term, at, rng.random_range(500..2_000))
@@ -160,7 +167,8 @@
     }
 }
 
-/// Messages between fronts lost, doubled and out of order, and one side heard by none for part of that time.
+/// Draws lost, duplicated and reordered messages between fronts, and for a third of that time a
+/// side whose messages nobody receives.
 fn draw_bad_links(rng: &mut Pcg64Mcg, at: u64, split: usize) -> Vec<Fault> {
     let for_ms = rng.random_range(3_000..4_500);
     let delay_ms = rng.random_range(5..60);
@@ -185,7 +193,7 @@
     ]
 }
 
-/// Plays the run of a seed: whether it passed, and the tallies of its line.
+/// Runs a seed; returns whether it passed and the tallies of its result line.
 pub fn run(seed: u64, options: RunOptions) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed, options);
@@ -195,14 +203,14 @@
     };
     check_coverage(&mut run, &scenario);
     let seconds = began.elapsed().as_secs();
-    // Starting so many processes takes what the machine gives.
+    // The start of the processes does not count: its duration depends on the machine's load.
     let run_seconds =
         (seconds as i64 - run.tallies.get("start_seconds").copied().unwrap_or(0)).max(0) as u64;
     if !options.simulated && run_seconds >= MAX_SECONDS {
         run.violations
             .entry("run")
             .or_default()
-            .push(format!("took {seconds} s"));
+            .push(format!("the run took {seconds} s"));
     }
     print_violations(&run);
     print_late_and_refused(&run);
@@ -217,7 +225,7 @@
     ))
 }
 
-/// A run in which too little happened proves nothing.
+/// Adds violations if the run exercised too little to mean anything.
 fn check_coverage(run: &mut Run, scenario: &Scenario) {
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
@@ -233,18 +241,20 @@
         .iter()
         .any(|f| matches!(f.what, FaultKind::FrontsSplit | FaultKind::PostLossy));
     if cut && tally("gossip_lost") == 0 {
-        add("no word between fronts was lost".to_string());
+        add("no message between fronts was lost".to_string());
     }
     let (promised, ran) = (
         tally("promised") - tally("asked_again"),
         tally("promised_runs"),
     );
     if promised < scenario.seconds as i64 * 10 || ran * 100 < promised * MIN_RUN_PERCENT {
-        add(format!("{ran} of {promised} that need a promise ran"));
+        add(format!(
+            "{ran} of {promised} statements that need a ledger entry ran"
+        ));
     }
 }
 
-/// Prints statements answered long after their timeout, and those refused.
+/// Prints the statements answered long after their timeout, and the rejected ones.
 fn print_late_and_refused(run: &Run) {
     for o in run
         .asked
--- a/crates/lab/src/prove/promises_tests.rs
+++ b/crates/lab/src/prove/promises_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_seed_draws_one_schedule_with_a_loss_and_the_whole_one_has_all_kinds() {
+fn a_seed_always_draws_the_same_schedule_and_a_full_run_has_all_kinds_of_faults() {
     let options = RunOptions {
         small: false,
         simulated: false,
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -1,6 +1,7 @@
-//! `prove promises --only roll`: a whole fleet ended by SIGTERM and started anew under load, a tenth of it at a time.
-//! Owners of promises hand over before they go: nothing is refused for it. With another build's program the fleet is
-//! half of that build at first, then wholly of this one, then of the other, and in the end half of it again.
+//! `prove promises --only roll`: a rolling restart of a whole fleet by SIGTERM under load, a tenth
+//! of it at a time. Owners of ledger entries hand over before they exit, so nothing may be rejected
+//! because of it. With another build's program half of the fleet starts as that build; then all
+//! fronts become this build, then all the other, and in the end half of them this build again.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
@@ -19,18 +20,20 @@
 use crate::rig::member::MemberOptions;
 use crate::rig::scenario::{Class, Fault, FaultKind, Load, Scenario};
 
-const FIRST_TERMINATION_US: i64 = 2_000_000; // microseconds of load before the first end
-const PAUSE_US: i64 = 700_000; // microseconds with all fronts there between ends
-const MIXED_PAUSE_US: i64 = 2_500_000; // the same while the fleet is as it is to be for a while
-const LOAD_AFTER_US: i64 = 2_000_000; // microseconds of load after the last start
-const RESTART_CHECK_DELAY_MS: u64 = 400; // milliseconds from a SIGTERM until its front is looked for: its door is open till then
-const MAX_SECONDS: u64 = 90; // within which a run ends by itself
+const FIRST_TERMINATION_US: i64 = 2_000_000; // microseconds of load before the first SIGTERM
+const PAUSE_US: i64 = 700_000; // microseconds with all fronts up between restarts
+const MIXED_PAUSE_US: i64 = 2_500_000; // the same before the first restart of each phase
+const LOAD_AFTER_US: i64 = 2_000_000; // microseconds of load after the last restart
+/// Milliseconds from a SIGTERM until the front is checked; it still accepts statements until then.
+const RESTART_CHECK_DELAY_MS: u64 = 400;
+const MAX_SECONDS: u64 = 90; // time limit of a run
 const TERMS: Terms = Terms {
     most_wait: 1_000_000,
     most_end: 8_000_000,
 };
 
-/// Fronts that end together, and whether each starts anew as the other build; and for how long all are there before.
+/// Fronts that are restarted together, whether they restart as the other build, and for how many
+/// microseconds all fronts are up before.
 #[derive(Clone, Debug, PartialEq)]
 struct RollStep {
     fronts: Vec<usize>,
@@ -38,8 +41,9 @@
     pause: i64,
 }
 
-/// The steps of a roll: a tenth of the fleet at a time, of one zone, or `across` of several: an end then waits where a
-/// shard would lack two of its copies.
+/// Splits a rolling restart into steps of a tenth of the fleet, each within one zone or, with
+/// `across_zones`, over several. In the latter case a shutdown waits where a shard would lack two
+/// of its replicas.
 fn steps(order: &[usize], zones: usize, across_zones: bool, other: bool) -> Vec<RollStep> {
     let tenth = order.len().div_ceil(10);
     let groups: Vec<Vec<usize>> = match across_zones {
@@ -71,10 +75,11 @@
         .collect()
 }
 
+/// Restarts the fronts step by step.
 struct Roll {
     steps: VecDeque<RollStep>,
     other: Option<PathBuf>,
-    /// Since when all are there.
+    /// Time since which all fronts have been up, in microseconds of the load.
     all_up_since: i64,
     played: Vec<Fault>,
 }
@@ -109,7 +114,7 @@
     }
 }
 
-/// The run of a seed: its fleet, and who ends when.
+/// Draws the scenario of a seed and the steps of its restart.
 fn draw(seed: u64, small: bool, mixed: bool) -> (Scenario, Vec<RollStep>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x726f_6c6c);
     let fronts = if small {
@@ -132,7 +137,8 @@
     };
     let plan = match mixed {
         false => steps_of(&|_| true, false),
-        // Half of it is the other build: on to this one, back to the other, and half of it on again.
+        // Half of the fleet is the other build: all to this one, all back to the other, and half of
+        // them to this one again.
         true => {
             let on = steps_of(&starts_as_other_build, false);
             let back = steps_of(&|_| true, true);
@@ -167,12 +173,12 @@
     (scenario, plan)
 }
 
-/// Which fronts of a mixed fleet begin as the other build.
+/// Whether the front of a mixed fleet starts as the other build.
 fn starts_as_other_build(front: usize) -> bool {
     front % 2 == 1
 }
 
-/// Plays the run of a seed: whether it passed, and the tallies of its line.
+/// Runs a seed; returns whether it passed and the tallies of its result line.
 pub fn run(seed: u64, small: bool, other: Option<&Path>) -> Result<(bool, String), String> {
     let began = Instant::now();
     let (mut scenario, plan) = draw(seed, small, other.is_some());
@@ -214,23 +220,23 @@
     ))
 }
 
-/// A run in which too little happened proves nothing.
+/// Adds violations if the run exercised too little to mean anything.
 fn check_coverage(run: &mut Run, planned: usize, scenario: &Scenario) {
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
     let (ends, out) = (tally("ends"), tally("ends_with_promises_out"));
     let (promised, during) = (tally("promised_runs"), tally("waited_during_ends"));
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
     if ends < planned as i64 || count_terminations(&run.played) < planned {
-        add(format!("{ends} of {planned} ends were played"));
+        add(format!("{ends} of {planned} restarts were made"));
     }
     if out * 4 < ends || during < ends {
         add(format!(
-            "promises were out at {out} of {ends} ends, {during} began during them"
+            "ledger entries were open at {out} of {ends} shutdowns, {during} statements started during them"
         ));
     }
     if promised < scenario.seconds as i64 * 10 {
         add(format!(
-            "{promised} that need a promise ran in {} s",
+            "{promised} statements that need a ledger entry ran in {} s",
             scenario.seconds
         ));
     }
--- a/crates/lab/src/prove/roll_tests.rs
+++ b/crates/lab/src/prove/roll_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn all_fronts_end_a_tenth_at_a_time_of_one_zone_or_of_several() {
+fn a_tenth_of_the_fleet_restarts_at_a_time_within_one_zone_or_over_several() {
     let mut across_zones = false;
     for seed in 0..200 {
         let (scenario, plan) = draw(seed, false, false);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_mixed_fleet_goes_on_back_and_half_on_again() {
+fn a_mixed_fleet_moves_to_this_build_back_to_the_other_and_half_again() {
     let (scenario, plan) = draw(4, true, true);
     let mut other: Vec<bool> = (0..scenario.fleet.fronts)
         .map(starts_as_other_build)
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -1,6 +1,7 @@
-//! `prove promises --only rules`: fronts with rules of a customer, which change while fronts are cut off, stopped and
-//! killed: two files at once, a file that tightens, one during a cut, old files. What the engines began is held
-//! against what the fronts said to be in force, and the fleet's hits against what clients had answered.
+//! `prove promises --only rules`: fronts with a customer's access rules, which change while fronts
+//! are partitioned, stalled and killed: two files at once, a file with stricter rules, one during a
+//! partition, stale files. The executions started by engines are compared with the rules that
+//! fronts reported in force, and the fleet's hits with the answers that clients received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -25,37 +26,46 @@
 
 const FIRST_CHANGE_MS: u64 = 1_000; // milliseconds of load before the first change
 const SLOT_MS: u64 = 6_500; // milliseconds from one change to the next
-const LOAD_AFTER_MS: u64 = 3_000; // milliseconds of load after the last
-const READY_TIMEOUT: Duration = Duration::from_secs(15); // until the first version is in force; a busy machine takes some of it
-const FINAL_VERSION_TIMEOUT: Duration = Duration::from_secs(8); // until the last version is in force, and for the fleet's hits
-const IN_FLIGHT_US: i64 = 700_000; // microseconds until what left before "in force" has begun, on a busy machine
+const LOAD_AFTER_MS: u64 = 3_000; // milliseconds of load after the last change
+/// Time limit until the first version is in force; a busy machine takes longer to start.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time limit until the last version is in force, and for the query of the fleet's hits.
+const FINAL_VERSION_TIMEOUT: Duration = Duration::from_secs(8);
+/// Microseconds until executions sent before "in force" have started, on a busy machine.
+const IN_FLIGHT_US: i64 = 700_000;
 const MAX_SECONDS: u64 = 60;
-const MIN_RULED_RUNS: i64 = 50; // executions that a rule was about; with fewer a run proves nothing
-const MIN_OTHER_STATEMENTS: usize = 20; // statements of others while fronts are closed; fewer say nothing
-const LOOKUP_CLASS: usize = 0; // places among the classes
+/// Minimum of executions subject to a rule; a run with fewer exercises too little.
+const MIN_RULED_RUNS: i64 = 50;
+/// Minimum of other customers' statements in the seconds in which a front rejects ruled ones; with
+/// fewer the check means nothing.
+const MIN_OTHER_STATEMENTS: usize = 20;
+const LOOKUP_CLASS: usize = 0; // indices of the classes
 const REPORT_CLASS: usize = 1;
 const AUDIT_CLASS: usize = 2;
 const CHANGE_KINDS: [&str; 4] = ["two", "stalled", "cut", "killed"];
-const SMALL_RUN_KINDS: usize = 2; // kinds in a small run
+const SMALL_RUN_KINDS: usize = 2; // kinds of changes in a small run
 
-/// A change of the rules: when, which files at which fronts.
+/// A change of the rules: when it is made, and which fronts get which file.
 #[derive(Clone, Debug, PartialEq)]
 struct Change {
     at_ms: u64,
     files: Vec<(usize, Set)>,
-    /// All fronts that get one have the same; else they are rivals.
+    /// Kind of change. In a "two" change the fronts get rival files of one version, in all others
+    /// the same file.
     kind: &'static str,
 }
 
+/// The scenario of a run, with its rules and their changes.
 struct Plan {
     scenario: Scenario,
     first: Set,
     changes: Vec<Change>,
-    /// Fronts that are told to read their file, old by then, and when.
+    /// Times, in milliseconds of load, at which a front is made to reload its file, which is stale
+    /// by then.
     old: Vec<(u64, usize)>,
 }
 
-/// The run of a seed.
+/// Draws the scenario, rules and changes of a seed.
 fn draw(seed: u64, small: bool) -> Plan {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7275_6c65);
     let (fronts, zones) = (5, 3);
@@ -102,7 +112,8 @@
                     front: below,
                     ..fault(FaultKind::FrontsSplit, at, 5_500)
                 };
-                // On either side: one of them has the majority of whoever keeps the rules.
+                // One front on either side: one of the sides has the majority of the voters on the
+                // rules.
                 let sides = [rng.random_range(0..below), rng.random_range(below..fronts)];
                 (
                     sides.map(|front| (front, next_set.clone())).to_vec(),
@@ -110,7 +121,7 @@
                 )
             }
             _ => {
-                // It comes back with the file that it had, by then an old one.
+                // The front returns with the file that it had, which is stale by then.
                 let gone = fault(FaultKind::Kill, at, rng.random_range(3_000..4_000));
                 old.push((at + 5_500, others[2]));
                 (
@@ -139,7 +150,7 @@
     }
 }
 
-/// The next version: a zone more is barred than before, or another: always something that was allowed.
+/// Draws the next version: it bars at least one zone that was allowed before.
 fn draw_next(set: &Set, zones: usize, rng: &mut Pcg64Mcg) -> Set {
     let open: Vec<usize> = (0..zones)
         .filter(|zone| !set.barred.contains(zone))
@@ -196,12 +207,12 @@
     }
 }
 
-/// What is played beside the faults.
+/// Changes the rules during a run, and reads the fronts' logs.
 struct Rules {
     files: Files,
     changes: Vec<Change>,
     old: Vec<(u64, usize)>,
-    /// Sets as they were offered, with when and at which front.
+    /// Rule sets offered so far, each with when and at which front.
     offered: Vec<(i64, usize, Set)>,
     asked_front: usize,
     logs: RuleLogs,
@@ -216,7 +227,7 @@
         }
     }
 
-    /// The sets that were the fleet's, in order, each with when it was first offered.
+    /// Returns the sets that the fleet accepted, in order, each with when it was first offered.
     fn accepted_sets(&self) -> Vec<(i64, Set)> {
         let fleet_set = |(at, front, set): &(i64, usize, Set)| {
             let rivals = || {
@@ -326,7 +337,7 @@
     }
 }
 
-/// Plays the run of a seed: whether it passed, and the tallies of its line.
+/// Runs a seed; returns whether it passed and the tallies of its result line.
 pub fn run(seed: u64, small: bool) -> Result<(bool, String), String> {
     let began = Instant::now();
     let Plan {
@@ -358,7 +369,7 @@
         run.violations
             .entry("run")
             .or_default()
-            .push(format!("took {seconds} s"));
+            .push(format!("the run took {seconds} s"));
     }
     Ok(end(&run, &format!("fronts={fronts} seconds={seconds}")))
 }
@@ -394,7 +405,7 @@
     run.tallies.insert("bars", barred_zones.len() as i64);
     let mut add = |rule: &'static str, what: String| violations.entry(rule).or_default().push(what);
     if ruled < MIN_RULED_RUNS {
-        add("run", format!("{ruled} executions that a rule was about"));
+        add("run", format!("{ruled} executions were subject to a rule"));
     }
     let accepted_sets: BTreeSet<u64> = rules
         .accepted_sets()
@@ -406,10 +417,7 @@
         if !accepted_sets.contains(&version) || !rules.logs.in_force.contains_key(&version) {
             add(
                 "run",
-                format!(
-                    "version {version} ({}) did not come to be in force",
-                    change.kind
-                ),
+                format!("version {version} ({}) never came into force", change.kind),
             );
         }
         if change.kind == "two" && rules.logs.accepted.get(&version).map_or(0, Vec::len) > 1 {
@@ -431,12 +439,13 @@
     let old: usize = rules.logs.old.values().sum();
     run.tallies.insert("old_files_refused", old as i64);
     if killed && old < 2 {
-        add("run", format!("{old} of 2 old files were refused"));
+        add("run", format!("{old} of 2 stale files were rejected"));
     }
     check_hits(run, rules, account);
 }
 
-/// What is denied runs nowhere; and a front that can't know the rules turns away nobody else's statements.
+/// Checks that denied statements never run, and that a front that cannot know the rules rejects no
+/// statements of other customers.
 fn check_denied(violations: &mut Violations, account: &Account) {
     let refused = |o: &Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
     let second = |o: &Offered| (o.front, o.asked.answered / 1_000_000);
@@ -467,10 +476,10 @@
         .filter(|o| o.class == LOOKUP_CLASS && closed_seconds.contains(&second(o)))
         .collect();
     let away = others.iter().filter(|o| refused(o)).count();
-    // A busy machine's fronts turn some away by themselves.
+    // Fronts of a busy machine reject some statements for lack of capacity.
     if others.len() >= MIN_OTHER_STATEMENTS && away * 2 > others.len() {
         let said = format!(
-            "{away} of {} of customers without rules, while fronts were closed",
+            "{away} of {} statements of customers without rules were rejected while fronts rejected ruled ones",
             others.len()
         );
         violations
@@ -480,13 +489,17 @@
     }
 }
 
-/// The fleet's hits, asked of one front, against what clients had answered.
+/// Checks the fleet's hits, as reported by one front, against the answers that clients received.
 fn check_hits(run: &mut Run, rules: &Rules, account: &Account) {
     let Some(fleet_hits) = &rules.hits else {
-        let said = format!("front {} did not tell the fleet's hits", rules.asked_front);
+        let said = format!(
+            "front {} did not report the fleet's hits",
+            rules.asked_front
+        );
         return run.violations.entry("run").or_default().push(said);
     };
-    // A refusal for want of the ledger or of the rules came before the hit, or after: it may count or not.
+    // A rejection because the ledger or the rules are unavailable may come before or after the hit
+    // is counted.
     let is_certain = |o: &Offered| match &o.asked.outcome {
         Outcome::Completed { .. } => true,
         Outcome::Error(_) => o.barred && o.class == AUDIT_CLASS,
--- a/crates/lab/src/prove/rules_tests.rs
+++ b/crates/lab/src/prove/rules_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn every_change_bars_what_was_allowed_and_all_fits_in_time() {
+fn every_change_bars_a_zone_that_was_allowed_and_faults_fit_into_the_run() {
     for seed in 0..200 {
         let plan = draw(seed, false);
         assert_eq!((plan.changes.len(), plan.scenario.faults.len()), (4, 3));
--- a/crates/lab/src/prove/shape.rs
+++ b/crates/lab/src/prove/shape.rs
@@ -1,13 +1,13 @@
-//! What the fleets of proofs have in common: their shape, their engines, the workloads that need promises, and the
-//! order in which kinds of trouble come.
+//! What the fleets of `prove` runs share: their shape, their engines, the workloads that need
+//! ledger entries, and the order of the kinds of faults.
 
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
 use crate::rig::scenario::{Class, Effect, FleetShape, Warm};
 
-/// The kinds of trouble of a run, in the order drawn. A small run has so many of them, the named one always
-/// among these.
+/// Draws the order of the kinds of faults. A small run has `count` of them, always including the
+/// named one.
 pub(super) fn draw_kinds(
     rng: &mut Pcg64Mcg,
     kinds: &[&'static str],
@@ -23,7 +23,7 @@
     drawn
 }
 
-/// Fronts that talk with each other, their promises on three of them, engines in three zones.
+/// A fleet with gossip, three replicas of each ledger entry, and engines in three zones.
 pub(super) fn fleet(fronts: usize) -> FleetShape {
     FleetShape {
         fronts,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Engines that bear all that such a run asks of them.
+/// Engines with more slots than such a run needs.
 pub(super) fn engines() -> Warm {
     Warm {
         slots: 64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Statements with an order key and a dedup key each.
+/// A class of statements with an order key and a dedup key each.
 pub(super) fn keyed(keys: usize, work_ms: u64) -> Class {
     Class {
         effect: Effect::Deduplicated,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Statements without a key that may run once alone.
+/// A class of non-idempotent statements without a key.
 pub(super) fn once(work_ms: u64) -> Class {
     Class {
         effect: Effect::NonIdempotent,
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -1,5 +1,6 @@
-//! `prove promises --only sites`: statements over several sites, whose true rows are known, beside loads at any front,
-//! among a cut of the fleet, a front killed, and summaries that must count for nothing.
+//! `prove promises --only sites`: statements over several sites, whose true rows are known, with
+//! concurrent loads at any front, a partition of the fleet, a killed front, and invalid summaries
+//! that fronts must reject.
 
 mod seen;
 
@@ -26,19 +27,24 @@
 use seen::{count_asked_sites, count_reasons, final_rows, parse_rows, AnswerRecords, LoadRecord};
 
 const SITES: usize = 5;
-const VALUES_PER_SITE: i64 = 1_000; // values of a site lie in a range of its own, loads' anywhere
-const INITIAL_ROWS_PER_SITE: usize = 40; // of each site
-const SUMMARY_INTERVAL: Duration = Duration::from_millis(1_200); // between summaries of a site
-const SCATTERS_PER_SECOND: f64 = 22.0; // a second
-const LOADS_PER_SECOND: f64 = 3.0; // a second
-const WARM_UP_US: i64 = 4_000_000; // microseconds at the beginning of what is measured that do not count
-const FIRST_STATEMENT_NUMBER: u64 = 1 << 40; // statements of the plain load have lower ones
+/// Initial values of a site lie in a range of its own; loads use all ranges.
+const VALUES_PER_SITE: i64 = 1_000;
+const INITIAL_ROWS_PER_SITE: usize = 40;
+/// Interval between summaries of a site.
+const SUMMARY_INTERVAL: Duration = Duration::from_millis(1_200);
+const SCATTERS_PER_SECOND: f64 = 22.0;
+const LOADS_PER_SECOND: f64 = 3.0;
+const WARM_UP_US: i64 = 4_000_000; // microseconds at the start of a measurement that do not count
+const FIRST_STATEMENT_NUMBER: u64 = 1 << 40; // the plain load uses lower numbers
 const MAX_SECONDS: u64 = 60;
-const UNNECESSARY_SITES_TEXT: &str = "asked and without rows"; // in fronts' logs, behind how many they asked
-const MIN_COMPLETE_SCATTERS: usize = 100; // scatters answered in whole; with fewer a run proves nothing
+/// Text in fronts' log lines, after the number of sites asked.
+const UNNECESSARY_SITES_TEXT: &str = "asked and without rows";
+/// Minimum of completely answered scatters; a run with fewer exercises too little.
+const MIN_COMPLETE_SCATTERS: usize = 100;
 
-const MIN_ROWS: i64 = 100; // told in answers
+const MIN_ROWS: i64 = 100; // minimum of rows in answers; a run with fewer exercises too little
 
+/// Writes summaries and runs the clients of a run.
 struct Plan {
     sites: Arc<Sites>,
     seen: Arc<AnswerRecords>,
@@ -48,16 +54,17 @@
     rng: Pcg64Mcg,
     summaries_written_at: Instant,
     bad_summaries_written: usize,
-    /// Loads a second, and whether summaries that must count for nothing come too.
+    /// Loads a second.
     loads: f64,
+    /// Whether invalid summaries are written as well.
     writes_bad_summaries: bool,
-    /// What was wrong with summaries that fronts have refused, and how often.
+    /// How many summaries fronts have rejected, by what was wrong with them.
     refused: BTreeMap<&'static str, usize>,
-    /// The last word of each front on sites that it asked for nothing.
+    /// The last log line of each front about sites that it asked unnecessarily.
     unnecessary_lines: Vec<String>,
 }
 
-/// Statements until the run ends, each by a client of its own.
+/// Sends statements until the run ends, each from its own client thread.
 fn run_clients(
     (seed, loads): (u64, f64),
     members: &[Arc<Member>],
@@ -127,7 +134,8 @@
 }
 
 impl Plan {
-    /// Every site's summary at two fronts, from which others hear of it; and one that must count for nothing.
+    /// Writes every site's summary at one front, from which the others receive it, and possibly an
+    /// invalid one; notifies those fronts by SIGHUP.
     fn write_summaries(&mut self, fleet: &Fleet) {
         let fronts = fleet.members.len();
         let mut notified_fronts = BTreeSet::new();
@@ -210,7 +218,7 @@
     }
 }
 
-/// The run of a seed.
+/// Draws the scenario of a seed.
 fn draw(seed: u64, small: bool) -> Scenario {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7369_7465);
     let fronts = 5;
@@ -268,7 +276,7 @@
     }
 }
 
-/// The values that each site holds at first.
+/// Draws the initial values of each site.
 fn initial_values(seed: u64) -> Vec<Vec<i64>> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut values = |site: i64| -> Vec<i64> {
@@ -279,7 +287,7 @@
     (0..SITES as i64).map(&mut values).collect()
 }
 
-/// Plays a scenario among sites, with so many loads a second.
+/// Runs a scenario over sites, with `loads` loads a second.
 fn play_scenario(
     scenario: &Scenario,
     seed: u64,
@@ -309,27 +317,31 @@
     Ok((plan, account, pids))
 }
 
-/// What a run without faults shows of sites asked.
+/// Which sites a run without faults asked.
 #[derive(Debug, Default)]
 pub struct SitesAsked {
+    /// Scatters that were answered completely.
     pub scatters: usize,
     pub loads: usize,
+    /// Sites that scatters without summaries would have asked.
     pub all: i64,
+    /// Sites that were asked.
     pub asked: i64,
-    /// Those with a row that matches.
+    /// Sites with a matching row.
     pub with_rows: i64,
+    /// Missing rows, and rows too many.
     pub missing: usize,
-    /// Asked and without rows, by why.
+    /// Sites asked that had no matching row, by reason.
     pub unnecessary: BTreeMap<String, u64>,
 }
 
-/// Plays a quiet fleet with so many loads a second.
+/// Runs a fleet without faults and with `loads` loads a second.
 pub fn measure_sites(seed: u64, loads: f64, seconds: u64) -> Result<SitesAsked, String> {
     let mut scenario = draw(seed, true);
     (scenario.seconds, scenario.faults) = (seconds, Vec::new());
     let (plan, account, _) = play_scenario(&scenario, seed, loads, false)?;
     let (held, mut violations) = final_rows((&plan.sites, &plan.seen), &initial_values(seed));
-    let lock = |_| "a client's thread broke".to_string();
+    let lock = |_| "a client's thread panicked".to_string();
     let scatters = plan.seen.scatters.lock().map_err(|e| lock(e.to_string()))?;
     let loads = plan
         .seen
@@ -365,7 +377,7 @@
     })
 }
 
-/// Plays the run of a seed: whether it passed, and the tallies of its line.
+/// Runs a seed; returns whether it passed and the tallies of its result line.
 pub fn run(seed: u64, small: bool) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed, small);
@@ -378,7 +390,7 @@
         run.violations
             .entry("run")
             .or_default()
-            .push(format!("took {seconds} s"));
+            .push(format!("the run took {seconds} s"));
     }
     Ok(end(
         &run,
@@ -405,7 +417,8 @@
     let complete: Vec<&(usize, Scatter)> = complete.collect();
     let answered: Vec<&Scatter> = complete.iter().map(|(_, scatter)| scatter).collect();
     let (of, least) = count_asked_sites(&answered, &held, account);
-    // Loads acknowledged on one side of a cut, and scatters asked on the other after that while it lasted.
+    // Counts scatters sent on one side of a partition after a load was acknowledged on the other,
+    // both while it lasted.
     let mut scatters_across_cut = 0;
     for (fault, from, to) in account
         .played
@@ -464,14 +477,14 @@
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
     if complete.len() < MIN_COMPLETE_SCATTERS || acknowledged < 10 || rows < MIN_ROWS {
         add(format!(
-            "{} scatters in whole, {rows} rows, {acknowledged} loads acknowledged",
+            "{} complete scatters, {rows} rows, {acknowledged} loads acknowledged",
             complete.len()
         ));
     }
     if scatters_across_cut == 0 {
-        add("no scatter came on one side of a cut after a load on the other".to_string());
+        add("no scatter ran on one side of a partition after a load on the other".to_string());
     }
     for (what, _) in plan.refused.iter().filter(|(_, said)| **said == 0) {
-        add(format!("no front refused a summary that was {what}"));
+        add(format!("no front rejected a summary that was {what}"));
     }
 }
--- a/crates/lab/src/prove/sites/seen.rs
+++ b/crates/lab/src/prove/sites/seen.rs
@@ -1,4 +1,4 @@
-//! What clients of a run over sites have seen, and what lies where in the end.
+//! Records of the clients of a run over sites, and where rows are in the end.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
@@ -8,7 +8,8 @@
 use crate::record::rows::{Row, Scatter};
 use crate::rig::sites::Sites;
 
-/// A load as its client saw it: its value, when it was sent and acknowledged, and at which front.
+/// A load as its client recorded it: its value, when it was sent and acknowledged (`i64::MAX` if
+/// never), and its front.
 pub(super) struct LoadRecord {
     pub(super) id: String,
     pub(super) value: i64,
@@ -17,13 +18,14 @@
     pub(super) front: usize,
 }
 
+/// Scatters, each with its front, and loads as their clients recorded them.
 #[derive(Default)]
 pub(super) struct AnswerRecords {
     pub(super) scatters: Mutex<Vec<(usize, Scatter)>>,
     pub(super) loads: Mutex<Vec<LoadRecord>>,
 }
 
-/// Rows of an answer: site and value in each line.
+/// Parses the rows of an answer: site and value, separated by a tab, in each line.
 pub(super) fn parse_rows(body: &str) -> Vec<(usize, i64)> {
     let row = |line: &str| {
         let mut columns = line.split('\t');
@@ -34,7 +36,8 @@
 
 pub(super) type Violations = BTreeMap<&'static str, Vec<String>>;
 
-/// The rows at each site in the end, and loads acknowledged whose rows are nowhere.
+/// Returns the rows at each site at the end of a run, and a violation for each acknowledged load
+/// whose row is at no site.
 pub(super) fn final_rows(
     (sites, seen): (&Sites, &AnswerRecords),
     first: &[Vec<i64>],
@@ -71,7 +74,7 @@
     (held, violations)
 }
 
-/// Sites that were asked, by the engines' records, and those with a row that matches.
+/// Counts the sites that were asked, by the engines' records, and those with a matching row.
 pub(super) fn count_asked_sites(
     complete: &[&Scatter],
     held: &[Row],
@@ -100,7 +103,8 @@
     (asked_count, matching_count)
 }
 
-/// Sites that fronts asked for nothing, by why, from the last word of each on them.
+/// Counts the sites that fronts asked unnecessarily by reason, from the last log line of each
+/// front.
 pub(super) fn count_reasons(lines: &[String]) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for line in lines {
--- a/crates/lab/src/prove/soak.rs
+++ b/crates/lab/src/prove/soak.rs
@@ -1,6 +1,7 @@
-//! `prove soak`: fronts that share nothing, of drawn settings, among engines that are lost, reset and cut off; fronts are
-//! stopped, killed, ended and told to read their files; and the machine under each misbehaves: its wall clock is stepped,
-//! system calls fail, connections break. Rules are checked on what clients, engines and relays wrote down.
+//! `prove soak`: independent fronts with drawn settings, among engines that are lost, reset and cut
+//! off. Fronts are stalled, killed, terminated and made to reload their files, while the machine
+//! under each misbehaves: its wall clock is stepped, system calls fail, connections break. Rules
+//! are checked on the records of clients, engines and relays.
 
 mod machine;
 
@@ -24,15 +25,16 @@
     Class, Effect, Fault, FaultKind, FleetShape, Load, RetryBudget, Scenario, Warm,
 };
 
-const LOAD_SECONDS: u64 = 20; // of load
+const LOAD_SECONDS: u64 = 20;
 const FAULT_FREE_MS: u64 = 1_500; // milliseconds of load before the first fault, and after the last
-const MIN_COMPLETED: i64 = 200; // statements; with fewer a run proves nothing
-/// Statements a second for each front. Clients hold a third of its descriptors at most, and each statement has a
-/// connection of its own for three seconds at most.
+const MIN_COMPLETED: i64 = 200; // statements; a run with fewer exercises too little
+/// Limit of statements a second for each front. Clients hold at most a third of its descriptors,
+/// and each statement has its own connection for at most three seconds.
 const MAX_RATE_PER_FRONT: u64 = SOCKETS as u64 / 3 / 3;
 const MIN_RATE: u64 = 20; // statements a second over the fleet
-const RESET_INTERVAL_MS: std::ops::RangeInclusive<u64> = 200..=1_200; // milliseconds between resets of connections
-const MAX_SHUTDOWN_MS: u64 = 4_000; // milliseconds from a SIGTERM until a front has answered all and is gone
+const RESET_INTERVAL_MS: std::ops::RangeInclusive<u64> = 200..=1_200;
+/// Milliseconds from SIGTERM until a front has answered everything and exited.
+const MAX_SHUTDOWN_MS: u64 = 4_000;
 const FAULT_KINDS: [FaultKind; 8] = [
     FaultKind::Stall,
     FaultKind::Kill,
@@ -44,7 +46,7 @@
     FaultKind::LinkCutBack,
 ];
 
-/// The run of a seed, without what befalls the machines.
+/// Draws the scenario of a seed, without the machine faults.
 fn draw(seed: u64) -> Scenario {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x736f_616b);
     let fronts = rng.random_range(1..=4);
@@ -91,7 +93,8 @@
             share: rng.random_range(0.05..0.2),
         },
     };
-    // From what the engines bear easily to what they turn away, so that there is much to try again.
+    // The rate reaches from what the engines handle easily to what they reject, so that many
+    // statements are retried.
     let capacity = (fleet.zones * fleet.engines_per_zone * slots) as u64 * 1000 / work_ms;
     let per_second = (capacity * rng.random_range(50..=110) / 100)
         .clamp(MIN_RATE, MAX_RATE_PER_FRONT * fronts as u64);
@@ -116,10 +119,11 @@
     }
 }
 
-/// Faults that take a front away or cut it off come one after the other; connections are reset at any time.
+/// Draws the faults. Those that make a front unavailable or cut it off follow each other;
+/// connections are reset at any time.
 fn faults(rng: &mut Pcg64Mcg, fleet: &FleetShape) -> Vec<Fault> {
     let mut faults = Vec::new();
-    // A front that was asked to end has nothing else played on it until it can be there again.
+    // A front that was sent SIGTERM gets no other fault until it can be running again.
     let mut busy_until = vec![0; fleet.fronts];
     let mut at = FAULT_FREE_MS;
     loop {
@@ -158,8 +162,8 @@
     faults
 }
 
-/// Plays the run of a seed, with another build's fronts where one is given: whether it passed, and the tallies of its
-/// line.
+/// Runs a seed, with the fronts of another build if given; returns whether it passed and the
+/// tallies of its result line.
 pub fn run(seed: u64, other: Option<&Path>) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed);
@@ -167,7 +171,8 @@
     let fleet = Fleet::start_with(&scenario, seed, machines.options(other), None)?;
     let (account, pids) = play(fleet, &scenario, seed, &mut machines)?;
     let mut run = judge(&scenario, &account, pids);
-    // What a front held when it was killed is no longer that front's to keep.
+    // Ledger entries that a killed front held alone are lost with it: these fronts have no
+    // replicas.
     run.violations.remove("promise_lost");
     check_budget(&mut run.violations, &scenario, &account);
     for (what, count) in machines.tallies().map_err(|e| e.to_string())? {
@@ -177,7 +182,7 @@
     let (completed, steps) = (tally("completed"), tally("clock_steps"));
     if completed < MIN_COMPLETED || steps == 0 {
         let message =
-            format!("{completed} statements were completed, {steps} steps of clocks were played");
+            format!("{completed} statements were completed, {steps} clock steps were injected");
         run.violations.entry("run").or_default().push(message);
     }
     machines.print();
@@ -188,6 +193,7 @@
     ))
 }
 
+/// Checks the retry budgets of all fronts, which start anew after a kill or a restart.
 fn check_budget(violations: &mut crate::check::Violations, scenario: &Scenario, account: &Account) {
     let rules = &settings(scenario)["rules"];
     let agreed_value = |key: &str| rules[key].as_f64().unwrap_or(0.0);
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -1,4 +1,5 @@
-//! The machines of a soak's fronts: when which one's wall clock is stepped, and which of its system calls fail.
+//! Faults of the machines under the fronts of a soak run: when a wall clock is stepped, and which
+//! system calls fail.
 
 use std::io::Result;
 use std::net::TcpStream;
@@ -14,7 +15,8 @@
 use crate::rig::scenario::Fault;
 
 const SECOND_US: i64 = 1_000_000;
-/// How far a wall clock is from the machine's, by its steps: some seconds, an hour.
+/// Offsets of a front's wall clock from the machine's, in microseconds: from half a second to an
+/// hour.
 const CLOCK_OFFSETS_US: [i64; 8] = [
     0,
     -SECOND_US / 2,
@@ -25,16 +27,19 @@
     3_600 * SECOND_US,
     -3_600 * SECOND_US,
 ];
-const CLOCK_STEP_INTERVAL_US: std::ops::RangeInclusive<i64> = 400_000..=2_500_000; // microseconds
-const SHORTAGE_INTERVAL_US: std::ops::RangeInclusive<i64> = 300_000..=1_500_000; // microseconds
-const SHORTAGE_DURATION_US: std::ops::RangeInclusive<i64> = 50_000..=700_000; // microseconds for which calls fail
-const MAX_FAILURES: std::ops::RangeInclusive<i64> = 1..=60; // of a shortage: also a start that tries again ends it
-/// How many of a thousand calls fail: at most all, for a moment.
+const CLOCK_STEP_INTERVAL_US: std::ops::RangeInclusive<i64> = 400_000..=2_500_000;
+const SHORTAGE_INTERVAL_US: std::ops::RangeInclusive<i64> = 300_000..=1_500_000;
+const SHORTAGE_DURATION_US: std::ops::RangeInclusive<i64> = 50_000..=700_000;
+/// Failing calls of one shortage; the limit also ends it for a front that retries its start.
+const MAX_FAILURES: std::ops::RangeInclusive<i64> = 1..=60;
+/// Failing calls of a thousand; 1,000 fails every call for the length of the shortage.
 const FAILURE_RATES_PERMILLE: [u16; 4] = [20, 150, 500, 1_000];
-/// Connections that break are lost to all that is out on them: few.
+/// The same for broken reads: low, as a broken connection loses every statement in flight on it.
 const BROKEN_READ_RATES_PERMILLE: [u16; 2] = [5, 30];
-const CROWD_PROBABILITY: f64 = 0.25; // share of runs in which idle clients hold all the descriptors that clients may
-const CROWD_CONNECTIONS_PER_FRONT: usize = SOCKETS / 2; // connections to each front: so many are clients' share
+/// Share of runs in which idle clients hold all descriptors that are left to clients.
+const CROWD_PROBABILITY: f64 = 0.25;
+/// Connections to each front: the clients' share of its descriptors.
+const CROWD_CONNECTIONS_PER_FRONT: usize = SOCKETS / 2;
 const TALLIES: [&str; Call::ALL.len()] = [
     "failed_accepts",
     "failed_sockets",
@@ -44,14 +49,14 @@
     "broken_reads",
 ];
 
-/// Calls of one front that fail until then.
+/// System calls of one kind that fail at one front until a time in microseconds of the load.
 struct Shortage {
     front: usize,
     call: Call,
     until: i64,
 }
 
-/// What befalls the machines of all fronts of a run.
+/// Draws and injects the machine faults of all fronts of a run.
 pub(super) struct Machines {
     rng: Pcg64Mcg,
     faults: Vec<MachineFaults>,
@@ -62,7 +67,7 @@
     steps: i64,
     /// Connections of idle clients.
     crowd: Vec<TcpStream>,
-    /// What was played, and when, in microseconds since the load began.
+    /// Injected faults, each with its time in microseconds since the load began.
     events: Vec<(i64, String)>,
 }
 
@@ -92,7 +97,8 @@
         })
     }
 
-    /// What each front has so that its machine can misbehave, and its program where it is another build's.
+    /// Options of each front: the environment of its machine faults, and the program of another
+    /// build if given.
     pub(super) fn options(&self, program: Option<&Path>) -> Vec<MemberOptions> {
         let environment = |faults: &MachineFaults| {
             let variables = faults.environment().into_iter();
@@ -150,13 +156,13 @@
         self.shortages = remaining;
         let ended: Vec<Shortage> = ended;
         for Shortage { front, call, .. } in ended {
-            // Another one of the same call may go on: then it is over with this one.
+            // This also ends another shortage of the same call that has not run out yet.
             self.faults[front].fail(call, 0)?;
         }
         Ok(())
     }
 
-    /// Idle clients connect to each front, as many as it may hold.
+    /// Opens connections of idle clients to each front, as many as a front allows clients.
     fn connect_crowd(&mut self, fleet: &Fleet) -> Result<()> {
         for member in &fleet.members {
             let address = member
@@ -184,7 +190,7 @@
         Ok(())
     }
 
-    /// How often each was played, over all fronts.
+    /// Tallies of the machine faults over all fronts.
     pub(super) fn tallies(&self) -> Result<Vec<(&'static str, i64)>> {
         let mut all = vec![
             ("clock_steps", self.steps),
@@ -197,7 +203,7 @@
         Ok(all)
     }
 
-    /// Prints what was played, in the order of time.
+    /// Prints the injected faults in the order of time.
     pub(super) fn print(&self) {
         self.events
             .iter()
@@ -215,13 +221,13 @@
 
     fn turn(&mut self, _fleet: &Fleet, since: i64) -> Vec<Fault> {
         if let Err(why) = self.advance(since) {
-            self.events.push((since, format!("not played: {why}")));
+            self.events.push((since, format!("not injected: {why}")));
         }
         Vec::new()
     }
 
     fn over(&mut self, _fleet: &Fleet) {
-        // Ends that are still to come are the fronts' own.
+        // Only the shortages are ended here; fronts shut down by themselves.
         let _ = self.end_shortages(i64::MAX);
     }
 }
--- a/crates/lab/src/prove/soak_tests.rs
+++ b/crates/lab/src/prove/soak_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_front_is_never_away_for_two_faults_and_all_end_within_the_load() {
+fn faults_of_a_front_never_overlap_and_all_end_within_the_load() {
     for seed in 0..200 {
         let scenario = draw(seed);
         let mut free = 0;
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -1,8 +1,8 @@
-//! Rules that change and disks that fail under real fronts: small runs of fixed seeds.
+//! Access rules that change and disks that fail under real fronts: small runs of fixed seeds.
 
 use std::process::Command;
 
-/// Violations that no load of the machine explains.
+/// Violations that a busy machine cannot cause.
 const BROKEN: [&str; 11] = [
     "barred_read",
     "two_in_force",
@@ -17,8 +17,8 @@
     "row_too_many",
 ];
 
-/// Plays a small run of one part; a tally of its last line. That all came in time is not asked here: the machine may
-/// be busy with others.
+/// Runs a small `prove promises --only` and returns a lookup of the tallies in its result line.
+/// Whether all answers were in time is not checked: the machine may be busy.
 fn play(only: &str, seed: u64) -> impl Fn(&str) -> i64 {
     let out = Command::new(env!("CARGO_BIN_EXE_hallmux-lab"))
         .args([
@@ -31,7 +31,7 @@
             &seed.to_string(),
         ])
         .output()
-        .expect("the lab runs");
+        .expect("hallmux-lab starts");
     let text = String::from_utf8_lossy(&out.stdout).to_string();
     let last = text.lines().last().unwrap_or_default().to_string();
     let said = String::from_utf8_lossy(&out.stderr).to_string();
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn rules_that_change_during_a_cut_bar_what_they_say_and_count_each_statement_once() {
+fn rules_that_change_during_a_partition_are_enforced_and_count_each_statement_once() {
     let tally = play("rules", 4);
     assert!(tally("faults_played") >= 1 && tally("bars") >= 1 && tally("ruled_runs") > 50);
 }
 
 #[test]
-fn a_disk_lost_at_a_step_a_slow_one_and_a_full_one_break_no_promise() {
+fn a_lost_a_slow_and_a_full_disk_lose_no_ledger_entry() {
     let tally = play("disks", 4);
     assert_eq!(tally("faults_played"), 3);
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several front processes through the rig, with faults between them; each run is checked on its record.
+//! Fleets of front processes with faults between them; each run is checked on its record.
 
 use std::collections::HashMap;
 
@@ -13,35 +13,36 @@
 }
 
 #[test]
-fn a_lost_zone_is_left_and_every_statement_gets_its_final_answer() {
+fn a_lost_zone_is_evacuated_and_every_statement_is_answered() {
     let t = play("zone-lost", 1);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
     assert!(
         t["zone_lost_sent"] > 0,
-        "the loss was played while statements went there: {t:?}"
+        "no statement was sent to the zone during the loss: {t:?}"
     );
-    // Each front leaves alone today, by its own time-outs: within the loss of three seconds.
+    // Without gossip each front evacuates the zone by its own timeouts, within the loss of three
+    // seconds.
     assert!(t["zone_lost_last_sent_ms"] < 3_000, "{t:?}");
 }
 
 #[test]
-fn a_front_that_alone_lost_its_link_answers_everything() {
+fn a_front_with_a_cut_link_answers_everything() {
     let t = play("link-cut", 2);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
     assert!(t["link_cut_last_sent_ms"] < 3_000, "{t:?}");
 }
 
 #[test]
-fn a_stalled_front_and_one_killed_mid_work_leave_the_rest_whole() {
+fn a_stalled_and_a_killed_front_leave_other_statements_answered() {
     let t = play("stall-kill", 3);
     assert_eq!(t["faults_played"], 2);
-    // Only what was out at the stopped or killed front may go without an answer.
+    // Only statements in flight at the stalled or killed front may remain unanswered.
     assert!(t["unanswered"] <= t["excused"], "{t:?}");
     assert!(t["completed"] * 10 >= t["statements"] * 9, "{t:?}");
 }
 
 #[test]
-fn fronts_that_gossip_leave_a_lost_zone_and_answer_everything() {
+fn gossiping_fronts_evacuate_a_lost_zone_and_answer_everything() {
     let t = play("zone-lost-gossip", 4);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
     assert!(
@@ -51,27 +52,31 @@
 }
 
 #[test]
-fn a_front_cut_off_alone_does_not_lead_the_others_out_of_the_zone() {
+fn a_single_cut_off_front_does_not_make_the_others_evacuate_the_zone() {
     let t = play("link-cut-gossip", 5);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
     // Five fronts of six, some 50 statements a second, about half into the zone for three seconds.
     assert!(t["link_cut_others_sent"] >= 20, "{t:?}");
-    // Nobody probes a zone that the fleet has not left.
+    // Nobody probes a zone that the fleet has not evacuated.
     assert_eq!(t["probes"], 0, "{t:?}");
 }
 
-fn sent_by_others(t: &HashMap<String, i64>) -> i64 {
+fn sent_by_other_fronts(t: &HashMap<String, i64>) -> i64 {
     t["link_cut_others_sent"] + t["link_cut_others_sent_after"]
 }
 
 #[test]
-fn what_two_cut_off_fronts_say_of_a_sound_zone_is_soon_proved_wrong() {
+fn probes_soon_refute_two_cut_off_fronts_reports_on_a_healthy_zone() {
     let t = play("two-vantages", 5);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 2));
-    // The zone is found well by probes that are drawn by chance, in processes at other moments at each run: so all that
-    // the others sent there from the cuts to the end of the run counts (twice, once for either front cut off). Some
-    // 450; left for the eight seconds that a word lasts, 160.
-    assert!(t["link_cut_sent"] > 0 && sent_by_others(&t) >= 240, "{t:?}");
+    // Randomly drawn probes find the zone healthy, in processes at different times in each run. So
+    // all statements that the others sent there from the partitions to the end of the run count,
+    // twice, as each of the two cut-off fronts has its own count. Some 450; 160 if the zone stays
+    // evacuated for the eight seconds that a report lasts.
+    assert!(
+        t["link_cut_sent"] > 0 && sent_by_other_fronts(&t) >= 240,
+        "{t:?}"
+    );
     for seed in 1..=8 {
         let t = simulated("two-vantages", seed, 6);
         assert_eq!(
@@ -79,13 +84,13 @@
             (0, 2),
             "{seed}: {t:?}"
         );
-        // 324 to 494; 138 to 186 where a zone is never found well.
-        assert!(sent_by_others(&t) >= 250, "{seed}: {t:?}");
+        // 324 to 494; 138 to 186 if a zone is never found healthy.
+        assert!(sent_by_other_fronts(&t) >= 250, "{seed}: {t:?}");
     }
 }
 
 #[test]
-fn a_fleet_cut_in_two_takes_no_more_of_a_returning_zone_than_one() {
+fn a_partitioned_fleet_loads_a_returning_zone_no_more_than_a_connected_one() {
     let t = play("split-return", 7);
     assert_eq!(
         (t["unanswered"], t["faults_played"], t["read_again"]),
@@ -96,7 +101,7 @@
 }
 
 #[test]
-fn an_owner_stopped_past_its_lease_probes_nothing_when_it_goes_on() {
+fn an_owner_stalled_past_its_lease_probes_nothing_after_it_resumes() {
     let t = play("owner-stall", 10);
     assert_eq!(
         (t["faults_played"], t["owners"], t["owner_passed_on"]),
@@ -111,7 +116,7 @@
 }
 
 #[test]
-fn an_owner_killed_while_a_zone_warms_up_leaves_its_load_within_the_bound() {
+fn a_warming_zone_stays_within_its_load_bound_when_the_owner_is_killed() {
     let t = play("owner-kill", 11);
     assert_eq!(t["faults_played"], 2);
     assert!(
@@ -122,7 +127,7 @@
 }
 
 #[test]
-fn voters_cut_apart_give_one_owner_at_most() {
+fn partitioned_voters_elect_at_most_one_owner() {
     for (name, seed) in [("voters-cut", 12), ("voters-cut-five", 13)] {
         let t = play(name, seed);
         assert_eq!((t["unanswered"], t["faults_played"]), (0, 2));
@@ -132,7 +137,7 @@
 }
 
 #[test]
-fn in_simulated_time_no_earlier_owner_probes_on_any_of_some_seeds() {
+fn in_simulated_time_no_earlier_owner_probes_on_several_seeds() {
     for seed in 1..=4 {
         for name in ["owner-stall", "voters-cut", "voters-cut-five"] {
             let t = simulated(name, seed, 9);
@@ -154,26 +159,26 @@
         (2, 0),
         "{t:?}"
     );
-    // With 8,000 bytes of messages a second for each they went 18 s without an owner.
+    // With 8,000 bytes of messages a second for each front, the fleet had no owner for 18 s.
     assert!(t["without_owner_ms"] < 6_000, "{t:?}");
 }
 
 #[test]
-fn twice_what_the_engines_bear_does_not_bring_the_fleet_down() {
+fn a_fleet_at_twice_its_capacity_still_answers_in_time() {
     let t = simulated("overload", 14, 12);
     assert_eq!(t["unanswered"], 0);
-    // The engines bear 640 statements a second; nine in ten of them are in time.
+    // The engines handle 640 statements a second; nine in ten of them are in time.
     assert!(t["in_time_per_s"] >= 576 && t["refused"] > 0, "{t:?}");
-    // The classes refused most are the same at the fronts, by the penalty of each.
+    // The most rejected classes are the same at all fronts, by the penalty of each.
     assert!(t["shed_order_agreed_pct"] >= 70, "{t:?}");
 }
 
 #[test]
-fn probes_into_a_lost_zone_are_as_many_for_five_fronts_as_for_forty() {
+fn the_probe_rate_of_a_lost_zone_does_not_grow_with_the_fleet() {
     for fronts in [5, 40] {
         let t = simulated("zone-away", 8, fronts);
         assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
-        // Four a second over the fleet, drawn by chance: some 190 in 47 s.
+        // Four probes a second over the fleet, drawn by chance: some 190 in 47 s.
         assert!(
             (300..500).contains(&t["probes_per_100s"]),
             "{fronts}: {t:?}"
@@ -182,7 +187,7 @@
 }
 
 #[test]
-fn a_hundred_fronts_leave_a_lost_zone_as_one_and_share_its_return() {
+fn a_hundred_fronts_evacuate_a_lost_zone_together_and_share_its_return() {
     let t = simulated("zone-return", 9, 100);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
     assert!(
@@ -196,18 +201,21 @@
 }
 
 #[test]
-fn a_zone_that_comes_back_cold_is_used_again_within_what_its_engines_bear() {
+fn a_zone_that_returns_cold_is_used_within_the_capacity_of_its_engines() {
     let t = play("zone-return", 6);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
-    assert!(t["returned_sent"] > 0, "the zone was not used again: {t:?}");
+    assert!(
+        t["returned_sent"] > 0,
+        "the zone was not used after its return: {t:?}"
+    );
     assert!(t["probes"] > 0, "nobody probed the zone: {t:?}");
-    // In no second until it was warm more than its engines bore in that second.
+    // Until the zone is warm, no second has more load than its engines could handle in that second.
     assert!(t["return_load_over_bound_pct"] <= 100, "{t:?}");
     assert!(t["zone_lost_last_sent_ms"] < 3_000, "{t:?}");
 }
 
 #[test]
-fn a_hundred_fronts_turn_away_the_same_workloads_and_ask_engines_for_little_that_they_refuse() {
+fn fleet_wide_shedding_rejects_the_same_workloads_everywhere_and_saves_attempts() {
     let by_itself = simulated("overload", 1, 100);
     let one = [("gossip = true", "gossip = true\nsheds_as_one = true")];
     let as_one = played::simulated("overload", 1, &one, 100);
@@ -227,7 +235,7 @@
 }
 
 #[test]
-fn a_fleet_cut_in_two_under_overload_with_a_front_killed_answers_everything() {
+fn an_overloaded_partitioned_fleet_with_a_killed_front_answers_everything() {
     let t = play("overload-one", 1);
     assert_eq!(t["faults_played"], 2, "{t:?}");
     assert!(t["unanswered"] <= t["excused"], "{t:?}");
--- a/crates/lab/tests/played/mod.rs
+++ b/crates/lab/tests/played/mod.rs
@@ -1,44 +1,45 @@
-//! Fleets of the lab's scenarios, as tests play them.
+//! Runs fleet scenarios of the laboratory for tests.
 
 use std::collections::HashMap;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Fleets of processes that may be played at once: each is three to twelve fronts, with engines and clients.
-const AT_ONCE: usize = 3;
-static PLAYED: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
+/// Limit of process fleets that run at once: each is three to twelve fronts, with engines and
+/// clients.
+const MAX_PROCESS_FLEETS: usize = 3;
+static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// Holds one of the places for fleets of processes.
-struct Place;
+/// A slot for a fleet of processes, released on drop.
+struct FleetSlot;
 
-impl Place {
-    fn take() -> Place {
-        let played = PLAYED.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let full = |played: &mut usize| *played >= AT_ONCE;
-        *PLAYED
+impl FleetSlot {
+    fn acquire() -> FleetSlot {
+        let played = RUNNING.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let full = |played: &mut usize| *played >= MAX_PROCESS_FLEETS;
+        *RUNNING
             .1
             .wait_while(played, full)
             .unwrap_or_else(PoisonError::into_inner) += 1;
-        Place
+        FleetSlot
     }
 }
 
-impl Drop for Place {
+impl Drop for FleetSlot {
     fn drop(&mut self) {
-        *PLAYED.0.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        PLAYED.1.notify_one();
+        *RUNNING.0.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        RUNNING.1.notify_one();
     }
 }
 
-/// Plays a scenario of `crates/lab/fleet`, changed as told, in processes, and gives the tallies of its last line, after
-/// asserting that it passed and left no process behind.
+/// Runs a scenario of `crates/lab/fleet`, with each text of `change` replaced, in processes.
+/// Asserts that it passed and left no process behind; returns the tallies of its result line.
 pub fn play(name: &str, seed: u64, change: &[(&str, &str)]) -> HashMap<String, i64> {
-    let _place = Place::take();
+    let _slot = FleetSlot::acquire();
     play_with(name, seed, change, &[])
 }
 
-/// The same with so many fronts in simulated time.
+/// The same with `fronts` fronts in simulated time.
 pub fn simulated(
     name: &str,
     seed: u64,
@@ -60,7 +61,7 @@
     more: &[&str],
 ) -> HashMap<String, i64> {
     let path = format!("{}/fleet/{name}.toml", env!("CARGO_MANIFEST_DIR"));
-    let mut scenario = std::fs::read_to_string(path).expect("the scenario");
+    let mut scenario = std::fs::read_to_string(path).expect("the scenario file is readable");
     for (from, to) in change {
         assert!(scenario.contains(from), "{name} has no {from}");
         scenario = scenario.replace(from, to);
@@ -71,7 +72,7 @@
         "hallmux-{}-{number}-{name}.toml",
         std::process::id()
     ));
-    std::fs::write(&file, scenario).expect("a file");
+    std::fs::write(&file, scenario).expect("a temporary file is written");
     let out = Command::new(env!("CARGO_BIN_EXE_hallmux-lab"))
         .args([
             "fleet",
@@ -81,7 +82,7 @@
         ])
         .args(more)
         .output()
-        .expect("the lab runs");
+        .expect("hallmux-lab starts");
     let _ = std::fs::remove_file(&file);
     let text = String::from_utf8_lossy(&out.stdout).to_string();
     let last = text.lines().last().unwrap_or_default().to_string();
@@ -93,7 +94,7 @@
     let pids = text
         .lines()
         .find_map(|l| l.strip_prefix("pids "))
-        .expect("the fronts' ids are told");
+        .expect("the fronts' process ids are printed");
     for pid in pids.split(',').filter(|pid| !pid.is_empty()) {
         let program = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
         assert!(
--- a/crates/lab/tests/promises.rs
+++ b/crates/lab/tests/promises.rs
@@ -1,13 +1,14 @@
-//! What fronts promise for each other, played on real processes; the checks see what no ledger keeps.
+//! The replicated ledger of real front processes, and that the checks detect a fleet without one.
 
 use std::process::Command;
 
-/// Plays what the arguments say: whether it passed, and a tally of its last line.
+/// Runs hallmux-lab; returns whether it passed, its output, and a lookup of the tallies in its last
+/// line.
 fn play(args: &[&str]) -> (bool, String, impl Fn(&str) -> i64) {
     let out = Command::new(env!("CARGO_BIN_EXE_hallmux-lab"))
         .args(args)
         .output()
-        .expect("the lab runs");
+        .expect("hallmux-lab starts");
     let text = String::from_utf8_lossy(&out.stdout).to_string();
     for pid in text
         .lines()
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn fronts_that_promise_each_other_nothing_run_one_key_at_once_and_the_checker_sees_it() {
+fn the_checks_detect_concurrent_executions_of_a_key_in_a_fleet_without_a_replicated_ledger() {
     let scenario = format!("{}/fleet/keys-shared.toml", env!("CARGO_MANIFEST_DIR"));
     let (passed, text, tally) = play(&["fleet", &scenario, "--seed", "3"]);
     assert!(!passed && text.contains(": FAIL "), "{text}");
@@ -42,8 +43,8 @@
 }
 
 #[test]
-fn fronts_that_keep_promises_for_each_other_keep_them_among_drawn_faults() {
-    // One after the other: each is some seven processes for 20 s.
+fn a_replicated_ledger_violates_no_rule_under_drawn_faults() {
+    // Sequential: each run is some seven processes for 20 s.
     for seed in ["1", "3"] {
         let (passed, text, tally) = play(&["prove", "promises", "--small", "--seed", seed]);
         assert!(passed && text.contains(": pass "), "{text}");
@@ -55,9 +56,9 @@
 }
 
 #[test]
-fn a_fleet_that_is_rolled_loses_no_promise_and_runs_nothing_twice_or_out_of_order() {
-    // That nothing is refused or late for it is not asked here: the machine may be busy with others. `prove promises
-    // --only roll` asks it.
+fn a_rolling_restart_loses_no_ledger_entry_and_runs_nothing_twice_or_out_of_order() {
+    // Rejections and late answers are not checked here, as the machine may be busy; `prove promises
+    // --only roll` checks them.
     let (_, text, tally) = play(&[
         "prove", "promises", "--only", "roll", "--small", "--seed", "1",
     ]);
