--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use crate::check::Outcome;
-use crate::prove::played::fault;
+use crate::prove::common::fault;
 use crate::prove::promises::{draw, RunOptions};
 use crate::record::account::{Offered, Run};
 use crate::rig::scenario::{Fault, FaultKind, Scenario};
--- a/crates/lab/src/prove.rs
+++ b/crates/lab/src/prove.rs
@@ -1,11 +1,11 @@
 //! `prove`: runs drawn from a seed, with faults, checked on the records of clients and engines.
-//! Each subject has its own module; `played` and `shape` hold what the runs of the replicated
+//! Each subject has its own module; `common` and `shape` hold what the runs of the replicated
 //! ledger share.
 
+pub mod common;
 pub mod deaths;
 pub mod disks;
 pub mod long;
-pub mod played;
 pub mod postgres;
 pub mod promises;
 pub mod roll;
--- a/crates/lab/src/prove/deaths.rs
+++ b/crates/lab/src/prove/deaths.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::played::{end, fault};
+use super::common::{end, fault};
 use super::promises::RunOptions;
 use super::shape;
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario};
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::played::{end, fault};
+use super::common::{end, fault};
 use super::shape;
 use crate::record::account::Run;
 use crate::record::judge::judge;
--- a/crates/lab/src/prove/long.rs
+++ b/crates/lab/src/prove/long.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::played::fault;
+use super::common::fault;
 use super::promises::{self, RunOptions};
 use crate::record::account::Run;
 use crate::rig::scenario::{Fault, FaultKind, Load, Scenario, Step};
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::played::{fault, print_pids, print_violations};
+use super::common::{fault, print_pids, print_violations};
 use super::shape;
 use crate::check::Outcome;
 use crate::record::account::{Offered, Run};
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::played::{end, fault};
+use super::common::{end, fault};
 use super::shape;
 use crate::engine::lines::{self, RowStore};
 use crate::engine::Records;
--- a/crates/lab/src/prove/soak.rs
+++ b/crates/lab/src/prove/soak.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use self::machine::Machines;
-use super::played::{end, fault};
+use super::common::{end, fault};
 use crate::record::account::Account;
 use crate::record::budget::{self, Budget};
 use crate::record::executions::executions;
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -2,14 +2,14 @@
 
 use std::collections::HashMap;
 
-mod played;
+mod fleet_runner;
 
 fn play(name: &str, seed: u64) -> HashMap<String, i64> {
-    played::play(name, seed, &[])
+    fleet_runner::play(name, seed, &[])
 }
 
 fn simulated(name: &str, seed: u64, fronts: usize) -> HashMap<String, i64> {
-    played::simulated(name, seed, &[], fronts)
+    fleet_runner::simulated(name, seed, &[], fronts)
 }
 
 #[test]
@@ -218,7 +218,7 @@
 fn fleet_wide_shedding_rejects_the_same_workloads_everywhere_and_saves_attempts() {
     let by_itself = simulated("overload", 1, 100);
     let one = [("gossip = true", "gossip = true\nsheds_as_one = true")];
-    let as_one = played::simulated("overload", 1, &one, 100);
+    let as_one = fleet_runner::simulated("overload", 1, &one, 100);
     assert!(
         as_one["shed_order_agreed_pct"] >= 90 && by_itself["shed_order_agreed_pct"] < 85,
         "{by_itself:?}\n{as_one:?}"
--- a/crates/lab/tests/overload.rs
+++ b/crates/lab/tests/overload.rs
@@ -1,9 +1,9 @@
 //! Fleets under overload and through a mass restart, as real processes and in simulated time:
 //! budgets over the fleet.
 
-mod played;
+mod fleet_runner;
 
-use played::{play, simulated};
+use fleet_runner::{play, simulated};
 
 const ON: &str = "connections_per_second = 20, probes_per_second = 20";
 const OFF: &str = "connections_per_second = 0, probes_per_second = 0";
