--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -59,7 +59,7 @@
         copies: usize,
         /// Of promises: run one part only, with its own faults.
         #[arg(long)]
-        only: Option<PromisePart>,
+        only: Option<LedgerPart>,
         /// Of promises: a long run in simulated time with concurrent faults of all kinds; a failing
         /// run is reduced to a smaller one.
         #[arg(long)]
@@ -140,7 +140,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum PromisePart {
+enum LedgerPart {
     /// Replicas on disk: machines lost at each step of a ledger entry, a full disk and a slow one.
     Disks,
     /// Statements over several sites with concurrent loads, and summaries that fronts must reject.
@@ -216,11 +216,11 @@
             };
             if let Some(only) = only {
                 let played = match only {
-                    PromisePart::Disks => prove::disks::run(seed, small),
-                    PromisePart::Sites => prove::sites::run(seed, small),
-                    PromisePart::Rules => prove::rules::run(seed, small),
-                    PromisePart::Roll => prove::roll::run(seed, small, other.as_deref()),
-                    PromisePart::Deaths => prove::deaths::run(seed, options),
+                    LedgerPart::Disks => prove::disks::run(seed, small),
+                    LedgerPart::Sites => prove::sites::run(seed, small),
+                    LedgerPart::Rules => prove::rules::run(seed, small),
+                    LedgerPart::Roll => prove::roll::run(seed, small, other.as_deref()),
+                    LedgerPart::Deaths => prove::deaths::run(seed, options),
                 };
                 return print_proof_result("promises", seed, played);
             }
--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -23,7 +23,7 @@
     fronts: usize,
     bytes: f64,
     cpu_ms: f64,
-    promise_ms: f64,
+    ledger_ms: f64,
     plain_ms: f64,
     repair_ms: f64,
     late: usize,
@@ -54,10 +54,10 @@
 
 /// Returns the median of the milliseconds beyond their work that completed statements took, of the
 /// classes that need a ledger entry (`promised`) or of the others.
-fn beyond_work(scenario: &Scenario, run: &Run, promised: bool) -> f64 {
+fn beyond_work(scenario: &Scenario, run: &Run, needs_ledger_entry: bool) -> f64 {
     let is_counted = |o: &&Offered| {
         let completed = matches!(o.asked.outcome, Outcome::Completed { .. });
-        completed && scenario.classes[o.class].needs_promise() == promised
+        completed && scenario.classes[o.class].needs_promise() == needs_ledger_entry
     };
     let mut took: Vec<f64> = (run.asked.iter().filter(is_counted))
         .map(|o| {
@@ -78,7 +78,7 @@
     let cpu_ms = began.elapsed().as_secs_f64() * 1000.0 / (fronts as f64 * SECONDS as f64);
     let tally = |run: &Run, key: &str| run.tallies.get(key).copied().unwrap_or(0);
     let bytes = tally(&run, "gossip_bytes_per_front_s") as f64;
-    let (promise_ms, plain_ms) = (
+    let (ledger_ms, plain_ms) = (
         beyond_work(&quiet, &run, true),
         beyond_work(&quiet, &run, false),
     );
@@ -111,7 +111,7 @@
         fronts,
         bytes,
         cpu_ms,
-        promise_ms,
+        ledger_ms,
         plain_ms,
         repair_ms,
         late,
@@ -145,14 +145,14 @@
             let Row {
                 bytes,
                 cpu_ms,
-                promise_ms,
+                ledger_ms,
                 plain_ms,
                 repair_ms,
                 late,
                 refused,
                 ..
             } = row;
-            println!("| {fronts} | {copies} | {bytes:.0} | {cpu_ms:.2} | {promise_ms:.1} | {plain_ms:.1} | {repair_ms:.0} | {late} | {refused} |");
+            println!("| {fronts} | {copies} | {bytes:.0} | {cpu_ms:.2} | {ledger_ms:.1} | {plain_ms:.1} | {repair_ms:.0} | {late} | {refused} |");
             if copies > 0 {
                 rows.push(row);
             }
@@ -163,7 +163,7 @@
         "Exponents of growth, 3 copies: bytes {:.2}, machine's time {:.2}, time to a promise {:.2}, copies again {:.2}.",
         exponent(&rows, |r| r.bytes),
         exponent(&rows, |r| r.cpu_ms),
-        exponent(&rows, |r| r.promise_ms),
+        exponent(&rows, |r| r.ledger_ms),
         exponent(&rows, |r| r.repair_ms),
     );
     Ok(())
--- a/crates/lab/src/measure/portal.rs
+++ b/crates/lab/src/measure/portal.rs
@@ -36,11 +36,13 @@
 
 /// Connects a client and prepares the statement.
 async fn connect_target(port: u16) -> Result<Target, String> {
-    let why = |e: tokio_postgres::Error| e.to_string();
+    let error_text = |e: tokio_postgres::Error| e.to_string();
     let at = format!("host=127.0.0.1 port={port} user=portal dbname=x");
-    let (client, connection) = tokio_postgres::connect(&at, NoTls).await.map_err(why)?;
+    let (client, connection) = tokio_postgres::connect(&at, NoTls)
+        .await
+        .map_err(error_text)?;
     tokio::spawn(connection);
-    let statement = client.prepare("select run($1)").await.map_err(why)?;
+    let statement = client.prepare("select run($1)").await.map_err(error_text)?;
     Ok(Target {
         port,
         client,
@@ -109,9 +111,9 @@
 
 /// Prints the table. Returns an error if a run fails.
 pub fn postgres() -> Result<(), String> {
-    let why = |e: std::io::Error| e.to_string();
-    let engine = Engine::start(0, Records::new(), false).map_err(why)?;
-    let coordinator = Coordinator::start().map_err(why)?;
+    let error_text = |e: std::io::Error| e.to_string();
+    let engine = Engine::start(0, Records::new(), false).map_err(error_text)?;
+    let coordinator = Coordinator::start().map_err(error_text)?;
     coordinator.tell(true, &[("e0".to_string(), engine.at, "pg", "up")]);
     // So many cores that the dispatcher's limits hold nothing back: only the path through the front
     // counts.
@@ -125,7 +127,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(why)?;
+        .map_err(error_text)?;
     let (mut direct, mut through) = ((Vec::new(), Vec::new()), (Vec::new(), Vec::new()));
     let (mut direct_rate, mut through_rate, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
     let targets = runtime.block_on(async {
@@ -162,12 +164,12 @@
     drop(front);
     let front = Front::start(&settings, operator, &coordinator, 16_000)?;
     let at = front.sessions;
-    drop(Session::open(at, "portal", false).map_err(why)?);
+    drop(Session::open(at, "portal", false).map_err(error_text)?);
     let before = front.memory_kb();
     let idle: Result<Vec<Session>, _> = (0..IDLE_SESSIONS)
         .map(|_| Session::open(at, "portal", false))
         .collect();
-    let idle = idle.map_err(why)?;
+    let idle = idle.map_err(error_text)?;
     // Waits until the buffers of idle sessions are released.
     std::thread::sleep(Duration::from_millis(2_500));
     let each = (front.memory_kb() - before) as f64 * 1024.0 / idle.len() as f64;
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -205,12 +205,8 @@
             ratios.push(slow / fast);
         }
         let ratio = spread(&mut ratios);
-        let Spread {
-            median,
-            least,
-            most,
-        } = ratio;
-        let ratio = format!("{median:.1} ({least:.1} to {most:.1})");
+        let Spread { median, min, max } = ratio;
+        let ratio = format!("{median:.1} ({min:.1} to {max:.1})");
         println!(
             "| {count} | {} | {} | {ratio} |",
             spread(&mut indexed),
--- a/crates/lab/src/measure/spread.rs
+++ b/crates/lab/src/measure/spread.rs
@@ -4,8 +4,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
     pub median: f64,
-    pub least: f64,
-    pub most: f64,
+    pub min: f64,
+    pub max: f64,
 }
 
 /// Sorts the values and returns their spread, all `NaN` if there are none.
@@ -14,18 +14,14 @@
     let at = |place: usize| values.get(place).copied().unwrap_or(f64::NAN);
     Spread {
         median: at(values.len() / 2),
-        least: at(0),
-        most: at(values.len().saturating_sub(1)),
+        min: at(0),
+        max: at(values.len().saturating_sub(1)),
     }
 }
 
 impl std::fmt::Display for Spread {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(
-            f,
-            "{:.0} ({:.0} to {:.0})",
-            self.median, self.least, self.most
-        )
+        write!(f, "{:.0} ({:.0} to {:.0})", self.median, self.min, self.max)
     }
 }
 
--- a/crates/lab/src/prove/common.rs
+++ b/crates/lab/src/prove/common.rs
@@ -25,7 +25,7 @@
 
 /// Prints the table, violations and injected faults; returns whether the run passed and the tallies
 /// of its result line.
-pub(super) fn end(run: &Run, more: &str) -> (bool, String) {
+pub(super) fn print_run(run: &Run, more: &str) -> (bool, String) {
     print_violations(run);
     for (fault, from, to) in &run.played {
         eprintln!("played {from} to {to}: {fault:?}");
--- a/crates/lab/src/prove/deaths.rs
+++ b/crates/lab/src/prove/deaths.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::common::{end, fault};
+use super::common::{fault, print_run};
 use super::promises::RunOptions;
 use super::shape;
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario};
@@ -124,7 +124,7 @@
     };
     let once = Class {
         asks_again: 2,
-        ..shape::once(rng.random_range(30..90))
+        ..shape::non_idempotent(rng.random_range(30..90))
     };
     Scenario {
         seed: Some(seed),
@@ -161,7 +161,7 @@
         run.violations.entry("run").or_default().push(message);
     }
     let (fronts, seconds) = (scenario.fleet.fronts, began.elapsed().as_secs());
-    Ok(end(
+    Ok(print_run(
         &run,
         &format!("fronts={fronts} wall_seconds={seconds}"),
     ))
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::common::{end, fault};
+use super::common::{fault, print_run};
 use super::shape;
 use crate::record::account::Run;
 use crate::record::judge::judge;
@@ -115,7 +115,7 @@
     };
     let once = Class {
         asks_again: 2,
-        ..shape::once(rng.random_range(30..90))
+        ..shape::non_idempotent(rng.random_range(30..90))
     };
     let scenario = Scenario {
         seed: Some(seed),
@@ -191,7 +191,7 @@
             .or_default()
             .push(format!("the run took {seconds} s"));
     }
-    Ok(end(
+    Ok(print_run(
         &run,
         &format!("fronts={} seconds={seconds}", scenario.fleet.fronts),
     ))
@@ -220,8 +220,14 @@
             disks.played.len()
         ));
     }
-    for (what, said) in disks.log_line_counts.iter().filter(|(_, said)| *said == 0) {
-        add(format!("{what:?}: {said} log lines of the front report it"));
+    for (what, lines) in disks
+        .log_line_counts
+        .iter()
+        .filter(|(_, lines)| *lines == 0)
+    {
+        add(format!(
+            "{what:?}: {lines} log lines of the front report it"
+        ));
     }
     if promised < scenario.seconds as i64 * 5 || ran * 100 < promised * MIN_RUN_PERCENT {
         add(format!(
--- a/crates/lab/src/prove/postgres/setup.rs
+++ b/crates/lab/src/prove/postgres/setup.rs
@@ -31,12 +31,12 @@
 impl Setup {
     /// Starts the engines, the coordinator and the front.
     pub(super) fn start() -> Result<Setup, String> {
-        let why = |e: std::io::Error| e.to_string();
+        let error_text = |e: std::io::Error| e.to_string();
         let records = Records::new();
         let engines = (0..ENGINES).map(|n| Engine::start(n, records.clone(), true));
-        let engines: Vec<Arc<Engine>> = engines.collect::<Result<_, _>>().map_err(why)?;
-        let lines_at = lines::engine(ENGINES, records.clone()).map_err(why)?;
-        let coordinator = Arc::new(Coordinator::start().map_err(why)?);
+        let engines: Vec<Arc<Engine>> = engines.collect::<Result<_, _>>().map_err(error_text)?;
+        let lines_at = lines::engine(ENGINES, records.clone()).map_err(error_text)?;
+        let coordinator = Arc::new(Coordinator::start().map_err(error_text)?);
         let mut list: Vec<_> = engines
             .iter()
             .map(|e| (name(e.number), e.at, kind(e.number), "up"))
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -86,7 +86,7 @@
     };
     let once = Class {
         asks_again: 2,
-        ..shape::once(rng.random_range(30..90))
+        ..shape::non_idempotent(rng.random_range(30..90))
     };
     Scenario {
         seed: Some(seed),
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::common::{end, fault};
+use super::common::{fault, print_run};
 use super::shape;
 use crate::record::account::Run;
 use crate::record::judge::judge;
@@ -154,7 +154,7 @@
             share: 2.0,
             ..shape::keyed(rng.random_range(30..50), rng.random_range(60..140))
         },
-        shape::once(rng.random_range(30..90)),
+        shape::non_idempotent(rng.random_range(30..90)),
     ];
     let scenario = Scenario {
         seed: Some(seed),
@@ -214,7 +214,7 @@
     rolled::check(&mut run.violations, &account, TERMS, &mut run.tallies);
     check_coverage(&mut run, planned, &scenario);
     let seconds = began.elapsed().as_secs();
-    Ok(end(
+    Ok(print_run(
         &run,
         &format!("fronts={fronts} planned={planned} seconds={seconds}"),
     ))
@@ -223,15 +223,15 @@
 /// Adds violations if the run exercised too little to mean anything.
 fn check_coverage(run: &mut Run, planned: usize, scenario: &Scenario) {
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
-    let (ends, out) = (tally("ends"), tally("ends_with_promises_out"));
-    let (promised, during) = (tally("promised_runs"), tally("waited_during_ends"));
+    let (ends, with_open_entries) = (tally("ends"), tally("ends_with_promises_out"));
+    let (promised, started_during) = (tally("promised_runs"), tally("waited_during_ends"));
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
     if ends < planned as i64 || count_terminations(&run.played) < planned {
         add(format!("{ends} of {planned} restarts were made"));
     }
-    if out * 4 < ends || during < ends {
+    if with_open_entries * 4 < ends || started_during < ends {
         add(format!(
-            "ledger entries were open at {out} of {ends} shutdowns, {during} statements started during them"
+            "ledger entries were open at {with_open_entries} of {ends} shutdowns, {started_during} statements started during them"
         ));
     }
     if promised < scenario.seconds as i64 * 10 {
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::common::{end, fault};
+use super::common::{fault, print_run};
 use super::shape;
 use crate::check::{Outcome, Violations};
 use crate::engine::Kind;
@@ -371,7 +371,10 @@
             .or_default()
             .push(format!("the run took {seconds} s"));
     }
-    Ok(end(&run, &format!("fronts={fronts} seconds={seconds}")))
+    Ok(print_run(
+        &run,
+        &format!("fronts={fronts} seconds={seconds}"),
+    ))
 }
 
 fn check_run(
@@ -478,25 +481,25 @@
     let away = others.iter().filter(|o| refused(o)).count();
     // Fronts of a busy machine reject some statements for lack of capacity.
     if others.len() >= MIN_OTHER_STATEMENTS && away * 2 > others.len() {
-        let said = format!(
+        let message = format!(
             "{away} of {} statements of customers without rules were rejected while fronts rejected ruled ones",
             others.len()
         );
         violations
             .entry("groundless_refusal")
             .or_default()
-            .push(said);
+            .push(message);
     }
 }
 
 /// Checks the fleet's hits, as reported by one front, against the answers that clients received.
 fn check_hits(run: &mut Run, rules: &Rules, account: &Account) {
     let Some(fleet_hits) = &rules.hits else {
-        let said = format!(
+        let message = format!(
             "front {} did not report the fleet's hits",
             rules.asked_front
         );
-        return run.violations.entry("run").or_default().push(said);
+        return run.violations.entry("run").or_default().push(message);
     };
     // A rejection because the ledger or the rules are unavailable may come before or after the hit
     // is counted.
--- a/crates/lab/src/prove/shape.rs
+++ b/crates/lab/src/prove/shape.rs
@@ -56,19 +56,19 @@
     Class {
         effect: Effect::Deduplicated,
         keys,
-        ..promised_class("log-load", work_ms)
+        ..ledger_class("log-load", work_ms)
     }
 }
 
 /// A class of non-idempotent statements without a key.
-pub(super) fn once(work_ms: u64) -> Class {
+pub(super) fn non_idempotent(work_ms: u64) -> Class {
     Class {
         effect: Effect::NonIdempotent,
-        ..promised_class("pay", work_ms)
+        ..ledger_class("pay", work_ms)
     }
 }
 
-fn promised_class(name: &str, work_ms: u64) -> Class {
+fn ledger_class(name: &str, work_ms: u64) -> Class {
     Class {
         importance: 8.0,
         work_ms: Some(work_ms),
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::common::{end, fault};
+use super::common::{fault, print_run};
 use super::shape;
 use crate::engine::lines::{self, RowStore};
 use crate::engine::Records;
@@ -192,12 +192,12 @@
             .into_iter()
             .for_each(|clients| _ = clients.join());
         for (what, text) in BAD {
-            let said = |m: &Arc<Member>| {
+            let count_lines = |m: &Arc<Member>| {
                 let lines = m.said("/bad: ");
                 lines.iter().filter(|(_, line)| line.contains(text)).count()
             };
             self.refused
-                .insert(what, fleet.members.iter().map(said).sum());
+                .insert(what, fleet.members.iter().map(count_lines).sum());
         }
         for member in &fleet.members {
             let before = member.said(UNNECESSARY_SITES_TEXT).len();
@@ -392,7 +392,7 @@
             .or_default()
             .push(format!("the run took {seconds} s"));
     }
-    Ok(end(
+    Ok(print_run(
         &run,
         &format!("fronts={} seconds={seconds}", scenario.fleet.fronts),
     ))
@@ -484,7 +484,7 @@
     if scatters_across_cut == 0 {
         add("no scatter ran on one side of a partition after a load on the other".to_string());
     }
-    for (what, _) in plan.refused.iter().filter(|(_, said)| **said == 0) {
+    for (what, _) in plan.refused.iter().filter(|(_, count)| **count == 0) {
         add(format!("no front rejected a summary that was {what}"));
     }
 }
--- a/crates/lab/src/prove/soak.rs
+++ b/crates/lab/src/prove/soak.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use self::machine::Machines;
-use super::common::{end, fault};
+use super::common::{fault, print_run};
 use crate::record::account::Account;
 use crate::record::budget::{self, Budget};
 use crate::record::executions::executions;
@@ -187,7 +187,7 @@
     }
     machines.print();
     let fronts = scenario.fleet.fronts;
-    Ok(end(
+    Ok(print_run(
         &run,
         &format!("fronts={fronts} seconds={}", began.elapsed().as_secs()),
     ))
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -220,8 +220,8 @@
     }
 
     fn turn(&mut self, _fleet: &Fleet, since: i64) -> Vec<Fault> {
-        if let Err(why) = self.advance(since) {
-            self.events.push((since, format!("not injected: {why}")));
+        if let Err(error) = self.advance(since) {
+            self.events.push((since, format!("not injected: {error}")));
         }
         Vec::new()
     }
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 /// Violations that a busy machine cannot cause.
-const BROKEN: [&str; 11] = [
+const RULES: [&str; 11] = [
     "barred_read",
     "two_in_force",
     "hit_lost",
@@ -34,23 +34,23 @@
         .expect("hallmux-lab starts");
     let text = String::from_utf8_lossy(&out.stdout).to_string();
     let last = text.lines().last().unwrap_or_default().to_string();
-    let said = String::from_utf8_lossy(&out.stderr).to_string();
+    let stderr = String::from_utf8_lossy(&out.stderr).to_string();
     let tally = move |key: &str| {
         let found = last
             .split(' ')
             .find_map(|word| word.strip_prefix(key)?.strip_prefix('=')?.parse().ok());
         found.unwrap_or(0)
     };
-    for rule in BROKEN {
+    for rule in RULES {
         assert_eq!(
             tally(&format!("violations_{rule}")),
             0,
-            "{only} {seed} {rule}: {text}\n{said}"
+            "{only} {seed} {rule}: {text}\n{stderr}"
         );
     }
     assert!(
         tally("statements") > 50 && tally("completed") > 30,
-        "{only} {seed}: {text}\n{said}"
+        "{only} {seed}: {text}\n{stderr}"
     );
     for pid in text
         .lines()
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -11,13 +11,13 @@
             .args(["prove", "soak", "--seed", seed])
             .output();
         let out = out.expect("hallmux-lab starts");
-        let (said, found) = (
+        let (stdout, stderr) = (
             String::from_utf8_lossy(&out.stdout),
             String::from_utf8_lossy(&out.stderr),
         );
         assert!(
-            out.status.success() && said.contains(": pass "),
-            "{said}\n{found}"
+            out.status.success() && stdout.contains(": pass "),
+            "{stdout}\n{stderr}"
         );
     }
 }
