--- a/crates/config/src/operator_file/overload.rs
+++ b/crates/config/src/operator_file/overload.rs
@@ -1,4 +1,4 @@
-//! The section `gossip.overload`: load shed by the fleet as one.
+//! The section `gossip.overload`: overload protection with limits for the whole fleet.
 
 use hallmux::interface::{Agreement, EngineBudgets, Micros, RetryAllowance};
 use serde::Deserialize;
@@ -6,15 +6,15 @@
 use super::checker::key_error;
 use crate::error::{Error, KeyProblem};
 
-/// Retries for each hundred first executions, over all fronts.
-const DEFAULT_FURTHER_PERCENT: u32 = 8;
-/// New connections a second into one engine, over all fronts.
+/// Maximum number of retries for each hundred first executions, over all fronts.
+const DEFAULT_RETRY_PERCENT: u32 = 8;
+/// Maximum number of new connections to one engine a second, over all fronts.
 const DEFAULT_CONNECTIONS_PER_SECOND: u32 = 200;
-/// Probes a second into one engine, over all fronts.
+/// Maximum number of probes of one engine a second, over all fronts.
 const DEFAULT_PROBES_PER_SECOND: u32 = 100;
-/// Connections or probes a second.
-const MAX_PER_SECOND: u32 = 1_000_000;
-/// Microseconds over which retries are counted, where the settings name no window.
+/// Upper bound of the limits of connections and probes a second.
+const MAX_RATE_PER_SECOND: u32 = 1_000_000;
+/// Microseconds over which retries are counted if the settings have no retry allowance.
 const DEFAULT_RETRY_WINDOW: Micros = 10_000_000;
 
 #[derive(Deserialize)]
@@ -37,25 +37,25 @@
 }
 
 fn default_further_percent() -> u32 {
-    DEFAULT_FURTHER_PERCENT
+    DEFAULT_RETRY_PERCENT
 }
 
-/// The fleet sheds load as one. It keeps retries to a share of first executions over all fronts, and new connections
-/// and probes into each engine to so many a second; 0: no bound.
+/// Limits that the fleet applies as a whole: retries as a share of first executions, and new
+/// connections and probes for each engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overload {
-    /// Retries for each hundred first executions, over all fronts.
-    pub further_percent: u32,
-    /// New connections into one engine, over all fronts.
+    /// Maximum number of retries for each hundred first executions, over all fronts.
+    pub retry_percent: u32,
+    /// Maximum number of new connections to one engine a second, over all fronts; 0: unlimited.
     pub connections_per_second: u32,
-    /// Probes into one engine, over all fronts.
+    /// Maximum number of probes of one engine a second, over all fronts; 0: unlimited.
     pub probes_per_second: u32,
 }
 
 impl Default for Overload {
     fn default() -> Overload {
         Overload {
-            further_percent: DEFAULT_FURTHER_PERCENT,
+            retry_percent: DEFAULT_RETRY_PERCENT,
             connections_per_second: DEFAULT_CONNECTIONS_PER_SECOND,
             probes_per_second: DEFAULT_PROBES_PER_SECOND,
         }
@@ -63,7 +63,7 @@
 }
 
 /// Checks the section.
-pub fn overload(text: &str, file: OverloadFile) -> Result<Overload, Error> {
+pub fn check_overload(text: &str, file: OverloadFile) -> Result<Overload, Error> {
     if file.further_percent > 100 {
         return Err(key_error(
             text,
@@ -75,51 +75,52 @@
         ("connections_per_second", file.connections_per_second),
         ("probes_per_second", file.probes_per_second),
     ] {
-        if value > MAX_PER_SECOND {
+        if value > MAX_RATE_PER_SECOND {
             return Err(key_error(
                 text,
                 &format!("gossip.overload.{key}"),
-                KeyProblem::above_maximum(MAX_PER_SECOND),
+                KeyProblem::above_maximum(MAX_RATE_PER_SECOND),
             ));
         }
     }
     Ok(Overload {
-        further_percent: file.further_percent,
+        retry_percent: file.further_percent,
         connections_per_second: file.connections_per_second,
         probes_per_second: file.probes_per_second,
     })
 }
 
 impl Overload {
-    /// Each front's part of the fleet's budget: its own first executions count, and what the settings leave
-    /// to spare is divided by the fronts, so that one that has just started has little.
+    /// Sets this front's part of the fleet's budgets. Its retries are limited by its own first
+    /// executions, and the spare attempts of the settings are divided by the number of fronts, so
+    /// that a front that has just started has few.
     pub fn apply(&self, agreement: &mut Agreement) {
         let agreed = agreement.retry_allowance.unwrap_or(RetryAllowance {
             spare: 0.0,
             ratio: f64::INFINITY,
             window: DEFAULT_RETRY_WINDOW,
         });
-        let ratio = f64::from(self.further_percent) / 100.0;
+        let ratio = f64::from(self.retry_percent) / 100.0;
         agreement.retry_allowance = Some(RetryAllowance {
             spare: agreed.spare / agreement.fronts.max(1.0),
             ratio: agreed.ratio.min(ratio),
             ..agreed
         });
-        let connections = bound(self.connections_per_second);
-        let probes = bound(self.probes_per_second);
-        let is_bounded = connections.is_finite() || probes.is_finite();
-        agreement.budgets = is_bounded.then_some(EngineBudgets {
+        let connections = rate_limit(self.connections_per_second);
+        let probes = rate_limit(self.probes_per_second);
+        let is_limited = connections.is_finite() || probes.is_finite();
+        agreement.budgets = is_limited.then_some(EngineBudgets {
             connections,
             probes,
         });
     }
 }
 
-/// A bound a second; 0 is none.
-fn bound(per_second: u32) -> f64 {
+/// A limit a second; 0 means unlimited.
+fn rate_limit(per_second: u32) -> f64 {
     match per_second {
         0 => f64::INFINITY,
-        bound => f64::from(bound),
+        limit => f64::from(limit),
     }
 }
 
--- a/crates/config/src/settings/check.rs
+++ b/crates/config/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Refuses figures of the settings that could not be calculated with, and words that stand for nothing.
+//! Checks the numbers of the settings for their range, and resolves names of a fixed set.
 
 use hallmux::interface::{DedupGroup, Effect};
 
@@ -6,50 +6,51 @@
 use crate::error::{Error, KeyProblem};
 use crate::text::Section;
 
-/// The upper bound of every figure: sums of many such milliseconds stay whole numbers.
+/// The upper bound of every number: sums of many such milliseconds are still exact integers in an
+/// `f64`.
 const MAX_FIGURE: f64 = 1e12;
 
-/// A word of the settings and what it stands for.
-pub struct Word<T> {
-    text: &'static str,
-    meaning: T,
+/// A name in the settings and the value that it denotes.
+pub struct NamedValue<T> {
+    name: &'static str,
+    value: T,
 }
 
-const fn stands_for<T>(text: &'static str, meaning: T) -> Word<T> {
-    Word { text, meaning }
+const fn named<T>(name: &'static str, value: T) -> NamedValue<T> {
+    NamedValue { name, value }
 }
 
-/// The words of `requestClasses[].repeat`.
-pub const EFFECTS: [Word<Effect>; 3] = [
-    stands_for("repeatable", Effect::Idempotent),
-    stands_for("by_key", Effect::Deduplicated),
-    stands_for("once", Effect::NonIdempotent),
+/// The values of `requestClasses[].repeat`.
+pub const EFFECTS: [NamedValue<Effect>; 3] = [
+    named("repeatable", Effect::Idempotent),
+    named("by_key", Effect::Deduplicated),
+    named("once", Effect::NonIdempotent),
 ];
-/// The words of `requestClasses[].group`.
-pub const GROUPS: [Word<DedupGroup>; 3] = [
-    stands_for("all", DedupGroup::All),
-    stands_for("zone", DedupGroup::Location),
-    stands_for("cell", DedupGroup::Cell),
+/// The values of `requestClasses[].group`.
+pub const GROUPS: [NamedValue<DedupGroup>; 3] = [
+    named("all", DedupGroup::All),
+    named("zone", DedupGroup::Location),
+    named("cell", DedupGroup::Cell),
 ];
 
-/// What the word at a path stands for.
-pub fn meaning<T: Copy>(
+/// The value of the name at a path; a name that is not in `known` is an error.
+pub fn resolve_name<T: Copy>(
     section: &Section,
     path: &str,
     text: &str,
-    known: &[Word<T>],
+    known: &[NamedValue<T>],
 ) -> Result<T, Error> {
-    if let Some(word) = known.iter().find(|word| word.text == text) {
-        return Ok(word.meaning);
+    if let Some(entry) = known.iter().find(|entry| entry.name == text) {
+        return Ok(entry.value);
     }
     let problem = KeyProblem::UnknownWord {
         word: text.to_string(),
-        known: known.iter().map(|word| word.text).collect(),
+        known: known.iter().map(|entry| entry.name).collect(),
     };
     Err(section.error(path, problem))
 }
 
-/// Refuses what is negative, and what is so large that no sum of it would be right.
+/// Rejects numbers that are negative, or so large that sums of them would be inexact.
 pub fn check(section: &Section, options: &Options) -> Result<(), Error> {
     let check = FigureChecker { section };
     check.figure("instances", options.instances)?;
@@ -66,7 +67,7 @@
     check.rules(&options.rules)
 }
 
-/// Checks figures of the settings; an error names line and key.
+/// Checks numbers of the settings; an error names the line and the key.
 struct FigureChecker<'a> {
     section: &'a Section<'a>,
 }
@@ -88,7 +89,7 @@
         self.optional(path, count.map(|count| count as f64))
     }
 
-    fn each(&self, path: &str, values: &[f64]) -> Result<(), Error> {
+    fn figures(&self, path: &str, values: &[f64]) -> Result<(), Error> {
         for (index, value) in values.iter().enumerate() {
             self.figure(&format!("{path}[{index}]"), *value)?;
         }
@@ -114,9 +115,9 @@
     }
 
     fn extra(&self, extra: &Extra) -> Result<(), Error> {
-        self.each("extra.parallelism", &extra.parallelism)?;
-        self.each("extra.memoryByKindMb", &extra.memory_by_kind_mb)?;
-        self.each("extra.sizeCores", &extra.size_cores)?;
+        self.figures("extra.parallelism", &extra.parallelism)?;
+        self.figures("extra.memoryByKindMb", &extra.memory_by_kind_mb)?;
+        self.figures("extra.sizeCores", &extra.size_cores)?;
         self.optional("extra.largestShare", extra.largest_share)?;
         self.figure("extra.tellsEveryMs", extra.tells_every_ms)
     }
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -37,7 +37,11 @@
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
         };
-        let flushed = execution.unit.parts.last().is_some_and(|part| !part.ends);
+        let flushed = execution
+            .unit
+            .parts
+            .last()
+            .is_some_and(|part| !part.ends_unit);
         let due = execution.answer_started
             || flushed
             || execution.unsent_answer.len() > self.limits.buffer_bytes
@@ -153,12 +157,12 @@
             let unsent_answer =
                 execution.map_or(&mut dropped, |execution| &mut execution.unsent_answer);
             let most_held = self.limits.buffer_bytes;
-            let was_setting = server.engine.is_setting();
+            let was_setting = server.engine.is_applying_settings();
             let output = server.link.output();
             let read = server
                 .engine
                 .read(&input[taken..], output, unsent_answer, most_held);
-            if was_setting && !server.engine.is_setting() {
+            if was_setting && !server.engine.is_applying_settings() {
                 // The unit that waited for the settings is sent now.
                 server.write_end = server.link.output().len();
             }
@@ -270,7 +274,7 @@
             let server = execution
                 .connection
                 .and_then(|id| self.connections.get(&id));
-            server.is_some_and(|server| server.engine.is_setting())
+            server.is_some_and(|server| server.engine.is_applying_settings())
         };
         for execution in self
             .executions
@@ -341,7 +345,7 @@
                 self.release_idle(now, id)
             };
         };
-        if done.fault && !execution.answer_started && execution.unit.pin.is_none() {
+        if done.engine_fault && !execution.answer_started && execution.unit.pin.is_none() {
             self.events.push(Event::Ended {
                 execution_id,
                 ending: Ending::EngineFailed,
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -6,7 +6,7 @@
 use std::hash::{BuildHasher, RandomState};
 
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_scatter::audit::{AuditSettings, Audits, Verdict};
+use hallmux_scatter::audit::{AuditResult, AuditSettings, Audits};
 use hallmux_scatter::exchange::FalseSummary;
 use hallmux_scatter::plan::{LoadInfo, Plan};
 use hallmux_scatter::sql::Query;
@@ -40,8 +40,8 @@
 
 fn audit_settings(settings: hallmux_config::Audits) -> AuditSettings {
     AuditSettings {
-        one_in: settings.one_in,
-        per_second: settings.a_minute as f64 / 60.0,
+        one_in: settings.statements_per_audit,
+        per_second: settings.max_per_minute as f64 / 60.0,
     }
 }
 
@@ -94,7 +94,7 @@
         let random = self.random.hash_one(ticket);
         if let Some(pruned_index) =
             self.audits
-                .pick(now, random, self.front_count as f64, &plan.pruned)
+                .choose_site(now, random, self.front_count as f64, &plan.pruned)
         {
             plan.audit(pruned_index, sites, allowed);
         }
@@ -146,9 +146,9 @@
             .filter(|s| s.version == ruled_out.version);
         let table = summary.and_then(|summary| Some((summary, summary.table(&query.table)?)));
         let is_certain = table.is_some_and(|(summary, table)| match load_info {
-            LoadInfo::Marks(marks) => marks.prove_absent(summary, table, &query.condition),
+            LoadInfo::Markers(marks) => marks.prove_absent(summary, table, &query.condition),
             LoadInfo::NoLoads => true,
-            LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => false,
+            LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => false,
         });
         self.conclude(&ruled_out, rows, is_certain);
         true
@@ -162,8 +162,8 @@
             group,
             version,
         } = ruled_out;
-        match self.audits.answered(site, rows, is_certain) {
-            Verdict::False => {
+        match self.audits.record_answer(site, rows, is_certain) {
+            AuditResult::Refuted => {
                 let counts = self.audits.counts;
                 self.false_summaries.push(FalseSummary {
                     site: site.clone(),
@@ -179,8 +179,8 @@
                     counts.rows
                 );
             }
-            Verdict::Earned => log::info!("site '{site}': its summaries count again"),
-            Verdict::Holds | Verdict::Unsure => {}
+            AuditResult::Recovered => log::info!("site '{site}': its summaries count again"),
+            AuditResult::Confirmed | AuditResult::Inconclusive => {}
         }
     }
 }
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -11,7 +11,7 @@
 use hallmux_gossip::PeerId;
 use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::{Action, Answer, Gather, GatherRules, PartFailure};
-use hallmux_scatter::marks::{numbers, Marks};
+use hallmux_scatter::load_markers::{load_numbers, LoadMarkers};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo, Plan, Reason};
 use hallmux_scatter::sql::Query;
 
@@ -41,7 +41,7 @@
     allowed_sites: Option<Vec<String>>,
     /// Of a join: the load markers of its table groups that the ledger has answered; None if the
     /// ledger can't be reached.
-    group_markers: BTreeMap<u32, Option<Marks>>,
+    group_markers: BTreeMap<u32, Option<LoadMarkers>>,
     /// None while the statement waits for load markers.
     gather: Option<Gather>,
     /// Tickets of the parts that are at the dispatcher, by their index in the plan.
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy)]
 pub struct GroupMarkers<'a> {
     pub group: u32,
-    pub markers: Option<&'a Marks>,
+    pub markers: Option<&'a LoadMarkers>,
 }
 
 /// A statement that waits for audits only, until the given time.
@@ -117,8 +117,8 @@
     ) -> std::io::Result<ScatteredStatements> {
         let locations = agreement.names.locations.clone();
         let loads = settings
-            .marked
-            .then(|| Loads::new(settings.writes.clone(), locations));
+            .marks_loads
+            .then(|| Loads::new(settings.writing_workloads.clone(), locations));
         log::info!(
             "scatter: statements of workloads {:?} are scattered over sites {:?}",
             settings.workloads,
@@ -165,7 +165,7 @@
     /// Whether a client's statement starts with the prefix by which fronts number marked loads. Its
     /// site would take it for a marked load.
     pub fn has_reserved_prefix(&self, call: &Call) -> bool {
-        self.loads.is_some() && !numbers(&call.statement).is_empty()
+        self.loads.is_some() && !load_numbers(&call.statement).is_empty()
     }
 
     /// Returns the site that has all rows, if the operator's file names one.
@@ -220,7 +220,7 @@
     ) {
         let load_info = group_markers
             .markers
-            .map_or(LoadInfo::Unknown, LoadInfo::Marks);
+            .map_or(LoadInfo::Unknown, LoadInfo::Markers);
         for ticket in waiting {
             if self
                 .statements
@@ -269,9 +269,12 @@
         };
         let gather_rules = GatherRules {
             limit: statement.query.limit,
-            partial: self.settings.partial.contains(&statement.call.customer),
-            at_once: self.settings.at_once,
-            most_bytes: self.settings.answer_bytes,
+            allow_partial: self
+                .settings
+                .partial_answer_customers
+                .contains(&statement.call.customer),
+            max_parallel_parts: self.settings.max_parallel_parts,
+            max_answer_bytes: self.settings.max_answer_bytes,
             combine: statement.query.combine.clone(),
         };
         let (gather, actions) = Gather::new(plan.parts, plan.barred, gather_rules);
@@ -413,8 +416,8 @@
                         }
                         Err(InvalidRequest::NoAllowedLocation) => {
                             let gather = statement.gather.as_mut();
-                            let further =
-                                gather.map(|gather| gather.failed(part_index, PartFailure::Barred));
+                            let further = gather
+                                .map(|gather| gather.part_failed(part_index, PartFailure::Barred));
                             actions.extend(further.unwrap_or_default());
                         }
                         Err(invalid) => {
@@ -469,9 +472,9 @@
                 self.record_rows(now, ticket, part_index, &rows, dispatcher);
                 let statement = self.statements.get_mut(&ticket);
                 let gather = statement.and_then(|statement| statement.gather.as_mut());
-                gather.map_or(Vec::new(), |gather| gather.answered(part_index, rows))
+                gather.map_or(Vec::new(), |gather| gather.part_answered(part_index, rows))
             }
-            Err(failure) => gather.failed(part_index, failure),
+            Err(failure) => gather.part_failed(part_index, failure),
         };
         self.apply_actions(now, ticket, actions, dispatcher);
         self.queue_audit_wait(now, ticket);
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -13,7 +13,7 @@
 use hallmux_scatter::layers::Detail;
 use hallmux_scatter::retention::{Budget, Retention};
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
-use hallmux_scatter::summary::{Refused, MOST_BYTES};
+use hallmux_scatter::summary::{SummaryError, MAX_SUMMARY_BYTES};
 
 /// Microseconds between log lines on rejected summaries of other fronts.
 const LOG_INTERVAL: Micros = 60_000_000;
@@ -42,7 +42,7 @@
 fn budget(keep: &hallmux_config::SummaryBudget) -> Budget {
     Budget {
         memory: keep.memory_bytes as f64,
-        traffic: keep.bytes_a_second as f64,
+        traffic: keep.bytes_per_s as f64,
     }
 }
 
@@ -61,9 +61,9 @@
             .map(key)
             .collect::<std::io::Result<BTreeMap<_, _>>>()?,
         schemas: settings.schemas.clone(),
-        oldest_ms: settings.oldest_ms,
-        ahead_ms: settings.ahead_ms,
-        most: settings.most,
+        max_age_ms: settings.max_summary_age_ms,
+        max_ahead_ms: settings.max_summary_ahead_ms,
+        max_summaries: settings.max_summaries,
     })
 }
 
@@ -101,7 +101,7 @@
     /// Applies the budget. If there was none before, restores the saved statistics; without a
     /// budget in the settings, all summaries are retained.
     fn configure_retention(&mut self, settings: &Scatter, now: Micros) {
-        let Some(keep_settings) = &settings.keep else {
+        let Some(keep_settings) = &settings.summary_budget else {
             self.store.retention = None;
             return;
         };
@@ -172,7 +172,7 @@
             // One byte above the limit, so that a longer file is rejected for its length.
             let mut bytes = Vec::new();
             let read = File::open(&path).and_then(|file| {
-                file.take(MOST_BYTES as u64 + 1)
+                file.take(MAX_SUMMARY_BYTES as u64 + 1)
                     .read_to_end(&mut bytes)
                     .map(|_| ())
             });
@@ -245,7 +245,7 @@
             if held.get(name).copied() < self.store.wanted_detail(*name) {
                 let read = std::fs::read(path)
                     .ok()
-                    .filter(|bytes| bytes.len() <= MOST_BYTES);
+                    .filter(|bytes| bytes.len() <= MAX_SUMMARY_BYTES);
                 read.into_iter()
                     .for_each(|bytes| _ = self.store.accept((now / 1000) as u64, &bytes));
             }
@@ -282,7 +282,7 @@
     fn apply_output(&mut self, now: Micros, mut output: Output) -> Vec<(PeerId, Vec<u8>)> {
         self.reported_false.append(&mut output.false_summaries);
         self.send_local_files(now, &mut output);
-        let refused: Vec<Refused> = output
+        let refused: Vec<SummaryError> = output
             .accepted
             .into_iter()
             .filter_map(Result::err)
@@ -294,7 +294,7 @@
             self.last_log_time = now;
             log::warn!(
                 "from another front: {why}; summaries refused so far: {:?}",
-                self.store.refused
+                self.store.rejected
             );
         }
         output.messages
--- a/crates/front/tests/scatter/portal.rs
+++ b/crates/front/tests/scatter/portal.rs
@@ -40,7 +40,7 @@
         .ok()?;
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
-    wire::write_key(
+    wire::write_backend_key(
         &mut out,
         wire::CancelKey {
             process: 1,
@@ -96,7 +96,7 @@
         let mut stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut out = Vec::new();
-        wire::write_start_up(&mut out, &[("user", "loader"), ("database", "d")]);
+        wire::write_startup(&mut out, &[("user", "loader"), ("database", "d")]);
         stream.write_all(&out).unwrap();
         let mut client = Client(stream);
         client.until_ready();
--- a/crates/front/tests/scripted/machine.rs
+++ b/crates/front/tests/scripted/machine.rs
@@ -36,11 +36,17 @@
     let mut scenario = Scenario::under_machine_faults();
     scenario
         .machine_faults()
-        .fail(Call::Socket, MOSTLY_PER_MILLE)
+        .set_failure_rate(Call::Socket, MOSTLY_PER_MILLE)
         .unwrap();
     scenario.run_line("engine a");
     scenario.run_line("start");
-    assert!(scenario.machine_faults().failed(Call::Socket).unwrap() > 0);
+    assert!(
+        scenario
+            .machine_faults()
+            .failure_count(Call::Socket)
+            .unwrap()
+            > 0
+    );
 }
 
 #[test]
@@ -51,13 +57,19 @@
         .for_each(|line| scenario.run_line(line));
     scenario
         .machine_faults()
-        .fail(Call::Accept, MOSTLY_PER_MILLE)
+        .set_failure_rate(Call::Accept, MOSTLY_PER_MILLE)
         .unwrap();
     for client in 0..CLIENTS {
         scenario.run_line(&format!("c{client} connects"));
         scenario.run_line(&format!("c{client} is well"));
     }
-    assert!(scenario.machine_faults().failed(Call::Accept).unwrap() > 0);
+    assert!(
+        scenario
+            .machine_faults()
+            .failure_count(Call::Accept)
+            .unwrap()
+            > 0
+    );
 }
 
 #[test]
@@ -68,7 +80,7 @@
         .for_each(|line| scenario.run_line(line));
     scenario
         .machine_faults()
-        .fail(Call::Accept, ALWAYS_PER_MILLE)
+        .set_failure_rate(Call::Accept, ALWAYS_PER_MILLE)
         .unwrap();
     scenario.run_line("b connects");
     // From here on the front has noticed that accept fails, and new connections wait in the queue.
@@ -77,7 +89,10 @@
         .iter()
         .for_each(|line| scenario.run_line(line));
     std::thread::sleep(UNACCEPTED_TIME);
-    scenario.machine_faults().fail(Call::Accept, 0).unwrap();
+    scenario
+        .machine_faults()
+        .set_failure_rate(Call::Accept, 0)
+        .unwrap();
     [
         "a hears want 1 wait<2501",
         "a says 1 ACK batches=1 x",
@@ -96,14 +111,17 @@
         .for_each(|line| scenario.run_line(line));
     scenario
         .machine_faults()
-        .fail(Call::Accept, ALWAYS_PER_MILLE)
+        .set_failure_rate(Call::Accept, ALWAYS_PER_MILLE)
         .unwrap();
     ["c connects", "c asks 1 select 1", "stop"]
         .iter()
         .for_each(|line| scenario.run_line(line));
     let started = Instant::now();
     std::thread::sleep(AFTER_LISTENER_CLOSE);
-    scenario.machine_faults().fail(Call::Accept, 0).unwrap();
+    scenario
+        .machine_faults()
+        .set_failure_rate(Call::Accept, 0)
+        .unwrap();
     if started.elapsed() > LATEST_RECOVERY {
         return false;
     }
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -117,7 +117,7 @@
     fn step_clock(&mut self, since: i64) -> Result<()> {
         let front = self.rng.random_range(0..self.faults.len());
         let ahead = *CLOCK_OFFSETS_US.choose(&mut self.rng).unwrap_or(&0);
-        self.faults[front].set_wall_clock_ahead(ahead)?;
+        self.faults[front].set_wall_clock_offset(ahead)?;
         self.steps += 1;
         self.events.push((
             since,
@@ -137,7 +137,7 @@
         let rate = *rates.choose(&mut self.rng).unwrap_or(&0);
         let until = since + self.rng.random_range(SHORTAGE_DURATION_US);
         let max_failures = self.rng.random_range(MAX_FAILURES);
-        self.faults[front].fail_at_most(call, rate, max_failures)?;
+        self.faults[front].set_limited_failure_rate(call, rate, max_failures)?;
         self.shortages.push(Shortage { front, call, until });
         let ms = (until - since) / 1000;
         self.events.push((
@@ -157,7 +157,7 @@
         let ended: Vec<Shortage> = ended;
         for Shortage { front, call, .. } in ended {
             // This also ends another shortage of the same call that has not run out yet.
-            self.faults[front].fail(call, 0)?;
+            self.faults[front].set_failure_rate(call, 0)?;
         }
         Ok(())
     }
@@ -197,7 +197,7 @@
             ("crowd", self.crowd.len() as i64),
         ];
         for (call, name) in Call::ALL.into_iter().zip(TALLIES) {
-            let counts = self.faults.iter().map(|faults| faults.failed(call));
+            let counts = self.faults.iter().map(|faults| faults.failure_count(call));
             all.push((name, counts.sum::<Result<i64>>()?));
         }
         Ok(all)
--- a/crates/machine-faults/src/lib.rs
+++ b/crates/machine-faults/src/lib.rs
@@ -1,6 +1,6 @@
-//! Fault injection for one process, for tests: its wall clock is stepped, and system calls fail in the ways that Linux
-//! documents. A library that is loaded into that process alone answers in place
-//! of the system; the fronts themselves know nothing of it.
+//! Fault injection into one process, for tests: a step of its wall clock, and system calls that
+//! fail in the ways that Linux documents. A library preloaded into that process replaces the calls;
+//! the fronts contain no code for it.
 
 #![warn(missing_docs)]
 
@@ -12,43 +12,44 @@
 
 const SOURCE: &str = include_str!("shim.c");
 
-// The control file holds numbers, which process and library share; these are their indices.
+// The control file holds 64-bit integers shared by the test and the library. These are their
+// indices.
 
-/// Bytes of a number.
-const NUMBER_SIZE: u64 = 8;
-/// The wall clock's step, in microseconds.
-const CLOCK_STEP: u64 = 0;
-/// The seed of what fails.
+/// The size of an integer, in bytes.
+const INTEGER_BYTES: u64 = 8;
+/// The offset of the wall clock, in microseconds.
+const CLOCK_OFFSET: u64 = 0;
+/// The seed of the random choice of calls that fail.
 const SEED: u64 = 1;
-/// By call: how many of a thousand fail.
+/// For each call: the failure rate, in thousandths.
 const FIRST_RATE: u64 = 2;
-/// By call: how many have failed.
-const FIRST_FAILED: u64 = FIRST_RATE + CALLS;
-/// By call: how many more may fail.
-const FIRST_LEFT: u64 = FIRST_FAILED + CALLS;
-/// How many numbers there are.
-const NUMBERS: u64 = FIRST_LEFT + CALLS;
-const CALLS: u64 = Call::ALL.len() as u64;
-
-/// What fails.
+/// For each call: the number of failures so far.
+const FIRST_FAILURE_COUNT: u64 = FIRST_RATE + CALL_COUNT;
+/// For each call: the number of failures still allowed.
+const FIRST_FAILURES_LEFT: u64 = FIRST_FAILURE_COUNT + CALL_COUNT;
+/// The number of integers in the file.
+const INTEGER_COUNT: u64 = FIRST_FAILURES_LEFT + CALL_COUNT;
+const CALL_COUNT: u64 = Call::ALL.len() as u64;
+
+/// A kind of system call that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `accept`: no descriptor or buffer, a connection aborted, a signal.
+    /// `accept` fails: no descriptor or buffer, an aborted connection, a signal.
     Accept,
-    /// `socket`: no descriptor or buffer.
+    /// `socket` fails: no descriptor or buffer.
     Socket,
-    /// `connect`: no address, no buffer, no route.
+    /// `connect` fails: no address, no buffer, no route, a signal.
     Connect,
-    /// A read of a connection gives less than there is.
+    /// A read of a connection returns fewer bytes than requested.
     ShortRead,
-    /// A write to a connection takes less than it could.
+    /// A write to a connection accepts fewer bytes than passed.
     ShortWrite,
-    /// A read finds that a connection which the process began is broken; it is, from then on.
+    /// A read fails on a connection that the process itself opened, which is broken from then on.
     BrokenRead,
 }
 
 impl Call {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Call; 6] = [
         Call::Accept,
         Call::Socket,
@@ -58,20 +59,21 @@
         Call::BrokenRead,
     ];
 
-    /// Its index among the numbers by call.
+    /// Returns the index of the call among the per-call integers.
     fn index(self) -> u64 {
         self as u64
     }
 }
 
-/// The library that injects the faults, compiled.
+/// The compiled library that injects the faults.
 #[derive(Debug)]
 pub struct Library {
     path: PathBuf,
 }
 
 impl Library {
-    /// Compiles it to a file, with the C compiler that Rust links with. An error is that of the file or the compiler.
+    /// Compiles the library to a file, with the C compiler that Rust links with (`CC`, else `cc`).
+    /// Fails if a file can't be written or the compiler fails.
     pub fn compile(path: &Path) -> Result<Library> {
         let source = path.with_extension("c");
         std::fs::write(&source, SOURCE)?;
@@ -84,7 +86,7 @@
         std::fs::remove_file(source)?;
         if !compiled?.success() {
             return Err(Error::other(
-                "the C compiler does not take the library of machine faults",
+                "the C compiler failed to compile the machine faults library; see its messages above",
             ));
         }
         Ok(Library {
@@ -93,7 +95,7 @@
     }
 }
 
-/// The faults of one process, before it starts and while it runs.
+/// The faults of one process, which can be set before it starts and while it runs.
 #[derive(Debug)]
 pub struct MachineFaults {
     library: PathBuf,
@@ -102,7 +104,8 @@
 }
 
 impl MachineFaults {
-    /// No faults yet. `control` is a file of their own; the seed draws which calls fail. An error is that of the file.
+    /// Creates the control file at `control`, which must be this process's alone, with no faults.
+    /// The seed determines which calls fail. Fails if the file can't be written.
     pub fn new(library: &Library, control: &Path, seed: u64) -> Result<MachineFaults> {
         let file = File::options()
             .read(true)
@@ -110,7 +113,7 @@
             .create(true)
             .truncate(true)
             .open(control)?;
-        file.set_len(NUMBERS * NUMBER_SIZE)?;
+        file.set_len(INTEGER_COUNT * INTEGER_BYTES)?;
         let faults = MachineFaults {
             library: library.path.clone(),
             control: control.to_path_buf(),
@@ -120,7 +123,7 @@
         Ok(faults)
     }
 
-    /// The variables of the environment under which a process has these faults.
+    /// Returns the environment variables with which a process has these faults.
     pub fn environment(&self) -> [(&'static str, &Path); 2] {
         [
             ("LD_PRELOAD", &self.library),
@@ -128,35 +131,40 @@
         ]
     }
 
-    /// Sets how many microseconds the process's wall clock is ahead of the machine's.
-    pub fn set_wall_clock_ahead(&self, micros: i64) -> Result<()> {
-        self.write(CLOCK_STEP, micros)
+    /// Sets how many microseconds the process's wall clock is ahead of the system's.
+    pub fn set_wall_clock_offset(&self, micros: i64) -> Result<()> {
+        self.write(CLOCK_OFFSET, micros)
     }
 
-    /// From now on so many of a thousand of these calls fail.
-    pub fn fail(&self, call: Call, permille: u16) -> Result<()> {
-        self.fail_at_most(call, permille, i64::MAX)
+    /// Makes this many in a thousand of the calls fail from now on.
+    pub fn set_failure_rate(&self, call: Call, permille: u16) -> Result<()> {
+        self.set_limited_failure_rate(call, permille, i64::MAX)
     }
 
-    /// The same, until so many have failed.
-    pub fn fail_at_most(&self, call: Call, permille: u16, most: i64) -> Result<()> {
-        self.write(FIRST_LEFT + call.index(), most)?;
+    /// Makes this many in a thousand of the calls fail, until `max_failures` have failed.
+    pub fn set_limited_failure_rate(
+        &self,
+        call: Call,
+        permille: u16,
+        max_failures: i64,
+    ) -> Result<()> {
+        self.write(FIRST_FAILURES_LEFT + call.index(), max_failures)?;
         self.write(FIRST_RATE + call.index(), i64::from(permille))
     }
 
-    /// How many of these calls have failed so far.
-    pub fn failed(&self, call: Call) -> Result<i64> {
-        self.read(FIRST_FAILED + call.index())
+    /// Returns how many of the calls have failed so far.
+    pub fn failure_count(&self, call: Call) -> Result<i64> {
+        self.read(FIRST_FAILURE_COUNT + call.index())
     }
 
     fn write(&self, index: u64, number: i64) -> Result<()> {
         self.file
-            .write_all_at(&number.to_le_bytes(), index * NUMBER_SIZE)
+            .write_all_at(&number.to_le_bytes(), index * INTEGER_BYTES)
     }
 
     fn read(&self, index: u64) -> Result<i64> {
-        let mut bytes = [0; NUMBER_SIZE as usize];
-        self.file.read_exact_at(&mut bytes, index * NUMBER_SIZE)?;
+        let mut bytes = [0; INTEGER_BYTES as usize];
+        self.file.read_exact_at(&mut bytes, index * INTEGER_BYTES)?;
         Ok(i64::from_le_bytes(bytes))
     }
 }
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -1,4 +1,4 @@
-//! What a session answers of its own, and what the end of a unit makes of it.
+//! Answers that the front gives itself, and the effects of a unit's outcome on the session.
 
 use std::rc::Rc;
 
@@ -9,21 +9,22 @@
 use crate::unit::{Operation, UnitOutcome, UnitPart};
 use crate::wire;
 
-/// A unit that the front answers by itself.
+/// A unit that the front answers itself.
 struct LocalUnit<'a> {
     part: &'a UnitPart,
-    /// The session's transaction was lost when the unit began.
+    /// Whether the session's transaction was lost when the unit started.
     transaction_was_lost: bool,
-    /// What the unit's last Bind was for.
+    /// The statement of the unit's last Bind.
     bound: Option<Rc<Prepared>>,
 }
 
-/// An error was written to the client: the rest of the unit is passed over.
+/// An error was written to the client; the rest of the unit is skipped.
 struct UnitFailed;
 
 impl Session {
-    /// Answers a unit that needs no engine, to `out`. False if it needs one; nothing is written then.
-    pub fn answers(
+    /// Writes the answer of a unit that needs no engine to `out`. False if the unit needs one; then
+    /// nothing is written.
+    pub fn answer_locally(
         &mut self,
         part: &UnitPart,
         catalogue: &mut Catalogue,
@@ -43,7 +44,7 @@
             is_query |= matches!(operation, Operation::Query(_));
             let answered = self.answer_operation(operation, &mut unit, catalogue, out);
             if answered.is_err() {
-                // As an engine does, the front passes over all up to the Sync.
+                // Like an engine, the front skips everything up to the Sync.
                 failed = true;
                 break;
             }
@@ -56,7 +57,7 @@
     }
 
     fn needs_no_engine(&self, part: &UnitPart) -> bool {
-        if !part.ends {
+        if !part.ends_unit {
             return false;
         }
         if self.transaction == Transaction::Lost {
@@ -64,12 +65,12 @@
         }
         let fails = part.ops.iter().any(|op| matches!(op, Operation::Fail(_)));
         let discards = part.local_commands.contains(&LocalCommand::Discard);
-        // Guards against a transaction whose engine would not learn that it has failed.
+        // An engine that holds the transaction must learn that it has failed.
         let concerns_transaction = self.transaction.is_held() && (fails || discards);
-        part.local && !concerns_transaction
+        part.is_local && !concerns_transaction
     }
 
-    /// Writes the front's own answer to one operation.
+    /// Writes the answer to one operation.
     fn answer_operation(
         &mut self,
         operation: &Operation,
@@ -92,7 +93,7 @@
             | Operation::Describe { prepared, .. }
                 if unit.transaction_was_lost && !prepared.scan.only_ends_transaction() =>
             {
-                self.aborted().write(out, false);
+                self.lost_transaction_error().write(out, false);
                 return Err(UnitFailed);
             }
             Operation::Parse { .. } => out.extend_from_slice(wire::PARSE_COMPLETE),
@@ -108,7 +109,7 @@
             Operation::Execute(_) => match &unit.bound {
                 Some(prepared) => return self.run_locally(&prepared.scan, catalogue, out),
                 None => {
-                    self.aborted().write(out, false);
+                    self.lost_transaction_error().write(out, false);
                     return Err(UnitFailed);
                 }
             },
@@ -119,15 +120,15 @@
         Ok(())
     }
 
-    /// Why nothing runs in a transaction that is lost; the first time with the reason.
-    fn aborted(&mut self) -> ClientError {
+    /// Returns the error for statements in a lost transaction: the first time it names the cause.
+    fn lost_transaction_error(&mut self) -> ClientError {
         match self.unreported_loss.take() {
             Some(why) => ClientError::RolledBack { why },
             None => ClientError::InFailedTransaction,
         }
     }
 
-    /// Runs a text that the front answers by itself.
+    /// Executes a statement that the front answers itself.
     fn run_locally(
         &mut self,
         scan: &Scan,
@@ -152,21 +153,25 @@
             LocalCommand::Deallocate => self.forget_all_prepared(),
             LocalCommand::Discard => {
                 self.forget_all_prepared();
-                self.settings = catalogue.settings(SessionSettings::default());
+                self.settings = catalogue.intern_settings(SessionSettings::default());
             }
         }
         wire::write_complete(out, command.tag());
         Ok(())
     }
 
-    /// Only the transaction's end runs; the client is told once why the transaction was lost.
+    /// Executes only the end of the lost transaction; the client is sent the cause of the loss
+    /// once.
     fn run_in_lost_transaction(
         &mut self,
         scan: &Scan,
         out: &mut Vec<u8>,
     ) -> Result<(), UnitFailed> {
-        // Guards against a commit that seems to have come to pass, of a client that knows of no failure.
-        let unreported_loss = self.unreported_loss.take().filter(|_| !scan.rolls_back);
+        // A commit must not appear to succeed for a client that was not yet notified of the loss.
+        let unreported_loss = self
+            .unreported_loss
+            .take()
+            .filter(|_| !scan.rolls_back_transaction);
         let ends = scan.only_ends_transaction();
         if ends {
             self.transaction = Transaction::None;
@@ -188,18 +193,18 @@
         self.held_bytes = 0;
     }
 
-    /// Takes in how a unit ended at an engine.
-    pub fn done(
+    /// Applies a unit's outcome at an engine to the session.
+    pub fn apply_outcome(
         &mut self,
         parts: &[Rc<UnitPart>],
-        done: &UnitOutcome,
+        outcome: &UnitOutcome,
         catalogue: &mut Catalogue,
         bounds: &Bounds,
     ) {
-        let failed = done.error.is_some();
+        let failed = outcome.error.is_some();
         if failed {
-            let named: Vec<&Vec<u8>> = parts.iter().flat_map(|p| &p.named).collect();
-            for name in named.into_iter().skip(done.parsed) {
+            let named: Vec<&Vec<u8>> = parts.iter().flat_map(|p| &p.parsed_names).collect();
+            for name in named.into_iter().skip(outcome.parsed_count) {
                 self.forget(name);
             }
         } else {
@@ -212,7 +217,7 @@
                 self.pending_changes.extend(part.changes.iter().cloned());
             }
         }
-        self.transaction = match done.status {
+        self.transaction = match outcome.status {
             b'T' => Transaction::Open,
             b'E' => Transaction::Failed,
             _ => Transaction::None,
@@ -220,45 +225,49 @@
         if self.transaction == Transaction::None {
             self.portals.clear();
             let pending_changes = std::mem::take(&mut self.pending_changes);
-            if !failed && !done.rolled_back && !pending_changes.is_empty() {
+            if !failed && !outcome.rolled_back && !pending_changes.is_empty() {
                 let mut settings = (*self.settings).clone();
                 pending_changes
                     .iter()
-                    .for_each(|change| settings.change(change));
-                // Guards against a session that grows without end: it keeps as many as it may.
+                    .for_each(|change| settings.apply(change));
+                // The number of settings kept is bounded, so that a session can't grow without
+                // limit.
                 while settings.0.len() > bounds.settings {
                     settings.0.pop_last();
                 }
-                self.settings = catalogue.settings(settings);
+                self.settings = catalogue.intern_settings(settings);
             }
         }
     }
 
-    /// A unit ends here, with the front's own answer; with a transaction that is lost by that, if one was
-    /// open.
-    pub fn fails(&mut self, parts: &[Rc<UnitPart>], why: &ClientError, out: &mut Vec<u8>) {
+    /// Ends a unit with an error of the front. A transaction that is open is lost by it.
+    pub fn fail_unit(&mut self, parts: &[Rc<UnitPart>], why: &ClientError, out: &mut Vec<u8>) {
         for part in parts {
-            part.named.iter().for_each(|name| self.forget(name));
+            part.parsed_names.iter().for_each(|name| self.forget(name));
         }
-        self.lose();
+        self.lose_transaction();
         self.unreported_loss = None;
-        if parts.iter().any(|part| part.commits || part.rolls_back) {
-            // It was the transaction's end, and its client asks for no other.
+        if parts
+            .iter()
+            .any(|part| part.commits_transaction || part.rolls_back_transaction)
+        {
+            // The unit was the end of the transaction, and the client sends no other.
             self.transaction = Transaction::None;
         }
         why.write(out, false);
         if !self.in_unit {
-            self.ready(out);
+            self.write_ready(out);
         }
     }
 
-    /// Tells the client that the next unit may come.
-    pub fn ready(&self, out: &mut Vec<u8>) {
+    /// Writes ReadyForQuery: the client may send the next unit.
+    pub fn write_ready(&self, out: &mut Vec<u8>) {
         wire::write_ready(out, self.transaction.status());
     }
 
-    /// The engine that held the open transaction has it no more; its client hears so with its next unit.
-    pub fn lose(&mut self) {
+    /// Marks the open transaction as lost, as its engine no longer holds it. The client is notified
+    /// with its next unit.
+    pub fn lose_transaction(&mut self) {
         if self.transaction.is_held() {
             if self.transaction == Transaction::Open {
                 self.unreported_loss = Some("its engine drains or was lost");
@@ -272,7 +281,7 @@
     fn forget_unparsed(&mut self, parts: &[UnitPart], parsed: usize) {
         let named: Vec<Vec<u8>> = parts
             .iter()
-            .flat_map(|p| p.named.iter().cloned())
+            .flat_map(|p| p.parsed_names.iter().cloned())
             .skip(parsed)
             .collect();
         named.iter().for_each(|name| self.forget(name));
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -1,4 +1,4 @@
-//! A client's messages become operations, and operations a unit.
+//! Turns a client's messages into operations, and operations into units.
 
 use std::collections::HashSet;
 use std::ops::Range;
@@ -12,24 +12,24 @@
 use crate::wire::{self, ClientMessage, Header, Message};
 use crate::ProtocolError;
 
-/// What a part of a unit is read from, and what has been read of it.
-struct Reading<'a> {
+/// The state of reading one part of a unit.
+struct PartReader<'a> {
     input: &'a [u8],
     catalogue: &'a mut Catalogue,
     bounds: &'a Bounds,
     part: UnitPart,
-    /// Names of the portals that it has opened.
+    /// Names of the portals that the part has opened.
     bound: HashSet<Vec<u8>>,
 }
 
-impl Reading<'_> {
-    /// The range in the part's bytes of something that lies within the input.
+impl PartReader<'_> {
+    /// Returns the range, within the part's bytes, of a slice of the input.
     fn range(&self, inner: &[u8]) -> Range<usize> {
-        let from = inner.as_ptr() as usize - self.input.as_ptr() as usize;
-        from..from + inner.len()
+        let start = inner.as_ptr() as usize - self.input.as_ptr() as usize;
+        start..start + inner.len()
     }
 
-    fn query(&mut self, text: &[u8], whole: Range<usize>) {
+    fn query(&mut self, text: &[u8], message_range: Range<usize>) {
         let scan = sql::scan(text);
         match scan.unsupported {
             Some(why) => {
@@ -38,18 +38,18 @@
                     .push(Operation::Fail(ClientError::Unsupported { why }));
                 self.part.ops.push(Operation::Sync);
             }
-            None => self.part.ops.push(Operation::Query(whole)),
+            None => self.part.ops.push(Operation::Query(message_range)),
         }
-        self.part.local = scan.unsupported.is_some() || scan.local_command.is_some();
+        self.part.is_local = scan.unsupported.is_some() || scan.local_command.is_some();
         self.part.query = Some(self.range(text));
         self.part.add_scan(&scan);
-        self.part.ends = true;
+        self.part.ends_unit = true;
     }
 
     fn bind(&mut self, prepared: Rc<Prepared>, portal: &[u8], statement: &[u8], rest: &[u8]) {
-        self.part.local &= prepared.scan.local_command.is_some();
+        self.part.is_local &= prepared.scan.local_command.is_some();
         self.part.add_scan(&prepared.scan);
-        self.part.first = Some(prepared.clone());
+        self.part.first_prepared = Some(prepared.clone());
         self.bound.insert(portal.to_vec());
         let (portal, rest) = (self.range(portal), self.range(rest));
         self.part.ops.push(Operation::Bind {
@@ -60,10 +60,11 @@
         });
     }
 
-    /// What shared connections can't carry can't hide among other operations either.
-    fn refuse_mixed_commands(&mut self) {
+    /// Fails the part if DISCARD or DEALLOCATE is mixed with other operations: an engine would
+    /// apply it to a shared connection.
+    fn reject_mixed_commands(&mut self) {
         let part = &mut self.part;
-        let mixed = !part.local
+        let mixed = !part.is_local
             && part
                 .local_commands
                 .iter()
@@ -78,13 +79,13 @@
     }
 }
 
-fn violation(why: ProtocolError) -> ClientError {
+fn protocol_violation(why: ProtocolError) -> ClientError {
     ClientError::Protocol { why }
 }
 
 impl Session {
-    /// Takes the next unit, or part of one, from the start of `input`; says how much of it is used up. An
-    /// error ends the session.
+    /// Reads the next unit, or part of one, from the start of `input`. Returns the number of bytes
+    /// consumed, and the event. An error ends the session.
     pub fn read(
         &mut self,
         input: &[u8],
@@ -96,10 +97,10 @@
         };
         let part = UnitPart {
             raw: input[..end].to_vec(),
-            local: true,
+            is_local: true,
             ..UnitPart::default()
         };
-        let mut reading = Reading {
+        let mut reader = PartReader {
             input,
             catalogue,
             bounds,
@@ -108,32 +109,34 @@
         };
         let mut at = 0;
         while at < end {
-            let message = wire::message(&input[at..end], bounds.bytes).map_err(violation)?;
+            let message =
+                wire::message(&input[at..end], bounds.bytes).map_err(protocol_violation)?;
             let Some(Message { tag, body, len }) = message else {
                 break;
             };
-            match wire::client_message(tag, body).map_err(violation)? {
+            match wire::client_message(tag, body).map_err(protocol_violation)? {
                 ClientMessage::Terminate => return Ok((end, SessionEvent::Terminated)),
                 ClientMessage::Query(_) | ClientMessage::FunctionCall if self.in_unit || at > 0 => {
-                    // What an engine would do with it depends on whether the unit has failed by then.
-                    return Err(violation(ProtocolError::Mixed));
+                    // The effect at an engine would depend on whether the unit has failed by then.
+                    return Err(protocol_violation(ProtocolError::SimpleQueryWithinExtended));
                 }
-                message => self.take(&mut reading, message, at..at + len),
+                message => self.read_message(&mut reader, message, at..at + len),
             }
             at += len;
         }
-        reading.refuse_mixed_commands();
-        let mut part = reading.part;
-        part.local &= !self.in_unit;
-        self.in_unit = !part.ends;
+        reader.reject_mixed_commands();
+        let mut part = reader.part;
+        part.is_local &= !self.in_unit;
+        self.in_unit = !part.ends_unit;
         Ok((end, SessionEvent::Part(Rc::new(part))))
     }
 
-    /// Where the unit, or the part of it that a Flush ends, is over; None until all of it has come.
+    /// Returns the offset at which the unit ends, or the part of it that a Flush ends; None if it
+    /// is incomplete.
     fn end_of_part(&mut self, input: &[u8], bounds: &Bounds) -> Result<Option<usize>, ClientError> {
         let mut at = std::mem::take(&mut self.scanned);
         loop {
-            match wire::header(&input[at..]).map_err(violation)? {
+            match wire::header(&input[at..]).map_err(protocol_violation)? {
                 Some(Header { len, .. }) if len > bounds.bytes || at + len > bounds.bytes => {
                     return Err(ClientError::LimitExceeded {
                         why: "the bytes of a unit",
@@ -153,96 +156,105 @@
         }
     }
 
-    /// Takes one message, which is `whole` in the part's bytes.
-    fn take(&mut self, reading: &mut Reading, message: ClientMessage, whole: Range<usize>) {
+    /// Adds one message to the part; `message_range` is its range in the part's bytes.
+    fn read_message(
+        &mut self,
+        reader: &mut PartReader,
+        message: ClientMessage,
+        message_range: Range<usize>,
+    ) {
         match message {
             ClientMessage::FunctionCall => {
                 let why = ClientError::Unsupported {
                     why: "a function call",
                 };
-                reading
+                reader
                     .part
                     .ops
                     .extend([Operation::Fail(why), Operation::Sync]);
-                reading.part.ends = true;
+                reader.part.ends_unit = true;
             }
-            ClientMessage::Query(text) => reading.query(text, whole),
-            ClientMessage::Parse { name, body, .. } => self.take_parse(reading, name, body),
-            ClientMessage::Bind { portal, .. } if !self.opens(portal, reading.bounds) => {
+            ClientMessage::Query(text) => reader.query(text, message_range),
+            ClientMessage::Parse { name, body, .. } => self.read_parse(reader, name, body),
+            ClientMessage::Bind { portal, .. } if !self.open_portal(portal, reader.bounds) => {
                 let why = ClientError::LimitExceeded { why: "portals" };
-                reading.part.ops.push(Operation::Fail(why));
+                reader.part.ops.push(Operation::Fail(why));
             }
             ClientMessage::Bind {
                 portal,
                 statement,
                 rest,
-            } => match self.known(statement) {
-                Some(prepared) => reading.bind(prepared, portal, statement, rest),
-                None => reading.part.ops.push(no_such(statement)),
+            } => match self.find_prepared(statement) {
+                Some(prepared) => reader.bind(prepared, portal, statement, rest),
+                None => reader.part.ops.push(no_such_statement(statement)),
             },
             ClientMessage::Describe {
                 statement: true,
                 name,
-            } => match self.known(name) {
+            } => match self.find_prepared(name) {
                 Some(prepared) => {
-                    reading.part.local &= prepared.scan.local_command.is_some();
-                    reading.part.ops.push(Operation::Describe {
+                    reader.part.is_local &= prepared.scan.local_command.is_some();
+                    reader.part.ops.push(Operation::Describe {
                         prepared,
                         named: !name.is_empty(),
                     });
                 }
-                None => reading.part.ops.push(no_such(name)),
+                None => reader.part.ops.push(no_such_statement(name)),
             },
             ClientMessage::Describe {
                 statement: false,
                 name,
             } => {
-                reading.part.local &= reading.bound.contains(name);
-                reading.part.ops.push(Operation::DescribePortal(whole));
+                reader.part.is_local &= reader.bound.contains(name);
+                reader
+                    .part
+                    .ops
+                    .push(Operation::DescribePortal(message_range));
             }
             ClientMessage::Execute { portal, .. } => {
-                reading.part.local &= reading.bound.contains(portal);
-                reading.part.ops.push(Operation::Execute(whole));
+                reader.part.is_local &= reader.bound.contains(portal);
+                reader.part.ops.push(Operation::Execute(message_range));
             }
             ClientMessage::Close {
                 statement: true,
                 name,
             } => {
                 self.forget(name);
-                reading.part.ops.push(Operation::CloseStatement);
+                reader.part.ops.push(Operation::CloseStatement);
             }
             ClientMessage::Close {
                 statement: false,
                 name,
             } => {
                 self.portals.remove(name);
-                reading.part.ops.push(Operation::ClosePortal(whole));
+                reader.part.ops.push(Operation::ClosePortal(message_range));
             }
-            ClientMessage::Flush => reading.part.ops.push(Operation::Flush),
+            ClientMessage::Flush => reader.part.ops.push(Operation::Flush),
             ClientMessage::Sync => {
-                reading.part.ops.push(Operation::Sync);
-                reading.part.ends = true;
+                reader.part.ops.push(Operation::Sync);
+                reader.part.ends_unit = true;
             }
-            // Outside a copy it is passed over, as engines do; Terminate is for the caller.
+            // COPY data outside a COPY is ignored, as engines do; Terminate is handled by the
+            // caller.
             ClientMessage::Copy | ClientMessage::Terminate => {}
         }
     }
 
-    fn take_parse(&mut self, reading: &mut Reading, name: &[u8], body: &[u8]) {
-        let prepared = reading.catalogue.prepare(body);
-        let part = &mut reading.part;
-        part.local &= prepared.scan.local_command.is_some();
-        let fault = self.prepare(name, &prepared, reading.bounds);
+    fn read_parse(&mut self, reader: &mut PartReader, name: &[u8], body: &[u8]) {
+        let prepared = reader.catalogue.prepare(body);
+        let part = &mut reader.part;
+        part.is_local &= prepared.scan.local_command.is_some();
+        let error = self.register(name, &prepared, reader.bounds);
         let unsupported = prepared
             .scan
             .unsupported
             .map(|why| ClientError::Unsupported { why });
-        let known_here = fault.is_none();
-        match fault.or(unsupported) {
+        let is_registered = error.is_none();
+        match error.or(unsupported) {
             Some(why) => {
                 part.ops.push(Operation::Fail(why));
-                // A name that was taken before stays with what it names.
-                if known_here {
+                // A name that was in use before keeps its statement.
+                if is_registered {
                     self.forget(name);
                 }
             }
@@ -252,13 +264,13 @@
                     prepared: prepared.clone(),
                     named,
                 });
-                part.named.push(name.to_vec());
+                part.parsed_names.push(name.to_vec());
             }
         }
-        part.first.get_or_insert(prepared);
+        part.first_prepared.get_or_insert(prepared);
     }
 
-    fn known(&self, name: &[u8]) -> Option<Rc<Prepared>> {
+    fn find_prepared(&self, name: &[u8]) -> Option<Rc<Prepared>> {
         let found = if name.is_empty() {
             self.unnamed.as_ref()
         } else {
@@ -267,20 +279,20 @@
         found.cloned()
     }
 
-    /// Whether a portal may be opened under this name.
-    fn opens(&mut self, name: &[u8], bounds: &Bounds) -> bool {
+    /// Opens a portal under this name. False if the limit of portals is reached.
+    fn open_portal(&mut self, name: &[u8], bounds: &Bounds) -> bool {
         if name.is_empty() || self.portals.contains(name) {
             return true;
         }
-        let room = self.portals.len() < bounds.portals;
-        if room {
+        let has_capacity = self.portals.len() < bounds.portals;
+        if has_capacity {
             self.portals.insert(name.to_vec());
         }
-        room
+        has_capacity
     }
 
-    /// Takes a statement in under its name, or says why not.
-    fn prepare(
+    /// Registers a prepared statement under its name; returns the error if that is not possible.
+    fn register(
         &mut self,
         name: &[u8],
         prepared: &Rc<Prepared>,
@@ -313,11 +325,13 @@
         }
     }
 
-    /// The unit that was begun is over, though its end has yet to come: what belongs to it is passed over.
-    /// Says how much of the input that is, and whether the Sync was there.
-    pub fn skip(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
+    /// Skips the messages of a unit that was already answered with an error. Returns the number of
+    /// bytes consumed, and whether the Sync was among them.
+    pub fn skip_to_sync(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
         let mut at = 0;
-        while let Some(Header { tag, len }) = wire::header(&input[at..]).map_err(violation)? {
+        while let Some(Header { tag, len }) =
+            wire::header(&input[at..]).map_err(protocol_violation)?
+        {
             if at + len > input.len() {
                 break;
             }
@@ -331,7 +345,7 @@
     }
 }
 
-fn no_such(name: &[u8]) -> Operation {
+fn no_such_statement(name: &[u8]) -> Operation {
     Operation::Fail(ClientError::NoSuchStatement {
         name: String::from_utf8_lossy(name).into(),
     })
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -1,5 +1,5 @@
-//! The start-up of a client's connection: requests for encryption, protocol versions, who the client is, and
-//! its authentication.
+//! The startup of a client's connection: encryption requests, protocol versions, the client's
+//! parameters and its authentication.
 
 use std::collections::BTreeMap;
 
@@ -8,60 +8,61 @@
 use crate::wire::{self, CancelKey, InitialMessage, Message};
 use crate::ProtocolError;
 
-/// The longest message of the SCRAM exchange, in bytes; those of the library take some hundred.
+/// The maximum length of a message of the SCRAM exchange, in bytes; client libraries send some
+/// hundred.
 const MAX_PROOF_BYTES: usize = 4096;
-/// How often a client may ask for encryption: there are two kinds.
+/// The maximum number of encryption requests: there are two kinds, TLS and GSSAPI.
 const MAX_ENCRYPTION_REQUESTS: usize = 2;
 
-// Kinds of authentication messages, as the protocol numbers them.
+// Codes of the protocol's authentication messages.
 const SASL: u32 = 10;
 const SASL_CONTINUE: u32 = 11;
 const SASL_FINAL: u32 = 12;
 
-/// A client by the parameters of its start-up.
+/// A client, described by the parameters of its startup message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Client {
     /// The user's name.
     pub user: String,
-    /// The database's name; the user's where it gave none.
+    /// The database's name; the user's name if the client sent none.
     pub database: String,
-    /// All other parameters, those of `options` among them.
+    /// All other parameters, including those in `options`.
     pub parameters: BTreeMap<String, String>,
 }
 
-/// How a user proves who it is.
+/// The authentication that a user needs.
 #[derive(Clone)]
 pub enum Authentication {
-    /// Not at all.
+    /// No authentication.
     Trust,
-    /// By SCRAM-SHA-256.
+    /// SCRAM-SHA-256 with this verifier.
     Scram(Verifier),
 }
 
-/// What the input of a connection that starts up comes to.
+/// The result of reading the input of a connection during startup.
 pub enum StartupStep {
-    /// More has to come.
+    /// The input holds no complete message.
     Incomplete,
-    /// It is a request to cancel; the connection ends.
+    /// The connection carries a cancel request, and ends.
     Cancel(CancelKey),
-    /// The client is in; its session begins.
+    /// The client is authenticated; its session starts.
     Accepted(Client),
-    /// It is refused, and the error is written; the connection ends.
+    /// The client is rejected with an error that was written; the connection ends.
     Refused,
 }
 
 #[derive(Default)]
 enum Stage {
-    /// The start-up message has yet to come.
+    /// The startup message has not yet arrived.
     #[default]
-    Opening,
-    /// The client's first message of SCRAM is due.
-    First(Client, Verifier),
-    /// The client's proof is due.
-    Last(Client, Exchange),
+    Startup,
+    /// The client's first SCRAM message is expected.
+    InitialResponse(Client, Verifier),
+    /// The client's final SCRAM message, with its proof, is expected.
+    Proof(Client, Exchange),
 }
 
-/// The state of a connection that starts up.
+/// The state of a connection during startup.
 #[derive(Default)]
 pub struct Startup {
     stage: Stage,
@@ -69,13 +70,15 @@
 }
 
 impl Startup {
-    /// Reads `input` and writes the answers to `out`; returns how many bytes were used up. `access` is how a
-    /// user authenticates, None for one that does not exist; `secret` hides which do; `nonce` is new for each
-    /// connection. After any step but `Incomplete` it is not called again.
+    /// Reads `input` and writes the answers to `out`; returns the number of bytes consumed with the
+    /// step reached. `authentication` returns how a user authenticates, None for an unknown user;
+    /// `secret` is the key by which unknown users get a verifier, so that a client can't tell them
+    /// apart; `nonce` must be new for each connection. Must not be called again after any step but
+    /// `Incomplete`.
     pub fn read(
         &mut self,
         input: &[u8],
-        access: impl Fn(&str) -> Option<Authentication>,
+        authentication: impl Fn(&str) -> Option<Authentication>,
         secret: &[u8],
         nonce: &str,
         out: &mut Vec<u8>,
@@ -84,15 +87,15 @@
         loop {
             let rest = &input[used..];
             let step = match std::mem::take(&mut self.stage) {
-                Stage::Opening => {
+                Stage::Startup => {
                     let Some((len, message)) = wire::initial_message(rest)? else {
                         return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
-                    self.open(message, &access, secret, out)?
+                    self.handle_startup(message, &authentication, secret, out)?
                 }
-                stage @ (Stage::First(..) | Stage::Last(..)) => {
-                    let Some((body, len)) = proof(rest)? else {
+                stage @ (Stage::InitialResponse(..) | Stage::Proof(..)) => {
+                    let Some((body, len)) = password_message(rest)? else {
                         self.stage = stage;
                         return Ok((used, StartupStep::Incomplete));
                     };
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Takes a message of the SCRAM exchange; None where another has to follow.
+    /// Handles a message of the SCRAM exchange; None if another must follow.
     fn continue_scram(
         &mut self,
         stage: Stage,
@@ -115,19 +118,21 @@
         out: &mut Vec<u8>,
     ) -> Option<StartupStep> {
         match stage {
-            Stage::Opening => None,
-            Stage::First(client, verifier) => {
-                let begun = first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
-                let Some((exchange, answer)) = begun else {
-                    return Some(refused(&client, out));
+            Stage::Startup => None,
+            Stage::InitialResponse(client, verifier) => {
+                let exchange = initial_response(body).and_then(|initial_response| {
+                    Exchange::begin(verifier, initial_response, nonce)
+                });
+                let Some((exchange, answer)) = exchange else {
+                    return Some(reject(&client, out));
                 };
                 write_authentication(out, SASL_CONTINUE, answer.as_bytes());
-                self.stage = Stage::Last(client, exchange);
+                self.stage = Stage::Proof(client, exchange);
                 None
             }
-            Stage::Last(client, exchange) => {
+            Stage::Proof(client, exchange) => {
                 let Some(answer) = exchange.finish(body) else {
-                    return Some(refused(&client, out));
+                    return Some(reject(&client, out));
                 };
                 write_authentication(out, SASL_FINAL, answer.as_bytes());
                 Some(StartupStep::Accepted(client))
@@ -135,11 +140,11 @@
         }
     }
 
-    /// Takes the first message; None where another has to follow.
-    fn open(
+    /// Handles the first message; None if another must follow.
+    fn handle_startup(
         &mut self,
         message: InitialMessage,
-        access: impl Fn(&str) -> Option<Authentication>,
+        authentication: impl Fn(&str) -> Option<Authentication>,
         secret: &[u8],
         out: &mut Vec<u8>,
     ) -> Result<Option<StartupStep>, ProtocolError> {
@@ -147,7 +152,7 @@
             InitialMessage::EncryptionRequest => {
                 self.encryption_requests += 1;
                 if self.encryption_requests > MAX_ENCRYPTION_REQUESTS {
-                    return Err(ProtocolError::Encryption {
+                    return Err(ProtocolError::TooManyEncryptionRequests {
                         times: self.encryption_requests,
                     });
                 }
@@ -166,29 +171,29 @@
                     .filter(|n| n.starts_with("_pq_."))
                     .collect();
                 if minor > 0 || !unknown.is_empty() {
-                    wire::write_version(out, &unknown);
+                    wire::write_negotiate_version(out, &unknown);
                 }
-                let client = match client(&parameters) {
+                let client = match client_from_parameters(&parameters) {
                     Ok(client) => client,
                     Err(why) => {
                         why.write(out, true);
                         return Ok(Some(StartupStep::Refused));
                     }
                 };
-                let verifier = match access(&client.user) {
+                let verifier = match authentication(&client.user) {
                     Some(Authentication::Trust) => return Ok(Some(StartupStep::Accepted(client))),
                     Some(Authentication::Scram(verifier)) => verifier,
                     None => Verifier::for_unknown_user(&client.user, secret),
                 };
                 write_authentication(out, SASL, &[MECHANISM.as_bytes(), b"\0\0"].concat());
-                self.stage = Stage::First(client, verifier);
+                self.stage = Stage::InitialResponse(client, verifier);
                 Ok(None)
             }
         }
     }
 }
 
-/// Writes a message of the authentication: its kind and what belongs to it.
+/// Writes an authentication message with its code and data.
 fn write_authentication(out: &mut Vec<u8>, kind: u32, body: &[u8]) {
     wire::write(out, b'R', |out| {
         out.extend_from_slice(&kind.to_be_bytes());
@@ -196,30 +201,31 @@
     });
 }
 
-fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
+fn password_message(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     match wire::message(input, MAX_PROOF_BYTES)? {
         Some(Message {
             tag: b'p',
             body,
             len,
         }) => Ok(Some((body, len))),
-        Some(Message { tag, .. }) => Err(ProtocolError::NoProof(tag)),
+        Some(Message { tag, .. }) => Err(ProtocolError::ExpectedPasswordMessage(tag)),
         None => match input.first() {
-            Some(tag) if *tag != b'p' => Err(ProtocolError::NoProof(*tag)),
+            Some(tag) if *tag != b'p' => Err(ProtocolError::ExpectedPasswordMessage(*tag)),
             _ => Ok(None),
         },
     }
 }
 
-/// The client's first message of SASL, behind the mechanism that it chose.
-fn first(body: &[u8]) -> Option<&[u8]> {
+/// Returns the client's first SCRAM message from its SASLInitialResponse; None if it chose another
+/// mechanism or the lengths do not match.
+fn initial_response(body: &[u8]) -> Option<&[u8]> {
     let mut rest = body;
     let mechanism = wire::read_string(&mut rest).ok()?;
     let len = u32::from_be_bytes(rest.get(..4)?.try_into().ok()?) as usize;
     (mechanism == MECHANISM.as_bytes() && rest.len() - 4 == len).then_some(&rest[4..])
 }
 
-fn refused(client: &Client, out: &mut Vec<u8>) -> StartupStep {
+fn reject(client: &Client, out: &mut Vec<u8>) -> StartupStep {
     ClientError::WrongPassword {
         user: client.user.clone(),
     }
@@ -227,7 +233,7 @@
     StartupStep::Refused
 }
 
-fn client(parameters: &[(&str, &str)]) -> Result<Client, ClientError> {
+fn client_from_parameters(parameters: &[(&str, &str)]) -> Result<Client, ClientError> {
     let mut client = Client::default();
     for (name, value) in parameters {
         match *name {
@@ -237,7 +243,7 @@
                 return Err(ClientError::Unsupported { why: "replication" });
             }
             "replication" => {}
-            "options" => options(value, &mut client.parameters),
+            "options" => parse_options(value, &mut client.parameters),
             name if name.starts_with("_pq_.") => {}
             name => {
                 _ = client
@@ -257,8 +263,8 @@
     Ok(client)
 }
 
-/// `-c name=value` and `--name=value`, spaces within a value behind a backslash.
-fn options(text: &str, parameters: &mut BTreeMap<String, String>) {
+/// Parses `-c name=value` and `--name=value` options; a backslash escapes a space within a value.
+fn parse_options(text: &str, parameters: &mut BTreeMap<String, String>) {
     let mut words: Vec<String> = vec![String::new()];
     let mut chars = text.chars();
     while let Some(c) = chars.next() {
--- a/crates/scatter/src/build.rs
+++ b/crates/scatter/src/build.rs
@@ -1,4 +1,4 @@
-//! A site's summary from the rows that it holds, within a bound of bytes.
+//! Builds a site's summary from its rows, within a limit of bytes.
 
 use std::collections::BTreeSet;
 
@@ -6,32 +6,35 @@
 
 use crate::filter::Members;
 use crate::layers;
-use crate::summary::{Column, Loads, Summary, Table, MOST_BYTES};
+use crate::summary::{Column, LoadNumbers, Summary, Table, MAX_SUMMARY_BYTES};
 use crate::value::{less, Kind, Value};
 use crate::{runs, sketch};
 
-const LONGEST_TEXT: usize = 64; // bytes of text that bounds keep
-const MOST_HASHES: usize = MOST_BYTES; // of a column: a filter of more would not fit
-const SIGNATURE_BYTES: usize = 128; // bytes for the signature and lengths around it
+// Longer bounds are truncated.
+const MAX_BOUND_TEXT_BYTES: usize = 64;
+// A filter of more hashes would not fit.
+const MAX_COLUMN_HASHES: usize = MAX_SUMMARY_BYTES;
+// For the signature and the lengths around it.
+const RESERVED_SIGNATURE_BYTES: usize = 128;
 
-/// What holds for a whole summary.
+/// The fields of a summary that do not come from its tables.
 #[derive(Clone, Debug)]
 pub struct SummaryHeader {
-    /// The site that signs it.
+    /// The site that signs the summary.
     pub site: String,
-    /// The table group that it is about.
+    /// The table group that the summary describes.
     pub group: u32,
     /// The version of the tables' schema, as the operator counts it.
     pub schema: u32,
-    /// The summary's version; has to grow with each summary of this site and group.
+    /// The summary's version; must increase with each summary of this site and group.
     pub version: u64,
-    /// Unix milliseconds by the site's clock.
+    /// Unix milliseconds on the site's clock.
     pub made_ms: u64,
-    /// The marked loads whose rows are in it.
-    pub loads: Loads,
+    /// The numbers of the marked loads whose rows are in the summary.
+    pub loads: LoadNumbers,
 }
 
-/// One table as rows come in.
+/// Collects the rows of one table.
 pub struct TableBuilder {
     name: String,
     rows: u64,
@@ -43,7 +46,8 @@
     kind: Kind,
     nulls: u64,
     bounds: Option<(Value, Value)>,
-    /// A value came that has no place in any order, or is not of the kind: nothing is usable of the column.
+    /// Whether a value had no order or did not fit the column's kind: the column's bounds and
+    /// filter are not usable then.
     unordered: bool,
     runs: runs::RunsBuilder,
     sketch: Option<sketch::SketchBuilder>,
@@ -51,9 +55,10 @@
 }
 
 impl TableBuilder {
-    /// Names as unquoted ones are, without the schema.
+    /// Creates a builder without rows. `name` is the table's name without its schema; table and
+    /// column names are converted to lower case, as for unquoted identifiers.
     pub fn new(name: &str, columns: &[(&str, Kind)]) -> TableBuilder {
-        let growing = |(name, kind): &(&str, Kind)| ColumnBuilder {
+        let column_builder = |(name, kind): &(&str, Kind)| ColumnBuilder {
             name: name.to_ascii_lowercase(),
             kind: *kind,
             nulls: 0,
@@ -66,11 +71,11 @@
         TableBuilder {
             name: name.to_ascii_lowercase(),
             rows: 0,
-            columns: columns.iter().map(growing).collect(),
+            columns: columns.iter().map(column_builder).collect(),
         }
     }
 
-    /// Sketches of the distinct values of these columns are made too, where their kind has them.
+    /// Also builds sketches of the distinct values of these columns, where their kind supports it.
     pub fn with_sketches(mut self, columns: &[&str]) -> TableBuilder {
         for column in self
             .columns
@@ -82,18 +87,18 @@
         self
     }
 
-    /// One row, its values in the order of the columns; None and what is missing are null.
+    /// Adds a row whose values are in the order of the columns; None and missing values are null.
     pub fn add_row(&mut self, values: &[Option<Value>]) {
         self.rows += 1;
-        for (place, column) in self.columns.iter_mut().enumerate() {
-            match values.get(place) {
+        for (position, column) in self.columns.iter_mut().enumerate() {
+            match values.get(position) {
                 Some(Some(value)) => column.add_value(value),
                 _ => column.nulls += 1,
             }
         }
     }
 
-    /// The table with full filters, and the small ones of its columns.
+    /// Returns the table with its full filters, and the small filters by column.
     fn finish(self) -> (Table, Vec<Option<Members>>) {
         let (columns, small) = self.columns.into_iter().map(ColumnBuilder::finish).unzip();
         (
@@ -109,10 +114,10 @@
 
 impl ColumnBuilder {
     fn add_value(&mut self, value: &Value) {
-        if self.hashes.len() < MOST_HASHES {
+        if self.hashes.len() < MAX_COLUMN_HASHES {
             self.hashes.insert(value.hash());
         }
-        // NaN has no order that all engines share.
+        // Engines do not agree on the order of NaN.
         if !value.fits(self.kind) || matches!(value, Value::Float(f) if !f.is_finite()) {
             self.unordered = true;
             return;
@@ -140,12 +145,12 @@
         let usable = !self.unordered && self.kind != Kind::Other;
         let (mut bounds, mut tight) = (self.bounds.filter(|_| usable), true);
         if let Some((Value::Text(least), Value::Text(greatest))) = &mut bounds {
-            if least.len() > LONGEST_TEXT {
-                (tight, *least) = (false, cut(least).to_string());
+            if least.len() > MAX_BOUND_TEXT_BYTES {
+                (tight, *least) = (false, truncate(least).to_string());
             }
-            if greatest.len() > LONGEST_TEXT {
+            if greatest.len() > MAX_BOUND_TEXT_BYTES {
                 tight = false;
-                match above(cut(greatest)) {
+                match prefix_successor(truncate(greatest)) {
                     Some(text) => *greatest = text,
                     None => bounds = None,
                 }
@@ -157,11 +162,12 @@
             .as_ref()
             .filter(|_| usable)
             .map(sketch::SketchBuilder::bytes);
-        // Engines round floats in ways of their own: their equality proves nothing.
-        let whole = self.hashes.len() < MOST_HASHES && usable && self.kind != Kind::Float;
-        let hashes: Vec<u64> = self.hashes.into_iter().filter(|_| whole).collect();
-        let small = whole.then(|| Members::small(hashes.clone()));
-        let members = whole.then(|| Members::new(hashes)).flatten();
+        // Engines round floats differently, so that equality of floats proves nothing.
+        let has_all_hashes =
+            self.hashes.len() < MAX_COLUMN_HASHES && usable && self.kind != Kind::Float;
+        let hashes: Vec<u64> = self.hashes.into_iter().filter(|_| has_all_hashes).collect();
+        let small = has_all_hashes.then(|| Members::small(hashes.clone()));
+        let members = has_all_hashes.then(|| Members::new(hashes)).flatten();
         let (name, kind, nulls) = (self.name, self.kind, self.nulls);
         (
             Column {
@@ -180,16 +186,18 @@
     }
 }
 
-fn cut(text: &str) -> &str {
-    let mut end = LONGEST_TEXT.min(text.len());
+fn truncate(text: &str) -> &str {
+    let mut end = MAX_BOUND_TEXT_BYTES.min(text.len());
     while !text.is_char_boundary(end) {
         end -= 1;
     }
     &text[..end]
 }
 
-/// Text above everything that begins with the text given: its last character that has a next one, one further.
-pub fn above(text: &str) -> Option<String> {
+/// Returns a text that is greater than every text with the given prefix: the
+/// prefix with its last character that has a successor replaced by that successor. None if no
+/// character has one.
+pub fn prefix_successor(text: &str) -> Option<String> {
     let mut chars: Vec<char> = text.chars().collect();
     while let Some(last) = chars.pop() {
         let next = (u32::from(last) + 1..=u32::from(char::MAX))
@@ -203,8 +211,13 @@
     None
 }
 
-/// The summary of a group's tables. Where it would be too long, the largest filters go until it is not.
-pub fn summary(about: SummaryHeader, tables: Vec<TableBuilder>, most_bytes: usize) -> Summary {
+/// Builds the summary of a group's tables. Removes the largest filters while the summary is longer
+/// than `max_bytes` (at most [`MAX_SUMMARY_BYTES`]).
+pub fn build_summary(
+    header: SummaryHeader,
+    tables: Vec<TableBuilder>,
+    max_bytes: usize,
+) -> Summary {
     let SummaryHeader {
         site,
         group,
@@ -212,7 +225,7 @@
         version,
         made_ms,
         loads,
-    } = about;
+    } = header;
     let tables = tables.into_iter().map(|table| table.finish().0).collect();
     let mut summary = Summary {
         schema,
@@ -222,23 +235,25 @@
         tables,
         ..Summary::empty(&site, group)
     };
-    let most = most_bytes.min(MOST_BYTES).saturating_sub(SIGNATURE_BYTES);
-    while summary.size() > most {
+    let max_content_bytes = max_bytes
+        .min(MAX_SUMMARY_BYTES)
+        .saturating_sub(RESERVED_SIGNATURE_BYTES);
+    while summary.size() > max_content_bytes {
         let columns = summary.tables.iter_mut().flat_map(|t| &mut t.columns);
         let largest = columns.max_by_key(|c| c.members.as_ref().map_or(0, Members::size));
         if largest.and_then(|c| c.members.take()).is_none() {
             break;
         }
     }
-    summary.cut(most, summary.format, summary.format);
+    summary.drop_extensions(max_content_bytes, summary.format, summary.format);
     summary
 }
 
-/// The same in sheets, signed: fronts may hold a part of it.
-pub fn layered(
-    about: SummaryHeader,
+/// Builds and signs a summary in layers, of which fronts may hold only the first ones.
+pub fn build_layered_summary(
+    header: SummaryHeader,
     tables: Vec<TableBuilder>,
-    most_bytes: usize,
+    max_bytes: usize,
     key: &SigningKey,
 ) -> Vec<u8> {
     let SummaryHeader {
@@ -248,24 +263,30 @@
         version,
         made_ms,
         loads,
-    } = about;
+    } = header;
     let (mut small, mut full) = (Vec::new(), Vec::new());
-    let mut of = |(at, table): (usize, TableBuilder)| {
-        let (mut table, smalls) = table.finish();
-        for (place, (column, few)) in table.columns.iter_mut().zip(smalls).enumerate() {
-            let name = (at as u16, place as u16);
+    let mut finish_table = |(table_position, table): (usize, TableBuilder)| {
+        let (mut table, small_filters) = table.finish();
+        for (position, (column, small_filter)) in
+            table.columns.iter_mut().zip(small_filters).enumerate()
+        {
+            let name = (table_position as u16, position as u16);
             let members = column.members.take();
-            // Few values are all there already.
+            // With few values the small filter already holds all hashes.
             full.extend(
                 members
-                    .filter(|m| Some(m) != few.as_ref())
+                    .filter(|m| Some(m) != small_filter.as_ref())
                     .map(|m| (name.0, name.1, m)),
             );
-            small.extend(few.map(|m| (name.0, name.1, m)));
+            small.extend(small_filter.map(|m| (name.0, name.1, m)));
         }
         table
     };
-    let tables = tables.into_iter().enumerate().map(&mut of).collect();
+    let tables = tables
+        .into_iter()
+        .enumerate()
+        .map(&mut finish_table)
+        .collect();
     let summary = Summary {
         schema,
         version,
@@ -274,5 +295,5 @@
         tables,
         ..Summary::empty(&site, group)
     };
-    layers::sign(summary, small, full, most_bytes, key)
+    layers::sign(summary, small, full, max_bytes, key)
 }
--- a/crates/scatter/src/combine.rs
+++ b/crates/scatter/src/combine.rs
@@ -1,42 +1,43 @@
-//! Aggregates that are put together from those of the sites: counts and sums of decimals of any length, the
-//! least and the greatest of numbers, exactly; sums of floats as doubles in the order of sites. What depends
-//! on a collation is not taken.
+//! Combines the aggregates of the sites into one row. Counts, sums of decimals of any length,
+//! minima and maxima of numbers are exact; floats are added as doubles in the order of the sites.
+//! Aggregates that depend on a collation are not supported.
 
 use bigdecimal::BigDecimal;
 use sqlparser::ast::{Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, SelectItem};
 
-use crate::row::{arguments, beyond_one_row};
+use crate::row::{arguments, non_row_expression};
 use crate::sql::{ColumnScope, Unsupported};
 use crate::value::Kind;
 
-const NULLS: [&str; 4] = ["", "\\N", "NULL", "null"]; // as engines write that there is no value
-const LONGEST: usize = 1_000; // characters of a number
+// How engines write NULL.
+const NULL_SPELLINGS: [&str; 4] = ["", "\\N", "NULL", "null"];
+const MAX_NUMBER_CHARS: usize = 1_000;
 
-/// The aggregates that can be put together from those of the sites.
+/// The aggregates that can be computed from those of the sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AggregateKind {
-    /// `count(*)` or `count(column)`; the parts are added.
+    /// `count(*)` or `count(column)`; the counts are added.
     Count,
-    /// `sum(column)`; the parts are added.
+    /// `sum(column)`; the sums are added.
     Sum,
-    /// `min(column)`; the least of the parts.
+    /// `min(column)`; the least value is the result.
     Min,
-    /// `max(column)`; the greatest of the parts.
+    /// `max(column)`; the greatest value is the result.
     Max,
 }
 
 /// One column of the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Aggregate {
-    /// How the parts are put together.
+    /// How the values of the parts are combined.
     pub kind: AggregateKind,
-    /// Of which column; None: of rows.
+    /// The column that is aggregated; None for `count(*)` and for counts of expressions.
     pub column: Option<String>,
-    /// The column holds floats: they are added as doubles, in the order of sites.
+    /// Whether the column holds floats, which are added as doubles in the order of the sites.
     pub float: bool,
 }
 
-/// Takes a select list of aggregates; None: it has none.
+/// Reads the aggregates of a select list. None if it has no aggregates.
 pub(crate) fn read(
     projection: &[SelectItem],
     names: &ColumnScope,
@@ -48,7 +49,7 @@
         "max" => Some(AggregateKind::Max),
         _ => None,
     };
-    let of = |item: &SelectItem| match item {
+    let aggregate_call = |item: &SelectItem| match item {
         SelectItem::UnnamedExpr(Expr::Function(f))
         | SelectItem::ExprWithAlias {
             expr: Expr::Function(f),
@@ -56,7 +57,8 @@
         } => kind_of(f).map(|kind| (kind, f.clone())),
         _ => None,
     };
-    let all: Vec<(AggregateKind, Function)> = projection.iter().filter_map(of).collect();
+    let all: Vec<(AggregateKind, Function)> =
+        projection.iter().filter_map(aggregate_call).collect();
     if all.is_empty() {
         return Ok(None);
     }
@@ -67,8 +69,8 @@
     let mut aggregates = Vec::new();
     for (kind, f) in all {
         let column = match (kind, arguments(&f).as_deref()) {
-            (AggregateKind::Count, None) if is_of_rows(&f) => None,
-            (AggregateKind::Count, Some([e])) if beyond_one_row(e).is_none() => None,
+            (AggregateKind::Count, None) if is_row_count(&f) => None,
+            (AggregateKind::Count, Some([e])) if non_row_expression(e).is_none() => None,
             (AggregateKind::Sum | AggregateKind::Min | AggregateKind::Max, Some([e])) => {
                 match names.column(e) {
                     Some(column) => Some(column),
@@ -90,8 +92,8 @@
     Ok(Some(aggregates))
 }
 
-/// `count(*)` and nothing else.
-fn is_of_rows(f: &Function) -> bool {
+/// Whether the call is exactly `count(*)`.
+fn is_row_count(f: &Function) -> bool {
     let plain = f.over.is_none()
         && f.filter.is_none()
         && f.within_group.is_empty()
@@ -110,7 +112,9 @@
 }
 
 impl Aggregate {
-    /// Whether it can be put together, by what its column holds at every site. Text depends on a collation.
+    /// Checks that the aggregate can be combined, given the kind of its column at the sites, and
+    /// notes whether it is a float. Minimum and maximum of text depend on the collation and are not
+    /// supported.
     pub fn check(&mut self, column_kind: impl Fn(&str) -> Option<Kind>) -> Result<(), Unsupported> {
         let Some(column) = &self.column else {
             return Ok(());
@@ -131,13 +135,15 @@
     }
 
     fn join(&self, fields: &[&str]) -> Option<String> {
-        let null = fields.iter().find(|field| NULLS.contains(field));
+        let null = fields.iter().find(|field| NULL_SPELLINGS.contains(field));
         if self.float && self.kind != AggregateKind::Count {
             return self.join_floats(fields, null.copied());
         }
-        let values = fields.iter().filter(|field| !NULLS.contains(field));
+        let values = fields
+            .iter()
+            .filter(|field| !NULL_SPELLINGS.contains(field));
         let values: Vec<(BigDecimal, &str)> = values
-            .map(|field| Some((number(field)?, *field)))
+            .map(|field| Some((parse_decimal(field)?, *field)))
             .collect::<Option<_>>()?;
         if values.is_empty() || self.kind == AggregateKind::Count && null.is_some() {
             return null
@@ -160,12 +166,14 @@
         }
     }
 
-    /// The sum of doubles in the order of sites, which is the same at each try; or the one that is least or
-    /// greatest, as it came.
+    /// Combines floats: adds doubles in the order of the sites, so that each attempt has the same
+    /// result, or returns the least or the greatest one as its site wrote it.
     fn join_floats(&self, fields: &[&str], null: Option<&str>) -> Option<String> {
-        let values = fields.iter().filter(|field| !NULLS.contains(field));
+        let values = fields
+            .iter()
+            .filter(|field| !NULL_SPELLINGS.contains(field));
         let values: Vec<(f64, &str)> = values
-            .map(|field| Some((float(field)?, *field)))
+            .map(|field| Some((parse_float(field)?, *field)))
             .collect::<Option<_>>()?;
         if values.is_empty() {
             return null.map(str::to_string);
@@ -179,7 +187,7 @@
                 .iter()
                 .max_by(|a, b| a.0.total_cmp(&b.0))
                 .map(|(_, f)| (*f).to_string()),
-            // One site's own sum stays as it wrote it.
+            // The sum of a single site is returned as the site wrote it.
             _ if values.len() == 1 => Some(values[0].1.to_string()),
             _ => Some(values.iter().map(|(number, _)| number).sum::<f64>())
                 .filter(|sum| sum.is_finite())
@@ -188,25 +196,26 @@
     }
 }
 
-/// A finite one: of others engines make this or that.
-fn float(field: &str) -> Option<f64> {
+/// Parses a finite float; engines treat other values differently.
+fn parse_float(field: &str) -> Option<f64> {
     let plain = |c: u8| c.is_ascii_digit() || b"+-.eE".contains(&c);
-    let short = field.len() <= LONGEST && field.bytes().all(plain);
+    let short = field.len() <= MAX_NUMBER_CHARS && field.bytes().all(plain);
     field
         .parse()
         .ok()
         .filter(|number: &f64| short && number.is_finite())
 }
 
-fn number(field: &str) -> Option<BigDecimal> {
+fn parse_decimal(field: &str) -> Option<BigDecimal> {
     let plain = |c: u8| c.is_ascii_digit() || b"+-.".contains(&c);
     field
         .parse()
         .ok()
-        .filter(|_| field.len() <= LONGEST && field.bytes().all(plain))
+        .filter(|_| field.len() <= MAX_NUMBER_CHARS && field.bytes().all(plain))
 }
 
-/// One row from one row of each part; the place of the first part that is of another form where there is one.
+/// Combines one row from each part into one row. If a part's answer is malformed, returns the index
+/// of the first such part.
 pub fn join(aggregates: &[Aggregate], parts: &[&[u8]]) -> Result<Vec<u8>, usize> {
     let (mut rows, mut empty): (Vec<Vec<&str>>, usize) = (Vec::new(), 0);
     for (at, part) in parts.iter().enumerate() {
@@ -218,12 +227,12 @@
             .ok_or(at)?
             .split('\t')
             .collect();
-        // Engines' rows have three columns: what is not asked for is empty.
-        let beyond = fields.split_off(aggregates.len().min(fields.len()));
-        if fields.len() != aggregates.len() || beyond.iter().any(|field| !field.is_empty()) {
+        // Rows of engines have three columns; columns that were not selected are empty.
+        let extra_fields = fields.split_off(aggregates.len().min(fields.len()));
+        if fields.len() != aggregates.len() || extra_fields.iter().any(|field| !field.is_empty()) {
             return Err(at);
         }
-        empty = empty.max(beyond.len());
+        empty = empty.max(extra_fields.len());
         rows.push(fields);
     }
     let mut joined = Vec::new();
@@ -233,8 +242,8 @@
             .filter_map(|row| row.get(place).copied())
             .collect();
         let Some(field) = aggregate.join(&fields) else {
-            let wrong = |field: &&str| aggregate.join(&[field]).is_none();
-            return Err(fields.iter().position(wrong).unwrap_or(0));
+            let is_malformed = |field: &&str| aggregate.join(&[field]).is_none();
+            return Err(fields.iter().position(is_malformed).unwrap_or(0));
         };
         joined.push(field);
     }
--- a/crates/scatter/src/row.rs
+++ b/crates/scatter/src/row.rs
@@ -1,15 +1,17 @@
-//! Whether expressions are of one row alone, and read alike by all dialects. The expressions within one are named here, not
-//! walked by the crate's own visitor: that has the whole of its tree walked by code made anew, minutes of a release build.
+//! Checks whether expressions depend on one row only, and whether all dialects read them alike. The
+//! expressions within an expression are enumerated here, because the visitor of `sqlparser` is
+//! generic code over its whole syntax tree, which adds minutes to a release build.
 
 use std::ops::ControlFlow;
 
 use sqlparser::ast::{
     BinaryOperator, Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, InTarget,
-    SelectItem, UnaryOperator, Value as Word,
+    SelectItem, UnaryOperator, Value as SqlValue,
 };
 
-/// Functions of one row alone. Any other may be an aggregate, or give another value at each call.
-const OF_ONE_ROW: [&str; 24] = [
+/// Functions of one row only. Any other function may be an aggregate, or return another value at
+/// each call.
+const SINGLE_ROW_FUNCTIONS: [&str; 24] = [
     "abs",
     "ceil",
     "ceiling",
@@ -36,17 +38,20 @@
     "upper",
 ];
 
-type Look = fn(&Expr) -> ControlFlow<String>;
+type ExpressionCheck = fn(&Expr) -> ControlFlow<String>;
 
-/// What in an expression is not of one row alone, by itself; None: nothing.
-pub(crate) fn beyond_one_row(e: &Expr) -> Option<String> {
-    walk(e, of_one_row)
+/// Describes the first part of an expression that does not depend on one row only; None if there is
+/// none.
+pub(crate) fn non_row_expression(e: &Expr) -> Option<String> {
+    walk(e, check_single_row)
 }
 
-/// The same of what is selected.
-pub(crate) fn selects_beyond_one_row(item: &SelectItem) -> Option<String> {
+/// Like [`non_row_expression`], for an item of a select list.
+pub(crate) fn selected_non_row_expression(item: &SelectItem) -> Option<String> {
     match item {
-        SelectItem::UnnamedExpr(e) | SelectItem::ExprWithAlias { expr: e, .. } => beyond_one_row(e),
+        SelectItem::UnnamedExpr(e) | SelectItem::ExprWithAlias { expr: e, .. } => {
+            non_row_expression(e)
+        }
         SelectItem::Wildcard(options) | SelectItem::QualifiedWildcard(_, options) => {
             let plain = options.opt_replace.is_none() && options.opt_alias.is_none();
             (!plain).then(|| "* with other values".to_string())
@@ -55,26 +60,28 @@
     }
 }
 
-/// Whether every dialect takes its operators for the same ones, with the same rank. It is of one row.
-pub(crate) fn is_of_one_reading(e: &Expr) -> bool {
-    walk(e, of_one_reading).is_none()
+/// Whether every dialect reads the operators of a single-row expression alike and with the same
+/// precedence.
+pub(crate) fn is_unambiguous(e: &Expr) -> bool {
+    walk(e, check_unambiguous).is_none()
 }
 
-/// Chains of operators may be as long as the statement: no call within a call.
-fn walk(e: &Expr, look: Look) -> Option<String> {
+/// Applies a check to an expression and all expressions within it. Iterative, since chains of
+/// operators may be as long as the statement.
+fn walk(e: &Expr, check: ExpressionCheck) -> Option<String> {
     let mut open = vec![e];
     while let Some(e) = open.pop() {
-        if let ControlFlow::Break(what) = look(e) {
+        if let ControlFlow::Break(what) = check(e) {
             return Some(what);
         }
-        within(e, &mut open);
+        push_operands(e, &mut open);
     }
     None
 }
 
-/// The expressions directly within one, of the kinds that are of one row; each field is named, so that what a later version
-/// of the crate adds is looked at here.
-fn within<'a>(e: &'a Expr, open: &mut Vec<&'a Expr>) {
+/// Pushes the expressions directly within a single-row expression. Each field is named, so that a
+/// field added by a later version of `sqlparser` is noticed here.
+fn push_operands<'a>(e: &'a Expr, open: &mut Vec<&'a Expr>) {
     match e {
         Expr::IsFalse(e)
         | Expr::IsNotFalse(e)
@@ -197,7 +204,7 @@
     }
 }
 
-/// The arguments of a plain call: `name(a, b)` and nothing else.
+/// The arguments of a call of the form `name(a, b)`, without any other clause.
 pub(crate) fn arguments(f: &Function) -> Option<Vec<&Expr>> {
     let plain = f.over.is_none()
         && f.filter.is_none()
@@ -219,8 +226,8 @@
     Some(all.collect())
 }
 
-/// Whether an expression is of one row alone, by itself.
-fn of_one_row(e: &Expr) -> ControlFlow<String> {
+/// Checks whether an expression, apart from its operands, depends on one row only.
+fn check_single_row(e: &Expr) -> ControlFlow<String> {
     let stop = |what: &str| ControlFlow::Break(what.to_string());
     match e {
         Expr::Identifier(name) if name.value.eq_ignore_ascii_case("rownum") => stop("ROWNUM"),
@@ -253,11 +260,13 @@
             ControlFlow::Continue(())
         }
         Expr::Collate { .. } | Expr::Nested(_) | Expr::Case { .. } => ControlFlow::Continue(()),
-        Expr::Value(value) if matches!(value.value, Word::Placeholder(_)) => stop("a placeholder"),
+        Expr::Value(value) if matches!(value.value, SqlValue::Placeholder(_)) => {
+            stop("a placeholder")
+        }
         Expr::Value(_) => ControlFlow::Continue(()),
         Expr::Function(f) => {
             let name = f.name.to_string().to_ascii_lowercase();
-            match arguments(f).is_some() && OF_ONE_ROW.contains(&name.as_str()) {
+            match arguments(f).is_some() && SINGLE_ROW_FUNCTIONS.contains(&name.as_str()) {
                 true => ControlFlow::Continue(()),
                 false => ControlFlow::Break(format!("function '{name}'")),
             }
@@ -267,8 +276,8 @@
     }
 }
 
-/// Whether every dialect takes the operator for the same one, with the same rank.
-fn of_one_reading(e: &Expr) -> ControlFlow<String> {
+/// Checks whether every dialect reads an operator alike and with the same precedence.
+fn check_unambiguous(e: &Expr) -> ControlFlow<String> {
     use BinaryOperator::{
         And, Divide, Eq, Gt, GtEq, Lt, LtEq, Minus, Modulo, Multiply, NotEq, Or, Plus,
     };
--- a/crates/scatter/src/runs_tests.rs
+++ b/crates/scatter/src/runs_tests.rs
@@ -4,12 +4,12 @@
 use proptest::prelude::*;
 
 #[test]
-fn runs_are_joined_over_the_least_gaps() {
-    let mut growing = RunsBuilder::default();
+fn runs_are_merged_over_the_smallest_gaps() {
+    let mut builder = RunsBuilder::default();
     [5, 1, 2, 9, 3, 90, 7, i128::MIN, i128::MAX]
         .into_iter()
-        .for_each(|v| growing.add_value(v));
-    let runs = growing.runs();
+        .for_each(|v| builder.add_value(v));
+    let runs = builder.runs();
     assert_eq!(
         runs[1..7],
         [
@@ -21,26 +21,31 @@
             (i128::MAX, i128::MAX)
         ]
     );
-    assert_eq!(coarser(runs.clone(), 4)[1..3], [(1, 9), (90, 90)]);
+    assert_eq!(merge_closest(runs.clone(), 4)[1..3], [(1, 9), (90, 90)]);
     assert_eq!(EncodedRuns::of(&runs).unwrap().runs().unwrap(), runs);
-    assert!(meet(&runs, 4, 5) && meet(&runs, 3, 4) && !meet(&runs, 4, 4) && !meet(&runs, 10, 89));
+    assert!(
+        overlaps(&runs, 4, 5)
+            && overlaps(&runs, 3, 4)
+            && !overlaps(&runs, 4, 4)
+            && !overlaps(&runs, 10, 89)
+    );
 }
 
 proptest! {
     #[test]
     fn every_value_lies_in_a_run(
         values in prop::collection::vec(-500i128..500, 1..300),
-        most in 1usize..40,
+        max_runs in 1usize..40,
     ) {
-        let mut growing = RunsBuilder::default();
-        values.iter().for_each(|value| growing.add_value(*value));
-        let runs = coarser(growing.runs(), most);
-        prop_assert!(runs.len() <= most && runs.windows(2).all(|w| w[0].1 < w[1].0));
-        prop_assert!(values.iter().all(|value| meet(&runs, *value, *value)));
+        let mut builder = RunsBuilder::default();
+        values.iter().for_each(|value| builder.add_value(*value));
+        let runs = merge_closest(builder.runs(), max_runs);
+        prop_assert!(runs.len() <= max_runs && runs.windows(2).all(|w| w[0].1 < w[1].0));
+        prop_assert!(values.iter().all(|value| overlaps(&runs, *value, *value)));
     }
 
     #[test]
-    fn what_is_read_is_in_order(
+    fn decoded_runs_are_in_order(
         first in any::<i128>(),
         steps in prop::collection::vec(any::<(u128, u128)>(), 0..4),
     ) {
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -1,4 +1,4 @@
-//! The summaries that a front holds: one for each site and group, the highest version that was found good.
+//! The summaries that a front holds: for each site and group the highest valid version received.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -8,57 +8,60 @@
 use serde::{Deserialize, Serialize};
 
 use crate::layers::{self, Detail};
-use crate::marks::ReportedLoads;
+use crate::load_markers::ReportedLoads;
 use crate::retention::{Outcome, Retention};
 use crate::sql::Query;
-use crate::summary::{Loads, Refused, Summary};
+use crate::summary::{LoadNumbers, Summary, SummaryError};
 use crate::value::Kind;
 use crate::Micros;
 
-/// What the operator says of summaries.
+/// The operator's settings for summaries.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
     /// The sites and their public keys.
     pub sites: BTreeMap<String, VerifyingKey>,
-    /// The schema that a group's summaries must be of, where it is stated.
+    /// The schema that a group's summaries must have, where it is configured.
     pub schemas: BTreeMap<u32, u32>,
-    /// The age in milliseconds beyond which a summary does not count.
-    pub oldest_ms: u64,
-    /// How far a site's clock may be ahead of this front's.
-    pub ahead_ms: u64,
-    /// Summaries in all.
-    pub most: usize,
+    /// The age in milliseconds beyond which a summary is not valid.
+    pub max_age_ms: u64,
+    /// The number of milliseconds by which a site's clock may be ahead of this front's.
+    pub max_ahead_ms: u64,
+    /// The maximum number of summaries held.
+    pub max_summaries: usize,
 }
 
-const SETTLES_MS: u64 = 5_000; // milliseconds after which others hold what is held here
-const MOST_NOTED: usize = 8; // versions of one summary that are not settled yet
+// After this time peers are expected to hold what is held here.
+const SETTLE_TIME_MS: u64 = 5_000;
+// Versions of one summary that have not settled.
+const MAX_VERSIONS_SEEN: usize = 8;
 
-/// A version, and which loads were in it.
+/// A version that was received, and the loads in it.
 struct SeenVersion {
-    came_ms: u64,
+    arrived_ms: u64,
     version: u64,
-    loads: Loads,
+    loads: LoadNumbers,
 }
 
-/// A version of a summary, and how much of it there is. Between fronts it is written as these three, in this order.
+/// A version of a summary, and how much of it is available. Fronts exchange these three fields in
+/// this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HeldVersion {
-    /// Which summary, as [`summary_id`] numbers them.
+    /// The summary's id, as [`summary_id`] computes it.
     pub name: u64,
-    /// Its version.
+    /// The version of the summary.
     pub version: u64,
-    /// How much of it there is.
+    /// The detail that is available.
     pub detail: Detail,
 }
 
 struct HeldSummary {
     summary: Summary,
     bytes: Rc<[u8]>,
-    /// In the order in which they came; the first is the settled one, where one is.
+    /// In the order of arrival; the first one is the settled version, if there is one.
     versions_seen: VecDeque<SeenVersion>,
 }
 
-/// Notes a version that has come.
+/// Records the arrival of a version.
 fn note_version(
     mut versions_seen: VecDeque<SeenVersion>,
     wall_ms: u64,
@@ -66,18 +69,19 @@
 ) -> VecDeque<SeenVersion> {
     while versions_seen
         .get(1)
-        .is_some_and(|next| next.came_ms + SETTLES_MS <= wall_ms)
+        .is_some_and(|next| next.arrived_ms + SETTLE_TIME_MS <= wall_ms)
     {
         versions_seen.pop_front();
     }
     let latest = versions_seen.back();
-    let new = latest.is_none_or(|n| {
-        n.version < summary.version && n.came_ms + SETTLES_MS / (MOST_NOTED as u64 - 2) <= wall_ms
+    let is_new = latest.is_none_or(|n| {
+        n.version < summary.version
+            && n.arrived_ms + SETTLE_TIME_MS / (MAX_VERSIONS_SEEN as u64 - 2) <= wall_ms
     });
-    if new && versions_seen.len() < MOST_NOTED {
+    if is_new && versions_seen.len() < MAX_VERSIONS_SEEN {
         let (version, loads) = (summary.version, summary.loads.clone());
         versions_seen.push_back(SeenVersion {
-            came_ms: wall_ms,
+            arrived_ms: wall_ms,
             version,
             loads,
         });
@@ -85,60 +89,62 @@
     versions_seen
 }
 
-/// The summaries that one front holds, checked and by site and group.
+/// The verified summaries that a front holds, by site and group.
 pub struct SummaryStore {
-    terms: StoreSettings,
+    settings: StoreSettings,
     held: BTreeMap<(String, u32), HeldSummary>,
-    /// What is held and how fine, where that follows from what it spares; None: all that comes, whole.
+    /// Determines which summaries are held and in which detail, by their benefit. None: all
+    /// summaries are held completely.
     pub retention: Option<Retention>,
-    /// What counted for nothing, by why.
-    pub refused: BTreeMap<&'static str, u64>,
+    /// The number of rejected summaries, by reason.
+    pub rejected: BTreeMap<&'static str, u64>,
 }
 
-/// The name that a site's summary of a group goes by between fronts.
+/// The id by which fronts refer to a site's summary of a group.
 pub fn summary_id(site: &str, group: u32) -> u64 {
     fnv1a(site.bytes().chain([0]).chain(group.to_le_bytes()))
 }
 
 impl SummaryStore {
-    /// An empty store that holds summaries whole.
-    pub fn new(terms: StoreSettings) -> SummaryStore {
+    /// Creates an empty store that holds summaries completely.
+    pub fn new(settings: StoreSettings) -> SummaryStore {
         SummaryStore {
-            terms,
+            settings,
             held: BTreeMap::new(),
             retention: None,
-            refused: BTreeMap::new(),
+            rejected: BTreeMap::new(),
         }
     }
 
-    /// Other terms hold from now on; what is of no site any more goes.
-    pub fn reconfigure(&mut self, terms: StoreSettings) {
-        let before = std::mem::replace(&mut self.terms, terms);
-        let sites = &self.terms.sites;
-        // Under another key of the site it may be anybody's.
+    /// Applies other settings and removes the summaries of sites that they do not contain.
+    pub fn reconfigure(&mut self, settings: StoreSettings) {
+        let before = std::mem::replace(&mut self.settings, settings);
+        let sites = &self.settings.sites;
+        // Summaries of a site whose key has changed may come from anyone.
         self.held.retain(|(site, _), _| {
             sites.get(site).is_some() && sites.get(site) == before.sites.get(site)
         });
     }
 
-    /// Takes a site's word, from wherever it came. False: held already. What is refused changes nothing.
-    pub fn accept(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, Refused> {
-        let taken = self.check_and_hold(wall_ms, bytes);
-        if let Err(why) = &taken {
-            *self.refused.entry(why.why()).or_default() += 1;
+    /// Verifies and stores a summary from any source. Returns false if it was held already. A
+    /// summary that is rejected changes nothing.
+    pub fn accept(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, SummaryError> {
+        let outcome = self.check_and_insert(wall_ms, bytes);
+        if let Err(why) = &outcome {
+            *self.rejected.entry(why.name()).or_default() += 1;
         }
-        taken
+        outcome
     }
 
-    fn check_and_hold(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, Refused> {
-        let summary = Summary::read(bytes, |site| self.terms.sites.get(site).copied())?;
+    fn check_and_insert(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, SummaryError> {
+        let summary = Summary::read(bytes, |site| self.settings.sites.get(site).copied())?;
         let (site, group, version) = (summary.site.clone(), summary.group, summary.version);
         self.check_validity(wall_ms, &summary)?;
         let known = self.held.get(&(site.clone(), group));
         if let Some(held) = known {
             match version.cmp(&held.summary.version) {
                 std::cmp::Ordering::Less => {
-                    return Err(Refused::Version {
+                    return Err(SummaryError::Version {
                         site,
                         group,
                         version,
@@ -146,11 +152,11 @@
                     })
                 }
                 std::cmp::Ordering::Equal if held.bytes.starts_with(bytes) => return Ok(false),
-                // More sheets of the same.
+                // More layers of the same summary.
                 std::cmp::Ordering::Equal if bytes.starts_with(&held.bytes) => {}
-                // Two words under one version: the one that was first stays.
+                // Two summaries with the same version: the first one is kept.
                 std::cmp::Ordering::Equal => {
-                    return Err(Refused::Version {
+                    return Err(SummaryError::Version {
                         site,
                         group,
                         version,
@@ -159,8 +165,8 @@
                 }
                 std::cmp::Ordering::Greater => {}
             }
-        } else if self.held.len() >= self.terms.most {
-            return Err(Refused::Full {
+        } else if self.held.len() >= self.settings.max_summaries {
+            return Err(SummaryError::Full {
                 site,
                 group,
                 held: self.held.len(),
@@ -176,30 +182,30 @@
             );
         }
         let wanted = self.wanted_detail(summary_id(&site, group));
-        let of = (site, group);
+        let key = (site, group);
         if wanted.is_none() {
-            // An older one proves less than none: loads may have come since.
-            self.held.remove(&of);
+            // An older version must not be kept, since it does not cover later loads.
+            self.held.remove(&key);
             return Ok(false);
         }
         let versions_seen = self
             .held
-            .remove(&of)
+            .remove(&key)
             .map_or(VecDeque::new(), |held| held.versions_seen);
         let versions_seen = note_version(versions_seen, wall_ms, &summary);
         self.held.insert(
-            of.clone(),
+            key.clone(),
             HeldSummary {
                 summary,
                 bytes: bytes.into(),
                 versions_seen,
             },
         );
-        self.cut(&of, wanted);
+        self.reduce_detail(&key, wanted);
         Ok(true)
     }
 
-    /// How fine the summary of a name is to be held.
+    /// The detail in which a summary is to be held; None if not at all.
     pub fn wanted_detail(&self, name: u64) -> Option<Detail> {
         self.retention
             .as_ref()
@@ -208,48 +214,49 @@
             })
     }
 
-    /// Chooses anew what is held, and lets go of the rest.
+    /// Chooses again what is held, and removes the rest.
     pub fn choose(&mut self, wall_ms: u64) {
         let Some(retention) = &mut self.retention else {
             return;
         };
         retention.choose((wall_ms * 1000) as Micros);
-        for of in self.held.keys().cloned().collect::<Vec<_>>() {
-            let wanted = self.wanted_detail(summary_id(&of.0, of.1));
-            self.cut(&of, wanted);
+        for key in self.held.keys().cloned().collect::<Vec<_>>() {
+            let wanted = self.wanted_detail(summary_id(&key.0, key.1));
+            self.reduce_detail(&key, wanted);
         }
     }
 
-    /// Lets go of what is finer than wanted.
-    fn cut(&mut self, of: &(String, u32), wanted: Option<Detail>) {
-        let Some(held) = self.held.get_mut(of) else {
+    /// Removes the detail beyond what is wanted.
+    fn reduce_detail(&mut self, key: &(String, u32), wanted: Option<Detail>) {
+        let Some(held) = self.held.get_mut(key) else {
             return;
         };
         let Some(wanted) = wanted else {
-            self.held.remove(of);
+            self.held.remove(key);
             return;
         };
         if held.summary.detail <= wanted {
             return;
         }
-        // One that is not in sheets has no less of it.
+        // A summary that is not layered can't be reduced.
         let Some(end) =
             layers::layer_ends(&held.bytes).and_then(|ends| ends.get(wanted as usize).copied())
         else {
             return;
         };
-        let sites = &self.terms.sites;
-        let less = held
+        let sites = &self.settings.sites;
+        let reduced = held
             .bytes
             .get(..end)
             .and_then(|b| Some((b, Summary::read(b, |s| sites.get(s).copied()).ok()?)));
-        match less {
+        match reduced {
             Some((bytes, summary)) => (held.bytes, held.summary) = (bytes.into(), summary),
-            None => _ = self.held.remove(of),
+            None => _ = self.held.remove(key),
         }
     }
 
-    /// A scatter has left a site out by its summary, or has asked it and heard of no row.
+    /// Records that a scatter left a site out because of its summary, or asked it and received no
+    /// row.
     pub fn record_outcome(&mut self, wall_ms: u64, query: &Query, site: &str, asked: bool) {
         if self.retention.is_none() {
             return;
@@ -258,14 +265,16 @@
         let summary = self.current(wall_ms, site, query.group);
         let table =
             summary.and_then(|summary| Some((summary.detail, summary.table(&query.table)?)));
-        let shown = match table {
+        let outcome = match table {
             None if asked => Outcome::Unknown,
             None => return,
-            Some((_, table)) if !asked => match query.condition.never_true(&table.bare()) {
-                true => Outcome::ByBounds,
-                false => Outcome::ByFilter,
-            },
-            // It was asked for its loads.
+            Some((_, table)) if !asked => {
+                match query.condition.never_true(&table.without_filters()) {
+                    true => Outcome::ByBounds,
+                    false => Outcome::ByFilter,
+                }
+            }
+            // The site was asked because of loads.
             Some((_, table)) if query.condition.never_true(table) => return,
             Some(_) if !query.condition.has_equality() => return,
             Some((Detail::Bounds, _)) => Outcome::MissedByBounds,
@@ -273,33 +282,33 @@
         };
         self.retention
             .iter_mut()
-            .for_each(|retention| retention.record(now, summary_id(site, query.group), shown));
+            .for_each(|retention| retention.record(now, summary_id(site, query.group), outcome));
     }
 
-    /// The name and version of what a known site has signed.
+    /// The id and version of a summary that a configured site has signed.
     pub fn id_and_version(&self, bytes: &[u8]) -> Option<(u64, u64)> {
-        let summary = Summary::read(bytes, |site| self.terms.sites.get(site).copied()).ok()?;
+        let summary = Summary::read(bytes, |site| self.settings.sites.get(site).copied()).ok()?;
         Some((summary_id(&summary.site, summary.group), summary.version))
     }
 
-    /// Whether the operator names this site.
+    /// Whether the site is configured.
     pub fn has_site(&self, site: &str) -> bool {
-        self.terms.sites.contains_key(site)
+        self.settings.sites.contains_key(site)
     }
 
-    /// Lets go of one.
+    /// Removes a summary.
     pub fn remove(&mut self, site: &str, group: u32) {
         self.held.remove(&(site.to_string(), group));
     }
 
-    /// What a column holds, where all that is held speaks alike of it.
+    /// The kind of a column, if all summaries held agree on it.
     pub fn column_kind(&self, group: u32, table: &str, column: &str) -> Option<Kind> {
-        let of = self
+        let tables = self
             .held
             .iter()
-            .filter(|((_, of), _)| *of == group)
+            .filter(|((_, held_group), _)| *held_group == group)
             .filter_map(|(_, held)| held.summary.table(table));
-        let mut kinds = of.map(|table| {
+        let mut kinds = tables.map(|table| {
             table
                 .columns
                 .iter()
@@ -310,18 +319,18 @@
         kinds.all(|kind| kind == Some(first)).then_some(first)
     }
 
-    /// Bytes of what is held.
+    /// The total size of the summaries held, in bytes.
     pub fn size(&self) -> usize {
         self.held.values().map(|held| held.bytes.len()).sum()
     }
 
-    /// Whether it may count now, apart from its version.
-    fn check_validity(&self, wall_ms: u64, summary: &Summary) -> Result<(), Refused> {
+    /// Whether a summary is valid now, regardless of its version.
+    fn check_validity(&self, wall_ms: u64, summary: &Summary) -> Result<(), SummaryError> {
         let (site, group) = (summary.site.clone(), summary.group);
         let (schema, made_ms) = (summary.schema, summary.made_ms);
-        match self.terms.schemas.get(&group) {
+        match self.settings.schemas.get(&group) {
             Some(&stated) if stated != schema => {
-                return Err(Refused::Schema {
+                return Err(SummaryError::Schema {
                     site,
                     group,
                     schema,
@@ -331,26 +340,26 @@
             _ => {}
         }
         let ahead_ms = made_ms.saturating_sub(wall_ms);
-        if ahead_ms > self.terms.ahead_ms {
-            return Err(Refused::Ahead {
+        if ahead_ms > self.settings.max_ahead_ms {
+            return Err(SummaryError::Ahead {
                 site,
                 group,
                 ahead_ms,
             });
         }
-        let (age_ms, most_ms) = (wall_ms.saturating_sub(made_ms), self.terms.oldest_ms);
-        if age_ms > most_ms {
-            return Err(Refused::Old {
+        let (age_ms, max_age_ms) = (wall_ms.saturating_sub(made_ms), self.settings.max_age_ms);
+        if age_ms > max_age_ms {
+            return Err(SummaryError::Old {
                 site,
                 group,
                 age_ms,
-                most_ms,
+                max_age_ms,
             });
         }
         Ok(())
     }
 
-    /// A site's summary of a group, as long as it may count.
+    /// A site's summary of a group, if it is held and valid.
     pub fn current(&self, wall_ms: u64, site: &str, group: u32) -> Option<&Summary> {
         let held = self.held.get(&(site.to_string(), group))?;
         self.check_validity(wall_ms, &held.summary)
@@ -358,7 +367,7 @@
             .then_some(&held.summary)
     }
 
-    /// What a site has said of loads into a group.
+    /// The loads that a site's summaries of a group contain.
     pub fn reported_loads(&self, wall_ms: u64, site: &str, group: u32) -> ReportedLoads<'_> {
         let Some(held) = self.held.get(&(site.to_string(), group)) else {
             return ReportedLoads::default();
@@ -370,14 +379,14 @@
             .versions_seen
             .iter()
             .rev()
-            .find(|versions_seen| versions_seen.came_ms + SETTLES_MS <= wall_ms);
+            .find(|seen| seen.arrived_ms + SETTLE_TIME_MS <= wall_ms);
         ReportedLoads {
             newest,
-            settled: settled.map(|versions_seen| (versions_seen.version, &versions_seen.loads)),
+            settled: settled.map(|seen| (seen.version, &seen.loads)),
         }
     }
 
-    /// How many summaries are held.
+    /// The number of summaries held.
     pub fn len(&self) -> usize {
         self.held.len()
     }
@@ -387,17 +396,17 @@
         self.held.is_empty()
     }
 
-    /// All that is held.
+    /// The versions of all summaries held.
     pub fn versions(&self) -> impl Iterator<Item = HeldVersion> + '_ {
-        let of = |((site, group), held): (&(String, u32), &HeldSummary)| HeldVersion {
+        let version_of = |((site, group), held): (&(String, u32), &HeldSummary)| HeldVersion {
             name: summary_id(site, *group),
             version: held.summary.version,
             detail: held.summary.detail,
         };
-        self.held.iter().map(of)
+        self.held.iter().map(version_of)
     }
 
-    /// The bytes of one that is held, as they came.
+    /// The version and the bytes of a summary that is held, as received.
     pub fn bytes(&self, wanted: u64) -> Option<(u64, Rc<[u8]>)> {
         let mut all = self.held.iter();
         let found = all.find(|((site, group), _)| summary_id(site, *group) == wanted);
--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -1,132 +1,138 @@
-//! What a site says of its data, signed by it, as bytes and back. What is read is looked at as a whole before it counts.
+//! The statistics that a site signs about its data, and their encoding. A summary is used only
+//! after all of its content has been validated.
 
-mod refused;
+mod error;
 
 use ed25519_dalek::{Signature, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
 
-pub use refused::Refused;
+pub use error::SummaryError;
 
 use crate::filter::Members;
-use crate::layers::{self, Detail, LAYERED, LAYERED_EXTENDED};
+use crate::layers::{self, Detail, LAYERED_EXTENDED_FORMAT, LAYERED_FORMAT};
 use crate::runs::{EncodedRuns, Runs};
 use crate::sketch;
-use crate::value::{less, Kind, Value, MOST_SCALE};
+use crate::value::{less, Kind, Value, MAX_SCALE};
 
-/// The longest summary that is read or made.
-pub const MOST_BYTES: usize = 64 << 10; // bytes of a summary: 50,000 values in filters, and 60 pieces on their way
-const FORMAT: u16 = 1;
-const EXTENDED: u16 = 3; // 2 and 4 are in sheets
-const RUN_BYTES: usize = 6; // bytes of a run, about
-const SIGNING_CONTEXT: &[u8] = b"hallmux summary\0"; // what is signed says what it is: no other word passes for it
-/// The most tables that a summary may have.
-pub const MOST_TABLES: usize = 64; // of a group
-/// The most columns that a table may have.
-pub const MOST_COLUMNS: usize = 256; // of a table
-/// The longest name of a table or column.
-pub const MOST_NAME: usize = 128; // bytes of a name
-/// The most runs that [`Loads`] may have.
-pub const MOST_RUNS: usize = 64; // of load numbers
+/// The size limit of a summary in bytes. It fits 50,000 values in filters, and is transferred in some 60
+/// pieces.
+pub const MAX_SUMMARY_BYTES: usize = 64 << 10;
+const PLAIN_FORMAT: u16 = 1;
+// Formats 2 and 4 are layered.
+const EXTENDED_FORMAT: u16 = 3;
+// The approximate encoded size of a run.
+const APPROXIMATE_RUN_BYTES: usize = 6;
+// Part of the signed bytes, so that a signature made for another purpose is not accepted.
+const SIGNING_CONTEXT: &[u8] = b"hallmux summary\0";
+/// The maximum number of tables in a summary.
+pub const MAX_TABLES: usize = 64;
+/// The maximum number of columns of a table in a summary.
+pub const MAX_COLUMNS: usize = 256;
+/// The maximum length of a table's or column's name, in bytes.
+pub const MAX_NAME_BYTES: usize = 128;
+/// The maximum number of runs in [`LoadNumbers`].
+pub const MAX_LOAD_RUNS: usize = 64;
 
-/// A site's data of one table group.
+/// A site's statistics about one table group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The format of the bytes; [`Summary::read`] refuses formats that it does not know.
+    /// The format of the bytes; [`Summary::read`] rejects formats that it does not know.
     pub format: u16,
-    /// The site that signs it.
+    /// The site that signed the summary.
     pub site: String,
-    /// The table group that it is about.
+    /// The table group that the summary describes.
     pub group: u32,
-    /// Which shape of the tables it is of, as the operator counts them.
+    /// The version of the tables' schema, as the operator counts it.
     pub schema: u32,
-    /// Grows with each summary of this site and group, also over the site's restarts.
+    /// Increases with each summary of this site and group, also across restarts of the site.
     pub version: u64,
-    /// Unix milliseconds by the site's clock.
+    /// Unix milliseconds on the site's clock.
     pub made_ms: u64,
-    /// The marked loads whose rows are in it.
-    pub loads: Loads,
-    /// The group's tables, at most [`MOST_TABLES`]; their names differ.
+    /// The numbers of the marked loads whose rows are in the summary.
+    pub loads: LoadNumbers,
+    /// The group's tables, at most [`MAX_TABLES`]; their names differ.
     pub tables: Vec<Table>,
-    /// How much of what its site says is here.
+    /// How much of the summary is present.
     #[serde(skip)]
     pub detail: Detail,
 }
 
-/// What stands behind a summary and tells more of its columns, by the places of their tables and of
-/// themselves.
+/// Optional data that follows a summary: runs and sketches, with the positions of their tables and
+/// columns.
 #[derive(Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Extension {
     runs: Vec<(u16, u16, EncodedRuns)>,
     sketches: Vec<(u16, u16, Vec<u8>)>,
 }
 
-/// Numbers of the loads that are in it, as runs from the first to the last of each, in order.
+/// The numbers of the loads contained in a summary, as inclusive ranges in ascending order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Loads(pub Vec<(u64, u64)>);
+pub struct LoadNumbers(pub Vec<(u64, u64)>);
 
-impl Loads {
-    /// Takes in one more; the oldest runs go where they are too many, which only means that more is asked.
+impl LoadNumbers {
+    /// Adds a number. If there are too many ranges the lowest ones are removed, which only causes
+    /// more sites to be asked.
     pub fn insert(&mut self, number: u64) {
-        if self.has(number, number) {
+        if self.contains_range(number, number) {
             return;
         }
         let at = self.0.partition_point(|(from, _)| *from < number);
         self.0.insert(at, (number, number));
         self.0.dedup_by(|next, run| {
-            let meets = run.1.checked_add(1).is_none_or(|after| next.0 <= after);
-            if meets {
+            let adjoins = run.1.checked_add(1).is_none_or(|after| next.0 <= after);
+            if adjoins {
                 run.1 = run.1.max(next.1);
             }
-            meets
+            adjoins
         });
-        let over = self.0.len().saturating_sub(MOST_RUNS);
-        self.0.drain(..over);
+        let excess = self.0.len().saturating_sub(MAX_LOAD_RUNS);
+        self.0.drain(..excess);
     }
 
-    /// Whether all from one number to another are in.
-    pub fn has(&self, from: u64, to: u64) -> bool {
+    /// Whether all numbers from `from` to `to` are contained.
+    pub fn contains_range(&self, from: u64, to: u64) -> bool {
         self.0.iter().any(|run| run.0 <= from && to <= run.1)
     }
 
-    /// The highest number that is in; 0 where none is.
+    /// The highest number contained; 0 if there is none.
     pub fn last(&self) -> u64 {
         self.0.last().map_or(0, |run| run.1)
     }
 }
 
-/// One table's statistics.
+/// The statistics of one table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// Without its schema, in lower case as unquoted names are.
+    /// The table's name without its schema, in lower case as for unquoted names.
     pub name: String,
     /// The number of rows.
     pub rows: u64,
-    /// The columns that are told of, at most [`MOST_COLUMNS`]; their names differ.
+    /// The columns described, at most [`MAX_COLUMNS`]; their names differ.
     pub columns: Vec<Column>,
 }
 
-/// One column's statistics.
+/// The statistics of one column.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Column {
     /// The column's name, in lower case.
     pub name: String,
-    /// What the column holds.
+    /// The kind of values that the column holds.
     pub kind: Kind,
-    /// The number of rows in which it is null.
+    /// The number of rows in which the column is null.
     pub nulls: u64,
-    /// Distinct values that are not null.
+    /// The number of distinct values that are not null.
     pub distinct: u64,
-    /// All values lie from the one to the other, both included; text by its bytes. None: nothing is told.
+    /// The least and the greatest value; text is ordered by its bytes. None: unknown.
     pub bounds: Option<(Value, Value)>,
-    /// Whether the bounds are values of the column themselves; long text is cut.
+    /// Whether the bounds are values of the column; bounds of long text are truncated.
     pub tight: bool,
-    /// Of numbers: all values lie in these. None: nothing is told beyond the bounds.
+    /// Ranges that contain all values of a column of numbers. Empty: only the bounds are known.
     #[serde(skip)]
     pub runs: Runs,
-    /// Of its distinct values, where the site was told to make one.
+    /// A sketch of the distinct values, if the site is configured to make one.
     #[serde(skip)]
     pub sketch: Option<Vec<u8>>,
-    /// The hashes of its values. `None`: nothing is told.
+    /// The hashes of the column's values. None: unknown.
     pub members: Option<Members>,
 }
 
@@ -147,68 +153,69 @@
 }
 
 impl Summary {
-    /// A summary without tables, in full detail and of version 1.
+    /// Creates a summary without tables, in full detail and with version 1.
     pub fn empty(site: &str, group: u32) -> Summary {
         Summary {
-            format: FORMAT,
+            format: PLAIN_FORMAT,
             site: site.to_string(),
             group,
             schema: 0,
             version: 1,
             made_ms: 0,
-            loads: Loads::default(),
+            loads: LoadNumbers::default(),
             tables: Vec::new(),
             detail: Detail::Full,
         }
     }
 
-    /// Its bytes with the site's signature over them.
+    /// Encodes the summary with the site's signature.
     pub fn sign(&self, key: &SigningKey) -> Vec<u8> {
-        signed(self.encoded(FORMAT, EXTENDED), key)
+        signed(self.encoded(PLAIN_FORMAT, EXTENDED_FORMAT), key)
     }
 
     pub(crate) fn size(&self) -> usize {
-        self.encoded(FORMAT, EXTENDED).len()
+        self.encoded(PLAIN_FORMAT, EXTENDED_FORMAT).len()
     }
 
-    /// Its bytes: of the one format as they always were, of the other with what tells extension. One that says
-    /// that it is of another is left so.
+    /// Encodes the summary: in the plain format if there is no extension, otherwise in the extended
+    /// format with the extension after it. A summary with another format set keeps that format.
     pub(crate) fn encoded(&self, plain: u16, extended: u16) -> Vec<u8> {
-        if self.format != FORMAT {
+        if self.format != PLAIN_FORMAT {
             return postcard::to_stdvec(self).unwrap_or_default();
         }
         let mut extension = Extension::default();
         for (at, table) in self.tables.iter().enumerate() {
-            for (place, column) in table.columns.iter().enumerate() {
-                let name = (at as u16, place as u16);
+            for (position, column) in table.columns.iter().enumerate() {
+                let name = (at as u16, position as u16);
                 extension
                     .runs
-                    .extend(EncodedRuns::of(&column.runs).map(|told| (name.0, name.1, told)));
+                    .extend(EncodedRuns::of(&column.runs).map(|runs| (name.0, name.1, runs)));
                 extension
                     .sketches
                     .extend(column.sketch.clone().map(|sketch| (name.0, name.1, sketch)));
             }
         }
-        let none = extension == Extension::default();
-        let format = if none { plain } else { extended };
+        let is_plain = extension == Extension::default();
+        let format = if is_plain { plain } else { extended };
         let mut bytes = postcard::to_stdvec(&Summary {
             format,
             ..self.clone()
         })
         .unwrap_or_default();
-        if !none {
+        if !is_plain {
             bytes.extend(postcard::to_stdvec(&extension).unwrap_or_default());
         }
         bytes
     }
 
-    /// Lets go of what tells more, of the columns where it is longest first, until it is not longer than
-    /// that.
-    pub(crate) fn cut(&mut self, most: usize, plain: u16, extended: u16) {
-        while self.encoded(plain, extended).len() > most {
+    /// Removes runs and sketches, of the columns with the largest ones first, until the encoded
+    /// summary is not longer than `max_bytes`.
+    pub(crate) fn drop_extensions(&mut self, max_bytes: usize, plain: u16, extended: u16) {
+        while self.encoded(plain, extended).len() > max_bytes {
             let columns = self.tables.iter_mut().flat_map(|t| &mut t.columns);
-            let length =
-                |c: &Column| c.runs.len() * RUN_BYTES + c.sketch.as_ref().map_or(0, Vec::len);
+            let length = |c: &Column| {
+                c.runs.len() * APPROXIMATE_RUN_BYTES + c.sketch.as_ref().map_or(0, Vec::len)
+            };
             let Some(largest) = columns.max_by_key(|c| length(c)).filter(|c| length(c) > 0) else {
                 return;
             };
@@ -216,12 +223,13 @@
         }
     }
 
-    /// Takes what stands behind it and tells more; what is left behind that. None: it is none.
-    fn take_extension<'a>(&mut self, behind: &'a [u8]) -> Option<&'a [u8]> {
-        let (extension, rest) = postcard::take_from_bytes::<Extension>(behind).ok()?;
-        for (table, column, told) in extension.runs {
+    /// Reads the extension that follows the summary. Returns the bytes after it, or None if it is
+    /// malformed.
+    fn apply_extension<'a>(&mut self, trailing: &'a [u8]) -> Option<&'a [u8]> {
+        let (extension, rest) = postcard::take_from_bytes::<Extension>(trailing).ok()?;
+        for (table, column, runs) in extension.runs {
             let table = self.tables.get_mut(usize::from(table))?;
-            table.columns.get_mut(usize::from(column))?.runs = told.runs()?;
+            table.columns.get_mut(usize::from(column))?.runs = runs.runs()?;
         }
         for (table, column, sketch) in extension.sketches {
             let table = self.tables.get_mut(usize::from(table))?;
@@ -230,41 +238,47 @@
         Some(rest)
     }
 
-    /// Reads one whose site's key is known; what it says of time and version is not looked at yet.
+    /// Decodes and verifies a summary of a site whose key is known. Its time and version are not
+    /// checked here.
     pub fn read(
         bytes: &[u8],
         key: impl Fn(&str) -> Option<VerifyingKey>,
-    ) -> Result<Summary, Refused> {
-        if bytes.len() > MOST_BYTES {
-            return Err(Refused::Long(bytes.len()));
+    ) -> Result<Summary, SummaryError> {
+        if bytes.len() > MAX_SUMMARY_BYTES {
+            return Err(SummaryError::Long(bytes.len()));
         }
         let (signed, rest) =
-            postcard::take_from_bytes::<Signed>(bytes).map_err(|_| Refused::Form)?;
-        let signature = Signature::from_slice(&signed.signature).map_err(|_| Refused::Form)?;
-        // The format comes first in every format there will be.
+            postcard::take_from_bytes::<Signed>(bytes).map_err(|_| SummaryError::Form)?;
+        let signature = Signature::from_slice(&signed.signature).map_err(|_| SummaryError::Form)?;
+        // All formats begin with the format number.
         let (format, _) =
-            postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| Refused::Form)?;
-        if !matches!(format, FORMAT | LAYERED | EXTENDED | LAYERED_EXTENDED) {
-            return Err(Refused::Format(format));
+            postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| SummaryError::Form)?;
+        if !matches!(
+            format,
+            PLAIN_FORMAT | LAYERED_FORMAT | EXTENDED_FORMAT | LAYERED_EXTENDED_FORMAT
+        ) {
+            return Err(SummaryError::Format(format));
         }
-        let (mut summary, mut behind) =
-            postcard::take_from_bytes::<Summary>(&signed.summary).map_err(|_| Refused::Form)?;
-        if matches!(format, EXTENDED | LAYERED_EXTENDED) {
-            behind = summary.take_extension(behind).ok_or(Refused::Form)?;
+        let (mut summary, mut trailing) = postcard::take_from_bytes::<Summary>(&signed.summary)
+            .map_err(|_| SummaryError::Form)?;
+        if matches!(format, EXTENDED_FORMAT | LAYERED_EXTENDED_FORMAT) {
+            trailing = summary
+                .apply_extension(trailing)
+                .ok_or(SummaryError::Form)?;
         }
-        // What it is made of says the rest.
-        summary.format = FORMAT;
-        if matches!(format, LAYERED | LAYERED_EXTENDED) {
+        // The format is normalized, as the content shows which parts are present.
+        summary.format = PLAIN_FORMAT;
+        if matches!(format, LAYERED_FORMAT | LAYERED_EXTENDED_FORMAT) {
             summary.detail =
-                layers::apply(&mut summary.tables, behind, rest).ok_or(Refused::Form)?;
-        } else if !rest.is_empty() || !behind.is_empty() {
-            return Err(Refused::Form);
+                layers::apply(&mut summary.tables, trailing, rest).ok_or(SummaryError::Form)?;
+        } else if !rest.is_empty() || !trailing.is_empty() {
+            return Err(SummaryError::Form);
         }
-        let key = key(&summary.site).ok_or_else(|| Refused::Unknown(summary.site.clone()))?;
+        let key = key(&summary.site).ok_or_else(|| SummaryError::Unknown(summary.site.clone()))?;
         key.verify_strict(&signed_bytes(&signed.summary), &signature)
-            .map_err(|_| Refused::Forged(summary.site.clone()))?;
+            .map_err(|_| SummaryError::Forged(summary.site.clone()))?;
         match summary.inconsistency() {
-            Some(what) => Err(Refused::Content {
+            Some(what) => Err(SummaryError::Content {
                 site: summary.site,
                 group: summary.group,
                 what,
@@ -273,31 +287,33 @@
         }
     }
 
-    /// The table of a name, if the summary has it.
+    /// The table with this name, if the summary contains it.
     pub fn table(&self, name: &str) -> Option<&Table> {
         self.tables.iter().find(|t| t.name == name)
     }
 
-    /// What in it can't be so.
+    /// Describes the first inconsistency of the content; None if there is none.
     fn inconsistency(&self) -> Option<&'static str> {
         let runs = &self.loads.0;
-        let ordered =
+        let is_ordered =
             runs.windows(2).all(|w| w[0].1 < w[1].0) && runs.iter().all(|run| run.0 <= run.1);
-        if runs.len() > MOST_RUNS || !ordered {
+        if runs.len() > MAX_LOAD_RUNS || !is_ordered {
             return Some("its loads");
         }
-        let names = |all: &mut dyn Iterator<Item = &String>, most: usize| {
+        let are_valid_names = |all: &mut dyn Iterator<Item = &String>, max_count: usize| {
             let mut names: Vec<&String> = all.collect();
             let count = names.len();
             names.sort_unstable();
             names.dedup();
-            names.len() == count && count <= most && names.iter().all(|n| n.len() <= MOST_NAME)
+            names.len() == count
+                && count <= max_count
+                && names.iter().all(|n| n.len() <= MAX_NAME_BYTES)
         };
-        if !names(&mut self.tables.iter().map(|t| &t.name), MOST_TABLES) {
+        if !are_valid_names(&mut self.tables.iter().map(|t| &t.name), MAX_TABLES) {
             return Some("its tables' names");
         }
         for table in &self.tables {
-            if !names(&mut table.columns.iter().map(|c| &c.name), MOST_COLUMNS) {
+            if !are_valid_names(&mut table.columns.iter().map(|c| &c.name), MAX_COLUMNS) {
                 return Some("its columns' names");
             }
             if let Some(what) = table
@@ -313,9 +329,9 @@
 }
 
 impl Table {
-    /// The same without its columns' filters.
-    pub fn bare(&self) -> Table {
-        let bare = |c: &Column| Column {
+    /// The table without its columns' filters and sketches.
+    pub fn without_filters(&self) -> Table {
+        let without_filters = |c: &Column| Column {
             name: c.name.clone(),
             kind: c.kind,
             nulls: c.nulls,
@@ -329,22 +345,22 @@
         Table {
             name: self.name.clone(),
             rows: self.rows,
-            columns: self.columns.iter().map(bare).collect(),
+            columns: self.columns.iter().map(without_filters).collect(),
         }
     }
 }
 
 impl Column {
     fn inconsistency(&self, rows: u64) -> Option<&'static str> {
-        if matches!(self.kind, Kind::Number { scale } if scale > MOST_SCALE) {
+        if matches!(self.kind, Kind::Number { scale } if scale > MAX_SCALE) {
             return Some("the digits of a number");
         }
         if self.nulls > rows || self.distinct > rows - self.nulls {
             return Some("a column's counts");
         }
         if let Some((least, greatest)) = &self.bounds {
-            let orders = |v: &Value| v.fits(self.kind) && crate::value::order(v, v).is_some();
-            if !orders(least) || !orders(greatest) || less(greatest, least) {
+            let is_ordered = |v: &Value| v.fits(self.kind) && crate::value::order(v, v).is_some();
+            if !is_ordered(least) || !is_ordered(greatest) || less(greatest, least) {
                 return Some("a column's least and greatest value");
             }
         }
@@ -357,13 +373,13 @@
         if self
             .sketch
             .as_ref()
-            .is_some_and(|sketch| !sketch::is_sound(sketch))
+            .is_some_and(|sketch| !sketch::is_valid(sketch))
         {
             return Some("a column's sketch");
         }
         let members = self.members.as_ref();
         members
-            .is_some_and(|m| !m.is_sound())
+            .is_some_and(|m| !m.is_valid())
             .then_some("a column's filter")
     }
 }
