--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! The laboratory: real fronts among stand-ins, faults on demand, checkers and measurements.
+//! The laboratory: runs real fronts among stand-in engines and clients, injects faults, checks the
+//! records, and measures.
 
 mod check;
 mod engine;
@@ -21,150 +22,160 @@
 use rig::{fleet, scenario};
 use simulated::Mutation;
 
-/// Proves and measures hallmux on loopback.
+/// Checks and measures hallmux on loopback.
 #[derive(Parser)]
 struct Lab {
     #[command(subcommand)]
-    what: Command,
+    command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a run drawn from a seed and checks the rules on what clients and engines wrote down.
+    /// Runs a load with faults drawn from a seed and checks the rules on the records of clients and
+    /// engines.
     Prove {
         subject: Subject,
-        /// Drawn and printed where it is not given.
+        /// Seed of the run; drawn at random and printed if absent.
         #[arg(long)]
         seed: Option<u64>,
-        /// How many units are to be accepted at least.
+        /// Of postgres: minimum number of units that must be accepted.
         #[arg(long, default_value_t = 20_000)]
         units: usize,
-        /// How often each fault is to be played at least.
+        /// Of postgres: minimum number of times that each fault is injected.
         #[arg(long, default_value_t = 3)]
         rounds: usize,
-        /// Of promises: three faults instead of all.
+        /// Of promises: a short run with some kinds of faults (three by default) instead of all.
         #[arg(long)]
         small: bool,
         /// Of promises: in simulated time, without processes.
         #[arg(long)]
         simulated: bool,
-        /// Of promises: so many fronts instead of 5 to 7.
+        /// Of promises: number of fronts, instead of 5 to 7.
         #[arg(long)]
         fronts: Option<usize>,
-        /// Of promises: fronts that each stands on; with 0 none keeps any for another, and the run is to fail.
+        /// Of promises: replicas of each ledger entry; 0 disables replication, and the run is
+        /// expected to fail.
         #[arg(long, default_value_t = 3)]
         copies: usize,
-        /// Of promises: one part of them, with faults of its own.
+        /// Of promises: run one part only, with its own faults.
         #[arg(long)]
-        only: Option<PromisePart>,
-        /// Of promises: a long day in simulated time, all kinds of faults, several at once; a failing one is cut down.
+        only: Option<LedgerPart>,
+        /// Of promises: a long run in simulated time with concurrent faults of all kinds; a failing
+        /// run is reduced to a smaller one.
         #[arg(long)]
         long: bool,
-        /// Of a long day: how long, in simulated minutes.
+        /// Of a long run: its length, in simulated minutes.
         #[arg(long, default_value_t = 20)]
         minutes: u64,
-        /// The front's program of another build. Of a roll: half of the fleet is of it, then none, all, and half again; of
-        /// a soak: all are.
+        /// Path of the front program of another build. In a rolling restart half of the fleet
+        /// starts with it, then none, all, and half again use it; in a soak run all fronts use it.
         #[arg(long)]
         other: Option<std::path::PathBuf>,
-        /// Of promises, in simulated time: a rule is taken out, and the run is to fail.
+        /// Of promises, in simulated time: removes a rule; the run is expected to fail.
         #[arg(long)]
         without: Option<OmittedRule>,
     },
-    /// Plays a fleet scenario: many fronts, engines in zones, faults between them; checks the record.
+    /// Runs a fleet scenario: many fronts, engines in zones, faults between them; checks the
+    /// record.
     Fleet {
-        /// The scenario, in TOML.
+        /// Path of the scenario file, in TOML.
         scenario: std::path::PathBuf,
-        /// Drawn and printed where neither this nor the file gives one.
+        /// Seed of the run; drawn at random and printed if neither this option nor the file gives
+        /// one.
         #[arg(long)]
         seed: Option<u64>,
-        /// Plays the same seed a second time with this `zone_quorum` (0: the fleet never leaves a zone), side by side.
+        /// Also runs the same seed with this `zone_quorum` (0: the fleet never evacuates a zone),
+        /// and prints both results.
         #[arg(long)]
         beside_quorum: Option<usize>,
-        /// In simulated time, without processes: up to 1,000 fronts.
+        /// Runs in simulated time, without processes: up to 1,000 fronts.
         #[arg(long)]
         simulated: bool,
-        /// So many fronts instead of the file's.
+        /// Number of fronts, instead of the file's.
         #[arg(long)]
         fronts: Option<usize>,
     },
-    /// Measures beside a plain way, and prints a table.
+    /// Measures against a baseline, and prints a table.
     Measure { subject: Measurement },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Subject {
     Postgres,
-    /// What fronts keep for each other, among faults between them.
+    /// The replicated ledger of the fronts, with faults between them.
     Promises,
-    /// Fronts that share nothing, of drawn settings, on machines whose clocks and system calls fail.
+    /// Independent fronts with drawn settings, on machines whose clocks and system calls fail.
     Soak,
 }
 
-/// A rule that promises rest on.
+/// A rule that the replicated ledger depends on, and that a run can leave out.
 #[derive(Clone, Copy, ValueEnum)]
 enum OmittedRule {
-    /// Executions leave before their promise stands.
+    /// Executions are sent before their ledger entries are replicated.
     Act,
-    /// An emptied disk comes back under the identity that it had.
+    /// A front whose disk was emptied returns under its previous identity.
     Identity,
-    /// Words leave before what they rest on is lasting.
+    /// Messages are sent before the state that they depend on is durable.
     Save,
 }
 
 impl OmittedRule {
-    fn spoils(self) -> Mutation {
-        let whole = Mutation::default();
+    fn mutation(self) -> Mutation {
+        let no_mutation = Mutation::default();
         match self {
             OmittedRule::Act => Mutation {
                 acts_first: true,
-                ..whole
+                ..no_mutation
             },
             OmittedRule::Identity => Mutation {
                 keeps_identity: true,
-                ..whole
+                ..no_mutation
             },
             OmittedRule::Save => Mutation {
                 sends_first: true,
-                ..whole
+                ..no_mutation
             },
         }
     }
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum PromisePart {
-    /// Copies on disk: machines lost at each step of a promise, a full disk and a slow one.
+enum LedgerPart {
+    /// Replicas on disk: machines lost at each step of a ledger entry, a full disk and a slow one.
     Disks,
-    /// Statements over several sites among loads, with summaries that must count for nothing.
+    /// Statements over several sites with concurrent loads, and summaries that fronts must reject.
     Sites,
-    /// Access rules that change while fronts are cut off, stopped and killed.
+    /// Access rules that change while fronts are partitioned, stalled and killed.
     Rules,
-    /// The whole fleet ended by SIGTERM and started anew, a tenth at a time.
+    /// A rolling restart of the whole fleet by SIGTERM, a tenth at a time.
     Roll,
-    /// In simulated time: fronts that die while disks are slow, and a second one right after a return.
+    /// In simulated time: fronts that die while disks are slow, and a second one right after a
+    /// front returns.
     Deaths,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Measurement {
     Postgres,
-    /// In simulated time alone, for now.
+    /// Spread of a gossip report; in simulated time only.
     Gossip,
-    /// Fleets of several sizes in simulated time, the fleet's word on a zone off and on.
+    /// Fleets of several sizes in simulated time, with the fleet-wide evacuation of a zone off and
+    /// on.
     Fleet,
-    /// What a promise costs, and a decision of the access rules.
+    /// The costs of a ledger entry and of an access decision.
     Promises,
-    /// Of promises, the part about statements over several sites: sites asked with loads at several rates.
+    /// The part of `promises` about statements over several sites: sites asked, with loads at
+    /// several rates.
     Sites,
-    /// Of promises, the part in simulated time: fleets of 5 to 300 fronts.
+    /// The part of `promises` in simulated time: fleets of 5 to 300 fronts.
     Grown,
-    /// The same under overload, from half of what the engines bear to three times.
+    /// Fleets of the same sizes under overload, offered from half to three times the capacity of
+    /// the engines.
     Overload,
 }
 
 fn main() -> ExitCode {
-    let (seed, units, rounds) = match Lab::parse().what {
+    let (seed, units, rounds) = match Lab::parse().command {
         Command::Prove {
             subject: Subject::Soak,
             seed,
@@ -172,7 +183,7 @@
             ..
         } => {
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-            return proof_result("soak", seed, prove::soak::run(seed, other.as_deref()));
+            return print_proof_result("soak", seed, prove::soak::run(seed, other.as_deref()));
         }
         Command::Prove {
             subject: Subject::Postgres,
@@ -195,28 +206,32 @@
             ..
         } => {
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-            let spoil = without.map(OmittedRule::spoils).unwrap_or_default();
-            let way = prove::promises::RunOptions {
+            let mutation = without.map(OmittedRule::mutation).unwrap_or_default();
+            let options = prove::promises::RunOptions {
                 small,
                 simulated,
                 fronts,
                 copies,
-                spoil,
+                mutation,
             };
             if let Some(only) = only {
                 let played = match only {
-                    PromisePart::Disks => prove::disks::run(seed, small),
-                    PromisePart::Sites => prove::sites::run(seed, small),
-                    PromisePart::Rules => prove::rules::run(seed, small),
-                    PromisePart::Roll => prove::roll::run(seed, small, other.as_deref()),
-                    PromisePart::Deaths => prove::deaths::run(seed, way),
+                    LedgerPart::Disks => prove::disks::run(seed, small),
+                    LedgerPart::Sites => prove::sites::run(seed, small),
+                    LedgerPart::Rules => prove::rules::run(seed, small),
+                    LedgerPart::Roll => prove::roll::run(seed, small, other.as_deref()),
+                    LedgerPart::Deaths => prove::deaths::run(seed, options),
                 };
-                return proof_result("promises", seed, played);
+                return print_proof_result("promises", seed, played);
             }
             if long {
-                return proof_result("promises long", seed, prove::long::run(seed, minutes, way));
+                return print_proof_result(
+                    "promises long",
+                    seed,
+                    prove::long::run(seed, minutes, options),
+                );
             }
-            return proof_result("promises", seed, prove::promises::run(seed, way));
+            return print_proof_result("promises", seed, prove::promises::run(seed, options));
         }
         Command::Fleet {
             scenario,
@@ -231,7 +246,7 @@
                 simulated,
                 fronts,
             };
-            return fleet_run(&scenario, options);
+            return run_fleet(&scenario, options);
         }
         Command::Measure { subject } => {
             let measured = match subject {
@@ -245,18 +260,18 @@
             };
             return match measured {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(why) => {
-                    eprintln!("measure: {why}");
+                Err(error) => {
+                    eprintln!("measure: {error}");
                     ExitCode::FAILURE
                 }
             };
         }
     };
     let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    proof_result(
+    print_proof_result(
         "postgres",
         seed,
-        prove::postgres::run(prove::postgres::Size {
+        prove::postgres::run(prove::postgres::RunSize {
             seed,
             units,
             rounds,
@@ -264,17 +279,17 @@
     )
 }
 
-/// Prints the last line of a proof.
-fn proof_result(name: &str, seed: u64, run: Result<(bool, String), String>) -> ExitCode {
+/// Prints the result line of a `prove` run and returns its exit code.
+fn print_proof_result(name: &str, seed: u64, run: Result<(bool, String), String>) -> ExitCode {
     let (passed, tallies) = match run {
         Ok(found) => found,
-        Err(why) => (false, why),
+        Err(error) => (false, error),
     };
     println!("prove {name} seed {seed}: {} {tallies}", verdict(passed));
     exit_code(passed)
 }
 
-/// How a fleet scenario is played.
+/// Options of a fleet run.
 struct FleetOptions {
     seed: Option<u64>,
     beside_quorum: Option<usize>,
@@ -282,7 +297,7 @@
     fronts: Option<usize>,
 }
 
-fn fleet_run(path: &std::path::Path, options: FleetOptions) -> ExitCode {
+fn run_fleet(path: &std::path::Path, options: FleetOptions) -> ExitCode {
     let FleetOptions {
         seed,
         beside_quorum,
@@ -292,8 +307,8 @@
     let read = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     let scenario = match read.and_then(|text| scenario::Scenario::parse(&text, simulated, fronts)) {
         Ok(scenario) => scenario,
-        Err(why) => {
-            eprintln!("fleet: {}: {why}", path.display());
+        Err(error) => {
+            eprintln!("fleet: {}: {error}", path.display());
             return ExitCode::from(2);
         }
     };
@@ -313,16 +328,19 @@
         fleet::run
     };
     let passed = match beside_quorum {
-        Some(quorum) => fleet_beside(&scenario, &format!("{name} seed {seed}"), quorum, &|s| {
-            play(s, seed)
-        }),
-        None => fleet_result(&format!("{name} seed {seed}"), play(&scenario, seed)),
+        Some(quorum) => {
+            run_fleet_comparison(&scenario, &format!("{name} seed {seed}"), quorum, &|s| {
+                play(s, seed)
+            })
+        }
+        None => print_fleet_result(&format!("{name} seed {seed}"), play(&scenario, seed)),
     };
     exit_code(passed)
 }
 
-/// Plays the other quorum first, then the file's, on the same seed; each line as it would stand alone.
-fn fleet_beside(
+/// Runs the scenario with the other quorum first, then with the file's, on the same seed; prints
+/// one result line for each.
+fn run_fleet_comparison(
     scenario: &scenario::Scenario,
     name: &str,
     quorum: usize,
@@ -344,21 +362,21 @@
                     run.line()
                 )
             }
-            Err(why) => {
+            Err(error) => {
                 all_passed = false;
-                println!("fleet {name} ({label}): FAIL {why}");
+                println!("fleet {name} ({label}): FAIL {error}");
             }
         }
     }
     all_passed
 }
 
-/// Prints what a fleet's run came to, and its last line; whether it passed.
-fn fleet_result(name: &str, played: Result<Run, String>) -> bool {
+/// Prints the table, violations and result line of a fleet run; returns whether it passed.
+fn print_fleet_result(name: &str, played: Result<Run, String>) -> bool {
     let run = match played {
         Ok(run) => run,
-        Err(why) => {
-            println!("fleet {name}: FAIL {why}");
+        Err(error) => {
+            println!("fleet {name}: FAIL {error}");
             return false;
         }
     };
--- a/crates/lab/src/measure/portal.rs
+++ b/crates/lab/src/measure/portal.rs
@@ -1,5 +1,5 @@
-//! `measure postgres`: clients through a front beside the same clients straight on the same stand-in, in turn,
-//! several rounds in one run.
+//! `measure postgres`: clients through a front compared with the same clients connected directly to
+//! the same stand-in engine, alternating over several rounds of one run.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::scripted::session::Session;
 
 const ROUNDS: usize = 7;
-const WARM: Duration = Duration::from_millis(200);
-const ROUND: Duration = Duration::from_millis(1000);
-const IDLE: usize = 5_000;
+const WARM_UP: Duration = Duration::from_millis(200);
+const ROUND_DURATION: Duration = Duration::from_millis(1000);
+const IDLE_SESSIONS: usize = 5_000;
 
-/// The median and how far the rounds lie apart.
+/// Returns the median, least and most of the rounds.
 fn spread(values: &mut [f64]) -> (f64, f64, f64) {
     values.sort_by(f64::total_cmp);
     (
@@ -34,12 +34,15 @@
     statement: tokio_postgres::Statement,
 }
 
-async fn target(port: u16) -> Result<Target, String> {
-    let why = |e: tokio_postgres::Error| e.to_string();
+/// Connects a client and prepares the statement.
+async fn connect_target(port: u16) -> Result<Target, String> {
+    let error_text = |e: tokio_postgres::Error| e.to_string();
     let at = format!("host=127.0.0.1 port={port} user=portal dbname=x");
-    let (client, connection) = tokio_postgres::connect(&at, NoTls).await.map_err(why)?;
+    let (client, connection) = tokio_postgres::connect(&at, NoTls)
+        .await
+        .map_err(error_text)?;
     tokio::spawn(connection);
-    let statement = client.prepare("select run($1)").await.map_err(why)?;
+    let statement = client.prepare("select run($1)").await.map_err(error_text)?;
     Ok(Target {
         port,
         client,
@@ -47,11 +50,12 @@
     })
 }
 
-/// Microseconds of one warm extended query after the other: median and 99th percentile.
+/// Returns the latency of consecutive extended queries on a warm connection, in microseconds:
+/// median and 99th percentile.
 async fn latency(target: &Target) -> Result<(f64, f64), String> {
     let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
     let began = Instant::now();
-    while began.elapsed() < WARM + ROUND {
+    while began.elapsed() < WARM_UP + ROUND_DURATION {
         let since = Instant::now();
         let rows = target
             .client
@@ -60,7 +64,7 @@
         if rows.map_err(|e| e.to_string())?.len() != 1 {
             return Err("not one row".into());
         }
-        if began.elapsed() > WARM {
+        if began.elapsed() > WARM_UP {
             times
                 .record(since.elapsed().as_nanos() as u64)
                 .map_err(|e| e.to_string())?;
@@ -70,8 +74,8 @@
     Ok((at(0.5), at(0.99)))
 }
 
-/// Units a second from as many sessions at once as given, each with one on its way; scripted, so that the
-/// client's own work stays small.
+/// Returns the units a second of so many concurrent sessions, each with one unit in flight;
+/// scripted, so that the client's own work stays small.
 fn throughput(port: u16, sessions: usize) -> Result<f64, String> {
     let (stop, count) = (
         Arc::new(AtomicBool::new(false)),
@@ -91,27 +95,28 @@
             Ok(())
         }));
     }
-    std::thread::sleep(WARM);
+    std::thread::sleep(WARM_UP);
     let (before, since) = (count.load(SeqCst), Instant::now());
-    std::thread::sleep(ROUND);
+    std::thread::sleep(ROUND_DURATION);
     let rate = (count.load(SeqCst) - before) as f64 / since.elapsed().as_secs_f64();
     stop.store(true, SeqCst);
     for thread in threads {
         thread
             .join()
-            .map_err(|_| "a client")?
+            .map_err(|_| "a client's thread panicked")?
             .map_err(|e| e.to_string())?;
     }
     Ok(rate)
 }
 
-/// Prints the table; an error is a run that could not be made.
+/// Prints the table. Returns an error if a run fails.
 pub fn postgres() -> Result<(), String> {
-    let why = |e: std::io::Error| e.to_string();
-    let engine = Engine::start(0, Records::new(), false).map_err(why)?;
-    let coordinator = Coordinator::start().map_err(why)?;
+    let error_text = |e: std::io::Error| e.to_string();
+    let engine = Engine::start(0, Records::new(), false).map_err(error_text)?;
+    let coordinator = Coordinator::start().map_err(error_text)?;
     coordinator.tell(true, &[("e0".to_string(), engine.at, "pg", "up")]);
-    // Cores without end, so that the module's bounds hold nothing back: what is measured is the way.
+    // So many cores that the dispatcher's limits hold nothing back: only the path through the front
+    // counts.
     let settings = json!({"instances": 1, "areas": ["here"], "kinds": ["pg"], "rules": {},
         "bounds": {"cancelling": true, "mostTries": 3, "retryAfter": true},
         "extra": {"sizeCores": [512], "memoryByKindMb": [1048576]},
@@ -122,13 +127,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(why)?;
+        .map_err(error_text)?;
     let (mut direct, mut through) = ((Vec::new(), Vec::new()), (Vec::new(), Vec::new()));
     let (mut direct_rate, mut through_rate, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
     let targets = runtime.block_on(async {
         Ok::<_, String>((
-            target(engine.at.port()).await?,
-            target(front.sessions.port()).await?,
+            connect_target(engine.at.port()).await?,
+            connect_target(front.sessions.port()).await?,
         ))
     })?;
     let added = |all: &mut Vec<f64>, without: &[f64], with: &[f64]| {
@@ -147,24 +152,26 @@
         direct_rate.push(throughput(targets.0.port, 32)?);
         let before = front.cpu_micros();
         let rate = throughput(targets.1.port, 32)?;
-        let used = (front.cpu_micros() - before) as f64 / (WARM + ROUND).as_micros() as f64;
+        let used =
+            (front.cpu_micros() - before) as f64 / (WARM_UP + ROUND_DURATION).as_micros() as f64;
         through_rate.push(rate);
         cpu.push(used);
     }
     let (mut medians, mut tails) = (Vec::new(), Vec::new());
     added(&mut medians, &direct.0, &through.0);
     added(&mut tails, &direct.1, &through.1);
-    // A front of its own, so that what the rounds have left free is not counted as room for sessions.
+    // A new front, so that memory freed after the rounds does not count as room for sessions.
     drop(front);
     let front = Front::start(&settings, operator, &coordinator, 16_000)?;
     let at = front.sessions;
-    drop(Session::open(at, "portal", false).map_err(why)?);
+    drop(Session::open(at, "portal", false).map_err(error_text)?);
     let before = front.memory_kb();
-    let idle: Result<Vec<Session>, _> = (0..IDLE)
+    let idle: Result<Vec<Session>, _> = (0..IDLE_SESSIONS)
         .map(|_| Session::open(at, "portal", false))
         .collect();
-    let idle = idle.map_err(why)?;
-    std::thread::sleep(Duration::from_millis(2_500)); // until buffers at rest are let go of
+    let idle = idle.map_err(error_text)?;
+    // Waits until the buffers of idle sessions are released.
+    std::thread::sleep(Duration::from_millis(2_500));
     let each = (front.memory_kb() - before) as f64 * 1024.0 / idle.len() as f64;
     println!(
         "| measured, {ROUNDS} rounds in turn | straight | through the front | difference or ratio | aim |"
@@ -202,6 +209,6 @@
     );
     let (c, c0, c1) = spread(&mut cpu);
     println!("| of one core, at that rate | - | {c:.2} ({c0:.2} to {c1:.2}) | - | 1 |");
-    println!("| bytes for each of {IDLE} idle sessions | - | {each:.0} | - | 8,192 |");
+    println!("| bytes for each of {IDLE_SESSIONS} idle sessions | - | {each:.0} | - | 8,192 |");
     Ok(())
 }
--- a/crates/lab/src/prove.rs
+++ b/crates/lab/src/prove.rs
@@ -1,10 +1,11 @@
-//! `prove`: runs drawn from a seed, played among faults and checked on what clients and engines wrote down. Each
-//! subject is a module of its own; what the proofs of promises share stands in `played` and `shape`.
+//! `prove`: runs drawn from a seed, with faults, checked on the records of clients and engines.
+//! Each subject has its own module; `common` and `shape` hold what the runs of the replicated
+//! ledger share.
 
+pub mod common;
 pub mod deaths;
 pub mod disks;
 pub mod long;
-pub mod played;
 pub mod postgres;
 pub mod promises;
 pub mod roll;
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -1,4 +1,4 @@
-//! The same order keys from both protocols.
+//! Statements with the same order keys over both protocols.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,25 +12,26 @@
 use crate::lines;
 use crate::scripted::session;
 
-/// The same order keys from both protocols, each statement sent once the front is known to have taken the last.
+/// Sends statements with the same order keys over both protocols, each once the front is known to
+/// have accepted the one before.
 pub(super) fn both_protocols(
     seed: u64,
     lines: SocketAddr,
     sessions: SocketAddr,
     notes: &Arc<Notes>,
 ) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xb07);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xb07);
     let mut number = 1;
-    while !notes.over() {
-        let key = format!("both{}", chance.random_range(0..3));
-        let mut waits = Vec::new();
+    while !notes.is_stopping() {
+        let key = format!("both{}", rng.random_range(0..3));
+        let mut pending = Vec::new();
         for _ in 0..4 {
             let asked = StatementRecord {
                 key: key.clone(),
                 rows: 1,
-                ..notes.fresh(Repeat::Deduplicated)
+                ..notes.new_statement(Repeat::Deduplicated)
             };
-            let answer = match chance.random_bool(0.5) {
+            let answer = match rng.random_bool(0.5) {
                 true => ask_in_lines(lines, number, &asked),
                 false => ask_in_session(sessions, &asked),
             };
@@ -38,29 +39,29 @@
             let records = notes.records.clone();
             let wait = std::thread::spawn(move || {
                 let outcome = answer.map_or(Outcome::Lost, |answer| answer());
-                // What a Thrift client calls aborted may or may not have run.
+                // A statement that a Thrift client sees aborted may or may not have run.
                 StatementRecord {
                     outcome,
                     answered: records.now(),
                     ..asked
                 }
             });
-            waits.push((
+            pending.push((
                 wait,
                 session::round_trip(sessions)
                     .ok()
                     .map(|()| notes.records.now()),
             ));
         }
-        for (wait, taken) in waits {
+        for (wait, taken) in pending {
             wait.join()
                 .into_iter()
-                .for_each(|asked| notes.note(StatementRecord { taken, ..asked }));
+                .for_each(|asked| notes.record(StatementRecord { taken, ..asked }));
         }
     }
 }
 
-/// What waits for the answer to a statement that has left.
+/// Waits for the answer to a statement that was sent.
 type PendingAnswer = Box<dyn FnOnce() -> Outcome + Send>;
 
 fn ask_in_lines(
--- a/crates/lab/src/prove/shape.rs
+++ b/crates/lab/src/prove/shape.rs
@@ -1,29 +1,29 @@
-//! What the fleets of proofs have in common: their shape, their engines, the workloads that need promises, and the
-//! order in which kinds of trouble come.
+//! What the fleets of `prove` runs share: their shape, their engines, the workloads that need
+//! ledger entries, and the order of the kinds of faults.
 
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
 use crate::rig::scenario::{Class, Effect, FleetShape, Warm};
 
-/// The kinds of trouble of a run, in the order drawn. A small run has so many of them, the named one always
-/// among these.
+/// Draws the order of the kinds of faults. A small run has `count` of them, always including the
+/// named one.
 pub(super) fn draw_kinds(
-    chance: &mut Pcg64Mcg,
+    rng: &mut Pcg64Mcg,
     kinds: &[&'static str],
     small: Option<(usize, &str)>,
 ) -> Vec<&'static str> {
     let mut drawn = kinds.to_vec();
-    drawn.shuffle(chance);
+    drawn.shuffle(rng);
     if let Some((count, always)) = small {
         drawn.sort_by_key(|kind| *kind != always);
         drawn.truncate(count);
-        drawn.shuffle(chance);
+        drawn.shuffle(rng);
     }
     drawn
 }
 
-/// Fronts that talk with each other, their promises on three of them, engines in three zones.
+/// A fleet with gossip, three replicas of each ledger entry, and engines in three zones.
 pub(super) fn fleet(fronts: usize) -> FleetShape {
     FleetShape {
         fronts,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Engines that bear all that such a run asks of them.
+/// Engines with more slots than such a run needs.
 pub(super) fn engines() -> Warm {
     Warm {
         slots: 64,
@@ -51,24 +51,24 @@
     }
 }
 
-/// Statements with an order key and a dedup key each.
+/// A class of statements with an order key and a dedup key each.
 pub(super) fn keyed(keys: usize, work_ms: u64) -> Class {
     Class {
         effect: Effect::Deduplicated,
         keys,
-        ..promised("log-load", work_ms)
+        ..ledger_class("log-load", work_ms)
     }
 }
 
-/// Statements without a key that may run once alone.
-pub(super) fn once(work_ms: u64) -> Class {
+/// A class of non-idempotent statements without a key.
+pub(super) fn non_idempotent(work_ms: u64) -> Class {
     Class {
         effect: Effect::NonIdempotent,
-        ..promised("pay", work_ms)
+        ..ledger_class("pay", work_ms)
     }
 }
 
-fn promised(name: &str, work_ms: u64) -> Class {
+fn ledger_class(name: &str, work_ms: u64) -> Class {
     Class {
         importance: 8.0,
         work_ms: Some(work_ms),
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -1,4 +1,5 @@
-//! The machines of a soak's fronts: when which one's wall clock is stepped, and which of its system calls fail.
+//! Faults of the machines under the fronts of a soak run: when a wall clock is stepped, and which
+//! system calls fail.
 
 use std::io::Result;
 use std::net::TcpStream;
@@ -14,8 +15,9 @@
 use crate::rig::scenario::Fault;
 
 const SECOND_US: i64 = 1_000_000;
-/// How far a wall clock is from the machine's, by its steps: some seconds, an hour.
-const AHEAD: [i64; 8] = [
+/// Offsets of a front's wall clock from the machine's, in microseconds: from half a second to an
+/// hour.
+const CLOCK_OFFSETS_US: [i64; 8] = [
     0,
     -SECOND_US / 2,
     3 * SECOND_US,
@@ -25,16 +27,19 @@
     3_600 * SECOND_US,
     -3_600 * SECOND_US,
 ];
-const BETWEEN_STEPS: std::ops::RangeInclusive<i64> = 400_000..=2_500_000; // microseconds
-const BETWEEN_SHORTAGES: std::ops::RangeInclusive<i64> = 300_000..=1_500_000; // microseconds
-const SHORTAGE: std::ops::RangeInclusive<i64> = 50_000..=700_000; // microseconds for which calls fail
-const MOST_FAILURES: std::ops::RangeInclusive<i64> = 1..=60; // of a shortage: also a start that tries again ends it
-/// How many of a thousand calls fail: at most all, for a moment.
-const RATES: [u16; 4] = [20, 150, 500, 1_000];
-/// Connections that break are lost to all that is out on them: few.
-const BROKEN_RATES: [u16; 2] = [5, 30];
-const CROWDED: f64 = 0.25; // share of runs in which idle clients hold all the descriptors that clients may
-const CROWD: usize = SOCKETS / 2; // connections to each front: so many are clients' share
+const CLOCK_STEP_INTERVAL_US: std::ops::RangeInclusive<i64> = 400_000..=2_500_000;
+const SHORTAGE_INTERVAL_US: std::ops::RangeInclusive<i64> = 300_000..=1_500_000;
+const SHORTAGE_DURATION_US: std::ops::RangeInclusive<i64> = 50_000..=700_000;
+/// Failing calls of one shortage; the limit also ends it for a front that retries its start.
+const MAX_FAILURES: std::ops::RangeInclusive<i64> = 1..=60;
+/// Failing calls of a thousand; 1,000 fails every call for the length of the shortage.
+const FAILURE_RATES_PERMILLE: [u16; 4] = [20, 150, 500, 1_000];
+/// The same for broken reads: low, as a broken connection loses every statement in flight on it.
+const BROKEN_READ_RATES_PERMILLE: [u16; 2] = [5, 30];
+/// Share of runs in which idle clients hold all descriptors that are left to clients.
+const CROWD_PROBABILITY: f64 = 0.25;
+/// Connections to each front: the clients' share of its descriptors.
+const CROWD_CONNECTIONS_PER_FRONT: usize = SOCKETS / 2;
 const TALLIES: [&str; Call::ALL.len()] = [
     "failed_accepts",
     "failed_sockets",
@@ -44,16 +49,16 @@
     "broken_reads",
 ];
 
-/// Calls of one front that fail until then.
+/// System calls of one kind that fail at one front until a time in microseconds of the load.
 struct Shortage {
     front: usize,
     call: Call,
     until: i64,
 }
 
-/// What befalls the machines of all fronts of a run.
+/// Draws and injects the machine faults of all fronts of a run.
 pub(super) struct Machines {
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     faults: Vec<MachineFaults>,
     folder: PathBuf,
     next_step: i64,
@@ -62,8 +67,8 @@
     steps: i64,
     /// Connections of idle clients.
     crowd: Vec<TcpStream>,
-    /// What was played, and when, in microseconds since the load began.
-    played: Vec<(i64, String)>,
+    /// Injected faults, each with its time in microseconds since the load began.
+    events: Vec<(i64, String)>,
 }
 
 impl Machines {
@@ -80,7 +85,7 @@
             )
         });
         Ok(Machines {
-            chance: Pcg64Mcg::seed_from_u64(seed ^ 0x6d61_6368),
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0x6d61_6368),
             faults: faults.collect::<Result<_>>()?,
             folder,
             next_step: 0,
@@ -88,11 +93,12 @@
             shortages: Vec::new(),
             steps: 0,
             crowd: Vec::new(),
-            played: Vec::new(),
+            events: Vec::new(),
         })
     }
 
-    /// What each front has so that its machine can misbehave, and its program where it is another build's.
+    /// Options of each front: the environment of its machine faults, and the program of another
+    /// build if given.
     pub(super) fn options(&self, program: Option<&Path>) -> Vec<MemberOptions> {
         let environment = |faults: &MachineFaults| {
             let variables = faults.environment().into_iter();
@@ -108,61 +114,63 @@
         self.faults.iter().map(options).collect()
     }
 
-    fn step_a_clock(&mut self, since: i64) -> Result<()> {
-        let front = self.chance.random_range(0..self.faults.len());
-        let ahead = *AHEAD.choose(&mut self.chance).unwrap_or(&0);
+    fn step_clock(&mut self, since: i64) -> Result<()> {
+        let front = self.rng.random_range(0..self.faults.len());
+        let ahead = *CLOCK_OFFSETS_US.choose(&mut self.rng).unwrap_or(&0);
         self.faults[front].set_wall_clock_offset(ahead)?;
         self.steps += 1;
-        self.played.push((
+        self.events.push((
             since,
             format!("front {front}: its wall clock is {} ms ahead", ahead / 1000),
         ));
         Ok(())
     }
 
-    fn begin_shortage(&mut self, since: i64) -> Result<()> {
-        let front = self.chance.random_range(0..self.faults.len());
-        let call = *Call::ALL.choose(&mut self.chance).unwrap_or(&Call::Accept);
+    fn start_shortage(&mut self, since: i64) -> Result<()> {
+        let front = self.rng.random_range(0..self.faults.len());
+        let call = *Call::ALL.choose(&mut self.rng).unwrap_or(&Call::Accept);
         let rates: &[u16] = if call == Call::BrokenRead {
-            &BROKEN_RATES
+            &BROKEN_READ_RATES_PERMILLE
         } else {
-            &RATES
+            &FAILURE_RATES_PERMILLE
         };
-        let rate = *rates.choose(&mut self.chance).unwrap_or(&0);
-        let until = since + self.chance.random_range(SHORTAGE);
-        let most = self.chance.random_range(MOST_FAILURES);
-        self.faults[front].set_limited_failure_rate(call, rate, most)?;
+        let rate = *rates.choose(&mut self.rng).unwrap_or(&0);
+        let until = since + self.rng.random_range(SHORTAGE_DURATION_US);
+        let max_failures = self.rng.random_range(MAX_FAILURES);
+        self.faults[front].set_limited_failure_rate(call, rate, max_failures)?;
         self.shortages.push(Shortage { front, call, until });
         let ms = (until - since) / 1000;
-        self.played.push((
+        self.events.push((
             since,
-            format!("front {front}: {rate} of 1000 {call:?} fail for {ms} ms, {most} at most"),
+            format!(
+                "front {front}: {rate} of 1000 {call:?} fail for {ms} ms, {max_failures} at most"
+            ),
         ));
         Ok(())
     }
 
     fn end_shortages(&mut self, since: i64) -> Result<()> {
-        let (over, lasting) = std::mem::take(&mut self.shortages)
+        let (ended, remaining) = std::mem::take(&mut self.shortages)
             .into_iter()
             .partition(|s| s.until <= since);
-        self.shortages = lasting;
-        let over: Vec<Shortage> = over;
-        for Shortage { front, call, .. } in over {
-            // Another one of the same call may go on: then it is over with this one.
+        self.shortages = remaining;
+        let ended: Vec<Shortage> = ended;
+        for Shortage { front, call, .. } in ended {
+            // This also ends another shortage of the same call that has not run out yet.
             self.faults[front].set_failure_rate(call, 0)?;
         }
         Ok(())
     }
 
-    /// Idle clients connect to each front, as many as it may hold.
-    fn gather_crowd(&mut self, fleet: &Fleet) -> Result<()> {
+    /// Opens connections of idle clients to each front, as many as a front allows clients.
+    fn connect_crowd(&mut self, fleet: &Fleet) -> Result<()> {
         for member in &fleet.members {
             let address = member
                 .front
                 .lock()
                 .ok()
                 .and_then(|front| front.as_ref().map(|front| front.lines));
-            for address in std::iter::repeat_n(address, CROWD).flatten() {
+            for address in std::iter::repeat_n(address, CROWD_CONNECTIONS_PER_FRONT).flatten() {
                 self.crowd.push(TcpStream::connect(address)?);
             }
         }
@@ -171,19 +179,19 @@
 
     fn advance(&mut self, since: i64) -> Result<()> {
         if since >= self.next_step {
-            self.step_a_clock(since)?;
-            self.next_step = since + self.chance.random_range(BETWEEN_STEPS);
+            self.step_clock(since)?;
+            self.next_step = since + self.rng.random_range(CLOCK_STEP_INTERVAL_US);
         }
         self.end_shortages(since)?;
         if since >= self.next_shortage {
-            self.begin_shortage(since)?;
-            self.next_shortage = since + self.chance.random_range(BETWEEN_SHORTAGES);
+            self.start_shortage(since)?;
+            self.next_shortage = since + self.rng.random_range(SHORTAGE_INTERVAL_US);
         }
         Ok(())
     }
 
-    /// How often each was played, over all fronts.
-    pub(super) fn played(&self) -> Result<Vec<(&'static str, i64)>> {
+    /// Tallies of the machine faults over all fronts.
+    pub(super) fn tallies(&self) -> Result<Vec<(&'static str, i64)>> {
         let mut all = vec![
             ("clock_steps", self.steps),
             ("crowd", self.crowd.len() as i64),
@@ -195,9 +203,9 @@
         Ok(all)
     }
 
-    /// Prints what was played, in the order of time.
+    /// Prints the injected faults in the order of time.
     pub(super) fn print(&self) {
-        self.played
+        self.events
             .iter()
             .for_each(|(at, what)| eprintln!("played at {at}: {what}"));
     }
@@ -205,21 +213,21 @@
 
 impl FleetHooks for Machines {
     fn ready(&mut self, fleet: &Fleet) -> std::result::Result<(), String> {
-        match self.chance.random_bool(CROWDED) {
-            true => self.gather_crowd(fleet).map_err(|e| e.to_string()),
+        match self.rng.random_bool(CROWD_PROBABILITY) {
+            true => self.connect_crowd(fleet).map_err(|e| e.to_string()),
             false => Ok(()),
         }
     }
 
     fn turn(&mut self, _fleet: &Fleet, since: i64) -> Vec<Fault> {
-        if let Err(why) = self.advance(since) {
-            self.played.push((since, format!("not played: {why}")));
+        if let Err(error) = self.advance(since) {
+            self.events.push((since, format!("not injected: {error}")));
         }
         Vec::new()
     }
 
     fn over(&mut self, _fleet: &Fleet) {
-        // Ends that are still to come are the fronts' own.
+        // Only the shortages are ended here; fronts shut down by themselves.
         let _ = self.end_shortages(i64::MAX);
     }
 }
