--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -150,7 +150,7 @@
         let Some(armed) = now.as_mut() else {
             return false;
         };
-        if !armed.death.is_reached(step, front) {
+        if !armed.death.record_step(step, front) {
             return false;
         }
         // Before it dies: what its clients lose by that is lost after this.
--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -11,9 +11,9 @@
 use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::engine::lines;
 use crate::record::offered::Offered;
-use crate::rig::member::{Member, Record};
+use crate::rig::member::{ClientRecord, Member};
 use crate::rig::scenario::{Scenario, Step};
-use crate::rig::starvation_watch::own_wait;
+use crate::rig::starvation_watch::thread_cpu_wait;
 
 const AGAIN_MS: std::ops::Range<u64> = 20..400; // milliseconds until a client asks again
 
@@ -22,7 +22,7 @@
     scenario: &Scenario,
     seed: u64,
     members: &[Arc<Member>],
-    record: &Arc<Record>,
+    record: &Arc<ClientRecord>,
     stop: &AtomicBool,
 ) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -64,13 +64,15 @@
 }
 
 impl Client {
-    fn asks(&self, members: &[Arc<Member>], record: &Record) {
+    fn asks(&self, members: &[Arc<Member>], record: &ClientRecord) {
         let mut chance = Pcg64Mcg::seed_from_u64(self.seed);
         let class = &self.scenario.classes[self.class];
         let mut before = Vec::new();
         for _ in 0..=class.asks_again {
             let here: Vec<&Arc<Member>> = (members.iter())
-                .filter(|m| m.takes(record.records.now()) && !before.contains(&m.number))
+                .filter(|m| {
+                    m.accepts_statements(record.records.now()) && !before.contains(&m.number)
+                })
                 .collect();
             let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else {
                 return;
@@ -79,7 +81,7 @@
                 .front
                 .lock()
                 .ok()
-                .and_then(|f| f.as_ref().map(|f| f.lines));
+                .and_then(|f| f.as_ref().map(|f| f.statement_address));
             let Some(address) = address else { return };
             let outcome = self.ask(member, address, record, !before.is_empty());
             // A lost or aborted one may have run: again only as its workload allows.
@@ -96,7 +98,13 @@
         }
     }
 
-    fn ask(&self, member: &Member, address: SocketAddr, record: &Record, again: bool) -> Outcome {
+    fn ask(
+        &self,
+        member: &Member,
+        address: SocketAddr,
+        record: &ClientRecord,
+        again: bool,
+    ) -> Outcome {
         let (class, load) = (&self.scenario.classes[self.class], &self.scenario.load);
         let id = format!("s{}", self.number);
         let timeout_ms = class.timeout_ms.unwrap_or(load.timeout_ms);
@@ -133,9 +141,12 @@
         if class.repeat() == Repeat::Deduplicated {
             fields.push(("unique", unique.as_str()));
         }
-        let (goes_on, promised) = (u8::from(class.goes_on), u8::from(class.needs_promise()));
+        let (goes_on, promised) = (
+            u8::from(class.goes_on),
+            u8::from(class.needs_ledger_entry()),
+        );
         let statement = format!("id={id},key={key},ms={work_ms},on={goes_on},promised={promised}");
-        if class.needs_promise() {
+        if class.needs_ledger_entry() {
             let (records, front) = (record.records.clone(), member.number);
             // About when the front has it: a little before, or a little after.
             let wait = Duration::from_micros(200 + self.seed % 400);
@@ -144,17 +155,17 @@
                 records.reached(Step::Taken, front);
             });
         }
-        let before = own_wait();
+        let before = thread_cpu_wait();
         let (outcome, later) = lines::ask_told(address, self.number, &fields, &statement);
         asked.outcome = outcome;
         asked.answered = now();
-        let starved = own_wait() - before;
+        let starved = thread_cpu_wait() - before;
         let outcome = asked.outcome.clone();
         // Turned away for good, well within its time: by a rule, not for want of an engine or of a promise.
         let soon = asked.answered - asked.sent < asked.timeout / 2;
         let barred = !later && soon && matches!(&outcome, Outcome::Error(code) if code == "53000");
         let (front, class) = (member.number, self.class);
-        if let Ok(mut all) = record.asked.lock() {
+        if let Ok(mut all) = record.offered.lock() {
             all.push(Offered {
                 front,
                 class,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -117,15 +117,15 @@
         let whole = Mutation::default();
         match self {
             OmittedRule::Act => Mutation {
-                acts_first: true,
+                skips_barrier: true,
                 ..whole
             },
             OmittedRule::Identity => Mutation {
-                keeps_identity: true,
+                reuses_disk_identity: true,
                 ..whole
             },
             OmittedRule::Save => Mutation {
-                sends_first: true,
+                sends_before_sync: true,
                 ..whole
             },
         }
@@ -297,7 +297,7 @@
             return ExitCode::from(2);
         }
     };
-    let seed = fleet::seed(&scenario, seed);
+    let seed = fleet::choose_seed(&scenario, seed);
     let name = path
         .file_stem()
         .map(|s| s.to_string_lossy().to_string())
--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -53,7 +53,7 @@
 fn beyond_work(scenario: &Scenario, run: &Run, promised: bool) -> f64 {
     let own = |o: &&Offered| {
         let completed = matches!(o.asked.outcome, Outcome::Completed { .. });
-        completed && scenario.classes[o.class].needs_promise() == promised
+        completed && scenario.classes[o.class].needs_ledger_entry() == promised
     };
     let mut took: Vec<f64> = (run.asked.iter().filter(own))
         .map(|o| {
--- a/crates/lab/src/measure/portal.rs
+++ b/crates/lab/src/measure/portal.rs
@@ -110,7 +110,7 @@
     let why = |e: std::io::Error| e.to_string();
     let engine = Engine::start(0, Records::new(), false).map_err(why)?;
     let coordinator = Coordinator::start().map_err(why)?;
-    coordinator.tell(true, &[("e0".to_string(), engine.at, "pg", "up")]);
+    coordinator.announce(true, &[("e0".to_string(), engine.at, "pg", "up")]);
     // Cores without end, so that the module's bounds hold nothing back: what is measured is the way.
     let settings = json!({"instances": 1, "areas": ["here"], "kinds": ["pg"], "rules": {},
         "bounds": {"cancelling": true, "mostTries": 3, "retryAfter": true},
@@ -128,7 +128,7 @@
     let targets = runtime.block_on(async {
         Ok::<_, String>((
             target(engine.at.port()).await?,
-            target(front.sessions.port()).await?,
+            target(front.session_address.port()).await?,
         ))
     })?;
     let added = |all: &mut Vec<f64>, without: &[f64], with: &[f64]| {
@@ -157,7 +157,7 @@
     // A front of its own, so that what the rounds have left free is not counted as room for sessions.
     drop(front);
     let front = Front::start(&settings, operator, &coordinator, 16_000)?;
-    let at = front.sessions;
+    let at = front.session_address;
     drop(Session::open(at, "portal", false).map_err(why)?);
     let before = front.memory_kb();
     let idle: Result<Vec<Session>, _> = (0..IDLE)
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -52,7 +52,7 @@
             .front
             .lock()
             .ok()
-            .and_then(|front| front.as_ref().map(|front| front.lines));
+            .and_then(|front| front.as_ref().map(|front| front.statement_address));
         let at = at.ok_or("a front is away")?;
         let (key, unique) = (format!("k{number}"), format!("u{number}"));
         let own = [("item", key.as_str()), ("unique", unique.as_str())];
--- a/crates/lab/src/prove/deaths.rs
+++ b/crates/lab/src/prove/deaths.rs
@@ -136,7 +136,7 @@
         },
         engine: shape::engines(),
         faults,
-        classes: vec![Class::plain("lookup", 500), keyed, once],
+        classes: vec![Class::idempotent("lookup", 500), keyed, once],
     }
 }
 
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -35,7 +35,7 @@
 }
 
 impl FleetHooks for Disks {
-    fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
+    fn poll(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
         let due = self
             .owners
             .first()
@@ -45,7 +45,7 @@
         }
         // One whose disk was slow may keep no copies any more: others took its place.
         let before: Vec<usize> = self.played.iter().map(|fault| fault.front).collect();
-        let Some(front) = fleet.busiest(&before) else {
+        let Some(front) = fleet.busiest_sender(&before) else {
             return Vec::new();
         };
         let fault = Fault {
@@ -56,14 +56,14 @@
         vec![fault]
     }
 
-    fn over(&mut self, fleet: &Fleet) {
+    fn on_load_ended(&mut self, fleet: &Fleet) {
         for fault in &self.played {
             let text = match fault.what {
                 FaultKind::DiskFull => "keeps no copies there any more",
                 _ => "a commit took",
             };
             self.said
-                .push((fault.what, fleet.members[fault.front].said(text).len()));
+                .push((fault.what, fleet.members[fault.front].log_lines(text).len()));
         }
     }
 }
@@ -130,7 +130,7 @@
         classes: vec![
             Class {
                 share: 3.0,
-                ..Class::plain("lookup", 500)
+                ..Class::idempotent("lookup", 500)
             },
             keyed,
             once,
@@ -163,7 +163,7 @@
         );
         MemberOptions {
             ledger,
-            drill: Some(drill),
+            disk_fault_file: Some(drill),
             ..MemberOptions::default()
         }
     });
--- a/crates/lab/src/prove/long.rs
+++ b/crates/lab/src/prove/long.rs
@@ -11,7 +11,7 @@
 use super::promises::{self, RunOptions};
 use crate::record::account::Run;
 use crate::rig::scenario::{Fault, FaultKind, Load, Scenario, Step};
-use crate::simulated::{run_with, smallest};
+use crate::simulated::{minimize, run_with};
 
 const SLOT_MS: u64 = 40_000; // milliseconds from one machine lost with its disk to the next: the repair lies between
 const QUIET_MS: u64 = 10_000; // milliseconds at the end of each in which nothing is played
@@ -176,7 +176,7 @@
             .unwrap_or_default();
         broken.iter().any(|rule| found.contains_key(rule))
     };
-    let (least, plays) = smallest(scenario, CUTS_DOWN, fails);
+    let (least, plays) = minimize(scenario, CUTS_DOWN, fails);
     println!(
         "{} of {} faults are enough, {} s of load, found in {plays} plays:",
         least.faults.len(),
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -52,11 +52,11 @@
         add(
             &mut wrong,
             "front",
-            format!("it ended: {:?}", setup.front.last()),
+            format!("it ended: {:?}", setup.front.last_log_line()),
         );
     }
     // The planned end comes while clients ask and transactions are open.
-    let open = scripted::open_transactions(setup.front.sessions, &setup.notes, OPEN_AT_END);
+    let open = scripted::open_transactions(setup.front.session_address, &setup.notes, OPEN_AT_END);
     let ended_at = setup.notes.records.now();
     end_front(&mut setup.front, &setup.notes, &mut wrong);
     load.clients_ended();
@@ -117,7 +117,7 @@
 fn end_front(front: &mut Front, notes: &Notes, wrong: &mut Violations) {
     front.terminate();
     notes.stop.store(true, SeqCst);
-    let ended = front.ended();
+    let ended = front.wait_for_exit();
     if ended.is_none_or(|(well, _)| !well) {
         add(wrong, "front", format!("after SIGTERM: {ended:?}"));
     }
--- a/crates/lab/src/prove/postgres/faults.rs
+++ b/crates/lab/src/prove/postgres/faults.rs
@@ -37,7 +37,7 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xd4a1);
     let mut drains = Vec::new();
     let tell = |e: &Engine, state| {
-        coordinator.tell(false, &[(name(e.number), e.at, kind(e.number), state)])
+        coordinator.announce(false, &[(name(e.number), e.at, kind(e.number), state)])
     };
     std::thread::sleep(Duration::from_millis(chance.random_range(200..600)));
     while !notes.over() {
--- a/crates/lab/src/prove/postgres/load.rs
+++ b/crates/lab/src/prove/postgres/load.rs
@@ -49,7 +49,11 @@
     /// Starts all of them, each with chance of its own from the seed.
     pub(super) fn start(seed: u64, setup: &Setup) -> Result<Load, String> {
         let notes = &setup.notes;
-        let (sessions, lines, front) = (setup.front.sessions, setup.front.lines, setup.front.pid());
+        let (sessions, lines, front) = (
+            setup.front.session_address,
+            setup.front.statement_address,
+            setup.front.pid(),
+        );
         let drains = {
             let (engines, coordinator) = (setup.engines.clone(), setup.coordinator.clone());
             let notes = notes.clone();
--- a/crates/lab/src/prove/postgres/setup.rs
+++ b/crates/lab/src/prove/postgres/setup.rs
@@ -42,7 +42,7 @@
             .map(|e| (name(e.number), e.at, kind(e.number), "up"))
             .collect();
         list.push((name(ENGINES), lines_at, "lines", "up"));
-        coordinator.tell(true, &list);
+        coordinator.announce(true, &list);
         let front = Front::start(&settings(), OPERATOR, &coordinator, SOCKETS)?;
         Ok(Setup {
             engines,
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -96,7 +96,7 @@
         classes: vec![
             Class {
                 share: 4.0,
-                ..Class::plain("lookup", 500)
+                ..Class::idempotent("lookup", 500)
             },
             keyed,
             once,
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -80,18 +80,18 @@
 }
 
 impl FleetHooks for Roll {
-    fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
-        if !fleet.is_whole() {
+    fn poll(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
+        if !fleet.all_accept_statements() {
             self.since = since;
         }
         let due = self.steps.front().is_some_and(|step| {
-            since >= FIRST && since - self.since >= step.pause && fleet.is_whole()
+            since >= FIRST && since - self.since >= step.pause && fleet.all_accept_statements()
         });
         let Some(step) = due.then(|| self.steps.pop_front()).flatten() else {
             return Vec::new();
         };
         let ends = step.fronts.iter().map(|front| {
-            fleet.members[*front].becomes(self.other.clone().filter(|_| step.other));
+            fleet.members[*front].set_next_program(self.other.clone().filter(|_| step.other));
             Fault {
                 front: *front,
                 ..fault(FaultKind::Term, since as u64 / 1000, LOOK_MS)
@@ -140,7 +140,7 @@
     let classes = vec![
         Class {
             share: 3.0,
-            ..Class::plain("lookup", 500)
+            ..Class::idempotent("lookup", 500)
         },
         Class {
             share: 2.0,
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -20,7 +20,7 @@
 use crate::record::hits;
 use crate::record::judge::judge;
 use crate::rig::fleet::{play, Fleet, FleetHooks};
-use crate::rig::rules::{self, Files, RuleLogs, Set, DENIED, RULED};
+use crate::rig::rules::{self, RuleFiles, RuleLogs, RuleSet, DENIED_WORKLOAD, RULED_CUSTOMER};
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario};
 
 const FIRST_MS: u64 = 1_000; // milliseconds of load before the first change
@@ -42,14 +42,14 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Change {
     at_ms: u64,
-    files: Vec<(usize, Set)>,
+    files: Vec<(usize, RuleSet)>,
     /// All fronts that get one have the same; else they are rivals.
     kind: &'static str,
 }
 
 struct Plan {
     scenario: Scenario,
-    first: Set,
+    first: RuleSet,
     changes: Vec<Change>,
     /// Fronts that are told to read their file, old by then, and when.
     old: Vec<(u64, usize)>,
@@ -60,9 +60,9 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7275_6c65);
     let (fronts, zones) = (5, 3);
     let kinds = shape::draw_kinds(&mut chance, &KINDS, small.then_some((SMALL, "cut")));
-    let mut set = Set {
+    let mut set = RuleSet {
         version: 1,
-        barred: BTreeSet::from([chance.random_range(0..zones)]),
+        barred_zones: BTreeSet::from([chance.random_range(0..zones)]),
     };
     let first = set.clone();
     let (mut faults, mut changes, mut old) = (Vec::new(), Vec::new(), Vec::new());
@@ -133,17 +133,17 @@
 }
 
 /// The next version: a zone more is barred than before, or another: always something that was allowed.
-fn draw_next(set: &Set, zones: usize, chance: &mut Pcg64Mcg) -> Set {
+fn draw_next(set: &RuleSet, zones: usize, chance: &mut Pcg64Mcg) -> RuleSet {
     let open: Vec<usize> = (0..zones)
-        .filter(|zone| !set.barred.contains(zone))
+        .filter(|zone| !set.barred_zones.contains(zone))
         .collect();
     let mut barred = BTreeSet::from([open[chance.random_range(0..open.len())]]);
     if chance.random_bool(0.5) {
         barred.insert(chance.random_range(0..zones));
     }
-    Set {
+    RuleSet {
         version: set.version + 1,
-        barred,
+        barred_zones: barred,
     }
 }
 
@@ -154,14 +154,14 @@
     faults: Vec<Fault>,
 ) -> Scenario {
     let report = Class {
-        customer: RULED.into(),
+        customer: RULED_CUSTOMER.into(),
         share: 3.0,
-        ..Class::plain("report", 1_000)
+        ..Class::idempotent("report", 1_000)
     };
     let audit = Class {
-        customer: RULED.into(),
+        customer: RULED_CUSTOMER.into(),
         share: 1.0,
-        ..Class::plain(DENIED, 1_000)
+        ..Class::idempotent(DENIED_WORKLOAD, 1_000)
     };
     Scenario {
         seed: Some(seed),
@@ -181,7 +181,7 @@
         classes: vec![
             Class {
                 share: 2.0,
-                ..Class::plain("lookup", 1_000)
+                ..Class::idempotent("lookup", 1_000)
             },
             report,
             audit,
@@ -191,18 +191,18 @@
 
 /// What is played beside the faults.
 struct Rules {
-    files: Files,
+    files: RuleFiles,
     changes: Vec<Change>,
     old: Vec<(u64, usize)>,
     /// Sets as they were offered, with when and at which front.
-    offered: Vec<(i64, usize, Set)>,
+    offered: Vec<(i64, usize, RuleSet)>,
     asked_front: usize,
     logs: RuleLogs,
     hits: Option<BTreeMap<String, i64>>,
 }
 
 impl Rules {
-    fn offer(&mut self, fleet: &Fleet, front: usize, set: &Set) {
+    fn offer(&mut self, fleet: &Fleet, front: usize, set: &RuleSet) {
         if self.files.write(front, set).is_ok() {
             self.offered.push((fleet.records.now(), front, set.clone()));
             fleet.members[front].signal(Signal::SIGHUP);
@@ -210,8 +210,8 @@
     }
 
     /// The sets that were the fleet's, in order, each with when it was first offered.
-    fn lived(&self) -> Vec<(i64, Set)> {
-        let own = |(at, front, set): &(i64, usize, Set)| {
+    fn lived(&self) -> Vec<(i64, RuleSet)> {
+        let own = |(at, front, set): &(i64, usize, RuleSet)| {
             let rivals = || {
                 self.offered
                     .iter()
@@ -220,13 +220,13 @@
             let alone = rivals().all(|(_, _, other)| other == set);
             let won = self
                 .logs
-                .accepted
+                .accepted_by
                 .get(&set.version)
                 .is_some_and(|by| by.contains(front));
-            let judged = self.logs.judged.contains_key(&set.version);
+            let judged = self.logs.first_judged.contains_key(&set.version);
             (judged && (alone || won)).then(|| (*at, set.clone()))
         };
-        let mut all: Vec<(i64, Set)> = self.offered.iter().filter_map(own).collect();
+        let mut all: Vec<(i64, RuleSet)> = self.offered.iter().filter_map(own).collect();
         all.sort_by_key(|(at, set)| (set.version, *at));
         all.dedup_by_key(|(_, set)| set.version);
         all
@@ -235,13 +235,13 @@
     fn bars(&self, end: i64) -> Vec<BarredZone> {
         let (lived, mut bars) = (self.lived(), Vec::new());
         for (n, (_, set)) in lived.iter().enumerate() {
-            let Some(in_force) = self.logs.in_force.get(&set.version) else {
+            let Some(in_force) = self.logs.first_in_force.get(&set.version) else {
                 continue;
             };
-            for zone in &set.barred {
+            for zone in &set.barred_zones {
                 let ends = lived[n + 1..]
                     .iter()
-                    .find(|(_, later)| !later.barred.contains(zone));
+                    .find(|(_, later)| !later.barred_zones.contains(zone));
                 let until = ends.map_or(end, |(at, _)| *at);
                 let in_force = in_force + ON_ITS_WAY;
                 bars.push(BarredZone {
@@ -257,14 +257,15 @@
 }
 
 impl FleetHooks for Rules {
-    fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
+    fn on_ready(&mut self, fleet: &Fleet) -> Result<(), String> {
         let until = Instant::now() + READY;
         while Instant::now() < until {
             let judges = |m: &std::sync::Arc<crate::rig::member::Member>| {
-                !m.said("knows which rules hold").is_empty()
-                    || !m.said("judges by version 1 ").is_empty()
+                !m.log_lines("knows which rules hold").is_empty()
+                    || !m.log_lines("judges by version 1 ").is_empty()
             };
-            if fleet.members.iter().all(judges) && rules::read_logs(fleet).in_force.contains_key(&1)
+            if fleet.members.iter().all(judges)
+                && rules::read_logs(fleet).first_in_force.contains_key(&1)
             {
                 return Ok(());
             }
@@ -276,7 +277,7 @@
         ))
     }
 
-    fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
+    fn poll(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
         while let Some(change) = self
             .changes
             .first()
@@ -301,7 +302,7 @@
         Vec::new()
     }
 
-    fn over(&mut self, fleet: &Fleet) {
+    fn on_load_ended(&mut self, fleet: &Fleet) {
         let last = self
             .offered
             .iter()
@@ -310,11 +311,11 @@
             .unwrap_or(1);
         let until = Instant::now() + LAST;
         self.logs = rules::read_logs(fleet);
-        while !self.logs.in_force.contains_key(&last) && Instant::now() < until {
+        while !self.logs.first_in_force.contains_key(&last) && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(50));
             self.logs = rules::read_logs(fleet);
         }
-        self.hits = rules::hits(fleet, self.asked_front, LAST);
+        self.hits = rules::request_hits(fleet, self.asked_front, LAST);
     }
 }
 
@@ -328,8 +329,8 @@
         old,
     } = draw(seed, small);
     let (fronts, zones) = (scenario.fleet.fronts, scenario.fleet.zones);
-    let files = Files::new(fronts, seed, &first).map_err(|e| e.to_string())?;
-    let fleet = Fleet::start_with(&scenario, seed, files.beside(fronts, zones), None)?;
+    let files = RuleFiles::new(fronts, seed, &first).map_err(|e| e.to_string())?;
+    let fleet = Fleet::start_with(&scenario, seed, files.member_options(fronts, zones), None)?;
     let offered = vec![(0, 0, first)];
     let asked_front = (seed % fronts as u64) as usize;
     let planned = changes.clone();
@@ -379,7 +380,7 @@
     let ruled = ran.iter().filter(|x| class(&x.id) == Some(REPORT)).count() as i64;
     run.tallies.insert("ruled_runs", ruled);
     run.tallies
-        .insert("versions_in_force", rules.logs.in_force.len() as i64);
+        .insert("versions_in_force", rules.logs.first_in_force.len() as i64);
     run.tallies.insert("bars", bars.len() as i64);
     let mut add = |rule: &'static str, what: String| wrong.entry(rule).or_default().push(what);
     if ruled < LEAST_RUN {
@@ -388,7 +389,7 @@
     let lived: BTreeSet<u64> = rules.lived().iter().map(|(_, set)| set.version).collect();
     for change in planned {
         let version = change.files[0].1.version;
-        if !lived.contains(&version) || !rules.logs.in_force.contains_key(&version) {
+        if !lived.contains(&version) || !rules.logs.first_in_force.contains_key(&version) {
             add(
                 "run",
                 format!(
@@ -397,13 +398,16 @@
                 ),
             );
         }
-        if change.kind == "two" && rules.logs.accepted.get(&version).map_or(0, Vec::len) > 1 {
+        if change.kind == "two" && rules.logs.accepted_by.get(&version).map_or(0, Vec::len) > 1 {
             add(
                 "two_in_force",
                 format!("two files of version {version} became the fleet's"),
             );
         }
-        if let (true, Some(at)) = (change.kind == "cut", rules.logs.in_force.get(&version)) {
+        if let (true, Some(at)) = (
+            change.kind == "cut",
+            rules.logs.first_in_force.get(&version),
+        ) {
             let cuts = account
                 .played
                 .iter()
@@ -413,7 +417,7 @@
         }
     }
     let killed = planned.iter().any(|change| change.kind == "killed");
-    let old: usize = rules.logs.old.values().sum();
+    let old: usize = rules.logs.stale_refusals.values().sum();
     run.tallies.insert("old_files_refused", old as i64);
     if killed && old < 2 {
         add("run", format!("{old} of 2 old files were refused"));
--- a/crates/lab/src/prove/rules_tests.rs
+++ b/crates/lab/src/prove/rules_tests.rs
@@ -16,8 +16,8 @@
         let mut before = plan.first.clone();
         for change in &plan.changes {
             for (_, set) in &change.files {
-                assert!(set.version == before.version + 1 && set.barred.len() < 3);
-                assert!(!set.barred.is_subset(&before.barred), "{seed}");
+                assert!(set.version == before.version + 1 && set.barred_zones.len() < 3);
+                assert!(!set.barred_zones.is_subset(&before.barred_zones), "{seed}");
             }
             before = change.files[0].1.clone();
         }
--- a/crates/lab/src/prove/shape.rs
+++ b/crates/lab/src/prove/shape.rs
@@ -73,6 +73,6 @@
         importance: 8.0,
         work_ms: Some(work_ms),
         goes_on: true,
-        ..Class::plain(name, 2_000)
+        ..Class::idempotent(name, 2_000)
     }
 }
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -22,7 +22,7 @@
 use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::member::Member;
 use crate::rig::scenario::{Class, Effect, Fault, FaultKind, FleetShape, Load, Scenario};
-use crate::rig::sites::{Sites, BAD};
+use crate::rig::sites::{Sites, SUMMARY_DEFECTS};
 use seen::{asked, counted, held, read, AnswerRecords, Loaded};
 
 const SITES: usize = 5;
@@ -73,7 +73,10 @@
     while !stop.load(SeqCst) {
         std::thread::sleep(gap);
         number += 1;
-        let here: Vec<&Arc<Member>> = members.iter().filter(|m| !m.away.load(SeqCst)).collect();
+        let here: Vec<&Arc<Member>> = members
+            .iter()
+            .filter(|m| !m.unavailable.load(SeqCst))
+            .collect();
         let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else {
             continue;
         };
@@ -81,7 +84,7 @@
             .front
             .lock()
             .ok()
-            .and_then(|f| f.as_ref().map(|f| f.lines))
+            .and_then(|f| f.as_ref().map(|f| f.statement_address))
         else {
             continue;
         };
@@ -129,29 +132,29 @@
         let mut fronts_told = BTreeSet::new();
         for site in 0..SITES {
             let front = self.chance.random_range(0..fronts);
-            self.sites.tell(site, front);
+            self.sites.publish_summary(site, front);
             fronts_told.insert(front);
         }
         if self.spoils {
-            let (what, _) = BAD[self.turns % BAD.len()];
+            let (what, _) = SUMMARY_DEFECTS[self.turns % SUMMARY_DEFECTS.len()];
             let (site, front) = (
                 self.chance.random_range(0..SITES),
                 self.chance.random_range(0..fronts),
             );
-            self.sites.tell_badly(site, front, what);
+            self.sites.publish_defective_summary(site, front, what);
             fronts_told.insert(front);
             self.turns += 1;
         }
         let here = fronts_told
             .iter()
             .map(|front| &fleet.members[*front])
-            .filter(|m| !m.away.load(SeqCst));
+            .filter(|m| !m.unavailable.load(SeqCst));
         here.for_each(|member| member.signal(Signal::SIGHUP));
     }
 }
 
 impl FleetHooks for Plan {
-    fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
+    fn on_ready(&mut self, fleet: &Fleet) -> Result<(), String> {
         self.tell(fleet);
         let (seed, members, records) = (
             (self.seed, self.loads),
@@ -165,7 +168,7 @@
         Ok(())
     }
 
-    fn turn(&mut self, fleet: &Fleet, _: i64) -> Vec<Fault> {
+    fn poll(&mut self, fleet: &Fleet, _: i64) -> Vec<Fault> {
         if self.told_at.elapsed() >= TELL {
             self.told_at = Instant::now();
             self.tell(fleet);
@@ -173,29 +176,29 @@
         Vec::new()
     }
 
-    fn over(&mut self, fleet: &Fleet) {
+    fn on_load_ended(&mut self, fleet: &Fleet) {
         self.stop.store(true, SeqCst);
         self.clients
             .take()
             .into_iter()
             .for_each(|clients| _ = clients.join());
-        for (what, text) in BAD {
+        for (what, text) in SUMMARY_DEFECTS {
             let said = |m: &Arc<Member>| {
-                let lines = m.said("/bad: ");
+                let lines = m.log_lines("/bad: ");
                 lines.iter().filter(|(_, line)| line.contains(text)).count()
             };
             self.refused
                 .insert(what, fleet.members.iter().map(said).sum());
         }
         for member in &fleet.members {
-            let before = member.said(NEEDLESS).len();
+            let before = member.log_lines(NEEDLESS).len();
             member.signal(Signal::SIGHUP);
             let since = Instant::now();
-            while member.said(NEEDLESS).len() == before && since.elapsed() < TELL {
+            while member.log_lines(NEEDLESS).len() == before && since.elapsed() < TELL {
                 std::thread::sleep(Duration::from_millis(10));
             }
             self.needless
-                .extend(member.said(NEEDLESS).pop().map(|(_, line)| line));
+                .extend(member.log_lines(NEEDLESS).pop().map(|(_, line)| line));
         }
     }
 }
@@ -228,7 +231,7 @@
         share: 0.0,
         effect: Effect::NonIdempotent,
         goes_on: true,
-        ..Class::plain("load", 2_000)
+        ..Class::idempotent("load", 2_000)
     };
     Scenario {
         seed: Some(seed),
@@ -248,10 +251,10 @@
         engine: shape::engines(),
         faults,
         classes: vec![
-            Class::plain("plain", 1_000),
+            Class::idempotent("plain", 1_000),
             Class {
                 share: 0.0,
-                ..Class::plain("lookup", 1_000)
+                ..Class::idempotent("lookup", 1_000)
             },
             load,
         ],
@@ -279,7 +282,7 @@
     let fronts = scenario.fleet.fronts;
     let sites = Arc::new(Sites::new(first(seed), 1, fronts, seed).map_err(|e| e.to_string())?);
     let holds: Arc<dyn RowStore> = sites.clone();
-    let fleet = Fleet::start_with(scenario, seed, sites.beside(fronts), Some(holds))?;
+    let fleet = Fleet::start_with(scenario, seed, sites.member_options(fronts), Some(holds))?;
     let mut plan = Plan {
         sites,
         seen: Arc::default(),
--- a/crates/lab/src/prove/sites/seen.rs
+++ b/crates/lab/src/prove/sites/seen.rs
@@ -49,7 +49,7 @@
     };
     let mut held: Vec<Row> = (0..first.len()).flat_map(there).collect();
     let mut violations = Violations::new();
-    let (Ok(loads), Ok(landed)) = (seen.loads.lock(), sites.landed.lock()) else {
+    let (Ok(loads), Ok(landed)) = (seen.loads.lock(), sites.row_sites.lock()) else {
         return (held, violations);
     };
     for load in loads.iter() {
--- a/crates/lab/src/prove/soak.rs
+++ b/crates/lab/src/prove/soak.rs
@@ -54,7 +54,7 @@
     let classes = vec![
         Class {
             share: 6.0,
-            ..Class::plain("lookup", 500)
+            ..Class::idempotent("lookup", 500)
         },
         Class {
             share: 2.0,
@@ -64,13 +64,13 @@
             work_ms: Some(chance.random_range(20..=120)),
             timeout_ms: Some(chance.random_range(1_500..=3_000)),
             window_ms: chance.random_range(600..=3_000),
-            ..Class::plain("log-load", 1_000)
+            ..Class::idempotent("log-load", 1_000)
         },
         Class {
             importance: 4.0,
             effect: Effect::NonIdempotent,
             work_ms: Some(chance.random_range(20..=120)),
-            ..Class::plain("pay", 1_000)
+            ..Class::idempotent("pay", 1_000)
         },
     ];
     let fleet = FleetShape {
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -161,7 +161,7 @@
                 .front
                 .lock()
                 .ok()
-                .and_then(|front| front.as_ref().map(|front| front.lines));
+                .and_then(|front| front.as_ref().map(|front| front.statement_address));
             for address in std::iter::repeat_n(address, CROWD).flatten() {
                 self.crowd.push(TcpStream::connect(address)?);
             }
@@ -204,21 +204,21 @@
 }
 
 impl FleetHooks for Machines {
-    fn ready(&mut self, fleet: &Fleet) -> std::result::Result<(), String> {
+    fn on_ready(&mut self, fleet: &Fleet) -> std::result::Result<(), String> {
         match self.chance.random_bool(CROWDED) {
             true => self.gather_crowd(fleet).map_err(|e| e.to_string()),
             false => Ok(()),
         }
     }
 
-    fn turn(&mut self, _fleet: &Fleet, since: i64) -> Vec<Fault> {
+    fn poll(&mut self, _fleet: &Fleet, since: i64) -> Vec<Fault> {
         if let Err(why) = self.advance(since) {
             self.played.push((since, format!("not played: {why}")));
         }
         Vec::new()
     }
 
-    fn over(&mut self, _fleet: &Fleet) {
+    fn on_load_ended(&mut self, _fleet: &Fleet) {
         // Ends that are still to come are the fronts' own.
         let _ = self.end_shortages(i64::MAX);
     }
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -80,7 +80,7 @@
     let near = |at: i64| {
         shutdowns
             .iter()
-            .any(|end| end.asked <= at && at <= end.gone + terms.most_wait)
+            .any(|end| end.asked <= at && at <= end.exited + terms.most_wait)
     };
     let ended: Vec<i64> = waited
         .iter()
@@ -97,9 +97,13 @@
         }
     }
     for end in shutdowns {
-        let took = end.gone.saturating_sub(end.asked);
-        if !end.well || took > terms.most_end && !is_busy(end.asked, end.gone) {
-            let how = if end.well { "well" } else { "with an error" };
+        let took = end.exited.saturating_sub(end.asked);
+        if !end.succeeded || took > terms.most_end && !is_busy(end.asked, end.exited) {
+            let how = if end.succeeded {
+                "well"
+            } else {
+                "with an error"
+            };
             add(
                 "end",
                 format!("front {} ended {how} after {} ms", end.front, took / 1000),
@@ -133,7 +137,7 @@
         ),
         (
             "ends",
-            shutdowns.iter().filter(|end| end.well).count() as i64,
+            shutdowns.iter().filter(|end| end.succeeded).count() as i64,
         ),
         (
             "ends_with_promises_out",
@@ -143,7 +147,7 @@
             "end_most_ms",
             shutdowns
                 .iter()
-                .map(|e| e.gone.saturating_sub(e.asked))
+                .map(|e| e.exited.saturating_sub(e.asked))
                 .max()
                 .unwrap_or(0)
                 / 1000,
--- a/crates/lab/src/record/rolled_tests.rs
+++ b/crates/lab/src/record/rolled_tests.rs
@@ -57,8 +57,8 @@
     let well = Shutdown {
         front: 1,
         asked: 1_100_000,
-        gone: 2_000_000,
-        well: true,
+        exited: 2_000_000,
+        succeeded: true,
     };
     let done = || Outcome::Completed { rows: 1 };
     let (rules, tallies) = found(&account(1_700_000, done(), well.clone()));
@@ -95,11 +95,11 @@
     assert!(found(&busy).0.is_empty());
     for end in [
         Shutdown {
-            well: false,
+            succeeded: false,
             ..well.clone()
         },
         Shutdown {
-            gone: 4_100_001,
+            exited: 4_100_001,
             ..well
         },
     ] {
--- a/crates/lab/src/rig/class.rs
+++ b/crates/lab/src/rig/class.rs
@@ -58,12 +58,12 @@
     }
 
     /// Whether its statements depend on a promise.
-    pub fn needs_promise(&self) -> bool {
+    pub fn needs_ledger_entry(&self) -> bool {
         self.keys > 0 || self.effect != Effect::Idempotent
     }
 
     /// One that may run again whenever, with nothing of its own.
-    pub fn plain(name: &str, slo_ms: u64) -> Class {
+    pub fn idempotent(name: &str, slo_ms: u64) -> Class {
         Class {
             name: name.to_string(),
             share: 1.0,
--- a/crates/lab/src/rig/coordinator.rs
+++ b/crates/lab/src/rig/coordinator.rs
@@ -11,7 +11,7 @@
 
 /// What tells fronts of engines, by the protocol of the list.
 pub struct Coordinator {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     events: Events,
 }
 
@@ -27,29 +27,40 @@
                 std::thread::spawn(move || _ = answer(stream, &events));
             }
         });
-        Ok(Coordinator { at, events })
+        Ok(Coordinator {
+            address: at,
+            events,
+        })
     }
 
     /// Tells of engines: their names, addresses, kinds and states.
-    pub fn tell(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str)]) {
+    pub fn announce(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str)]) {
         let zoned: Vec<_> = engines
             .iter()
             .map(|(id, at, kind, state)| (id.clone(), *at, *kind, *state, "here"))
             .collect();
-        self.tell_zoned(whole, &zoned);
+        self.announce_with_zones(whole, &zoned);
     }
 
     /// The same, with the zone of each.
-    pub fn tell_zoned(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str, &str)]) {
-        self.tell_all(whole, engines, 0.0);
+    pub fn announce_with_zones(
+        &self,
+        whole: bool,
+        engines: &[(String, SocketAddr, &str, &str, &str)],
+    ) {
+        self.publish(whole, engines, 0.0);
     }
 
     /// Tells of engines that started anew at a Unix millisecond.
-    pub fn tell_started(&self, engines: &[(String, SocketAddr, &str, &str, &str)], wall_ms: f64) {
-        self.tell_all(false, engines, wall_ms);
+    pub fn announce_restarts(
+        &self,
+        engines: &[(String, SocketAddr, &str, &str, &str)],
+        wall_ms: f64,
+    ) {
+        self.publish(false, engines, wall_ms);
     }
 
-    fn tell_all(
+    fn publish(
         &self,
         whole: bool,
         engines: &[(String, SocketAddr, &str, &str, &str)],
@@ -65,7 +76,7 @@
         self.events.1.notify_all();
     }
 
-    pub(super) fn known(&self) -> Value {
+    pub(super) fn snapshot(&self) -> Value {
         let events = self.events.0.lock().map(|e| e.clone()).unwrap_or_default();
         json!({"index": events.len(), "updates": events})
     }
--- a/crates/lab/src/rig/datagrams.rs
+++ b/crates/lab/src/rig/datagrams.rs
@@ -73,7 +73,7 @@
 pub struct DatagramRelay {
     shared: Arc<Shared>,
     /// Where each front is heard, by its number.
-    pub at: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
 }
 
 impl DatagramRelay {
@@ -92,7 +92,10 @@
             let (shared, now, left) = (shared.clone(), now.clone(), left.clone());
             std::thread::spawn(move || relay(to, &socket, &shared, (&*now, &*left)));
         }
-        Ok(DatagramRelay { shared, at })
+        Ok(DatagramRelay {
+            shared,
+            addresses: at,
+        })
     }
 
     /// A front has started and speaks and listens at this address.
--- a/crates/lab/src/rig/datagrams_tests.rs
+++ b/crates/lab/src/rig/datagrams_tests.rs
@@ -51,11 +51,11 @@
             .unwrap();
     }
     relay.set(|s| s.doubled_ms = Some(1));
-    fronts[0].send_to(b"word", relay.at[1]).unwrap();
+    fronts[0].send_to(b"word", relay.addresses[1]).unwrap();
     let mut bytes = [0; 8];
     for _ in 0..2 {
         let (len, from) = fronts[1].recv_from(&mut bytes).unwrap();
-        assert_eq!((&bytes[..len], from), (&b"word"[..], relay.at[1]));
+        assert_eq!((&bytes[..len], from), (&b"word"[..], relay.addresses[1]));
     }
     let split = Some(Split {
         below: 1,
@@ -68,8 +68,8 @@
             ..DatagramFaults::default()
         }
     });
-    fronts[0].send_to(b"cut", relay.at[1]).unwrap();
-    fronts[1].send_to(b"cut", relay.at[0]).unwrap();
+    fronts[0].send_to(b"cut", relay.addresses[1]).unwrap();
+    fronts[1].send_to(b"cut", relay.addresses[0]).unwrap();
     // Nothing comes: the record tells when both were dealt with.
     let until = std::time::Instant::now() + Duration::from_secs(5);
     while relay.datagrams().len() < 3 && std::time::Instant::now() < until {
--- a/crates/lab/src/rig/death.rs
+++ b/crates/lab/src/rig/death.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes note of a step that a front has come to; true if this front dies of it now.
-    pub fn is_reached(&mut self, step: Step, front: usize) -> bool {
+    pub fn record_step(&mut self, step: Step, front: usize) -> bool {
         if self.front != front {
             return false;
         }
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -11,7 +11,7 @@
 
 use super::agreed::{settings, zone_name};
 use super::datagrams::DatagramRelay;
-use super::member::{FleetConfig, Keys, Member, MemberOptions, Record};
+use super::member::{ClientRecord, FleetConfig, FleetKeys, Member, MemberOptions};
 use super::relay::{Link, Relayed};
 use super::scenario::{Fault, FleetShape, Scenario, Step};
 use super::stage::Stage;
@@ -31,7 +31,7 @@
 /// Front processes that take statements, their engines, and the ways between all of them.
 pub struct Fleet {
     pub records: Arc<Records>,
-    record: Arc<Record>,
+    record: Arc<ClientRecord>,
     relayed: Arc<Mutex<Vec<Relayed>>>,
     engines: Vec<Arc<Engine>>,
     links: Vec<Vec<Arc<Link>>>,
@@ -56,9 +56,9 @@
     ) -> Result<Fleet, String> {
         let why = |e: std::io::Error| e.to_string();
         let records = Records::new();
-        let record = Arc::new(Record {
+        let record = Arc::new(ClientRecord {
             records: records.clone(),
-            asked: Mutex::default(),
+            offered: Mutex::default(),
         });
         let relayed: Arc<Mutex<Vec<Relayed>>> = Arc::default();
         let shape = &scenario.fleet;
@@ -70,7 +70,7 @@
         let config = FleetConfig {
             seed,
             settings: settings(scenario),
-            beside,
+            member_options: beside,
             gossip,
         };
         let (mut links, mut members, mut pids) = (Vec::new(), Vec::new(), Vec::new());
@@ -94,7 +94,7 @@
             links.push(own);
             let ahead_ms = clocks.random_range(-apart..=apart);
             let program = config
-                .beside
+                .member_options
                 .get(front)
                 .and_then(|beside| beside.program.clone());
             let member = Arc::new(Member::new(front, coordinator, ahead_ms, program));
@@ -115,7 +115,7 @@
 
     /// The front that sent most bytes to others lately, of those that run and are not `but`: it owns shards of the
     /// ledger.
-    pub(crate) fn busiest(&self, but: &[usize]) -> Option<usize> {
+    pub(crate) fn busiest_sender(&self, but: &[usize]) -> Option<usize> {
         let since = self.records.now() - LATELY_US;
         let (_, relay) = self.config.gossip.as_ref()?;
         let mut bytes = vec![0; self.members.len()];
@@ -124,14 +124,16 @@
             .iter()
             .filter(|p| p.at >= since)
             .for_each(|p| bytes[p.from] += p.bytes);
-        let here =
-            (0..bytes.len()).filter(|n| !but.contains(n) && !self.members[*n].away.load(SeqCst));
+        let here = (0..bytes.len())
+            .filter(|n| !but.contains(n) && !self.members[*n].unavailable.load(SeqCst));
         here.max_by_key(|n| bytes[*n])
     }
 
     /// All fronts run and take statements.
-    pub(crate) fn is_whole(&self) -> bool {
-        self.members.iter().all(|member| !member.away.load(SeqCst))
+    pub(crate) fn all_accept_statements(&self) -> bool {
+        self.members
+            .iter()
+            .all(|member| !member.unavailable.load(SeqCst))
     }
 
     fn stage(&self) -> Stage<'_> {
@@ -157,13 +159,13 @@
         let (mut read_again, mut warned) = (0, Vec::new());
         let mut asked = self
             .record
-            .asked
+            .offered
             .lock()
             .map(|a| a.clone())
             .unwrap_or_default();
         for offered in &mut asked {
             let troubled = self.members[offered.front]
-                .troubled
+                .disruptions
                 .lock()
                 .map(|t| t.clone());
             offered.excuse(&troubled.unwrap_or_default(), &starved);
@@ -171,12 +173,12 @@
         for member in &self.members {
             let when =
                 |at: Instant| at.saturating_duration_since(self.records.since).as_micros() as i64;
-            let said = member.said(" warn: ").into_iter();
+            let said = member.log_lines(" warn: ").into_iter();
             warned.extend(said.map(|(at, line)| (member.number, when(at), line)));
             if let Ok(mut front) = member.front.lock() {
                 read_again += front
                     .iter()
-                    .filter(|f| f.logged("was read again").is_some())
+                    .filter(|f| f.find_log_line("was read again").is_some())
                     .count() as i64;
                 front.take(); // ends the process and waits for it
             }
@@ -248,14 +250,14 @@
     shape: &FleetShape,
     seed: u64,
     records: &Arc<Records>,
-) -> std::io::Result<Option<(Keys, DatagramRelay)>> {
+) -> std::io::Result<Option<(FleetKeys, DatagramRelay)>> {
     if !shape.gossip {
         return Ok(None);
     }
     let (clock, steps) = (records.clone(), records.clone());
     let left = move |front| steps.reached(Step::Copying, front);
     let relay = DatagramRelay::start(shape.fronts, move || clock.now(), left)?;
-    Ok(Some((Keys::new(shape, seed)?, relay)))
+    Ok(Some((FleetKeys::new(shape, seed)?, relay)))
 }
 
 /// The coordinator of a front: engines stand in its list with the addresses of the front's own links to them.
@@ -265,9 +267,17 @@
     let list: Vec<_> = links
         .iter()
         .zip(&zones)
-        .map(|(l, zone)| (format!("e{}", l.engine), l.at, "lines", "up", zone.as_str()))
+        .map(|(l, zone)| {
+            (
+                format!("e{}", l.engine),
+                l.address,
+                "lines",
+                "up",
+                zone.as_str(),
+            )
+        })
         .collect();
-    coordinator.tell_zoned(true, &list);
+    coordinator.announce_with_zones(true, &list);
     Ok(coordinator)
 }
 
@@ -281,12 +291,12 @@
 /// What is played on a fleet beside the faults of its scenario.
 pub(crate) trait FleetHooks {
     /// The fronts have started; the load begins when this returns.
-    fn ready(&mut self, _fleet: &Fleet) -> Result<(), String> {
+    fn on_ready(&mut self, _fleet: &Fleet) -> Result<(), String> {
         Ok(())
     }
 
     /// Called some hundred times a second with the microseconds since the load began; faults that begin now.
-    fn turn(&mut self, _fleet: &Fleet, _since: i64) -> Vec<Fault> {
+    fn poll(&mut self, _fleet: &Fleet, _since: i64) -> Vec<Fault> {
         Vec::new()
     }
 
@@ -296,7 +306,7 @@
     }
 
     /// The load has ended, the fronts still run.
-    fn over(&mut self, _fleet: &Fleet) {}
+    fn on_load_ended(&mut self, _fleet: &Fleet) {}
 }
 
 struct NoHooks;
@@ -310,7 +320,7 @@
     seed: u64,
     beside: &mut dyn FleetHooks,
 ) -> Result<(Account, Vec<u32>), String> {
-    beside.ready(&fleet)?;
+    beside.on_ready(&fleet)?;
     let began = fleet.records.now();
     let stop = Arc::new(AtomicBool::new(false));
     let load = {
@@ -349,7 +359,7 @@
             started.extend(stage.end(&fault)?);
             played.push((fault, from, fleet.records.now()));
         }
-        for fault in beside.turn(&fleet, now) {
+        for fault in beside.poll(&fleet, now) {
             let fault = Fault {
                 at_ms: now as u64 / 1000,
                 ..fault
@@ -361,14 +371,14 @@
     }
     stop.store(true, SeqCst);
     let _ = load.join();
-    beside.over(&fleet);
+    beside.on_load_ended(&fleet);
     let account = fleet.account(began, played, watch.end());
     let pids = fleet.pids.iter().copied().chain(started).collect();
     Ok((account, pids))
 }
 
 /// A seed drawn where none is given.
-pub fn seed(scenario: &Scenario, given: Option<u64>) -> u64 {
+pub fn choose_seed(scenario: &Scenario, given: Option<u64>) -> u64 {
     given
         .or(scenario.seed)
         .unwrap_or_else(|| u64::from(rand::random::<u32>()))
--- a/crates/lab/src/rig/front.rs
+++ b/crates/lab/src/rig/front.rs
@@ -24,8 +24,8 @@
 pub struct Front {
     child: Child,
     /// Where it takes statements over Thrift, and PostgreSQL sessions.
-    pub lines: SocketAddr,
-    pub sessions: SocketAddr,
+    pub statement_address: SocketAddr,
+    pub session_address: SocketAddr,
     folder: PathBuf,
     config: Value,
     log: Log,
@@ -58,7 +58,7 @@
         coordinator: &Coordinator,
         sockets: usize,
     ) -> Result<Front, String> {
-        Front::named(
+        Front::start_named(
             ("f1", 0x8c1f_30d2_7a5b_e964),
             settings,
             (operator, &[]),
@@ -69,7 +69,7 @@
 
     /// The same, under a name and a seed of its own among many fronts (with one seed they would draw in step), and
     /// with further variables of the environment; where a program is named, it is that one's.
-    pub fn named(
+    pub fn start_named(
         (name, seed): (&str, u64),
         settings: &Value,
         (operator, environment): (&str, &[(String, String)]),
@@ -82,8 +82,8 @@
         let why = |e: std::io::Error| e.to_string();
         std::fs::create_dir_all(&folder).map_err(why)?;
         let config = json!({"name": name, "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
-            "limits": {"memory_mb": 512, "sockets": sockets}, "coordinator": coordinator.at.to_string(),
-            "known": coordinator.known(), "settings": settings});
+            "limits": {"memory_mb": 512, "sockets": sockets}, "coordinator": coordinator.address.to_string(),
+            "known": coordinator.snapshot(), "settings": settings});
         let (config_path, operator_path) =
             (folder.join("config.json"), folder.join("operator.json5"));
         std::fs::write(&config_path, config.to_string()).map_err(why)?;
@@ -134,8 +134,8 @@
         match (sessions, lines) {
             (Some(sessions), Some(lines)) => Ok(Front {
                 child,
-                lines,
-                sessions,
+                statement_address: lines,
+                session_address: sessions,
                 folder,
                 config,
                 log: kept,
@@ -148,7 +148,7 @@
     }
 
     /// Writes its configuration anew, with so many descriptors granted, and tells it so by SIGHUP.
-    pub fn read_again(&self, sockets: usize) {
+    pub fn reload_config(&self, sockets: usize) {
         let mut config = self.config.clone();
         config["limits"]["sockets"] = json!(sockets);
         if std::fs::write(self.folder.join("config.json"), config.to_string()).is_ok() {
@@ -157,12 +157,12 @@
     }
 
     /// The last line of its log.
-    pub fn last(&self) -> Option<String> {
+    pub fn last_log_line(&self) -> Option<String> {
         self.log.lock().ok()?.last().map(|(_, line)| line.clone())
     }
 
     /// The first line of its log that holds the text.
-    pub fn logged(&self, text: &str) -> Option<String> {
+    pub fn find_log_line(&self, text: &str) -> Option<String> {
         let log = self.log.lock().ok()?;
         log.iter()
             .find(|(_, line)| line.contains(text))
@@ -226,7 +226,7 @@
     }
 
     /// Waits for its end after it was asked for; whether it ended well, and after how long.
-    pub fn ended(&mut self) -> Option<(bool, Duration)> {
+    pub fn wait_for_exit(&mut self) -> Option<(bool, Duration)> {
         let since = Instant::now();
         while since.elapsed() < PATIENCE {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -30,16 +30,16 @@
     /// Milliseconds by which its clock is ahead of the machine's.
     pub(crate) ahead_ms: i64,
     /// It takes no statements from clients: stopped, killed or ending.
-    pub(crate) away: AtomicBool,
+    pub(crate) unavailable: AtomicBool,
     /// Until then clients come to it all the same.
-    pub(crate) until: AtomicI64,
+    pub(crate) accepts_until: AtomicI64,
     /// The program that its next life is; none: the one beside the lab.
     pub(crate) program: Mutex<Option<PathBuf>>,
     /// Its ends that were asked for.
     pub(crate) shutdowns: Mutex<Vec<Shutdown>>,
     /// Spans, in microseconds since the rig began, in which it was stopped, killed or ending: a statement out at
     /// it then may be late or lost by a fault of its own.
-    pub(crate) troubled: Mutex<Vec<(i64, i64)>>,
+    pub(crate) disruptions: Mutex<Vec<(i64, i64)>>,
     /// The logs of all its lives so far.
     pub(crate) logs: Mutex<Vec<Log>>,
 }
@@ -50,9 +50,9 @@
     pub front: usize,
     /// When it was asked, and when its process was gone.
     pub asked: i64,
-    pub gone: i64,
+    pub exited: i64,
     /// It ended by itself, without an error.
-    pub well: bool,
+    pub succeeded: bool,
 }
 
 impl Member {
@@ -68,42 +68,42 @@
             coordinator,
             number,
             ahead_ms,
-            away: AtomicBool::new(false),
-            until: AtomicI64::new(0),
+            unavailable: AtomicBool::new(false),
+            accepts_until: AtomicI64::new(0),
             program: Mutex::new(program),
             shutdowns: Mutex::default(),
-            troubled: Mutex::default(),
+            disruptions: Mutex::default(),
             logs: Mutex::default(),
         }
     }
 
     /// Whether clients come to it now.
-    pub(crate) fn takes(&self, now: i64) -> bool {
-        !self.away.load(SeqCst) || now < self.until.load(SeqCst)
+    pub(crate) fn accepts_statements(&self, now: i64) -> bool {
+        !self.unavailable.load(SeqCst) || now < self.accepts_until.load(SeqCst)
     }
 
     /// Its next life is of this program; none: the one beside the lab.
-    pub(crate) fn becomes(&self, next: Option<PathBuf>) {
+    pub(crate) fn set_next_program(&self, next: Option<PathBuf>) {
         if let Ok(mut program) = self.program.lock() {
             *program = next;
         }
     }
 
     /// It is asked to end.
-    pub(crate) fn asked_to_end(&self, now: i64) {
-        self.until.store(now + STILL_COME, SeqCst);
+    pub(crate) fn record_shutdown_request(&self, now: i64) {
+        self.accepts_until.store(now + STILL_COME, SeqCst);
         if let Ok(mut shutdowns) = self.shutdowns.lock() {
             shutdowns.push(Shutdown {
                 front: self.number,
                 asked: now,
-                gone: i64::MAX,
-                well: false,
+                exited: i64::MAX,
+                succeeded: false,
             });
         }
     }
 
     /// When its end that was asked for last should long be over.
-    pub(crate) fn ends_by(&self) -> i64 {
+    pub(crate) fn shutdown_deadline(&self) -> i64 {
         let asked = self
             .shutdowns
             .lock()
@@ -113,27 +113,36 @@
     }
 
     /// Its process is gone, after an end that it was asked for where one is open.
-    pub(crate) fn has_ended(&self, now: i64, well: bool) {
+    pub(crate) fn record_exit(&self, now: i64, well: bool) {
         if let Ok(mut shutdowns) = self.shutdowns.lock() {
-            let open = shutdowns.iter_mut().filter(|end| end.gone == i64::MAX);
-            open.for_each(|end| (end.gone, end.well) = (now, well));
+            let open = shutdowns.iter_mut().filter(|end| end.exited == i64::MAX);
+            open.for_each(|end| (end.exited, end.succeeded) = (now, well));
         }
     }
 
     /// Starts its front, anew where it ran before; with gossip, the others it knows of are its seeds.
     pub(crate) fn start(&self, config: &FleetConfig) -> Result<u32, String> {
-        let beside = config.beside.get(self.number).cloned().unwrap_or_default();
+        let beside = config
+            .member_options
+            .get(self.number)
+            .cloned()
+            .unwrap_or_default();
         let ahead = format!("clock_ahead_ms: {}{}", self.ahead_ms, beside.operator);
         let operator = match &config.gossip {
             None => format!("{{ {ahead} }}"),
             Some((keys, relay)) => {
                 let mut chance = Pcg64Mcg::seed_from_u64(self.number as u64);
-                let seed = |_| format!("'{}'", relay.at[chance.random_range(0..relay.at.len())]);
+                let seed = |_| {
+                    format!(
+                        "'{}'",
+                        relay.addresses[chance.random_range(0..relay.addresses.len())]
+                    )
+                };
                 let seeds: Vec<String> = (0..MOST_SEEDS).map(seed).collect();
                 let file = keys.folder.join(format!("secret{}", self.number));
                 let voters = |count: usize| {
                     (0..count)
-                        .map(|n| format!("f{n}: '{}'", relay.at[n]))
+                        .map(|n| format!("f{n}: '{}'", relay.addresses[n]))
                         .collect::<Vec<_>>()
                 };
                 let ownership = keys.voters.map(|(count, lease_ms)| {
@@ -145,7 +154,7 @@
                     )
                 });
                 let ownership = ownership.unwrap_or_default()
-                    + &keys.ledger(self.number, &relay.at, &beside.ledger)
+                    + &keys.ledger(self.number, &relay.addresses, &beside.ledger)
                     + &keys.overload;
                 let quorum = keys
                     .zone_quorum
@@ -154,7 +163,7 @@
                 format!(
                     "{{ {ahead}, gossip: {{ listen: '127.0.0.1:0', advertise: '{}', secret_file: '{}', {quorum}peers: {{ {} }}, \
                      seeds: [{}]{ownership} }} }}",
-                    relay.at[self.number],
+                    relay.addresses[self.number],
                     file.display(),
                     keys.peers,
                     seeds.join(", ")
@@ -165,7 +174,7 @@
         let seed = Pcg64Mcg::seed_from_u64(config.seed ^ (self.number as u64) << 32).random();
         let own = (operator.as_str(), beside.environment.as_slice());
         let program = self.program.lock().ok().and_then(|program| program.clone());
-        let started = Front::named(
+        let started = Front::start_named(
             (&name, seed),
             &config.settings,
             own,
@@ -175,7 +184,7 @@
         if let Ok(mut logs) = self.logs.lock() {
             logs.push(started.log());
         }
-        let at = started.logged("talks with other fronts");
+        let at = started.find_log_line("talks with other fronts");
         let at = at.and_then(|line| line.rsplit(' ').next().and_then(|word| word.parse().ok()));
         if let Some(((_, relay), at)) = config.gossip.as_ref().zip(at) {
             relay.front(self.number, at);
@@ -188,26 +197,26 @@
     }
 
     /// It takes no statements from now on, and what it had out then may be lost.
-    pub(crate) fn goes_away(&self, at: i64) {
-        self.away.store(true, SeqCst);
-        if let Ok(mut troubled) = self.troubled.lock() {
+    pub(crate) fn mark_unavailable(&self, at: i64) {
+        self.unavailable.store(true, SeqCst);
+        if let Ok(mut troubled) = self.disruptions.lock() {
             troubled.push((at, i64::MAX));
         }
     }
 
     /// It takes statements again.
-    pub(crate) fn is_back(&self, at: i64) {
-        if let Ok(mut troubled) = self.troubled.lock() {
+    pub(crate) fn mark_available(&self, at: i64) {
+        if let Ok(mut troubled) = self.disruptions.lock() {
             troubled
                 .iter_mut()
                 .filter(|(_, to)| *to == i64::MAX)
                 .for_each(|(_, to)| *to = at);
         }
-        self.away.store(false, SeqCst);
+        self.unavailable.store(false, SeqCst);
     }
 
     /// Lines of its log that hold the text, of all its lives, each with when it was read.
-    pub(crate) fn said(&self, text: &str) -> Vec<(Instant, String)> {
+    pub(crate) fn log_lines(&self, text: &str) -> Vec<(Instant, String)> {
         let logs = self
             .logs
             .lock()
@@ -238,7 +247,7 @@
     pub(crate) ledger: String,
     pub(crate) environment: Vec<(String, String)>,
     /// The file that says what befalls the disk of its copies, where the operator's file names one.
-    pub(crate) drill: Option<PathBuf>,
+    pub(crate) disk_fault_file: Option<PathBuf>,
     /// The program of its first life, where it is another build's.
     pub(crate) program: Option<PathBuf>,
 }
@@ -248,13 +257,13 @@
     pub(crate) seed: u64,
     pub(crate) settings: serde_json::Value,
     /// For each front; fronts beyond have nothing of their own.
-    pub(crate) beside: Vec<MemberOptions>,
+    pub(crate) member_options: Vec<MemberOptions>,
     /// With gossip, the fronts' keys and the way between them.
-    pub(crate) gossip: Option<(Keys, DatagramRelay)>,
+    pub(crate) gossip: Option<(FleetKeys, DatagramRelay)>,
 }
 
 /// The fronts' keys for gossip: secrets in files of a folder of the run's, public halves known to all.
-pub(crate) struct Keys {
+pub(crate) struct FleetKeys {
     folder: PathBuf,
     /// `name: 'public key', ...` for the operator's file.
     peers: String,
@@ -267,8 +276,8 @@
     overload: String,
 }
 
-impl Keys {
-    pub(crate) fn new(shape: &FleetShape, seed: u64) -> std::io::Result<Keys> {
+impl FleetKeys {
+    pub(crate) fn new(shape: &FleetShape, seed: u64) -> std::io::Result<FleetKeys> {
         let folder =
             std::env::temp_dir().join(format!("hallmux-fleet-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -296,7 +305,7 @@
             .filter(|_| shape.sheds_as_one)
             .unwrap_or_default();
         let voters = shape.voters.map(|voters| (voters, shape.lease_ms));
-        Ok(Keys {
+        Ok(FleetKeys {
             folder,
             peers: peers.join(", "),
             zone_quorum: shape.zone_quorum,
@@ -307,7 +316,7 @@
     }
 }
 
-impl Keys {
+impl FleetKeys {
     fn disk(&self, front: usize) -> PathBuf {
         self.folder.join(format!("ledger{front}"))
     }
@@ -334,33 +343,33 @@
 
 impl FleetConfig {
     /// What a front kept on disk is gone.
-    pub(crate) fn lose_disk(&self, front: usize) {
+    pub(crate) fn remove_ledger(&self, front: usize) {
         if let Some((keys, _)) = &self.gossip {
             let _ = std::fs::remove_dir_all(keys.disk(front));
         }
     }
 
     /// Says what befalls the disk of a front's copies from now on.
-    pub(crate) fn drill(&self, front: usize, what: &str) {
+    pub(crate) fn set_disk_fault(&self, front: usize, what: &str) {
         if let Some(drill) = self
-            .beside
+            .member_options
             .get(front)
-            .and_then(|beside| beside.drill.as_ref())
+            .and_then(|beside| beside.disk_fault_file.as_ref())
         {
             let _ = std::fs::write(drill, what);
         }
     }
 }
 
-impl Drop for Keys {
+impl Drop for FleetKeys {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 /// What clients saw, gathered while they run.
-pub(crate) struct Record {
+pub(crate) struct ClientRecord {
     pub(crate) records: Arc<Records>,
     /// Each statement with the front it was sent to.
-    pub(crate) asked: Mutex<Vec<Offered>>,
+    pub(crate) offered: Mutex<Vec<Offered>>,
 }
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -14,7 +14,7 @@
 
 /// What a link does now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct State {
+pub struct LinkState {
     /// Nothing passes from the front towards the engine.
     pub out_lost: bool,
     /// Nothing passes from the engine back to the front.
@@ -57,8 +57,8 @@
     pub front: usize,
     pub engine: usize,
     pub zone: usize,
-    pub at: SocketAddr,
-    state: Mutex<State>,
+    pub address: SocketAddr,
+    state: Mutex<LinkState>,
     open: Mutex<Vec<Connection>>,
     records: Arc<Records>,
     relayed: Arc<Mutex<Vec<Relayed>>>,
@@ -79,7 +79,7 @@
             front,
             engine,
             zone,
-            at,
+            address: at,
             state,
             open,
             records,
@@ -123,13 +123,13 @@
         Ok(link)
     }
 
-    pub fn set(&self, change: impl FnOnce(&mut State)) {
+    pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
         if let Ok(mut state) = self.state.lock() {
             change(&mut state);
         }
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> LinkState {
         self.state.lock().map(|s| *s).unwrap_or_default()
     }
 
--- a/crates/lab/src/rig/relay_tests.rs
+++ b/crates/lab/src/rig/relay_tests.rs
@@ -23,7 +23,7 @@
 fn a_lost_link_passes_nothing_but_writes_down_what_was_sent() {
     let relayed = Arc::default();
     let link = Link::start((0, 1, 2), echo(), Records::new(), Arc::clone(&relayed)).unwrap();
-    let mut s = TcpStream::connect(link.at).unwrap();
+    let mut s = TcpStream::connect(link.address).unwrap();
     s.set_read_timeout(Some(Duration::from_millis(300)))
         .unwrap();
     let mut b = [0; 16];
@@ -62,7 +62,7 @@
         engine_stopped.store(true, SeqCst);
     });
     let link = Link::start((0, 0, 0), at, Records::new(), Arc::default()).unwrap();
-    let mut front = TcpStream::connect(link.at).unwrap();
+    let mut front = TcpStream::connect(link.address).unwrap();
     front
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
--- a/crates/lab/src/rig/rules.rs
+++ b/crates/lab/src/rig/rules.rs
@@ -11,28 +11,28 @@
 use super::member::MemberOptions;
 
 /// The customer that rules are about, and its workload that they deny.
-pub const RULED: &str = "ruled";
-pub const DENIED: &str = "audit";
+pub const RULED_CUSTOMER: &str = "ruled";
+pub const DENIED_WORKLOAD: &str = "audit";
 pub const LEASE_MS: u64 = 1_500;
 
 /// One set of rules: the zones where nothing of the customer may be read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set {
+pub struct RuleSet {
     pub version: u64,
-    pub barred: BTreeSet<usize>,
+    pub barred_zones: BTreeSet<usize>,
 }
 
-impl Set {
+impl RuleSet {
     /// Its file: one rule decides for all that the customer asks, but for the workload that is denied; one only counts.
     pub fn text(&self) -> String {
         let barred: Vec<String> = self
-            .barred
+            .barred_zones
             .iter()
             .map(|zone| format!("'{}'", zone_name(*zone)))
             .collect();
         format!(
-            "{{ version: {}, default: 'allow', rules: [\n  {{ name: 'bound', customer: '{RULED}', barred: [{}] }},\n  \
-             {{ name: 'denied', customer: '{RULED}', workload: '{DENIED}', then: 'deny', reason: 'closed' }},\n  \
+            "{{ version: {}, default: 'allow', rules: [\n  {{ name: 'bound', customer: '{RULED_CUSTOMER}', barred: [{}] }},\n  \
+             {{ name: 'denied', customer: '{RULED_CUSTOMER}', workload: '{DENIED_WORKLOAD}', then: 'deny', reason: 'closed' }},\n  \
              {{ name: 'counted', workload: 'report', then: 'count' }},\n] }}\n",
             self.version,
             barred.join(", ")
@@ -41,16 +41,16 @@
 }
 
 /// The files of all fronts, in a folder of the run's.
-pub struct Files {
+pub struct RuleFiles {
     folder: PathBuf,
 }
 
-impl Files {
-    pub fn new(fronts: usize, seed: u64, first: &Set) -> std::io::Result<Files> {
+impl RuleFiles {
+    pub fn new(fronts: usize, seed: u64, first: &RuleSet) -> std::io::Result<RuleFiles> {
         let folder =
             std::env::temp_dir().join(format!("hallmux-rules-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let files = Files { folder };
+        let files = RuleFiles { folder };
         (0..fronts).try_for_each(|front| files.write(front, first))?;
         Ok(files)
     }
@@ -60,20 +60,20 @@
     }
 
     /// Written beside and renamed: no front reads half of it.
-    pub fn write(&self, front: usize, set: &Set) -> std::io::Result<()> {
+    pub fn write(&self, front: usize, set: &RuleSet) -> std::io::Result<()> {
         let beside = self.folder.join(format!("rules{front}.new"));
         std::fs::write(&beside, set.text())?;
         std::fs::rename(beside, self.path(front))
     }
 
     /// Each front's part of the operator's file; each stands in a region of its own.
-    pub fn beside(&self, fronts: usize, zones: usize) -> Vec<MemberOptions> {
+    pub fn member_options(&self, fronts: usize, zones: usize) -> Vec<MemberOptions> {
         let regions: Vec<String> = (0..fronts)
             .map(|n| format!("r{n}: ['{}']", zone_name(n % zones)))
             .collect();
         let part = |front: usize, path: &Path| {
             format!(
-                ", rules: {{ file: '{}', region: 'r{front}', regions: {{ {} }}, customers: ['{RULED}'], \
+                ", rules: {{ file: '{}', region: 'r{front}', regions: {{ {} }}, customers: ['{RULED_CUSTOMER}'], \
                  lease_ms: {LEASE_MS}, tell_every_ms: 3600000 }}",
                 path.display(),
                 regions.join(", ")
@@ -87,7 +87,7 @@
     }
 }
 
-impl Drop for Files {
+impl Drop for RuleFiles {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -96,11 +96,11 @@
 /// When fronts said of a version first: that they judge by it, that it is in force, and who that its file is the fleet's.
 #[derive(Clone, Debug, Default)]
 pub struct RuleLogs {
-    pub judged: BTreeMap<u64, i64>,
-    pub in_force: BTreeMap<u64, i64>,
-    pub accepted: BTreeMap<u64, Vec<usize>>,
+    pub first_judged: BTreeMap<u64, i64>,
+    pub first_in_force: BTreeMap<u64, i64>,
+    pub accepted_by: BTreeMap<u64, Vec<usize>>,
     /// How often each front refused a file that was not above the fleet's.
-    pub old: BTreeMap<usize, usize>,
+    pub stale_refusals: BTreeMap<usize, usize>,
 }
 
 /// The number behind a text in a line.
@@ -116,25 +116,25 @@
 pub fn read_logs(fleet: &Fleet) -> RuleLogs {
     let mut logs = RuleLogs::default();
     for member in &fleet.members {
-        for (at, line) in member.said("version") {
+        for (at, line) in member.log_lines("version") {
             let at = at.duration_since(fleet.records.since).as_micros() as i64;
             let first = |of: &mut BTreeMap<u64, i64>, version: u64| {
                 let known = of.entry(version).or_insert(at);
                 *known = at.min(*known);
             };
             if let Some(version) = number(&line, "judges by version ") {
-                first(&mut logs.judged, version);
+                first(&mut logs.first_judged, version);
             } else if let Some(version) = number(&line, "the fleet's: version ") {
-                logs.accepted
+                logs.accepted_by
                     .entry(version)
                     .or_default()
                     .push(member.number);
             } else if line.contains(" is in force") {
                 number(&line, "version ")
                     .into_iter()
-                    .for_each(|version| first(&mut logs.in_force, version));
+                    .for_each(|version| first(&mut logs.first_in_force, version));
             } else if line.contains("is not above the fleet's") {
-                *logs.old.entry(member.number).or_default() += 1;
+                *logs.stale_refusals.entry(member.number).or_default() += 1;
             }
         }
     }
@@ -142,7 +142,7 @@
 }
 
 /// Asks a front for the fleet's hits: by rule and region. None while it says that fronts are missing from them.
-pub fn hits(
+pub fn request_hits(
     fleet: &Fleet,
     front: usize,
     within: std::time::Duration,
@@ -154,7 +154,7 @@
         member.signal(Signal::SIGHUP);
         for _ in 0..50 {
             std::thread::sleep(std::time::Duration::from_millis(20));
-            let said = member.said("hits");
+            let said = member.log_lines("hits");
             let whole = |(at, line): &(std::time::Instant, String)| {
                 *at >= asked && line.contains("the fleet's hits") && line.ends_with("missing: none")
             };
@@ -163,7 +163,7 @@
             };
             // Its lines are written at once; what is read of them so far may still lack some.
             std::thread::sleep(std::time::Duration::from_millis(300));
-            let lines = member.said("hits");
+            let lines = member.log_lines("hits");
             let rows = lines
                 .iter()
                 .skip(from + 1)
--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -202,7 +202,7 @@
         check_shares(&scenario.classes, file)?;
         if scenario.classes.is_empty() {
             let slo_ms = scenario.load.timeout_ms / 2;
-            scenario.classes = vec![Class::plain("lookup", slo_ms)];
+            scenario.classes = vec![Class::idempotent("lookup", slo_ms)];
         }
         scenario.fleet.check(simulated, file)?;
         for (n, class) in scenario.classes.iter().enumerate() {
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -15,11 +15,11 @@
 use super::member::MemberOptions;
 use crate::engine::lines::RowStore;
 
-pub const GROUP: u32 = 17;
+pub const TABLE_GROUP: u32 = 17;
 const DAY_MS: u64 = 86_400_000;
 
 /// What is wrong with a summary, and what the log of a front that was given it says.
-pub const BAD: [(&str, &str); 4] = [
+pub const SUMMARY_DEFECTS: [(&str, &str); 4] = [
     ("forged", "signature does not hold"),
     ("altered", "scatter.directory"),
     ("cut short", "cut short"),
@@ -39,7 +39,7 @@
     keys: Vec<SigningKey>,
     folder: PathBuf,
     /// Where each load has left its row.
-    pub landed: Mutex<HashMap<String, usize>>,
+    pub row_sites: Mutex<HashMap<String, usize>>,
 }
 
 /// The number behind a text.
@@ -61,12 +61,12 @@
         };
         if statement.contains("insert into") {
             if let (Some(value), Ok(mut landed)) =
-                (number(statement, "values ("), self.landed.lock())
+                (number(statement, "values ("), self.row_sites.lock())
             {
                 site.values.push(value);
                 landed.insert(own.to_string(), at);
             }
-            if let Some(load) = number(statement, &format!("load {GROUP}:")) {
+            if let Some(load) = number(statement, &format!("load {TABLE_GROUP}:")) {
                 site.loads.insert(load as u64);
             }
             return format!("{own}\t-\t-\n");
@@ -109,11 +109,11 @@
             engines_per_zone,
             keys,
             folder,
-            landed: Mutex::default(),
+            row_sites: Mutex::default(),
         })
     }
 
-    pub fn beside(&self, fronts: usize) -> Vec<MemberOptions> {
+    pub fn member_options(&self, fronts: usize) -> Vec<MemberOptions> {
         let hex = |key: &SigningKey| -> String {
             key.verifying_key()
                 .to_bytes()
@@ -153,7 +153,7 @@
         let (site_name, loads, version) = (zone_name(at), site.loads.clone(), site.version);
         let about = SummaryHeader {
             site: site_name,
-            group: GROUP,
+            group: TABLE_GROUP,
             schema: 1,
             version,
             made_ms: now_ms(),
@@ -170,14 +170,14 @@
     }
 
     /// Puts a site's summary as of now into the directory of a front.
-    pub fn tell(&self, at: usize, front: usize) {
+    pub fn publish_summary(&self, at: usize, front: usize) {
         if let Some(summary) = self.summed(at) {
             self.write(front, &zone_name(at), &summary.sign(&self.keys[at]));
         }
     }
 
     /// Puts one there that must count for nothing: it says that the site has no rows, or is no summary at all.
-    pub fn tell_badly(&self, at: usize, front: usize, what: &str) {
+    pub fn publish_defective_summary(&self, at: usize, front: usize, what: &str) {
         let Some(whole) = self.summed(at) else { return };
         let empty = Summary {
             tables: vec![none()],
--- a/crates/lab/src/rig/sites_tests.rs
+++ b/crates/lab/src/rig/sites_tests.rs
@@ -13,5 +13,5 @@
         ("0\t5\t-\n".into(), "1\t6\t-\n".into())
     );
     assert!(sites.summed(1).unwrap().loads.has(4, 4));
-    assert_eq!(sites.landed.lock().unwrap().get("l1"), Some(&1));
+    assert_eq!(sites.row_sites.lock().unwrap().get("l1"), Some(&1));
 }
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -95,27 +95,27 @@
             FaultKind::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = fault.delay_ms),
             FaultKind::Hup => {
                 if let Ok(front) = member.front.lock() {
-                    front.iter().for_each(|f| f.read_again(2 * SOCKETS));
+                    front.iter().for_each(|f| f.reload_config(2 * SOCKETS));
                 }
             }
             FaultKind::StallOwner | FaultKind::KillOwner => {} // played as what it is on the owner
             FaultKind::Release => self.released(fault).for_each(|member| {
-                member.goes_away(self.records.now());
+                member.mark_unavailable(self.records.now());
                 member.signal(Signal::SIGKILL);
             }),
-            FaultKind::DiskFull => self.config.drill(fault.front, "full"),
+            FaultKind::DiskFull => self.config.set_disk_fault(fault.front, "full"),
             FaultKind::DiskSlow => self
                 .config
-                .drill(fault.front, &format!("slow {}", fault.delay_ms)),
+                .set_disk_fault(fault.front, &format!("slow {}", fault.delay_ms)),
             FaultKind::Term => {
-                member.asked_to_end(self.records.now());
-                member.away.store(true, SeqCst);
+                member.record_shutdown_request(self.records.now());
+                member.unavailable.store(true, SeqCst);
                 member.signal(Signal::SIGTERM);
             }
             FaultKind::Stall | FaultKind::Kill | FaultKind::LoseDisk => {
                 let died = self.dies_at(fault, member);
                 // What it had out is lost from its death on, however late this hears of it.
-                member.goes_away(died.unwrap_or_else(|| self.records.now()));
+                member.mark_unavailable(died.unwrap_or_else(|| self.records.now()));
                 member.signal(if fault.what == FaultKind::Stall {
                     Signal::SIGSTOP
                 } else {
@@ -139,9 +139,9 @@
                     old.ok()
                         .flatten()
                         .into_iter()
-                        .for_each(|mut old| _ = old.ended());
+                        .for_each(|mut old| _ = old.wait_for_exit());
                     let pid = member.start(self.config)?;
-                    member.is_back(self.records.now());
+                    member.mark_available(self.records.now());
                     Ok(pid)
                 })
             };
@@ -163,13 +163,13 @@
                 .lock()
                 .is_ok_and(|mut front| front.as_mut().is_some_and(|f| f.is_up()))
         };
-        fault.what == FaultKind::Term && self.records.now() < member.ends_by() && runs()
+        fault.what == FaultKind::Term && self.records.now() < member.shutdown_deadline() && runs()
     }
 
     /// Ends a fault; gives the process ids of fronts that were started anew.
     pub(super) fn end(&self, fault: &Fault) -> Result<Vec<u32>, String> {
         let member = &self.members[fault.front];
-        let mended = || member.is_back(self.records.now());
+        let mended = || member.mark_available(self.records.now());
         match fault.what {
             FaultKind::ZoneLost => {
                 // The zone comes back cold; discovery tells each front of the engines' new start, or does not.
@@ -210,11 +210,11 @@
                 }
                 mended();
             }
-            FaultKind::DiskSlow => self.config.drill(fault.front, ""),
+            FaultKind::DiskSlow => self.config.set_disk_fault(fault.front, ""),
             FaultKind::Release => return self.start_all(fault),
             FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk | FaultKind::DiskFull => {
                 if fault.what == FaultKind::DiskFull {
-                    self.config.drill(fault.front, "");
+                    self.config.set_disk_fault(fault.front, "");
                     self.begin(&Fault {
                         what: FaultKind::Kill,
                         step: None,
@@ -223,11 +223,11 @@
                 }
                 let front = member.front.lock().map(|mut f| f.take());
                 if let Ok(Some(mut old)) = front {
-                    let well = old.ended().is_some_and(|(well, _)| well);
-                    member.has_ended(self.records.now(), well);
+                    let well = old.wait_for_exit().is_some_and(|(well, _)| well);
+                    member.record_exit(self.records.now(), well);
                 }
                 if fault.what == FaultKind::LoseDisk {
-                    self.config.lose_disk(member.number);
+                    self.config.remove_ledger(member.number);
                 }
                 let pid = member.start(self.config)?;
                 mended();
@@ -246,9 +246,17 @@
         for (own, member) in self.links.iter().zip(self.members) {
             let back = own.iter().filter(|l| l.zone == zone);
             let list: Vec<_> = back
-                .map(|l| (format!("e{}", l.engine), l.at, "lines", "up", name.as_str()))
+                .map(|l| {
+                    (
+                        format!("e{}", l.engine),
+                        l.address,
+                        "lines",
+                        "up",
+                        name.as_str(),
+                    )
+                })
                 .collect();
-            member.coordinator.tell_started(&list, wall_ms as f64);
+            member.coordinator.announce_restarts(&list, wall_ms as f64);
         }
     }
 }
--- a/crates/lab/src/rig/starvation_watch.rs
+++ b/crates/lab/src/rig/starvation_watch.rs
@@ -18,7 +18,7 @@
 }
 
 /// The same of the thread that asks.
-pub fn own_wait() -> i64 {
+pub fn thread_cpu_wait() -> i64 {
     waited("thread-self").unwrap_or(0)
 }
 
--- a/crates/lab/src/session_cases/engines.rs
+++ b/crates/lab/src/session_cases/engines.rs
@@ -194,7 +194,10 @@
         let part =
             format!("gossip: {{ listen: '127.0.0.1:0', secret_file: '{file}', {known}, seeds: [{seeds}] }},");
         let stage = stage_among(1, LIMITS, 1024, &part);
-        let line = stage.front.logged("talks with other fronts").unwrap();
+        let line = stage
+            .front
+            .find_log_line("talks with other fronts")
+            .unwrap();
         seeds = format!("'{}'", line.rsplit(' ').next().unwrap());
         stages.push(stage);
     }
@@ -207,16 +210,22 @@
         }
     }
     until("the second hears of it", || {
-        stages[1].front.logged("front one says of engine").is_some()
+        stages[1]
+            .front
+            .find_log_line("front one says of engine")
+            .is_some()
     });
     until("the first hears of it", || {
-        stages[0].front.logged("front two says of engine").is_some()
+        stages[0]
+            .front
+            .find_log_line("front two says of engine")
+            .is_some()
     });
     until("a stranger is refused", || {
-        stages[1].front.logged("Stranger").is_some()
+        stages[1].front.find_log_line("Stranger").is_some()
     });
     assert!(stages
         .iter()
-        .all(|stage| stage.front.logged("front ? says").is_none()));
+        .all(|stage| stage.front.find_log_line("front ? says").is_none()));
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/lab/src/session_cases/keys.rs
+++ b/crates/lab/src/session_cases/keys.rs
@@ -19,7 +19,7 @@
         ("item", "k"),
         ("unique", "u1"),
     ];
-    let lines_at = stage.front.lines;
+    let lines_at = stage.front.statement_address;
     let first = std::thread::spawn(move || lines::ask(lines_at, 1, &fields, "id=a,key=k,ms=400"));
     until("the first runs", || !stage.began("a").is_empty());
     let mut s = stage.open();
@@ -84,7 +84,8 @@
     for round in 0..4 {
         // Each of both protocols first once, over connections that are open; then over one that comes with it.
         let (lines_first, new) = (round % 2 == 0, round / 2 == 1);
-        let mut client = (!new).then(|| lines::Client::open(stage.front.lines).unwrap());
+        let mut client =
+            (!new).then(|| lines::Client::open(stage.front.statement_address).unwrap());
         let mut sessions: Vec<Session> = (0..2).map(|_| stage.open()).collect();
         // Served before, so that none of them is new to the front.
         sessions
@@ -105,7 +106,7 @@
                 let fields = [&fields[..], &[("unique", dedup.as_str())]].concat();
                 let mut own = client
                     .take()
-                    .unwrap_or_else(|| lines::Client::open(stage.front.lines).unwrap());
+                    .unwrap_or_else(|| lines::Client::open(stage.front.statement_address).unwrap());
                 own.send(
                     round as u64 * 10 + n as u64,
                     &fields,
--- a/crates/lab/src/session_cases/sessions.rs
+++ b/crates/lab/src/session_cases/sessions.rs
@@ -11,7 +11,7 @@
     let stage = stage(1, LIMITS);
     let mut s = stage.open();
     assert_eq!(ask(&mut s, &run("a", "")).0, "TDCZ");
-    s.cancel(stage.front.sessions).unwrap();
+    s.cancel(stage.front.session_address).unwrap();
     assert_eq!(ask(&mut s, &run("b", ",ms=50")).0, "TDCZ");
     // And one that meets its statement ends it alone.
     for within in [false, true] {
@@ -22,7 +22,7 @@
         s.query(&run(&id, ",ms=6000"));
         s.send().unwrap();
         until("it runs", || !stage.began(&id).is_empty());
-        s.cancel(stage.front.sessions).unwrap();
+        s.cancel(stage.front.session_address).unwrap();
         let status = if within { 'E' } else { 'I' };
         assert_eq!(heard(&mut s), ("TEZ".into(), "57014".into(), status));
         if within {
@@ -121,7 +121,7 @@
     assert_eq!(heard(&mut busy).0, "TDCZ");
     assert_eq!(code(&busy.read().unwrap()), "57P01");
     assert_eq!(code(&s.read().unwrap()), "57P01");
-    let (well, took) = stage.front.ended().unwrap();
+    let (well, took) = stage.front.wait_for_exit().unwrap();
     assert!(well && took < Duration::from_secs(4), "{took:?}");
     assert!(!stage.kept("a") && stage.kept("b"));
 }
@@ -157,7 +157,7 @@
         .unwrap();
     runtime.block_on(async {
         let at = |password: &str, user: &str| {
-            let port = stage.front.sessions.port();
+            let port = stage.front.session_address.port();
             format!("host=127.0.0.1 port={port} user={user} dbname=x password={password}")
         };
         let connect =
@@ -188,7 +188,7 @@
     );
     // Half of the descriptors are clients'. These say nothing, and are closed.
     let silent: Vec<_> = (0..32)
-        .map(|_| std::net::TcpStream::connect(stage.front.sessions).unwrap())
+        .map(|_| std::net::TcpStream::connect(stage.front.session_address).unwrap())
         .collect();
     let mut first = stage.open();
     drop(silent);
--- a/crates/lab/src/session_cases/stage.rs
+++ b/crates/lab/src/session_cases/stage.rs
@@ -15,13 +15,13 @@
 
 impl Stage {
     pub(super) fn open(&self) -> Session {
-        Session::open(self.front.sessions, "portal", false).unwrap()
+        Session::open(self.front.session_address, "portal", false).unwrap()
     }
 
     pub(super) fn tell(&self, engine: usize, state: &str) {
         let e = &self.engines[engine];
         self.coordinator
-            .tell(false, &[(format!("e{engine}"), e.at, "pg", state)]);
+            .announce(false, &[(format!("e{engine}"), e.at, "pg", state)]);
     }
 
     pub(super) fn deeds(&self) -> Vec<(usize, u32, Kind)> {
@@ -84,7 +84,7 @@
         .map(|e| (format!("e{}", e.number), e.at, "pg", "up"))
         .collect();
     list.push(("lines".to_string(), lines_at, "lines", "up"));
-    coordinator.tell(true, &list);
+    coordinator.announce(true, &list);
     let class = |name: &str, repeat: &str| json!({"name": name, "aimMs": 2000, "deadlineMs": 8000, "repeat": repeat});
     let mut load = class("load", "by_key");
     (load["group"], load["dedupWindowMs"], load["inTurn"]) =
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -60,7 +60,7 @@
         let here: Vec<usize> = (0..self.members.len()).filter(here).collect();
         // A front that is to die at a step of a promise is given one: among hundreds it would wait for long.
         let armed = self.armed.as_ref().map(|armed| armed.death.front);
-        let armed = armed.filter(|front| class.needs_promise() && here.contains(front));
+        let armed = armed.filter(|front| class.needs_ledger_entry() && here.contains(front));
         let drawn = here
             .get(self.chance.random_range(0..here.len().max(1)))
             .copied();
@@ -106,7 +106,7 @@
             before: [client.before, vec![front]].concat(),
             ..client
         });
-        if class.needs_promise() && self.armed.is_some() {
+        if class.needs_ledger_entry() && self.armed.is_some() {
             let at = now + self.chance.random_range(TAKEN);
             self.at(at, Event::Reached(Step::Taken, front));
         }
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -69,7 +69,7 @@
         if self.members[n].life.is_none() || kept.is_empty() {
             return;
         }
-        if self.spoil.sends_first {
+        if self.spoil.sends_before_sync {
             for kept in &mut kept {
                 let datagrams = std::mem::take(&mut kept.datagrams);
                 self.send_datagrams(n, datagrams);
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -6,7 +6,7 @@
 use crate::check::Repeat;
 use crate::engine::{EngineEvent, Kind};
 use crate::record::account::Offered;
-use crate::rig::relay::{Relayed, State as LinkState};
+use crate::rig::relay::{LinkState, Relayed};
 use crate::rig::scenario::Step;
 
 impl Simulation<'_> {
@@ -121,7 +121,7 @@
     fn promised_of(&self, front: usize, life: u32, sent: Sent) -> bool {
         let number = self.named.get(&(front, life, sent.0));
         let class = number.map(|number| self.account.asked[*number].class);
-        class.is_some_and(|class| self.scenario.classes[class].needs_promise())
+        class.is_some_and(|class| self.scenario.classes[class].needs_ledger_entry())
     }
 
     pub(super) fn ran(&mut self, ran: EndedExecution) {
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -6,7 +6,7 @@
 use super::fronts::listing;
 use super::simulation::{Event, Simulation};
 use crate::rig::agreed::zone_name;
-use crate::rig::relay::State as LinkState;
+use crate::rig::relay::LinkState;
 use crate::rig::scenario::{Fault, FaultKind};
 
 impl Simulation<'_> {
@@ -148,7 +148,7 @@
                     self.turn(fault.front);
                 } else if member.life.is_none() {
                     if fault.what == FaultKind::LoseDisk {
-                        let identity = match self.spoil.keeps_identity {
+                        let identity = match self.spoil.reuses_disk_identity {
                             true => self.members[fault.front].disk.identity,
                             false => self.chance.random_range(1..u64::MAX),
                         };
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -170,7 +170,7 @@
                     .guard
                     .as_mut()
                     .is_some_and(|guard| guard.hold(own, dispatcher, ordered));
-                if !held || self.spoil.acts_first {
+                if !held || self.spoil.skips_barrier {
                     self.leaves(n, sent, place);
                 }
             }
--- a/crates/lab/src/simulated/least.rs
+++ b/crates/lab/src/simulated/least.rs
@@ -9,7 +9,7 @@
 
 /// The scenario with as few faults as still make it fail, and how many plays that took. `fails` plays one; what is
 /// found when the time is over stands, though it may not be the smallest.
-pub fn smallest(
+pub fn minimize(
     scenario: &Scenario,
     within: Duration,
     mut fails: impl FnMut(&Scenario) -> bool,
--- a/crates/lab/src/simulated/least_tests.rs
+++ b/crates/lab/src/simulated/least_tests.rs
@@ -16,12 +16,12 @@
     let day = draw(4, way);
     let has = |s: &Scenario, what| s.faults.iter().any(|f| f.what == what);
     let needs = |s: &Scenario| has(s, FaultKind::Stall) && has(s, FaultKind::PostLossy);
-    let (least, plays) = smallest(&day, Duration::from_secs(10), needs);
+    let (least, plays) = minimize(&day, Duration::from_secs(10), needs);
     assert_eq!(least.faults.len(), 2);
     assert!(
         needs(&least) && least.seconds <= day.seconds && plays < 40,
         "{plays}"
     );
-    let (none, _) = smallest(&day, Duration::from_secs(10), |_| true);
+    let (none, _) = minimize(&day, Duration::from_secs(10), |_| true);
     assert!(none.faults.is_empty());
 }
--- a/crates/lab/src/simulated/mod.rs
+++ b/crates/lab/src/simulated/mod.rs
@@ -17,6 +17,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use least::smallest;
+pub use least::minimize;
 pub use run::{run, run_with};
 pub use simulation::Mutation;
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -23,7 +23,7 @@
 use crate::engine::lines::Warmth;
 use crate::record::account::Account;
 use crate::rig::datagrams::DatagramFaults;
-use crate::rig::relay::State as LinkState;
+use crate::rig::relay::LinkState;
 use crate::rig::scenario::{Fault, Scenario, Step};
 
 pub(super) const WAY: (i64, i64) = (200, 2_000); // microseconds that anything takes from one place to another, drawn evenly
@@ -84,11 +84,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mutation {
     /// Executions leave before their promise stands.
-    pub acts_first: bool,
+    pub skips_barrier: bool,
     /// An emptied disk comes back under the identity that it had.
-    pub keeps_identity: bool,
+    pub reuses_disk_identity: bool,
     /// Words leave before what they rest on is lasting.
-    pub sends_first: bool,
+    pub sends_before_sync: bool,
 }
 
 /// A front while it runs.
--- a/crates/lab/src/simulated/steps.rs
+++ b/crates/lab/src/simulated/steps.rs
@@ -50,7 +50,7 @@
         if !self
             .armed
             .as_mut()
-            .is_some_and(|armed| armed.death.is_reached(step, front))
+            .is_some_and(|armed| armed.death.record_step(step, front))
         {
             return false;
         }
--- a/crates/lab/src/simulated/tests.rs
+++ b/crates/lab/src/simulated/tests.rs
@@ -38,7 +38,7 @@
     assert_eq!(broken(3, whole), 0);
     assert_eq!(broken(0, whole), SEEDS.len(), "no ledger at all");
     let acts_first = Mutation {
-        acts_first: true,
+        skips_barrier: true,
         ..whole
     };
     assert_eq!(
@@ -68,14 +68,14 @@
         (
             SLOW_DISKS,
             Mutation {
-                sends_first: true,
+                sends_before_sync: true,
                 ..whole
             },
         ),
         (
             SECOND_LOSS,
             Mutation {
-                keeps_identity: true,
+                reuses_disk_identity: true,
                 ..whole
             },
         ),
