--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -15,7 +15,7 @@
 use crate::rig::scenario::{Scenario, Step};
 use crate::rig::starvation_watch::thread_cpu_wait;
 
-const AGAIN_MS: std::ops::Range<u64> = 20..400; // milliseconds until a client asks again
+const CLIENT_RETRY_DELAY_MS: std::ops::Range<u64> = 20..400; // milliseconds until a client asks again
 
 /// Offers the load: statements at the agreed rate, each to a front drawn among those that take statements.
 pub(crate) fn offer(
@@ -45,7 +45,7 @@
             scenario: scenario.clone(),
         };
         let (members, record) = (members.to_vec(), record.clone());
-        waits.push(std::thread::spawn(move || client.asks(&members, &record)));
+        waits.push(std::thread::spawn(move || client.run(&members, &record)));
         let due = gap * number as u32;
         if let Some(rest) = due.checked_sub(began.elapsed()) {
             std::thread::sleep(rest);
@@ -64,7 +64,7 @@
 }
 
 impl Client {
-    fn asks(&self, members: &[Arc<Member>], record: &ClientRecord) {
+    fn run(&self, members: &[Arc<Member>], record: &ClientRecord) {
         let mut chance = Pcg64Mcg::seed_from_u64(self.seed);
         let class = &self.scenario.classes[self.class];
         let mut before = Vec::new();
@@ -83,7 +83,7 @@
                 .ok()
                 .and_then(|f| f.as_ref().map(|f| f.statement_address));
             let Some(address) = address else { return };
-            let outcome = self.ask(member, address, record, !before.is_empty());
+            let outcome = self.execute(member, address, record, !before.is_empty());
             // A lost or aborted one may have run: again only as its workload allows.
             let again = match &outcome {
                 Outcome::Error(code) if code == "53000" => true,
@@ -94,11 +94,13 @@
                 return;
             }
             before.push(member.number);
-            std::thread::sleep(Duration::from_millis(chance.random_range(AGAIN_MS)));
+            std::thread::sleep(Duration::from_millis(
+                chance.random_range(CLIENT_RETRY_DELAY_MS),
+            ));
         }
     }
 
-    fn ask(
+    fn execute(
         &self,
         member: &Member,
         address: SocketAddr,
--- a/crates/lab/src/rig/datagrams.rs
+++ b/crates/lab/src/rig/datagrams.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const LONGEST: usize = 2_048; // bytes; longer datagrams than fronts send are cut, which spoils them
+const MAX_DATAGRAM_BYTES: usize = 2_048; // bytes; longer datagrams than fronts send are cut, which spoils them
 
 /// What happens to datagrams now.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -17,9 +17,9 @@
     /// Milliseconds that each takes longer.
     pub delay_ms: u64,
     /// Each comes a second time, so many milliseconds later.
-    pub doubled_ms: Option<u64>,
+    pub duplicate_after_ms: Option<u64>,
     /// Each takes a time drawn up to so many milliseconds longer: out of order.
-    pub shuffled_ms: u64,
+    pub max_jitter_ms: u64,
 }
 
 /// A cut between fronts.
@@ -78,19 +78,23 @@
 
 impl DatagramRelay {
     /// Opens a port for each of so many fronts; `now` tells microseconds since the rig began.
-    /// `left` is told of each datagram by its sender, and says whether that ends it.
+    /// `on_sent` is told of each datagram by its sender, and says whether that ends it.
     pub fn start(
         fronts: usize,
         now: impl Fn() -> i64 + Send + Sync + 'static,
-        left: impl Fn(usize) -> bool + Send + Sync + 'static,
+        on_sent: impl Fn(usize) -> bool + Send + Sync + 'static,
     ) -> std::io::Result<DatagramRelay> {
-        let (shared, now, left) = (Arc::new(Shared::default()), Arc::new(now), Arc::new(left));
+        let (shared, now, on_sent) = (
+            Arc::new(Shared::default()),
+            Arc::new(now),
+            Arc::new(on_sent),
+        );
         let mut at = Vec::new();
         for to in 0..fronts {
             let socket = Arc::new(UdpSocket::bind("127.0.0.1:0")?);
             at.push(socket.local_addr()?);
-            let (shared, now, left) = (shared.clone(), now.clone(), left.clone());
-            std::thread::spawn(move || relay(to, &socket, &shared, (&*now, &*left)));
+            let (shared, now, on_sent) = (shared.clone(), now.clone(), on_sent.clone());
+            std::thread::spawn(move || relay(to, &socket, &shared, (&*now, &*on_sent)));
         }
         Ok(DatagramRelay {
             shared,
@@ -99,7 +103,7 @@
     }
 
     /// A front has started and speaks and listens at this address.
-    pub fn front(&self, number: usize, at: SocketAddr) {
+    pub fn register_front(&self, number: usize, at: SocketAddr) {
         if let (Ok(mut fronts), Ok(mut listens)) =
             (self.shared.fronts.lock(), self.shared.listens.lock())
         {
@@ -129,9 +133,9 @@
     to: usize,
     socket: &Arc<UdpSocket>,
     shared: &Shared,
-    (now, left): (&dyn Fn() -> i64, &dyn Fn(usize) -> bool),
+    (now, on_sent): (&dyn Fn() -> i64, &dyn Fn(usize) -> bool),
 ) {
-    let mut bytes = [0; LONGEST];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((len, source)) = socket.recv_from(&mut bytes) else {
             continue;
@@ -147,7 +151,7 @@
         };
         let state = state.clone();
         let passed = state.passes(from, to, rand::random_range(0..100));
-        if left(from) {
+        if on_sent(from) {
             continue; // it died of this one
         }
         if let Ok(mut datagrams) = shared.datagrams.lock() {
@@ -162,8 +166,8 @@
         if !passed {
             continue;
         }
-        let late = state.delay_ms + rand::random_range(0..=state.shuffled_ms);
-        let again = state.doubled_ms.map(|ms| ms + late);
+        let late = state.delay_ms + rand::random_range(0..=state.max_jitter_ms);
+        let again = state.duplicate_after_ms.map(|ms| ms + late);
         for delay in std::iter::once(late).chain(again) {
             let (socket, content) = (socket.clone(), bytes[..len].to_vec());
             let send = move || _ = socket.send_to(&content, target);
--- a/crates/lab/src/rig/datagrams_tests.rs
+++ b/crates/lab/src/rig/datagrams_tests.rs
@@ -45,12 +45,12 @@
         .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
     for (n, front) in fronts.iter().enumerate() {
-        relay.front(n, front.local_addr().unwrap());
+        relay.register_front(n, front.local_addr().unwrap());
         front
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
     }
-    relay.set(|s| s.doubled_ms = Some(1));
+    relay.set(|s| s.duplicate_after_ms = Some(1));
     fronts[0].send_to(b"word", relay.addresses[1]).unwrap();
     let mut bytes = [0; 8];
     for _ in 0..2 {
--- a/crates/lab/src/rig/death.rs
+++ b/crates/lab/src/rig/death.rs
@@ -3,31 +3,31 @@
 use super::scenario::Step;
 
 /// Every so many messages one is where a front dies that is to die while it sends copies.
-const COPIES_APART: u64 = 4;
+const COPY_DRAW_RANGE: u64 = 4;
 
 /// A front that is to die at a step of a promise.
 pub struct DeathStep {
     pub step: Step,
     pub front: usize,
     /// How often the step may still be passed before the front dies of it.
-    passes_left: u64,
+    remaining_passes: u64,
     /// A statement that needs a promise has come to the front since.
-    asked: bool,
+    statement_arrived: bool,
 }
 
 impl DeathStep {
     /// Among several copies on their way `draw` chooses the one, so that each loss is between others.
     pub fn new(step: Step, front: usize, draw: u64) -> DeathStep {
         let passes_left = if step == Step::Copying {
-            draw % COPIES_APART
+            draw % COPY_DRAW_RANGE
         } else {
             0
         };
         DeathStep {
             step,
             front,
-            passes_left,
-            asked: false,
+            remaining_passes: passes_left,
+            statement_arrived: false,
         }
     }
 
@@ -36,12 +36,12 @@
         if self.front != front {
             return false;
         }
-        self.asked |= step == Step::Taken;
-        if self.step != step || !self.asked {
+        self.statement_arrived |= step == Step::Taken;
+        if self.step != step || !self.statement_arrived {
             return false;
         }
-        let dies = self.passes_left == 0;
-        self.passes_left = self.passes_left.saturating_sub(1);
+        let dies = self.remaining_passes == 0;
+        self.remaining_passes = self.remaining_passes.saturating_sub(1);
         dies
     }
 }
--- a/crates/lab/src/rig/fault.rs
+++ b/crates/lab/src/rig/fault.rs
@@ -96,7 +96,7 @@
 
 impl Fault {
     /// Of so many fronts, how many are released.
-    pub fn released(&self, fronts: usize) -> usize {
+    pub fn released_count(&self, fronts: usize) -> usize {
         fronts * self.percent.min(100) as usize / 100
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// The fault as it is played: on the front that owns the fleet's work, where it is meant for that.
-    pub fn on(&self, owner: Option<usize>) -> Fault {
+    pub fn resolve_owner(&self, owner: Option<usize>) -> Fault {
         let what = match self.what {
             FaultKind::StallOwner => FaultKind::Stall,
             FaultKind::KillOwner => FaultKind::Kill,
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -25,8 +25,8 @@
 use crate::record::starved::Starved;
 use crate::rig::agreed::warmth;
 
-const LATELY_US: i64 = 2_000_000; // microseconds of words between fronts that count as of now
-const SLACK_US: i64 = 400_000; // microseconds for a final answer on a busy machine
+const RECENT_WINDOW_US: i64 = 2_000_000; // microseconds of words between fronts that count as of now
+const ANSWER_SLACK_US: i64 = 400_000; // microseconds for a final answer on a busy machine
 
 /// Front processes that take statements, their engines, and the ways between all of them.
 pub struct Fleet {
@@ -51,8 +51,8 @@
     pub(crate) fn start_with(
         scenario: &Scenario,
         seed: u64,
-        beside: Vec<MemberOptions>,
-        holds: Option<Arc<dyn RowStore>>,
+        member_options: Vec<MemberOptions>,
+        row_store: Option<Arc<dyn RowStore>>,
     ) -> Result<Fleet, String> {
         let why = |e: std::io::Error| e.to_string();
         let records = Records::new();
@@ -63,21 +63,21 @@
         let relayed: Arc<Mutex<Vec<Relayed>>> = Arc::default();
         let shape = &scenario.fleet;
         let engines: Vec<Arc<Engine>> = (0..shape.zones * shape.engines_per_zone)
-            .map(|n| Engine::holding(n, records.clone(), warmth(scenario), holds.clone()))
+            .map(|n| Engine::holding(n, records.clone(), warmth(scenario), row_store.clone()))
             .collect::<Result<_, _>>()
             .map_err(why)?;
         let gossip = start_gossip(shape, seed, &records).map_err(why)?;
         let config = FleetConfig {
             seed,
             settings: settings(scenario),
-            member_options: beside,
+            member_options,
             gossip,
         };
         let (mut links, mut members, mut pids) = (Vec::new(), Vec::new(), Vec::new());
         let mut clocks = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
         let apart = shape.clocks_apart_ms as i64;
         for front in 0..shape.fronts {
-            let own: Vec<Arc<Link>> = engines
+            let front_links: Vec<Arc<Link>> = engines
                 .iter()
                 .map(|e| {
                     let zone = e.number / shape.engines_per_zone;
@@ -90,8 +90,8 @@
                 })
                 .collect::<Result<_, _>>()
                 .map_err(why)?;
-            let coordinator = start_coordinator(&own).map_err(why)?;
-            links.push(own);
+            let coordinator = start_coordinator(&front_links).map_err(why)?;
+            links.push(front_links);
             let ahead_ms = clocks.random_range(-apart..=apart);
             let program = config
                 .member_options
@@ -115,8 +115,8 @@
 
     /// The front that sent most bytes to others lately, of those that run and are not `but`: it owns shards of the
     /// ledger.
-    pub(crate) fn busiest_sender(&self, but: &[usize]) -> Option<usize> {
-        let since = self.records.now() - LATELY_US;
+    pub(crate) fn busiest_sender(&self, excluded: &[usize]) -> Option<usize> {
+        let since = self.records.now() - RECENT_WINDOW_US;
         let (_, relay) = self.config.gossip.as_ref()?;
         let mut bytes = vec![0; self.members.len()];
         relay
@@ -125,7 +125,7 @@
             .filter(|p| p.at >= since)
             .for_each(|p| bytes[p.from] += p.bytes);
         let here = (0..bytes.len())
-            .filter(|n| !but.contains(n) && !self.members[*n].unavailable.load(SeqCst));
+            .filter(|n| !excluded.contains(n) && !self.members[*n].unavailable.load(SeqCst));
         here.max_by_key(|n| bytes[*n])
     }
 
@@ -173,8 +173,8 @@
         for member in &self.members {
             let when =
                 |at: Instant| at.saturating_duration_since(self.records.since).as_micros() as i64;
-            let said = member.log_lines(" warn: ").into_iter();
-            warned.extend(said.map(|(at, line)| (member.number, when(at), line)));
+            let warnings = member.log_lines(" warn: ").into_iter();
+            warned.extend(warnings.map(|(at, line)| (member.number, when(at), line)));
             if let Ok(mut front) = member.front.lock() {
                 read_again += front
                     .iter()
@@ -239,7 +239,7 @@
             peaks_since_start: self.engines.iter().map(|e| e.peak_since_start()).collect(),
             read_again,
             first_tries: Some(self.records.first_tries()),
-            slack: SLACK_US,
+            slack: ANSWER_SLACK_US,
             starved,
         }
     }
@@ -318,9 +318,9 @@
     fleet: Fleet,
     scenario: &Scenario,
     seed: u64,
-    beside: &mut dyn FleetHooks,
+    hooks: &mut dyn FleetHooks,
 ) -> Result<(Account, Vec<u32>), String> {
-    beside.on_ready(&fleet)?;
+    hooks.on_ready(&fleet)?;
     let began = fleet.records.now();
     let stop = Arc::new(AtomicBool::new(false));
     let load = {
@@ -337,7 +337,7 @@
     let over = began + scenario.seconds as i64 * 1_000_000;
     loop {
         let now = fleet.records.now() - began;
-        if (began + now >= over || beside.is_done(now)) && playing.is_empty() {
+        if (began + now >= over || hooks.is_done(now)) && playing.is_empty() {
             break;
         }
         while let Some(fault) = faults.get(next).filter(|f| f.at_ms as i64 * 1000 <= now) {
@@ -346,20 +346,21 @@
                 .lock()
                 .ok()
                 .and_then(|r| r.iter().rev().find(|r| r.probes > 0).map(|r| r.front));
-            let fault = fault.on(probed);
+            let fault = fault.resolve_owner(probed);
             stage.begin(&fault);
             // From when it was in force: a busy machine may have begun it later than it was to be.
             playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
             next += 1;
         }
-        let over = |(at, _, fault): &(i64, i64, Fault)| *at <= now && !stage.still_ends(fault);
+        let over =
+            |(at, _, fault): &(i64, i64, Fault)| *at <= now && !stage.is_shutting_down(fault);
         let (due, later): (Vec<_>, Vec<_>) = playing.drain(..).partition(over);
         playing = later;
         for (_, from, fault) in due {
             started.extend(stage.end(&fault)?);
             played.push((fault, from, fleet.records.now()));
         }
-        for fault in beside.poll(&fleet, now) {
+        for fault in hooks.poll(&fleet, now) {
             let fault = Fault {
                 at_ms: now as u64 / 1000,
                 ..fault
@@ -371,7 +372,7 @@
     }
     stop.store(true, SeqCst);
     let _ = load.join();
-    beside.on_load_ended(&fleet);
+    hooks.on_load_ended(&fleet);
     let account = fleet.account(began, played, watch.end());
     let pids = fleet.pids.iter().copied().chain(started).collect();
     Ok((account, pids))
--- a/crates/lab/src/rig/front.rs
+++ b/crates/lab/src/rig/front.rs
@@ -15,10 +15,10 @@
 
 use super::coordinator::Coordinator;
 
-const PATIENCE: Duration = Duration::from_secs(60); // for a start or an end; a busy machine takes some of it
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(60); // for a start or an end; a busy machine takes some of it
 
 /// The ports a front said it takes connections at, each with whether it is the one for lines.
-type Heard = Arc<(Mutex<Vec<(bool, SocketAddr)>>, Condvar)>;
+type ReportedAddresses = Arc<(Mutex<Vec<(bool, SocketAddr)>>, Condvar)>;
 
 /// A front's process.
 pub struct Front {
@@ -34,17 +34,17 @@
 /// The lines of a front's log, each with when it was read.
 pub type Log = Arc<Mutex<Vec<(Instant, String)>>>;
 
-static FOLDERS: AtomicUsize = AtomicUsize::new(0);
+static NEXT_FOLDER: AtomicUsize = AtomicUsize::new(0);
 
 /// The front's program: beside this one.
-fn program() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let mut beside = own
+fn default_program() -> Result<PathBuf, String> {
+    let executable = std::env::current_exe().map_err(|e| e.to_string())?;
+    let mut candidates = executable
         .ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join("hallmux-front"));
-    let found = beside.find(|path| path.exists());
+    let found = candidates.find(|path| path.exists());
     found.ok_or_else(|| {
         "hallmux-front is not built beside this program: cargo build --release".to_string()
     })
@@ -76,7 +76,7 @@
         coordinator: &Coordinator,
         (sockets, other): (usize, Option<PathBuf>),
     ) -> Result<Front, String> {
-        let number = FOLDERS.fetch_add(1, SeqCst);
+        let number = NEXT_FOLDER.fetch_add(1, SeqCst);
         let folder =
             std::env::temp_dir().join(format!("hallmux-lab-{}-{number}", std::process::id()));
         let why = |e: std::io::Error| e.to_string();
@@ -88,7 +88,7 @@
             (folder.join("config.json"), folder.join("operator.json5"));
         std::fs::write(&config_path, config.to_string()).map_err(why)?;
         std::fs::write(&operator_path, operator).map_err(why)?;
-        let program = other.map_or_else(program, Ok)?;
+        let program = other.map_or_else(default_program, Ok)?;
         let mut child = Command::new(program)
             .env("NODE_CONFIG", &config_path)
             .env("HALLMUX_OPERATOR", &operator_path)
@@ -97,17 +97,17 @@
             .spawn()
             .map_err(why)?;
         let log = BufReader::new(child.stderr.take().ok_or("no log")?);
-        let found: Heard = Arc::default();
+        let found: ReportedAddresses = Arc::default();
         let addresses = found.clone();
-        let kept = Log::default();
-        let keeps = kept.clone();
-        let shows = std::env::var("HALLMUX_LAB_LOG").is_ok();
+        let log_lines = Log::default();
+        let log_writer = log_lines.clone();
+        let echoes_log = std::env::var("HALLMUX_LAB_LOG").is_ok();
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                if shows {
+                if echoes_log {
                     eprintln!("{line}");
                 }
-                if let Ok(mut lines) = keeps.lock() {
+                if let Ok(mut lines) = log_writer.lock() {
                     lines.push((Instant::now(), line.clone()));
                 }
                 let address = line.rsplit(' ').next().and_then(|word| word.parse().ok());
@@ -121,10 +121,10 @@
         });
         let all = found.0.lock().map_err(|e| e.to_string())?;
         // Lines are taken on the port that it names last; sessions, where it takes them, on the one before.
-        let waits = found
-            .1
-            .wait_timeout_while(all, PATIENCE, |all| !all.iter().any(|(lines, _)| *lines));
-        let (all, _) = waits.map_err(|e| e.to_string())?;
+        let wait_result = found.1.wait_timeout_while(all, PROCESS_TIMEOUT, |all| {
+            !all.iter().any(|(lines, _)| *lines)
+        });
+        let (all, _) = wait_result.map_err(|e| e.to_string())?;
         let lines = all.iter().find(|(lines, _)| *lines).map(|(_, at)| *at);
         let sessions = all
             .iter()
@@ -138,7 +138,7 @@
                 session_address: sessions,
                 folder,
                 config,
-                log: kept,
+                log: log_lines,
             }),
             _ => {
                 let _ = child.kill();
@@ -228,7 +228,7 @@
     /// Waits for its end after it was asked for; whether it ended well, and after how long.
     pub fn wait_for_exit(&mut self) -> Option<(bool, Duration)> {
         let since = Instant::now();
-        while since.elapsed() < PATIENCE {
+        while since.elapsed() < PROCESS_TIMEOUT {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some((status.success(), since.elapsed()));
             }
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -17,9 +17,9 @@
 use crate::record::offered::Offered;
 
 /// Microseconds for which clients still come to a front that was asked to end: half of what its door stays open.
-const STILL_COME: i64 = 300_000;
-const LONGEST_END: i64 = 30_000_000; // microseconds until an end is no longer waited for
-const MOST_SEEDS: usize = 3; // fronts that each asks first, drawn: a few for all would be slow to answer them
+const CLIENT_GRACE_US: i64 = 300_000;
+const SHUTDOWN_TIMEOUT_US: i64 = 30_000_000; // microseconds until an end is no longer waited for
+const SEED_COUNT: usize = 3; // fronts that each asks first, drawn: a few for all would be slow to answer them
 pub(crate) const SOCKETS: usize = 256; // descriptors each front may hold
 
 /// A front of the fleet: its process while it runs, its own links and list.
@@ -28,12 +28,12 @@
     pub(crate) coordinator: Coordinator,
     pub(crate) number: usize,
     /// Milliseconds by which its clock is ahead of the machine's.
-    pub(crate) ahead_ms: i64,
+    pub(crate) clock_ahead_ms: i64,
     /// It takes no statements from clients: stopped, killed or ending.
     pub(crate) unavailable: AtomicBool,
     /// Until then clients come to it all the same.
     pub(crate) accepts_until: AtomicI64,
-    /// The program that its next life is; none: the one beside the lab.
+    /// The program that its next life is; none: the one options the lab.
     pub(crate) program: Mutex<Option<PathBuf>>,
     /// Its ends that were asked for.
     pub(crate) shutdowns: Mutex<Vec<Shutdown>>,
@@ -67,7 +67,7 @@
             front: Mutex::default(),
             coordinator,
             number,
-            ahead_ms,
+            clock_ahead_ms: ahead_ms,
             unavailable: AtomicBool::new(false),
             accepts_until: AtomicI64::new(0),
             program: Mutex::new(program),
@@ -82,7 +82,7 @@
         !self.unavailable.load(SeqCst) || now < self.accepts_until.load(SeqCst)
     }
 
-    /// Its next life is of this program; none: the one beside the lab.
+    /// Its next life is of this program; none: the one options the lab.
     pub(crate) fn set_next_program(&self, next: Option<PathBuf>) {
         if let Ok(mut program) = self.program.lock() {
             *program = next;
@@ -91,7 +91,7 @@
 
     /// It is asked to end.
     pub(crate) fn record_shutdown_request(&self, now: i64) {
-        self.accepts_until.store(now + STILL_COME, SeqCst);
+        self.accepts_until.store(now + CLIENT_GRACE_US, SeqCst);
         if let Ok(mut shutdowns) = self.shutdowns.lock() {
             shutdowns.push(Shutdown {
                 front: self.number,
@@ -109,7 +109,7 @@
             .lock()
             .ok()
             .and_then(|shutdowns| shutdowns.last().map(|end| end.asked));
-        asked.map_or(0, |asked| asked + LONGEST_END)
+        asked.map_or(0, |asked| asked + SHUTDOWN_TIMEOUT_US)
     }
 
     /// Its process is gone, after an end that it was asked for where one is open.
@@ -122,12 +122,15 @@
 
     /// Starts its front, anew where it ran before; with gossip, the others it knows of are its seeds.
     pub(crate) fn start(&self, config: &FleetConfig) -> Result<u32, String> {
-        let beside = config
+        let options = config
             .member_options
             .get(self.number)
             .cloned()
             .unwrap_or_default();
-        let ahead = format!("clock_ahead_ms: {}{}", self.ahead_ms, beside.operator);
+        let ahead = format!(
+            "clock_ahead_ms: {}{}",
+            self.clock_ahead_ms, options.operator
+        );
         let operator = match &config.gossip {
             None => format!("{{ {ahead} }}"),
             Some((keys, relay)) => {
@@ -138,7 +141,7 @@
                         relay.addresses[chance.random_range(0..relay.addresses.len())]
                     )
                 };
-                let seeds: Vec<String> = (0..MOST_SEEDS).map(seed).collect();
+                let seeds: Vec<String> = (0..SEED_COUNT).map(seed).collect();
                 let file = keys.folder.join(format!("secret{}", self.number));
                 let voters = |count: usize| {
                     (0..count)
@@ -154,7 +157,7 @@
                     )
                 });
                 let ownership = ownership.unwrap_or_default()
-                    + &keys.ledger(self.number, &relay.addresses, &beside.ledger)
+                    + &keys.ledger_settings(self.number, &relay.addresses, &options.ledger)
                     + &keys.overload;
                 let quorum = keys
                     .zone_quorum
@@ -172,12 +175,12 @@
         };
         let name = format!("f{}", self.number);
         let seed = Pcg64Mcg::seed_from_u64(config.seed ^ (self.number as u64) << 32).random();
-        let own = (operator.as_str(), beside.environment.as_slice());
+        let environment = (operator.as_str(), options.environment.as_slice());
         let program = self.program.lock().ok().and_then(|program| program.clone());
         let started = Front::start_named(
             (&name, seed),
             &config.settings,
-            own,
+            environment,
             &self.coordinator,
             (SOCKETS, program),
         )?;
@@ -187,7 +190,7 @@
         let at = started.find_log_line("talks with other fronts");
         let at = at.and_then(|line| line.rsplit(' ').next().and_then(|word| word.parse().ok()));
         if let Some(((_, relay), at)) = config.gossip.as_ref().zip(at) {
-            relay.front(self.number, at);
+            relay.register_front(self.number, at);
         }
         let pid = started.pid();
         if let Ok(mut front) = self.front.lock() {
@@ -239,7 +242,7 @@
     }
 }
 
-/// What a front has beside what all have: rules, sites, drills.
+/// What a front has options what all have: rules, sites, drills.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberOptions {
     /// Further keys of its operator's file and of the ledger's part of it, each with a comma before it.
@@ -317,12 +320,12 @@
 }
 
 impl FleetKeys {
-    fn disk(&self, front: usize) -> PathBuf {
+    fn ledger_directory(&self, front: usize) -> PathBuf {
         self.folder.join(format!("ledger{front}"))
     }
 
     /// The ledger's part of the operator's file of a front.
-    fn ledger(&self, front: usize, at: &[std::net::SocketAddr], more: &str) -> String {
+    fn ledger_settings(&self, front: usize, at: &[std::net::SocketAddr], more: &str) -> String {
         let Some((copies, zones)) = self.copies else {
             return String::new();
         };
@@ -335,7 +338,7 @@
         let members: Vec<String> = at.iter().enumerate().map(member).collect();
         format!(
             ", ledger: {{ fleet: 'lab', directory: '{}', copies: {copies}{more}, members: {{ {} }} }}",
-            self.disk(front).display(),
+            self.ledger_directory(front).display(),
             members.join(", ")
         )
     }
@@ -345,7 +348,7 @@
     /// What a front kept on disk is gone.
     pub(crate) fn remove_ledger(&self, front: usize) {
         if let Some((keys, _)) = &self.gossip {
-            let _ = std::fs::remove_dir_all(keys.disk(front));
+            let _ = std::fs::remove_dir_all(keys.ledger_directory(front));
         }
     }
 
@@ -354,7 +357,7 @@
         if let Some(drill) = self
             .member_options
             .get(front)
-            .and_then(|beside| beside.disk_fault_file.as_ref())
+            .and_then(|options| options.disk_fault_file.as_ref())
         {
             let _ = std::fs::write(drill, what);
         }
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -85,27 +85,27 @@
             records,
             relayed,
         });
-        let takes = link.clone();
+        let accepting = link.clone();
         std::thread::spawn(move || {
             for near in listener.incoming().flatten() {
-                takes.notes((0, 0, 1), !takes.state().out_lost);
+                accepting.record_traffic((0, 0, 1), !accepting.state().out_lost);
                 let Ok(far) = TcpStream::connect(to) else {
                     continue;
                 };
                 let _ = (near.set_nodelay(true), far.set_nodelay(true));
                 let port = far.local_addr().map_or(0, |own| own.port());
                 if let Ok(own) = far.local_addr() {
-                    takes.records.opened(own, to, takes.front);
+                    accepting.records.opened(own, to, accepting.front);
                 }
                 let is_reset = Arc::new(AtomicBool::new(false));
-                if let (Ok(engine_side), Ok(mut open)) = (far.try_clone(), takes.open.lock()) {
+                if let (Ok(engine_side), Ok(mut open)) = (far.try_clone(), accepting.open.lock()) {
                     open.retain(|connection| connection.engine_side.peer_addr().is_ok());
                     open.push(Connection {
                         engine_side,
                         is_reset: is_reset.clone(),
                     });
                 }
-                let (out, back) = (takes.clone(), takes.clone());
+                let (out, back) = (accepting.clone(), accepting.clone());
                 let (near_r, far_r) = match (near.try_clone(), far.try_clone()) {
                     (Ok(n), Ok(f)) => (n, f),
                     _ => continue,
@@ -146,7 +146,7 @@
         }
     }
 
-    fn notes(&self, (statements, probes, opened): (usize, usize, usize), passed: bool) {
+    fn record_traffic(&self, (statements, probes, opened): (usize, usize, usize), passed: bool) {
         let Link {
             front,
             engine,
@@ -197,7 +197,7 @@
             let lost = cut || way.is_reset.load(SeqCst);
             if way.out {
                 let count = |word: &[u8]| chunk[..read].windows(5).filter(|w| *w == word).count();
-                self.notes((count(b"want "), count(b"busy "), 0), !lost);
+                self.record_traffic((count(b"want "), count(b"busy "), 0), !lost);
                 self.records.sends(self.front, &chunk[..read]);
             }
             for (verb, id) in lines.take(&chunk[..read]) {
--- a/crates/lab/src/rig/rules.rs
+++ b/crates/lab/src/rig/rules.rs
@@ -104,7 +104,7 @@
 }
 
 /// The number behind a text in a line.
-fn number(line: &str, before: &str) -> Option<u64> {
+fn number_after(line: &str, before: &str) -> Option<u64> {
     let rest = &line[line.find(before)? + before.len()..];
     let end = rest
         .find(|c: char| !c.is_ascii_digit())
@@ -122,15 +122,15 @@
                 let known = of.entry(version).or_insert(at);
                 *known = at.min(*known);
             };
-            if let Some(version) = number(&line, "judges by version ") {
+            if let Some(version) = number_after(&line, "judges by version ") {
                 first(&mut logs.first_judged, version);
-            } else if let Some(version) = number(&line, "the fleet's: version ") {
+            } else if let Some(version) = number_after(&line, "the fleet's: version ") {
                 logs.accepted_by
                     .entry(version)
                     .or_default()
                     .push(member.number);
             } else if line.contains(" is in force") {
-                number(&line, "version ")
+                number_after(&line, "version ")
                     .into_iter()
                     .for_each(|version| first(&mut logs.first_in_force, version));
             } else if line.contains("is not above the fleet's") {
@@ -167,7 +167,7 @@
             let rows = lines
                 .iter()
                 .skip(from + 1)
-                .filter_map(|(_, line)| row(line));
+                .filter_map(|(_, line)| parse_hits_line(line));
             return Some(rows.collect());
         }
     }
@@ -175,7 +175,7 @@
 }
 
 /// A line of the fleet's hits: rule and region, and their count.
-fn row(line: &str) -> Option<(String, i64)> {
+fn parse_hits_line(line: &str) -> Option<(String, i64)> {
     let rest = line.split("hits of rule ").nth(1)?;
     let (rule, rest) = rest.split_once(" by customer ")?;
     let (_, rest) = rest.split_once(" in ")?;
--- a/crates/lab/src/rig/rules_tests.rs
+++ b/crates/lab/src/rig/rules_tests.rs
@@ -5,10 +5,10 @@
 #[test]
 fn lines_of_the_log_are_read() {
     let line = "2026 INFO hits of rule bound by customer ruled in r3: 41";
-    assert_eq!(row(line), Some(("bound r3".into(), 41)));
+    assert_eq!(parse_hits_line(line), Some(("bound r3".into(), 41)));
     assert_eq!(
-        number("x judges by version 12 of the rules", "judges by version "),
+        number_after("x judges by version 12 of the rules", "judges by version "),
         Some(12)
     );
-    assert_eq!(number("no such thing", "version "), None);
+    assert_eq!(number_after("no such thing", "version "), None);
 }
--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -25,12 +25,12 @@
     pub classes: Vec<Class>,
 }
 
-const MOST_KEYS: usize = 10_000; // order keys of a workload
-const MOST_WINDOW_MS: u64 = 600_000; // milliseconds of a dedup window
-const MOST_TIMEOUT_MS: u64 = 60_000; // milliseconds of a statement timeout
-const MOST_AGAIN: usize = 8; // further fronts that a client asks
+const MAX_KEYS: usize = 10_000; // order keys of a workload
+const MAX_WINDOW_MS: u64 = 600_000; // milliseconds of a dedup window
+const MAX_TIMEOUT_MS: u64 = 60_000; // milliseconds of a statement timeout
+const MAX_CLIENT_RETRIES: usize = 8; // further fronts that a client asks
 
-const MOST_CLASSES: usize = 16;
+const MAX_CLASSES: usize = 16;
 
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
@@ -168,14 +168,14 @@
     2_000
 }
 
-const MOST_FRONTS: usize = 40; // processes that an eight-core machine holds in real time
-const MOST_SIMULATED: usize = 1_000; // fronts in simulated time; 300 take a minute or two
-const MOST_DELAY_MS: u64 = 10_000; // milliseconds; what is later is as good as lost
-const MOST_APART_MS: u64 = 600_000; // milliseconds; what the operator's file takes for `clock_ahead_ms`
-const MOST_ENGINES: usize = 64;
-const MOST_SECONDS: u64 = 120; // a run stops by itself
-const MOST_RATE: u64 = 2_000; // statements a second, each a thread of the client's
-const MOST_QUORUM: usize = 64; // what the operator's file takes for `gossip.zone_quorum`
+const MAX_FRONT_PROCESSES: usize = 40; // processes that an eight-core machine holds in real time
+const MAX_SIMULATED_FRONTS: usize = 1_000; // fronts in simulated time; 300 take a minute or two
+const MAX_DELAY_MS: u64 = 10_000; // milliseconds; what is later is as good as lost
+const MAX_CLOCKS_APART_MS: u64 = 600_000; // milliseconds; what the operator's file takes for `clock_ahead_ms`
+const MAX_ENGINES: usize = 64;
+const MAX_LOAD_SECONDS: u64 = 120; // a run stops by itself
+const MAX_STATEMENTS_PER_SECOND: u64 = 2_000; // statements a second, each a thread of the client's
+const MAX_ZONE_QUORUM: usize = 64; // what the operator's file takes for `gossip.zone_quorum`
 
 impl Scenario {
     /// The class at a share of all, from 0 to 1.
@@ -198,7 +198,10 @@
             format!("line {}: {}", line.unwrap_or(0), e.message())
         })?;
         scenario.fleet.fronts = count.unwrap_or(scenario.fleet.fronts);
-        let file = Place { text, after: 0 };
+        let file = KeyLocation {
+            text,
+            start_line: 0,
+        };
         check_shares(&scenario.classes, file)?;
         if scenario.classes.is_empty() {
             let slo_ms = scenario.load.timeout_ms / 2;
@@ -206,57 +209,60 @@
         }
         scenario.fleet.check(simulated, file)?;
         for (n, class) in scenario.classes.iter().enumerate() {
-            scenario.check_class(class, file.table("[[class]]", n))?;
+            scenario.check_class(class, file.nth_table("[[class]]", n))?;
         }
         scenario.fleet.check_lease_and_quorum(file)?;
         scenario.check_load(file)?;
         scenario.engine.check(scenario.load.memory_mb, file)?;
         for (n, fault) in scenario.faults.iter().enumerate() {
-            scenario.check_fault(fault, file.table("[[fault]]", n))?;
+            scenario.check_fault(fault, file.nth_table("[[fault]]", n))?;
         }
         Ok(scenario)
     }
 
-    fn check_class(&self, class: &Class, place: Place) -> Result<(), String> {
+    fn check_class(&self, class: &Class, place: KeyLocation) -> Result<(), String> {
         let work = class.work_ms.unwrap_or(self.load.work_ms);
         let timeout = class.timeout_ms.unwrap_or(self.load.timeout_ms);
-        if class.keys > MOST_KEYS {
-            return place.refuse("keys", &format!("is over {MOST_KEYS}"));
+        if class.keys > MAX_KEYS {
+            return place.reject("keys", &format!("is over {MAX_KEYS}"));
         }
-        if class.asks_again > MOST_AGAIN {
-            return place.refuse("asks_again", &format!("is over {MOST_AGAIN}"));
+        if class.asks_again > MAX_CLIENT_RETRIES {
+            return place.reject("asks_again", &format!("is over {MAX_CLIENT_RETRIES}"));
         }
-        if !(1..=MOST_WINDOW_MS).contains(&class.window_ms) {
-            return place.refuse("window_ms", &format!("must be from 1 to {MOST_WINDOW_MS}"));
+        if !(1..=MAX_WINDOW_MS).contains(&class.window_ms) {
+            return place.reject("window_ms", &format!("must be from 1 to {MAX_WINDOW_MS}"));
         }
-        if timeout <= work || timeout > MOST_TIMEOUT_MS {
-            let why = format!("of a class must be over its work_ms and {MOST_TIMEOUT_MS} at most");
-            return place.refuse("timeout_ms", &why);
+        if timeout <= work || timeout > MAX_TIMEOUT_MS {
+            let why = format!("of a class must be over its work_ms and {MAX_TIMEOUT_MS} at most");
+            return place.reject("timeout_ms", &why);
         }
         Ok(())
     }
 
-    fn check_load(&self, place: Place) -> Result<(), String> {
-        if !(1..=MOST_SECONDS).contains(&self.seconds) {
-            return place.refuse("seconds", &format!("must be from 1 to {MOST_SECONDS}"));
-        }
-        if !(1..=MOST_RATE).contains(&self.load.per_second) {
-            return place.refuse("per_second", &format!("must be from 1 to {MOST_RATE}"));
+    fn check_load(&self, place: KeyLocation) -> Result<(), String> {
+        if !(1..=MAX_LOAD_SECONDS).contains(&self.seconds) {
+            return place.reject("seconds", &format!("must be from 1 to {MAX_LOAD_SECONDS}"));
+        }
+        if !(1..=MAX_STATEMENTS_PER_SECOND).contains(&self.load.per_second) {
+            return place.reject(
+                "per_second",
+                &format!("must be from 1 to {MAX_STATEMENTS_PER_SECOND}"),
+            );
         }
-        if self.load.timeout_ms <= self.load.work_ms || self.load.timeout_ms > MOST_TIMEOUT_MS {
-            let why = format!("must be over work_ms and {MOST_TIMEOUT_MS} at most");
-            return place.refuse("timeout_ms", &why);
+        if self.load.timeout_ms <= self.load.work_ms || self.load.timeout_ms > MAX_TIMEOUT_MS {
+            let why = format!("must be over work_ms and {MAX_TIMEOUT_MS} at most");
+            return place.reject("timeout_ms", &why);
         }
         Ok(())
     }
 
-    fn check_fault(&self, fault: &Fault, place: Place) -> Result<(), String> {
+    fn check_fault(&self, fault: &Fault, place: KeyLocation) -> Result<(), String> {
         let FleetShape { fronts, zones, .. } = self.fleet;
         if fault.zone >= zones {
-            return place.refuse("zone", &format!("names a zone of {zones}, counted from 0"));
+            return place.reject("zone", &format!("names a zone of {zones}, counted from 0"));
         }
         if fault.front >= fronts {
-            return place.refuse(
+            return place.reject(
                 "front",
                 &format!("names a front of {fronts}, counted from 0"),
             );
@@ -265,41 +271,41 @@
             .second
             .is_some_and(|second| second <= fault.front || second >= fronts)
         {
-            return place.refuse("second", "must be over `front` and a front");
+            return place.reject("second", "must be over `front` and a front");
         }
         if fault.step.is_some() && fault.what != FaultKind::LoseDisk {
-            return place.refuse("step", "goes with lose_disk alone");
+            return place.reject("step", "goes with lose_disk alone");
         }
         if fault.percent > 100 {
-            return place.refuse("percent", "is over 100");
+            return place.reject("percent", "is over 100");
         }
-        if fault.delay_ms > MOST_DELAY_MS {
-            return place.refuse("delay_ms", &format!("is over {MOST_DELAY_MS}"));
+        if fault.delay_ms > MAX_DELAY_MS {
+            return place.reject("delay_ms", &format!("is over {MAX_DELAY_MS}"));
         }
         if fault
             .at_ms
             .checked_add(fault.for_ms)
             .is_none_or(|ends| ends > self.seconds * 1000)
         {
-            return place.refuse("at_ms", "and for_ms must end within the seconds of load");
+            return place.reject("at_ms", "and for_ms must end within the seconds of load");
         }
         Ok(())
     }
 }
 
-fn check_shares(classes: &[Class], place: Place) -> Result<(), String> {
+fn check_shares(classes: &[Class], place: KeyLocation) -> Result<(), String> {
     let is_valid = |class: &Class| class.share > 0.0 && class.importance > 0.0 && class.slo_ms > 0;
-    if classes.len() <= MOST_CLASSES && classes.iter().all(is_valid) {
+    if classes.len() <= MAX_CLASSES && classes.iter().all(is_valid) {
         return Ok(());
     }
     let why = format!(
-        "and importance and slo_ms of a class must be over 0, {MOST_CLASSES} classes at most"
+        "and importance and slo_ms of a class must be over 0, {MAX_CLASSES} classes at most"
     );
-    place.refuse("share", &why)
+    place.reject("share", &why)
 }
 
 impl FleetShape {
-    fn check(&self, simulated: bool, place: Place) -> Result<(), String> {
+    fn check(&self, simulated: bool, place: KeyLocation) -> Result<(), String> {
         let FleetShape {
             fronts,
             zones,
@@ -307,45 +313,45 @@
             ..
         } = *self;
         let most = if simulated {
-            MOST_SIMULATED
+            MAX_SIMULATED_FRONTS
         } else {
-            MOST_FRONTS
+            MAX_FRONT_PROCESSES
         };
         if !(1..=most).contains(&fronts) {
-            return place.refuse("fronts", &format!("must be from 1 to {most}"));
+            return place.reject("fronts", &format!("must be from 1 to {most}"));
         }
-        if self.clocks_apart_ms > MOST_APART_MS {
-            return place.refuse("clocks_apart_ms", &format!("is over {MOST_APART_MS}"));
+        if self.clocks_apart_ms > MAX_CLOCKS_APART_MS {
+            return place.reject("clocks_apart_ms", &format!("is over {MAX_CLOCKS_APART_MS}"));
         }
-        if zones == 0 || engines_per_zone == 0 || zones * engines_per_zone > MOST_ENGINES {
+        if zones == 0 || engines_per_zone == 0 || zones * engines_per_zone > MAX_ENGINES {
             let why =
-                format!("and engines_per_zone must be 1 or more, {MOST_ENGINES} engines at most");
-            return place.refuse("zones", &why);
+                format!("and engines_per_zone must be 1 or more, {MAX_ENGINES} engines at most");
+            return place.reject("zones", &why);
         }
         match self.voters {
-            Some(_) if !self.gossip => return place.refuse("voters", "needs gossip = true"),
+            Some(_) if !self.gossip => return place.reject("voters", "needs gossip = true"),
             Some(voters) if !matches!(voters, 3 | 5) || voters > fronts => {
-                return place.refuse("voters", "must be 3 or 5, and no more than fronts")
+                return place.reject("voters", "must be 3 or 5, and no more than fronts")
             }
             _ => {}
         }
         match self.copies {
-            Some(_) if !self.gossip => place.refuse("copies", "needs gossip = true"),
+            Some(_) if !self.gossip => place.reject("copies", "needs gossip = true"),
             Some(copies) if !matches!(copies, 1 | 3 | 5) || copies > fronts => {
-                place.refuse("copies", "must be 1, 3 or 5, and no more than fronts")
+                place.reject("copies", "must be 1, 3 or 5, and no more than fronts")
             }
             _ => Ok(()),
         }
     }
 
-    fn check_lease_and_quorum(&self, place: Place) -> Result<(), String> {
+    fn check_lease_and_quorum(&self, place: KeyLocation) -> Result<(), String> {
         if !(500..=60_000).contains(&self.lease_ms) {
-            return place.refuse("lease_ms", "must be from 500 to 60000");
+            return place.reject("lease_ms", "must be from 500 to 60000");
         }
         match self.zone_quorum {
-            Some(_) if !self.gossip => place.refuse("zone_quorum", "needs gossip = true"),
-            Some(quorum) if quorum > MOST_QUORUM => {
-                place.refuse("zone_quorum", &format!("is over {MOST_QUORUM}"))
+            Some(_) if !self.gossip => place.reject("zone_quorum", "needs gossip = true"),
+            Some(quorum) if quorum > MAX_ZONE_QUORUM => {
+                place.reject("zone_quorum", &format!("is over {MAX_ZONE_QUORUM}"))
             }
             _ => Ok(()),
         }
@@ -353,15 +359,15 @@
 }
 
 impl Warm {
-    fn check(&self, statement_mb: u64, place: Place) -> Result<(), String> {
+    fn check(&self, statement_mb: u64, place: KeyLocation) -> Result<(), String> {
         if self.slots == 0 || self.cold_slots == 0 || self.cold_slots > self.slots {
-            return place.refuse("cold_slots", "must be from 1 to slots");
+            return place.reject("cold_slots", "must be from 1 to slots");
         }
         if statement_mb > self.memory_mb {
-            return place.refuse("memory_mb", "of a statement is over what an engine has");
+            return place.reject("memory_mb", "of a statement is over what an engine has");
         }
         if !(1.0..=100.0).contains(&self.overload) {
-            return place.refuse("overload", "must be from 1 to 100");
+            return place.reject("overload", "must be from 1 to 100");
         }
         Ok(())
     }
@@ -369,26 +375,26 @@
 
 /// Where in the file a key that is refused is looked for: from a line on, counted from 0.
 #[derive(Clone, Copy)]
-struct Place<'a> {
+struct KeyLocation<'a> {
     text: &'a str,
-    after: usize,
+    start_line: usize,
 }
 
-impl Place<'_> {
+impl KeyLocation<'_> {
     /// The `n`-th table of that name, counted from 0: it begins at its header.
-    fn table(self, header: &str, n: usize) -> Self {
+    fn nth_table(self, header: &str, n: usize) -> Self {
         let headers = self
             .text
             .lines()
             .enumerate()
             .filter(|(_, line)| line.trim() == header);
-        Place {
-            after: headers.map(|(at, _)| at).nth(n).unwrap_or(0),
+        KeyLocation {
+            start_line: headers.map(|(at, _)| at).nth(n).unwrap_or(0),
             ..self
         }
     }
 
-    fn refuse(self, key: &str, why: &str) -> Result<(), String> {
+    fn reject(self, key: &str, why: &str) -> Result<(), String> {
         Err(format!("line {}: `{key}` {why}", self.line_of(key)))
     }
 
@@ -399,7 +405,7 @@
                 .strip_prefix(key)
                 .is_some_and(|rest| rest.trim_start().starts_with('='))
         };
-        let mut lines = self.text.lines().enumerate().skip(self.after);
+        let mut lines = self.text.lines().enumerate().skip(self.start_line);
         lines
             .find(|(_, line)| sets(line))
             .map_or(0, |(at, _)| at + 1)
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -16,7 +16,7 @@
 use crate::engine::lines::RowStore;
 
 pub const TABLE_GROUP: u32 = 17;
-const DAY_MS: u64 = 86_400_000;
+const STALE_AGE_MS: u64 = 86_400_000;
 
 /// What is wrong with a summary, and what the log of a front that was given it says.
 pub const SUMMARY_DEFECTS: [(&str, &str); 4] = [
@@ -43,7 +43,7 @@
 }
 
 /// The number behind a text.
-fn number(statement: &str, before: &str) -> Option<i64> {
+fn number_after(statement: &str, before: &str) -> Option<i64> {
     let rest = statement[statement.find(before)? + before.len()..].trim_start();
     let end = rest
         .find(|c: char| !c.is_ascii_digit())
@@ -53,27 +53,29 @@
 
 impl RowStore for Sites {
     fn answer(&self, engine: usize, statement: &str) -> String {
-        let own = statement.find("id=").map_or("", |at| &statement[at + 3..]);
-        let own = own.split([',', ' ']).next().unwrap_or_default();
+        let statement_id = statement.find("id=").map_or("", |at| &statement[at + 3..]);
+        let statement_id = statement_id.split([',', ' ']).next().unwrap_or_default();
         let at = engine / self.engines_per_zone;
         let Ok(mut site) = self.sites[at].lock() else {
             return String::new();
         };
         if statement.contains("insert into") {
             if let (Some(value), Ok(mut landed)) =
-                (number(statement, "values ("), self.row_sites.lock())
+                (number_after(statement, "values ("), self.row_sites.lock())
             {
                 site.values.push(value);
-                landed.insert(own.to_string(), at);
+                landed.insert(statement_id.to_string(), at);
             }
-            if let Some(load) = number(statement, &format!("load {TABLE_GROUP}:")) {
+            if let Some(load) = number_after(statement, &format!("load {TABLE_GROUP}:")) {
                 site.loads.insert(load as u64);
             }
-            return format!("{own}\t-\t-\n");
+            return format!("{statement_id}\t-\t-\n");
         }
-        let (Some(from), Some(to)) = (number(statement, "between "), number(statement, " and "))
-        else {
-            return format!("{own}\t-\t-\n");
+        let (Some(from), Some(to)) = (
+            number_after(statement, "between "),
+            number_after(statement, " and "),
+        ) else {
+            return format!("{statement_id}\t-\t-\n");
         };
         let found = site
             .values
@@ -143,7 +145,7 @@
     }
 
     /// The summary of what a site holds now, under its next version.
-    fn summed(&self, at: usize) -> Option<Summary> {
+    fn build_summary(&self, at: usize) -> Option<Summary> {
         let mut site = self.sites[at].lock().ok()?;
         site.version += 1;
         let mut table = TableBuilder::new("t", &[("v", Kind::Number { scale: 0 })]);
@@ -171,16 +173,18 @@
 
     /// Puts a site's summary as of now into the directory of a front.
     pub fn publish_summary(&self, at: usize, front: usize) {
-        if let Some(summary) = self.summed(at) {
+        if let Some(summary) = self.build_summary(at) {
             self.write(front, &zone_name(at), &summary.sign(&self.keys[at]));
         }
     }
 
     /// Puts one there that must count for nothing: it says that the site has no rows, or is no summary at all.
     pub fn publish_defective_summary(&self, at: usize, front: usize, what: &str) {
-        let Some(whole) = self.summed(at) else { return };
+        let Some(whole) = self.build_summary(at) else {
+            return;
+        };
         let empty = Summary {
-            tables: vec![none()],
+            tables: vec![empty_table()],
             ..whole.clone()
         };
         let bytes = match what {
@@ -196,7 +200,7 @@
                 bytes[..bytes.len() * 2 / 3].to_vec()
             }
             _ => Summary {
-                made_ms: now_ms() - DAY_MS,
+                made_ms: now_ms() - STALE_AGE_MS,
                 ..empty
             }
             .sign(&self.keys[at]),
@@ -206,7 +210,7 @@
 }
 
 /// The table without rows, of the same column.
-fn none() -> Table {
+fn empty_table() -> Table {
     let column = Column {
         name: "v".to_string(),
         kind: Kind::Number { scale: 0 },
--- a/crates/lab/src/rig/sites_tests.rs
+++ b/crates/lab/src/rig/sites_tests.rs
@@ -12,6 +12,6 @@
         (sites.answer(0, asked), sites.answer(1, asked)),
         ("0\t5\t-\n".into(), "1\t6\t-\n".into())
     );
-    assert!(sites.summed(1).unwrap().loads.has(4, 4));
+    assert!(sites.build_summary(1).unwrap().loads.has(4, 4));
     assert_eq!(sites.row_sites.lock().unwrap().get("l1"), Some(&1));
 }
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -13,7 +13,7 @@
 use crate::engine::lines::Engine;
 use crate::engine::{Armed, Records};
 
-const STEP_WITHIN: std::time::Duration = std::time::Duration::from_secs(5); // for a front to come to a step, also one that has little CPU
+const STEP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5); // for a front to come to a step, also one that has little CPU
 
 /// All that faults are played on.
 pub(super) struct Stage<'a> {
@@ -30,7 +30,7 @@
     }
 
     /// The links of one front into the zone.
-    fn own(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Link>> {
+    fn front_links(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Link>> {
         let zone = fault.zone;
         self.links[fault.front]
             .iter()
@@ -44,7 +44,7 @@
     }
 
     /// Waits until the front has died at the step of the fault, if it names one; when it did.
-    fn dies_at(&self, fault: &Fault, member: &Member) -> Option<i64> {
+    fn wait_for_death(&self, fault: &Fault, member: &Member) -> Option<i64> {
         let pid = member
             .front
             .lock()
@@ -56,7 +56,7 @@
             death: DeathStep::new(step, fault.front, fault.at_ms),
             pid,
         }));
-        let until = std::time::Instant::now() + STEP_WITHIN;
+        let until = std::time::Instant::now() + STEP_TIMEOUT;
         while self.records.is_armed() && std::time::Instant::now() < until {
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
@@ -76,9 +76,11 @@
                 l.set(|s| (s.out_lost, s.back_lost) = (true, true));
             }),
             FaultKind::LinkCut => self
-                .own(fault)
+                .front_links(fault)
                 .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (true, true))),
-            FaultKind::LinkCutBack => self.own(fault).for_each(|l| l.set(|s| s.back_lost = true)),
+            FaultKind::LinkCutBack => self
+                .front_links(fault)
+                .for_each(|l| l.set(|s| s.back_lost = true)),
             FaultKind::ZoneSlow => self
                 .zone_links(fault.zone)
                 .for_each(|l| l.set(|s| s.delay_ms = fault.delay_ms)),
@@ -89,17 +91,19 @@
             }
             FaultKind::PostLossy => self.set_datagram_faults(|s| s.lost_percent = fault.percent),
             FaultKind::PostDoubled => {
-                self.set_datagram_faults(|s| s.doubled_ms = Some(fault.delay_ms))
+                self.set_datagram_faults(|s| s.duplicate_after_ms = Some(fault.delay_ms))
             }
             FaultKind::PostSlow => self.set_datagram_faults(|s| s.delay_ms = fault.delay_ms),
-            FaultKind::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = fault.delay_ms),
+            FaultKind::PostShuffled => {
+                self.set_datagram_faults(|s| s.max_jitter_ms = fault.delay_ms)
+            }
             FaultKind::Hup => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.reload_config(2 * SOCKETS));
                 }
             }
             FaultKind::StallOwner | FaultKind::KillOwner => {} // played as what it is on the owner
-            FaultKind::Release => self.released(fault).for_each(|member| {
+            FaultKind::Release => self.released_members(fault).for_each(|member| {
                 member.mark_unavailable(self.records.now());
                 member.signal(Signal::SIGKILL);
             }),
@@ -113,7 +117,7 @@
                 member.signal(Signal::SIGTERM);
             }
             FaultKind::Stall | FaultKind::Kill | FaultKind::LoseDisk => {
-                let died = self.dies_at(fault, member);
+                let died = self.wait_for_death(fault, member);
                 // What it had out is lost from its death on, however late this hears of it.
                 member.mark_unavailable(died.unwrap_or_else(|| self.records.now()));
                 member.signal(if fault.what == FaultKind::Stall {
@@ -125,12 +129,14 @@
         }
     }
 
-    fn released(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Member>> {
-        self.members.iter().take(fault.released(self.members.len()))
+    fn released_members(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Member>> {
+        self.members
+            .iter()
+            .take(fault.released_count(self.members.len()))
     }
 
     /// Starts fronts anew, all at once: it is the herd that is wanted.
-    fn start_all(&self, fault: &Fault) -> Result<Vec<u32>, String> {
+    fn restart_released(&self, fault: &Fault) -> Result<Vec<u32>, String> {
         std::thread::scope(|scope| {
             let start = |member: &'_ Arc<Member>| {
                 let member = member.clone();
@@ -145,7 +151,7 @@
                     Ok(pid)
                 })
             };
-            let started: Vec<_> = self.released(fault).map(start).collect();
+            let started: Vec<_> = self.released_members(fault).map(start).collect();
             let failed = |_| Err("a start panicked".to_string());
             started
                 .into_iter()
@@ -155,7 +161,7 @@
     }
 
     /// Whether the front of a fault was asked to end and has yet to.
-    pub(super) fn still_ends(&self, fault: &Fault) -> bool {
+    pub(super) fn is_shutting_down(&self, fault: &Fault) -> bool {
         let member = &self.members[fault.front];
         let runs = || {
             member
@@ -169,7 +175,7 @@
     /// Ends a fault; gives the process ids of fronts that were started anew.
     pub(super) fn end(&self, fault: &Fault) -> Result<Vec<u32>, String> {
         let member = &self.members[fault.front];
-        let mended = || member.mark_available(self.records.now());
+        let mark_available = || member.mark_available(self.records.now());
         match fault.what {
             FaultKind::ZoneLost => {
                 // The zone comes back cold; discovery tells each front of the engines' new start, or does not.
@@ -179,15 +185,15 @@
                     .filter(|e| self.links[0][e.number].zone == fault.zone);
                 back.for_each(|e| e.restart());
                 if fault.told {
-                    self.tell_started(fault.zone);
+                    self.announce_restarts(fault.zone);
                 }
                 self.zone_links(fault.zone).for_each(|l| l.reset());
                 self.zone_links(fault.zone)
                     .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (false, false)));
             }
             FaultKind::LinkCut | FaultKind::LinkCutBack => {
-                self.own(fault).for_each(|l| l.reset());
-                self.own(fault)
+                self.front_links(fault).for_each(|l| l.reset());
+                self.front_links(fault)
                     .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (false, false)));
             }
             FaultKind::ZoneSlow => self
@@ -201,17 +207,17 @@
                 self.set_datagram_faults(|s| s.split = None)
             }
             FaultKind::PostLossy => self.set_datagram_faults(|s| s.lost_percent = 0),
-            FaultKind::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = None),
+            FaultKind::PostDoubled => self.set_datagram_faults(|s| s.duplicate_after_ms = None),
             FaultKind::PostSlow => self.set_datagram_faults(|s| s.delay_ms = 0),
-            FaultKind::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = 0),
+            FaultKind::PostShuffled => self.set_datagram_faults(|s| s.max_jitter_ms = 0),
             FaultKind::Stall => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.signal(Signal::SIGCONT));
                 }
-                mended();
+                mark_available();
             }
             FaultKind::DiskSlow => self.config.set_disk_fault(fault.front, ""),
-            FaultKind::Release => return self.start_all(fault),
+            FaultKind::Release => return self.restart_released(fault),
             FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk | FaultKind::DiskFull => {
                 if fault.what == FaultKind::DiskFull {
                     self.config.set_disk_fault(fault.front, "");
@@ -223,14 +229,14 @@
                 }
                 let front = member.front.lock().map(|mut f| f.take());
                 if let Ok(Some(mut old)) = front {
-                    let well = old.wait_for_exit().is_some_and(|(well, _)| well);
-                    member.record_exit(self.records.now(), well);
+                    let succeeded = old.wait_for_exit().is_some_and(|(succeeded, _)| succeeded);
+                    member.record_exit(self.records.now(), succeeded);
                 }
                 if fault.what == FaultKind::LoseDisk {
                     self.config.remove_ledger(member.number);
                 }
                 let pid = member.start(self.config)?;
-                mended();
+                mark_available();
                 return Ok(vec![pid]);
             }
         }
@@ -238,13 +244,13 @@
     }
 
     /// Tells every front that the zone's engines have started now.
-    fn tell_started(&self, zone: usize) {
+    fn announce_restarts(&self, zone: usize) {
         let wall_ms = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .map_or(0, |d| d.as_millis());
         let name = zone_name(zone);
-        for (own, member) in self.links.iter().zip(self.members) {
-            let back = own.iter().filter(|l| l.zone == zone);
+        for (front_links, member) in self.links.iter().zip(self.members) {
+            let back = front_links.iter().filter(|l| l.zone == zone);
             let list: Vec<_> = back
                 .map(|l| {
                     (
--- a/crates/lab/src/rig/starvation_watch.rs
+++ b/crates/lab/src/rig/starvation_watch.rs
@@ -10,16 +10,16 @@
 use crate::engine::Records;
 use crate::record::starved::{Starved, StarvedSpan};
 
-const LOOK: Duration = Duration::from_millis(20); // between looks
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20); // between looks
 /// Microseconds that a thread has waited for a CPU, by the kernel's account; none where it keeps none.
-fn waited(thread: &str) -> Option<i64> {
+fn cpu_wait_us(thread: &str) -> Option<i64> {
     let text = std::fs::read_to_string(format!("/proc/{thread}/schedstat")).ok()?;
     Some(text.split_whitespace().nth(1)?.parse::<i64>().ok()? / 1_000)
 }
 
 /// The same of the thread that asks.
 pub fn thread_cpu_wait() -> i64 {
-    waited("thread-self").unwrap_or(0)
+    cpu_wait_us("thread-self").unwrap_or(0)
 }
 
 /// Looks on until it is ended.
@@ -31,10 +31,10 @@
 impl StarvationWatch {
     pub(super) fn start(members: &[Arc<Member>], records: &Arc<Records>) -> StarvationWatch {
         let stop = Arc::new(AtomicBool::new(false));
-        let (members, records, over) = (members.to_vec(), records.clone(), stop.clone());
+        let (members, records, stopped) = (members.to_vec(), records.clone(), stop.clone());
         StarvationWatch {
             stop,
-            thread: std::thread::spawn(move || look(&members, &records, &over)),
+            thread: std::thread::spawn(move || sample_waits(&members, &records, &stopped)),
         }
     }
 
@@ -44,15 +44,15 @@
     }
 }
 
-fn look(members: &[Arc<Member>], records: &Records, over: &AtomicBool) -> Starved {
+fn sample_waits(members: &[Arc<Member>], records: &Records, stop: &AtomicBool) -> Starved {
     let (mut seen, mut last) = (Starved::default(), vec![(0, 0); members.len()]);
     let mut before = records.now();
-    while !over.load(SeqCst) {
+    while !stop.load(SeqCst) {
         let began = Instant::now();
-        std::thread::sleep(LOOK);
-        let late = began.elapsed().saturating_sub(LOOK).as_micros() as i64;
+        std::thread::sleep(SAMPLE_INTERVAL);
+        let late = began.elapsed().saturating_sub(SAMPLE_INTERVAL).as_micros() as i64;
         let now = records.now();
-        if late > LOOK.as_micros() as i64 {
+        if late > SAMPLE_INTERVAL.as_micros() as i64 {
             seen.push(StarvedSpan {
                 front: None,
                 from: before,
@@ -66,7 +66,7 @@
                 .lock()
                 .ok()
                 .and_then(|front| front.as_ref().map(|f| f.pid()));
-            let Some((pid, all)) = pid.and_then(|pid| Some((pid, waited(&pid.to_string())?)))
+            let Some((pid, all)) = pid.and_then(|pid| Some((pid, cpu_wait_us(&pid.to_string())?)))
             else {
                 continue;
             };
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -3,14 +3,14 @@
 use hallmux_dispatcher::{StatementRequest, Ticket};
 use rand::Rng;
 
-use super::shutdown::STILL_COME;
+use super::shutdown::CLIENT_GRACE_US;
 use super::simulation::{Event, Simulation};
 use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::record::account::Offered;
 use crate::rig::scenario::Step;
 
-const AGAIN: std::ops::Range<i64> = 20_000..400_000; // microseconds until a client asks again
-const TAKEN: std::ops::Range<i64> = 200..600; // microseconds after it was asked that a front has a statement
+const CLIENT_RETRY_DELAY_US: std::ops::Range<i64> = 20_000..400_000; // microseconds until a client asks again
+const ARRIVAL_DELAY_US: std::ops::Range<i64> = 200..600; // microseconds after it was asked that a front has a statement
 
 /// One statement, wherever it is asked for.
 #[derive(Clone, Debug)]
@@ -19,50 +19,55 @@
     pub(super) class: usize,
     pub(super) key: Option<usize>,
     /// Fronts that it was asked of before.
-    pub(super) before: Vec<usize>,
+    pub(super) previous_fronts: Vec<usize>,
 }
 
 impl Simulation<'_> {
     /// A statement comes to a front drawn among those that take statements.
     pub(super) fn offer(&mut self) {
         let (load, classes) = (&self.scenario.load, &self.scenario.classes);
-        let elapsed = self.now - self.began;
+        let elapsed = self.now - self.load_began;
         if elapsed >= self.scenario.seconds as i64 * 1_000_000 {
             return;
         }
-        self.at(
+        self.schedule_event(
             self.now + 1_000_000 / load.per_second as i64,
-            Event::Offered,
+            Event::StatementDue,
         );
-        let class = self.scenario.draw_class(self.chance.random());
+        let class = self.scenario.draw_class(self.rng.random());
         let key = classes[class]
             .keys
             .checked_sub(1)
-            .map(|most| self.chance.random_range(0..=most));
-        self.statements += 1;
+            .map(|most| self.rng.random_range(0..=most));
+        self.statement_count += 1;
         let client = Client {
-            number: self.statements,
+            number: self.statement_count,
             class,
             key,
-            before: Vec::new(),
+            previous_fronts: Vec::new(),
         };
-        self.asks(client);
+        self.submit_statement(client);
     }
 
-    pub(super) fn asks(&mut self, client: Client) {
+    pub(super) fn submit_statement(&mut self, client: Client) {
         let (scenario, now) = (self.scenario, self.now);
         let class = &scenario.classes[client.class];
         let here = |n: &usize| {
             let member = &self.members[*n];
-            let takes = member.ending.is_none_or(|asked| now < asked + STILL_COME);
-            member.life.is_some() && !member.stopped && takes && !client.before.contains(n)
+            let takes = member
+                .shutdown_asked_at
+                .is_none_or(|asked| now < asked + CLIENT_GRACE_US);
+            member.running.is_some()
+                && !member.is_stalled
+                && takes
+                && !client.previous_fronts.contains(n)
         };
         let here: Vec<usize> = (0..self.members.len()).filter(here).collect();
         // A front that is to die at a step of a promise is given one: among hundreds it would wait for long.
         let armed = self.armed.as_ref().map(|armed| armed.death.front);
         let armed = armed.filter(|front| class.needs_ledger_entry() && here.contains(front));
         let drawn = here
-            .get(self.chance.random_range(0..here.len().max(1)))
+            .get(self.rng.random_range(0..here.len().max(1)))
             .copied();
         let Some(front) = armed.or(drawn) else { return };
         let timeout_ms = class.timeout_ms.unwrap_or(scenario.load.timeout_ms);
@@ -85,14 +90,14 @@
             memory_mb: scenario.load.memory_mb as f64,
             ..StatementRequest::default()
         };
-        let (own, lives) = (self.own(front), self.members[front].lives);
-        if let Some(life) = &mut self.members[front].life {
-            if let Ok(ticket) = life.dispatcher.submit(own, &ask) {
-                self.named
-                    .insert((front, lives, ticket), self.account.asked.len());
+        let (local_time, incarnation) = (self.local_time(front), self.members[front].incarnation);
+        if let Some(running) = &mut self.members[front].running {
+            if let Ok(ticket) = running.dispatcher.submit(local_time, &ask) {
+                self.statement_numbers
+                    .insert((front, incarnation, ticket), self.account.asked.len());
             }
         }
-        let again = !client.before.is_empty();
+        let again = !client.previous_fronts.is_empty();
         let place = client.class;
         self.account.asked.push(Offered {
             front,
@@ -103,25 +108,29 @@
             starved: 0,
         });
         self.clients.push(Client {
-            before: [client.before, vec![front]].concat(),
+            previous_fronts: [client.previous_fronts, vec![front]].concat(),
             ..client
         });
         if class.needs_ledger_entry() && self.armed.is_some() {
-            let at = now + self.chance.random_range(TAKEN);
-            self.at(at, Event::Reached(Step::Taken, front));
+            let at = now + self.rng.random_range(ARRIVAL_DELAY_US);
+            self.schedule_event(at, Event::StepReached(Step::Taken, front));
         }
-        self.turn(front);
+        self.run_front(front);
     }
 
     /// A statement has its final answer.
     pub(super) fn answer(&mut self, n: usize, ticket: Ticket, outcome: Outcome) {
-        if let Some(number) = self.named.get(&(n, self.members[n].lives, ticket)).copied() {
-            self.settle(number, outcome);
+        if let Some(number) = self
+            .statement_numbers
+            .get(&(n, self.members[n].incarnation, ticket))
+            .copied()
+        {
+            self.complete_statement(number, outcome);
         }
     }
 
     /// What a client has come to; it asks again as its workload allows.
-    pub(super) fn settle(&mut self, number: usize, outcome: Outcome) {
+    pub(super) fn complete_statement(&mut self, number: usize, outcome: Outcome) {
         let now = self.now;
         let Some(Offered { asked, class, .. }) = self.account.asked.get_mut(number) else {
             return;
@@ -140,10 +149,10 @@
         let client = self
             .clients
             .get(number)
-            .filter(|client| again && client.before.len() <= class.asks_again);
+            .filter(|client| again && client.previous_fronts.len() <= class.asks_again);
         if let Some(client) = client.cloned() {
-            let at = now + self.chance.random_range(AGAIN);
-            self.at(at, Event::Again(client));
+            let at = now + self.rng.random_range(CLIENT_RETRY_DELAY_US);
+            self.schedule_event(at, Event::ClientRetries(client));
         }
     }
 }
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -5,12 +5,12 @@
 
 use hallmux_dispatcher::{ConnectionPacer, Dispatcher, Ending, EngineIndex, SendCapacity};
 
-use super::simulation::{Sent, Simulation};
+use super::simulation::{ExecutionId, Simulation};
 
 pub(super) struct Connections {
     pub(super) pacer: ConnectionPacer,
     idle: BTreeMap<EngineIndex, usize>,
-    busy: HashMap<Sent, EngineIndex>,
+    in_use: HashMap<ExecutionId, EngineIndex>,
     capacity: SendCapacity,
 }
 
@@ -20,13 +20,13 @@
         Connections {
             pacer: ConnectionPacer::new(paced, now, seed),
             idle,
-            busy,
+            in_use: busy,
             capacity,
         }
     }
 
     /// Tells the module how many executions can leave for each engine, as it changes.
-    pub(super) fn tell(&mut self, now: i64, dispatcher: &mut Dispatcher) {
+    pub(super) fn update_capacity(&mut self, now: i64, dispatcher: &mut Dispatcher) {
         if !self.pacer.is_paced() {
             return;
         }
@@ -37,42 +37,51 @@
     }
 
     /// An execution has ended; its connection is used again, unless it is gone.
-    pub(super) fn ended(&mut self, sent: Sent, ending: Ending) {
-        if let Some(place) = self.busy.remove(&sent).filter(|_| ending != Ending::Reset) {
+    pub(super) fn execution_ended(&mut self, sent: ExecutionId, ending: Ending) {
+        if let Some(place) = self
+            .in_use
+            .remove(&sent)
+            .filter(|_| ending != Ending::Reset)
+        {
             *self.idle.entry(place).or_default() += 1;
         }
     }
 
     /// All connections to an engine are gone.
-    pub(super) fn lost(&mut self, place: EngineIndex) {
+    pub(super) fn drop_connections(&mut self, place: EngineIndex) {
         self.idle.remove(&place);
-        self.busy.retain(|_, at| *at != place);
+        self.in_use.retain(|_, at| *at != place);
     }
 }
 
 impl Simulation<'_> {
     /// Whether an execution, or a probe, has a connection to its engine, which may be made for it.
-    pub(super) fn reaches(&mut self, n: usize, place: EngineIndex, sent: Option<Sent>) -> bool {
-        let own = self.own(n);
-        let Some(life) = &mut self.members[n].life else {
+    pub(super) fn acquire_connection(
+        &mut self,
+        n: usize,
+        place: EngineIndex,
+        sent: Option<ExecutionId>,
+    ) -> bool {
+        let local_time = self.local_time(n);
+        let Some(running) = &mut self.members[n].running else {
             return false;
         };
-        let connections = &mut life.connections;
+        let connections = &mut running.connections;
         connections.capacity.sent(place);
         let idle = connections.idle.entry(place).or_default();
         let opens = *idle == 0;
-        if opens && !connections.pacer.try_take_slot(own, place) {
+        if opens && !connections.pacer.try_take_slot(local_time, place) {
             return false;
         }
         match sent {
             Some(sent) => {
                 *idle = idle.saturating_sub(1);
-                connections.busy.insert(sent, place);
+                connections.in_use.insert(sent, place);
             }
             None => *idle = (*idle).max(1),
         }
         if opens {
-            self.relays((n, place), (0, 0, 1));
+            self.record_traffic((n, place), (0, 0, 1));
         }
         true
     }
--- a/crates/lab/src/simulated/datagrams.rs
+++ b/crates/lab/src/simulated/datagrams.rs
@@ -14,7 +14,7 @@
         self.send_datagrams(n, out.datagrams);
         for saved in out.voter_saves {
             if saved.bytes.is_some() {
-                self.members[n].saved = saved.bytes;
+                self.members[n].voter_state = saved.bytes;
             }
             self.send_datagrams(n, saved.datagrams);
         }
@@ -26,9 +26,9 @@
             let Some(to) = front_at(to).filter(|to| *to < self.members.len()) else {
                 continue;
             };
-            let drawn = self.chance.random_range(0..100);
+            let drawn = self.rng.random_range(0..100);
             let passed = self.datagram_faults.passes(from, to, drawn);
-            if self.reached(Step::Copying, from) {
+            if self.record_step(Step::Copying, from) {
                 return; // it died of this one
             }
             self.account.datagrams.push(RelayedDatagram {
@@ -41,18 +41,21 @@
             if !passed {
                 continue;
             }
-            let shuffled = match self.datagram_faults.shuffled_ms {
+            let shuffled = match self.datagram_faults.max_jitter_ms {
                 0 => 0,
-                ms => self.chance.random_range(0..=ms as i64 * 1000),
+                ms => self.rng.random_range(0..=ms as i64 * 1000),
             };
-            let at = self.now + self.way() + self.datagram_faults.delay_ms as i64 * 1000 + shuffled;
-            if let Some(ms) = self.datagram_faults.doubled_ms {
-                self.at(
+            let at = self.now
+                + self.draw_network_delay()
+                + self.datagram_faults.delay_ms as i64 * 1000
+                + shuffled;
+            if let Some(ms) = self.datagram_faults.duplicate_after_ms {
+                self.schedule_event(
                     at + ms as i64 * 1000,
                     Event::Datagram(from, to, bytes.clone()),
                 );
             }
-            self.at(at, Event::Datagram(from, to, bytes));
+            self.schedule_event(at, Event::Datagram(from, to, bytes));
         }
     }
 }
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -8,26 +8,26 @@
 
 use super::simulation::{Event, Simulation};
 
-const SYNC: std::ops::Range<i64> = 500..4_000; // microseconds that making records lasting takes, drawn
-const TOLD: i64 = 20; // microseconds until word of what needed no sync is there
-const TOGETHER: usize = 256; // saves that are made lasting at once at most
+const SYNC_TIME_US: std::ops::Range<i64> = 500..4_000; // microseconds that making records lasting takes, drawn
+const NO_SYNC_DELAY_US: i64 = 20; // microseconds until word of what needed no sync is there
+const MAX_SYNC_BATCH: usize = 256; // saves that are made lasting at once at most
 
 #[derive(Default)]
 pub(super) struct Disk {
     pub(super) identity: DiskId,
     pub(super) records: BTreeMap<Vec<u8>, Vec<u8>>,
     /// Microseconds that a sync takes longer.
-    pub(super) slow: i64,
+    pub(super) extra_sync_us: i64,
     /// Nothing can be written.
     pub(super) full: bool,
-    pub(super) waits: Vec<LedgerSave>,
+    pub(super) queued: Vec<LedgerSave>,
     pub(super) writing: Vec<LedgerSave>,
 }
 
 impl Disk {
     /// Its front is gone: what was being written is there as a whole, or not at all.
     pub(super) fn crash(&mut self, written: bool) {
-        self.waits.clear();
+        self.queued.clear();
         let writing = std::mem::take(&mut self.writing);
         if written && !self.full {
             self.write(&writing);
@@ -35,7 +35,7 @@
     }
 
     /// All that it held is lost; another takes its place.
-    pub(super) fn lose(&mut self, identity: DiskId) {
+    pub(super) fn replace(&mut self, identity: DiskId) {
         *self = Disk {
             identity,
             ..Disk::default()
@@ -43,7 +43,7 @@
     }
 
     /// What a new life of its front finds.
-    pub(super) fn found(&self) -> Option<Saved> {
+    pub(super) fn load_records(&self) -> Option<Saved> {
         let records = || {
             self.records
                 .iter()
@@ -66,36 +66,40 @@
 impl Simulation<'_> {
     /// Has it made lasting; its datagrams leave then.
     pub(super) fn save(&mut self, n: usize, mut kept: Vec<LedgerSave>) {
-        if self.members[n].life.is_none() || kept.is_empty() {
+        if self.members[n].running.is_none() || kept.is_empty() {
             return;
         }
-        if self.spoil.sends_before_sync {
+        if self.mutation.sends_before_sync {
             for kept in &mut kept {
                 let datagrams = std::mem::take(&mut kept.datagrams);
                 self.send_datagrams(n, datagrams);
             }
         }
-        self.members[n].disk.waits.extend(kept);
+        self.members[n].disk.queued.extend(kept);
         self.start_sync(n);
     }
 
     fn start_sync(&mut self, n: usize) {
-        let time = self.chance.random_range(SYNC);
+        let time = self.rng.random_range(SYNC_TIME_US);
         let member = &mut self.members[n];
         let disk = &mut member.disk;
-        if !disk.writing.is_empty() || disk.waits.is_empty() {
+        if !disk.writing.is_empty() || disk.queued.is_empty() {
             return;
         }
-        let most = disk.waits.len().min(TOGETHER);
-        disk.writing = disk.waits.drain(..most).collect();
+        let most = disk.queued.len().min(MAX_SYNC_BATCH);
+        disk.writing = disk.queued.drain(..most).collect();
         let empty = disk.writing.iter().all(|kept| kept.records.is_empty());
-        let time = if empty { TOLD } else { time + disk.slow };
-        let lives = member.lives;
-        self.at(self.now + time, Event::Lasting(n, lives));
+        let time = if empty {
+            NO_SYNC_DELAY_US
+        } else {
+            time + disk.extra_sync_us
+        };
+        let incarnation = member.incarnation;
+        self.schedule_event(self.now + time, Event::SyncFinished(n, incarnation));
     }
 
     /// What was being written is lasting, or could not be.
-    pub(super) fn lasting(&mut self, n: usize) {
+    pub(super) fn finish_sync(&mut self, n: usize) {
         let disk = &mut self.members[n].disk;
         let writing = std::mem::take(&mut disk.writing);
         let Some(last) = writing.last().map(|kept| kept.number) else {
@@ -108,16 +112,16 @@
                 self.send_datagrams(n, kept.datagrams);
             }
         }
-        let at = self.moment(n);
+        let at = self.clock_reading(n);
         let exchange = self.members[n]
-            .life
+            .running
             .as_mut()
-            .and_then(|life| life.exchange.as_mut());
+            .and_then(|running| running.exchange.as_mut());
         let Some(out) = exchange.map(|exchange| exchange.ledger_saved(at, last, ok)) else {
             return;
         };
         self.send_output(n, out);
         self.start_sync(n);
-        self.promised(n);
+        self.take_ledger_answers(n);
     }
 }
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -2,7 +2,7 @@
 
 use hallmux_dispatcher::Ending;
 
-use super::simulation::{EndedExecution, Event, Sent, Simulation};
+use super::simulation::{EndedExecution, Event, ExecutionId, Simulation};
 use crate::check::Repeat;
 use crate::engine::{EngineEvent, Kind};
 use crate::record::account::Offered;
@@ -10,13 +10,13 @@
 use crate::rig::scenario::Step;
 
 impl Simulation<'_> {
-    pub(super) fn relays(
+    pub(super) fn record_traffic(
         &mut self,
         (front, engine): (usize, usize),
         (statements, probes, opened): (usize, usize, usize),
     ) {
         let (at, zone) = (self.now, self.engines[engine].zone);
-        let passed = self.passes(front, engine, true);
+        let passed = self.link_passes(front, engine, true);
         self.account.relayed.push(Relayed {
             at,
             front,
@@ -37,37 +37,50 @@
             .unwrap_or_default()
     }
 
-    pub(super) fn passes(&self, front: usize, engine: usize, out: bool) -> bool {
+    pub(super) fn link_passes(&self, front: usize, engine: usize, out: bool) -> bool {
         let link = self.link(front, engine);
         !if out { link.out_lost } else { link.back_lost }
     }
 
-    pub(super) fn delay(&self, front: usize, engine: usize) -> i64 {
+    pub(super) fn link_delay(&self, front: usize, engine: usize) -> i64 {
         self.link(front, engine).delay_ms as i64 * 1000
     }
 
-    pub(super) fn arrives(&mut self, front: usize, life: u32, sent: Sent, e: usize) {
+    pub(super) fn receive_execution(
+        &mut self,
+        front: usize,
+        incarnation: u32,
+        sent: ExecutionId,
+        e: usize,
+    ) {
         let engine = &mut self.engines[e];
-        let bears = self.warmth.bears(self.now - engine.started);
-        let load = (engine.running + 1) as f64 / bears.max(1) as f64;
+        let capacity = self.warmth.bears(self.now - engine.started_at);
+        let load = (engine.running + 1) as f64 / capacity.max(1) as f64;
         (engine.peak, engine.peak_since_start) =
             (engine.peak.max(load), engine.peak_since_start.max(load));
-        if engine.running >= bears {
-            engine.turned_away += 1;
-            return self.goes_back(front, life, sent, e, Ending::Rejected);
+        if engine.running >= capacity {
+            engine.rejected += 1;
+            return self.send_answer(front, incarnation, sent, e, Ending::Rejected);
         }
         // Repeats of a deduplicated statement are dropped: whoever sends one is told what became of the first.
-        if let Some(ends) = self.drops(front, life, sent) {
-            return self.at(ends.max(self.now + 1), Event::Dropped(front, life, sent, e));
+        if let Some(ends) = self.find_first_execution(front, incarnation, sent) {
+            return self.schedule_event(
+                ends.max(self.now + 1),
+                Event::DuplicateAnswered(front, incarnation, sent, e),
+            );
         }
         let engine = &mut self.engines[e];
         engine.running += 1;
-        let resets = engine.resets;
+        let resets = engine.reset_count;
         let mut work_ms = self.scenario.load.work_ms;
         // Each execution has a link of its own in the record.
-        self.links += 1;
-        let link = self.links;
-        if let Some(number) = self.named.get(&(front, life, sent.0)).copied() {
+        self.link_count += 1;
+        let link = self.link_count;
+        if let Some(number) = self
+            .statement_numbers
+            .get(&(front, incarnation, sent.0))
+            .copied()
+        {
             let Offered { asked, class, .. } = &self.account.asked[number];
             work_ms = self.scenario.classes[*class].work_ms.unwrap_or(work_ms);
             let kind = Kind::Began {
@@ -82,59 +95,67 @@
                 kind,
             });
         }
-        self.at(
+        self.schedule_event(
             self.now + work_ms as i64 * 1000,
             Event::EndedExecution(EndedExecution {
                 front,
-                life,
+                incarnation,
                 sent,
                 engine: e,
                 resets,
                 link,
             }),
         );
-        if self.promised_of(front, life, sent) {
-            self.reached(Step::Began, front);
+        if self.needs_ledger_entry(front, incarnation, sent) {
+            self.record_step(Step::Began, front);
         }
     }
 
     /// Until when the first of a deduplicated statement runs, where this is the same front's repeat in its window; else
     /// notes it as the first. All engines are one group here.
-    fn drops(&mut self, front: usize, life: u32, sent: Sent) -> Option<i64> {
+    fn find_first_execution(
+        &mut self,
+        front: usize,
+        incarnation: u32,
+        sent: ExecutionId,
+    ) -> Option<i64> {
         let Offered { asked, class, .. } =
-            &self.account.asked[*self.named.get(&(front, life, sent.0))?];
+            &self.account.asked[*self.statement_numbers.get(&(front, incarnation, sent.0))?];
         let class = &self.scenario.classes[*class];
         if class.repeat() != Repeat::Deduplicated {
             return None;
         }
         let ends = self.now + class.work_ms.unwrap_or(self.scenario.load.work_ms) as i64 * 1000;
-        match self.firsts.get(&(front, asked.id.clone())) {
+        match self.first_executions.get(&(front, asked.id.clone())) {
             Some((began, ends)) if self.now < began + class.window_ms as i64 * 1000 => Some(*ends),
             _ => {
-                self.firsts
+                self.first_executions
                     .insert((front, asked.id.clone()), (self.now, ends));
                 None
             }
         }
     }
 
-    fn promised_of(&self, front: usize, life: u32, sent: Sent) -> bool {
-        let number = self.named.get(&(front, life, sent.0));
+    fn needs_ledger_entry(&self, front: usize, incarnation: u32, sent: ExecutionId) -> bool {
+        let number = self.statement_numbers.get(&(front, incarnation, sent.0));
         let class = number.map(|number| self.account.asked[*number].class);
         class.is_some_and(|class| self.scenario.classes[class].needs_ledger_entry())
     }
 
-    pub(super) fn ran(&mut self, ran: EndedExecution) {
+    pub(super) fn end_execution(&mut self, ran: EndedExecution) {
         let EndedExecution {
             front,
-            life,
+            incarnation,
             sent,
             engine: e,
             resets,
             link,
         } = ran;
         self.engines[e].running = self.engines[e].running.saturating_sub(1);
-        let number = self.named.get(&(front, life, sent.0)).copied();
+        let number = self
+            .statement_numbers
+            .get(&(front, incarnation, sent.0))
+            .copied();
         if let Some(number) = number {
             let id = self.account.asked[number].asked.id.clone();
             for kind in [Kind::Ended { id: id.clone() }, Kind::Kept { id }] {
@@ -146,29 +167,33 @@
                 });
             }
         }
-        if self.promised_of(front, life, sent) && self.reached(Step::Kept, front) {
+        if self.needs_ledger_entry(front, incarnation, sent) && self.record_step(Step::Kept, front)
+        {
             return;
         }
-        if resets == self.engines[e].resets {
-            self.goes_back(front, life, sent, e, Ending::Answered);
+        if resets == self.engines[e].reset_count {
+            self.send_answer(front, incarnation, sent, e, Ending::Answered);
         }
     }
 
-    pub(super) fn goes_back(
+    pub(super) fn send_answer(
         &mut self,
         front: usize,
-        life: u32,
-        sent: Sent,
+        incarnation: u32,
+        sent: ExecutionId,
         e: usize,
         ending: Ending,
     ) {
-        if let Some(out) = self.out.get_mut(&e) {
-            out.retain(|(f, l, s)| (*f, *l, *s) != (front, life, sent));
+        if let Some(out) = self.in_flight.get_mut(&e) {
+            out.retain(|(f, l, s)| (*f, *l, *s) != (front, incarnation, sent));
         }
-        if self.passes(front, e, false) {
+        if self.link_passes(front, e, false) {
             let active = self.engines[e].running;
-            let at = self.now + self.way() + self.delay(front, e);
-            self.at(at, Event::Answers(front, life, sent, ending, Some(active)));
+            let at = self.now + self.draw_network_delay() + self.link_delay(front, e);
+            self.schedule_event(
+                at,
+                Event::Answers(front, incarnation, sent, ending, Some(active)),
+            );
         }
     }
 }
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -11,7 +11,12 @@
 
 impl Simulation<'_> {
     /// The links that a fault is played on: of all fronts, or of one, into the zone.
-    pub(super) fn links(&mut self, fault: &Fault, all: bool, change: impl Fn(&mut LinkState)) {
+    pub(super) fn change_links(
+        &mut self,
+        fault: &Fault,
+        all: bool,
+        change: impl Fn(&mut LinkState),
+    ) {
         let own: Vec<usize> = (0..self.engines.len())
             .filter(|e| self.engines[*e].zone == fault.zone)
             .collect();
@@ -28,108 +33,110 @@
             if self.engines[e].zone != fault.zone {
                 continue;
             }
-            let out = std::mem::take(self.out.entry(e).or_default());
+            let out = std::mem::take(self.in_flight.entry(e).or_default());
             let (ended, kept) = out
                 .into_iter()
                 .partition::<Vec<_>, _>(|(n, ..)| all || *n == fault.front);
-            self.out.insert(e, kept);
+            self.in_flight.insert(e, kept);
             if all {
-                self.engines[e].resets += 1;
+                self.engines[e].reset_count += 1;
             }
-            let lives = self
+            let fronts = self
                 .members
                 .iter_mut()
                 .enumerate()
                 .filter(|(n, _)| all || *n == fault.front);
-            lives
-                .filter_map(|(_, m)| m.life.as_mut())
-                .for_each(|life| life.connections.lost(e));
-            for (front, life, sent) in ended {
-                self.at(
+            fronts
+                .filter_map(|(_, m)| m.running.as_mut())
+                .for_each(|running| running.connections.drop_connections(e));
+            for (front, incarnation, sent) in ended {
+                self.schedule_event(
                     self.now,
-                    Event::Answers(front, life, sent, Ending::Reset, None),
+                    Event::Answers(front, incarnation, sent, Ending::Reset, None),
                 );
             }
         }
     }
 
-    pub(super) fn begin(&mut self, place: usize, fault: &Fault) {
+    pub(super) fn start_fault(&mut self, place: usize, fault: &Fault) {
         let now = self.now;
         match fault.what {
             FaultKind::ZoneLost => {
-                self.links(fault, true, |s| (s.out_lost, s.back_lost) = (true, true))
+                self.change_links(fault, true, |s| (s.out_lost, s.back_lost) = (true, true))
             }
             FaultKind::LinkCut => {
-                self.links(fault, false, |s| (s.out_lost, s.back_lost) = (true, true))
+                self.change_links(fault, false, |s| (s.out_lost, s.back_lost) = (true, true))
             }
-            FaultKind::LinkCutBack => self.links(fault, false, |s| s.back_lost = true),
-            FaultKind::ZoneSlow => self.links(fault, true, |s| s.delay_ms = fault.delay_ms),
+            FaultKind::LinkCutBack => self.change_links(fault, false, |s| s.back_lost = true),
+            FaultKind::ZoneSlow => self.change_links(fault, true, |s| s.delay_ms = fault.delay_ms),
             FaultKind::ZoneReset => self.reset(fault, true),
             FaultKind::FrontsSplit => self.datagram_faults.split = Some(fault.split()),
             FaultKind::FrontsSplitOut => self.datagram_faults.split = Some(fault.split()),
             FaultKind::PostLossy => self.datagram_faults.lost_percent = fault.percent,
-            FaultKind::PostDoubled => self.datagram_faults.doubled_ms = Some(fault.delay_ms),
+            FaultKind::PostDoubled => {
+                self.datagram_faults.duplicate_after_ms = Some(fault.delay_ms)
+            }
             FaultKind::PostSlow => self.datagram_faults.delay_ms = fault.delay_ms,
-            FaultKind::PostShuffled => self.datagram_faults.shuffled_ms = fault.delay_ms,
+            FaultKind::PostShuffled => self.datagram_faults.max_jitter_ms = fault.delay_ms,
             FaultKind::StallOwner | FaultKind::KillOwner => {} // played as what it is on the owner
             FaultKind::DiskFull => {}                          // not played here
             FaultKind::DiskSlow => {
-                self.members[fault.front].disk.slow = fault.delay_ms as i64 * 1000
+                self.members[fault.front].disk.extra_sync_us = fault.delay_ms as i64 * 1000
             }
             FaultKind::Hup => self.account.read_again += 1, // nothing that is read again plays a part here
             FaultKind::Stall => {
                 let member = &mut self.members[fault.front];
-                if member.life.is_some() {
-                    member.troubled.push((now, i64::MAX));
-                    member.stopped = true;
+                if member.running.is_some() {
+                    member.disruptions.push((now, i64::MAX));
+                    member.is_stalled = true;
                 }
             }
-            FaultKind::Term => self.asked_to_end(fault.front),
+            FaultKind::Term => self.request_shutdown(fault.front),
             FaultKind::Release => {
-                (0..fault.released(self.members.len())).for_each(|n| self.dies(n))
+                (0..fault.released_count(self.members.len())).for_each(|n| self.kill_front(n))
             }
             FaultKind::Kill | FaultKind::LoseDisk => {
-                self.dooms(place, fault.front, fault.step, fault.at_ms)
+                self.schedule_death(place, fault.front, fault.step, fault.at_ms)
             }
         }
     }
 
-    pub(super) fn end(&mut self, fault: &Fault) {
+    pub(super) fn end_fault(&mut self, fault: &Fault) {
         let now = self.now;
         match fault.what {
             FaultKind::ZoneLost => {
                 for engine in self.engines.iter_mut().filter(|e| e.zone == fault.zone) {
-                    (engine.started, engine.peak_since_start, engine.running) = (now, 0.0, 0);
+                    (engine.started_at, engine.peak_since_start, engine.running) = (now, 0.0, 0);
                 }
-                self.links(fault, true, |s| (s.out_lost, s.back_lost) = (false, false));
+                self.change_links(fault, true, |s| (s.out_lost, s.back_lost) = (false, false));
                 self.reset(fault, true);
                 if fault.told {
-                    self.tell_started(fault.zone);
+                    self.announce_restarts(fault.zone);
                 }
             }
             FaultKind::LinkCut | FaultKind::LinkCutBack => {
-                self.links(fault, false, |s| (s.out_lost, s.back_lost) = (false, false));
+                self.change_links(fault, false, |s| (s.out_lost, s.back_lost) = (false, false));
                 self.reset(fault, false);
             }
-            FaultKind::ZoneSlow => self.links(fault, true, |s| s.delay_ms = 0),
+            FaultKind::ZoneSlow => self.change_links(fault, true, |s| s.delay_ms = 0),
             FaultKind::ZoneReset
             | FaultKind::Hup
             | FaultKind::StallOwner
             | FaultKind::KillOwner => {}
             FaultKind::DiskFull => {}
-            FaultKind::DiskSlow => self.members[fault.front].disk.slow = 0,
+            FaultKind::DiskSlow => self.members[fault.front].disk.extra_sync_us = 0,
             FaultKind::FrontsSplit | FaultKind::FrontsSplitOut => self.datagram_faults.split = None,
             FaultKind::PostLossy => self.datagram_faults.lost_percent = 0,
-            FaultKind::PostDoubled => self.datagram_faults.doubled_ms = None,
+            FaultKind::PostDoubled => self.datagram_faults.duplicate_after_ms = None,
             FaultKind::PostSlow => self.datagram_faults.delay_ms = 0,
-            FaultKind::PostShuffled => self.datagram_faults.shuffled_ms = 0,
+            FaultKind::PostShuffled => self.datagram_faults.max_jitter_ms = 0,
             FaultKind::Release => {
-                for n in 0..fault.released(self.members.len()) {
-                    let troubled = self.members[n].troubled.iter_mut();
+                for n in 0..fault.released_count(self.members.len()) {
+                    let troubled = self.members[n].disruptions.iter_mut();
                     troubled
                         .filter(|(_, to)| *to == i64::MAX)
                         .for_each(|(_, to)| *to = now);
-                    if self.members[n].life.is_none() {
+                    if self.members[n].running.is_none() {
                         self.start(n);
                     }
                 }
@@ -137,23 +144,23 @@
             FaultKind::Stall | FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk => {
                 let member = &mut self.members[fault.front];
                 member
-                    .troubled
+                    .disruptions
                     .iter_mut()
                     .filter(|(_, to)| *to == i64::MAX)
                     .for_each(|(_, to)| *to = now);
                 if fault.what == FaultKind::Stall {
-                    member.stopped = false;
-                    let waits = std::mem::take(&mut member.waits);
+                    member.is_stalled = false;
+                    let waits = std::mem::take(&mut member.pending_events);
                     waits.into_iter().for_each(|event| self.handle(event));
-                    self.turn(fault.front);
-                } else if member.life.is_none() {
+                    self.run_front(fault.front);
+                } else if member.running.is_none() {
                     if fault.what == FaultKind::LoseDisk {
-                        let identity = match self.spoil.reuses_disk_identity {
+                        let identity = match self.mutation.reuses_disk_identity {
                             true => self.members[fault.front].disk.identity,
-                            false => self.chance.random_range(1..u64::MAX),
+                            false => self.rng.random_range(1..u64::MAX),
                         };
-                        self.members[fault.front].saved = None;
-                        self.members[fault.front].disk.lose(identity);
+                        self.members[fault.front].voter_state = None;
+                        self.members[fault.front].disk.replace(identity);
                     }
                     self.start(fault.front);
                 }
@@ -162,7 +169,7 @@
     }
 
     /// Discovery tells every front that the zone's engines have started now.
-    pub(super) fn tell_started(&mut self, zone: usize) {
+    pub(super) fn announce_restarts(&mut self, zone: usize) {
         let name = zone_name(zone);
         let back: Vec<String> = (0..self.engines.len())
             .filter(|e| self.engines[*e].zone == zone)
@@ -173,10 +180,10 @@
             .map(|id| listing(id, &name, Some(self.now)))
             .collect();
         for n in 0..self.members.len() {
-            if let Some(life) = &mut self.members[n].life {
-                life.dispatcher.update_engines(ListScope::Changes, &list);
+            if let Some(running) = &mut self.members[n].running {
+                running.dispatcher.update_engines(ListScope::Changes, &list);
             }
-            self.turn(n);
+            self.run_front(n);
         }
     }
 }
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -11,21 +11,21 @@
 use rand::Rng;
 
 use super::connections::Connections;
-use super::simulation::{address, secret, Event, Life, Sent, Simulation};
-use super::simulation::{DRIFT_PPM, MOST_SEEDS, PROBED_WITHIN};
+use super::simulation::{address, secret, Event, ExecutionId, RunningFront, Simulation};
+use super::simulation::{DRIFT_PPM, PROBE_TIMEOUT_US, SEED_COUNT};
 use crate::check::Outcome;
 use crate::rig::agreed::zone_name;
 
-const ROUNDS: usize = 8; // decisions in a turn, as in the front
+const DECISION_ROUNDS: usize = 8; // decisions in a turn, as in the front
 
 impl Simulation<'_> {
     /// A front starts, anew where it ran before.
     pub(super) fn start(&mut self, n: usize) {
-        let at = self.moment(n);
+        let at = self.clock_reading(n);
         let exchange = self.scenario.fleet.gossip.then(|| {
             let fronts = self.scenario.fleet.fronts;
-            let seeds = (0..MOST_SEEDS)
-                .map(|_| address(self.chance.random_range(0..fronts)))
+            let seeds = (0..SEED_COUNT)
+                .map(|_| address(self.rng.random_range(0..fronts)))
                 .collect();
             let start = NodeConfig {
                 secret: secret(n),
@@ -49,7 +49,7 @@
                     length: scenario.lease_ms as i64 * 1000,
                     drift_ppm: DRIFT_PPM,
                 };
-                let saved = self.members[n].saved.clone();
+                let saved = self.members[n].voter_state.clone();
                 let ownership = OwnershipConfig {
                     fleet: "lab".to_string(),
                     voters,
@@ -59,14 +59,14 @@
                 let owns = exchange.enable_ownership(at, ownership);
                 debug_assert!(owns.is_ok(), "what was saved is whole");
             }
-            let promises = self.promises(n, &mut exchange);
+            let promises = self.enable_ledger(n, &mut exchange);
             debug_assert!(promises.is_ok(), "what was kept is whole: {promises:?}");
             exchange
         });
-        let seed = self.chance.random();
+        let seed = self.rng.random();
         let mut dispatcher = Dispatcher::new(&self.settings, seed);
         let paced = self.settings.agreement.budgets.is_some();
-        let connections = Connections::new(paced, self.own(n), seed);
+        let connections = Connections::new(paced, self.local_time(n), seed);
         let zones: Vec<String> = (0..self.scenario.fleet.zones).map(zone_name).collect();
         let ids: Vec<String> = (0..self.engines.len()).map(|e| format!("e{e}")).collect();
         let list: Vec<Listing> = self
@@ -76,102 +76,107 @@
             .map(|(e, id)| listing(id, &zones[e.zone], None))
             .collect();
         dispatcher.update_engines(ListScope::Full, &list);
-        let own = self.own(n);
-        let guards = self.scenario.fleet.copies.is_some();
-        let guard =
-            guards.then(|| BarrierDriver::new(&self.settings, own, self.shards, &mut dispatcher));
+        let local_time = self.local_time(n);
+        let has_ledger = self.scenario.fleet.copies.is_some();
+        let barrier = has_ledger
+            .then(|| BarrierDriver::new(&self.settings, local_time, self.shards, &mut dispatcher));
         let member = &mut self.members[n];
-        member.lives += 1;
-        member.life = Some(Life {
+        member.incarnation += 1;
+        member.running = Some(RunningFront {
             dispatcher,
             exchange,
-            guard,
-            done: Vec::new(),
+            barrier: barrier,
+            ledger_answers: Vec::new(),
             probes: HashMap::new(),
             connections,
         });
-        self.turn(n);
+        self.run_front(n);
     }
 
     /// A front decides on all that it was told, and does what is due.
-    pub(super) fn turn(&mut self, n: usize) {
-        let (own, at) = (self.own(n), self.moment(n));
+    pub(super) fn run_front(&mut self, n: usize) {
+        let (local_time, at) = (self.local_time(n), self.clock_reading(n));
         let member = &mut self.members[n];
-        let Some(life) = member.life.as_mut().filter(|_| !member.stopped) else {
+        let Some(running) = member.running.as_mut().filter(|_| !member.is_stalled) else {
             return;
         };
-        let lives = member.lives;
-        if let Some(exchange) = &mut life.exchange {
-            let chance = &mut self.chance;
-            let ticked = exchange.tick(at, &mut life.dispatcher, &mut || chance.random());
+        let incarnation = member.incarnation;
+        if let Some(exchange) = &mut running.exchange {
+            let chance = &mut self.rng;
+            let ticked = exchange.tick(at, &mut running.dispatcher, &mut || chance.random());
             self.send_output(n, ticked.output);
         }
-        for _ in 0..ROUNDS {
-            self.guarded(n);
-            let Some(life) = &mut self.members[n].life else {
+        for _ in 0..DECISION_ROUNDS {
+            self.advance_barrier(n);
+            let Some(running) = &mut self.members[n].running else {
                 return;
             };
-            life.connections.tell(own, &mut life.dispatcher);
-            let next = life.dispatcher.tick(own);
+            running
+                .connections
+                .update_capacity(local_time, &mut running.dispatcher);
+            let next = running.dispatcher.tick(local_time);
             if next.is_empty() {
                 break;
             }
             next.into_iter()
-                .for_each(|order| self.obey(n, lives, order));
+                .for_each(|command| self.execute_command(n, incarnation, command));
         }
-        self.wakes(n);
+        self.schedule_wakeup(n);
     }
 
     /// Notes when something is next due at a front.
-    pub(super) fn wakes(&mut self, n: usize) {
-        let at = self.moment(n);
+    pub(super) fn schedule_wakeup(&mut self, n: usize) {
+        let at = self.clock_reading(n);
         let member = &mut self.members[n];
-        let Some(life) = member.life.as_ref().filter(|_| !member.stopped) else {
+        let Some(running) = member.running.as_ref().filter(|_| !member.is_stalled) else {
             return;
         };
-        let exchange = life
+        let exchange = running
             .exchange
             .as_ref()
             .map_or(i64::MAX, |exchange| exchange.due(at));
-        let guard = life.guard.as_ref().map_or(i64::MAX, BarrierDriver::due);
-        let due = life
+        let barrier = running
+            .barrier
+            .as_ref()
+            .map_or(i64::MAX, BarrierDriver::due);
+        let due = running
             .dispatcher
             .next_tick()
             .min(exchange)
-            .min(guard)
-            .saturating_sub(member.ahead)
+            .min(barrier)
+            .saturating_sub(member.clock_ahead)
             .max(self.now + 1);
-        if due < member.due || member.due <= self.now {
-            member.due = due;
-            self.at(due, Event::Due(n));
+        if due < member.next_due || member.next_due <= self.now {
+            member.next_due = due;
+            self.schedule_event(due, Event::Due(n));
         }
     }
 
-    pub(super) fn obey(&mut self, n: usize, lives: u32, order: Command) {
-        match order {
+    pub(super) fn execute_command(&mut self, n: usize, incarnation: u32, command: Command) {
+        match command {
             Command::Send {
                 ticket,
                 execution,
                 engine: place,
                 terms,
             } => {
-                let own = self.own(n);
-                let Some(life) = &mut self.members[n].life else {
+                let local_time = self.local_time(n);
+                let Some(running) = &mut self.members[n].running else {
                     return;
                 };
-                let (sent, dispatcher) = ((ticket, execution), &mut life.dispatcher);
+                let (sent, dispatcher) = ((ticket, execution), &mut running.dispatcher);
                 let ordered = OrderedExecution {
                     ticket,
                     execution,
                     place,
                     terms,
                 };
-                let held = life
-                    .guard
+                let held = running
+                    .barrier
                     .as_mut()
-                    .is_some_and(|guard| guard.hold(own, dispatcher, ordered));
-                if !held || self.spoil.skips_barrier {
-                    self.leaves(n, sent, place);
+                    .is_some_and(|barrier| barrier.hold(local_time, dispatcher, ordered));
+                if !held || self.mutation.skips_barrier {
+                    self.send_execution(n, sent, place);
                 }
             }
             Command::Probe {
@@ -180,28 +185,28 @@
             } => {
                 let steady = self.now;
                 let exchange = self.members[n]
-                    .life
+                    .running
                     .as_ref()
-                    .and_then(|life| life.exchange.as_ref());
+                    .and_then(|running| running.exchange.as_ref());
                 if for_fleet && exchange.is_some_and(|x| !x.may_probe(steady)) {
                     return;
                 }
-                if !self.reaches(n, place, None) {
+                if !self.acquire_connection(n, place, None) {
                     return;
                 }
-                self.relays((n, place), (0, 1, 0));
-                self.number += 1;
-                let probe = self.number;
-                if let Some(life) = &mut self.members[n].life {
-                    life.probes.insert(probe, place);
+                self.record_traffic((n, place), (0, 1, 0));
+                self.next_event += 1;
+                let probe = self.next_event;
+                if let Some(running) = &mut self.members[n].running {
+                    running.probes.insert(probe, place);
                 }
-                if self.passes(n, place, true) {
-                    let at = self.now + self.way() + self.delay(n, place);
-                    self.at(at, Event::ProbeArrives(n, lives, place, probe));
+                if self.link_passes(n, place, true) {
+                    let at = self.now + self.draw_network_delay() + self.link_delay(n, place);
+                    self.schedule_event(at, Event::ProbeArrives(n, incarnation, place, probe));
                 }
-                self.at(
-                    self.now + PROBED_WITHIN,
-                    Event::ProbeAnswers(n, lives, place, probe, None),
+                self.schedule_event(
+                    self.now + PROBE_TIMEOUT_US,
+                    Event::ProbeAnswers(n, incarnation, place, probe, None),
                 );
             }
             Command::Reject { ticket, .. } => {
@@ -214,76 +219,92 @@
                 execution,
                 ending,
             } => {
-                let own = self.own(n);
-                let Some(life) = &mut self.members[n].life else {
+                let local_time = self.local_time(n);
+                let Some(running) = &mut self.members[n].running else {
                     return;
                 };
-                let held = life
-                    .guard
+                let held = running
+                    .barrier
                     .as_mut()
-                    .is_some_and(|guard| guard.cancel(own, ticket, execution));
+                    .is_some_and(|barrier| barrier.cancel(local_time, ticket, execution));
                 let ending = if held { Ending::Withdrawn } else { ending };
-                life.connections.ended((ticket, execution), ending);
-                life.dispatcher
-                    .execution_ended(own, ticket, execution, ending, None);
+                running
+                    .connections
+                    .execution_ended((ticket, execution), ending);
+                running
+                    .dispatcher
+                    .execution_ended(local_time, ticket, execution, ending, None);
             }
             Command::SetConnectionRate { connections } => {
-                let own = self.own(n);
-                let life = self.members[n].life.iter_mut();
-                life.for_each(|life| life.connections.pacer.set_rate(own, connections));
+                let local_time = self.local_time(n);
+                let running = self.members[n].running.iter_mut();
+                running.for_each(|running| {
+                    running.connections.pacer.set_rate(local_time, connections)
+                });
             }
             Command::SetPriority { .. } => {}
         }
     }
 
     /// An execution leaves for its engine.
-    pub(super) fn leaves(&mut self, n: usize, sent: Sent, place: usize) {
-        let lives = self.members[n].lives;
+    pub(super) fn send_execution(&mut self, n: usize, sent: ExecutionId, place: usize) {
+        let incarnation = self.members[n].incarnation;
         let before = self.account.relayed.len();
-        if !self.reaches(n, place, Some(sent)) {
-            let own = self.own(n);
-            let Some(life) = &mut self.members[n].life else {
+        if !self.acquire_connection(n, place, Some(sent)) {
+            let local_time = self.local_time(n);
+            let Some(running) = &mut self.members[n].running else {
                 return;
             };
-            life.dispatcher
-                .execution_ended(own, sent.0, sent.1, Ending::Withdrawn, None);
+            running
+                .dispatcher
+                .execution_ended(local_time, sent.0, sent.1, Ending::Withdrawn, None);
             return;
         }
         let opened = self.account.relayed.len() > before;
-        self.relays((n, place), (1, 0, 0));
+        self.record_traffic((n, place), (1, 0, 0));
         *self.account.first_tries.get_or_insert(0) += i64::from(sent.1 == 0);
-        if self.passes(n, place, true) {
-            self.out.entry(place).or_default().push((n, lives, sent));
-            let there = if opened { self.way() + self.way() } else { 0 };
-            let at = self.now + there + self.way() + self.delay(n, place);
-            self.at(at, Event::Arrives(n, lives, sent, place));
+        if self.link_passes(n, place, true) {
+            self.in_flight
+                .entry(place)
+                .or_default()
+                .push((n, incarnation, sent));
+            let there = if opened {
+                self.draw_network_delay() + self.draw_network_delay()
+            } else {
+                0
+            };
+            let at = self.now + there + self.draw_network_delay() + self.link_delay(n, place);
+            self.schedule_event(at, Event::ExecutionArrives(n, incarnation, sent, place));
         }
     }
 
     /// An engine's answer has come to a front.
     pub(super) fn receive_answer(&mut self, n: usize, event: Event) {
-        let now = self.own(n);
-        let Some(life) = &mut self.members[n].life else {
+        let now = self.local_time(n);
+        let Some(running) = &mut self.members[n].running else {
             return;
         };
         if let Event::Answers(_, _, (ticket, execution), ending, active) = event {
-            life.connections.ended((ticket, execution), ending);
+            running
+                .connections
+                .execution_ended((ticket, execution), ending);
             let inline = !self.scenario.engine.load_on_probe;
             let report = active.filter(|_| inline).map(|active| vec![active as f64]);
-            if life
+            if running
                 .dispatcher
                 .execution_ended(now, ticket, execution, ending, report)
             {
                 self.answer(n, ticket, Outcome::Completed { rows: 1 });
             }
         } else if let Event::ProbeAnswers(_, _, place, probe, active) = event {
-            if life.probes.remove(&probe).is_some() {
+            if running.probes.remove(&probe).is_some() {
                 let report = active.map(|active| vec![active as f64]);
-                life.dispatcher
+                running
+                    .dispatcher
                     .probe_ended(now, place, active.is_some(), report);
             }
         }
-        self.turn(n);
+        self.run_front(n);
     }
 }
 
--- a/crates/lab/src/simulated/growth.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -5,8 +5,8 @@
 
 use super::simulation::{Event, Simulation};
 
-pub(super) const INTERVAL: i64 = 10_000_000; // microseconds between samples of what is held
-const COPIES_INTERVAL: i64 = 50_000; // microseconds from one check to the next whether all copies stand
+pub(super) const SAMPLE_INTERVAL_US: i64 = 10_000_000; // microseconds between samples of what is held
+const REPLICA_CHECK_INTERVAL_US: i64 = 50_000; // microseconds from one check to the next whether all copies stand
 
 /// Of one look, the most of any front.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,15 +21,15 @@
 pub(super) struct Growth {
     samples: Vec<ResourceSample>,
     /// Since when copies are missing, of whose loss.
-    lost: Option<i64>,
+    loss_since: Option<i64>,
     /// Microseconds until all stood again, of each loss.
-    again: Vec<i64>,
+    recovery_times: Vec<i64>,
     /// Copies that each front holds now, and has held before the last loss.
-    most_copies: Option<usize>,
+    largest_holder: Option<usize>,
 }
 
 impl Growth {
-    pub(super) fn tell(&self, tallies: &mut BTreeMap<&'static str, i64>) {
+    pub(super) fn add_tallies(&self, tallies: &mut BTreeMap<&'static str, i64>) {
         let quarter = self.samples.len().div_ceil(4);
         let most = |samples: &[ResourceSample], of: fn(&ResourceSample) -> i64| {
             samples.iter().map(of).max().unwrap_or(0)
@@ -44,11 +44,11 @@
         tallies.insert("ledger_bytes_early", most(early, |h| h.ledger_bytes));
         tallies.insert("ledger_bytes_late", most(late, |h| h.ledger_bytes));
         tallies.insert("entries_late", most(late, |h| h.entries));
-        if let Some(longest) = self.again.iter().max() {
+        if let Some(longest) = self.recovery_times.iter().max() {
             tallies.insert("copies_again_ms", longest / 1000);
-            tallies.insert("copies_made_again", self.again.len() as i64);
+            tallies.insert("copies_made_again", self.recovery_times.len() as i64);
         }
-        if let Some(front) = self.most_copies {
+        if let Some(front) = self.largest_holder {
             tallies.insert("keeps_most", front as i64);
         }
     }
@@ -60,7 +60,10 @@
         let mut held = ResourceSample::default();
         let mut most = (0, None);
         for (n, member) in self.members.iter().enumerate() {
-            let exchange = member.life.as_ref().and_then(|life| life.exchange.as_ref());
+            let exchange = member
+                .running
+                .as_ref()
+                .and_then(|running| running.exchange.as_ref());
             let counters = exchange
                 .and_then(|exchange| exchange.ledger_counters())
                 .unwrap_or_default();
@@ -79,38 +82,38 @@
             }
         }
         self.growth.samples.push(held);
-        self.growth.most_copies = most.1;
-        self.at(self.now + INTERVAL, Event::SampleSizes);
+        self.growth.largest_holder = most.1;
+        self.schedule_event(self.now + SAMPLE_INTERVAL_US, Event::SampleSizes);
     }
 
     /// A front is gone with its disk: from now on copies are missing.
-    pub(super) fn copies_lost(&mut self) {
+    pub(super) fn record_replica_loss(&mut self) {
         if self.scenario.fleet.copies.is_some() {
-            self.growth.lost.get_or_insert(self.now);
-            self.at(self.now + COPIES_INTERVAL, Event::Copies);
+            self.growth.loss_since.get_or_insert(self.now);
+            self.schedule_event(self.now + REPLICA_CHECK_INTERVAL_US, Event::CheckReplicas);
         }
     }
 
     /// Whether every shard has an owner and all its copies, on fronts that run.
-    pub(super) fn copies(&mut self) {
-        let Some((since, copies)) = self.growth.lost.zip(self.scenario.fleet.copies) else {
+    pub(super) fn check_replicas(&mut self) {
+        let Some((since, copies)) = self.growth.loss_since.zip(self.scenario.fleet.copies) else {
             return;
         };
         let (mut owned, mut kept, mut missing) = (0, 0, 0);
         let exchanges = self
             .members
             .iter()
-            .filter_map(|m| m.life.as_ref()?.exchange.as_ref());
+            .filter_map(|m| m.running.as_ref()?.exchange.as_ref());
         for counters in exchanges.filter_map(|exchange| exchange.ledger_counters()) {
             (owned, kept) = (owned + counters.led_shards, kept + counters.replicas);
             missing += counters.missing_replicas;
         }
         let shards = usize::from(self.shards);
         if owned >= shards && kept >= shards * copies && missing == 0 {
-            self.growth.again.push(self.now - since);
-            self.growth.lost = None;
+            self.growth.recovery_times.push(self.now - since);
+            self.growth.loss_since = None;
             return;
         }
-        self.at(self.now + COPIES_INTERVAL, Event::Copies);
+        self.schedule_event(self.now + REPLICA_CHECK_INTERVAL_US, Event::CheckReplicas);
     }
 }
--- a/crates/lab/src/simulated/least.rs
+++ b/crates/lab/src/simulated/least.rs
@@ -5,7 +5,7 @@
 
 use crate::rig::scenario::Scenario;
 
-const AFTER_MS: u64 = 6_000; // milliseconds of load that follow the last fault
+const TAIL_LOAD_MS: u64 = 6_000; // milliseconds of load that follow the last fault
 
 /// The scenario with as few faults as still make it fail, and how many plays that took. `fails` plays one; what is
 /// found when the time is over stands, though it may not be the smallest.
@@ -47,7 +47,7 @@
         .max()
         .unwrap_or(0);
     let short = Scenario {
-        seconds: (last + AFTER_MS).div_ceil(1000),
+        seconds: (last + TAIL_LOAD_MS).div_ceil(1000),
         ..least.clone()
     };
     if short.seconds < least.seconds && began.elapsed() < within && tries(&short) {
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -13,17 +13,17 @@
 use crate::check::Outcome;
 use crate::rig::agreed::zone_name;
 
-const PART: u32 = 56; // bits of a number that a part of the front counts in
+const COMPONENT_SHIFT: u32 = 56; // bits of a number that a part of the front counts in
 
 /// The gate's way to the ledger of its front; what is to go out for it is gathered.
-struct GateLedgerClient<'a> {
+struct BarrierLedgerClient<'a> {
     exchange: &'a mut Exchange,
     at: ClockReading,
     done: &'a mut Vec<LedgerAnswer>,
     outs: Vec<Output>,
 }
 
-impl LedgerClient for GateLedgerClient<'_> {
+impl LedgerClient for BarrierLedgerClient<'_> {
     fn submit(&mut self, _: i64, ask: LedgerRequest) {
         self.outs
             .push(self.exchange.submit_ledger_request(self.at, ask));
@@ -31,12 +31,12 @@
 
     fn take_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
         self.done.extend(self.exchange.take_ledger_answers());
-        let (told, others) = self
+        let (matching, others) = self
             .done
             .drain(..)
-            .partition(|done| done.number >> PART == part >> PART);
+            .partition(|done| done.number >> COMPONENT_SHIFT == part >> COMPONENT_SHIFT);
         *self.done = others;
-        told
+        matching
     }
 }
 
@@ -55,64 +55,67 @@
 
 impl Simulation<'_> {
     /// Switches on the ledger of a front that starts, on the disk that it has.
-    pub(super) fn promises(&self, n: usize, exchange: &mut Exchange) -> Result<(), String> {
+    pub(super) fn enable_ledger(&self, n: usize, exchange: &mut Exchange) -> Result<(), String> {
         let Some(copies) = self.scenario.fleet.copies else {
             return Ok(());
         };
         let (members, heard) = &self.ledger_members;
-        let at = self.moment(n);
+        let at = self.clock_reading(n);
         let disk = &self.members[n].disk;
-        let own = peer_id(&exchange.public_key());
+        let own_id = peer_id(&exchange.public_key());
         let setup = Setup {
             replication_factor: copies,
-            ..Setup::new("lab", own, at.wall_ms, disk.identity, members.clone())
+            ..Setup::new("lab", own_id, at.wall_ms, disk.identity, members.clone())
         };
-        let found = disk.found();
+        let found = disk.load_records();
         exchange
             .enable_ledger(at, setup, heard.clone(), found)
             .map_err(|e| e.to_string())
     }
 
     /// What promises let go of, or can't be had for.
-    pub(super) fn guarded(&mut self, n: usize) {
-        let (own, at) = (self.own(n), self.moment(n));
-        let lives = self.members[n].lives;
-        let Some(life) = &mut self.members[n].life else {
+    pub(super) fn advance_barrier(&mut self, n: usize) {
+        let (local_time, at) = (self.local_time(n), self.clock_reading(n));
+        let incarnation = self.members[n].incarnation;
+        let Some(running) = &mut self.members[n].running else {
             return;
         };
-        let Some((guard, exchange)) = life.guard.as_mut().zip(life.exchange.as_mut()) else {
+        let Some((barrier, exchange)) = running.barrier.as_mut().zip(running.exchange.as_mut())
+        else {
             return;
         };
-        let mut way = GateLedgerClient {
+        let mut way = BarrierLedgerClient {
             exchange,
             at,
-            done: &mut life.done,
+            done: &mut running.ledger_answers,
             outs: Vec::new(),
         };
-        let (named, asked) = (&self.named, &self.account.asked);
+        let (named, asked) = (&self.statement_numbers, &self.account.asked);
         let id = |ticket| {
             named
-                .get(&(n, lives, ticket))
+                .get(&(n, incarnation, ticket))
                 .map(|number| asked[*number].asked.id.clone())
         };
-        let rulings = guard.advance(own, &mut life.dispatcher, &mut way, id);
+        let decisions = barrier.advance(local_time, &mut running.dispatcher, &mut way, id);
         let outs = way.outs;
         outs.into_iter().for_each(|out| self.send_output(n, out));
-        for ruling in rulings {
-            let Some(life) = &mut self.members[n].life else {
+        for decision in decisions {
+            let Some(running) = &mut self.members[n].running else {
                 return;
             };
-            match ruling {
+            match decision {
                 BarrierDecision::Release(go) => {
-                    life.dispatcher.execution_sent(own, go.ticket, go.execution);
-                    self.leaves(n, (go.ticket, go.execution), go.place);
+                    running
+                        .dispatcher
+                        .execution_sent(local_time, go.ticket, go.execution);
+                    self.send_execution(n, (go.ticket, go.execution), go.place);
                 }
                 BarrierDecision::Reject(ticket) => {
-                    life.dispatcher.reject(own, ticket);
+                    running.dispatcher.reject(local_time, ticket);
                     self.answer(n, ticket, Outcome::Error("53000".into()));
                 }
                 BarrierDecision::Abort(ticket) => {
-                    life.dispatcher.reject(own, ticket);
+                    running.dispatcher.reject(local_time, ticket);
                     self.answer(n, ticket, Outcome::Error("08007".into()));
                 }
             }
@@ -120,16 +123,18 @@
     }
 
     /// Whatever a front's exchange was just told: it decides if the ledger has answered, else it is looked at when due.
-    pub(super) fn promised(&mut self, n: usize) {
-        let Some(life) = &mut self.members[n].life else {
+    pub(super) fn take_ledger_answers(&mut self, n: usize) {
+        let Some(running) = &mut self.members[n].running else {
             return;
         };
-        if let Some(exchange) = &mut life.exchange {
-            life.done.extend(exchange.take_ledger_answers());
+        if let Some(exchange) = &mut running.exchange {
+            running
+                .ledger_answers
+                .extend(exchange.take_ledger_answers());
         }
-        match life.done.is_empty() {
-            true => self.wakes(n),
-            false => self.turn(n),
+        match running.ledger_answers.is_empty() {
+            true => self.schedule_wakeup(n),
+            false => self.run_front(n),
         }
     }
 }
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -11,7 +11,8 @@
 use super::disk::Disk;
 use super::growth::Growth;
 use super::simulation::{
-    secret, Engine, Event, Member, Mutation, Simulation, AFTER, SETTLES, SLACK, WALL,
+    secret, Engine, Event, Member, Mutation, Simulation, ANSWER_SLACK_US, RUN_OUT_US,
+    SETTLE_TIME_US, START_WALL_US,
 };
 use crate::record::account::{Account, Offered, Run};
 use crate::record::judge::judge;
@@ -20,24 +21,24 @@
 use crate::rig::datagrams::DatagramFaults;
 use crate::rig::scenario::Scenario;
 
-const EXCUSED: i64 = 70_000_000; // microseconds that an answer of a front in trouble may take longer
-const WARM_SINCE: i64 = 3_600_000_000; // microseconds for which engines have run at time 0
+const DISRUPTED_ANSWER_SLACK_US: i64 = 70_000_000; // microseconds that an answer of a front in trouble may take longer
+const ENGINE_AGE_US: i64 = 3_600_000_000; // microseconds for which engines have run at time 0
 /// Plays the scenario in simulated time and checks what happened.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
     run_with(scenario, seed, Mutation::default())
 }
 
 /// The same, with a rule taken out.
-pub fn run_with(scenario: &Scenario, seed: u64, spoil: Mutation) -> Result<Run, String> {
-    let mut simulation = Simulation::new(scenario, seed, spoil)?;
+pub fn run_with(scenario: &Scenario, seed: u64, mutation: Mutation) -> Result<Run, String> {
+    let mut simulation = Simulation::new(scenario, seed, mutation)?;
     simulation.start_members();
-    simulation.schedule();
-    let load_ends = simulation.began + scenario.seconds as i64 * 1_000_000;
-    simulation.run_until(load_ends + scenario.load.timeout_ms as i64 * 1000 + AFTER);
+    simulation.schedule_scenario();
+    let load_ends = simulation.load_began + scenario.seconds as i64 * 1_000_000;
+    simulation.run_until(load_ends + scenario.load.timeout_ms as i64 * 1000 + RUN_OUT_US);
     let (account, growth) = simulation.account();
     let mut run = judge(scenario, &account, Vec::new());
     if scenario.fleet.copies.is_some() {
-        growth.tell(&mut run.tallies);
+        growth.add_tallies(&mut run.tallies);
     }
     Ok(run)
 }
@@ -59,10 +60,10 @@
     fn new(zone: usize) -> Engine {
         Engine {
             zone,
-            started: WALL - WARM_SINCE,
+            started_at: START_WALL_US - ENGINE_AGE_US,
             running: 0,
-            resets: 0,
-            turned_away: 0,
+            reset_count: 0,
+            rejected: 0,
             peak: 0.0,
             peak_since_start: 0.0,
         }
@@ -73,26 +74,26 @@
     /// One that has yet to start, with its clock ahead by so many microseconds.
     fn new(ahead: i64, identity: DiskId) -> Member {
         Member {
-            life: None,
-            lives: 0,
-            stopped: false,
-            ending: None,
-            waits: Vec::new(),
-            due: i64::MAX,
-            ahead,
+            running: None,
+            incarnation: 0,
+            is_stalled: false,
+            shutdown_asked_at: None,
+            pending_events: Vec::new(),
+            next_due: i64::MAX,
+            clock_ahead: ahead,
             links: BTreeMap::new(),
-            saved: None,
+            voter_state: None,
             disk: Disk {
                 identity,
                 ..Disk::default()
             },
-            troubled: Vec::new(),
+            disruptions: Vec::new(),
         }
     }
 }
 
 impl Simulation<'_> {
-    fn new(scenario: &Scenario, seed: u64, spoil: Mutation) -> Result<Simulation<'_>, String> {
+    fn new(scenario: &Scenario, seed: u64, mutation: Mutation) -> Result<Simulation<'_>, String> {
         let (fronts, zones) = (scenario.fleet.fronts, scenario.fleet.zones);
         let per_zone = scenario.fleet.engines_per_zone;
         let keys: Vec<[u8; 32]> = (0..fronts)
@@ -102,12 +103,12 @@
             scenario,
             settings: settings_of(scenario)?,
             warmth: warmth(scenario),
-            now: WALL,
-            began: WALL + SETTLES,
+            now: START_WALL_US,
+            load_began: START_WALL_US + SETTLE_TIME_US,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
-            number: 0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            next_event: 0,
+            rng: Pcg64Mcg::seed_from_u64(seed),
             members: Vec::new(),
             engines: (0..zones * per_zone)
                 .map(|n| Engine::new(n / per_zone))
@@ -115,22 +116,22 @@
             keys: Keys::new(&keys),
             datagram_faults: DatagramFaults::default(),
             account: Account {
-                began: WALL + SETTLES,
-                slack: SLACK,
+                began: START_WALL_US + SETTLE_TIME_US,
+                slack: ANSWER_SLACK_US,
                 ..Account::default()
             },
-            out: BTreeMap::new(),
-            statements: 0,
-            named: HashMap::new(),
+            in_flight: BTreeMap::new(),
+            statement_count: 0,
+            statement_numbers: HashMap::new(),
             clients: Vec::new(),
-            links: 0,
-            firsts: HashMap::new(),
+            link_count: 0,
+            first_executions: HashMap::new(),
             ledger_members: super::ledger::members(fronts, zones),
             armed: None,
-            spoil,
+            mutation: mutation,
             growth: Growth::default(),
             shards: hallmux_ledger::Setup::new("lab", 0, 0, 1, Vec::new()).shards,
-            playing: BTreeMap::new(),
+            active_faults: BTreeMap::new(),
         })
     }
 
@@ -138,25 +139,25 @@
     fn start_members(&mut self) {
         let apart = self.scenario.fleet.clocks_apart_ms as i64 * 1000;
         for n in 0..self.scenario.fleet.fronts {
-            let ahead = self.chance.random_range(-apart..=apart);
-            let identity = self.chance.random_range(1..u64::MAX);
+            let ahead = self.rng.random_range(-apart..=apart);
+            let identity = self.rng.random_range(1..u64::MAX);
             self.members.push(Member::new(ahead, identity));
             self.start(n);
         }
     }
 
     /// Puts the load and the faults of the scenario into the queue of events.
-    fn schedule(&mut self) {
-        let (scenario, began) = (self.scenario, self.began);
-        self.at(began, Event::Offered);
+    fn schedule_scenario(&mut self) {
+        let (scenario, began) = (self.scenario, self.load_began);
+        self.schedule_event(began, Event::StatementDue);
         if scenario.fleet.copies.is_some() {
-            self.at(began, Event::SampleSizes);
+            self.schedule_event(began, Event::SampleSizes);
         }
         for (n, fault) in scenario.faults.iter().enumerate() {
-            self.at(began + fault.at_ms as i64 * 1000, Event::Begins(n));
-            self.at(
+            self.schedule_event(began + fault.at_ms as i64 * 1000, Event::FaultBegins(n));
+            self.schedule_event(
                 began + (fault.at_ms + fault.for_ms) as i64 * 1000,
-                Event::Ends(n),
+                Event::FaultEnds(n),
             );
         }
     }
@@ -170,16 +171,17 @@
             growth,
             ..
         } = self;
-        account.turned_away = engines.iter().map(|e| e.turned_away).sum();
+        account.turned_away = engines.iter().map(|e| e.rejected).sum();
         account.peak = engines.iter().map(|e| e.peak).fold(0.0, f64::max);
         account.peaks_since_start = engines.iter().map(|e| e.peak_since_start).collect();
         for Offered { front, asked, .. } in &mut account.asked {
-            let troubled = &members[*front].troubled;
+            let troubled = &members[*front].disruptions;
             let excused = troubled
                 .iter()
                 .any(|(from, to)| asked.sent <= *to && asked.answered >= *from);
             if excused {
-                (asked.may_be_lost, asked.timeout) = (true, asked.timeout + EXCUSED);
+                (asked.may_be_lost, asked.timeout) =
+                    (true, asked.timeout + DISRUPTED_ANSWER_SLACK_US);
             }
         }
         (account, growth)
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -26,54 +26,54 @@
 use crate::rig::relay::LinkState;
 use crate::rig::scenario::{Fault, Scenario, Step};
 
-pub(super) const WAY: (i64, i64) = (200, 2_000); // microseconds that anything takes from one place to another, drawn evenly
-pub(super) const PROBED_WITHIN: i64 = 250_000; // microseconds until a probe without an answer counts as failed
-pub(super) const SETTLES: i64 = 10_000_000; // microseconds before the load, for the fronts to find each other
-pub(super) const AFTER: i64 = 10_000_000; // microseconds beyond the load and its last time-out
-pub(super) const SLACK: i64 = 50_000; // microseconds for a final answer: two looks of the module's
-pub(super) const WALL: i64 = 1_800_000_000_000_000; // Unix microseconds at time 0
+pub(super) const NETWORK_DELAY_US: (i64, i64) = (200, 2_000); // microseconds that anything takes from one place to another, drawn evenly
+pub(super) const PROBE_TIMEOUT_US: i64 = 250_000; // microseconds until a probe without an answer counts as failed
+pub(super) const SETTLE_TIME_US: i64 = 10_000_000; // microseconds before the load, for the fronts to find each other
+pub(super) const RUN_OUT_US: i64 = 10_000_000; // microseconds beyond the load and its last time-out
+pub(super) const ANSWER_SLACK_US: i64 = 50_000; // microseconds for a final answer: two looks of the module's
+pub(super) const START_WALL_US: i64 = 1_800_000_000_000_000; // Unix microseconds at time 0
 pub(super) const DRIFT_PPM: u32 = 10_000; // millionths; clocks here run alike
-pub(super) const MOST_SEEDS: usize = 3; // fronts that each asks first, drawn: a few for all would be slow to answer them
+pub(super) const SEED_COUNT: usize = 3; // fronts that each asks first, drawn: a few for all would be slow to answer them
 
-pub(super) type Sent = (Ticket, usize);
+pub(super) type ExecutionId = (Ticket, usize);
 
 pub(super) enum Event {
     /// The next statement of the load is due.
-    Offered,
+    StatementDue,
     /// A front's own clock is due.
     Due(usize),
     /// An execution has come to an engine, or its answer back to the front of that life.
-    Arrives(usize, u32, Sent, usize),
+    ExecutionArrives(usize, u32, ExecutionId, usize),
     EndedExecution(EndedExecution),
     /// A repeat that an engine drops is answered.
-    Dropped(usize, u32, Sent, usize),
+    DuplicateAnswered(usize, u32, ExecutionId, usize),
     /// The last is its report of the statements in hand.
-    Answers(usize, u32, Sent, Ending, Option<usize>),
+    Answers(usize, u32, ExecutionId, Ending, Option<usize>),
     /// A probe likewise; its number tells which.
     ProbeArrives(usize, u32, usize, u64),
     ProbeAnswers(usize, u32, EngineIndex, u64, Option<usize>),
     Datagram(usize, usize, Vec<u8>),
     /// What the front of that life has written is lasting.
-    Lasting(usize, u32),
+    SyncFinished(usize, u32),
     /// A client asks again, at another front.
-    Again(Client),
+    ClientRetries(Client),
     /// A step of a promise is reached at a front; and the time for that is over.
-    Reached(Step, usize),
-    Unarmed(usize),
+    StepReached(Step, usize),
+    StepTimedOut(usize),
     /// A front of that life that is to end may close its listener.
-    Closes(usize, u32),
+    CheckShutdown(usize, u32),
     /// Time to look at what fronts hold; and at whether all copies stand.
     SampleSizes,
-    Copies,
-    Begins(usize),
-    Ends(usize),
+    CheckReplicas,
+    FaultBegins(usize),
+    FaultEnds(usize),
 }
 
 /// An execution that has run on an engine.
 pub(super) struct EndedExecution {
     pub(super) front: usize,
-    pub(super) life: u32,
-    pub(super) sent: Sent,
+    pub(super) incarnation: u32,
+    pub(super) sent: ExecutionId,
     pub(super) engine: usize,
     pub(super) resets: u64,
     /// Its own in the record.
@@ -92,42 +92,42 @@
 }
 
 /// A front while it runs.
-pub(super) struct Life {
+pub(super) struct RunningFront {
     pub(super) dispatcher: Dispatcher,
     pub(super) exchange: Option<Exchange>,
-    pub(super) guard: Option<BarrierDriver>,
+    pub(super) barrier: Option<BarrierDriver>,
     /// Answers of the ledger that have yet to be taken.
-    pub(super) done: Vec<LedgerAnswer>,
+    pub(super) ledger_answers: Vec<LedgerAnswer>,
     pub(super) probes: HashMap<u64, EngineIndex>,
     pub(super) connections: Connections,
 }
 
 pub(super) struct Member {
-    pub(super) life: Option<Life>,
+    pub(super) running: Option<RunningFront>,
     /// Counts its lives: what was meant for an earlier one means nothing.
-    pub(super) lives: u32,
-    pub(super) stopped: bool,
+    pub(super) incarnation: u32,
+    pub(super) is_stalled: bool,
     /// When it was asked to end.
-    pub(super) ending: Option<i64>,
+    pub(super) shutdown_asked_at: Option<i64>,
     /// What came while it was stopped, in order.
-    pub(super) waits: Vec<Event>,
-    pub(super) due: i64,
-    pub(super) ahead: i64,
+    pub(super) pending_events: Vec<Event>,
+    pub(super) next_due: i64,
+    pub(super) clock_ahead: i64,
     pub(super) links: BTreeMap<usize, LinkState>,
     /// What it saved as a voter.
-    pub(super) saved: Option<Vec<u8>>,
+    pub(super) voter_state: Option<Vec<u8>>,
     pub(super) disk: Disk,
     /// Spans in which it was stopped, killed or ending.
-    pub(super) troubled: Vec<(i64, i64)>,
+    pub(super) disruptions: Vec<(i64, i64)>,
 }
 
 pub(super) struct Engine {
     pub(super) zone: usize,
-    pub(super) started: i64,
+    pub(super) started_at: i64,
     pub(super) running: usize,
     /// Counts its connections' lives: a reset ends what is out.
-    pub(super) resets: u64,
-    pub(super) turned_away: i64,
+    pub(super) reset_count: u64,
+    pub(super) rejected: i64,
     pub(super) peak: f64,
     pub(super) peak_since_start: f64,
 }
@@ -137,38 +137,38 @@
     pub(super) settings: Settings,
     pub(super) warmth: Warmth,
     pub(super) now: i64,
-    pub(super) began: i64,
+    pub(super) load_began: i64,
     pub(super) queue: BinaryHeap<Reverse<(i64, u64)>>,
     pub(super) events: HashMap<u64, Event>,
-    pub(super) number: u64,
-    pub(super) chance: Pcg64Mcg,
+    pub(super) next_event: u64,
+    pub(super) rng: Pcg64Mcg,
     pub(super) members: Vec<Member>,
     pub(super) engines: Vec<Engine>,
     pub(super) keys: std::rc::Rc<Keys>,
     pub(super) datagram_faults: DatagramFaults,
     pub(super) account: Account,
     /// Executions out at engines, for resets: by engine.
-    pub(super) out: BTreeMap<usize, Vec<(usize, u32, Sent)>>,
-    pub(super) statements: u64,
+    pub(super) in_flight: BTreeMap<usize, Vec<(usize, u32, ExecutionId)>>,
+    pub(super) statement_count: u64,
     /// The statements by front, life and ticket: their place in the record.
-    pub(super) named: HashMap<(usize, u32, Ticket), usize>,
+    pub(super) statement_numbers: HashMap<(usize, u32, Ticket), usize>,
     /// Whoever asked, beside what the record has of it.
     pub(super) clients: Vec<Client>,
-    pub(super) links: u32,
+    pub(super) link_count: u32,
     /// When the first of each deduplicated statement of a front began and ends.
-    pub(super) firsts: HashMap<(usize, String), (i64, i64)>,
+    pub(super) first_executions: HashMap<(usize, String), (i64, i64)>,
     /// The fronts that keep copies, and where each is heard.
     pub(super) ledger_members: (
         Vec<hallmux_ledger::Member>,
         BTreeMap<hallmux_gossip::PeerId, SocketAddr>,
     ),
     pub(super) armed: Option<Armed>,
-    pub(super) spoil: Mutation,
+    pub(super) mutation: Mutation,
     pub(super) growth: Growth,
     /// Of the ledger.
     pub(super) shards: u16,
     /// Faults that are played now, by their place in the scenario.
-    pub(super) playing: BTreeMap<usize, Fault>,
+    pub(super) active_faults: BTreeMap<usize, Fault>,
 }
 
 pub(super) fn secret(n: usize) -> [u8; 32] {
@@ -188,14 +188,16 @@
 }
 
 impl Simulation<'_> {
-    pub(super) fn at(&mut self, when: i64, event: Event) {
-        self.number += 1;
-        self.queue.push(Reverse((when.max(self.now), self.number)));
-        self.events.insert(self.number, event);
+    pub(super) fn schedule_event(&mut self, when: i64, event: Event) {
+        self.next_event += 1;
+        self.queue
+            .push(Reverse((when.max(self.now), self.next_event)));
+        self.events.insert(self.next_event, event);
     }
 
-    pub(super) fn way(&mut self) -> i64 {
-        self.chance.random_range(WAY.0..=WAY.1)
+    pub(super) fn draw_network_delay(&mut self) -> i64 {
+        self.rng
+            .random_range(NETWORK_DELAY_US.0..=NETWORK_DELAY_US.1)
     }
 
     pub(super) fn run_until(&mut self, over: i64) {
@@ -212,74 +214,80 @@
 
     pub(super) fn handle(&mut self, event: Event) {
         match event {
-            Event::Offered => self.offer(),
-            Event::Due(n) if self.members[n].due <= self.now => self.turn(n),
+            Event::StatementDue => self.offer(),
+            Event::Due(n) if self.members[n].next_due <= self.now => self.run_front(n),
             Event::Due(_) => {}
-            Event::Arrives(front, life, sent, engine) => self.arrives(front, life, sent, engine),
-            Event::EndedExecution(ran) => self.ran(ran),
-            Event::Dropped(front, life, sent, e) => {
-                self.goes_back(front, life, sent, e, Ending::Answered)
+            Event::ExecutionArrives(front, incarnation, sent, engine) => {
+                self.receive_execution(front, incarnation, sent, engine)
+            }
+            Event::EndedExecution(ran) => self.end_execution(ran),
+            Event::DuplicateAnswered(front, incarnation, sent, e) => {
+                self.send_answer(front, incarnation, sent, e, Ending::Answered)
             }
-            Event::Again(client) => self.asks(client),
-            Event::Reached(step, front) => _ = self.reached(step, front),
-            Event::Unarmed(fault) => self.unarmed(fault),
-            Event::Closes(front, life) => self.closes(front, life),
+            Event::ClientRetries(client) => self.submit_statement(client),
+            Event::StepReached(step, front) => _ = self.record_step(step, front),
+            Event::StepTimedOut(fault) => self.step_timed_out(fault),
+            Event::CheckShutdown(front, incarnation) => self.try_shutdown(front, incarnation),
             Event::SampleSizes => self.sample_sizes(),
-            Event::Copies => self.copies(),
-            Event::Lasting(front, life) => {
-                if self.is_there(front, life, event).is_some() {
-                    self.lasting(front);
+            Event::CheckReplicas => self.check_replicas(),
+            Event::SyncFinished(front, incarnation) => {
+                if self.deliver_or_defer(front, incarnation, event).is_some() {
+                    self.finish_sync(front);
                 }
             }
-            Event::ProbeArrives(front, life, engine, probe) => {
-                if self.passes(front, engine, false) {
-                    let at = self.now + self.way();
+            Event::ProbeArrives(front, incarnation, engine, probe) => {
+                if self.link_passes(front, engine, false) {
+                    let at = self.now + self.draw_network_delay();
                     let active = self.engines[engine].running;
-                    self.at(
+                    self.schedule_event(
                         at,
-                        Event::ProbeAnswers(front, life, engine, probe, Some(active)),
+                        Event::ProbeAnswers(front, incarnation, engine, probe, Some(active)),
                     );
                 }
             }
-            Event::Answers(front, life, ..) | Event::ProbeAnswers(front, life, ..) => {
-                if let Some(event) = self.is_there(front, life, event) {
+            Event::Answers(front, incarnation, ..)
+            | Event::ProbeAnswers(front, incarnation, ..) => {
+                if let Some(event) = self.deliver_or_defer(front, incarnation, event) {
                     self.receive_answer(front, event);
                 }
             }
-            Event::Datagram(from, to, bytes) => self.datagram(from, to, bytes),
-            Event::Begins(n) => self.fault_begins(n),
-            Event::Ends(n) => self.fault_ends(n),
+            Event::Datagram(from, to, bytes) => self.receive_datagram(from, to, bytes),
+            Event::FaultBegins(n) => self.start_scenario_fault(n),
+            Event::FaultEnds(n) => self.end_scenario_fault(n),
         }
     }
 
     /// The event, if the front of that life runs; if it is stopped, the event waits until it goes on.
-    fn is_there(&mut self, front: usize, life: u32, event: Event) -> Option<Event> {
+    fn deliver_or_defer(&mut self, front: usize, incarnation: u32, event: Event) -> Option<Event> {
         let member = &mut self.members[front];
-        if member.lives != life || member.life.is_none() {
+        if member.incarnation != incarnation || member.running.is_none() {
             return None;
         }
-        if member.stopped {
-            member.waits.push(event);
+        if member.is_stalled {
+            member.pending_events.push(event);
             return None;
         }
         Some(event)
     }
 
-    fn datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let moment = self.moment(to);
+    fn receive_datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let clock_reading = self.clock_reading(to);
         let member = &mut self.members[to];
-        if member.stopped {
-            member.waits.push(Event::Datagram(from, to, bytes));
-        } else if let Some(exchange) = member.life.as_mut().and_then(|life| life.exchange.as_mut())
+        if member.is_stalled {
+            member.pending_events.push(Event::Datagram(from, to, bytes));
+        } else if let Some(exchange) = member
+            .running
+            .as_mut()
+            .and_then(|running| running.exchange.as_mut())
         {
-            let out = exchange.receive(moment, address(from), &bytes);
+            let out = exchange.receive(clock_reading, address(from), &bytes);
             self.send_output(to, out);
-            self.promised(to);
+            self.take_ledger_answers(to);
         }
     }
 
     /// A fault of the scenario begins.
-    fn fault_begins(&mut self, n: usize) {
+    fn start_scenario_fault(&mut self, n: usize) {
         let probed = self
             .account
             .relayed
@@ -287,35 +295,35 @@
             .rev()
             .find(|r| r.probes > 0)
             .map(|r| r.front);
-        let fault = self.scenario.faults[n].on(probed);
-        self.playing.insert(n, fault.clone());
-        self.begin(n, &fault);
+        let fault = self.scenario.faults[n].resolve_owner(probed);
+        self.active_faults.insert(n, fault.clone());
+        self.start_fault(n, &fault);
     }
 
     /// A fault of the scenario ends, unless it has to wait.
-    fn fault_ends(&mut self, n: usize) {
-        if let Some(later) = self.is_armed(n).or_else(|| self.still_ends(n)) {
-            return self.at(later, Event::Ends(n));
+    fn end_scenario_fault(&mut self, n: usize) {
+        if let Some(later) = self.death_retry_at(n).or_else(|| self.shutdown_retry_at(n)) {
+            return self.schedule_event(later, Event::FaultEnds(n));
         }
-        let Some(fault) = self.playing.remove(&n) else {
+        let Some(fault) = self.active_faults.remove(&n) else {
             return;
         };
-        self.end(&fault);
-        let from = self.began + fault.at_ms as i64 * 1000;
+        self.end_fault(&fault);
+        let from = self.load_began + fault.at_ms as i64 * 1000;
         self.account.played.push((fault, from, self.now));
     }
 
     /// The Unix clock of a front, by which it decides.
-    pub(super) fn own(&self, n: usize) -> i64 {
-        self.now + self.members[n].ahead
+    pub(super) fn local_time(&self, n: usize) -> i64 {
+        self.now + self.members[n].clock_ahead
     }
 
-    pub(super) fn moment(&self, n: usize) -> ClockReading {
-        let own = self.own(n);
+    pub(super) fn clock_reading(&self, n: usize) -> ClockReading {
+        let local_time = self.local_time(n);
         ClockReading {
-            now: own,
+            now: local_time,
             steady: self.now,
-            wall_ms: (own / 1000) as u64,
+            wall_ms: (local_time / 1000) as u64,
         }
     }
 }
