--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,3 +1,3 @@
-//! The load: what clients ask of fronts, and what they write down of it.
+//! The load: the statements of clients, and their record of the outcomes.
 
 pub mod offer;
--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -1,4 +1,4 @@
-//! The load of a fleet scenario: statements at the agreed rate, over all fronts that take them.
+//! The load of a fleet scenario: statements at the agreed rate, over all fronts that accept them.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
@@ -15,9 +15,10 @@
 use crate::rig::scenario::{Scenario, Step};
 use crate::rig::starvation_watch::thread_cpu_wait;
 
-const CLIENT_RETRY_DELAY_MS: std::ops::Range<u64> = 20..400; // milliseconds until a client asks again
+const CLIENT_RETRY_DELAY_MS: std::ops::Range<u64> = 20..400; // time until a client retries
 
-/// Offers the load: statements at the agreed rate, each to a front drawn among those that take statements.
+/// Offers the load for the duration of the scenario: statements at the agreed rate, each to a
+/// random front that accepts statements. Returns when all have been answered.
 pub(crate) fn offer(
     scenario: &Scenario,
     seed: u64,
@@ -54,7 +55,7 @@
     waits.into_iter().for_each(|w| _ = w.join());
 }
 
-/// Whoever asks for one statement, at one front and then at others where it may.
+/// The client of one statement, at one front and, if its workload allows it, again at others.
 struct Client {
     number: u64,
     class: usize,
@@ -84,7 +85,8 @@
                 .and_then(|f| f.as_ref().map(|f| f.statement_address));
             let Some(address) = address else { return };
             let outcome = self.execute(member, address, record, !before.is_empty());
-            // A lost or aborted one may have run: again only as its workload allows.
+            // A lost or aborted statement may have executed: it is repeated only if its workload
+            // allows it.
             let again = match &outcome {
                 Outcome::Error(code) if code == "53000" => true,
                 Outcome::Error(_) | Outcome::Lost => class.repeat() != Repeat::NonIdempotent,
@@ -150,7 +152,7 @@
         let statement = format!("id={id},key={key},ms={work_ms},on={goes_on},promised={promised}");
         if class.needs_ledger_entry() {
             let (records, front) = (record.records.clone(), member.number);
-            // About when the front has it: a little before, or a little after.
+            // About when the front receives the statement: a little before or after.
             let wait = Duration::from_micros(200 + self.seed % 400);
             std::thread::spawn(move || {
                 std::thread::sleep(wait);
@@ -163,7 +165,8 @@
         asked.answered = now();
         let starved = thread_cpu_wait() - before;
         let outcome = asked.outcome.clone();
-        // Turned away for good, well within its time: by a rule, not for want of an engine or of a promise.
+        // Rejected without a hint to retry and well within its timeout: by a rule, not for lack of
+        // an engine or a ledger entry.
         let soon = asked.answered - asked.sent < asked.timeout / 2;
         let barred = !later && soon && matches!(&outcome, Outcome::Error(code) if code == "53000");
         let (front, class) = (member.number, self.class);
--- a/crates/lab/src/rig/agreed.rs
+++ b/crates/lab/src/rig/agreed.rs
@@ -1,11 +1,11 @@
-//! What is agreed with the fronts of a scenario.
+//! The settings as agreed with the fronts of a scenario.
 
 use serde_json::json;
 
 use super::scenario::{Class, Effect, Scenario};
 use crate::engine::lines::Warmth;
 
-/// What was agreed with the fronts of a scenario.
+/// The settings that the fronts of a scenario start with.
 pub fn settings(scenario: &Scenario) -> serde_json::Value {
     let zones: Vec<String> = (0..scenario.fleet.zones).map(zone_name).collect();
     let class = |c: &Class| {
@@ -34,7 +34,7 @@
         .into_iter()
         .map(|name| json!({"name": name, "allowancePerS": share(name)}))
         .collect();
-    // Classes of one name are one workload, which several customers ask for.
+    // Classes of the same name are one workload that several customers use.
     let first = |(n, c): &(usize, &Class)| {
         !scenario.classes[..*n]
             .iter()
@@ -52,7 +52,8 @@
     } else {
         "inline"
     };
-    // What goes on though its connection ended is over within its own time, and some for a busy machine.
+    // The gap covers an execution that continues after its connection closed, with a margin for a
+    // busy machine.
     let goes_on = scenario.classes.iter().filter(|c| c.goes_on);
     let longest = goes_on
         .map(|c| c.work_ms.unwrap_or(scenario.load.work_ms))
@@ -70,12 +71,12 @@
         "requestClasses": classes})
 }
 
-/// The name of a zone in settings and lists.
+/// The name of a zone in settings and endpoint lists.
 pub fn zone_name(zone: usize) -> String {
     format!("z{zone}")
 }
 
-/// How the engines of a scenario warm up.
+/// The warm-up of a scenario's engines.
 pub fn warmth(scenario: &Scenario) -> Warmth {
     let engine = &scenario.engine;
     let memory = engine
--- a/crates/lab/src/rig/class.rs
+++ b/crates/lab/src/rig/class.rs
@@ -1,4 +1,4 @@
-//! A workload of the load: its share, its SLO time, and what may be done again with its statements.
+//! A workload of the load: its share, SLO time and repeat semantics.
 
 use serde::Deserialize;
 
@@ -8,37 +8,38 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub name: String,
-    /// Its part of the load, against the others'.
+    /// Weight of the workload in the load, relative to the others.
     pub share: f64,
-    /// Its importance, as the agreement has it.
+    /// Importance in the agreement.
     pub importance: f64,
-    /// Its SLO time in milliseconds.
+    /// SLO time in milliseconds.
     pub slo_ms: u64,
     #[serde(default)]
     pub effect: Effect,
-    /// So many order keys, drawn evenly, one of which each statement has; without, it has none.
+    /// Number of order keys, one of which is drawn evenly for each statement; 0: statements have no
+    /// order key.
     #[serde(default)]
     pub keys: usize,
-    /// What each takes on an engine and its statement timeout, instead of the load's.
+    /// Work per statement and statement timeout in milliseconds; the load's values if unset.
     pub work_ms: Option<u64>,
     pub timeout_ms: Option<u64>,
-    /// Milliseconds for which all engines drop a repeat of a deduplicated one.
+    /// Dedup window in milliseconds, in which engines drop a repeat of a deduplicated statement.
     #[serde(default = "window_ms")]
     pub window_ms: u64,
-    /// Whose statements they are.
+    /// The customer that sends the statements.
     #[serde(default = "customer")]
     pub customer: String,
-    /// Statements a second over all fronts that are within that customer's share; without, all are.
+    /// Statements a second over all fronts within the customer's share; unlimited if unset.
     pub customer_per_second: Option<f64>,
-    /// An engine goes on with it though its connection ended.
+    /// An engine continues a statement after its connection has closed.
     #[serde(default)]
     pub goes_on: bool,
-    /// So often a client whose statement was lost or rejected asks for it again, at another front.
+    /// How often a client repeats a lost or rejected statement at another front.
     #[serde(default)]
     pub asks_again: usize,
 }
 
-/// What may be done again with a workload's statements.
+/// Whether a statement of a workload may be executed again.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
@@ -57,12 +58,13 @@
         }
     }
 
-    /// Whether its statements depend on a promise.
+    /// Whether statements need a ledger entry before they execute: they have an order key or are
+    /// not idempotent.
     pub fn needs_ledger_entry(&self) -> bool {
         self.keys > 0 || self.effect != Effect::Idempotent
     }
 
-    /// One that may run again whenever, with nothing of its own.
+    /// An idempotent workload without order keys, with defaults for all else.
     pub fn idempotent(name: &str, slo_ms: u64) -> Class {
         Class {
             name: name.to_string(),
--- a/crates/lab/src/rig/coordinator.rs
+++ b/crates/lab/src/rig/coordinator.rs
@@ -1,4 +1,4 @@
-//! A coordinator of our own, that tells fronts of engines.
+//! A stand-in for the coordinator that serves endpoint lists to fronts.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 
 type Events = Arc<(Mutex<Vec<Value>>, Condvar)>;
 
-/// What tells fronts of engines, by the protocol of the list.
+/// Serves a growing list of endpoint updates over the coordinator's long-poll protocol.
 pub struct Coordinator {
     pub address: SocketAddr,
     events: Events,
@@ -33,7 +33,8 @@
         })
     }
 
-    /// Tells of engines: their names, addresses, kinds and states.
+    /// Publishes engines (id, address, kind, state), all in the zone `here`; `whole` replaces the
+    /// full list.
     pub fn announce(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str)]) {
         let zoned: Vec<_> = engines
             .iter()
@@ -42,7 +43,7 @@
         self.announce_with_zones(whole, &zoned);
     }
 
-    /// The same, with the zone of each.
+    /// Publishes engines (id, address, kind, state, zone); `whole` replaces the full list.
     pub fn announce_with_zones(
         &self,
         whole: bool,
@@ -51,7 +52,7 @@
         self.publish(whole, engines, 0.0);
     }
 
-    /// Tells of engines that started anew at a Unix millisecond.
+    /// Publishes engines as restarted at `wall_ms`, in milliseconds of Unix time.
     pub fn announce_restarts(
         &self,
         engines: &[(String, SocketAddr, &str, &str, &str)],
--- a/crates/lab/src/rig/datagrams.rs
+++ b/crates/lab/src/rig/datagrams.rs
@@ -1,34 +1,37 @@
-//! The relay of datagrams between fronts: every front is told to the others at a port of the rig's own, so that
-//! what passes between any two can be lost, cut one way, slowed or doubled, and is counted.
+//! The relay of datagrams between fronts. Every front is advertised to its peers at a port of the
+//! rig, so that datagrams between any two fronts can be lost, cut one way, delayed or duplicated,
+//! and are recorded.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const MAX_DATAGRAM_BYTES: usize = 2_048; // bytes; longer datagrams than fronts send are cut, which spoils them
+const MAX_DATAGRAM_BYTES: usize = 2_048; // larger datagrams than fronts send are truncated, which corrupts them
 
-/// What happens to datagrams now.
+/// The faults that are active on datagrams between fronts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
     pub split: Option<Split>,
-    /// So many in a hundred are lost.
+    /// Percentage of datagrams that is lost.
     pub lost_percent: u64,
-    /// Milliseconds that each takes longer.
+    /// Extra delay of each datagram in milliseconds.
     pub delay_ms: u64,
-    /// Each comes a second time, so many milliseconds later.
+    /// Delay in milliseconds after which each datagram is delivered a second time.
     pub duplicate_after_ms: Option<u64>,
-    /// Each takes a time drawn up to so many milliseconds longer: out of order.
+    /// Upper bound in milliseconds of a random extra delay per datagram, which reorders them.
     pub max_jitter_ms: u64,
 }
 
-/// A cut between fronts.
+/// A partition between fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Split {
-    /// Those numbered below and the rest are apart; where the second is set, those from there on are, too.
+    /// Fronts numbered below `below` are cut off from the rest; if `second` is set, fronts from
+    /// that number on form a third group.
     pub below: usize,
     pub second: Option<usize>,
-    /// Words towards lower numbers still pass: the rest hear nothing of those below, who still hear the rest.
+    /// Datagrams towards lower numbers still pass: the higher group receives nothing from the lower
+    /// one, which still receives from the higher.
     pub one_way: bool,
 }
 
@@ -40,7 +43,7 @@
 }
 
 impl DatagramFaults {
-    /// Whether a datagram passes; `drawn` is a number below a hundred.
+    /// Whether a datagram passes; `drawn` is a random number below 100.
     pub fn passes(&self, from: usize, to: usize, drawn: u64) -> bool {
         let cut = self.split.is_some_and(|split| {
             let (from, to) = (split.group(from), split.group(to));
@@ -50,7 +53,8 @@
     }
 }
 
-/// A datagram as the rig saw it: microseconds since the rig began, its bytes, whether it passed.
+/// A recorded datagram: its time in microseconds since the rig started, its size in bytes, whether
+/// it passed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayedDatagram {
     pub at: i64,
@@ -63,22 +67,23 @@
 #[derive(Default)]
 struct Shared {
     state: Mutex<DatagramFaults>,
-    /// The fronts by the address that each speaks from, and where each listens.
+    /// The number of each front by the address that it sends from, and the address where each
+    /// listens.
     fronts: Mutex<HashMap<SocketAddr, usize>>,
     listens: Mutex<HashMap<usize, SocketAddr>>,
     datagrams: Mutex<Vec<RelayedDatagram>>,
 }
 
-/// The way between all fronts.
+/// The datagram relay of all fronts.
 pub struct DatagramRelay {
     shared: Arc<Shared>,
-    /// Where each front is heard, by its number.
+    /// The relay's address for each front, by the front's number.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl DatagramRelay {
-    /// Opens a port for each of so many fronts; `now` tells microseconds since the rig began.
-    /// `on_sent` is told of each datagram by its sender, and says whether that ends it.
+    /// Opens a port for each front; `now` returns microseconds since the rig started. `on_sent` is
+    /// called with the sender of each datagram and returns whether the sender dies at it.
     pub fn start(
         fronts: usize,
         now: impl Fn() -> i64 + Send + Sync + 'static,
@@ -102,7 +107,7 @@
         })
     }
 
-    /// A front has started and speaks and listens at this address.
+    /// Registers the address that a started front sends from and listens on.
     pub fn register_front(&self, number: usize, at: SocketAddr) {
         if let (Ok(mut fronts), Ok(mut listens)) =
             (self.shared.fronts.lock(), self.shared.listens.lock())
@@ -128,7 +133,7 @@
     }
 }
 
-/// Passes on what comes for one front.
+/// Forwards datagrams addressed to front `to`.
 fn relay(
     to: usize,
     socket: &Arc<UdpSocket>,
@@ -152,7 +157,7 @@
         let state = state.clone();
         let passed = state.passes(from, to, rand::random_range(0..100));
         if on_sent(from) {
-            continue; // it died of this one
+            continue; // the sender died at this datagram
         }
         if let Ok(mut datagrams) = shared.datagrams.lock() {
             datagrams.push(RelayedDatagram {
--- a/crates/lab/src/rig/datagrams_tests.rs
+++ b/crates/lab/src/rig/datagrams_tests.rs
@@ -70,7 +70,7 @@
     });
     fronts[0].send_to(b"cut", relay.addresses[1]).unwrap();
     fronts[1].send_to(b"cut", relay.addresses[0]).unwrap();
-    // Nothing comes: the record tells when both were dealt with.
+    // Nothing arrives: the record shows when both datagrams have been handled.
     let until = std::time::Instant::now() + Duration::from_secs(5);
     while relay.datagrams().len() < 3 && std::time::Instant::now() < until {
         std::thread::yield_now();
--- a/crates/lab/src/rig/death.rs
+++ b/crates/lab/src/rig/death.rs
@@ -1,22 +1,24 @@
-//! The step of a promise at which a front is to die, for fronts that are processes and for simulated ones.
+//! The step of a ledger entry at which a front is killed, for front processes and simulated fronts.
 
 use super::scenario::Step;
 
-/// Every so many messages one is where a front dies that is to die while it sends copies.
+/// A front that is killed while copying dies at one of this many datagrams.
 const COPY_DRAW_RANGE: u64 = 4;
 
-/// A front that is to die at a step of a promise.
+/// A front that is to be killed at a step of a ledger entry.
 pub struct DeathStep {
     pub step: Step,
     pub front: usize,
-    /// How often the step may still be passed before the front dies of it.
+    /// How often the front may still pass the step before it dies there.
     remaining_passes: u64,
-    /// A statement that needs a promise has come to the front since.
+    /// Whether a statement that needs a ledger entry has arrived at the front since the fault
+    /// started.
     statement_arrived: bool,
 }
 
 impl DeathStep {
-    /// Among several copies on their way `draw` chooses the one, so that each loss is between others.
+    /// `draw` selects at which of several copies the front dies, so that each death loses a
+    /// different one.
     pub fn new(step: Step, front: usize, draw: u64) -> DeathStep {
         let passes_left = if step == Step::Copying {
             draw % COPY_DRAW_RANGE
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Takes note of a step that a front has come to; true if this front dies of it now.
+    /// Records that a front has reached a step; returns whether the front dies there.
     pub fn record_step(&mut self, step: Step, front: usize) -> bool {
         if self.front != front {
             return false;
--- a/crates/lab/src/rig/fault.rs
+++ b/crates/lab/src/rig/fault.rs
@@ -1,4 +1,4 @@
-//! What the rig can play on a fleet.
+//! The faults that the rig can apply to a fleet.
 
 use serde::Deserialize;
 
@@ -7,63 +7,71 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Every link into the zone loses all both ways; its engines start cold when it returns.
+    /// Every link into the zone loses all traffic both ways; the zone's engines start cold when it
+    /// returns.
     ZoneLost,
-    /// The links of one front into the zone lose all, both ways: the partition of one vantage.
+    /// The links of one front into the zone lose all traffic both ways: the partition of one
+    /// vantage.
     LinkCut,
-    /// The links of one front into the zone lose what comes back only.
+    /// The links of one front into the zone lose the traffic from engines only.
     LinkCutBack,
-    /// Every link into the zone is slowed by `delay_ms`.
+    /// Every link into the zone is delayed by `delay_ms`.
     ZoneSlow,
-    /// The fronts numbered below `front` and the rest hear nothing of each other; with `second`, those numbered from
-    /// there on nothing of both.
+    /// The fronts numbered below `front` are partitioned from the rest; with `second`, fronts from
+    /// that number on are partitioned from both.
     FrontsSplit,
-    /// The rest hear nothing of the fronts numbered below `front`, but not the other way about.
+    /// The rest receive nothing from the fronts numbered below `front`, which still receive from
+    /// the rest.
     FrontsSplitOut,
-    /// Of the datagrams between fronts `percent` in a hundred are lost.
+    /// Datagrams between fronts are lost with a probability of `percent` in a hundred.
     PostLossy,
-    /// Every datagram between fronts comes twice, the second `delay_ms` later: out of order, too.
+    /// Every datagram between fronts is delivered twice, the second time `delay_ms` later and thus
+    /// out of order.
     PostDoubled,
-    /// Every datagram between fronts takes `delay_ms` longer.
+    /// Every datagram between fronts is delayed by `delay_ms`.
     PostSlow,
-    /// Every datagram between fronts takes a time drawn up to `delay_ms` longer.
+    /// Every datagram between fronts is delayed by a random time of up to `delay_ms`.
     PostShuffled,
-    /// The front's configuration file is written anew, and SIGHUP tells it so.
+    /// The front's configuration file is rewritten and the front is sent SIGHUP.
     Hup,
     /// Every connection into the zone is reset at once.
     ZoneReset,
-    /// The front is stopped (SIGSTOP) and goes on (SIGCONT) after `for_ms`.
+    /// The front is stopped (SIGSTOP) and continued (SIGCONT) after `for_ms`.
     Stall,
-    /// The front is killed (SIGKILL) and started anew after `for_ms`.
+    /// The front is killed (SIGKILL) and restarted after `for_ms`.
     Kill,
-    /// The front is killed (SIGKILL), at `step` of a promise where one is named, what it kept on disk is removed, and
-    /// it is started anew after `for_ms` under its name.
+    /// The front is killed (SIGKILL), at `step` of a ledger entry if one is named; its disk is
+    /// removed, and it is restarted after `for_ms` under its name.
     LoseDisk,
-    /// The disk of the front's copies takes nothing; afterwards there is room, and the front is killed and started anew.
+    /// Writes to the front's replica disk fail; when space is available again, the front is killed
+    /// and restarted.
     DiskFull,
-    /// Each sync of the disk of the front's copies takes `delay_ms` longer.
+    /// Each sync of the front's replica disk takes `delay_ms` longer.
     DiskSlow,
-    /// Of the fronts `percent` in a hundred are killed (SIGKILL) at once, and all started anew at once after `for_ms`.
+    /// Of the fronts `percent` in a hundred are killed (SIGKILL) at once, and all restarted at once
+    /// after `for_ms`.
     Release,
-    /// The front that probed for the fleet last is stopped, or killed: the owner of that work.
+    /// The lease owner of the fleet's work, which is the front that last probed for the fleet, is
+    /// stalled or killed.
     StallOwner,
     KillOwner,
-    /// The front is asked to end (SIGTERM) and started anew after `for_ms`, once it has ended. Clients still come to it
-    /// for a while, as its door stays open; nothing that it was asked is excused.
+    /// The front is asked to shut down (SIGTERM) and restarted after `for_ms`, once it has exited.
+    /// Clients still connect for a while, as its listener stays open; none of their statements is
+    /// excused.
     Term,
 }
 
-/// How far a statement that needs a promise has come.
+/// How far a statement that needs a ledger entry has come.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// A front has just been asked.
+    /// The statement has arrived at a front.
     Taken,
-    /// It sends to other fronts, and has not begun.
+    /// The front sends to its peers, and the statement has not started.
     Copying,
-    /// An engine has begun it.
+    /// An engine has started the execution.
     Began,
-    /// Its effect is lasting, its answer not yet with the client.
+    /// The effect is durable, and the answer has not reached the client.
     Kept,
 }
 
@@ -71,7 +79,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub what: FaultKind,
-    /// Milliseconds after the load began, and how long it lasts.
+    /// Milliseconds from the start of the load to the fault, and its duration in milliseconds.
     pub at_ms: u64,
     #[serde(default)]
     pub for_ms: u64,
@@ -85,7 +93,7 @@
     pub delay_ms: u64,
     #[serde(default)]
     pub percent: u64,
-    /// Discovery tells the fronts of the engines' new start when a lost zone returns.
+    /// Whether the coordinator announces the engines' restart when a lost zone returns.
     #[serde(default = "yes")]
     pub told: bool,
 }
@@ -95,7 +103,7 @@
 }
 
 impl Fault {
-    /// Of so many fronts, how many are released.
+    /// How many of `fronts` a `Release` kills.
     pub fn released_count(&self, fronts: usize) -> usize {
         fronts * self.percent.min(100) as usize / 100
     }
@@ -109,7 +117,8 @@
         }
     }
 
-    /// The fault as it is played: on the front that owns the fleet's work, where it is meant for that.
+    /// The fault with `StallOwner` and `KillOwner` resolved to the owner of the fleet's work, else
+    /// to `front`.
     pub fn resolve_owner(&self, owner: Option<usize>) -> Fault {
         let what = match self.what {
             FaultKind::StallOwner => FaultKind::Stall,
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -1,6 +1,6 @@
-//! `hallmux-lab fleet`: many real fronts and stand-in engines in zones, a fault relay between every front and
-//! every engine, a schedule of faults from a scenario file, one record of all that happened, the rules checked
-//! on it, and a table by the second.
+//! `hallmux-lab fleet`: runs real fronts and stand-in engines in zones with a fault relay between
+//! every front and every engine, plays the faults of a scenario file, records all events, checks
+//! them and prints a table with one row per second.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
@@ -25,10 +25,10 @@
 use crate::record::starved::Starved;
 use crate::rig::agreed::warmth;
 
-const RECENT_WINDOW_US: i64 = 2_000_000; // microseconds of words between fronts that count as of now
-const ANSWER_SLACK_US: i64 = 400_000; // microseconds for a final answer on a busy machine
+const RECENT_WINDOW_US: i64 = 2_000_000; // datagrams of this last span count as recent
+const ANSWER_SLACK_US: i64 = 400_000; // extra time for a final answer on a busy machine
 
-/// Front processes that take statements, their engines, and the ways between all of them.
+/// Front processes, their engines and the relays between them.
 pub struct Fleet {
     pub records: Arc<Records>,
     record: Arc<ClientRecord>,
@@ -37,17 +37,17 @@
     links: Vec<Vec<Arc<Link>>>,
     pub members: Vec<Arc<Member>>,
     config: FleetConfig,
-    /// The ids of every front process that was started.
+    /// Process ids of all fronts that were started.
     pids: Vec<u32>,
 }
 
 impl Fleet {
-    /// Starts all of them; they end with the value that is given back.
+    /// Starts fronts, engines and relays; dropping the fleet ends them.
     pub fn start(scenario: &Scenario, seed: u64) -> Result<Fleet, String> {
         Fleet::start_with(scenario, seed, Vec::new(), None)
     }
 
-    /// Starts all of them, each with what it has beside the others; they end with the value that is given back.
+    /// Starts a fleet with options for each front and a row store for the engines.
     pub(crate) fn start_with(
         scenario: &Scenario,
         seed: u64,
@@ -113,8 +113,8 @@
         })
     }
 
-    /// The front that sent most bytes to others lately, of those that run and are not `but`: it owns shards of the
-    /// ledger.
+    /// The running front outside `excluded` that recently sent most bytes to its peers; it leads
+    /// shards of the ledger.
     pub(crate) fn busiest_sender(&self, excluded: &[usize]) -> Option<usize> {
         let since = self.records.now() - RECENT_WINDOW_US;
         let (_, relay) = self.config.gossip.as_ref()?;
@@ -129,7 +129,7 @@
         here.max_by_key(|n| bytes[*n])
     }
 
-    /// All fronts run and take statements.
+    /// Whether all fronts run and accept statements.
     pub(crate) fn all_accept_statements(&self) -> bool {
         self.members
             .iter()
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Ends all fronts, and gives what was seen of them.
+    /// Ends all fronts and returns the account of the run.
     fn account(&self, began: i64, played: Vec<(Fault, i64, i64)>, starved: Starved) -> Account {
         let (mut read_again, mut warned) = (0, Vec::new());
         let mut asked = self
@@ -180,7 +180,7 @@
                     .iter()
                     .filter(|f| f.find_log_line("was read again").is_some())
                     .count() as i64;
-                front.take(); // ends the process and waits for it
+                front.take(); // kills the process and waits for it
             }
         }
         Account {
@@ -245,7 +245,7 @@
     }
 }
 
-/// The keys of the fronts and the relay of their datagrams, where they talk with each other.
+/// The fronts' keys and the datagram relay, if the scenario has gossip.
 fn start_gossip(
     shape: &FleetShape,
     seed: u64,
@@ -260,7 +260,8 @@
     Ok(Some((FleetKeys::new(shape, seed)?, relay)))
 }
 
-/// The coordinator of a front: engines stand in its list with the addresses of the front's own links to them.
+/// Starts the coordinator of a front, which lists engines under the addresses of the front's own
+/// links.
 fn start_coordinator(links: &[Arc<Link>]) -> std::io::Result<Coordinator> {
     let coordinator = Coordinator::start()?;
     let zones: Vec<String> = links.iter().map(|l| zone_name(l.zone)).collect();
@@ -281,31 +282,32 @@
     Ok(coordinator)
 }
 
-/// Plays the scenario and checks what happened.
+/// Runs the scenario and checks its record.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
     let fleet = Fleet::start(scenario, seed)?;
     let (account, pids) = play(fleet, scenario, seed, &mut NoHooks)?;
     Ok(judge(scenario, &account, pids))
 }
 
-/// What is played on a fleet beside the faults of its scenario.
+/// Hooks for what a run does in addition to the faults of its scenario.
 pub(crate) trait FleetHooks {
-    /// The fronts have started; the load begins when this returns.
+    /// Called when the fronts have started; the load starts when this returns.
     fn on_ready(&mut self, _fleet: &Fleet) -> Result<(), String> {
         Ok(())
     }
 
-    /// Called some hundred times a second with the microseconds since the load began; faults that begin now.
+    /// Called about every 5 ms with the microseconds since the load started; returns faults that
+    /// start now.
     fn poll(&mut self, _fleet: &Fleet, _since: i64) -> Vec<Fault> {
         Vec::new()
     }
 
-    /// Whether all has been played, so that the run may end before its time.
+    /// Whether the run may end before its scheduled time.
     fn is_done(&self, _since: i64) -> bool {
         false
     }
 
-    /// The load has ended, the fronts still run.
+    /// Called when the load has ended and the fronts still run.
     fn on_load_ended(&mut self, _fleet: &Fleet) {}
 }
 
@@ -313,7 +315,7 @@
 
 impl FleetHooks for NoHooks {}
 
-/// Plays the scenario with what comes beside it; gives what was seen, and the ids of all processes.
+/// Runs the scenario with hooks; returns the account and the process ids of all fronts.
 pub(crate) fn play(
     fleet: Fleet,
     scenario: &Scenario,
@@ -348,7 +350,7 @@
                 .and_then(|r| r.iter().rev().find(|r| r.probes > 0).map(|r| r.front));
             let fault = fault.resolve_owner(probed);
             stage.begin(&fault);
-            // From when it was in force: a busy machine may have begun it later than it was to be.
+            // The span starts now: a busy machine may have started the fault later than scheduled.
             playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
             next += 1;
         }
@@ -378,7 +380,7 @@
     Ok((account, pids))
 }
 
-/// A seed drawn where none is given.
+/// The given seed, else the scenario's, else a random one.
 pub fn choose_seed(scenario: &Scenario, given: Option<u64>) -> u64 {
     given
         .or(scenario.seed)
--- a/crates/lab/src/rig/front.rs
+++ b/crates/lab/src/rig/front.rs
@@ -1,5 +1,5 @@
-//! A real front on loopback: started, told of engines, asked for its memory, ended. It ends with the rig, whatever
-//! becomes of the test.
+//! A front process on loopback, started with a folder of its own. Dropping `Front` kills the
+//! process and removes the folder, also when a test panics.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -15,15 +15,15 @@
 
 use super::coordinator::Coordinator;
 
-const PROCESS_TIMEOUT: Duration = Duration::from_secs(60); // for a start or an end; a busy machine takes some of it
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(60); // for a start or an exit; generous for a busy machine
 
-/// The ports a front said it takes connections at, each with whether it is the one for lines.
+/// The addresses that a front reported in its log, each with whether it is the statement port.
 type ReportedAddresses = Arc<(Mutex<Vec<(bool, SocketAddr)>>, Condvar)>;
 
-/// A front's process.
+/// A running front process.
 pub struct Front {
     child: Child,
-    /// Where it takes statements over Thrift, and PostgreSQL sessions.
+    /// The addresses for statements over Thrift and for PostgreSQL sessions.
     pub statement_address: SocketAddr,
     pub session_address: SocketAddr,
     folder: PathBuf,
@@ -31,12 +31,12 @@
     log: Log,
 }
 
-/// The lines of a front's log, each with when it was read.
+/// The lines of a front's log, each with the time when it was read.
 pub type Log = Arc<Mutex<Vec<(Instant, String)>>>;
 
 static NEXT_FOLDER: AtomicUsize = AtomicUsize::new(0);
 
-/// The front's program: beside this one.
+/// The front's executable in the folder of this program or the one above.
 fn default_program() -> Result<PathBuf, String> {
     let executable = std::env::current_exe().map_err(|e| e.to_string())?;
     let mut candidates = executable
@@ -51,7 +51,7 @@
 }
 
 impl Front {
-    /// Starts it and waits until it takes sessions.
+    /// Starts a front and waits until it accepts statements.
     pub fn start(
         settings: &Value,
         operator: &str,
@@ -67,8 +67,8 @@
         )
     }
 
-    /// The same, under a name and a seed of its own among many fronts (with one seed they would draw in step), and
-    /// with further variables of the environment; where a program is named, it is that one's.
+    /// Starts a front under a name and a seed of its own, since fronts with one seed would draw the
+    /// same numbers, with further environment variables and optionally another executable.
     pub fn start_named(
         (name, seed): (&str, u64),
         settings: &Value,
@@ -120,7 +120,7 @@
             }
         });
         let all = found.0.lock().map_err(|e| e.to_string())?;
-        // Lines are taken on the port that it names last; sessions, where it takes them, on the one before.
+        // The statement port is logged last; the session port, if there is one, before it.
         let wait_result = found.1.wait_timeout_while(all, PROCESS_TIMEOUT, |all| {
             !all.iter().any(|(lines, _)| *lines)
         });
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Writes its configuration anew, with so many descriptors granted, and tells it so by SIGHUP.
+    /// Rewrites the configuration file with a new socket limit and sends SIGHUP.
     pub fn reload_config(&self, sockets: usize) {
         let mut config = self.config.clone();
         config["limits"]["sockets"] = json!(sockets);
@@ -156,12 +156,12 @@
         }
     }
 
-    /// The last line of its log.
+    /// The last line of the front's log.
     pub fn last_log_line(&self) -> Option<String> {
         self.log.lock().ok()?.last().map(|(_, line)| line.clone())
     }
 
-    /// The first line of its log that holds the text.
+    /// The first line of the front's log that contains the text.
     pub fn find_log_line(&self, text: &str) -> Option<String> {
         let log = self.log.lock().ok()?;
         log.iter()
@@ -169,12 +169,12 @@
             .map(|(_, line)| line.clone())
     }
 
-    /// Its log, which grows as long as it runs and stays when it is gone.
+    /// The front's log, which grows while the front runs and remains after it has exited.
     pub fn log(&self) -> Log {
         self.log.clone()
     }
 
-    /// Kilobytes of memory that it holds.
+    /// Resident memory of the process in kilobytes.
     pub fn memory_kb(&self) -> u64 {
         self.status("VmRSS:")
     }
@@ -192,7 +192,7 @@
             .unwrap_or(0)
     }
 
-    /// Microseconds of CPU that it has used.
+    /// CPU time used by the process in microseconds.
     pub fn cpu_micros(&self) -> u64 {
         let text =
             std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
@@ -210,22 +210,23 @@
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Asks for its end.
+    /// Requests a shutdown by SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Sends it a signal: to stop, go on, end or die.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits for its end after it was asked for; whether it ended well, and after how long.
+    /// Waits for the process to exit; returns whether it succeeded and how long the wait took,
+    /// `None` on a timeout.
     pub fn wait_for_exit(&mut self) -> Option<(bool, Duration)> {
         let since = Instant::now();
         while since.elapsed() < PROCESS_TIMEOUT {
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -1,4 +1,4 @@
-//! A front of the fleet while it runs and anew, and what all fronts of a run share.
+//! A front of the fleet over its restarts, and the settings that all fronts of a run share.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering::SeqCst};
@@ -16,47 +16,49 @@
 use crate::engine::Records;
 use crate::record::offered::Offered;
 
-/// Microseconds for which clients still come to a front that was asked to end: half of what its door stays open.
+/// Microseconds for which clients still connect to a front that was asked to shut down: half of the
+/// time for which its listener stays open.
 const CLIENT_GRACE_US: i64 = 300_000;
-const SHUTDOWN_TIMEOUT_US: i64 = 30_000_000; // microseconds until an end is no longer waited for
-const SEED_COUNT: usize = 3; // fronts that each asks first, drawn: a few for all would be slow to answer them
-pub(crate) const SOCKETS: usize = 256; // descriptors each front may hold
+const SHUTDOWN_TIMEOUT_US: i64 = 30_000_000; // limit on the wait for a shutdown
+const SEED_COUNT: usize = 3; // random seed peers per front: the same few for all would be overloaded
+pub(crate) const SOCKETS: usize = 256; // file descriptors that each front may hold
 
-/// A front of the fleet: its process while it runs, its own links and list.
+/// A front of the fleet: its process while it runs, and its coordinator.
 pub(crate) struct Member {
     pub(crate) front: Mutex<Option<Front>>,
     pub(crate) coordinator: Coordinator,
     pub(crate) number: usize,
-    /// Milliseconds by which its clock is ahead of the machine's.
+    /// Milliseconds by which the front's clock is ahead of the machine's.
     pub(crate) clock_ahead_ms: i64,
-    /// It takes no statements from clients: stopped, killed or ending.
+    /// Whether the front accepts no statements: it is stalled, killed or shutting down.
     pub(crate) unavailable: AtomicBool,
-    /// Until then clients come to it all the same.
+    /// Time in microseconds until which clients connect even if the front is unavailable.
     pub(crate) accepts_until: AtomicI64,
-    /// The program that its next life is; none: the one options the lab.
+    /// The executable of the next incarnation; `None`: the one beside the lab.
     pub(crate) program: Mutex<Option<PathBuf>>,
-    /// Its ends that were asked for.
+    /// The shutdowns that were requested.
     pub(crate) shutdowns: Mutex<Vec<Shutdown>>,
-    /// Spans, in microseconds since the rig began, in which it was stopped, killed or ending: a statement out at
-    /// it then may be late or lost by a fault of its own.
+    /// Spans, in microseconds since the rig started, in which the front was stalled, killed or
+    /// shutting down: a statement in flight then may be late or lost because of the fault.
     pub(crate) disruptions: Mutex<Vec<(i64, i64)>>,
-    /// The logs of all its lives so far.
+    /// The logs of all incarnations.
     pub(crate) logs: Mutex<Vec<Log>>,
 }
 
-/// An end that a front was asked for.
+/// A requested shutdown of a front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shutdown {
     pub front: usize,
-    /// When it was asked, and when its process was gone.
+    /// Times of the request and of the exit of the process, in microseconds.
     pub asked: i64,
     pub exited: i64,
-    /// It ended by itself, without an error.
+    /// Whether the process exited by itself and without an error.
     pub succeeded: bool,
 }
 
 impl Member {
-    /// One that has yet to start: its number, its clock's lead, and the program of its first life where it is another.
+    /// A front that has yet to start; `program` is the executable of its first incarnation, `None`
+    /// for the one beside the lab.
     pub(crate) fn new(
         number: usize,
         coordinator: Coordinator,
@@ -77,19 +79,19 @@
         }
     }
 
-    /// Whether clients come to it now.
+    /// Whether clients may connect now.
     pub(crate) fn accepts_statements(&self, now: i64) -> bool {
         !self.unavailable.load(SeqCst) || now < self.accepts_until.load(SeqCst)
     }
 
-    /// Its next life is of this program; none: the one options the lab.
+    /// Sets the executable of the next incarnation; `None`: the one beside the lab.
     pub(crate) fn set_next_program(&self, next: Option<PathBuf>) {
         if let Ok(mut program) = self.program.lock() {
             *program = next;
         }
     }
 
-    /// It is asked to end.
+    /// Records that a shutdown was requested.
     pub(crate) fn record_shutdown_request(&self, now: i64) {
         self.accepts_until.store(now + CLIENT_GRACE_US, SeqCst);
         if let Ok(mut shutdowns) = self.shutdowns.lock() {
@@ -102,7 +104,8 @@
         }
     }
 
-    /// When its end that was asked for last should long be over.
+    /// The time in microseconds by which the last requested shutdown must have completed; 0 if
+    /// there was none.
     pub(crate) fn shutdown_deadline(&self) -> i64 {
         let asked = self
             .shutdowns
@@ -112,7 +115,7 @@
         asked.map_or(0, |asked| asked + SHUTDOWN_TIMEOUT_US)
     }
 
-    /// Its process is gone, after an end that it was asked for where one is open.
+    /// Records the exit of the process in any open shutdown.
     pub(crate) fn record_exit(&self, now: i64, well: bool) {
         if let Ok(mut shutdowns) = self.shutdowns.lock() {
             let open = shutdowns.iter_mut().filter(|end| end.exited == i64::MAX);
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Starts its front, anew where it ran before; with gossip, the others it knows of are its seeds.
+    /// Starts or restarts the front and returns its process id; with gossip, the seed peers are
+    /// drawn at random.
     pub(crate) fn start(&self, config: &FleetConfig) -> Result<u32, String> {
         let options = config
             .member_options
@@ -199,7 +203,7 @@
         Ok(pid)
     }
 
-    /// It takes no statements from now on, and what it had out then may be lost.
+    /// Marks the front unavailable from `at`; statements in flight may be lost from then on.
     pub(crate) fn mark_unavailable(&self, at: i64) {
         self.unavailable.store(true, SeqCst);
         if let Ok(mut troubled) = self.disruptions.lock() {
@@ -207,7 +211,7 @@
         }
     }
 
-    /// It takes statements again.
+    /// Marks the front available again.
     pub(crate) fn mark_available(&self, at: i64) {
         if let Ok(mut troubled) = self.disruptions.lock() {
             troubled
@@ -218,7 +222,7 @@
         self.unavailable.store(false, SeqCst);
     }
 
-    /// Lines of its log that hold the text, of all its lives, each with when it was read.
+    /// Log lines of all incarnations that contain the text, each with the time when it was read.
     pub(crate) fn log_lines(&self, text: &str) -> Vec<(Instant, String)> {
         let logs = self
             .logs
@@ -234,7 +238,7 @@
         logs.into_iter().flat_map(holds).collect()
     }
 
-    /// Sends its front a signal, where one runs.
+    /// Sends a signal to the front's process, if one runs.
     pub(crate) fn signal(&self, signal: Signal) {
         if let Ok(front) = self.front.lock() {
             front.iter().for_each(|f| f.signal(signal));
@@ -242,40 +246,43 @@
     }
 }
 
-/// What a front has options what all have: rules, sites, drills.
+/// Options of one front beyond the common settings: rules, sites, disk faults.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberOptions {
-    /// Further keys of its operator's file and of the ledger's part of it, each with a comma before it.
+    /// Further keys of the operator's file and of its ledger section, each preceded by a comma.
     pub(crate) operator: String,
     pub(crate) ledger: String,
     pub(crate) environment: Vec<(String, String)>,
-    /// The file that says what befalls the disk of its copies, where the operator's file names one.
+    /// The file that names the active fault of the replica disk, if the operator's file refers to
+    /// one.
     pub(crate) disk_fault_file: Option<PathBuf>,
-    /// The program of its first life, where it is another build's.
+    /// The executable of the first incarnation; `None`: the one beside the lab.
     pub(crate) program: Option<PathBuf>,
 }
 
-/// What all fronts of a run share.
+/// Settings that all fronts of a run share.
 pub(crate) struct FleetConfig {
     pub(crate) seed: u64,
     pub(crate) settings: serde_json::Value,
-    /// For each front; fronts beyond have nothing of their own.
+    /// Options by front; fronts without an entry have the defaults.
     pub(crate) member_options: Vec<MemberOptions>,
-    /// With gossip, the fronts' keys and the way between them.
+    /// The fronts' keys and the datagram relay, if the scenario has gossip.
     pub(crate) gossip: Option<(FleetKeys, DatagramRelay)>,
 }
 
-/// The fronts' keys for gossip: secrets in files of a folder of the run's, public halves known to all.
+/// The gossip section of the operator's files: the fronts' secrets in files of a temporary folder
+/// and their public keys, which all fronts know.
 pub(crate) struct FleetKeys {
     folder: PathBuf,
     /// `name: 'public key', ...` for the operator's file.
     peers: String,
     zone_quorum: Option<usize>,
-    /// Promises stand on so many fronts; zones and fronts of the fleet.
+    /// The replication factor of ledger entries, and the number of zones.
     copies: Option<(usize, usize)>,
-    /// How many vote on who owns the fleet's work, and how long a lease lasts.
+    /// The number of voters on the ownership of the fleet's work, and the lease length in
+    /// milliseconds.
     voters: Option<(usize, u64)>,
-    /// That part of the operator's file.
+    /// The overload section of the operator's file.
     overload: String,
 }
 
@@ -324,7 +331,7 @@
         self.folder.join(format!("ledger{front}"))
     }
 
-    /// The ledger's part of the operator's file of a front.
+    /// The ledger section of a front's operator file.
     fn ledger_settings(&self, front: usize, at: &[std::net::SocketAddr], more: &str) -> String {
         let Some((copies, zones)) = self.copies else {
             return String::new();
@@ -345,14 +352,14 @@
 }
 
 impl FleetConfig {
-    /// What a front kept on disk is gone.
+    /// Removes what a front keeps on disk.
     pub(crate) fn remove_ledger(&self, front: usize) {
         if let Some((keys, _)) = &self.gossip {
             let _ = std::fs::remove_dir_all(keys.ledger_directory(front));
         }
     }
 
-    /// Says what befalls the disk of a front's copies from now on.
+    /// Sets the fault of the front's replica disk; an empty text ends it.
     pub(crate) fn set_disk_fault(&self, front: usize, what: &str) {
         if let Some(drill) = self
             .member_options
@@ -370,9 +377,9 @@
     }
 }
 
-/// What clients saw, gathered while they run.
+/// The clients' record of a run.
 pub(crate) struct ClientRecord {
     pub(crate) records: Arc<Records>,
-    /// Each statement with the front it was sent to.
+    /// Each statement with the front that it was sent to.
     pub(crate) offered: Mutex<Vec<Offered>>,
 }
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -1,4 +1,5 @@
-//! The rig: front processes, the relays between them and their engines, and the faults played on all of them.
+//! The rig: front processes, the relays between them and their engines, and the faults applied to
+//! all of them.
 
 pub mod agreed;
 mod class;
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -1,6 +1,6 @@
-//! The fault relay: a port of the rig's own between one front and one engine, through which every byte
-//! passes, so that a link can be lost, cut one way, slowed or reset while both ends go on, and every
-//! statement sent through it is written down whether it passed or not.
+//! The fault relay: a local port between one front and one engine that passes all bytes. A link can
+//! lose traffic both ways or one way, be slowed or be reset while both ends keep running, and every
+//! statement sent through it is recorded whether it passed or not.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,9 +10,9 @@
 
 use crate::engine::{Lines, Records, WireEvent, WireEventKind};
 
-const CHUNK: usize = 16 << 10; // bytes read and passed on at once
+const CHUNK: usize = 16 << 10; // bytes read and forwarded at once
 
-/// What a link does now.
+/// The faults that are active on a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
     /// Nothing passes from the front towards the engine.
@@ -23,7 +23,7 @@
     pub delay_ms: u64,
 }
 
-/// What went from a front towards an engine: microseconds since the rig began, statements and probes in it.
+/// Traffic from a front towards an engine, with its time in microseconds since the rig started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relayed {
     pub at: i64,
@@ -32,27 +32,27 @@
     pub zone: usize,
     pub statements: usize,
     pub probes: usize,
-    /// Connections that were made.
+    /// Connections that were opened.
     pub opened: usize,
     pub passed: bool,
 }
 
-/// One connection through the relay: the engine's side of it, and whether the link has been reset under it.
+/// One connection through the relay: the engine's side of it, and whether the link has been reset.
 struct Connection {
     engine_side: TcpStream,
     is_reset: Arc<AtomicBool>,
 }
 
-/// Which way bytes pass in one of a connection's two threads, and what both know of the connection.
+/// The direction of one of a connection's two threads, and the state that both threads share.
 struct Direction {
-    /// From the front towards the engine.
+    /// Whether bytes pass from the front to the engine.
     out: bool,
-    /// The relay's port at the engine.
+    /// The relay's local port on the engine's side.
     port: u16,
     is_reset: Arc<AtomicBool>,
 }
 
-/// One front's way to one engine.
+/// The connections of one front to one engine.
 pub struct Link {
     pub front: usize,
     pub engine: usize,
@@ -65,7 +65,7 @@
 }
 
 impl Link {
-    /// Listens on a port of the system's and passes what comes to `to`.
+    /// Listens on a free local port and forwards connections to `to`.
     pub fn start(
         (front, engine, zone): (usize, usize, usize),
         to: SocketAddr,
@@ -133,10 +133,11 @@
         self.state.lock().map(|s| *s).unwrap_or_default()
     }
 
-    /// Resets every connection through it, as a network that drops them does, the engine's side first: an engine
-    /// stops what runs for a connection that ended and closes its own side, and only that close reaches the front.
-    /// An engine without a CPU may take long for that; were the front told after a fixed time, what it sends again
-    /// would run beside what the engine has not stopped yet, and the record would blame the front for it.
+    /// Resets every connection of the link, the engine's side first: the engine cancels what runs
+    /// for a closed connection and closes its own side, and only that close reaches the front. An
+    /// engine without a CPU may take long to do so. If the front saw the reset after a fixed time,
+    /// its retries would run beside executions that the engine has not stopped yet, and the record
+    /// would blame the front.
     pub fn reset(&self) {
         if let Ok(mut open) = self.open.lock() {
             for connection in open.drain(..) {
@@ -216,7 +217,8 @@
             if state.delay_ms > 0 {
                 std::thread::sleep(Duration::from_millis(state.delay_ms));
             }
-            // A write that a reset overtakes fails; the front hears of the reset by the engine's close alone.
+            // A write that races with a reset fails; the front sees the reset only through the
+            // engine's close.
             if to.write_all(&chunk[..read]).is_err() && !way.is_reset.load(SeqCst) {
                 break;
             }
--- a/crates/lab/src/rig/relay_tests.rs
+++ b/crates/lab/src/rig/relay_tests.rs
@@ -56,7 +56,8 @@
         let (mut connection, _) = listener.accept().unwrap();
         let mut bytes = [0; 64];
         while let Ok(1..) = connection.read(&mut bytes) {}
-        // An engine that had no CPU for a while: it says what the front must not get, and stops late.
+        // An engine that had no CPU for a while: it sends an answer that must not reach the front,
+        // and closes late.
         let _ = connection.write_all(b"late");
         std::thread::sleep(Duration::from_millis(300));
         engine_stopped.store(true, SeqCst);
@@ -71,7 +72,7 @@
         std::thread::yield_now();
     }
     link.reset();
-    // Bytes that cross the reset end nothing.
+    // Bytes sent after the reset must not close the connection.
     front.write_all(b"want b\r\n").unwrap();
     let heard = front.read(&mut [0; 16]).map_err(|e| e.kind());
     assert!(
--- a/crates/lab/src/rig/rules.rs
+++ b/crates/lab/src/rig/rules.rs
@@ -1,5 +1,5 @@
-//! Access rules on the fronts of a rig: a file of rules for each, written anew and told of by SIGHUP, and what the
-//! fronts' logs say of versions and hits.
+//! Access rules on the fronts of a rig: writes a rule file for each front, announces it by SIGHUP,
+//! and reads rule versions and hits from the fronts' logs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -10,12 +10,12 @@
 use super::fleet::Fleet;
 use super::member::MemberOptions;
 
-/// The customer that rules are about, and its workload that they deny.
+/// The customer that the rules restrict, and its workload that they deny.
 pub const RULED_CUSTOMER: &str = "ruled";
 pub const DENIED_WORKLOAD: &str = "audit";
 pub const LEASE_MS: u64 = 1_500;
 
-/// One set of rules: the zones where nothing of the customer may be read.
+/// One version of the rules: the zones where the customer may not read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSet {
     pub version: u64,
@@ -23,7 +23,8 @@
 }
 
 impl RuleSet {
-    /// Its file: one rule decides for all that the customer asks, but for the workload that is denied; one only counts.
+    /// The text of the rule file: one rule bars zones for the customer, one denies a workload, and
+    /// one only counts hits.
     pub fn text(&self) -> String {
         let barred: Vec<String> = self
             .barred_zones
@@ -40,7 +41,7 @@
     }
 }
 
-/// The files of all fronts, in a folder of the run's.
+/// The rule files of all fronts, in a temporary folder of the run.
 pub struct RuleFiles {
     folder: PathBuf,
 }
@@ -59,14 +60,14 @@
         self.folder.join(format!("rules{front}.json5"))
     }
 
-    /// Written beside and renamed: no front reads half of it.
+    /// Writes to a temporary file and renames it, so that no front reads a partial file.
     pub fn write(&self, front: usize, set: &RuleSet) -> std::io::Result<()> {
         let beside = self.folder.join(format!("rules{front}.new"));
         std::fs::write(&beside, set.text())?;
         std::fs::rename(beside, self.path(front))
     }
 
-    /// Each front's part of the operator's file; each stands in a region of its own.
+    /// The rule settings in each front's operator file; each front is in a region of its own.
     pub fn member_options(&self, fronts: usize, zones: usize) -> Vec<MemberOptions> {
         let regions: Vec<String> = (0..fronts)
             .map(|n| format!("r{n}: ['{}']", zone_name(n % zones)))
@@ -93,17 +94,18 @@
     }
 }
 
-/// When fronts said of a version first: that they judge by it, that it is in force, and who that its file is the fleet's.
+/// What the fronts' logs say of each version: when one first applied it, when it was first reported
+/// in force, and the fronts whose file was accepted as the fleet's.
 #[derive(Clone, Debug, Default)]
 pub struct RuleLogs {
     pub first_judged: BTreeMap<u64, i64>,
     pub first_in_force: BTreeMap<u64, i64>,
     pub accepted_by: BTreeMap<u64, Vec<usize>>,
-    /// How often each front refused a file that was not above the fleet's.
+    /// How often each front refused a file whose version was not above the fleet's.
     pub stale_refusals: BTreeMap<usize, usize>,
 }
 
-/// The number behind a text in a line.
+/// The decimal number that follows `before` in the line.
 fn number_after(line: &str, before: &str) -> Option<u64> {
     let rest = &line[line.find(before)? + before.len()..];
     let end = rest
@@ -112,7 +114,7 @@
     rest[..end].parse().ok()
 }
 
-/// What the logs of all fronts have said so far.
+/// Rule versions in the logs of all fronts so far.
 pub fn read_logs(fleet: &Fleet) -> RuleLogs {
     let mut logs = RuleLogs::default();
     for member in &fleet.members {
@@ -141,7 +143,8 @@
     logs
 }
 
-/// Asks a front for the fleet's hits: by rule and region. None while it says that fronts are missing from them.
+/// Requests the fleet's hits from a front by SIGHUP: counts by rule and region. `None` if the
+/// report stays incomplete until the time limit.
 pub fn request_hits(
     fleet: &Fleet,
     front: usize,
@@ -161,7 +164,8 @@
             let Some(from) = said.iter().position(whole) else {
                 continue;
             };
-            // Its lines are written at once; what is read of them so far may still lack some.
+            // The report's lines are written together, but the last of them may not have been read
+            // yet.
             std::thread::sleep(std::time::Duration::from_millis(300));
             let lines = member.log_lines("hits");
             let rows = lines
@@ -174,7 +178,7 @@
     None
 }
 
-/// A line of the fleet's hits: rule and region, and their count.
+/// Parses a line of the fleet's hits: rule and region, and their count.
 fn parse_hits_line(line: &str) -> Option<(String, i64)> {
     let rest = line.split("hits of rule ").nth(1)?;
     let (rule, rest) = rest.split_once(" by customer ")?;
--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -1,5 +1,6 @@
-//! A fleet scenario: the fleet's shape, its load, its engines' warmth and a schedule of faults, from one TOML
-//! file. What is unknown or out of range is refused naming its key and line.
+//! A fleet scenario: the fleet's shape, its load, its engines' warm-up and a schedule of faults,
+//! read from one TOML file. Unknown keys and values out of range are rejected with their key and
+//! line.
 
 use hallmux_config::Overload;
 use serde::Deserialize;
@@ -10,9 +11,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Drawn and printed where it is not given.
+    /// The seed of the run; drawn and printed if unset.
     pub seed: Option<u64>,
-    /// How long load is offered, in seconds.
+    /// Duration of the load in seconds.
     pub seconds: u64,
     pub fleet: FleetShape,
     pub load: Load,
@@ -20,15 +21,15 @@
     pub engine: Warm,
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// The workloads of the load; where none is named, one.
+    /// The workloads of the load; one default workload if none is given.
     #[serde(default, rename = "class")]
     pub classes: Vec<Class>,
 }
 
-const MAX_KEYS: usize = 10_000; // order keys of a workload
-const MAX_WINDOW_MS: u64 = 600_000; // milliseconds of a dedup window
-const MAX_TIMEOUT_MS: u64 = 60_000; // milliseconds of a statement timeout
-const MAX_CLIENT_RETRIES: usize = 8; // further fronts that a client asks
+const MAX_KEYS: usize = 10_000; // limit on the order keys of a workload
+const MAX_WINDOW_MS: u64 = 600_000; // limit on a dedup window
+const MAX_TIMEOUT_MS: u64 = 60_000; // limit on a statement timeout
+const MAX_CLIENT_RETRIES: usize = 8; // limit on a client's retries at other fronts
 
 const MAX_CLASSES: usize = 16;
 
@@ -38,35 +39,40 @@
     pub fronts: usize,
     pub zones: usize,
     pub engines_per_zone: usize,
-    /// The fronts tell each other what they see of engines (signed datagrams, each front's key known to all).
+    /// Whether fronts exchange their engine observations by gossip: signed datagrams, with each
+    /// front's public key known to all.
     #[serde(default)]
     pub gossip: bool,
-    /// Milliseconds by which the clocks of the fronts are apart at most, drawn evenly either way for each.
+    /// Bound in milliseconds on the offset of each front's clock, which is drawn evenly in both
+    /// directions.
     #[serde(default)]
     pub clocks_apart_ms: u64,
-    /// Of the fronts the first so many vote on who owns the fleet's work; without, every front shares in it.
+    /// How many fronts, from the first on, vote on the ownership of the fleet's work; if unset,
+    /// there are no voters and every front does a share of that work.
     pub voters: Option<usize>,
     #[serde(default = "lease_ms")]
     pub lease_ms: u64,
-    /// Promises stand on so many fronts; without, each keeps its own.
+    /// The replication factor of ledger entries; if unset, fronts have no ledger.
     pub copies: Option<usize>,
-    /// Each front has order keys of its own, as where clients of one key go to one front.
+    /// Whether each front has order keys of its own, as if clients of one key all used one front.
     #[serde(default)]
     pub keys_by_front: bool,
-    /// Vantages whose word of a zone leads the fleet out (`gossip.zone_quorum` of the operator's file); 0: never.
+    /// How many vantages must report a zone for the fleet to evacuate it (`gossip.zone_quorum` of
+    /// the operator's file); 0: never.
     pub zone_quorum: Option<usize>,
-    /// Overload is shed by the fleet as one (`gossip.overload` of the operator's file).
+    /// Whether the fleet sheds overload jointly (`gossip.overload` of the operator's file).
     #[serde(default)]
     pub sheds_as_one: bool,
-    /// New connections and probes into one engine a second over all fronts, where it is; 0: no bound.
+    /// Limits over all fronts on new connections and probes a second into one engine, if the fleet
+    /// sheds jointly; 0: unlimited.
     #[serde(default)]
     pub budgets: Budgets,
-    /// What each front may execute beyond the first time, in any ten seconds.
+    /// The retry budget of each front for any ten seconds.
     #[serde(default)]
     pub further: RetryBudget,
 }
 
-/// Further executions: so many, and this share of the statements taken.
+/// A retry budget: a fixed number of further executions, and a share of the accepted statements.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct RetryBudget {
@@ -105,7 +111,7 @@
 }
 
 impl FleetShape {
-    /// That part of the operator's file.
+    /// The overload settings of the operator's file.
     pub fn overload(&self) -> Overload {
         let Budgets {
             connections_per_second,
@@ -124,11 +130,11 @@
 pub struct Load {
     /// Statements a second over the whole fleet.
     pub per_second: u64,
-    /// What each statement takes on an engine, in milliseconds.
+    /// Work of each statement on an engine, in milliseconds.
     pub work_ms: u64,
     /// The statement timeout of the workload, in milliseconds.
     pub timeout_ms: u64,
-    /// What each statement holds of its engine's memory while it runs.
+    /// Memory in megabytes that each statement holds on its engine while it runs.
     #[serde(default)]
     pub memory_mb: u64,
 }
@@ -136,17 +142,19 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Warm {
-    /// Statements an engine bears at once when warm, and right after a start.
+    /// Statements that an engine runs at once when warm, and right after a start.
     pub slots: usize,
     pub cold_slots: usize,
-    /// Milliseconds from cold to warm.
+    /// Milliseconds that warming up takes.
     pub warm_ms: u64,
-    /// The memory that its statements share: one that no longer fits is turned away.
+    /// Memory in megabytes that an engine's statements share: a statement that does not fit is
+    /// rejected.
     pub memory_mb: u64,
-    /// What is agreed of a cold engine: work over any `fall_ms` at so many times what it bears makes it fall over.
+    /// The agreed overload limit of a cold engine: work over any `fall_ms` at `overload` times its
+    /// capacity makes it fail.
     pub overload: f64,
     pub fall_ms: u64,
-    /// Engines tell their load only when they are probed.
+    /// Whether engines report their load only when they are probed.
     pub load_on_probe: bool,
 }
 
@@ -168,17 +176,17 @@
     2_000
 }
 
-const MAX_FRONT_PROCESSES: usize = 40; // processes that an eight-core machine holds in real time
+const MAX_FRONT_PROCESSES: usize = 40; // processes that an eight-core machine runs in real time
 const MAX_SIMULATED_FRONTS: usize = 1_000; // fronts in simulated time; 300 take a minute or two
-const MAX_DELAY_MS: u64 = 10_000; // milliseconds; what is later is as good as lost
-const MAX_CLOCKS_APART_MS: u64 = 600_000; // milliseconds; what the operator's file takes for `clock_ahead_ms`
+const MAX_DELAY_MS: u64 = 10_000; // a later datagram is as good as lost
+const MAX_CLOCKS_APART_MS: u64 = 600_000; // the operator file's limit on `clock_ahead_ms`
 const MAX_ENGINES: usize = 64;
-const MAX_LOAD_SECONDS: u64 = 120; // a run stops by itself
-const MAX_STATEMENTS_PER_SECOND: u64 = 2_000; // statements a second, each a thread of the client's
-const MAX_ZONE_QUORUM: usize = 64; // what the operator's file takes for `gossip.zone_quorum`
+const MAX_LOAD_SECONDS: u64 = 120; // a run ends by itself
+const MAX_STATEMENTS_PER_SECOND: u64 = 2_000; // each statement is a thread of the client
+const MAX_ZONE_QUORUM: usize = 64; // the operator file's limit on `gossip.zone_quorum`
 
 impl Scenario {
-    /// The class at a share of all, from 0 to 1.
+    /// The class at position `at`, from 0 to 1, of the cumulated shares.
     pub fn draw_class(&self, at: f64) -> usize {
         let mut left = at * self.classes.iter().map(|class| class.share).sum::<f64>();
         let found = self.classes.iter().position(|class| {
@@ -188,8 +196,9 @@
         found.unwrap_or(self.classes.len() - 1)
     }
 
-    /// Reads a scenario for front processes, or for simulated time, which holds more of them.
-    /// `count` goes before the file's count of fronts.
+    /// Parses and checks a scenario for front processes, or for simulated time, which allows more
+    /// fronts. `count` overrides the file's number of fronts.
+    /// An error names the line and the key.
     pub fn parse(text: &str, simulated: bool, count: Option<usize>) -> Result<Scenario, String> {
         let mut scenario: Scenario = toml::from_str(text).map_err(|e| {
             let line = e
@@ -373,7 +382,7 @@
     }
 }
 
-/// Where in the file a key that is refused is looked for: from a line on, counted from 0.
+/// The part of the file where a rejected key is searched: from `start_line`, counted from 0.
 #[derive(Clone, Copy)]
 struct KeyLocation<'a> {
     text: &'a str,
@@ -381,7 +390,7 @@
 }
 
 impl KeyLocation<'_> {
-    /// The `n`-th table of that name, counted from 0: it begins at its header.
+    /// The location of the `n`-th table of that name, counted from 0, starting at its header.
     fn nth_table(self, header: &str, n: usize) -> Self {
         let headers = self
             .text
@@ -398,7 +407,8 @@
         Err(format!("line {}: `{key}` {why}", self.line_of(key)))
     }
 
-    /// The line, counted from 1, that sets `key` first from here on; 0 where none does.
+    /// The number, counted from 1, of the first line from `start_line` on that sets `key`; 0 if
+    /// none does.
     fn line_of(self, key: &str) -> usize {
         let sets = |line: &str| {
             line.trim_start()
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -1,5 +1,6 @@
-//! Sites of a rig: the rows behind each zone's engines, summaries of them signed by the site's key, in the directories
-//! that fronts read, and ones that are to be refused.
+//! The sites of a rig: the rows behind each zone's engines, and the summaries of them, signed with
+//! the site's key and written to the directories that fronts read. Defective summaries, which
+//! fronts must reject, are written there too.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -18,7 +19,7 @@
 pub const TABLE_GROUP: u32 = 17;
 const STALE_AGE_MS: u64 = 86_400_000;
 
-/// What is wrong with a summary, and what the log of a front that was given it says.
+/// Each kind of defective summary with the text that the front logs when it rejects one.
 pub const SUMMARY_DEFECTS: [(&str, &str); 4] = [
     ("forged", "signature does not hold"),
     ("altered", "scatter.directory"),
@@ -38,11 +39,11 @@
     engines_per_zone: usize,
     keys: Vec<SigningKey>,
     folder: PathBuf,
-    /// Where each load has left its row.
+    /// The site that received the row of each load, by the load's statement id.
     pub row_sites: Mutex<HashMap<String, usize>>,
 }
 
-/// The number behind a text.
+/// The decimal number that follows `before` in the statement.
 fn number_after(statement: &str, before: &str) -> Option<i64> {
     let rest = statement[statement.find(before)? + before.len()..].trim_start();
     let end = rest
@@ -144,7 +145,7 @@
             .collect()
     }
 
-    /// The summary of what a site holds now, under its next version.
+    /// Builds a summary of the site's current rows under its next version.
     fn build_summary(&self, at: usize) -> Option<Summary> {
         let mut site = self.sites[at].lock().ok()?;
         site.version += 1;
@@ -164,21 +165,23 @@
         Some(summary(about, vec![table], MOST_BYTES))
     }
 
-    /// Written beside and renamed, into the directory of a front.
+    /// Writes to a temporary file and renames it into the front's directory, so that no partial
+    /// file is read.
     fn write(&self, front: usize, name: &str, bytes: &[u8]) {
         let beside = self.folder.join(format!("new-{front}"));
         let file = self.folder.join(format!("f{front}")).join(name);
         let _ = std::fs::write(&beside, bytes).and_then(|()| std::fs::rename(&beside, file));
     }
 
-    /// Puts a site's summary as of now into the directory of a front.
+    /// Publishes a current summary of site `at` in the directory of a front.
     pub fn publish_summary(&self, at: usize, front: usize) {
         if let Some(summary) = self.build_summary(at) {
             self.write(front, &zone_name(at), &summary.sign(&self.keys[at]));
         }
     }
 
-    /// Puts one there that must count for nothing: it says that the site has no rows, or is no summary at all.
+    /// Publishes a defective summary for the front to reject: it claims that the site has no rows,
+    /// or does not decode.
     pub fn publish_defective_summary(&self, at: usize, front: usize, what: &str) {
         let Some(whole) = self.build_summary(at) else {
             return;
@@ -209,7 +212,7 @@
     }
 }
 
-/// The table without rows, of the same column.
+/// An empty table with the same column.
 fn empty_table() -> Table {
     let column = Column {
         name: "v".to_string(),
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -1,4 +1,4 @@
-//! What faults are played on, and how each begins and ends.
+//! Starts and ends faults on the processes and links of a fleet.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::Arc;
@@ -13,9 +13,9 @@
 use crate::engine::lines::Engine;
 use crate::engine::{Armed, Records};
 
-const STEP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5); // for a front to come to a step, also one that has little CPU
+const STEP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5); // how long a front may take to reach a step; generous, for fronts short of CPU
 
-/// All that faults are played on.
+/// The records, links, fronts and engines that faults act on.
 pub(super) struct Stage<'a> {
     pub(super) records: &'a Records,
     pub(super) links: &'a [Vec<Arc<Link>>],
@@ -29,7 +29,7 @@
         self.links.iter().flatten().filter(move |l| l.zone == zone)
     }
 
-    /// The links of one front into the zone.
+    /// The links of the fault's front into its zone.
     fn front_links(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Link>> {
         let zone = fault.zone;
         self.links[fault.front]
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Waits until the front has died at the step of the fault, if it names one; when it did.
+    /// If the fault names a step, waits until the front has died there and returns the time of
+    /// death in microseconds.
     fn wait_for_death(&self, fault: &Fault, member: &Member) -> Option<i64> {
         let pid = member
             .front
@@ -102,7 +103,7 @@
                     front.iter().for_each(|f| f.reload_config(2 * SOCKETS));
                 }
             }
-            FaultKind::StallOwner | FaultKind::KillOwner => {} // played as what it is on the owner
+            FaultKind::StallOwner | FaultKind::KillOwner => {} // resolved to Stall or Kill before the fault starts
             FaultKind::Release => self.released_members(fault).for_each(|member| {
                 member.mark_unavailable(self.records.now());
                 member.signal(Signal::SIGKILL);
@@ -118,7 +119,8 @@
             }
             FaultKind::Stall | FaultKind::Kill | FaultKind::LoseDisk => {
                 let died = self.wait_for_death(fault, member);
-                // What it had out is lost from its death on, however late this hears of it.
+                // Statements in flight are lost from the time of death, even if it is noticed
+                // later.
                 member.mark_unavailable(died.unwrap_or_else(|| self.records.now()));
                 member.signal(if fault.what == FaultKind::Stall {
                     Signal::SIGSTOP
@@ -135,7 +137,7 @@
             .take(fault.released_count(self.members.len()))
     }
 
-    /// Starts fronts anew, all at once: it is the herd that is wanted.
+    /// Restarts all released fronts concurrently, to provoke a thundering herd.
     fn restart_released(&self, fault: &Fault) -> Result<Vec<u32>, String> {
         std::thread::scope(|scope| {
             let start = |member: &'_ Arc<Member>| {
@@ -160,7 +162,7 @@
         })
     }
 
-    /// Whether the front of a fault was asked to end and has yet to.
+    /// Whether the front of a `Term` fault has yet to exit.
     pub(super) fn is_shutting_down(&self, fault: &Fault) -> bool {
         let member = &self.members[fault.front];
         let runs = || {
@@ -172,13 +174,14 @@
         fault.what == FaultKind::Term && self.records.now() < member.shutdown_deadline() && runs()
     }
 
-    /// Ends a fault; gives the process ids of fronts that were started anew.
+    /// Ends a fault and returns the process ids of the fronts that it restarted.
     pub(super) fn end(&self, fault: &Fault) -> Result<Vec<u32>, String> {
         let member = &self.members[fault.front];
         let mark_available = || member.mark_available(self.records.now());
         match fault.what {
             FaultKind::ZoneLost => {
-                // The zone comes back cold; discovery tells each front of the engines' new start, or does not.
+                // The zone returns cold; the coordinator announces the restart only if the fault
+                // says so.
                 let back = self
                     .engines
                     .iter()
@@ -243,7 +246,7 @@
         Ok(Vec::new())
     }
 
-    /// Tells every front that the zone's engines have started now.
+    /// Announces to every front that the engines of the zone have restarted now.
     fn announce_restarts(&self, zone: usize) {
         let wall_ms = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
--- a/crates/lab/src/rig/starvation_watch.rs
+++ b/crates/lab/src/rig/starvation_watch.rs
@@ -1,5 +1,6 @@
-//! How long fronts and the rig itself wanted a CPU and were not given one, by the kernel's own account: what a busy
-//! machine takes is no fault of a front's. A front that is slow by its own work has no share in it.
+//! Samples how long fronts and the rig itself waited for a CPU, as accounted by the kernel. Time
+//! taken by a busy machine is not a fault of the front; a front that is slow by its own work has no
+//! such waits.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
@@ -10,19 +11,20 @@
 use crate::engine::Records;
 use crate::record::starved::{Starved, StarvedSpan};
 
-const SAMPLE_INTERVAL: Duration = Duration::from_millis(20); // between looks
-/// Microseconds that a thread has waited for a CPU, by the kernel's account; none where it keeps none.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20); // time between samples
+/// Microseconds that a thread has waited for a CPU, from the kernel's schedstat; `None` if the
+/// kernel keeps none.
 fn cpu_wait_us(thread: &str) -> Option<i64> {
     let text = std::fs::read_to_string(format!("/proc/{thread}/schedstat")).ok()?;
     Some(text.split_whitespace().nth(1)?.parse::<i64>().ok()? / 1_000)
 }
 
-/// The same of the thread that asks.
+/// Microseconds that the calling thread has waited for a CPU; 0 if the kernel keeps no account.
 pub fn thread_cpu_wait() -> i64 {
     cpu_wait_us("thread-self").unwrap_or(0)
 }
 
-/// Looks on until it is ended.
+/// Samples CPU waits in a thread until `end` is called.
 pub struct StarvationWatch {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Starved>,
@@ -70,7 +72,7 @@
             else {
                 continue;
             };
-            // Of another process nothing was seen before, and its start is its own affair.
+            // A new process has no earlier sample; its waits during startup are not counted.
             let since = if last[front].0 == pid {
                 last[front].1
             } else {
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -1,4 +1,5 @@
-//! Whoever asks: statements at the agreed rate, at one front and then at others where that may be.
+//! The clients: statements at the agreed rate, each at one front and, if its workload allows it,
+//! again at others.
 
 use hallmux_dispatcher::{StatementRequest, Ticket};
 use rand::Rng;
@@ -9,21 +10,22 @@
 use crate::record::account::Offered;
 use crate::rig::scenario::Step;
 
-const CLIENT_RETRY_DELAY_US: std::ops::Range<i64> = 20_000..400_000; // microseconds until a client asks again
-const ARRIVAL_DELAY_US: std::ops::Range<i64> = 200..600; // microseconds after it was asked that a front has a statement
+const CLIENT_RETRY_DELAY_US: std::ops::Range<i64> = 20_000..400_000; // microseconds until a client retries
+const ARRIVAL_DELAY_US: std::ops::Range<i64> = 200..600; // microseconds after which the front has received a statement
 
-/// One statement, wherever it is asked for.
+/// The client of one statement, over all its retries.
 #[derive(Clone, Debug)]
 pub(super) struct Client {
     pub(super) number: u64,
     pub(super) class: usize,
     pub(super) key: Option<usize>,
-    /// Fronts that it was asked of before.
+    /// Fronts that the statement was sent to before.
     pub(super) previous_fronts: Vec<usize>,
 }
 
 impl Simulation<'_> {
-    /// A statement comes to a front drawn among those that take statements.
+    /// Submits the next statement of the load to a random front that accepts statements, and
+    /// schedules the one after.
     pub(super) fn offer(&mut self) {
         let (load, classes) = (&self.scenario.load, &self.scenario.classes);
         let elapsed = self.now - self.load_began;
@@ -63,7 +65,8 @@
                 && !client.previous_fronts.contains(n)
         };
         let here: Vec<usize> = (0..self.members.len()).filter(here).collect();
-        // A front that is to die at a step of a promise is given one: among hundreds it would wait for long.
+        // A front that is to die at a step of a ledger entry is preferred: among hundreds of fronts
+        // it would wait long for a suitable statement.
         let armed = self.armed.as_ref().map(|armed| armed.death.front);
         let armed = armed.filter(|front| class.needs_ledger_entry() && here.contains(front));
         let drawn = here
@@ -118,7 +121,7 @@
         self.run_front(front);
     }
 
-    /// A statement has its final answer.
+    /// Records the final answer of a statement.
     pub(super) fn answer(&mut self, n: usize, ticket: Ticket, outcome: Outcome) {
         if let Some(number) = self
             .statement_numbers
@@ -129,7 +132,7 @@
         }
     }
 
-    /// What a client has come to; it asks again as its workload allows.
+    /// Records the outcome of a statement; the client retries if its workload allows it.
     pub(super) fn complete_statement(&mut self, number: usize, outcome: Outcome) {
         let now = self.now;
         let Some(Offered { asked, class, .. }) = self.account.asked.get_mut(number) else {
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -1,5 +1,6 @@
-//! The connections of a simulated front: one for each execution that is out, as the rig's engines take them, used again
-//! when it has ended. Those that rest are kept: a run is shorter than engines let them rest.
+//! The connections of a simulated front: one for each execution in flight, reused when the
+//! execution has ended. Idle connections are kept, as a run is shorter than the idle timeout of
+//! engines.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Tells the module how many executions can leave for each engine, as it changes.
+    /// Reports to the dispatcher how many executions can be sent to each engine, when that changes.
     pub(super) fn update_capacity(&mut self, now: i64, dispatcher: &mut Dispatcher) {
         if !self.pacer.is_paced() {
             return;
@@ -36,7 +37,7 @@
         });
     }
 
-    /// An execution has ended; its connection is used again, unless it is gone.
+    /// Returns the connection of an ended execution to the pool, unless it was reset.
     pub(super) fn execution_ended(&mut self, sent: ExecutionId, ending: Ending) {
         if let Some(place) = self
             .in_use
@@ -47,7 +48,7 @@
         }
     }
 
-    /// All connections to an engine are gone.
+    /// Drops all connections to an engine.
     pub(super) fn drop_connections(&mut self, place: EngineIndex) {
         self.idle.remove(&place);
         self.in_use.retain(|_, at| *at != place);
@@ -55,7 +56,8 @@
 }
 
 impl Simulation<'_> {
-    /// Whether an execution, or a probe, has a connection to its engine, which may be made for it.
+    /// Acquires a connection for an execution or a probe, opening one if the pacer allows; returns
+    /// whether there is one.
     pub(super) fn acquire_connection(
         &mut self,
         n: usize,
--- a/crates/lab/src/simulated/datagrams.rs
+++ b/crates/lab/src/simulated/datagrams.rs
@@ -9,7 +9,8 @@
 use crate::rig::scenario::Step;
 
 impl Simulation<'_> {
-    /// Sends what is to go out; what a voter has to save is lasting at once, the ledger's waits for the disk.
+    /// Sends the output of an exchange. A voter's saves are durable at once; the ledger's saves
+    /// wait for the disk.
     pub(super) fn send_output(&mut self, n: usize, out: Output) {
         self.send_datagrams(n, out.datagrams);
         for saved in out.voter_saves {
@@ -29,7 +30,7 @@
             let drawn = self.rng.random_range(0..100);
             let passed = self.datagram_faults.passes(from, to, drawn);
             if self.record_step(Step::Copying, from) {
-                return; // it died of this one
+                return; // the front died at this datagram
             }
             self.account.datagrams.push(RelayedDatagram {
                 at: self.now,
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -1,4 +1,4 @@
-//! The disk of a simulated front: what waits for it is made lasting together, as the front's own writer does.
+//! The disk of a simulated front: queued saves are synced in batches, as in a front's own writer.
 
 use std::collections::BTreeMap;
 
@@ -8,24 +8,25 @@
 
 use super::simulation::{Event, Simulation};
 
-const SYNC_TIME_US: std::ops::Range<i64> = 500..4_000; // microseconds that making records lasting takes, drawn
-const NO_SYNC_DELAY_US: i64 = 20; // microseconds until word of what needed no sync is there
-const MAX_SYNC_BATCH: usize = 256; // saves that are made lasting at once at most
+const SYNC_TIME_US: std::ops::Range<i64> = 500..4_000; // microseconds of a sync, drawn
+const NO_SYNC_DELAY_US: i64 = 20; // microseconds until a save without records is acknowledged
+const MAX_SYNC_BATCH: usize = 256; // saves per sync
 
 #[derive(Default)]
 pub(super) struct Disk {
     pub(super) identity: DiskId,
     pub(super) records: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// Microseconds that a sync takes longer.
+    /// Microseconds that are added to each sync.
     pub(super) extra_sync_us: i64,
-    /// Nothing can be written.
+    /// Whether all writes fail.
     pub(super) full: bool,
     pub(super) queued: Vec<LedgerSave>,
     pub(super) writing: Vec<LedgerSave>,
 }
 
 impl Disk {
-    /// Its front is gone: what was being written is there as a whole, or not at all.
+    /// The front has died: the batch being written is stored completely if `written`, otherwise not
+    /// at all.
     pub(super) fn crash(&mut self, written: bool) {
         self.queued.clear();
         let writing = std::mem::take(&mut self.writing);
@@ -34,7 +35,7 @@
         }
     }
 
-    /// All that it held is lost; another takes its place.
+    /// Replaces the disk by an empty one with another identity.
     pub(super) fn replace(&mut self, identity: DiskId) {
         *self = Disk {
             identity,
@@ -42,7 +43,7 @@
         };
     }
 
-    /// What a new life of its front finds.
+    /// The records that a new incarnation of the front finds; `None` if there are none.
     pub(super) fn load_records(&self) -> Option<Saved> {
         let records = || {
             self.records
@@ -64,7 +65,7 @@
 }
 
 impl Simulation<'_> {
-    /// Has it made lasting; its datagrams leave then.
+    /// Queues saves; their datagrams are sent once the saves are durable.
     pub(super) fn save(&mut self, n: usize, mut kept: Vec<LedgerSave>) {
         if self.members[n].running.is_none() || kept.is_empty() {
             return;
@@ -98,7 +99,7 @@
         self.schedule_event(self.now + time, Event::SyncFinished(n, incarnation));
     }
 
-    /// What was being written is lasting, or could not be.
+    /// Completes a sync: the batch is durable, or failed if the disk is full.
     pub(super) fn finish_sync(&mut self, n: usize) {
         let disk = &mut self.members[n].disk;
         let writing = std::mem::take(&mut disk.writing);
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a simulated fleet and the ways to them.
+//! The engines of a simulated fleet, and the links to them.
 
 use hallmux_dispatcher::Ending;
 
@@ -62,7 +62,8 @@
             engine.rejected += 1;
             return self.send_answer(front, incarnation, sent, e, Ending::Rejected);
         }
-        // Repeats of a deduplicated statement are dropped: whoever sends one is told what became of the first.
+        // A duplicate of a deduplicated statement is dropped, and its sender receives the result of
+        // the first.
         if let Some(ends) = self.find_first_execution(front, incarnation, sent) {
             return self.schedule_event(
                 ends.max(self.now + 1),
@@ -73,7 +74,7 @@
         engine.running += 1;
         let resets = engine.reset_count;
         let mut work_ms = self.scenario.load.work_ms;
-        // Each execution has a link of its own in the record.
+        // Each execution has its own link number in the record.
         self.link_count += 1;
         let link = self.link_count;
         if let Some(number) = self
@@ -111,8 +112,9 @@
         }
     }
 
-    /// Until when the first of a deduplicated statement runs, where this is the same front's repeat in its window; else
-    /// notes it as the first. All engines are one group here.
+    /// If this is the same front's duplicate within the dedup window, returns when the first
+    /// execution ends; otherwise records it as the first. All engines form one deduplication group
+    /// here.
     fn find_first_execution(
         &mut self,
         front: usize,
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -10,7 +10,7 @@
 use crate::rig::scenario::{Fault, FaultKind};
 
 impl Simulation<'_> {
-    /// The links that a fault is played on: of all fronts, or of one, into the zone.
+    /// Changes the links into the fault's zone, of all fronts or of the fault's front only.
     pub(super) fn change_links(
         &mut self,
         fault: &Fault,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Every connection into the zone ends, or those of one front: what is out there is reset.
+    /// Resets every connection into the fault's zone, of all fronts or of the fault's front only,
+    /// with the executions in flight on it.
     pub(super) fn reset(&mut self, fault: &Fault, all: bool) {
         for e in 0..self.engines.len() {
             if self.engines[e].zone != fault.zone {
@@ -78,12 +79,12 @@
             }
             FaultKind::PostSlow => self.datagram_faults.delay_ms = fault.delay_ms,
             FaultKind::PostShuffled => self.datagram_faults.max_jitter_ms = fault.delay_ms,
-            FaultKind::StallOwner | FaultKind::KillOwner => {} // played as what it is on the owner
-            FaultKind::DiskFull => {}                          // not played here
+            FaultKind::StallOwner | FaultKind::KillOwner => {} // resolved to Stall or Kill before the fault starts
+            FaultKind::DiskFull => {}                          // not simulated
             FaultKind::DiskSlow => {
                 self.members[fault.front].disk.extra_sync_us = fault.delay_ms as i64 * 1000
             }
-            FaultKind::Hup => self.account.read_again += 1, // nothing that is read again plays a part here
+            FaultKind::Hup => self.account.read_again += 1, // no configuration that is read again matters in the simulation
             FaultKind::Stall => {
                 let member = &mut self.members[fault.front];
                 if member.running.is_some() {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Discovery tells every front that the zone's engines have started now.
+    /// Announces to every front that the zone's engines have restarted now.
     pub(super) fn announce_restarts(&mut self, zone: usize) {
         let name = zone_name(zone);
         let back: Vec<String> = (0..self.engines.len())
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -1,4 +1,5 @@
-//! The fronts of a simulated fleet: started, asked, and told by one clock; what each decides is obeyed.
+//! The fronts of a simulated fleet: starts them, runs them by the simulated clock, and executes
+//! their commands.
 
 use std::collections::HashMap;
 
@@ -16,10 +17,10 @@
 use crate::check::Outcome;
 use crate::rig::agreed::zone_name;
 
-const DECISION_ROUNDS: usize = 8; // decisions in a turn, as in the front
+const DECISION_ROUNDS: usize = 8; // limit on decisions per iteration, as in the front
 
 impl Simulation<'_> {
-    /// A front starts, anew where it ran before.
+    /// Starts or restarts a front.
     pub(super) fn start(&mut self, n: usize) {
         let at = self.clock_reading(n);
         let exchange = self.scenario.fleet.gossip.then(|| {
@@ -93,7 +94,7 @@
         self.run_front(n);
     }
 
-    /// A front decides on all that it was told, and does what is due.
+    /// Runs one iteration of the front: exchange, ledger barrier and dispatcher.
     pub(super) fn run_front(&mut self, n: usize) {
         let (local_time, at) = (self.local_time(n), self.clock_reading(n));
         let member = &mut self.members[n];
@@ -124,7 +125,7 @@
         self.schedule_wakeup(n);
     }
 
-    /// Notes when something is next due at a front.
+    /// Schedules the front's next wake-up.
     pub(super) fn schedule_wakeup(&mut self, n: usize) {
         let at = self.clock_reading(n);
         let member = &mut self.members[n];
@@ -213,7 +214,7 @@
                 self.answer(n, ticket, Outcome::Error("53000".into()))
             }
             Command::Abort { ticket, .. } => self.answer(n, ticket, Outcome::Error("08007".into())),
-            // What is given up is reported at once, as the front's network code does.
+            // A cancelled execution is reported as ended at once, as in the front's network code.
             Command::Cancel {
                 ticket,
                 execution,
@@ -246,7 +247,7 @@
         }
     }
 
-    /// An execution leaves for its engine.
+    /// Sends an execution to its engine.
     pub(super) fn send_execution(&mut self, n: usize, sent: ExecutionId, place: usize) {
         let incarnation = self.members[n].incarnation;
         let before = self.account.relayed.len();
@@ -278,7 +279,7 @@
         }
     }
 
-    /// An engine's answer has come to a front.
+    /// Handles an answer of an engine to a statement or a probe.
     pub(super) fn receive_answer(&mut self, n: usize, event: Event) {
         let now = self.local_time(n);
         let Some(running) = &mut self.members[n].running else {
--- a/crates/lab/src/simulated/growth.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -1,14 +1,14 @@
-//! What fronts hold over a simulated day: looked at from time to time, so that growth without end is seen; and when
-//! all copies of promises stand again after a loss.
+//! Samples the resource usage of simulated fronts, to detect unbounded growth, and the time until
+//! all replicas of ledger entries exist again after a loss.
 
 use std::collections::BTreeMap;
 
 use super::simulation::{Event, Simulation};
 
-pub(super) const SAMPLE_INTERVAL_US: i64 = 10_000_000; // microseconds between samples of what is held
-const REPLICA_CHECK_INTERVAL_US: i64 = 50_000; // microseconds from one check to the next whether all copies stand
+pub(super) const SAMPLE_INTERVAL_US: i64 = 10_000_000; // time between samples
+const REPLICA_CHECK_INTERVAL_US: i64 = 50_000; // time between checks for missing replicas
 
-/// Of one look, the most of any front.
+/// The maximum over all fronts in one sample.
 #[derive(Clone, Copy, Debug, Default)]
 struct ResourceSample {
     entries: i64,
@@ -20,11 +20,11 @@
 #[derive(Default)]
 pub(super) struct Growth {
     samples: Vec<ResourceSample>,
-    /// Since when copies are missing, of whose loss.
+    /// Since when replicas are missing.
     loss_since: Option<i64>,
-    /// Microseconds until all stood again, of each loss.
+    /// Microseconds until all replicas existed again, for each loss.
     recovery_times: Vec<i64>,
-    /// Copies that each front holds now, and has held before the last loss.
+    /// The front that held most replicas in the last sample.
     largest_holder: Option<usize>,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Simulation<'_> {
-    /// Looks at what every front holds.
+    /// Samples the resource usage of all fronts.
     pub(super) fn sample_sizes(&mut self) {
         let mut held = ResourceSample::default();
         let mut most = (0, None);
@@ -86,7 +86,7 @@
         self.schedule_event(self.now + SAMPLE_INTERVAL_US, Event::SampleSizes);
     }
 
-    /// A front is gone with its disk: from now on copies are missing.
+    /// A front has died with its disk: replicas are missing from now on.
     pub(super) fn record_replica_loss(&mut self) {
         if self.scenario.fleet.copies.is_some() {
             self.growth.loss_since.get_or_insert(self.now);
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Whether every shard has an owner and all its copies, on fronts that run.
+    /// Checks whether every shard has a leader and all its replicas on running fronts; if not,
+    /// schedules another check.
     pub(super) fn check_replicas(&mut self) {
         let Some((since, copies)) = self.growth.loss_since.zip(self.scenario.fleet.copies) else {
             return;
--- a/crates/lab/src/simulated/least.rs
+++ b/crates/lab/src/simulated/least.rs
@@ -1,14 +1,15 @@
-//! A failing day cut down to its smallest schedule of faults: those that it fails without are left out, many at once
-//! first, then one by one.
+//! Minimizes the fault schedule of a failing run: faults that the failure does not need are
+//! removed, many at once first, then one by one.
 
 use std::time::{Duration, Instant};
 
 use crate::rig::scenario::Scenario;
 
-const TAIL_LOAD_MS: u64 = 6_000; // milliseconds of load that follow the last fault
+const TAIL_LOAD_MS: u64 = 6_000; // load after the last fault
 
-/// The scenario with as few faults as still make it fail, and how many plays that took. `fails` plays one; what is
-/// found when the time is over stands, though it may not be the smallest.
+/// Returns the scenario with as few faults as still make it fail, and the number of runs that this
+/// took. `fails` runs one scenario. When the time limit is reached, the best result so far is
+/// returned, which may not be minimal.
 pub fn minimize(
     scenario: &Scenario,
     within: Duration,
@@ -39,7 +40,7 @@
         }
         many = many.div_ceil(2);
     }
-    // The day need not go on for long after the last of them.
+    // Shortens the load to end soon after the last fault.
     let last = least
         .faults
         .iter()
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of simulated fronts: switched on as the front does, asked by the same gate.
+//! The ledger of simulated fronts, enabled and used through the same ledger barrier as in a front.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
 use crate::check::Outcome;
 use crate::rig::agreed::zone_name;
 
-const COMPONENT_SHIFT: u32 = 56; // bits of a number that a part of the front counts in
+const COMPONENT_SHIFT: u32 = 56; // low bits of a request number; the bits above identify the component that sent it
 
-/// The gate's way to the ledger of its front; what is to go out for it is gathered.
+/// The barrier's client of the front's ledger; collects the output to send.
 struct BarrierLedgerClient<'a> {
     exchange: &'a mut Exchange,
     at: ClockReading,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The fronts that keep copies, by their keys, and where each is heard.
+/// The members of the ledger, by their keys, and the address of each.
 pub(super) fn members(fronts: usize, zones: usize) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
     let keeper = |n| peer_id(&Identity::new(&secret(n), 0).public_key());
     let member = |n| Member {
@@ -54,7 +54,7 @@
 }
 
 impl Simulation<'_> {
-    /// Switches on the ledger of a front that starts, on the disk that it has.
+    /// Enables the ledger of a starting front with the records on its disk.
     pub(super) fn enable_ledger(&self, n: usize, exchange: &mut Exchange) -> Result<(), String> {
         let Some(copies) = self.scenario.fleet.copies else {
             return Ok(());
@@ -73,7 +73,7 @@
             .map_err(|e| e.to_string())
     }
 
-    /// What promises let go of, or can't be had for.
+    /// Executes the ledger barrier's decisions: releases executions, rejects or aborts statements.
     pub(super) fn advance_barrier(&mut self, n: usize) {
         let (local_time, at) = (self.local_time(n), self.clock_reading(n));
         let incarnation = self.members[n].incarnation;
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Whatever a front's exchange was just told: it decides if the ledger has answered, else it is looked at when due.
+    /// Takes ledger answers after input to the front's exchange: with answers the front runs now,
+    /// otherwise its next wake-up is scheduled.
     pub(super) fn take_ledger_answers(&mut self, n: usize) {
         let Some(running) = &mut self.members[n].running else {
             return;
--- a/crates/lab/src/simulated/mod.rs
+++ b/crates/lab/src/simulated/mod.rs
@@ -1,4 +1,5 @@
-//! The fleet rig in simulated time, for fleets beyond what one machine holds as processes.
+//! The fleet rig in simulated time, for fleets with more fronts than one machine can run as
+//! processes.
 
 mod clients;
 mod connections;
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -1,4 +1,4 @@
-//! A run in simulated time from its start to its account.
+//! A run in simulated time, from its start to its account.
 
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
@@ -21,14 +21,14 @@
 use crate::rig::datagrams::DatagramFaults;
 use crate::rig::scenario::Scenario;
 
-const DISRUPTED_ANSWER_SLACK_US: i64 = 70_000_000; // microseconds that an answer of a front in trouble may take longer
-const ENGINE_AGE_US: i64 = 3_600_000_000; // microseconds for which engines have run at time 0
-/// Plays the scenario in simulated time and checks what happened.
+const DISRUPTED_ANSWER_SLACK_US: i64 = 70_000_000; // extra time for an answer of a disrupted front
+const ENGINE_AGE_US: i64 = 3_600_000_000; // age of the engines at the start
+/// Runs the scenario in simulated time and checks its record.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
     run_with(scenario, seed, Mutation::default())
 }
 
-/// The same, with a rule taken out.
+/// Runs the scenario with rules removed as the mutation says.
 pub fn run_with(scenario: &Scenario, seed: u64, mutation: Mutation) -> Result<Run, String> {
     let mut simulation = Simulation::new(scenario, seed, mutation)?;
     simulation.start_members();
@@ -56,7 +56,7 @@
 }
 
 impl Engine {
-    /// One that is warm.
+    /// A warm engine.
     fn new(zone: usize) -> Engine {
         Engine {
             zone,
@@ -71,7 +71,7 @@
 }
 
 impl Member {
-    /// One that has yet to start, with its clock ahead by so many microseconds.
+    /// A front that has yet to start, with its clock ahead by so many microseconds.
     fn new(ahead: i64, identity: DiskId) -> Member {
         Member {
             running: None,
@@ -135,7 +135,7 @@
         })
     }
 
-    /// Starts all fronts, with clocks and disks drawn.
+    /// Starts all fronts with random clock offsets and disk identities.
     fn start_members(&mut self) {
         let apart = self.scenario.fleet.clocks_apart_ms as i64 * 1000;
         for n in 0..self.scenario.fleet.fronts {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Puts the load and the faults of the scenario into the queue of events.
+    /// Schedules the load and the faults of the scenario.
     fn schedule_scenario(&mut self) {
         let (scenario, began) = (self.scenario, self.load_began);
         self.schedule_event(began, Event::StatementDue);
@@ -162,7 +162,7 @@
         }
     }
 
-    /// What was seen of the run; statements at fronts that were in trouble meanwhile are excused.
+    /// The account of the run; statements at fronts that were disrupted meanwhile are excused.
     fn account(self) -> (Account, Growth) {
         let Simulation {
             engines,
--- a/crates/lab/src/simulated/shutdown.rs
+++ b/crates/lab/src/simulated/shutdown.rs
@@ -1,16 +1,17 @@
-//! Fronts that are asked to end: they hand over what they own of promises, answer what they have taken, and are gone.
+//! Graceful shutdown of simulated fronts: they hand over the shards that they lead, answer their
+//! accepted statements, and exit.
 
 use rand::Rng;
 
 use super::simulation::{Event, Simulation};
 use crate::rig::scenario::FaultKind;
 
-/// Microseconds for which clients still come to a front that was asked to end.
+/// Microseconds for which clients still connect to a front that was asked to shut down.
 pub(super) const CLIENT_GRACE_US: i64 = 300_000;
-const LISTENER_GRACE_US: i64 = 800_000; // microseconds that its listener stays open, as that of a front process does
-const MAX_HANDOVER_US: i64 = 3_000_000; // microseconds at most while it still owns promises that others could own
-const MAX_QUORUM_WAIT_US: i64 = 10_000_000; // microseconds at most while a shard would have no majority without it
-const SHUTDOWN_CHECK_INTERVAL_US: i64 = 10_000; // microseconds from one check to the next whether all is answered
+const LISTENER_GRACE_US: i64 = 800_000; // time that the listener stays open, as that of a front process does
+const MAX_HANDOVER_US: i64 = 3_000_000; // limit while the front leads shards that others could lead
+const MAX_QUORUM_WAIT_US: i64 = 10_000_000; // limit while a shard would have no quorum without the front
+const SHUTDOWN_CHECK_INTERVAL_US: i64 = 10_000; // time between checks for unanswered statements
 
 impl Simulation<'_> {
     pub(super) fn request_shutdown(&mut self, n: usize) {
@@ -39,7 +40,8 @@
         self.schedule_wakeup(n);
     }
 
-    /// Its listener closes once all is handed over, and it is gone once all is answered.
+    /// Exits once the listener's time is over, the shards are handed over and all statements are
+    /// answered; otherwise schedules another check.
     pub(super) fn try_shutdown(&mut self, n: usize, incarnation: u32) {
         let member = &self.members[n];
         let Some((runs, asked)) = member
@@ -68,7 +70,7 @@
         self.kill_front(n);
     }
 
-    /// Until when the end of this fault has to wait, as its front has yet to end.
+    /// For a front that has yet to exit, the time of the next attempt to end its `Term` fault.
     pub(super) fn shutdown_retry_at(&self, fault: usize) -> Option<i64> {
         let fault = self
             .active_faults
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -1,6 +1,7 @@
-//! The fleet rig in simulated time: the same scenario, the same record, but fronts are dispatchers with their
-//! exchange of words driven by one clock that is a number, so that fleets beyond what one machine holds as
-//! processes can be played. Nothing here is a front of its own: all decisions come out of `crates/dispatcher`.
+//! The fleet rig in simulated time: the same scenario and record as for processes, but fronts are
+//! dispatchers whose exchange of datagrams is driven by one simulated clock, so that fleets can be
+//! run that are too large for one machine. All decisions are made by `crates/dispatcher`; nothing
+//! of a front is reimplemented here.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -26,77 +27,79 @@
 use crate::rig::relay::LinkState;
 use crate::rig::scenario::{Fault, Scenario, Step};
 
-pub(super) const NETWORK_DELAY_US: (i64, i64) = (200, 2_000); // microseconds that anything takes from one place to another, drawn evenly
-pub(super) const PROBE_TIMEOUT_US: i64 = 250_000; // microseconds until a probe without an answer counts as failed
-pub(super) const SETTLE_TIME_US: i64 = 10_000_000; // microseconds before the load, for the fronts to find each other
-pub(super) const RUN_OUT_US: i64 = 10_000_000; // microseconds beyond the load and its last time-out
-pub(super) const ANSWER_SLACK_US: i64 = 50_000; // microseconds for a final answer: two looks of the module's
-pub(super) const START_WALL_US: i64 = 1_800_000_000_000_000; // Unix microseconds at time 0
-pub(super) const DRIFT_PPM: u32 = 10_000; // millionths; clocks here run alike
-pub(super) const SEED_COUNT: usize = 3; // fronts that each asks first, drawn: a few for all would be slow to answer them
+pub(super) const NETWORK_DELAY_US: (i64, i64) = (200, 2_000); // microseconds of a network transfer, drawn evenly
+pub(super) const PROBE_TIMEOUT_US: i64 = 250_000; // a probe without an answer by then has failed
+pub(super) const SETTLE_TIME_US: i64 = 10_000_000; // lead time for the fronts to find each other before the load starts
+pub(super) const RUN_OUT_US: i64 = 10_000_000; // time that the run goes on after the load and its last timeout
+pub(super) const ANSWER_SLACK_US: i64 = 50_000; // extra time for a final answer: two check intervals of the dispatcher
+pub(super) const START_WALL_US: i64 = 1_800_000_000_000_000; // Unix time in microseconds at which the simulation starts
+pub(super) const DRIFT_PPM: u32 = 10_000; // clock drift bound in millionths; simulated clocks run at one rate
+pub(super) const SEED_COUNT: usize = 3; // random seed peers per front: the same few for all would be overloaded
 
 pub(super) type ExecutionId = (Ticket, usize);
 
 pub(super) enum Event {
-    /// The next statement of the load is due.
+    /// The next statement of the load arrives.
     StatementDue,
-    /// A front's own clock is due.
+    /// The front's next wake-up is due.
     Due(usize),
-    /// An execution has come to an engine, or its answer back to the front of that life.
+    /// An execution of that incarnation arrives at an engine.
     ExecutionArrives(usize, u32, ExecutionId, usize),
     EndedExecution(EndedExecution),
-    /// A repeat that an engine drops is answered.
+    /// An engine answers a dropped duplicate.
     DuplicateAnswered(usize, u32, ExecutionId, usize),
-    /// The last is its report of the statements in hand.
+    /// The engine's answer arrives at the front; the last field reports the engine's active
+    /// statements.
     Answers(usize, u32, ExecutionId, Ending, Option<usize>),
-    /// A probe likewise; its number tells which.
+    /// A probe arrives at an engine, or its answer or timeout at the front; the number identifies
+    /// it.
     ProbeArrives(usize, u32, usize, u64),
     ProbeAnswers(usize, u32, EngineIndex, u64, Option<usize>),
     Datagram(usize, usize, Vec<u8>),
-    /// What the front of that life has written is lasting.
+    /// A disk sync of the front of that incarnation has finished.
     SyncFinished(usize, u32),
-    /// A client asks again, at another front.
+    /// A client retries at another front.
     ClientRetries(Client),
-    /// A step of a promise is reached at a front; and the time for that is over.
+    /// A step of a ledger entry is reached at a front; the time limit of a fault's step has passed.
     StepReached(Step, usize),
     StepTimedOut(usize),
-    /// A front of that life that is to end may close its listener.
+    /// Checks whether a front of that incarnation that is shutting down may exit.
     CheckShutdown(usize, u32),
-    /// Time to look at what fronts hold; and at whether all copies stand.
+    /// Samples resource usage; checks whether all replicas exist.
     SampleSizes,
     CheckReplicas,
     FaultBegins(usize),
     FaultEnds(usize),
 }
 
-/// An execution that has run on an engine.
+/// An execution that has finished on an engine.
 pub(super) struct EndedExecution {
     pub(super) front: usize,
     pub(super) incarnation: u32,
     pub(super) sent: ExecutionId,
     pub(super) engine: usize,
     pub(super) resets: u64,
-    /// Its own in the record.
+    /// The link number of this execution in the record.
     pub(super) link: u32,
 }
 
-/// A rule that promises rest on, taken out, to see that the checks find it missing.
+/// Rules that ledger entries depend on, removed on purpose to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mutation {
-    /// Executions leave before their promise stands.
+    /// Executions are sent before their ledger entry is replicated.
     pub skips_barrier: bool,
-    /// An emptied disk comes back under the identity that it had.
+    /// An emptied disk returns with its former identity.
     pub reuses_disk_identity: bool,
-    /// Words leave before what they rest on is lasting.
+    /// Datagrams are sent before the state that they rely on is durable.
     pub sends_before_sync: bool,
 }
 
-/// A front while it runs.
+/// The state of a front while it runs.
 pub(super) struct RunningFront {
     pub(super) dispatcher: Dispatcher,
     pub(super) exchange: Option<Exchange>,
     pub(super) barrier: Option<BarrierDriver>,
-    /// Answers of the ledger that have yet to be taken.
+    /// Ledger answers that have yet to be taken.
     pub(super) ledger_answers: Vec<LedgerAnswer>,
     pub(super) probes: HashMap<u64, EngineIndex>,
     pub(super) connections: Connections,
@@ -104,20 +107,20 @@
 
 pub(super) struct Member {
     pub(super) running: Option<RunningFront>,
-    /// Counts its lives: what was meant for an earlier one means nothing.
+    /// The number of starts; events meant for an earlier incarnation are ignored.
     pub(super) incarnation: u32,
     pub(super) is_stalled: bool,
-    /// When it was asked to end.
+    /// The time at which a shutdown was requested.
     pub(super) shutdown_asked_at: Option<i64>,
-    /// What came while it was stopped, in order.
+    /// Events received while the front was stalled, in order.
     pub(super) pending_events: Vec<Event>,
     pub(super) next_due: i64,
     pub(super) clock_ahead: i64,
     pub(super) links: BTreeMap<usize, LinkState>,
-    /// What it saved as a voter.
+    /// The state saved as a voter.
     pub(super) voter_state: Option<Vec<u8>>,
     pub(super) disk: Disk,
-    /// Spans in which it was stopped, killed or ending.
+    /// Spans in which the front was stalled, killed or shutting down.
     pub(super) disruptions: Vec<(i64, i64)>,
 }
 
@@ -125,7 +128,8 @@
     pub(super) zone: usize,
     pub(super) started_at: i64,
     pub(super) running: usize,
-    /// Counts its connections' lives: a reset ends what is out.
+    /// Counts connection resets; the answers of executions that were in flight at a reset are
+    /// dropped.
     pub(super) reset_count: u64,
     pub(super) rejected: i64,
     pub(super) peak: f64,
@@ -147,17 +151,17 @@
     pub(super) keys: std::rc::Rc<Keys>,
     pub(super) datagram_faults: DatagramFaults,
     pub(super) account: Account,
-    /// Executions out at engines, for resets: by engine.
+    /// Executions in flight, by engine, for resets.
     pub(super) in_flight: BTreeMap<usize, Vec<(usize, u32, ExecutionId)>>,
     pub(super) statement_count: u64,
-    /// The statements by front, life and ticket: their place in the record.
+    /// Index in the record of each statement, by front, incarnation and ticket.
     pub(super) statement_numbers: HashMap<(usize, u32, Ticket), usize>,
-    /// Whoever asked, beside what the record has of it.
+    /// The client of each statement in the record, at the same index.
     pub(super) clients: Vec<Client>,
     pub(super) link_count: u32,
-    /// When the first of each deduplicated statement of a front began and ends.
+    /// Start and end of the first execution of each deduplicated statement, by front.
     pub(super) first_executions: HashMap<(usize, String), (i64, i64)>,
-    /// The fronts that keep copies, and where each is heard.
+    /// The members of the ledger, and the address of each.
     pub(super) ledger_members: (
         Vec<hallmux_ledger::Member>,
         BTreeMap<hallmux_gossip::PeerId, SocketAddr>,
@@ -165,9 +169,9 @@
     pub(super) armed: Option<Armed>,
     pub(super) mutation: Mutation,
     pub(super) growth: Growth,
-    /// Of the ledger.
+    /// The number of shards of the ledger.
     pub(super) shards: u16,
-    /// Faults that are played now, by their place in the scenario.
+    /// Active faults by their index in the scenario.
     pub(super) active_faults: BTreeMap<usize, Fault>,
 }
 
@@ -257,7 +261,8 @@
         }
     }
 
-    /// The event, if the front of that life runs; if it is stopped, the event waits until it goes on.
+    /// Returns the event if the front of that incarnation runs; if the front is stalled, defers the
+    /// event until it continues.
     fn deliver_or_defer(&mut self, front: usize, incarnation: u32, event: Event) -> Option<Event> {
         let member = &mut self.members[front];
         if member.incarnation != incarnation || member.running.is_none() {
@@ -286,7 +291,7 @@
         }
     }
 
-    /// A fault of the scenario begins.
+    /// Starts a fault of the scenario.
     fn start_scenario_fault(&mut self, n: usize) {
         let probed = self
             .account
@@ -300,7 +305,7 @@
         self.start_fault(n, &fault);
     }
 
-    /// A fault of the scenario ends, unless it has to wait.
+    /// Ends a fault of the scenario, or schedules a later attempt if its front has yet to exit.
     fn end_scenario_fault(&mut self, n: usize) {
         if let Some(later) = self.death_retry_at(n).or_else(|| self.shutdown_retry_at(n)) {
             return self.schedule_event(later, Event::FaultEnds(n));
@@ -313,7 +318,7 @@
         self.account.played.push((fault, from, self.now));
     }
 
-    /// The Unix clock of a front, by which it decides.
+    /// The front's own clock in Unix microseconds, including its offset.
     pub(super) fn local_time(&self, n: usize) -> i64 {
         self.now + self.members[n].clock_ahead
     }
--- a/crates/lab/src/simulated/steps.rs
+++ b/crates/lab/src/simulated/steps.rs
@@ -1,4 +1,4 @@
-//! Fronts that die, at a step of a promise where one is named.
+//! Fronts that are killed, at a step of a ledger entry if one is named.
 
 use rand::Rng;
 
@@ -7,18 +7,18 @@
 use crate::rig::death::DeathStep;
 use crate::rig::scenario::{Fault, FaultKind, Step};
 
-const STEP_TIMEOUT_US: i64 = 1_500_000; // microseconds for a front to come to a step
-const MIN_DOWNTIME_US: i64 = 300_000; // microseconds that it is gone at least
+const STEP_TIMEOUT_US: i64 = 1_500_000; // limit for a front to reach a step
+const MIN_DOWNTIME_US: i64 = 300_000; // minimum time between the death and the restart
 
-/// A front that is to die at a step of a promise.
+/// A front that is to be killed at a step of a ledger entry.
 pub(super) struct Armed {
     pub(super) death: DeathStep,
-    /// The fault's place in the scenario.
+    /// The fault's index in the scenario.
     fault: usize,
 }
 
 impl Simulation<'_> {
-    /// The front of a fault is to die: at once, or at its step.
+    /// Kills the front of a fault at once, or arms its death at a step.
     pub(super) fn schedule_death(
         &mut self,
         place: usize,
@@ -36,14 +36,14 @@
         self.schedule_event(self.now + STEP_TIMEOUT_US, Event::StepTimedOut(place));
     }
 
-    /// The front came to no such step in time: it dies all the same, and the run has to say so.
+    /// The front did not reach the step in time: it is killed anyway, and the run has to report it.
     pub(super) fn step_timed_out(&mut self, fault: usize) {
         if let Some(armed) = self.armed.take_if(|armed| armed.fault == fault) {
             self.kill_front(armed.death.front);
         }
     }
 
-    /// Until when the end of this fault has to wait, as its front has yet to die.
+    /// While the front has yet to die, the earliest time at which this fault may end.
     pub(super) fn death_retry_at(&self, fault: usize) -> Option<i64> {
         self.armed
             .as_ref()
@@ -51,7 +51,8 @@
             .map(|_| self.now + MIN_DOWNTIME_US)
     }
 
-    /// A step of a promise is reached at a front: true if it has just died of that.
+    /// Records that a front has reached a step of a ledger entry; returns whether the front has
+    /// just died there.
     pub(super) fn record_step(&mut self, step: Step, front: usize) -> bool {
         if !self
             .armed
@@ -66,7 +67,7 @@
         true
     }
 
-    /// The front's process is gone, and its clients see their connections end.
+    /// Kills the front; its clients see their connections close.
     pub(super) fn kill_front(&mut self, front: usize) {
         let member = &mut self.members[front];
         if member.running.take().is_none() {
--- a/crates/lab/src/simulated/tests.rs
+++ b/crates/lab/src/simulated/tests.rs
@@ -1,16 +1,17 @@
-//! Simulated days with a rule that promises rest on taken out: the checks must find it missing.
+//! Simulated runs with a rule that ledger entries depend on removed: the checks must detect it.
 
 use super::{run_with, Mutation};
 use crate::prove::deaths;
 use crate::prove::promises::{draw, RunOptions};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// Seeds of deaths, and whether the day is small: one meets promises that are not lasting yet; in the other an emptied
-/// disk that counts as the one before makes a majority that knows nothing of some.
+/// Seeds of death scenarios, and whether the scenario is small. In the first, a death meets entries
+/// that are not durable yet; in the second, an emptied disk that counts as its former self forms a
+/// quorum that lacks entries.
 const SLOW_DISKS: (u64, bool) = (2, true);
 const SECOND_LOSS: (u64, bool) = (5, false);
 
-/// How many of some drawn days break a rule.
+/// How many of the drawn runs violate a rule.
 fn broken(copies: usize, spoil: Mutation) -> usize {
     let day = |seed: &u64| {
         let way = RunOptions {
@@ -21,7 +22,7 @@
             spoil,
         };
         let mut scenario = draw(*seed, way);
-        // The first loss is of the front that has most to lose by now.
+        // A higher rate, so that the first front to lose its disk holds many entries by then.
         scenario.load.per_second = 40;
         let run = run_with(&scenario, *seed, spoil).unwrap();
         let promises = ["order", "promise_lost", "second_run", "without_promise"];
@@ -48,7 +49,7 @@
     );
 }
 
-/// The rules that the drawn deaths of a seed break.
+/// The rules that the drawn deaths of a seed violate.
 fn broken_by_deaths((seed, small): (u64, bool), spoil: Mutation) -> Vec<&'static str> {
     let way = RunOptions {
         simulated: true,
