--- a/crates/lab/src/rig/class.rs
+++ b/crates/lab/src/rig/class.rs
@@ -4,6 +4,7 @@
 
 use crate::check::Repeat;
 
+/// A workload of the load and the customer that sends its statements.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
@@ -50,6 +51,7 @@
 }
 
 impl Class {
+    /// The repeat semantics that the checks apply.
     pub fn repeat(&self) -> Repeat {
         match self.effect {
             Effect::Idempotent => Repeat::Idempotent,
--- a/crates/lab/src/rig/coordinator.rs
+++ b/crates/lab/src/rig/coordinator.rs
@@ -16,6 +16,7 @@
 }
 
 impl Coordinator {
+    /// Starts a coordinator with an empty list on a free local port.
     pub fn start() -> std::io::Result<Coordinator> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
@@ -77,6 +78,7 @@
         self.events.1.notify_all();
     }
 
+    /// All updates so far, as the front's configuration expects them.
     pub(super) fn snapshot(&self) -> Value {
         let events = self.events.0.lock().map(|e| e.clone()).unwrap_or_default();
         json!({"index": events.len(), "updates": events})
--- a/crates/lab/src/rig/datagrams.rs
+++ b/crates/lab/src/rig/datagrams.rs
@@ -36,6 +36,7 @@
 }
 
 impl Split {
+    /// The group of a front in the partition, counted from 0.
     pub fn group(&self, front: usize) -> usize {
         usize::from(front >= self.below)
             + usize::from(self.second.is_some_and(|second| front >= second))
@@ -118,12 +119,14 @@
         }
     }
 
+    /// Changes the active faults.
     pub fn set(&self, change: impl FnOnce(&mut DatagramFaults)) {
         if let Ok(mut state) = self.shared.state.lock() {
             change(&mut state);
         }
     }
 
+    /// All datagrams recorded so far.
     pub fn datagrams(&self) -> Vec<RelayedDatagram> {
         self.shared
             .datagrams
--- a/crates/lab/src/rig/datagrams_tests.rs
+++ b/crates/lab/src/rig/datagrams_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_split_cuts_both_ways_or_one() {
+fn a_partition_drops_datagrams_both_ways_or_one_way() {
     let split = |below, second, one_way| {
         Some(Split {
             below,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_doubled_comes_twice_and_what_is_cut_not_at_all() {
+fn duplicated_datagrams_arrive_twice_and_partitioned_ones_never() {
     let relay = DatagramRelay::start(2, || 0, |_| false).unwrap();
     let fronts: Vec<UdpSocket> = (0..2)
         .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
--- a/crates/lab/src/rig/fault.rs
+++ b/crates/lab/src/rig/fault.rs
@@ -4,6 +4,7 @@
 
 use super::datagrams::Split;
 
+/// The kinds of faults; their names are those of scenario files.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
@@ -75,6 +76,7 @@
     Kept,
 }
 
+/// A scheduled fault of a scenario.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -108,6 +110,7 @@
         fronts * self.percent.min(100) as usize / 100
     }
 
+    /// The partition of a `FrontsSplit` or `FrontsSplitOut`.
     pub fn split(&self) -> Split {
         let one_way = self.what == FaultKind::FrontsSplitOut;
         Split {
--- a/crates/lab/src/rig/front.rs
+++ b/crates/lab/src/rig/front.rs
@@ -96,7 +96,12 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(why)?;
-        let log = BufReader::new(child.stderr.take().ok_or("no log")?);
+        let log = BufReader::new(
+            child
+                .stderr
+                .take()
+                .ok_or("the stderr of the front is not captured")?,
+        );
         let found: ReportedAddresses = Arc::default();
         let addresses = found.clone();
         let log_lines = Log::default();
@@ -142,7 +147,7 @@
             }),
             _ => {
                 let _ = child.kill();
-                Err("the front did not start".to_string())
+                Err("the front logged no statement address in time; set HALLMUX_LAB_LOG to see its log".to_string())
             }
         }
     }
@@ -206,6 +211,7 @@
         ticks * 10_000 // a tick is a hundredth of a second on Linux
     }
 
+    /// Whether the process is still running.
     pub fn is_up(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -287,6 +287,7 @@
 }
 
 impl FleetKeys {
+    /// Draws the fronts' keys from the seed and writes the secrets to files.
     pub(crate) fn new(shape: &FleetShape, seed: u64) -> std::io::Result<FleetKeys> {
         let folder =
             std::env::temp_dir().join(format!("hallmux-fleet-{}-{seed}", std::process::id()));
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -123,12 +123,14 @@
         Ok(link)
     }
 
+    /// Changes the active faults of the link.
     pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
         if let Ok(mut state) = self.state.lock() {
             change(&mut state);
         }
     }
 
+    /// The active faults of the link.
     pub fn state(&self) -> LinkState {
         self.state.lock().map(|s| *s).unwrap_or_default()
     }
--- a/crates/lab/src/rig/relay_tests.rs
+++ b/crates/lab/src/rig/relay_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_lost_link_passes_nothing_but_writes_down_what_was_sent() {
+fn a_lost_link_drops_bytes_but_records_statements() {
     let relayed = Arc::default();
     let link = Link::start((0, 1, 2), echo(), Records::new(), Arc::clone(&relayed)).unwrap();
     let mut s = TcpStream::connect(link.address).unwrap();
@@ -31,10 +31,7 @@
     assert_eq!(s.read(&mut b).unwrap(), 8);
     link.set(|s| s.out_lost = true);
     s.write_all(b"want b\r\n").unwrap();
-    assert!(
-        s.read(&mut b).is_err(),
-        "nothing may come back through a lost link"
-    );
+    assert!(s.read(&mut b).is_err(), "a lost link must not return bytes");
     let all = relayed.lock().unwrap().clone();
     assert_eq!(
         all.iter()
@@ -47,7 +44,7 @@
 }
 
 #[test]
-fn the_front_hears_of_a_reset_only_after_the_engine_has_closed_its_side() {
+fn the_front_sees_a_reset_only_after_the_engine_has_closed_its_side() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let stopped = Arc::new(AtomicBool::new(false));
@@ -74,13 +71,13 @@
     link.reset();
     // Bytes sent after the reset must not close the connection.
     front.write_all(b"want b\r\n").unwrap();
-    let heard = front.read(&mut [0; 16]).map_err(|e| e.kind());
+    let received = front.read(&mut [0; 16]).map_err(|e| e.kind());
     assert!(
-        matches!(heard, Ok(0) | Err(ErrorKind::ConnectionReset)),
-        "{heard:?}"
+        matches!(received, Ok(0) | Err(ErrorKind::ConnectionReset)),
+        "{received:?}"
     );
     assert!(
         stopped.load(SeqCst),
-        "the front was told while the engine still ran"
+        "the front saw the reset while the engine still ran"
     );
 }
--- a/crates/lab/src/rig/rules.rs
+++ b/crates/lab/src/rig/rules.rs
@@ -13,6 +13,7 @@
 /// The customer that the rules restrict, and its workload that they deny.
 pub const RULED_CUSTOMER: &str = "ruled";
 pub const DENIED_WORKLOAD: &str = "audit";
+/// Lease of a rule version, in milliseconds.
 pub const LEASE_MS: u64 = 1_500;
 
 /// One version of the rules: the zones where the customer may not read.
@@ -47,6 +48,7 @@
 }
 
 impl RuleFiles {
+    /// Writes the first rule set for every front.
     pub fn new(fronts: usize, seed: u64, first: &RuleSet) -> std::io::Result<RuleFiles> {
         let folder =
             std::env::temp_dir().join(format!("hallmux-rules-{}-{seed}", std::process::id()));
--- a/crates/lab/src/rig/rules_tests.rs
+++ b/crates/lab/src/rig/rules_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn lines_of_the_log_are_read() {
+fn versions_and_hits_are_parsed_from_log_lines() {
     let line = "2026 INFO hits of rule bound by customer ruled in r3: 41";
     assert_eq!(parse_hits_line(line), Some(("bound r3".into(), 41)));
     assert_eq!(
--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -8,6 +8,7 @@
 pub use super::class::{Class, Effect};
 pub use super::fault::{Fault, FaultKind, Step};
 
+/// A fleet scenario as read from its file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -33,6 +34,7 @@
 
 const MAX_CLASSES: usize = 16;
 
+/// The size of the fleet and the settings that all fronts share.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FleetShape {
@@ -89,6 +91,7 @@
     }
 }
 
+/// Limits on new connections and probes a second into one engine.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budgets {
@@ -125,6 +128,7 @@
     }
 }
 
+/// The load over all fronts.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
@@ -139,6 +143,7 @@
     pub memory_mb: u64,
 }
 
+/// The capacity and warm-up of the engines.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Warm {
@@ -268,22 +273,28 @@
     fn check_fault(&self, fault: &Fault, place: KeyLocation) -> Result<(), String> {
         let FleetShape { fronts, zones, .. } = self.fleet;
         if fault.zone >= zones {
-            return place.reject("zone", &format!("names a zone of {zones}, counted from 0"));
+            return place.reject(
+                "zone",
+                &format!("must be below {zones}, the number of zones"),
+            );
         }
         if fault.front >= fronts {
             return place.reject(
                 "front",
-                &format!("names a front of {fronts}, counted from 0"),
+                &format!("must be below {fronts}, the number of fronts"),
             );
         }
         if fault
             .second
             .is_some_and(|second| second <= fault.front || second >= fronts)
         {
-            return place.reject("second", "must be over `front` and a front");
+            return place.reject(
+                "second",
+                "must be above `front` and below the number of fronts",
+            );
         }
         if fault.step.is_some() && fault.what != FaultKind::LoseDisk {
-            return place.reject("step", "goes with lose_disk alone");
+            return place.reject("step", "is allowed for lose_disk only");
         }
         if fault.percent > 100 {
             return place.reject("percent", "is over 100");
@@ -373,7 +384,10 @@
             return place.reject("cold_slots", "must be from 1 to slots");
         }
         if statement_mb > self.memory_mb {
-            return place.reject("memory_mb", "of a statement is over what an engine has");
+            return place.reject(
+                "memory_mb",
+                "of a statement exceeds the memory of an engine",
+            );
         }
         if !(1.0..=100.0).contains(&self.overload) {
             return place.reject("overload", "must be from 1 to 100");
--- a/crates/lab/src/rig/scenario_tests.rs
+++ b/crates/lab/src/rig/scenario_tests.rs
@@ -7,7 +7,7 @@
     [[fault]]\nwhat = 'zone_lost'\nat_ms = 1000\nfor_ms = 2000\nzone = 1\n";
 
 #[test]
-fn a_whole_file_is_read_and_the_rest_defaulted() {
+fn omitted_keys_have_defaults() {
     let s = Scenario::parse(GOOD, false, None).unwrap();
     assert_eq!(
         (
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_unknown_or_out_of_range_is_named_with_its_line() {
+fn unknown_keys_and_values_out_of_range_are_rejected_with_their_line() {
     let unknown = GOOD.replace("work_ms", "werk_ms");
     assert!(Scenario::parse(&unknown, false, None)
         .unwrap_err()
@@ -32,18 +32,18 @@
     let far = GOOD.replace("zone = 1", "zone = 2");
     assert_eq!(
         Scenario::parse(&far, false, None).unwrap_err(),
-        "line 14: `zone` names a zone of 2, counted from 0"
+        "line 14: `zone` must be below 2, the number of zones"
     );
     let many = GOOD.replace("fronts = 3", "fronts = 41");
     assert!(Scenario::parse(&many, false, None)
         .unwrap_err()
         .starts_with("line 3: `fronts`"));
-    let lonely = GOOD.replace(
+    let without_gossip = GOOD.replace(
         "engines_per_zone = 2",
         "engines_per_zone = 2\nzone_quorum = 0",
     );
     assert_eq!(
-        Scenario::parse(&lonely, false, None).unwrap_err(),
+        Scenario::parse(&without_gossip, false, None).unwrap_err(),
         "line 6: `zone_quorum` needs gossip = true"
     );
     let high = GOOD.replace(
@@ -60,35 +60,35 @@
         Scenario::parse(&apart, false, None).unwrap_err(),
         "line 4: `clocks_apart_ms` is over 600000"
     );
-    for (key, said) in [
+    for (key, message) in [
         ("percent = 101", "`percent` is over 100"),
         ("delay_ms = 10001", "`delay_ms` is over"),
     ] {
         let text = GOOD.replace("zone = 1", key);
         assert!(Scenario::parse(&text, false, None)
             .unwrap_err()
-            .starts_with(&format!("line 14: {said}")));
+            .starts_with(&format!("line 14: {message}")));
     }
     let ends = GOOD.replace("for_ms = 2000", "for_ms = 4001");
     assert!(Scenario::parse(&ends, false, None)
         .unwrap_err()
         .starts_with("line 12: `at_ms`"));
-    for (key, said) in [
+    for (key, message) in [
         (
             "front = 1\nsecond = 1",
-            "line 15: `second` must be over `front` and a front",
+            "line 15: `second` must be above `front` and below the number of fronts",
         ),
         (
             "step = 'began'",
-            "line 14: `step` goes with lose_disk alone",
+            "line 14: `step` is allowed for lose_disk only",
         ),
     ] {
         let text = GOOD.replace("zone = 1", key);
-        assert_eq!(Scenario::parse(&text, false, None).unwrap_err(), said);
+        assert_eq!(Scenario::parse(&text, false, None).unwrap_err(), message);
     }
     let class =
         "zones = 2\nengines_per_zone = 2\n[[class]]\nname = 'a'\nshare = 1\nimportance = 1\nslo_ms = 5\n";
-    for (key, said) in [
+    for (key, message) in [
         ("keys = 10001", "line 11: `keys` is over 10000"),
         ("asks_again = 9", "line 11: `asks_again` is over 8"),
         (
@@ -104,9 +104,9 @@
             "zones = 2\nengines_per_zone = 2\n",
             &format!("{class}{key}\n"),
         );
-        assert_eq!(Scenario::parse(&text, false, None).unwrap_err(), said);
+        assert_eq!(Scenario::parse(&text, false, None).unwrap_err(), message);
     }
-    for (copies, said) in [
+    for (copies, message) in [
         ("3", "needs gossip = true"),
         (
             "2\ngossip = true",
@@ -119,7 +119,7 @@
         );
         assert_eq!(
             Scenario::parse(&text, false, None).unwrap_err(),
-            format!("line 6: `copies` {said}")
+            format!("line 6: `copies` {message}")
         );
     }
     let kind = GOOD.replace("zone_lost", "zone_gone");
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -16,6 +16,7 @@
 use super::member::MemberOptions;
 use crate::engine::lines::RowStore;
 
+/// The table group of the rows.
 pub const TABLE_GROUP: u32 = 17;
 const STALE_AGE_MS: u64 = 86_400_000;
 
@@ -34,6 +35,7 @@
     version: u64,
 }
 
+/// All sites of a run, with their keys and the folder of their summaries.
 pub struct Sites {
     sites: Vec<Mutex<Site>>,
     engines_per_zone: usize,
@@ -87,6 +89,7 @@
 }
 
 impl Sites {
+    /// Creates sites with their first values, and a summary directory for each front.
     pub fn new(
         first: Vec<Vec<i64>>,
         engines_per_zone: usize,
@@ -116,6 +119,7 @@
         })
     }
 
+    /// The scatter section of each front's operator file.
     pub fn member_options(&self, fronts: usize) -> Vec<MemberOptions> {
         let hex = |key: &SigningKey| -> String {
             key.verifying_key()
--- a/crates/lab/src/rig/sites_tests.rs
+++ b/crates/lab/src/rig/sites_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_load_leaves_its_row_and_its_number_and_a_scatter_finds_it() {
+fn a_load_stores_its_row_and_load_number_and_a_scatter_finds_the_row() {
     let sites = Sites::new(vec![vec![5], vec![7]], 1, 1, 3).unwrap();
     let load = "/* load 17:4 */ /* id=l1,ms=1 */ insert into data_17.t (v) values (6)";
     assert_eq!(sites.answer(1, load), "l1\t-\t-\n");
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -154,7 +154,7 @@
                 })
             };
             let started: Vec<_> = self.released_members(fault).map(start).collect();
-            let failed = |_| Err("a start panicked".to_string());
+            let failed = |_| Err("restarting a front panicked".to_string());
             started
                 .into_iter()
                 .map(|start| start.join().unwrap_or_else(failed))
--- a/crates/lab/src/rig/starvation_watch.rs
+++ b/crates/lab/src/rig/starvation_watch.rs
@@ -40,6 +40,7 @@
         }
     }
 
+    /// Stops sampling and returns the recorded waits.
     pub fn end(self) -> Starved {
         self.stop.store(true, SeqCst);
         self.thread.join().unwrap_or_default()
--- a/crates/lab/src/rig/starvation_watch_tests.rs
+++ b/crates/lab/src/rig/starvation_watch_tests.rs
@@ -3,7 +3,7 @@
 use super::{cpu_wait_us, thread_cpu_wait};
 
 #[test]
-fn a_thread_that_has_to_wait_for_others_is_seen_where_the_kernel_keeps_account() {
+fn cpu_waits_are_read_if_the_kernel_keeps_schedstat() {
     let Some(before) = cpu_wait_us("thread-self") else {
         return;
     };
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -51,6 +51,7 @@
         self.submit_statement(client);
     }
 
+    /// Submits a client's statement to a front that it has not used yet; without one, the client gives up.
     pub(super) fn submit_statement(&mut self, client: Client) {
         let (scenario, now) = (self.scenario, self.now);
         let class = &scenario.classes[client.class];
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -8,6 +8,7 @@
 
 use super::simulation::{ExecutionId, Simulation};
 
+/// The connection pools of one front, by engine.
 pub(super) struct Connections {
     pub(super) pacer: ConnectionPacer,
     idle: BTreeMap<EngineIndex, usize>,
--- a/crates/lab/src/simulated/datagrams.rs
+++ b/crates/lab/src/simulated/datagrams.rs
@@ -22,6 +22,7 @@
         self.save(n, out.ledger_saves);
     }
 
+    /// Sends datagrams through the active faults and records them; the sender may die at one.
     pub(super) fn send_datagrams(&mut self, from: usize, datagrams: Vec<Datagram>) {
         for Datagram { to, bytes } in datagrams {
             let Some(to) = front_at(to).filter(|to| *to < self.members.len()) else {
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -12,6 +12,7 @@
 const NO_SYNC_DELAY_US: i64 = 20; // microseconds until a save without records is acknowledged
 const MAX_SYNC_BATCH: usize = 256; // saves per sync
 
+/// A simulated disk: durable records, queued saves and the batch being written.
 #[derive(Default)]
 pub(super) struct Disk {
     pub(super) identity: DiskId,
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -10,6 +10,7 @@
 use crate::rig::scenario::Step;
 
 impl Simulation<'_> {
+    /// Records traffic of a front to an engine.
     pub(super) fn record_traffic(
         &mut self,
         (front, engine): (usize, usize),
@@ -29,6 +30,7 @@
         });
     }
 
+    /// The state of the link from a front to an engine.
     pub(super) fn link(&self, front: usize, engine: usize) -> LinkState {
         self.members[front]
             .links
@@ -37,15 +39,18 @@
             .unwrap_or_default()
     }
 
+    /// Whether the link passes traffic, to the engine if `out`.
     pub(super) fn link_passes(&self, front: usize, engine: usize, out: bool) -> bool {
         let link = self.link(front, engine);
         !if out { link.out_lost } else { link.back_lost }
     }
 
+    /// The extra delay of the link in microseconds.
     pub(super) fn link_delay(&self, front: usize, engine: usize) -> i64 {
         self.link(front, engine).delay_ms as i64 * 1000
     }
 
+    /// Starts an execution on an engine, or rejects it if the engine is at capacity.
     pub(super) fn receive_execution(
         &mut self,
         front: usize,
@@ -144,6 +149,7 @@
         class.is_some_and(|class| self.scenario.classes[class].needs_ledger_entry())
     }
 
+    /// Ends an execution and sends its answer, unless the connection was reset meanwhile.
     pub(super) fn end_execution(&mut self, ran: EndedExecution) {
         let EndedExecution {
             front,
@@ -178,6 +184,7 @@
         }
     }
 
+    /// Sends an engine's answer to the front if the link passes it.
     pub(super) fn send_answer(
         &mut self,
         front: usize,
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Starts a fault; `place` is its index in the scenario.
     pub(super) fn start_fault(&mut self, place: usize, fault: &Fault) {
         let now = self.now;
         match fault.what {
@@ -102,6 +103,7 @@
         }
     }
 
+    /// Ends a fault and restarts the fronts that it killed.
     pub(super) fn end_fault(&mut self, fault: &Fault) {
         let now = self.now;
         match fault.what {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -58,10 +58,13 @@
                     saved,
                 };
                 let owns = exchange.enable_ownership(at, ownership);
-                debug_assert!(owns.is_ok(), "what was saved is whole");
+                debug_assert!(owns.is_ok(), "the saved voter state is valid");
             }
-            let promises = self.enable_ledger(n, &mut exchange);
-            debug_assert!(promises.is_ok(), "what was kept is whole: {promises:?}");
+            let enabled = self.enable_ledger(n, &mut exchange);
+            debug_assert!(
+                enabled.is_ok(),
+                "the records on disk are valid: {enabled:?}"
+            );
             exchange
         });
         let seed = self.rng.random();
@@ -153,6 +156,7 @@
         }
     }
 
+    /// Executes a command of the front's dispatcher.
     pub(super) fn execute_command(&mut self, n: usize, incarnation: u32, command: Command) {
         match command {
             Command::Send {
@@ -309,6 +313,7 @@
     }
 }
 
+/// The endpoint list entry of an engine.
 pub(super) fn listing<'a>(id: &'a str, zone: &'a str, started: Option<i64>) -> Listing<'a> {
     Listing {
         id,
--- a/crates/lab/src/simulated/growth.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -17,6 +17,7 @@
     records: i64,
 }
 
+/// Resource samples and replica losses of a run.
 #[derive(Default)]
 pub(super) struct Growth {
     samples: Vec<ResourceSample>,
@@ -29,6 +30,7 @@
 }
 
 impl Growth {
+    /// Adds the first and last quarter's maxima and the recovery times to the tallies.
     pub(super) fn add_tallies(&self, tallies: &mut BTreeMap<&'static str, i64>) {
         let quarter = self.samples.len().div_ceil(4);
         let most = |samples: &[ResourceSample], of: fn(&ResourceSample) -> i64| {
--- a/crates/lab/src/simulated/least_tests.rs
+++ b/crates/lab/src/simulated/least_tests.rs
@@ -5,7 +5,7 @@
 use crate::rig::scenario::FaultKind;
 
 #[test]
-fn only_the_faults_that_a_failure_needs_are_left() {
+fn minimizing_keeps_only_the_faults_that_the_failure_needs() {
     let way = RunOptions {
         small: false,
         simulated: true,
--- a/crates/lab/src/simulated/shutdown.rs
+++ b/crates/lab/src/simulated/shutdown.rs
@@ -14,6 +14,7 @@
 const SHUTDOWN_CHECK_INTERVAL_US: i64 = 10_000; // time between checks for unanswered statements
 
 impl Simulation<'_> {
+    /// Requests a shutdown: the front hands over its shards, leaves the gossip and closes later.
     pub(super) fn request_shutdown(&mut self, n: usize) {
         let at = self.clock_reading(n);
         let member = &mut self.members[n];
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -36,8 +36,10 @@
 pub(super) const DRIFT_PPM: u32 = 10_000; // clock drift bound in millionths; simulated clocks run at one rate
 pub(super) const SEED_COUNT: usize = 3; // random seed peers per front: the same few for all would be overloaded
 
+/// An execution: the ticket of its statement and its number.
 pub(super) type ExecutionId = (Ticket, usize);
 
+/// The events of the simulation. Fields are front, incarnation, execution and engine, in this order.
 pub(super) enum Event {
     /// The next statement of the load arrives.
     StatementDue,
@@ -105,6 +107,7 @@
     pub(super) connections: Connections,
 }
 
+/// A front over its incarnations.
 pub(super) struct Member {
     pub(super) running: Option<RunningFront>,
     /// The number of starts; events meant for an earlier incarnation are ignored.
@@ -124,6 +127,7 @@
     pub(super) disruptions: Vec<(i64, i64)>,
 }
 
+/// A simulated engine and its load peaks.
 pub(super) struct Engine {
     pub(super) zone: usize,
     pub(super) started_at: i64,
@@ -136,6 +140,7 @@
     pub(super) peak_since_start: f64,
 }
 
+/// The state of a run in simulated time.
 pub(super) struct Simulation<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) settings: Settings,
@@ -175,16 +180,19 @@
     pub(super) active_faults: BTreeMap<usize, Fault>,
 }
 
+/// The secret key of a front.
 pub(super) fn secret(n: usize) -> [u8; 32] {
     let mut secret = [7; 32];
     secret[..8].copy_from_slice(&(n as u64 + 1).to_be_bytes());
     secret
 }
 
+/// The gossip address of a front.
 pub(super) fn address(n: usize) -> SocketAddr {
     ([10, 0, (n / 250) as u8, (n % 250) as u8 + 1], 7946).into()
 }
 
+/// The front with that gossip address.
 pub(super) fn front_at(at: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(at) = at else { return None };
     let [_, _, high, low] = at.ip().octets();
@@ -192,6 +200,7 @@
 }
 
 impl Simulation<'_> {
+    /// Schedules an event, not before the current time.
     pub(super) fn schedule_event(&mut self, when: i64, event: Event) {
         self.next_event += 1;
         self.queue
@@ -199,11 +208,13 @@
         self.events.insert(self.next_event, event);
     }
 
+    /// Draws the delay of a network transfer in microseconds.
     pub(super) fn draw_network_delay(&mut self) -> i64 {
         self.rng
             .random_range(NETWORK_DELAY_US.0..=NETWORK_DELAY_US.1)
     }
 
+    /// Handles all events up to time `over`.
     pub(super) fn run_until(&mut self, over: i64) {
         while let Some(Reverse((when, number))) =
             self.queue.pop().filter(|Reverse((when, _))| *when <= over)
@@ -216,6 +227,7 @@
         }
     }
 
+    /// Handles an event.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::StatementDue => self.offer(),
@@ -323,6 +335,7 @@
         self.now + self.members[n].clock_ahead
     }
 
+    /// The clock reading of a front.
     pub(super) fn clock_reading(&self, n: usize) -> ClockReading {
         let local_time = self.local_time(n);
         ClockReading {
--- a/crates/lab/src/simulated/tests.rs
+++ b/crates/lab/src/simulated/tests.rs
@@ -12,7 +12,7 @@
 const SECOND_LOSS: (u64, bool) = (5, false);
 
 /// How many of the drawn runs violate a rule.
-fn broken(copies: usize, spoil: Mutation) -> usize {
+fn count_violating_runs(copies: usize, spoil: Mutation) -> usize {
     let day = |seed: &u64| {
         let way = RunOptions {
             small: true,
@@ -25,8 +25,8 @@
         // A higher rate, so that the first front to lose its disk holds many entries by then.
         scenario.load.per_second = 40;
         let run = run_with(&scenario, *seed, spoil).unwrap();
-        let promises = ["order", "promise_lost", "second_run", "without_promise"];
-        promises
+        let ledger_rules = ["order", "promise_lost", "second_run", "without_promise"];
+        ledger_rules
             .iter()
             .any(|rule| run.violations.contains_key(rule))
     };
@@ -34,23 +34,27 @@
 }
 
 #[test]
-fn drawn_days_break_a_rule_only_where_one_is_taken_out() {
-    let whole = Mutation::default();
-    assert_eq!(broken(3, whole), 0);
-    assert_eq!(broken(0, whole), SEEDS.len(), "no ledger at all");
-    let acts_first = Mutation {
+fn drawn_runs_violate_a_rule_only_with_a_mutation() {
+    let no_mutation = Mutation::default();
+    assert_eq!(count_violating_runs(3, no_mutation), 0);
+    assert_eq!(
+        count_violating_runs(0, no_mutation),
+        SEEDS.len(),
+        "fronts without a ledger"
+    );
+    let skips_barrier = Mutation {
         skips_barrier: true,
-        ..whole
+        ..no_mutation
     };
     assert_eq!(
-        broken(3, acts_first),
+        count_violating_runs(3, skips_barrier),
         SEEDS.len(),
-        "the act before its promise"
+        "executions sent before their ledger entry is replicated"
     );
 }
 
 /// The rules that the drawn deaths of a seed violate.
-fn broken_by_deaths((seed, small): (u64, bool), spoil: Mutation) -> Vec<&'static str> {
+fn violations_of_deaths((seed, small): (u64, bool), spoil: Mutation) -> Vec<&'static str> {
     let way = RunOptions {
         simulated: true,
         small,
@@ -63,26 +67,26 @@
 }
 
 #[test]
-fn drawn_deaths_lose_a_promise_only_where_a_rule_is_taken_out() {
-    let whole = Mutation::default();
+fn drawn_deaths_lose_an_entry_only_with_a_mutation() {
+    let no_mutation = Mutation::default();
     for (day, spoil) in [
         (
             SLOW_DISKS,
             Mutation {
                 sends_before_sync: true,
-                ..whole
+                ..no_mutation
             },
         ),
         (
             SECOND_LOSS,
             Mutation {
                 reuses_disk_identity: true,
-                ..whole
+                ..no_mutation
             },
         ),
     ] {
-        assert_eq!(broken_by_deaths(day, whole), Vec::<&str>::new());
-        let found = broken_by_deaths(day, spoil);
+        assert_eq!(violations_of_deaths(day, no_mutation), Vec::<&str>::new());
+        let found = violations_of_deaths(day, spoil);
         assert!(
             found.contains(&"order") || found.contains(&"promise_lost"),
             "{spoil:?}: {found:?}"
