--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -26,33 +26,33 @@
     record: &Arc<ClientRecord>,
     stop: &AtomicBool,
 ) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let began = Instant::now();
     let (load, seconds) = (&scenario.load, scenario.seconds);
     let gap = Duration::from_micros(1_000_000 / load.per_second);
-    let mut waits = Vec::new();
+    let mut clients = Vec::new();
     let mut number = 0u64;
     while !stop.load(SeqCst) && began.elapsed() < Duration::from_secs(seconds) {
         number += 1;
-        let class = scenario.draw_class(chance.random());
+        let class = scenario.draw_class(rng.random());
         let client = Client {
             number,
             class,
             key: scenario.classes[class]
                 .keys
                 .checked_sub(1)
-                .map(|most| chance.random_range(0..=most)),
-            seed: chance.random(),
+                .map(|most| rng.random_range(0..=most)),
+            seed: rng.random(),
             scenario: scenario.clone(),
         };
         let (members, record) = (members.to_vec(), record.clone());
-        waits.push(std::thread::spawn(move || client.run(&members, &record)));
+        clients.push(std::thread::spawn(move || client.run(&members, &record)));
         let due = gap * number as u32;
         if let Some(rest) = due.checked_sub(began.elapsed()) {
             std::thread::sleep(rest);
         }
     }
-    waits.into_iter().for_each(|w| _ = w.join());
+    clients.into_iter().for_each(|w| _ = w.join());
 }
 
 /// The client of one statement, at one front and, if its workload allows it, again at others.
@@ -66,16 +66,16 @@
 
 impl Client {
     fn run(&self, members: &[Arc<Member>], record: &ClientRecord) {
-        let mut chance = Pcg64Mcg::seed_from_u64(self.seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let class = &self.scenario.classes[self.class];
         let mut before = Vec::new();
         for _ in 0..=class.asks_again {
-            let here: Vec<&Arc<Member>> = (members.iter())
+            let candidates: Vec<&Arc<Member>> = (members.iter())
                 .filter(|m| {
                     m.accepts_statements(record.records.now()) && !before.contains(&m.number)
                 })
                 .collect();
-            let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else {
+            let Some(member) = candidates.get(rng.random_range(0..candidates.len().max(1))) else {
                 return;
             };
             let address = member
@@ -87,17 +87,17 @@
             let outcome = self.execute(member, address, record, !before.is_empty());
             // A lost or aborted statement may have executed: it is repeated only if its workload
             // allows it.
-            let again = match &outcome {
+            let may_retry = match &outcome {
                 Outcome::Error(code) if code == "53000" => true,
                 Outcome::Error(_) | Outcome::Lost => class.repeat() != Repeat::NonIdempotent,
                 _ => false,
             };
-            if !again {
+            if !may_retry {
                 return;
             }
             before.push(member.number);
             std::thread::sleep(Duration::from_millis(
-                chance.random_range(CLIENT_RETRY_DELAY_MS),
+                rng.random_range(CLIENT_RETRY_DELAY_MS),
             ));
         }
     }
@@ -126,7 +126,7 @@
         let mut asked =
             StatementRecord::new(id.clone(), now(), timeout_ms as i64 * 1000, class.repeat());
         (asked.rows, asked.key) = (1, key.clone());
-        let (limit, work, memory) = (
+        let (timeout_text, work, memory) = (
             timeout_ms.to_string(),
             work_ms.to_string(),
             load.memory_mb.to_string(),
@@ -135,7 +135,7 @@
         let mut fields = vec![
             ("verb", class.name.as_str()),
             ("team", class.customer.as_str()),
-            ("limit", limit.as_str()),
+            ("limit", timeout_text.as_str()),
             ("cpu", work.as_str()),
             ("heap_mb", memory.as_str()),
         ];
@@ -145,11 +145,12 @@
         if class.repeat() == Repeat::Deduplicated {
             fields.push(("unique", unique.as_str()));
         }
-        let (goes_on, promised) = (
+        let (continues, needs_entry) = (
             u8::from(class.goes_on),
             u8::from(class.needs_ledger_entry()),
         );
-        let statement = format!("id={id},key={key},ms={work_ms},on={goes_on},promised={promised}");
+        let statement =
+            format!("id={id},key={key},ms={work_ms},on={continues},promised={needs_entry}");
         if class.needs_ledger_entry() {
             let (records, front) = (record.records.clone(), member.number);
             // About when the front receives the statement: a little before or after.
--- a/crates/lab/src/rig/coordinator.rs
+++ b/crates/lab/src/rig/coordinator.rs
@@ -21,10 +21,10 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let events = Events::default();
-        let served = events.clone();
+        let shared_events = events.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let events = served.clone();
+                let events = shared_events.clone();
                 std::thread::spawn(move || _ = answer(stream, &events));
             }
         });
@@ -34,23 +34,24 @@
         })
     }
 
-    /// Publishes engines (id, address, kind, state), all in the zone `here`; `whole` replaces the
-    /// full list.
-    pub fn announce(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str)]) {
+    /// Publishes engines (id, address, kind, state), all in the zone `here`; with `is_full_list` they
+    /// replace all earlier ones.
+    pub fn announce(&self, is_full_list: bool, engines: &[(String, SocketAddr, &str, &str)]) {
         let zoned: Vec<_> = engines
             .iter()
             .map(|(id, at, kind, state)| (id.clone(), *at, *kind, *state, "here"))
             .collect();
-        self.announce_with_zones(whole, &zoned);
+        self.announce_with_zones(is_full_list, &zoned);
     }
 
-    /// Publishes engines (id, address, kind, state, zone); `whole` replaces the full list.
+    /// Publishes engines (id, address, kind, state, zone); with `is_full_list`
+    /// they replace all earlier ones.
     pub fn announce_with_zones(
         &self,
-        whole: bool,
+        is_full_list: bool,
         engines: &[(String, SocketAddr, &str, &str, &str)],
     ) {
-        self.publish(whole, engines, 0.0);
+        self.publish(is_full_list, engines, 0.0);
     }
 
     /// Publishes engines as restarted at `wall_ms`, in milliseconds of Unix time.
@@ -64,7 +65,7 @@
 
     fn publish(
         &self,
-        whole: bool,
+        is_full_list: bool,
         engines: &[(String, SocketAddr, &str, &str, &str)],
         started_ms: f64,
     ) {
@@ -74,7 +75,8 @@
         let entry = |(id, at, kind, state, zone): &(String, SocketAddr, &str, &str, &str)| json!({"id": id, "addr": at.to_string(), "zone": zone, "kind": kind, "cell": 0, "state": state, "started_ms": started_ms});
         let servers: Vec<Value> = engines.iter().map(entry).collect();
         let index = events.len() + 1;
-        events.push(json!({"index": index, "endpoints": {"full": whole, "servers": servers}}));
+        events
+            .push(json!({"index": index, "endpoints": {"full": is_full_list, "servers": servers}}));
         self.events.1.notify_all();
     }
 
@@ -97,14 +99,14 @@
         while reader.read_line(&mut line)? > 2 {
             line.clear();
         }
-        let figure = |name: &str| {
+        let query_number = |name: &str| {
             let rest = first.split(name).nth(1).unwrap_or_default();
             let end = rest
                 .find(|c: char| !c.is_ascii_digit())
                 .unwrap_or(rest.len());
             rest[..end].parse::<usize>().unwrap_or(0)
         };
-        let (follow, wait) = (figure("follow="), figure("wait_ms="));
+        let (follow, wait) = (query_number("follow="), query_number("wait_ms="));
         let Ok(events) = shared.0.lock() else {
             return Ok(());
         };
--- a/crates/lab/src/rig/datagrams.rs
+++ b/crates/lab/src/rig/datagrams.rs
@@ -174,9 +174,9 @@
         if !passed {
             continue;
         }
-        let late = state.delay_ms + rand::random_range(0..=state.max_jitter_ms);
-        let again = state.duplicate_after_ms.map(|ms| ms + late);
-        for delay in std::iter::once(late).chain(again) {
+        let delay_ms = state.delay_ms + rand::random_range(0..=state.max_jitter_ms);
+        let duplicate_ms = state.duplicate_after_ms.map(|ms| ms + delay_ms);
+        for delay in std::iter::once(delay_ms).chain(duplicate_ms) {
             let (socket, content) = (socket.clone(), bytes[..len].to_vec());
             let send = move || _ = socket.send_to(&content, target);
             match delay {
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -54,7 +54,7 @@
         member_options: Vec<MemberOptions>,
         row_store: Option<Arc<dyn RowStore>>,
     ) -> Result<Fleet, String> {
-        let why = |e: std::io::Error| e.to_string();
+        let to_text = |e: std::io::Error| e.to_string();
         let records = Records::new();
         let record = Arc::new(ClientRecord {
             records: records.clone(),
@@ -65,8 +65,8 @@
         let engines: Vec<Arc<Engine>> = (0..shape.zones * shape.engines_per_zone)
             .map(|n| Engine::holding(n, records.clone(), warmth(scenario), row_store.clone()))
             .collect::<Result<_, _>>()
-            .map_err(why)?;
-        let gossip = start_gossip(shape, seed, &records).map_err(why)?;
+            .map_err(to_text)?;
+        let gossip = start_gossip(shape, seed, &records).map_err(to_text)?;
         let config = FleetConfig {
             seed,
             settings: settings(scenario),
@@ -74,8 +74,8 @@
             gossip,
         };
         let (mut links, mut members, mut pids) = (Vec::new(), Vec::new(), Vec::new());
-        let mut clocks = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
-        let apart = shape.clocks_apart_ms as i64;
+        let mut clock_rng = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
+        let max_offset_ms = shape.clocks_apart_ms as i64;
         for front in 0..shape.fronts {
             let front_links: Vec<Arc<Link>> = engines
                 .iter()
@@ -89,10 +89,10 @@
                     )
                 })
                 .collect::<Result<_, _>>()
-                .map_err(why)?;
-            let coordinator = start_coordinator(&front_links).map_err(why)?;
+                .map_err(to_text)?;
+            let coordinator = start_coordinator(&front_links).map_err(to_text)?;
             links.push(front_links);
-            let ahead_ms = clocks.random_range(-apart..=apart);
+            let ahead_ms = clock_rng.random_range(-max_offset_ms..=max_offset_ms);
             let program = config
                 .member_options
                 .get(front)
@@ -124,9 +124,9 @@
             .iter()
             .filter(|p| p.at >= since)
             .for_each(|p| bytes[p.from] += p.bytes);
-        let here = (0..bytes.len())
+        let candidates = (0..bytes.len())
             .filter(|n| !excluded.contains(n) && !self.members[*n].unavailable.load(SeqCst));
-        here.max_by_key(|n| bytes[*n])
+        candidates.max_by_key(|n| bytes[*n])
     }
 
     /// Whether all fronts run and accept statements.
@@ -335,29 +335,29 @@
     let mut faults = scenario.faults.clone();
     faults.sort_by_key(|f| f.at_ms);
     let mut started = Vec::new();
-    let (mut played, mut playing, mut next) = (Vec::new(), Vec::<(i64, i64, Fault)>::new(), 0);
+    let (mut played, mut active, mut next) = (Vec::new(), Vec::<(i64, i64, Fault)>::new(), 0);
     let over = began + scenario.seconds as i64 * 1_000_000;
     loop {
         let now = fleet.records.now() - began;
-        if (began + now >= over || hooks.is_done(now)) && playing.is_empty() {
+        if (began + now >= over || hooks.is_done(now)) && active.is_empty() {
             break;
         }
         while let Some(fault) = faults.get(next).filter(|f| f.at_ms as i64 * 1000 <= now) {
-            let probed = fleet
+            let last_prober = fleet
                 .relayed
                 .lock()
                 .ok()
                 .and_then(|r| r.iter().rev().find(|r| r.probes > 0).map(|r| r.front));
-            let fault = fault.resolve_owner(probed);
+            let fault = fault.resolve_owner(last_prober);
             stage.begin(&fault);
             // The span starts now: a busy machine may have started the fault later than scheduled.
-            playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
+            active.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
             next += 1;
         }
         let over =
             |(at, _, fault): &(i64, i64, Fault)| *at <= now && !stage.is_shutting_down(fault);
-        let (due, later): (Vec<_>, Vec<_>) = playing.drain(..).partition(over);
-        playing = later;
+        let (due, later): (Vec<_>, Vec<_>) = active.drain(..).partition(over);
+        active = later;
         for (_, from, fault) in due {
             started.extend(stage.end(&fault)?);
             played.push((fault, from, fleet.records.now()));
@@ -368,7 +368,7 @@
                 ..fault
             };
             stage.begin(&fault);
-            playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
+            active.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
         }
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/lab/src/rig/front.rs
+++ b/crates/lab/src/rig/front.rs
@@ -79,15 +79,15 @@
         let number = NEXT_FOLDER.fetch_add(1, SeqCst);
         let folder =
             std::env::temp_dir().join(format!("hallmux-lab-{}-{number}", std::process::id()));
-        let why = |e: std::io::Error| e.to_string();
-        std::fs::create_dir_all(&folder).map_err(why)?;
+        let to_text = |e: std::io::Error| e.to_string();
+        std::fs::create_dir_all(&folder).map_err(to_text)?;
         let config = json!({"name": name, "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
             "limits": {"memory_mb": 512, "sockets": sockets}, "coordinator": coordinator.address.to_string(),
             "known": coordinator.snapshot(), "settings": settings});
         let (config_path, operator_path) =
             (folder.join("config.json"), folder.join("operator.json5"));
-        std::fs::write(&config_path, config.to_string()).map_err(why)?;
-        std::fs::write(&operator_path, operator).map_err(why)?;
+        std::fs::write(&config_path, config.to_string()).map_err(to_text)?;
+        std::fs::write(&operator_path, operator).map_err(to_text)?;
         let program = other.map_or_else(default_program, Ok)?;
         let mut child = Command::new(program)
             .env("NODE_CONFIG", &config_path)
@@ -95,7 +95,7 @@
             .envs(environment.iter().map(|(name, value)| (name, value)))
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(why)?;
+            .map_err(to_text)?;
         let log = BufReader::new(
             child
                 .stderr
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -138,11 +138,11 @@
         let operator = match &config.gossip {
             None => format!("{{ {ahead} }}"),
             Some((keys, relay)) => {
-                let mut chance = Pcg64Mcg::seed_from_u64(self.number as u64);
+                let mut rng = Pcg64Mcg::seed_from_u64(self.number as u64);
                 let seed = |_| {
                     format!(
                         "'{}'",
-                        relay.addresses[chance.random_range(0..relay.addresses.len())]
+                        relay.addresses[rng.random_range(0..relay.addresses.len())]
                     )
                 };
                 let seeds: Vec<String> = (0..SEED_COUNT).map(seed).collect();
--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -193,10 +193,10 @@
 impl Scenario {
     /// The class at position `at`, from 0 to 1, of the cumulated shares.
     pub fn draw_class(&self, at: f64) -> usize {
-        let mut left = at * self.classes.iter().map(|class| class.share).sum::<f64>();
+        let mut remaining = at * self.classes.iter().map(|class| class.share).sum::<f64>();
         let found = self.classes.iter().position(|class| {
-            left -= class.share;
-            left < 0.0
+            remaining -= class.share;
+            remaining < 0.0
         });
         found.unwrap_or(self.classes.len() - 1)
     }
@@ -247,8 +247,9 @@
             return place.reject("window_ms", &format!("must be from 1 to {MAX_WINDOW_MS}"));
         }
         if timeout <= work || timeout > MAX_TIMEOUT_MS {
-            let why = format!("of a class must be over its work_ms and {MAX_TIMEOUT_MS} at most");
-            return place.reject("timeout_ms", &why);
+            let message =
+                format!("of a class must be over its work_ms and {MAX_TIMEOUT_MS} at most");
+            return place.reject("timeout_ms", &message);
         }
         Ok(())
     }
@@ -264,8 +265,8 @@
             );
         }
         if self.load.timeout_ms <= self.load.work_ms || self.load.timeout_ms > MAX_TIMEOUT_MS {
-            let why = format!("must be over work_ms and {MAX_TIMEOUT_MS} at most");
-            return place.reject("timeout_ms", &why);
+            let message = format!("must be over work_ms and {MAX_TIMEOUT_MS} at most");
+            return place.reject("timeout_ms", &message);
         }
         Ok(())
     }
@@ -318,10 +319,10 @@
     if classes.len() <= MAX_CLASSES && classes.iter().all(is_valid) {
         return Ok(());
     }
-    let why = format!(
+    let message = format!(
         "and importance and slo_ms of a class must be over 0, {MAX_CLASSES} classes at most"
     );
-    place.reject("share", &why)
+    place.reject("share", &message)
 }
 
 impl FleetShape {
@@ -344,9 +345,9 @@
             return place.reject("clocks_apart_ms", &format!("is over {MAX_CLOCKS_APART_MS}"));
         }
         if zones == 0 || engines_per_zone == 0 || zones * engines_per_zone > MAX_ENGINES {
-            let why =
+            let message =
                 format!("and engines_per_zone must be 1 or more, {MAX_ENGINES} engines at most");
-            return place.reject("zones", &why);
+            return place.reject("zones", &message);
         }
         match self.voters {
             Some(_) if !self.gossip => return place.reject("voters", "needs gossip = true"),
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -80,11 +80,13 @@
         ) else {
             return format!("{statement_id}\t-\t-\n");
         };
-        let found = site
+        let matching_values = site
             .values
             .iter()
             .filter(|value| (from..=to).contains(*value));
-        found.map(|value| format!("{at}\t{value}\t-\n")).collect()
+        matching_values
+            .map(|value| format!("{at}\t{value}\t-\n"))
+            .collect()
     }
 }
 
@@ -158,7 +160,7 @@
             .iter()
             .for_each(|value| table.add_row(&[Some(Value::Number(i128::from(*value)))]));
         let (site_name, loads, version) = (zone_name(at), site.loads.clone(), site.version);
-        let about = SummaryHeader {
+        let header = SummaryHeader {
             site: site_name,
             group: TABLE_GROUP,
             schema: 1,
@@ -166,15 +168,15 @@
             made_ms: now_ms(),
             loads,
         };
-        Some(summary(about, vec![table], MOST_BYTES))
+        Some(summary(header, vec![table], MOST_BYTES))
     }
 
     /// Writes to a temporary file and renames it into the front's directory, so that no partial
     /// file is read.
     fn write(&self, front: usize, name: &str, bytes: &[u8]) {
-        let beside = self.folder.join(format!("new-{front}"));
+        let temporary = self.folder.join(format!("new-{front}"));
         let file = self.folder.join(format!("f{front}")).join(name);
-        let _ = std::fs::write(&beside, bytes).and_then(|()| std::fs::rename(&beside, file));
+        let _ = std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, file));
     }
 
     /// Publishes a current summary of site `at` in the directory of a front.
@@ -187,23 +189,23 @@
     /// Publishes a defective summary for the front to reject: it claims that the site has no rows,
     /// or does not decode.
     pub fn publish_defective_summary(&self, at: usize, front: usize, what: &str) {
-        let Some(whole) = self.build_summary(at) else {
+        let Some(current) = self.build_summary(at) else {
             return;
         };
         let empty = Summary {
             tables: vec![empty_table()],
-            ..whole.clone()
+            ..current.clone()
         };
         let bytes = match what {
             "forged" => empty.sign(&SigningKey::from_bytes(&[99; 32])),
             "altered" => {
-                let mut bytes = whole.sign(&self.keys[at]);
+                let mut bytes = current.sign(&self.keys[at]);
                 let middle = bytes.len() / 2;
                 bytes[middle] ^= 0x10;
                 bytes
             }
             "cut short" => {
-                let bytes = whole.sign(&self.keys[at]);
+                let bytes = current.sign(&self.keys[at]);
                 bytes[..bytes.len() * 2 / 3].to_vec()
             }
             _ => Summary {
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -165,13 +165,15 @@
     /// Whether the front of a `Term` fault has yet to exit.
     pub(super) fn is_shutting_down(&self, fault: &Fault) -> bool {
         let member = &self.members[fault.front];
-        let runs = || {
+        let is_running = || {
             member
                 .front
                 .lock()
                 .is_ok_and(|mut front| front.as_mut().is_some_and(|f| f.is_up()))
         };
-        fault.what == FaultKind::Term && self.records.now() < member.shutdown_deadline() && runs()
+        fault.what == FaultKind::Term
+            && self.records.now() < member.shutdown_deadline()
+            && is_running()
     }
 
     /// Ends a fault and returns the process ids of the fronts that it restarted.
@@ -182,11 +184,11 @@
             FaultKind::ZoneLost => {
                 // The zone returns cold; the coordinator announces the restart only if the fault
                 // says so.
-                let back = self
+                let zone_engines = self
                     .engines
                     .iter()
                     .filter(|e| self.links[0][e.number].zone == fault.zone);
-                back.for_each(|e| e.restart());
+                zone_engines.for_each(|e| e.restart());
                 if fault.told {
                     self.announce_restarts(fault.zone);
                 }
@@ -253,8 +255,8 @@
             .map_or(0, |d| d.as_millis());
         let name = zone_name(zone);
         for (front_links, member) in self.links.iter().zip(self.members) {
-            let back = front_links.iter().filter(|l| l.zone == zone);
-            let list: Vec<_> = back
+            let zone_links = front_links.iter().filter(|l| l.zone == zone);
+            let list: Vec<_> = zone_links
                 .map(|l| {
                     (
                         format!("e{}", l.engine),
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -55,23 +55,23 @@
     pub(super) fn submit_statement(&mut self, client: Client) {
         let (scenario, now) = (self.scenario, self.now);
         let class = &scenario.classes[client.class];
-        let here = |n: &usize| {
+        let is_candidate = |n: &usize| {
             let member = &self.members[*n];
-            let takes = member
+            let accepts = member
                 .shutdown_asked_at
                 .is_none_or(|asked| now < asked + CLIENT_GRACE_US);
             member.running.is_some()
                 && !member.is_stalled
-                && takes
+                && accepts
                 && !client.previous_fronts.contains(n)
         };
-        let here: Vec<usize> = (0..self.members.len()).filter(here).collect();
+        let candidates: Vec<usize> = (0..self.members.len()).filter(is_candidate).collect();
         // A front that is to die at a step of a ledger entry is preferred: among hundreds of fronts
         // it would wait long for a suitable statement.
         let armed = self.armed.as_ref().map(|armed| armed.death.front);
-        let armed = armed.filter(|front| class.needs_ledger_entry() && here.contains(front));
-        let drawn = here
-            .get(self.rng.random_range(0..here.len().max(1)))
+        let armed = armed.filter(|front| class.needs_ledger_entry() && candidates.contains(front));
+        let drawn = candidates
+            .get(self.rng.random_range(0..candidates.len().max(1)))
             .copied();
         let Some(front) = armed.or(drawn) else { return };
         let timeout_ms = class.timeout_ms.unwrap_or(scenario.load.timeout_ms);
@@ -84,7 +84,7 @@
             .unwrap_or_default();
         (asked.outcome, asked.answered) = (Outcome::Nothing, i64::MAX);
         let unique = format!("u{}", client.number);
-        let ask = StatementRequest {
+        let request = StatementRequest {
             workload: &class.name,
             customer: &class.customer,
             order_key: (!asked.key.is_empty()).then_some(&asked.key),
@@ -96,7 +96,7 @@
         };
         let (local_time, incarnation) = (self.local_time(front), self.members[front].incarnation);
         if let Some(running) = &mut self.members[front].running {
-            if let Ok(ticket) = running.dispatcher.submit(local_time, &ask) {
+            if let Ok(ticket) = running.dispatcher.submit(local_time, &request) {
                 self.statement_numbers
                     .insert((front, incarnation, ticket), self.account.asked.len());
             }
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -56,7 +56,7 @@
     }
 
     fn write(&mut self, writes: &[LedgerSave]) {
-        for Record { name, bytes } in writes.iter().flat_map(|kept| &kept.records) {
+        for Record { name, bytes } in writes.iter().flat_map(|save| &save.records) {
             match bytes {
                 Some(bytes) => _ = self.records.insert(name.clone(), bytes.clone()),
                 None => _ = self.records.remove(name),
@@ -67,17 +67,17 @@
 
 impl Simulation<'_> {
     /// Queues saves; their datagrams are sent once the saves are durable.
-    pub(super) fn save(&mut self, n: usize, mut kept: Vec<LedgerSave>) {
-        if self.members[n].running.is_none() || kept.is_empty() {
+    pub(super) fn save(&mut self, n: usize, mut saves: Vec<LedgerSave>) {
+        if self.members[n].running.is_none() || saves.is_empty() {
             return;
         }
         if self.mutation.sends_before_sync {
-            for kept in &mut kept {
-                let datagrams = std::mem::take(&mut kept.datagrams);
+            for save in &mut saves {
+                let datagrams = std::mem::take(&mut save.datagrams);
                 self.send_datagrams(n, datagrams);
             }
         }
-        self.members[n].disk.queued.extend(kept);
+        self.members[n].disk.queued.extend(saves);
         self.start_sync(n);
     }
 
@@ -90,7 +90,7 @@
         }
         let most = disk.queued.len().min(MAX_SYNC_BATCH);
         disk.writing = disk.queued.drain(..most).collect();
-        let empty = disk.writing.iter().all(|kept| kept.records.is_empty());
+        let empty = disk.writing.iter().all(|save| save.records.is_empty());
         let time = if empty {
             NO_SYNC_DELAY_US
         } else {
@@ -104,14 +104,14 @@
     pub(super) fn finish_sync(&mut self, n: usize) {
         let disk = &mut self.members[n].disk;
         let writing = std::mem::take(&mut disk.writing);
-        let Some(last) = writing.last().map(|kept| kept.number) else {
+        let Some(last) = writing.last().map(|save| save.number) else {
             return;
         };
-        let ok = !disk.full || writing.iter().all(|kept| kept.records.is_empty());
+        let ok = !disk.full || writing.iter().all(|save| save.records.is_empty());
         if ok {
             disk.write(&writing);
-            for kept in writing {
-                self.send_datagrams(n, kept.datagrams);
+            for save in writing {
+                self.send_datagrams(n, save.datagrams);
             }
         }
         let at = self.clock_reading(n);
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -150,7 +150,7 @@
     }
 
     /// Ends an execution and sends its answer, unless the connection was reset meanwhile.
-    pub(super) fn end_execution(&mut self, ran: EndedExecution) {
+    pub(super) fn end_execution(&mut self, ended: EndedExecution) {
         let EndedExecution {
             front,
             incarnation,
@@ -158,7 +158,7 @@
             engine: e,
             resets,
             link,
-        } = ran;
+        } = ended;
         self.engines[e].running = self.engines[e].running.saturating_sub(1);
         let number = self
             .statement_numbers
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -89,7 +89,7 @@
         member.running = Some(RunningFront {
             dispatcher,
             exchange,
-            barrier: barrier,
+            barrier,
             ledger_answers: Vec::new(),
             probes: HashMap::new(),
             connections,
--- a/crates/lab/src/simulated/growth.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -59,7 +59,7 @@
 impl Simulation<'_> {
     /// Samples the resource usage of all fronts.
     pub(super) fn sample_sizes(&mut self) {
-        let mut held = ResourceSample::default();
+        let mut sample = ResourceSample::default();
         let mut most = (0, None);
         for (n, member) in self.members.iter().enumerate() {
             let exchange = member
@@ -75,15 +75,15 @@
                 .iter()
                 .map(|(name, bytes)| name.len() + bytes.len())
                 .sum();
-            held.entries = held.entries.max(counters.entries as i64);
-            held.ledger_bytes = held.ledger_bytes.max(counters.bytes as i64);
-            held.disk_bytes = held.disk_bytes.max(disk as i64);
-            held.records = held.records.max(member.disk.records.len() as i64);
+            sample.entries = sample.entries.max(counters.entries as i64);
+            sample.ledger_bytes = sample.ledger_bytes.max(counters.bytes as i64);
+            sample.disk_bytes = sample.disk_bytes.max(disk as i64);
+            sample.records = sample.records.max(member.disk.records.len() as i64);
             if counters.replicas > most.0 {
                 most = (counters.replicas, Some(n));
             }
         }
-        self.growth.samples.push(held);
+        self.growth.samples.push(sample);
         self.growth.largest_holder = most.1;
         self.schedule_event(self.now + SAMPLE_INTERVAL_US, Event::SampleSizes);
     }
--- a/crates/lab/src/simulated/least.rs
+++ b/crates/lab/src/simulated/least.rs
@@ -16,45 +16,45 @@
     mut fails: impl FnMut(&Scenario) -> bool,
 ) -> (Scenario, usize) {
     let began = Instant::now();
-    let (mut least, mut plays) = (scenario.clone(), 0);
-    let mut tries = |tried: &Scenario| {
+    let (mut smallest, mut plays) = (scenario.clone(), 0);
+    let mut run_fails = |candidate: &Scenario| {
         plays += 1;
-        fails(tried)
+        fails(candidate)
     };
-    let mut many = least.faults.len();
-    while many > 0 && !least.faults.is_empty() {
-        many = many.min(least.faults.len());
+    let mut chunk = smallest.faults.len();
+    while chunk > 0 && !smallest.faults.is_empty() {
+        chunk = chunk.min(smallest.faults.len());
         let mut at = 0;
-        while at < least.faults.len() && began.elapsed() < within {
-            let end = (at + many).min(least.faults.len());
-            let mut tried = least.clone();
-            tried.faults.drain(at..end);
-            if tries(&tried) {
-                least = tried;
+        while at < smallest.faults.len() && began.elapsed() < within {
+            let end = (at + chunk).min(smallest.faults.len());
+            let mut candidate = smallest.clone();
+            candidate.faults.drain(at..end);
+            if run_fails(&candidate) {
+                smallest = candidate;
             } else {
                 at = end;
             }
         }
-        if many == 1 || began.elapsed() >= within {
+        if chunk == 1 || began.elapsed() >= within {
             break;
         }
-        many = many.div_ceil(2);
+        chunk = chunk.div_ceil(2);
     }
     // Shortens the load to end soon after the last fault.
-    let last = least
+    let last = smallest
         .faults
         .iter()
         .map(|f| f.at_ms + f.for_ms)
         .max()
         .unwrap_or(0);
-    let short = Scenario {
+    let shortened = Scenario {
         seconds: (last + TAIL_LOAD_MS).div_ceil(1000),
-        ..least.clone()
+        ..smallest.clone()
     };
-    if short.seconds < least.seconds && began.elapsed() < within && tries(&short) {
-        least = short;
+    if shortened.seconds < smallest.seconds && began.elapsed() < within && run_fails(&shortened) {
+        smallest = shortened;
     }
-    (least, plays)
+    (smallest, plays)
 }
 
 #[cfg(test)]
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -34,7 +34,7 @@
         let (matching, others) = self
             .done
             .drain(..)
-            .partition(|done| done.number >> COMPONENT_SHIFT == part >> COMPONENT_SHIFT);
+            .partition(|answers| answers.number >> COMPONENT_SHIFT == part >> COMPONENT_SHIFT);
         *self.done = others;
         matching
     }
@@ -42,14 +42,14 @@
 
 /// The members of the ledger, by their keys, and the address of each.
 pub(super) fn members(fronts: usize, zones: usize) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
-    let keeper = |n| peer_id(&Identity::new(&secret(n), 0).public_key());
+    let peer_id_of = |n| peer_id(&Identity::new(&secret(n), 0).public_key());
     let member = |n| Member {
-        front: keeper(n),
+        front: peer_id_of(n),
         zone: zone_name(n % zones),
     };
     (
         (0..fronts).map(member).collect(),
-        (0..fronts).map(|n| (keeper(n), address(n))).collect(),
+        (0..fronts).map(|n| (peer_id_of(n), address(n))).collect(),
     )
 }
 
@@ -59,7 +59,7 @@
         let Some(copies) = self.scenario.fleet.copies else {
             return Ok(());
         };
-        let (members, heard) = &self.ledger_members;
+        let (members, addresses) = &self.ledger_members;
         let at = self.clock_reading(n);
         let disk = &self.members[n].disk;
         let own_id = peer_id(&exchange.public_key());
@@ -69,7 +69,7 @@
         };
         let found = disk.load_records();
         exchange
-            .enable_ledger(at, setup, heard.clone(), found)
+            .enable_ledger(at, setup, addresses.clone(), found)
             .map_err(|e| e.to_string())
     }
 
@@ -84,7 +84,7 @@
         else {
             return;
         };
-        let mut way = BarrierLedgerClient {
+        let mut client = BarrierLedgerClient {
             exchange,
             at,
             done: &mut running.ledger_answers,
@@ -96,19 +96,21 @@
                 .get(&(n, incarnation, ticket))
                 .map(|number| asked[*number].asked.id.clone())
         };
-        let decisions = barrier.advance(local_time, &mut running.dispatcher, &mut way, id);
-        let outs = way.outs;
-        outs.into_iter().for_each(|out| self.send_output(n, out));
+        let decisions = barrier.advance(local_time, &mut running.dispatcher, &mut client, id);
+        let outputs = client.outs;
+        outputs.into_iter().for_each(|out| self.send_output(n, out));
         for decision in decisions {
             let Some(running) = &mut self.members[n].running else {
                 return;
             };
             match decision {
-                BarrierDecision::Release(go) => {
-                    running
-                        .dispatcher
-                        .execution_sent(local_time, go.ticket, go.execution);
-                    self.send_execution(n, (go.ticket, go.execution), go.place);
+                BarrierDecision::Release(released) => {
+                    running.dispatcher.execution_sent(
+                        local_time,
+                        released.ticket,
+                        released.execution,
+                    );
+                    self.send_execution(n, (released.ticket, released.execution), released.place);
                 }
                 BarrierDecision::Reject(ticket) => {
                     running.dispatcher.reject(local_time, ticket);
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -128,7 +128,7 @@
             first_executions: HashMap::new(),
             ledger_members: super::ledger::members(fronts, zones),
             armed: None,
-            mutation: mutation,
+            mutation,
             growth: Growth::default(),
             shards: hallmux_ledger::Setup::new("lab", 0, 0, 1, Vec::new()).shards,
             active_faults: BTreeMap::new(),
