--- a/crates/config/src/operator_file/postgres_tests.rs
+++ b/crates/config/src/operator_file/postgres_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `postgres` module.
 
 use super::super::sections::tests::read;
-use super::file::DEFAULT_STATEMENTS;
+use super::file::DEFAULT_PREPARED_STATEMENTS;
 
 const GOOD: &str = "{
     // comments and bare keys
@@ -19,20 +19,23 @@
 }";
 
 #[test]
-fn a_whole_file_is_read_and_the_rest_defaulted() {
+fn missing_limits_get_their_defaults() {
     let postgres = read(GOOD).unwrap().postgres.unwrap();
     assert_eq!(postgres.users["portal"].engine_user, "portal");
     assert_eq!(
-        (postgres.limits.sessions, postgres.limits.statements),
-        (10, DEFAULT_STATEMENTS)
+        (
+            postgres.limits.sessions,
+            postgres.limits.prepared_statements
+        ),
+        (10, DEFAULT_PREPARED_STATEMENTS)
     );
     assert_eq!(postgres.engines[1].port, Some(5433));
     assert!(read("{}").unwrap().postgres.is_none());
 }
 
 #[test]
-fn what_is_unknown_or_wrong_is_named_with_its_path_and_line() {
-    for (from, to, says) in [
+fn unknown_key_or_invalid_value_is_rejected_with_path_and_line() {
+    for (from, to, expected) in [
         (
             "sessions: 10",
             "sesions: 10",
@@ -86,8 +89,8 @@
         ),
     ] {
         let text = GOOD.replace(from, to);
-        let why = read(&text).unwrap_err();
-        assert!(why.starts_with(says), "{to}: {why}");
+        let error = read(&text).unwrap_err();
+        assert!(error.starts_with(expected), "{to}: {error}");
     }
     assert!(read("{ postgres: ").unwrap_err().contains("line 1"));
     assert!(read("{} x").is_err());
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -175,9 +175,9 @@
         limits: SessionLimits,
     ) -> Self {
         let bounds = pool::Bounds {
-            each_engine: limits.engine_connections,
-            idle: limits.connection_idle,
-            age: limits.connection_age,
+            per_engine: limits.engine_connections,
+            idle_timeout_us: limits.connection_idle_timeout,
+            max_age_us: limits.max_connection_age,
         };
         Servers {
             handle,
@@ -306,7 +306,7 @@
         idle.into_iter().for_each(|id| self.close(id));
         // Executions whose settings are still being transferred were not sent either.
         let setting = |(id, server): (&ServerId, &Server)| {
-            (server.engine_index == engine_index && server.engine.is_setting())
+            (server.engine_index == engine_index && server.engine.is_applying_settings())
                 .then_some((*id, server.serving))
         };
         let setting: Vec<(ServerId, Option<ExecutionId>)> =
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -34,7 +34,7 @@
         if self
             .connections
             .get(&id)
-            .is_some_and(|server| server.engine.is_setting())
+            .is_some_and(|server| server.engine.is_applying_settings())
         {
             self.report_end(execution_id, Ending::Withdrawn);
             return self.close(id);
@@ -116,7 +116,7 @@
             // Output that was written but not sent is dropped with its connection, as is a unit
             // that waits for its settings.
             let is_unsent =
-                |server: &Server| !server.link.has_sent(1) || server.engine.is_setting();
+                |server: &Server| !server.link.has_sent(1) || server.engine.is_applying_settings();
             let unsent = self
                 .connections
                 .get(&id)
@@ -341,7 +341,7 @@
     match execution.stage {
         Stage::Waiting => Ending::Withdrawn,
         // The unit waits here until its settings are transferred.
-        _ if server.engine.is_setting() => Ending::HalfWritten,
+        _ if server.engine.is_applying_settings() => Ending::HalfWritten,
         // Without its Sync an engine keeps nothing of a unit, unless the unit contains a commit of
         // its own.
         Stage::Writing if !has_left && !execution.unit.no_retry => Ending::HalfWritten,
@@ -352,7 +352,7 @@
 /// Logs a lost connection. An engine that can't be reached is logged once, until it is reached
 /// again.
 fn log_lost_connection(engine: &mut EngineEntry, server: &Server, ending: Ending) {
-    if !server.engine.is_up() {
+    if !server.engine.is_logged_in() {
         if !std::mem::replace(&mut engine.failing, true) {
             log::warn!(
                 "engine {}: can't be reached for sessions: {ending:?}; units that wait for it are returned to the dispatcher",
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -8,8 +8,8 @@
 use hallmux_ledger::{Key, Kind, LedgerAnswer, LedgerRequest, Operation, Outcome};
 use hallmux_native_codec::statement::Call;
 use hallmux_native_codec::tables;
-use hallmux_scatter::marker::{self, Effect, LedgerReply, Marker};
-use hallmux_scatter::marks::{key, numbered, Affected};
+use hallmux_scatter::load_markers::{ledger_key, with_load_numbers, Affected};
+use hallmux_scatter::marker_requests::{self, Effect, LedgerReply, MarkerRequests};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::SummaryStore;
 
@@ -70,7 +70,7 @@
 
 /// Executions that wait until their load markers are in the ledger.
 pub struct Loads {
-    marker: Marker,
+    marker: MarkerRequests,
     held: HashMap<ExecutionId, Held>,
     /// Workloads whose statements may write.
     writing_workloads: Vec<String>,
@@ -105,7 +105,7 @@
     /// the sites.
     pub fn new(writing_workloads: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
-            marker: Marker::new(REQUEST_NUMBER_BASE),
+            marker: MarkerRequests::new(REQUEST_NUMBER_BASE),
             held: HashMap::new(),
             writing_workloads,
             locations,
@@ -178,7 +178,7 @@
 
     /// Requests the load markers of a table group for a scattered statement.
     pub fn await_markers(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
-        self.marker.await_marks(u64::from(ticket), group);
+        self.marker.await_markers(u64::from(ticket), group);
     }
 
     /// When `report_held` must run even if no answer arrives, in Unix microseconds.
@@ -220,11 +220,11 @@
     /// Returns the outcomes that follow from an answer of the ledger.
     pub fn on_ledger_answer(&mut self, answer: LedgerAnswer) -> Vec<LoadOutcome> {
         let reply = match answer.outcome {
-            Outcome::Stands(entry) => LedgerReply::Stands {
+            Outcome::Stands(entry) => LedgerReply::Entry {
                 version: entry.version,
                 value: entry.value,
             },
-            Outcome::Held(entry) => LedgerReply::Held {
+            Outcome::Held(entry) => LedgerReply::Conflict {
                 version: entry.version,
                 value: entry.value,
             },
@@ -239,7 +239,8 @@
     }
 
     fn apply_effect(&mut self, effect: Effect) -> LoadOutcome {
-        let sent = |(ticket, number): marker::Waiter| ExecutionId::new(ticket as u32, number);
+        let sent =
+            |(ticket, number): marker_requests::Waiter| ExecutionId::new(ticket as u32, number);
         match effect {
             Effect::Send { load, numbers } => match self.held.remove(&sent(load)) {
                 Some(Held {
@@ -247,7 +248,7 @@
                     terms,
                     load: held,
                 }) => {
-                    let text = held.text().map(|text| numbered(&numbers, text));
+                    let text = held.text().map(|text| with_load_numbers(&numbers, text));
                     let outgoing = match (held, text) {
                         (Load::Call(call), Some(statement)) => Outgoing::Call(Rc::new(Call {
                             statement,
@@ -274,12 +275,15 @@
 }
 
 /// Converts a marker's request to one to the ledger.
-fn ledger_request(request: marker::LedgerRequest) -> LedgerRequest {
-    let operation = match request.what {
-        marker::Operation::Read => Operation::Read,
+fn ledger_request(request: marker_requests::LedgerRequest) -> LedgerRequest {
+    let operation = match request.operation {
+        marker_requests::Operation::Read => Operation::Read,
         // The entry never expires, because what it states about versions stays valid.
-        marker::Operation::Put { expects, value } => Operation::Put {
-            expects: Some(expects),
+        marker_requests::Operation::Put {
+            expected_version,
+            value,
+        } => Operation::Put {
+            expects: Some(expected_version),
             ends_ms: 0,
             value,
         },
@@ -288,7 +292,7 @@
         number: request.number,
         key: Key {
             kind: Kind::Mark,
-            name: key(request.group),
+            name: ledger_key(request.group),
         },
         operation,
     }
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -8,8 +8,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::summary::{Column, Loads, Summary, Table, MOST_BYTES};
+use hallmux_scatter::build::{build_summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::summary::{Column, LoadNumbers, Summary, Table, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
 use super::agreed::zone_name;
@@ -31,7 +31,7 @@
 #[derive(Default)]
 struct Site {
     values: Vec<i64>,
-    loads: Loads,
+    loads: LoadNumbers,
     version: u64,
 }
 
@@ -152,7 +152,7 @@
     }
 
     /// Builds a summary of the site's current rows under its next version.
-    fn build_summary(&self, at: usize) -> Option<Summary> {
+    fn next_summary(&self, at: usize) -> Option<Summary> {
         let mut site = self.sites[at].lock().ok()?;
         site.version += 1;
         let mut table = TableBuilder::new("t", &[("v", Kind::Number { scale: 0 })]);
@@ -168,7 +168,7 @@
             made_ms: now_ms(),
             loads,
         };
-        Some(summary(header, vec![table], MOST_BYTES))
+        Some(build_summary(header, vec![table], MAX_SUMMARY_BYTES))
     }
 
     /// Writes to a temporary file and renames it into the front's directory, so that no partial
@@ -181,7 +181,7 @@
 
     /// Publishes a current summary of site `at` in the directory of a front.
     pub fn publish_summary(&self, at: usize, front: usize) {
-        if let Some(summary) = self.build_summary(at) {
+        if let Some(summary) = self.next_summary(at) {
             self.write(front, &zone_name(at), &summary.sign(&self.keys[at]));
         }
     }
@@ -189,7 +189,7 @@
     /// Publishes a defective summary for the front to reject: it claims that the site has no rows,
     /// or does not decode.
     pub fn publish_defective_summary(&self, at: usize, front: usize, what: &str) {
-        let Some(current) = self.build_summary(at) else {
+        let Some(current) = self.next_summary(at) else {
             return;
         };
         let empty = Summary {
--- a/crates/native-codec/src/statement/read.rs
+++ b/crates/native-codec/src/statement/read.rs
@@ -1,4 +1,4 @@
-//! Reads the messages of clients.
+//! Decodes the messages of clients.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,19 @@
 };
 use thrift::TConfiguration;
 
-use super::{Call, Message, Request, PREFIX};
+use super::{Call, Message, Request, LENGTH_PREFIX_BYTES};
 use crate::wire_names::client;
 use crate::{Decoded, ParseError};
 
-/// Bytes of a frame.
-const MAX_FRAME: usize = 128 << 10;
-/// Fields of a statement.
+/// The maximum length of a frame, in bytes.
+const MAX_FRAME_BYTES: usize = 128 << 10;
+/// The maximum number of fields of a statement.
 const MAX_FIELDS: usize = 64;
-/// Structs within structs that are passed over.
+/// The maximum nesting depth of structs that are skipped.
 const MAX_DEPTH: usize = 8;
-/// Bytes of a word that an engine is sent or that is kept.
-pub(super) const MAX_WORD: usize = 64;
-/// Hexadecimal digits of a statement's id.
+/// The maximum length of a word that is sent to an engine or stored, in bytes.
+pub(super) const MAX_WORD_BYTES: usize = 64;
+/// The number of hexadecimal digits of a statement's id.
 const ID_DIGITS: usize = 16;
 const MAX_TIME_LEFT_MS: f64 = 3.6e6;
 const MAX_WORK_MS: f64 = 8.64e7;
@@ -27,29 +27,29 @@
 
 type Fields = BTreeMap<String, String>;
 
-/// Takes the next whole message from the start of `input`; None until all of it has come.
+/// Decodes the message at the start of `input`; None if it is incomplete.
 pub fn read(input: &[u8]) -> Result<Option<Decoded<Message>>, ParseError> {
-    let Some(prefix) = input.first_chunk::<PREFIX>() else {
+    let Some(prefix) = input.first_chunk::<LENGTH_PREFIX_BYTES>() else {
         return Ok(None);
     };
     let len = usize::try_from(i32::from_be_bytes(*prefix))
         .ok()
-        .filter(|len| *len <= MAX_FRAME)
-        .ok_or_else(|| ParseError::new("a frame longer than agreed, or negative"))?;
-    let Some(frame) = input[PREFIX..].get(..len) else {
+        .filter(|len| *len <= MAX_FRAME_BYTES)
+        .ok_or_else(|| ParseError::new("a frame length that is negative or over the limit"))?;
+    let Some(frame) = input[LENGTH_PREFIX_BYTES..].get(..len) else {
         return Ok(None);
     };
     let message = message(frame).map_err(ParseError::new)?;
     Ok(Some(Decoded {
-        len: PREFIX + len,
+        len: LENGTH_PREFIX_BYTES + len,
         message,
     }))
 }
 
 fn message(frame: &[u8]) -> thrift::Result<Message> {
     let limits = TConfiguration::builder()
-        .max_message_size(Some(MAX_FRAME))
-        .max_frame_size(Some(MAX_FRAME))
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
         .max_string_size(Some(frame.len()))
         .max_container_size(Some(MAX_FIELDS))
         .max_recursion_depth(Some(MAX_DEPTH))
@@ -57,9 +57,10 @@
     let mut input = TBinaryInputProtocol::with_config(frame, true, limits);
     let head = input.read_message_begin()?;
     let arguments = Arguments::read(&mut input, &head.name)?;
-    // Guards against lengths that don't fit: what is behind the message belongs to no other.
+    // Bytes left after the message mean that the frame's length is wrong; they belong to no other
+    // message.
     if !input.transport.is_empty() {
-        return Err("a frame longer than its message".into());
+        return Err("bytes after the message in its frame".into());
     }
     Ok(Message {
         sequence_number: head.sequence_number,
@@ -77,12 +78,12 @@
         }
         (client::HEALTH_CHECK, TMessageType::Call) => Request::HealthCheck,
         (_, TMessageType::Call | TMessageType::OneWay) => Request::UnknownMethod(head.name),
-        _ => return Err("a client that answers".into()),
+        _ => return Err("a message that is not a call".into()),
     };
     Ok(request)
 }
 
-/// The arguments of the methods that there are; those of others are passed over.
+/// The arguments of the known methods; those of unknown methods are skipped.
 #[derive(Default)]
 struct Arguments {
     fields: Fields,
@@ -117,7 +118,7 @@
     let mut fields = BTreeMap::new();
     if map.size > 0 && (map.key_type, map.value_type) != (Some(TType::String), Some(TType::String))
     {
-        return Err("fields that are no text".into());
+        return Err("a field map whose keys or values are not strings".into());
     }
     for _ in 0..map.size {
         fields.insert(input.read_string()?, input.read_string()?);
@@ -126,7 +127,7 @@
 }
 
 impl Call {
-    /// The statement as its fields describe it, with the first of them that can't be used.
+    /// Creates the statement from its fields, and records the first invalid one.
     fn new(fields: &Fields, statement: Option<Vec<u8>>) -> Call {
         let text = |name: &str| fields.get(name).cloned();
         let number = |name: &str| {
@@ -158,7 +159,7 @@
                 client::TIME_LEFT_MS,
                 is_within(self.time_left_ms, MAX_TIME_LEFT_MS),
             ),
-            (client::SECOND, second.is_none_or(|mark| mark == "1")),
+            (client::SECOND, second.is_none_or(|value| value == "1")),
             (
                 client::DEDUP_KEY,
                 self.dedup_key.as_deref().is_none_or(is_word),
@@ -180,12 +181,12 @@
     text.len() == ID_DIGITS && text.bytes().all(|c| c.is_ascii_hexdigit())
 }
 
-/// Whether a word can stand in an engine's line as it is.
+/// Whether a word can be sent unchanged in a line to an engine.
 fn is_word(text: &str) -> bool {
-    let may_stand = |c: u8| c.is_ascii_graphic() && c != b',' && c != b'=';
-    !text.is_empty() && text.len() <= MAX_WORD && text.bytes().all(may_stand)
+    let is_allowed = |c: u8| c.is_ascii_graphic() && c != b',' && c != b'=';
+    !text.is_empty() && text.len() <= MAX_WORD_BYTES && text.bytes().all(is_allowed)
 }
 
-fn is_within(number: f64, most: f64) -> bool {
-    (0.0..=most).contains(&number)
+fn is_within(number: f64, max: f64) -> bool {
+    (0.0..=max).contains(&number)
 }
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -1,5 +1,6 @@
-//! SQL read as far as a front must: where statements begin, what they change of a session, what can't be done
-//! over shared connections, and the labels in a leading comment. What it does not understand, passes.
+//! Scans SQL for what a front must know: where statements begin, which session settings they
+//! change, what is not possible over shared connections, and the labels in leading comments.
+//! Whatever the scanner does not understand is let through.
 
 mod findings;
 mod labels;
@@ -7,41 +8,42 @@
 mod tokens;
 
 pub use self::findings::{Change, LocalCommand, Scan};
-use self::labels::label;
-pub use self::labels::{time, Label};
+use self::labels::leading_labels;
+pub use self::labels::{parse_duration_us, Label};
 use self::settings::scan_setting;
 use self::tokens::{Kind, Token, Tokens};
 
-const HEAD: usize = 8; // tokens kept of a statement's beginning: enough for every form below
+const MAX_HEAD_TOKENS: usize = 8; // of a statement's beginning; enough for every form below
 
-/// Scans a text of one or more statements. Whatever it does not understand counts as harmless.
+/// Scans a text of one or more statements. Whatever the scanner does not understand counts as
+/// supported.
 pub fn scan(text: &[u8]) -> Scan {
     let mut scan = Scan {
-        label: label(text),
+        label: leading_labels(text),
         ..Scan::default()
     };
-    let mut head: Vec<Token> = Vec::with_capacity(HEAD);
-    let mut before: Option<Token> = None;
+    let mut head: Vec<Token> = Vec::with_capacity(MAX_HEAD_TOKENS);
+    let mut previous: Option<Token> = None;
     let mut tokens = Tokens { text, at: 0 };
     loop {
         let token = tokens.next();
         match token {
             Some(token) if token.kind != Kind::End => {
                 let first = *head.first().unwrap_or(&token);
-                check_word(&mut scan, text, &first, before.as_ref(), &token, &tokens);
-                if head.len() < HEAD {
+                check_word(&mut scan, text, &first, previous.as_ref(), &token, &tokens);
+                if head.len() < MAX_HEAD_TOKENS {
                     head.push(token);
                 }
-                before = Some(token);
+                previous = Some(token);
             }
-            ended => {
-                let end = ended.map_or(text.len(), |token| token.at);
+            end_token => {
+                let end = end_token.map_or(text.len(), |token| token.at);
                 if !head.is_empty() {
                     check_statement(&mut scan, text, &head, end);
                 }
                 head.clear();
-                before = None;
-                if ended.is_none() {
+                previous = None;
+                if end_token.is_none() {
                     break;
                 }
             }
@@ -53,19 +55,20 @@
     scan
 }
 
-/// Looks at one word in its place.
+/// Checks a word for a feature that is not possible over shared connections. `first` is the first
+/// token of its statement, `previous` the token before it.
 fn check_word(
     scan: &mut Scan,
     text: &[u8],
     first: &Token,
-    before: Option<&Token>,
+    previous: Option<&Token>,
     token: &Token,
     rest: &Tokens,
 ) {
     if token.kind != Kind::Word {
         return;
     }
-    let follows = |word: &str| before.is_some_and(|before| before.is(word));
+    let follows = |word: &str| previous.is_some_and(|previous| previous.is(word));
     let unsupported = if token.is("stdin") && follows("from") && first.is("copy") {
         Some("COPY FROM STDIN")
     } else if (token.is("temp") || token.is("temporary"))
@@ -92,15 +95,15 @@
     scan.unsupported = scan.unsupported.or(unsupported);
 }
 
-/// Looks at a statement that is whole, by its beginning.
+/// Classifies a complete statement by its first tokens; it ends at `end` in `text`.
 fn check_statement(scan: &mut Scan, text: &[u8], head: &[Token], end: usize) {
     scan.statements += 1;
     let second = |word: &str| head.get(1).is_some_and(|t| t.is(word));
     let first = |word: &str| head[0].is(word);
     if first("begin") || first("start") && second("transaction") {
-        scan.begins = true;
+        scan.begins_transaction = true;
     } else if first("commit") || first("end") {
-        scan.commits = true;
+        scan.commits_transaction = true;
         if second("prepared") {
             scan.unsupported = Some("a transaction in two phases");
         }
@@ -109,10 +112,10 @@
             scan.unsupported = Some("a transaction in two phases");
         }
         let to = |t: &Token| t.is("to");
-        scan.rolls_back |= !head.iter().any(to);
+        scan.rolls_back_transaction |= !head.iter().any(to);
     } else if first("prepare") {
-        let two = second("transaction");
-        scan.unsupported = Some(if two {
+        let is_two_phase = second("transaction");
+        scan.unsupported = Some(if is_two_phase {
             "a transaction in two phases"
         } else {
             "PREPARE as a statement"
@@ -150,7 +153,7 @@
     }
 }
 
-/// A name as it stands in SQL text: in double quotes where it needs them.
+/// Returns a name as an SQL identifier, in double quotes if it needs them.
 pub(crate) fn quoted_identifier(name: &str) -> String {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
     if name.chars().all(is_plain) {
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -1,52 +1,55 @@
-//! How many distinct values columns have, within an error that is stated: sketches (HyperLogLog) that sites
-//! make of the columns that they are told to, joined at a front without asking any site.
+//! Estimates the number of distinct values of columns, with a stated error, from HyperLogLog
+//! sketches that sites make of the configured columns. A front merges them without asking any site.
 
 use datasketches::common::NumStdDev;
 use datasketches::hll::{HllSketch, HllType, HllUnion};
 
-use crate::marks::{Affected, Cell};
+use crate::load_markers::{Affected, Cell};
 use crate::plan::{Basis, LoadInfo};
 use crate::sql::Query;
 use crate::value::{Kind, Value};
 
-const LG_K: u8 = 12; // 4,096 registers: 3.3 % at two standard deviations, some 2,100 bytes a column
-const LONGEST: usize = 8 << 10; // bytes of one
+// 4,096 registers: 3.3 % at two standard deviations, some 2,100 bytes per column.
+const LOG2_REGISTERS: u8 = 12;
+// The size limit of one sketch.
+const MAX_SKETCH_BYTES: usize = 8 << 10;
 
-/// A column's sketch as its rows come.
+/// Builds a column's sketch while rows are added.
 pub(crate) struct SketchBuilder(HllSketch);
 
 impl SketchBuilder {
-    /// `None`: engines may take unequal values of this kind for equal, so that they cannot be counted here.
+    /// Creates an empty sketch. None if engines may treat unequal values of this kind as equal, so
+    /// that they can't be counted here.
     pub fn new(kind: Kind) -> Option<SketchBuilder> {
-        HllSketch::new(LG_K, HllType::Hll4)
+        HllSketch::new(LOG2_REGISTERS, HllType::Hll4)
             .ok()
             .filter(|_| kind.is_equal_by_value())
             .map(SketchBuilder)
     }
 
-    /// Takes in one value.
+    /// Adds a value.
     pub fn add_value(&mut self, value: &Value) {
         self.0.update(value.hash());
     }
 
-    /// The bytes that go into a summary.
+    /// The encoded sketch, as summaries contain it.
     pub fn bytes(&self) -> Vec<u8> {
         self.0.serialize()
     }
 }
 
-fn read(bytes: &[u8]) -> Option<HllSketch> {
-    let short = Some(bytes).filter(|bytes| bytes.len() <= LONGEST)?;
-    HllSketch::deserialize(short)
+fn deserialize_sketch(bytes: &[u8]) -> Option<HllSketch> {
+    let bounded = Some(bytes).filter(|bytes| bytes.len() <= MAX_SKETCH_BYTES)?;
+    HllSketch::deserialize(bounded)
         .ok()
-        .filter(|sketch| sketch.lg_config_k() == LG_K)
+        .filter(|sketch| sketch.lg_config_k() == LOG2_REGISTERS)
 }
 
-pub(crate) fn is_sound(bytes: &[u8]) -> bool {
-    read(bytes).is_some()
+pub(crate) fn is_valid(bytes: &[u8]) -> bool {
+    deserialize_sketch(bytes).is_some()
 }
 
-/// Distinct values, and by which part of them that may be wrong at two standard deviations.
+/// An estimate of the number of distinct values, with its error at two standard deviations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The estimated number of distinct values.
@@ -55,8 +58,8 @@
     pub error: f64,
 }
 
-/// How many distinct values a column has at all of the sites. None: a site says nothing of it that counts, or
-/// a load may have brought values that are not known.
+/// Estimates the number of distinct values of a column over all sites. None if a site has no valid
+/// sketch of it, or if a load may have added values that are not known.
 pub fn distinct(query: &Query, basis: &Basis) -> Option<Estimate> {
     let Basis {
         sites,
@@ -67,8 +70,8 @@
         ..
     } = *basis;
     let name = query.distinct.as_ref()?;
-    let mut all = HllUnion::new(LG_K).ok()?;
-    let mut alike = None;
+    let mut union = HllUnion::new(LOG2_REGISTERS).ok()?;
+    let mut common_kind = None;
     for site in sites {
         if suspected(site) || !basis.allows(site) {
             return None;
@@ -79,17 +82,17 @@
             .columns
             .iter()
             .find(|column| column.name == *name)?;
-        // Values of two kinds may be equal and are not known to be.
-        if *alike.get_or_insert(column.kind) != column.kind {
+        // Values of different kinds may be equal without being recognized as such.
+        if *common_kind.get_or_insert(column.kind) != column.kind {
             return None;
         }
-        all.update(&read(column.sketch.as_ref()?)?);
-        let open = match loads {
-            LoadInfo::Marks(marks) => marks.uncovered(summary)?,
+        union.update(&deserialize_sketch(column.sketch.as_ref()?)?);
+        let uncovered = match loads {
+            LoadInfo::Markers(markers) => markers.uncovered(summary)?,
             LoadInfo::NoLoads => Vec::new(),
-            LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => return None,
+            LoadInfo::JoinMarkers(..) | LoadInfo::Unknown => return None,
         };
-        for touched in open {
+        for touched in uncovered {
             let Affected::Rows {
                 table,
                 columns,
@@ -101,24 +104,29 @@
             if *table != query.table {
                 continue;
             }
-            let place = columns.iter().position(|column| column == name)?;
+            let position = columns.iter().position(|column| column == name)?;
             for row in rows {
-                match row.get(place)? {
+                match row.get(position)? {
                     Cell::Null => {}
                     Cell::Is(literal) => {
                         let point = literal.point(column.kind).filter(|point| point.exact)?;
-                        all.update_value(point.below.hash());
+                        union.update_value(point.below.hash());
                     }
                     Cell::Unknown => return None,
                 }
             }
         }
     }
-    let of = all.estimate();
-    let wide = (all.upper_bound(NumStdDev::Two) - of).max(of - all.lower_bound(NumStdDev::Two));
-    let error = if of > 0.0 { wide / of } else { 0.0 };
+    let estimate = union.estimate();
+    let deviation = (union.upper_bound(NumStdDev::Two) - estimate)
+        .max(estimate - union.lower_bound(NumStdDev::Two));
+    let error = if estimate > 0.0 {
+        deviation / estimate
+    } else {
+        0.0
+    };
     Some(Estimate {
-        distinct: of.round().max(0.0) as u64,
+        distinct: estimate.round().max(0.0) as u64,
         error,
     })
 }
--- a/crates/scatter/src/sql/names.rs
+++ b/crates/scatter/src/sql/names.rs
@@ -1,30 +1,31 @@
-//! Names and constants of a statement: which table and group, which column, which value.
+//! Names and constants of a statement: tables with their groups, columns and literals.
 
 use sqlparser::ast::{
-    Expr, Ident, ObjectName, SelectItem, TableFactor, UnaryOperator, Value as Word,
+    Expr, Ident, ObjectName, SelectItem, TableFactor, UnaryOperator, Value as SqlValue,
 };
 
 use super::{not_divisible, Unsupported};
 use crate::value::Literal;
 
-const SCRATCH: &str = "staging"; // the schema that is no group's
+// The schema that belongs to no group.
+const STAGING_SCHEMA: &str = "staging";
 
-/// The group and the table that a name of two parts stands for.
+/// The group and the table of a name with two parts.
 pub(crate) fn table(name: &ObjectName) -> Option<(u32, String)> {
     let parts: Option<Vec<&Ident>> = name.0.iter().map(|part| part.as_ident()).collect();
     let [schema, table] = parts?[..] else {
         return None;
     };
-    let (area, number) = schema.value.rsplit_once('_')?;
-    let plain = !number.is_empty() && number.bytes().all(|c| c.is_ascii_digit());
+    let (prefix, number) = schema.value.rsplit_once('_')?;
+    let is_number = !number.is_empty() && number.bytes().all(|c| c.is_ascii_digit());
     let group = number
         .parse()
         .ok()
-        .filter(|_| plain && !area.eq_ignore_ascii_case(SCRATCH))?;
+        .filter(|_| is_number && !prefix.eq_ignore_ascii_case(STAGING_SCHEMA))?;
     Some((group, plain_name(table)))
 }
 
-/// A name as it is kept: quoted ones as they are.
+/// A name in its normal form: in lower case unless it is quoted.
 pub(crate) fn plain_name(name: &Ident) -> String {
     match name.quote_style {
         None => name.value.to_ascii_lowercase(),
@@ -32,11 +33,11 @@
     }
 }
 
-/// A table as a statement names it.
+/// A table as a statement refers to it.
 pub(crate) struct TableReference {
     pub group: u32,
     pub table: String,
-    /// What its columns are named by.
+    /// The name that qualifies the table's columns.
     pub alias: String,
 }
 
@@ -57,8 +58,12 @@
     else {
         return not_divisible("anything but a table");
     };
-    let aliased = alias.as_ref().is_some_and(|a| !a.columns.is_empty());
-    if !with_hints.is_empty() || !partitions.is_empty() || !index_directives.is_empty() || aliased {
+    let renames_columns = alias.as_ref().is_some_and(|a| !a.columns.is_empty());
+    if !with_hints.is_empty()
+        || !partitions.is_empty()
+        || !index_directives.is_empty()
+        || renames_columns
+    {
         return not_divisible("a table with hints, partitions or other names");
     }
     let (group, table) = table(name).ok_or(Unsupported::NoGroup)?;
@@ -79,18 +84,19 @@
     }
 }
 
-/// Which names stand for columns of the table.
+/// Determines which names refer to columns of the table.
 #[derive(Clone)]
 pub(crate) struct ColumnScope {
     pub table: String,
-    /// Given to what is selected: dialects differ in what they stand for in a condition.
+    /// Aliases of the select list; dialects differ on what they refer to in a condition.
     pub aliases: Vec<String>,
-    /// Beside another table: a name by itself may be a column of either.
+    /// Whether another table is joined: an unqualified name may be a column of either then.
     pub qualified: bool,
 }
 
 impl ColumnScope {
-    /// The column that an expression names; `None`: it names none, or dialects differ on it.
+    /// The column that an expression refers to. None if it refers to none, or if dialects differ on
+    /// it.
     pub fn column(&self, e: &Expr) -> Option<String> {
         let name = match e {
             Expr::Identifier(name) if !self.qualified => name,
@@ -101,7 +107,7 @@
             Expr::Nested(inner) => return self.column(inner),
             _ => return None,
         };
-        // What is quoted is a name in one dialect and text in another.
+        // Quoted text is a name in some dialects and a string in others.
         let plain = name
             .quote_style
             .is_none()
@@ -110,17 +116,17 @@
     }
 }
 
-/// A constant that is not null.
+/// A constant that is not NULL.
 pub(crate) fn literal(e: &Expr) -> Option<Literal> {
     match e {
         Expr::Nested(inner) => literal(inner),
         Expr::Value(value) => match &value.value {
-            Word::Number(digits, false) => Some(Literal::Number {
+            SqlValue::Number(digits, false) => Some(Literal::Number {
                 negative: false,
                 digits: digits.clone(),
             }),
-            Word::SingleQuotedString(text) => Some(Literal::Text(text.clone())),
-            Word::Boolean(b) => Some(Literal::Bool(*b)),
+            SqlValue::SingleQuotedString(text) => Some(Literal::Text(text.clone())),
+            SqlValue::Boolean(b) => Some(Literal::Bool(*b)),
             _ => None,
         },
         Expr::UnaryOp {
