--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -22,9 +22,9 @@
 
 /// Each kind of defective summary with the text that the front logs when it rejects one.
 pub const SUMMARY_DEFECTS: [(&str, &str); 4] = [
-    ("forged", "signature does not hold"),
+    ("forged", "invalid signature"),
     ("altered", "scatter.directory"),
-    ("cut short", "cut short"),
+    ("cut short", "malformed or truncated summary"),
     ("yesterday's", "ms ago"),
 ];
 
