--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -1,4 +1,4 @@
-//! The load of a fleet scenario: statements at the agreed rate, over all fronts that take them.
+//! The load of a fleet scenario: statements at the agreed rate, over all fronts that accept them.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
@@ -11,50 +11,51 @@
 use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::engine::lines;
 use crate::record::offered::Offered;
-use crate::rig::member::{Member, Record};
+use crate::rig::member::{ClientRecord, Member};
 use crate::rig::scenario::{Scenario, Step};
-use crate::rig::starvation_watch::own_wait;
+use crate::rig::starvation_watch::thread_cpu_wait;
 
-const AGAIN_MS: std::ops::Range<u64> = 20..400; // milliseconds until a client asks again
+const CLIENT_RETRY_DELAY_MS: std::ops::Range<u64> = 20..400; // time until a client retries
 
-/// Offers the load: statements at the agreed rate, each to a front drawn among those that take statements.
+/// Offers the load for the duration of the scenario: statements at the agreed rate, each to a
+/// random front that accepts statements. Returns when all have been answered.
 pub(crate) fn offer(
     scenario: &Scenario,
     seed: u64,
     members: &[Arc<Member>],
-    record: &Arc<Record>,
+    record: &Arc<ClientRecord>,
     stop: &AtomicBool,
 ) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let began = Instant::now();
     let (load, seconds) = (&scenario.load, scenario.seconds);
     let gap = Duration::from_micros(1_000_000 / load.per_second);
-    let mut waits = Vec::new();
+    let mut clients = Vec::new();
     let mut number = 0u64;
     while !stop.load(SeqCst) && began.elapsed() < Duration::from_secs(seconds) {
         number += 1;
-        let class = scenario.draw_class(chance.random());
+        let class = scenario.draw_class(rng.random());
         let client = Client {
             number,
             class,
             key: scenario.classes[class]
                 .keys
                 .checked_sub(1)
-                .map(|most| chance.random_range(0..=most)),
-            seed: chance.random(),
+                .map(|most| rng.random_range(0..=most)),
+            seed: rng.random(),
             scenario: scenario.clone(),
         };
         let (members, record) = (members.to_vec(), record.clone());
-        waits.push(std::thread::spawn(move || client.asks(&members, &record)));
+        clients.push(std::thread::spawn(move || client.run(&members, &record)));
         let due = gap * number as u32;
         if let Some(rest) = due.checked_sub(began.elapsed()) {
             std::thread::sleep(rest);
         }
     }
-    waits.into_iter().for_each(|w| _ = w.join());
+    clients.into_iter().for_each(|w| _ = w.join());
 }
 
-/// Whoever asks for one statement, at one front and then at others where it may.
+/// The client of one statement, at one front and, if its workload allows it, again at others.
 struct Client {
     number: u64,
     class: usize,
@@ -64,39 +65,50 @@
 }
 
 impl Client {
-    fn asks(&self, members: &[Arc<Member>], record: &Record) {
-        let mut chance = Pcg64Mcg::seed_from_u64(self.seed);
+    fn run(&self, members: &[Arc<Member>], record: &ClientRecord) {
+        let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let class = &self.scenario.classes[self.class];
         let mut before = Vec::new();
         for _ in 0..=class.asks_again {
-            let here: Vec<&Arc<Member>> = (members.iter())
-                .filter(|m| m.takes(record.records.now()) && !before.contains(&m.number))
+            let candidates: Vec<&Arc<Member>> = (members.iter())
+                .filter(|m| {
+                    m.accepts_statements(record.records.now()) && !before.contains(&m.number)
+                })
                 .collect();
-            let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else {
+            let Some(member) = candidates.get(rng.random_range(0..candidates.len().max(1))) else {
                 return;
             };
             let address = member
                 .front
                 .lock()
                 .ok()
-                .and_then(|f| f.as_ref().map(|f| f.lines));
+                .and_then(|f| f.as_ref().map(|f| f.statement_address));
             let Some(address) = address else { return };
-            let outcome = self.ask(member, address, record, !before.is_empty());
-            // A lost or aborted one may have run: again only as its workload allows.
-            let again = match &outcome {
+            let outcome = self.execute(member, address, record, !before.is_empty());
+            // A lost or aborted statement may have executed: it is repeated only if its workload
+            // allows it.
+            let may_retry = match &outcome {
                 Outcome::Error(code) if code == "53000" => true,
                 Outcome::Error(_) | Outcome::Lost => class.repeat() != Repeat::NonIdempotent,
                 _ => false,
             };
-            if !again {
+            if !may_retry {
                 return;
             }
             before.push(member.number);
-            std::thread::sleep(Duration::from_millis(chance.random_range(AGAIN_MS)));
+            std::thread::sleep(Duration::from_millis(
+                rng.random_range(CLIENT_RETRY_DELAY_MS),
+            ));
         }
     }
 
-    fn ask(&self, member: &Member, address: SocketAddr, record: &Record, again: bool) -> Outcome {
+    fn execute(
+        &self,
+        member: &Member,
+        address: SocketAddr,
+        record: &ClientRecord,
+        again: bool,
+    ) -> Outcome {
         let (class, load) = (&self.scenario.classes[self.class], &self.scenario.load);
         let id = format!("s{}", self.number);
         let timeout_ms = class.timeout_ms.unwrap_or(load.timeout_ms);
@@ -114,7 +126,7 @@
         let mut asked =
             StatementRecord::new(id.clone(), now(), timeout_ms as i64 * 1000, class.repeat());
         (asked.rows, asked.key) = (1, key.clone());
-        let (limit, work, memory) = (
+        let (timeout_text, work, memory) = (
             timeout_ms.to_string(),
             work_ms.to_string(),
             load.memory_mb.to_string(),
@@ -123,7 +135,7 @@
         let mut fields = vec![
             ("verb", class.name.as_str()),
             ("team", class.customer.as_str()),
-            ("limit", limit.as_str()),
+            ("limit", timeout_text.as_str()),
             ("cpu", work.as_str()),
             ("heap_mb", memory.as_str()),
         ];
@@ -133,28 +145,33 @@
         if class.repeat() == Repeat::Deduplicated {
             fields.push(("unique", unique.as_str()));
         }
-        let (goes_on, promised) = (u8::from(class.goes_on), u8::from(class.needs_promise()));
-        let statement = format!("id={id},key={key},ms={work_ms},on={goes_on},promised={promised}");
-        if class.needs_promise() {
+        let (continues, needs_entry) = (
+            u8::from(class.goes_on),
+            u8::from(class.needs_ledger_entry()),
+        );
+        let statement =
+            format!("id={id},key={key},ms={work_ms},on={continues},promised={needs_entry}");
+        if class.needs_ledger_entry() {
             let (records, front) = (record.records.clone(), member.number);
-            // About when the front has it: a little before, or a little after.
+            // About when the front receives the statement: a little before or after.
             let wait = Duration::from_micros(200 + self.seed % 400);
             std::thread::spawn(move || {
                 std::thread::sleep(wait);
                 records.reached(Step::Taken, front);
             });
         }
-        let before = own_wait();
+        let before = thread_cpu_wait();
         let (outcome, later) = lines::ask_told(address, self.number, &fields, &statement);
         asked.outcome = outcome;
         asked.answered = now();
-        let starved = own_wait() - before;
+        let starved = thread_cpu_wait() - before;
         let outcome = asked.outcome.clone();
-        // Turned away for good, well within its time: by a rule, not for want of an engine or of a promise.
+        // Rejected without a hint to retry and well within its timeout: by a rule, not for lack of
+        // an engine or a ledger entry.
         let soon = asked.answered - asked.sent < asked.timeout / 2;
         let barred = !later && soon && matches!(&outcome, Outcome::Error(code) if code == "53000");
         let (front, class) = (member.number, self.class);
-        if let Ok(mut all) = record.asked.lock() {
+        if let Ok(mut all) = record.offered.lock() {
             all.push(Offered {
                 front,
                 class,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -124,15 +124,15 @@
         let no_mutation = Mutation::default();
         match self {
             OmittedRule::Act => Mutation {
-                acts_first: true,
+                skips_barrier: true,
                 ..no_mutation
             },
             OmittedRule::Identity => Mutation {
-                keeps_identity: true,
+                reuses_disk_identity: true,
                 ..no_mutation
             },
             OmittedRule::Save => Mutation {
-                sends_first: true,
+                sends_before_sync: true,
                 ..no_mutation
             },
         }
@@ -312,7 +312,7 @@
             return ExitCode::from(2);
         }
     };
-    let seed = fleet::seed(&scenario, seed);
+    let seed = fleet::choose_seed(&scenario, seed);
     let name = path
         .file_stem()
         .map(|s| s.to_string_lossy().to_string())
--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -57,7 +57,7 @@
 fn beyond_work(scenario: &Scenario, run: &Run, needs_ledger_entry: bool) -> f64 {
     let is_counted = |o: &&Offered| {
         let completed = matches!(o.asked.outcome, Outcome::Completed { .. });
-        completed && scenario.classes[o.class].needs_promise() == needs_ledger_entry
+        completed && scenario.classes[o.class].needs_ledger_entry() == needs_ledger_entry
     };
     let mut took: Vec<f64> = (run.asked.iter().filter(is_counted))
         .map(|o| {
--- a/crates/lab/src/measure/portal.rs
+++ b/crates/lab/src/measure/portal.rs
@@ -114,7 +114,7 @@
     let error_text = |e: std::io::Error| e.to_string();
     let engine = Engine::start(0, Records::new(), false).map_err(error_text)?;
     let coordinator = Coordinator::start().map_err(error_text)?;
-    coordinator.tell(true, &[("e0".to_string(), engine.at, "pg", "up")]);
+    coordinator.announce(true, &[("e0".to_string(), engine.at, "pg", "up")]);
     // So many cores that the dispatcher's limits hold nothing back: only the path through the front
     // counts.
     let settings = json!({"instances": 1, "areas": ["here"], "kinds": ["pg"], "rules": {},
@@ -133,7 +133,7 @@
     let targets = runtime.block_on(async {
         Ok::<_, String>((
             connect_target(engine.at.port()).await?,
-            connect_target(front.sessions.port()).await?,
+            connect_target(front.session_address.port()).await?,
         ))
     })?;
     let added = |all: &mut Vec<f64>, without: &[f64], with: &[f64]| {
@@ -163,7 +163,7 @@
     // A new front, so that memory freed after the rounds does not count as room for sessions.
     drop(front);
     let front = Front::start(&settings, operator, &coordinator, 16_000)?;
-    let at = front.sessions;
+    let at = front.session_address;
     drop(Session::open(at, "portal", false).map_err(error_text)?);
     let before = front.memory_kb();
     let idle: Result<Vec<Session>, _> = (0..IDLE_SESSIONS)
--- a/crates/lab/src/prove/deaths.rs
+++ b/crates/lab/src/prove/deaths.rs
@@ -142,7 +142,7 @@
         },
         engine: shape::engines(),
         faults,
-        classes: vec![Class::plain("lookup", 500), keyed, once],
+        classes: vec![Class::idempotent("lookup", 500), keyed, once],
     }
 }
 
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -40,7 +40,7 @@
 }
 
 impl FleetHooks for Disks {
-    fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
+    fn poll(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
         let is_due = self
             .owner_faults
             .first()
@@ -50,7 +50,7 @@
         }
         // A front whose disk was slow may hold no replicas any more, as others replaced it.
         let already_faulted: Vec<usize> = self.played.iter().map(|fault| fault.front).collect();
-        let Some(front) = fleet.busiest(&already_faulted) else {
+        let Some(front) = fleet.busiest_sender(&already_faulted) else {
             return Vec::new();
         };
         let fault = Fault {
@@ -61,14 +61,14 @@
         vec![fault]
     }
 
-    fn over(&mut self, fleet: &Fleet) {
+    fn on_load_ended(&mut self, fleet: &Fleet) {
         for fault in &self.played {
             let text = match fault.what {
                 FaultKind::DiskFull => "keeps no copies there any more",
                 _ => "a commit took",
             };
             self.log_line_counts
-                .push((fault.what, fleet.members[fault.front].said(text).len()));
+                .push((fault.what, fleet.members[fault.front].log_lines(text).len()));
         }
     }
 }
@@ -135,7 +135,7 @@
         classes: vec![
             Class {
                 share: 3.0,
-                ..Class::plain("lookup", 500)
+                ..Class::idempotent("lookup", 500)
             },
             keyed,
             once,
@@ -168,7 +168,7 @@
         );
         MemberOptions {
             ledger,
-            drill: Some(drill),
+            disk_fault_file: Some(drill),
             ..MemberOptions::default()
         }
     });
--- a/crates/lab/src/prove/long.rs
+++ b/crates/lab/src/prove/long.rs
@@ -12,7 +12,7 @@
 use super::promises::{self, RunOptions};
 use crate::record::account::Run;
 use crate::rig::scenario::{Fault, FaultKind, Load, Scenario, Step};
-use crate::simulated::{run_with, smallest};
+use crate::simulated::{minimize, run_with};
 
 /// Milliseconds from one machine lost with its disk to the next; the repair takes place between.
 const SLOT_MS: u64 = 40_000;
@@ -180,7 +180,7 @@
             .unwrap_or_default();
         broken.iter().any(|rule| found.contains_key(rule))
     };
-    let (smallest_failing, plays) = smallest(scenario, SHRINK_TIME_LIMIT, fails);
+    let (smallest_failing, plays) = minimize(scenario, SHRINK_TIME_LIMIT, fails);
     println!(
         "{} of {} faults are enough, {} s of load, found in {plays} plays:",
         smallest_failing.faults.len(),
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -61,12 +61,15 @@
         add(
             &mut violations,
             "front",
-            format!("the front exited: {:?}", setup.front.last()),
+            format!("the front exited: {:?}", setup.front.last_log_line()),
         );
     }
     // The front is terminated while clients send statements and transactions are open.
-    let open =
-        scripted::open_transactions(setup.front.sessions, &setup.notes, OPEN_TRANSACTIONS_AT_END);
+    let open = scripted::open_transactions(
+        setup.front.session_address,
+        &setup.notes,
+        OPEN_TRANSACTIONS_AT_END,
+    );
     let ended_at = setup.notes.records.now();
     terminate_front(&mut setup.front, &setup.notes, &mut violations);
     load.join_clients();
@@ -131,7 +134,7 @@
 fn terminate_front(front: &mut Front, notes: &Notes, violations: &mut Violations) {
     front.terminate();
     notes.stop.store(true, SeqCst);
-    let ended = front.ended();
+    let ended = front.wait_for_exit();
     if ended.is_none_or(|(well, _)| !well) {
         add(violations, "front", format!("after SIGTERM: {ended:?}"));
     }
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -107,7 +107,7 @@
         classes: vec![
             Class {
                 share: 4.0,
-                ..Class::plain("lookup", 500)
+                ..Class::idempotent("lookup", 500)
             },
             keyed,
             once,
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -85,20 +85,20 @@
 }
 
 impl FleetHooks for Roll {
-    fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
-        if !fleet.is_whole() {
+    fn poll(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
+        if !fleet.all_accept_statements() {
             self.all_up_since = since;
         }
         let is_due = self.steps.front().is_some_and(|step| {
             since >= FIRST_TERMINATION_US
                 && since - self.all_up_since >= step.pause
-                && fleet.is_whole()
+                && fleet.all_accept_statements()
         });
         let Some(step) = is_due.then(|| self.steps.pop_front()).flatten() else {
             return Vec::new();
         };
         let ends = step.fronts.iter().map(|front| {
-            fleet.members[*front].becomes(self.other.clone().filter(|_| step.other));
+            fleet.members[*front].set_next_program(self.other.clone().filter(|_| step.other));
             Fault {
                 front: *front,
                 ..fault(FaultKind::Term, since as u64 / 1000, RESTART_CHECK_DELAY_MS)
@@ -148,7 +148,7 @@
     let classes = vec![
         Class {
             share: 3.0,
-            ..Class::plain("lookup", 500)
+            ..Class::idempotent("lookup", 500)
         },
         Class {
             share: 2.0,
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -21,7 +21,7 @@
 use crate::record::hits;
 use crate::record::judge::judge;
 use crate::rig::fleet::{play, Fleet, FleetHooks};
-use crate::rig::rules::{self, Files, RuleLogs, Set, DENIED, RULED};
+use crate::rig::rules::{self, RuleFiles, RuleLogs, RuleSet, DENIED_WORKLOAD, RULED_CUSTOMER};
 use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario};
 
 const FIRST_CHANGE_MS: u64 = 1_000; // milliseconds of load before the first change
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Change {
     at_ms: u64,
-    files: Vec<(usize, Set)>,
+    files: Vec<(usize, RuleSet)>,
     /// Kind of change. In a "two" change the fronts get rival files of one version, in all others
     /// the same file.
     kind: &'static str,
@@ -58,7 +58,7 @@
 /// The scenario of a run, with its rules and their changes.
 struct Plan {
     scenario: Scenario,
-    first: Set,
+    first: RuleSet,
     changes: Vec<Change>,
     /// Times, in milliseconds of load, at which a front is made to reload its file, which is stale
     /// by then.
@@ -74,9 +74,9 @@
         &CHANGE_KINDS,
         small.then_some((SMALL_RUN_KINDS, "cut")),
     );
-    let mut set = Set {
+    let mut set = RuleSet {
         version: 1,
-        barred: BTreeSet::from([rng.random_range(0..zones)]),
+        barred_zones: BTreeSet::from([rng.random_range(0..zones)]),
     };
     let first = set.clone();
     let (mut faults, mut changes, mut old) = (Vec::new(), Vec::new(), Vec::new());
@@ -151,17 +151,17 @@
 }
 
 /// Draws the next version: it bars at least one zone that was allowed before.
-fn draw_next(set: &Set, zones: usize, rng: &mut Pcg64Mcg) -> Set {
+fn draw_next(set: &RuleSet, zones: usize, rng: &mut Pcg64Mcg) -> RuleSet {
     let open: Vec<usize> = (0..zones)
-        .filter(|zone| !set.barred.contains(zone))
+        .filter(|zone| !set.barred_zones.contains(zone))
         .collect();
     let mut barred = BTreeSet::from([open[rng.random_range(0..open.len())]]);
     if rng.random_bool(0.5) {
         barred.insert(rng.random_range(0..zones));
     }
-    Set {
+    RuleSet {
         version: set.version + 1,
-        barred,
+        barred_zones: barred,
     }
 }
 
@@ -172,14 +172,14 @@
     faults: Vec<Fault>,
 ) -> Scenario {
     let report = Class {
-        customer: RULED.into(),
+        customer: RULED_CUSTOMER.into(),
         share: 3.0,
-        ..Class::plain("report", 1_000)
+        ..Class::idempotent("report", 1_000)
     };
     let audit = Class {
-        customer: RULED.into(),
+        customer: RULED_CUSTOMER.into(),
         share: 1.0,
-        ..Class::plain(DENIED, 1_000)
+        ..Class::idempotent(DENIED_WORKLOAD, 1_000)
     };
     Scenario {
         seed: Some(seed),
@@ -199,7 +199,7 @@
         classes: vec![
             Class {
                 share: 2.0,
-                ..Class::plain("lookup", 1_000)
+                ..Class::idempotent("lookup", 1_000)
             },
             report,
             audit,
@@ -209,18 +209,18 @@
 
 /// Changes the rules during a run, and reads the fronts' logs.
 struct Rules {
-    files: Files,
+    files: RuleFiles,
     changes: Vec<Change>,
     old: Vec<(u64, usize)>,
     /// Rule sets offered so far, each with when and at which front.
-    offered: Vec<(i64, usize, Set)>,
+    offered: Vec<(i64, usize, RuleSet)>,
     asked_front: usize,
     logs: RuleLogs,
     hits: Option<BTreeMap<String, i64>>,
 }
 
 impl Rules {
-    fn offer(&mut self, fleet: &Fleet, front: usize, set: &Set) {
+    fn offer(&mut self, fleet: &Fleet, front: usize, set: &RuleSet) {
         if self.files.write(front, set).is_ok() {
             self.offered.push((fleet.records.now(), front, set.clone()));
             fleet.members[front].signal(Signal::SIGHUP);
@@ -228,8 +228,8 @@
     }
 
     /// Returns the sets that the fleet accepted, in order, each with when it was first offered.
-    fn accepted_sets(&self) -> Vec<(i64, Set)> {
-        let fleet_set = |(at, front, set): &(i64, usize, Set)| {
+    fn accepted_sets(&self) -> Vec<(i64, RuleSet)> {
+        let fleet_set = |(at, front, set): &(i64, usize, RuleSet)| {
             let rivals = || {
                 self.offered
                     .iter()
@@ -238,13 +238,13 @@
             let alone = rivals().all(|(_, _, other)| other == set);
             let won = self
                 .logs
-                .accepted
+                .accepted_by
                 .get(&set.version)
                 .is_some_and(|by| by.contains(front));
-            let judged = self.logs.judged.contains_key(&set.version);
+            let judged = self.logs.first_judged.contains_key(&set.version);
             (judged && (alone || won)).then(|| (*at, set.clone()))
         };
-        let mut all: Vec<(i64, Set)> = self.offered.iter().filter_map(fleet_set).collect();
+        let mut all: Vec<(i64, RuleSet)> = self.offered.iter().filter_map(fleet_set).collect();
         all.sort_by_key(|(at, set)| (set.version, *at));
         all.dedup_by_key(|(_, set)| set.version);
         all
@@ -253,13 +253,13 @@
     fn barred_zones(&self, end: i64) -> Vec<BarredZone> {
         let (accepted_sets, mut barred_zones) = (self.accepted_sets(), Vec::new());
         for (n, (_, set)) in accepted_sets.iter().enumerate() {
-            let Some(in_force) = self.logs.in_force.get(&set.version) else {
+            let Some(in_force) = self.logs.first_in_force.get(&set.version) else {
                 continue;
             };
-            for zone in &set.barred {
+            for zone in &set.barred_zones {
                 let ends = accepted_sets[n + 1..]
                     .iter()
-                    .find(|(_, later)| !later.barred.contains(zone));
+                    .find(|(_, later)| !later.barred_zones.contains(zone));
                 let until = ends.map_or(end, |(at, _)| *at);
                 let in_force = in_force + IN_FLIGHT_US;
                 barred_zones.push(BarredZone {
@@ -275,15 +275,15 @@
 }
 
 impl FleetHooks for Rules {
-    fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
+    fn on_ready(&mut self, fleet: &Fleet) -> Result<(), String> {
         let until = Instant::now() + READY_TIMEOUT;
         while Instant::now() < until {
             let has_rules = |m: &std::sync::Arc<crate::rig::member::Member>| {
-                !m.said("knows which rules hold").is_empty()
-                    || !m.said("judges by version 1 ").is_empty()
+                !m.log_lines("knows which rules hold").is_empty()
+                    || !m.log_lines("judges by version 1 ").is_empty()
             };
             if fleet.members.iter().all(has_rules)
-                && rules::read_logs(fleet).in_force.contains_key(&1)
+                && rules::read_logs(fleet).first_in_force.contains_key(&1)
             {
                 return Ok(());
             }
@@ -295,7 +295,7 @@
         ))
     }
 
-    fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
+    fn poll(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
         while let Some(change) = self
             .changes
             .first()
@@ -320,7 +320,7 @@
         Vec::new()
     }
 
-    fn over(&mut self, fleet: &Fleet) {
+    fn on_load_ended(&mut self, fleet: &Fleet) {
         let last = self
             .offered
             .iter()
@@ -329,11 +329,11 @@
             .unwrap_or(1);
         let until = Instant::now() + FINAL_VERSION_TIMEOUT;
         self.logs = rules::read_logs(fleet);
-        while !self.logs.in_force.contains_key(&last) && Instant::now() < until {
+        while !self.logs.first_in_force.contains_key(&last) && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(50));
             self.logs = rules::read_logs(fleet);
         }
-        self.hits = rules::hits(fleet, self.asked_front, FINAL_VERSION_TIMEOUT);
+        self.hits = rules::request_hits(fleet, self.asked_front, FINAL_VERSION_TIMEOUT);
     }
 }
 
@@ -347,8 +347,8 @@
         old,
     } = draw(seed, small);
     let (fronts, zones) = (scenario.fleet.fronts, scenario.fleet.zones);
-    let files = Files::new(fronts, seed, &first).map_err(|e| e.to_string())?;
-    let fleet = Fleet::start_with(&scenario, seed, files.beside(fronts, zones), None)?;
+    let files = RuleFiles::new(fronts, seed, &first).map_err(|e| e.to_string())?;
+    let fleet = Fleet::start_with(&scenario, seed, files.member_options(fronts, zones), None)?;
     let offered = vec![(0, 0, first)];
     let asked_front = (seed % fronts as u64) as usize;
     let planned = changes.clone();
@@ -404,7 +404,7 @@
         .count() as i64;
     run.tallies.insert("ruled_runs", ruled);
     run.tallies
-        .insert("versions_in_force", rules.logs.in_force.len() as i64);
+        .insert("versions_in_force", rules.logs.first_in_force.len() as i64);
     run.tallies.insert("bars", barred_zones.len() as i64);
     let mut add = |rule: &'static str, what: String| violations.entry(rule).or_default().push(what);
     if ruled < MIN_RULED_RUNS {
@@ -417,19 +417,22 @@
         .collect();
     for change in planned {
         let version = change.files[0].1.version;
-        if !accepted_sets.contains(&version) || !rules.logs.in_force.contains_key(&version) {
+        if !accepted_sets.contains(&version) || !rules.logs.first_in_force.contains_key(&version) {
             add(
                 "run",
                 format!("version {version} ({}) never came into force", change.kind),
             );
         }
-        if change.kind == "two" && rules.logs.accepted.get(&version).map_or(0, Vec::len) > 1 {
+        if change.kind == "two" && rules.logs.accepted_by.get(&version).map_or(0, Vec::len) > 1 {
             add(
                 "two_in_force",
                 format!("two files of version {version} became the fleet's"),
             );
         }
-        if let (true, Some(at)) = (change.kind == "cut", rules.logs.in_force.get(&version)) {
+        if let (true, Some(at)) = (
+            change.kind == "cut",
+            rules.logs.first_in_force.get(&version),
+        ) {
             let cuts = account
                 .played
                 .iter()
@@ -439,7 +442,7 @@
         }
     }
     let killed = planned.iter().any(|change| change.kind == "killed");
-    let old: usize = rules.logs.old.values().sum();
+    let old: usize = rules.logs.stale_refusals.values().sum();
     run.tallies.insert("old_files_refused", old as i64);
     if killed && old < 2 {
         add("run", format!("{old} of 2 stale files were rejected"));
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -23,7 +23,7 @@
 use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::member::Member;
 use crate::rig::scenario::{Class, Effect, Fault, FaultKind, FleetShape, Load, Scenario};
-use crate::rig::sites::{Sites, BAD};
+use crate::rig::sites::{Sites, SUMMARY_DEFECTS};
 use seen::{count_asked_sites, count_reasons, final_rows, parse_rows, AnswerRecords, LoadRecord};
 
 const SITES: usize = 5;
@@ -84,7 +84,10 @@
     while !stop.load(SeqCst) {
         std::thread::sleep(gap);
         number += 1;
-        let here: Vec<&Arc<Member>> = members.iter().filter(|m| !m.away.load(SeqCst)).collect();
+        let here: Vec<&Arc<Member>> = members
+            .iter()
+            .filter(|m| !m.unavailable.load(SeqCst))
+            .collect();
         let Some(member) = here.get(rng.random_range(0..here.len().max(1))) else {
             continue;
         };
@@ -92,7 +95,7 @@
             .front
             .lock()
             .ok()
-            .and_then(|f| f.as_ref().map(|f| f.lines))
+            .and_then(|f| f.as_ref().map(|f| f.statement_address))
         else {
             continue;
         };
@@ -141,29 +144,29 @@
         let mut notified_fronts = BTreeSet::new();
         for site in 0..SITES {
             let front = self.rng.random_range(0..fronts);
-            self.sites.tell(site, front);
+            self.sites.publish_summary(site, front);
             notified_fronts.insert(front);
         }
         if self.writes_bad_summaries {
-            let (what, _) = BAD[self.bad_summaries_written % BAD.len()];
+            let (what, _) = SUMMARY_DEFECTS[self.bad_summaries_written % SUMMARY_DEFECTS.len()];
             let (site, front) = (
                 self.rng.random_range(0..SITES),
                 self.rng.random_range(0..fronts),
             );
-            self.sites.tell_badly(site, front, what);
+            self.sites.publish_defective_summary(site, front, what);
             notified_fronts.insert(front);
             self.bad_summaries_written += 1;
         }
         let here = notified_fronts
             .iter()
             .map(|front| &fleet.members[*front])
-            .filter(|m| !m.away.load(SeqCst));
+            .filter(|m| !m.unavailable.load(SeqCst));
         here.for_each(|member| member.signal(Signal::SIGHUP));
     }
 }
 
 impl FleetHooks for Plan {
-    fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
+    fn on_ready(&mut self, fleet: &Fleet) -> Result<(), String> {
         self.write_summaries(fleet);
         let (seed, members, records) = (
             (self.seed, self.loads),
@@ -177,7 +180,7 @@
         Ok(())
     }
 
-    fn turn(&mut self, fleet: &Fleet, _: i64) -> Vec<Fault> {
+    fn poll(&mut self, fleet: &Fleet, _: i64) -> Vec<Fault> {
         if self.summaries_written_at.elapsed() >= SUMMARY_INTERVAL {
             self.summaries_written_at = Instant::now();
             self.write_summaries(fleet);
@@ -185,32 +188,32 @@
         Vec::new()
     }
 
-    fn over(&mut self, fleet: &Fleet) {
+    fn on_load_ended(&mut self, fleet: &Fleet) {
         self.stop.store(true, SeqCst);
         self.clients
             .take()
             .into_iter()
             .for_each(|clients| _ = clients.join());
-        for (what, text) in BAD {
+        for (what, text) in SUMMARY_DEFECTS {
             let count_lines = |m: &Arc<Member>| {
-                let lines = m.said("/bad: ");
+                let lines = m.log_lines("/bad: ");
                 lines.iter().filter(|(_, line)| line.contains(text)).count()
             };
             self.refused
                 .insert(what, fleet.members.iter().map(count_lines).sum());
         }
         for member in &fleet.members {
-            let before = member.said(UNNECESSARY_SITES_TEXT).len();
+            let before = member.log_lines(UNNECESSARY_SITES_TEXT).len();
             member.signal(Signal::SIGHUP);
             let since = Instant::now();
-            while member.said(UNNECESSARY_SITES_TEXT).len() == before
+            while member.log_lines(UNNECESSARY_SITES_TEXT).len() == before
                 && since.elapsed() < SUMMARY_INTERVAL
             {
                 std::thread::sleep(Duration::from_millis(10));
             }
             self.unnecessary_lines.extend(
                 member
-                    .said(UNNECESSARY_SITES_TEXT)
+                    .log_lines(UNNECESSARY_SITES_TEXT)
                     .pop()
                     .map(|(_, line)| line),
             );
@@ -246,7 +249,7 @@
         share: 0.0,
         effect: Effect::NonIdempotent,
         goes_on: true,
-        ..Class::plain("load", 2_000)
+        ..Class::idempotent("load", 2_000)
     };
     Scenario {
         seed: Some(seed),
@@ -266,10 +269,10 @@
         engine: shape::engines(),
         faults,
         classes: vec![
-            Class::plain("plain", 1_000),
+            Class::idempotent("plain", 1_000),
             Class {
                 share: 0.0,
-                ..Class::plain("lookup", 1_000)
+                ..Class::idempotent("lookup", 1_000)
             },
             load,
         ],
@@ -298,7 +301,7 @@
     let sites =
         Arc::new(Sites::new(initial_values(seed), 1, fronts, seed).map_err(|e| e.to_string())?);
     let holds: Arc<dyn RowStore> = sites.clone();
-    let fleet = Fleet::start_with(scenario, seed, sites.beside(fronts), Some(holds))?;
+    let fleet = Fleet::start_with(scenario, seed, sites.member_options(fronts), Some(holds))?;
     let mut plan = Plan {
         sites,
         seen: Arc::default(),
--- a/crates/lab/src/prove/sites/seen.rs
+++ b/crates/lab/src/prove/sites/seen.rs
@@ -52,7 +52,7 @@
     };
     let mut held: Vec<Row> = (0..first.len()).flat_map(initial_rows).collect();
     let mut violations = Violations::new();
-    let (Ok(loads), Ok(landed)) = (seen.loads.lock(), sites.landed.lock()) else {
+    let (Ok(loads), Ok(landed)) = (seen.loads.lock(), sites.row_sites.lock()) else {
         return (held, violations);
     };
     for load in loads.iter() {
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -169,7 +169,7 @@
                 .front
                 .lock()
                 .ok()
-                .and_then(|front| front.as_ref().map(|front| front.lines));
+                .and_then(|front| front.as_ref().map(|front| front.statement_address));
             for address in std::iter::repeat_n(address, CROWD_CONNECTIONS_PER_FRONT).flatten() {
                 self.crowd.push(TcpStream::connect(address)?);
             }
@@ -212,21 +212,21 @@
 }
 
 impl FleetHooks for Machines {
-    fn ready(&mut self, fleet: &Fleet) -> std::result::Result<(), String> {
+    fn on_ready(&mut self, fleet: &Fleet) -> std::result::Result<(), String> {
         match self.rng.random_bool(CROWD_PROBABILITY) {
             true => self.connect_crowd(fleet).map_err(|e| e.to_string()),
             false => Ok(()),
         }
     }
 
-    fn turn(&mut self, _fleet: &Fleet, since: i64) -> Vec<Fault> {
+    fn poll(&mut self, _fleet: &Fleet, since: i64) -> Vec<Fault> {
         if let Err(error) = self.advance(since) {
             self.events.push((since, format!("not injected: {error}")));
         }
         Vec::new()
     }
 
-    fn over(&mut self, _fleet: &Fleet) {
+    fn on_load_ended(&mut self, _fleet: &Fleet) {
         // Only the shortages are ended here; fronts shut down by themselves.
         let _ = self.end_shortages(i64::MAX);
     }
--- a/crates/lab/src/rig/coordinator.rs
+++ b/crates/lab/src/rig/coordinator.rs
@@ -1,4 +1,4 @@
-//! A coordinator of our own, that tells fronts of engines.
+//! A stand-in for the coordinator that serves endpoint lists to fronts.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,49 +9,63 @@
 
 type Events = Arc<(Mutex<Vec<Value>>, Condvar)>;
 
-/// What tells fronts of engines, by the protocol of the list.
+/// Serves a growing list of endpoint updates over the coordinator's long-poll protocol.
 pub struct Coordinator {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     events: Events,
 }
 
 impl Coordinator {
+    /// Starts a coordinator with an empty list on a free local port.
     pub fn start() -> std::io::Result<Coordinator> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let events = Events::default();
-        let served = events.clone();
+        let shared_events = events.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let events = served.clone();
+                let events = shared_events.clone();
                 std::thread::spawn(move || _ = answer(stream, &events));
             }
         });
-        Ok(Coordinator { at, events })
+        Ok(Coordinator {
+            address: at,
+            events,
+        })
     }
 
-    /// Tells of engines: their names, addresses, kinds and states.
-    pub fn tell(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str)]) {
+    /// Publishes engines (id, address, kind, state), all in the zone `here`; with `is_full_list` they
+    /// replace all earlier ones.
+    pub fn announce(&self, is_full_list: bool, engines: &[(String, SocketAddr, &str, &str)]) {
         let zoned: Vec<_> = engines
             .iter()
             .map(|(id, at, kind, state)| (id.clone(), *at, *kind, *state, "here"))
             .collect();
-        self.tell_zoned(whole, &zoned);
+        self.announce_with_zones(is_full_list, &zoned);
     }
 
-    /// The same, with the zone of each.
-    pub fn tell_zoned(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str, &str)]) {
-        self.tell_all(whole, engines, 0.0);
+    /// Publishes engines (id, address, kind, state, zone); with `is_full_list`
+    /// they replace all earlier ones.
+    pub fn announce_with_zones(
+        &self,
+        is_full_list: bool,
+        engines: &[(String, SocketAddr, &str, &str, &str)],
+    ) {
+        self.publish(is_full_list, engines, 0.0);
     }
 
-    /// Tells of engines that started anew at a Unix millisecond.
-    pub fn tell_started(&self, engines: &[(String, SocketAddr, &str, &str, &str)], wall_ms: f64) {
-        self.tell_all(false, engines, wall_ms);
+    /// Publishes engines as restarted at `wall_ms`, in milliseconds of Unix time.
+    pub fn announce_restarts(
+        &self,
+        engines: &[(String, SocketAddr, &str, &str, &str)],
+        wall_ms: f64,
+    ) {
+        self.publish(false, engines, wall_ms);
     }
 
-    fn tell_all(
+    fn publish(
         &self,
-        whole: bool,
+        is_full_list: bool,
         engines: &[(String, SocketAddr, &str, &str, &str)],
         started_ms: f64,
     ) {
@@ -61,11 +75,13 @@
         let entry = |(id, at, kind, state, zone): &(String, SocketAddr, &str, &str, &str)| json!({"id": id, "addr": at.to_string(), "zone": zone, "kind": kind, "cell": 0, "state": state, "started_ms": started_ms});
         let servers: Vec<Value> = engines.iter().map(entry).collect();
         let index = events.len() + 1;
-        events.push(json!({"index": index, "endpoints": {"full": whole, "servers": servers}}));
+        events
+            .push(json!({"index": index, "endpoints": {"full": is_full_list, "servers": servers}}));
         self.events.1.notify_all();
     }
 
-    pub(super) fn known(&self) -> Value {
+    /// All updates so far, as the front's configuration expects them.
+    pub(super) fn snapshot(&self) -> Value {
         let events = self.events.0.lock().map(|e| e.clone()).unwrap_or_default();
         json!({"index": events.len(), "updates": events})
     }
@@ -83,14 +99,14 @@
         while reader.read_line(&mut line)? > 2 {
             line.clear();
         }
-        let figure = |name: &str| {
+        let query_number = |name: &str| {
             let rest = first.split(name).nth(1).unwrap_or_default();
             let end = rest
                 .find(|c: char| !c.is_ascii_digit())
                 .unwrap_or(rest.len());
             rest[..end].parse::<usize>().unwrap_or(0)
         };
-        let (follow, wait) = (figure("follow="), figure("wait_ms="));
+        let (follow, wait) = (query_number("follow="), query_number("wait_ms="));
         let Ok(events) = shared.0.lock() else {
             return Ok(());
         };
--- a/crates/lab/src/rig/datagrams.rs
+++ b/crates/lab/src/rig/datagrams.rs
@@ -1,38 +1,42 @@
-//! The relay of datagrams between fronts: every front is told to the others at a port of the rig's own, so that
-//! what passes between any two can be lost, cut one way, slowed or doubled, and is counted.
+//! The relay of datagrams between fronts. Every front is advertised to its peers at a port of the
+//! rig, so that datagrams between any two fronts can be lost, cut one way, delayed or duplicated,
+//! and are recorded.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const LONGEST: usize = 2_048; // bytes; longer datagrams than fronts send are cut, which spoils them
+const MAX_DATAGRAM_BYTES: usize = 2_048; // larger datagrams than fronts send are truncated, which corrupts them
 
-/// What happens to datagrams now.
+/// The faults that are active on datagrams between fronts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
     pub split: Option<Split>,
-    /// So many in a hundred are lost.
+    /// Percentage of datagrams that is lost.
     pub lost_percent: u64,
-    /// Milliseconds that each takes longer.
+    /// Extra delay of each datagram in milliseconds.
     pub delay_ms: u64,
-    /// Each comes a second time, so many milliseconds later.
-    pub doubled_ms: Option<u64>,
-    /// Each takes a time drawn up to so many milliseconds longer: out of order.
-    pub shuffled_ms: u64,
+    /// Delay in milliseconds after which each datagram is delivered a second time.
+    pub duplicate_after_ms: Option<u64>,
+    /// Upper bound in milliseconds of a random extra delay per datagram, which reorders them.
+    pub max_jitter_ms: u64,
 }
 
-/// A cut between fronts.
+/// A partition between fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Split {
-    /// Those numbered below and the rest are apart; where the second is set, those from there on are, too.
+    /// Fronts numbered below `below` are cut off from the rest; if `second` is set, fronts from
+    /// that number on form a third group.
     pub below: usize,
     pub second: Option<usize>,
-    /// Words towards lower numbers still pass: the rest hear nothing of those below, who still hear the rest.
+    /// Datagrams towards lower numbers still pass: the higher group receives nothing from the lower
+    /// one, which still receives from the higher.
     pub one_way: bool,
 }
 
 impl Split {
+    /// The group of a front in the partition, counted from 0.
     pub fn group(&self, front: usize) -> usize {
         usize::from(front >= self.below)
             + usize::from(self.second.is_some_and(|second| front >= second))
@@ -40,7 +44,7 @@
 }
 
 impl DatagramFaults {
-    /// Whether a datagram passes; `drawn` is a number below a hundred.
+    /// Whether a datagram passes; `drawn` is a random number below 100.
     pub fn passes(&self, from: usize, to: usize, drawn: u64) -> bool {
         let cut = self.split.is_some_and(|split| {
             let (from, to) = (split.group(from), split.group(to));
@@ -50,7 +54,8 @@
     }
 }
 
-/// A datagram as the rig saw it: microseconds since the rig began, its bytes, whether it passed.
+/// A recorded datagram: its time in microseconds since the rig started, its size in bytes, whether
+/// it passed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayedDatagram {
     pub at: i64,
@@ -63,40 +68,48 @@
 #[derive(Default)]
 struct Shared {
     state: Mutex<DatagramFaults>,
-    /// The fronts by the address that each speaks from, and where each listens.
+    /// The number of each front by the address that it sends from, and the address where each
+    /// listens.
     fronts: Mutex<HashMap<SocketAddr, usize>>,
     listens: Mutex<HashMap<usize, SocketAddr>>,
     datagrams: Mutex<Vec<RelayedDatagram>>,
 }
 
-/// The way between all fronts.
+/// The datagram relay of all fronts.
 pub struct DatagramRelay {
     shared: Arc<Shared>,
-    /// Where each front is heard, by its number.
-    pub at: Vec<SocketAddr>,
+    /// The relay's address for each front, by the front's number.
+    pub addresses: Vec<SocketAddr>,
 }
 
 impl DatagramRelay {
-    /// Opens a port for each of so many fronts; `now` tells microseconds since the rig began.
-    /// `left` is told of each datagram by its sender, and says whether that ends it.
+    /// Opens a port for each front; `now` returns microseconds since the rig started. `on_sent` is
+    /// called with the sender of each datagram and returns whether the sender dies at it.
     pub fn start(
         fronts: usize,
         now: impl Fn() -> i64 + Send + Sync + 'static,
-        left: impl Fn(usize) -> bool + Send + Sync + 'static,
+        on_sent: impl Fn(usize) -> bool + Send + Sync + 'static,
     ) -> std::io::Result<DatagramRelay> {
-        let (shared, now, left) = (Arc::new(Shared::default()), Arc::new(now), Arc::new(left));
+        let (shared, now, on_sent) = (
+            Arc::new(Shared::default()),
+            Arc::new(now),
+            Arc::new(on_sent),
+        );
         let mut at = Vec::new();
         for to in 0..fronts {
             let socket = Arc::new(UdpSocket::bind("127.0.0.1:0")?);
             at.push(socket.local_addr()?);
-            let (shared, now, left) = (shared.clone(), now.clone(), left.clone());
-            std::thread::spawn(move || relay(to, &socket, &shared, (&*now, &*left)));
+            let (shared, now, on_sent) = (shared.clone(), now.clone(), on_sent.clone());
+            std::thread::spawn(move || relay(to, &socket, &shared, (&*now, &*on_sent)));
         }
-        Ok(DatagramRelay { shared, at })
+        Ok(DatagramRelay {
+            shared,
+            addresses: at,
+        })
     }
 
-    /// A front has started and speaks and listens at this address.
-    pub fn front(&self, number: usize, at: SocketAddr) {
+    /// Registers the address that a started front sends from and listens on.
+    pub fn register_front(&self, number: usize, at: SocketAddr) {
         if let (Ok(mut fronts), Ok(mut listens)) =
             (self.shared.fronts.lock(), self.shared.listens.lock())
         {
@@ -106,12 +119,14 @@
         }
     }
 
+    /// Changes the active faults.
     pub fn set(&self, change: impl FnOnce(&mut DatagramFaults)) {
         if let Ok(mut state) = self.shared.state.lock() {
             change(&mut state);
         }
     }
 
+    /// All datagrams recorded so far.
     pub fn datagrams(&self) -> Vec<RelayedDatagram> {
         self.shared
             .datagrams
@@ -121,14 +136,14 @@
     }
 }
 
-/// Passes on what comes for one front.
+/// Forwards datagrams addressed to front `to`.
 fn relay(
     to: usize,
     socket: &Arc<UdpSocket>,
     shared: &Shared,
-    (now, left): (&dyn Fn() -> i64, &dyn Fn(usize) -> bool),
+    (now, on_sent): (&dyn Fn() -> i64, &dyn Fn(usize) -> bool),
 ) {
-    let mut bytes = [0; LONGEST];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((len, source)) = socket.recv_from(&mut bytes) else {
             continue;
@@ -144,8 +159,8 @@
         };
         let state = state.clone();
         let passed = state.passes(from, to, rand::random_range(0..100));
-        if left(from) {
-            continue; // it died of this one
+        if on_sent(from) {
+            continue; // the sender died at this datagram
         }
         if let Ok(mut datagrams) = shared.datagrams.lock() {
             datagrams.push(RelayedDatagram {
@@ -159,9 +174,9 @@
         if !passed {
             continue;
         }
-        let late = state.delay_ms + rand::random_range(0..=state.shuffled_ms);
-        let again = state.doubled_ms.map(|ms| ms + late);
-        for delay in std::iter::once(late).chain(again) {
+        let delay_ms = state.delay_ms + rand::random_range(0..=state.max_jitter_ms);
+        let duplicate_ms = state.duplicate_after_ms.map(|ms| ms + delay_ms);
+        for delay in std::iter::once(delay_ms).chain(duplicate_ms) {
             let (socket, content) = (socket.clone(), bytes[..len].to_vec());
             let send = move || _ = socket.send_to(&content, target);
             match delay {
--- a/crates/lab/src/rig/datagrams_tests.rs
+++ b/crates/lab/src/rig/datagrams_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_split_cuts_both_ways_or_one() {
+fn a_partition_drops_datagrams_both_ways_or_one_way() {
     let split = |below, second, one_way| {
         Some(Split {
             below,
@@ -39,23 +39,23 @@
 }
 
 #[test]
-fn what_is_doubled_comes_twice_and_what_is_cut_not_at_all() {
+fn duplicated_datagrams_arrive_twice_and_partitioned_ones_never() {
     let relay = DatagramRelay::start(2, || 0, |_| false).unwrap();
     let fronts: Vec<UdpSocket> = (0..2)
         .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
     for (n, front) in fronts.iter().enumerate() {
-        relay.front(n, front.local_addr().unwrap());
+        relay.register_front(n, front.local_addr().unwrap());
         front
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
     }
-    relay.set(|s| s.doubled_ms = Some(1));
-    fronts[0].send_to(b"word", relay.at[1]).unwrap();
+    relay.set(|s| s.duplicate_after_ms = Some(1));
+    fronts[0].send_to(b"word", relay.addresses[1]).unwrap();
     let mut bytes = [0; 8];
     for _ in 0..2 {
         let (len, from) = fronts[1].recv_from(&mut bytes).unwrap();
-        assert_eq!((&bytes[..len], from), (&b"word"[..], relay.at[1]));
+        assert_eq!((&bytes[..len], from), (&b"word"[..], relay.addresses[1]));
     }
     let split = Some(Split {
         below: 1,
@@ -68,9 +68,9 @@
             ..DatagramFaults::default()
         }
     });
-    fronts[0].send_to(b"cut", relay.at[1]).unwrap();
-    fronts[1].send_to(b"cut", relay.at[0]).unwrap();
-    // Nothing comes: the record tells when both were dealt with.
+    fronts[0].send_to(b"cut", relay.addresses[1]).unwrap();
+    fronts[1].send_to(b"cut", relay.addresses[0]).unwrap();
+    // Nothing arrives: the record shows when both datagrams have been handled.
     let until = std::time::Instant::now() + Duration::from_secs(5);
     while relay.datagrams().len() < 3 && std::time::Instant::now() < until {
         std::thread::yield_now();
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -1,6 +1,6 @@
-//! `hallmux-lab fleet`: many real fronts and stand-in engines in zones, a fault relay between every front and
-//! every engine, a schedule of faults from a scenario file, one record of all that happened, the rules checked
-//! on it, and a table by the second.
+//! `hallmux-lab fleet`: runs real fronts and stand-in engines in zones with a fault relay between
+//! every front and every engine, plays the faults of a scenario file, records all events, checks
+//! them and prints a table with one row per second.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
@@ -11,7 +11,7 @@
 
 use super::agreed::{settings, zone_name};
 use super::datagrams::DatagramRelay;
-use super::member::{FleetConfig, Keys, Member, MemberOptions, Record};
+use super::member::{ClientRecord, FleetConfig, FleetKeys, Member, MemberOptions};
 use super::relay::{Link, Relayed};
 use super::scenario::{Fault, FleetShape, Scenario, Step};
 use super::stage::Stage;
@@ -25,59 +25,59 @@
 use crate::record::starved::Starved;
 use crate::rig::agreed::warmth;
 
-const LATELY_US: i64 = 2_000_000; // microseconds of words between fronts that count as of now
-const SLACK_US: i64 = 400_000; // microseconds for a final answer on a busy machine
+const RECENT_WINDOW_US: i64 = 2_000_000; // datagrams of this last span count as recent
+const ANSWER_SLACK_US: i64 = 400_000; // extra time for a final answer on a busy machine
 
-/// Front processes that take statements, their engines, and the ways between all of them.
+/// Front processes, their engines and the relays between them.
 pub struct Fleet {
     pub records: Arc<Records>,
-    record: Arc<Record>,
+    record: Arc<ClientRecord>,
     relayed: Arc<Mutex<Vec<Relayed>>>,
     engines: Vec<Arc<Engine>>,
     links: Vec<Vec<Arc<Link>>>,
     pub members: Vec<Arc<Member>>,
     config: FleetConfig,
-    /// The ids of every front process that was started.
+    /// Process ids of all fronts that were started.
     pids: Vec<u32>,
 }
 
 impl Fleet {
-    /// Starts all of them; they end with the value that is given back.
+    /// Starts fronts, engines and relays; dropping the fleet ends them.
     pub fn start(scenario: &Scenario, seed: u64) -> Result<Fleet, String> {
         Fleet::start_with(scenario, seed, Vec::new(), None)
     }
 
-    /// Starts all of them, each with what it has beside the others; they end with the value that is given back.
+    /// Starts a fleet with options for each front and a row store for the engines.
     pub(crate) fn start_with(
         scenario: &Scenario,
         seed: u64,
-        beside: Vec<MemberOptions>,
-        holds: Option<Arc<dyn RowStore>>,
+        member_options: Vec<MemberOptions>,
+        row_store: Option<Arc<dyn RowStore>>,
     ) -> Result<Fleet, String> {
-        let why = |e: std::io::Error| e.to_string();
+        let to_text = |e: std::io::Error| e.to_string();
         let records = Records::new();
-        let record = Arc::new(Record {
+        let record = Arc::new(ClientRecord {
             records: records.clone(),
-            asked: Mutex::default(),
+            offered: Mutex::default(),
         });
         let relayed: Arc<Mutex<Vec<Relayed>>> = Arc::default();
         let shape = &scenario.fleet;
         let engines: Vec<Arc<Engine>> = (0..shape.zones * shape.engines_per_zone)
-            .map(|n| Engine::holding(n, records.clone(), warmth(scenario), holds.clone()))
+            .map(|n| Engine::holding(n, records.clone(), warmth(scenario), row_store.clone()))
             .collect::<Result<_, _>>()
-            .map_err(why)?;
-        let gossip = start_gossip(shape, seed, &records).map_err(why)?;
+            .map_err(to_text)?;
+        let gossip = start_gossip(shape, seed, &records).map_err(to_text)?;
         let config = FleetConfig {
             seed,
             settings: settings(scenario),
-            beside,
+            member_options,
             gossip,
         };
         let (mut links, mut members, mut pids) = (Vec::new(), Vec::new(), Vec::new());
-        let mut clocks = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
-        let apart = shape.clocks_apart_ms as i64;
+        let mut clock_rng = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
+        let max_offset_ms = shape.clocks_apart_ms as i64;
         for front in 0..shape.fronts {
-            let own: Vec<Arc<Link>> = engines
+            let front_links: Vec<Arc<Link>> = engines
                 .iter()
                 .map(|e| {
                     let zone = e.number / shape.engines_per_zone;
@@ -89,12 +89,12 @@
                     )
                 })
                 .collect::<Result<_, _>>()
-                .map_err(why)?;
-            let coordinator = start_coordinator(&own).map_err(why)?;
-            links.push(own);
-            let ahead_ms = clocks.random_range(-apart..=apart);
+                .map_err(to_text)?;
+            let coordinator = start_coordinator(&front_links).map_err(to_text)?;
+            links.push(front_links);
+            let ahead_ms = clock_rng.random_range(-max_offset_ms..=max_offset_ms);
             let program = config
-                .beside
+                .member_options
                 .get(front)
                 .and_then(|beside| beside.program.clone());
             let member = Arc::new(Member::new(front, coordinator, ahead_ms, program));
@@ -113,10 +113,10 @@
         })
     }
 
-    /// The front that sent most bytes to others lately, of those that run and are not `but`: it owns shards of the
-    /// ledger.
-    pub(crate) fn busiest(&self, but: &[usize]) -> Option<usize> {
-        let since = self.records.now() - LATELY_US;
+    /// The running front outside `excluded` that recently sent most bytes to its peers; it leads
+    /// shards of the ledger.
+    pub(crate) fn busiest_sender(&self, excluded: &[usize]) -> Option<usize> {
+        let since = self.records.now() - RECENT_WINDOW_US;
         let (_, relay) = self.config.gossip.as_ref()?;
         let mut bytes = vec![0; self.members.len()];
         relay
@@ -124,14 +124,16 @@
             .iter()
             .filter(|p| p.at >= since)
             .for_each(|p| bytes[p.from] += p.bytes);
-        let here =
-            (0..bytes.len()).filter(|n| !but.contains(n) && !self.members[*n].away.load(SeqCst));
-        here.max_by_key(|n| bytes[*n])
+        let candidates = (0..bytes.len())
+            .filter(|n| !excluded.contains(n) && !self.members[*n].unavailable.load(SeqCst));
+        candidates.max_by_key(|n| bytes[*n])
     }
 
-    /// All fronts run and take statements.
-    pub(crate) fn is_whole(&self) -> bool {
-        self.members.iter().all(|member| !member.away.load(SeqCst))
+    /// Whether all fronts run and accept statements.
+    pub(crate) fn all_accept_statements(&self) -> bool {
+        self.members
+            .iter()
+            .all(|member| !member.unavailable.load(SeqCst))
     }
 
     fn stage(&self) -> Stage<'_> {
@@ -152,18 +154,18 @@
         }
     }
 
-    /// Ends all fronts, and gives what was seen of them.
+    /// Ends all fronts and returns the account of the run.
     fn account(&self, began: i64, played: Vec<(Fault, i64, i64)>, starved: Starved) -> Account {
         let (mut read_again, mut warned) = (0, Vec::new());
         let mut asked = self
             .record
-            .asked
+            .offered
             .lock()
             .map(|a| a.clone())
             .unwrap_or_default();
         for offered in &mut asked {
             let troubled = self.members[offered.front]
-                .troubled
+                .disruptions
                 .lock()
                 .map(|t| t.clone());
             offered.excuse(&troubled.unwrap_or_default(), &starved);
@@ -171,14 +173,14 @@
         for member in &self.members {
             let when =
                 |at: Instant| at.saturating_duration_since(self.records.since).as_micros() as i64;
-            let said = member.said(" warn: ").into_iter();
-            warned.extend(said.map(|(at, line)| (member.number, when(at), line)));
+            let warnings = member.log_lines(" warn: ").into_iter();
+            warned.extend(warnings.map(|(at, line)| (member.number, when(at), line)));
             if let Ok(mut front) = member.front.lock() {
                 read_again += front
                     .iter()
-                    .filter(|f| f.logged("was read again").is_some())
+                    .filter(|f| f.find_log_line("was read again").is_some())
                     .count() as i64;
-                front.take(); // ends the process and waits for it
+                front.take(); // kills the process and waits for it
             }
         }
         Account {
@@ -237,80 +239,90 @@
             peaks_since_start: self.engines.iter().map(|e| e.peak_since_start()).collect(),
             read_again,
             first_tries: Some(self.records.first_tries()),
-            slack: SLACK_US,
+            slack: ANSWER_SLACK_US,
             starved,
         }
     }
 }
 
-/// The keys of the fronts and the relay of their datagrams, where they talk with each other.
+/// The fronts' keys and the datagram relay, if the scenario has gossip.
 fn start_gossip(
     shape: &FleetShape,
     seed: u64,
     records: &Arc<Records>,
-) -> std::io::Result<Option<(Keys, DatagramRelay)>> {
+) -> std::io::Result<Option<(FleetKeys, DatagramRelay)>> {
     if !shape.gossip {
         return Ok(None);
     }
     let (clock, steps) = (records.clone(), records.clone());
     let left = move |front| steps.reached(Step::Copying, front);
     let relay = DatagramRelay::start(shape.fronts, move || clock.now(), left)?;
-    Ok(Some((Keys::new(shape, seed)?, relay)))
+    Ok(Some((FleetKeys::new(shape, seed)?, relay)))
 }
 
-/// The coordinator of a front: engines stand in its list with the addresses of the front's own links to them.
+/// Starts the coordinator of a front, which lists engines under the addresses of the front's own
+/// links.
 fn start_coordinator(links: &[Arc<Link>]) -> std::io::Result<Coordinator> {
     let coordinator = Coordinator::start()?;
     let zones: Vec<String> = links.iter().map(|l| zone_name(l.zone)).collect();
     let list: Vec<_> = links
         .iter()
         .zip(&zones)
-        .map(|(l, zone)| (format!("e{}", l.engine), l.at, "lines", "up", zone.as_str()))
+        .map(|(l, zone)| {
+            (
+                format!("e{}", l.engine),
+                l.address,
+                "lines",
+                "up",
+                zone.as_str(),
+            )
+        })
         .collect();
-    coordinator.tell_zoned(true, &list);
+    coordinator.announce_with_zones(true, &list);
     Ok(coordinator)
 }
 
-/// Plays the scenario and checks what happened.
+/// Runs the scenario and checks its record.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
     let fleet = Fleet::start(scenario, seed)?;
     let (account, pids) = play(fleet, scenario, seed, &mut NoHooks)?;
     Ok(judge(scenario, &account, pids))
 }
 
-/// What is played on a fleet beside the faults of its scenario.
+/// Hooks for what a run does in addition to the faults of its scenario.
 pub(crate) trait FleetHooks {
-    /// The fronts have started; the load begins when this returns.
-    fn ready(&mut self, _fleet: &Fleet) -> Result<(), String> {
+    /// Called when the fronts have started; the load starts when this returns.
+    fn on_ready(&mut self, _fleet: &Fleet) -> Result<(), String> {
         Ok(())
     }
 
-    /// Called some hundred times a second with the microseconds since the load began; faults that begin now.
-    fn turn(&mut self, _fleet: &Fleet, _since: i64) -> Vec<Fault> {
+    /// Called about every 5 ms with the microseconds since the load started; returns faults that
+    /// start now.
+    fn poll(&mut self, _fleet: &Fleet, _since: i64) -> Vec<Fault> {
         Vec::new()
     }
 
-    /// Whether all has been played, so that the run may end before its time.
+    /// Whether the run may end before its scheduled time.
     fn is_done(&self, _since: i64) -> bool {
         false
     }
 
-    /// The load has ended, the fronts still run.
-    fn over(&mut self, _fleet: &Fleet) {}
+    /// Called when the load has ended and the fronts still run.
+    fn on_load_ended(&mut self, _fleet: &Fleet) {}
 }
 
 struct NoHooks;
 
 impl FleetHooks for NoHooks {}
 
-/// Plays the scenario with what comes beside it; gives what was seen, and the ids of all processes.
+/// Runs the scenario with hooks; returns the account and the process ids of all fronts.
 pub(crate) fn play(
     fleet: Fleet,
     scenario: &Scenario,
     seed: u64,
-    beside: &mut dyn FleetHooks,
+    hooks: &mut dyn FleetHooks,
 ) -> Result<(Account, Vec<u32>), String> {
-    beside.ready(&fleet)?;
+    hooks.on_ready(&fleet)?;
     let began = fleet.records.now();
     let stop = Arc::new(AtomicBool::new(false));
     let load = {
@@ -323,52 +335,53 @@
     let mut faults = scenario.faults.clone();
     faults.sort_by_key(|f| f.at_ms);
     let mut started = Vec::new();
-    let (mut played, mut playing, mut next) = (Vec::new(), Vec::<(i64, i64, Fault)>::new(), 0);
+    let (mut played, mut active, mut next) = (Vec::new(), Vec::<(i64, i64, Fault)>::new(), 0);
     let over = began + scenario.seconds as i64 * 1_000_000;
     loop {
         let now = fleet.records.now() - began;
-        if (began + now >= over || beside.is_done(now)) && playing.is_empty() {
+        if (began + now >= over || hooks.is_done(now)) && active.is_empty() {
             break;
         }
         while let Some(fault) = faults.get(next).filter(|f| f.at_ms as i64 * 1000 <= now) {
-            let probed = fleet
+            let last_prober = fleet
                 .relayed
                 .lock()
                 .ok()
                 .and_then(|r| r.iter().rev().find(|r| r.probes > 0).map(|r| r.front));
-            let fault = fault.on(probed);
+            let fault = fault.resolve_owner(last_prober);
             stage.begin(&fault);
-            // From when it was in force: a busy machine may have begun it later than it was to be.
-            playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
+            // The span starts now: a busy machine may have started the fault later than scheduled.
+            active.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
             next += 1;
         }
-        let over = |(at, _, fault): &(i64, i64, Fault)| *at <= now && !stage.still_ends(fault);
-        let (due, later): (Vec<_>, Vec<_>) = playing.drain(..).partition(over);
-        playing = later;
+        let over =
+            |(at, _, fault): &(i64, i64, Fault)| *at <= now && !stage.is_shutting_down(fault);
+        let (due, later): (Vec<_>, Vec<_>) = active.drain(..).partition(over);
+        active = later;
         for (_, from, fault) in due {
             started.extend(stage.end(&fault)?);
             played.push((fault, from, fleet.records.now()));
         }
-        for fault in beside.turn(&fleet, now) {
+        for fault in hooks.poll(&fleet, now) {
             let fault = Fault {
                 at_ms: now as u64 / 1000,
                 ..fault
             };
             stage.begin(&fault);
-            playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
+            active.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
         }
         std::thread::sleep(Duration::from_millis(5));
     }
     stop.store(true, SeqCst);
     let _ = load.join();
-    beside.over(&fleet);
+    hooks.on_load_ended(&fleet);
     let account = fleet.account(began, played, watch.end());
     let pids = fleet.pids.iter().copied().chain(started).collect();
     Ok((account, pids))
 }
 
-/// A seed drawn where none is given.
-pub fn seed(scenario: &Scenario, given: Option<u64>) -> u64 {
+/// The given seed, else the scenario's, else a random one.
+pub fn choose_seed(scenario: &Scenario, given: Option<u64>) -> u64 {
     given
         .or(scenario.seed)
         .unwrap_or_else(|| u64::from(rand::random::<u32>()))
--- a/crates/lab/src/rig/front.rs
+++ b/crates/lab/src/rig/front.rs
@@ -1,5 +1,5 @@
-//! A real front on loopback: started, told of engines, asked for its memory, ended. It ends with the rig, whatever
-//! becomes of the test.
+//! A front process on loopback, started with a folder of its own. Dropping `Front` kills the
+//! process and removes the folder, also when a test panics.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -15,50 +15,50 @@
 
 use super::coordinator::Coordinator;
 
-const PATIENCE: Duration = Duration::from_secs(60); // for a start or an end; a busy machine takes some of it
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(60); // for a start or an exit; generous for a busy machine
 
-/// The ports a front said it takes connections at, each with whether it is the one for lines.
-type Heard = Arc<(Mutex<Vec<(bool, SocketAddr)>>, Condvar)>;
+/// The addresses that a front reported in its log, each with whether it is the statement port.
+type ReportedAddresses = Arc<(Mutex<Vec<(bool, SocketAddr)>>, Condvar)>;
 
-/// A front's process.
+/// A running front process.
 pub struct Front {
     child: Child,
-    /// Where it takes statements over Thrift, and PostgreSQL sessions.
-    pub lines: SocketAddr,
-    pub sessions: SocketAddr,
+    /// The addresses for statements over Thrift and for PostgreSQL sessions.
+    pub statement_address: SocketAddr,
+    pub session_address: SocketAddr,
     folder: PathBuf,
     config: Value,
     log: Log,
 }
 
-/// The lines of a front's log, each with when it was read.
+/// The lines of a front's log, each with the time when it was read.
 pub type Log = Arc<Mutex<Vec<(Instant, String)>>>;
 
-static FOLDERS: AtomicUsize = AtomicUsize::new(0);
+static NEXT_FOLDER: AtomicUsize = AtomicUsize::new(0);
 
-/// The front's program: beside this one.
-fn program() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let mut beside = own
+/// The front's executable in the folder of this program or the one above.
+fn default_program() -> Result<PathBuf, String> {
+    let executable = std::env::current_exe().map_err(|e| e.to_string())?;
+    let mut candidates = executable
         .ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join("hallmux-front"));
-    let found = beside.find(|path| path.exists());
+    let found = candidates.find(|path| path.exists());
     found.ok_or_else(|| {
         "hallmux-front is not built beside this program: cargo build --release".to_string()
     })
 }
 
 impl Front {
-    /// Starts it and waits until it takes sessions.
+    /// Starts a front and waits until it accepts statements.
     pub fn start(
         settings: &Value,
         operator: &str,
         coordinator: &Coordinator,
         sockets: usize,
     ) -> Result<Front, String> {
-        Front::named(
+        Front::start_named(
             ("f1", 0x8c1f_30d2_7a5b_e964),
             settings,
             (operator, &[]),
@@ -67,47 +67,52 @@
         )
     }
 
-    /// The same, under a name and a seed of its own among many fronts (with one seed they would draw in step), and
-    /// with further variables of the environment; where a program is named, it is that one's.
-    pub fn named(
+    /// Starts a front under a name and a seed of its own, since fronts with one seed would draw the
+    /// same numbers, with further environment variables and optionally another executable.
+    pub fn start_named(
         (name, seed): (&str, u64),
         settings: &Value,
         (operator, environment): (&str, &[(String, String)]),
         coordinator: &Coordinator,
         (sockets, other): (usize, Option<PathBuf>),
     ) -> Result<Front, String> {
-        let number = FOLDERS.fetch_add(1, SeqCst);
+        let number = NEXT_FOLDER.fetch_add(1, SeqCst);
         let folder =
             std::env::temp_dir().join(format!("hallmux-lab-{}-{number}", std::process::id()));
-        let why = |e: std::io::Error| e.to_string();
-        std::fs::create_dir_all(&folder).map_err(why)?;
+        let to_text = |e: std::io::Error| e.to_string();
+        std::fs::create_dir_all(&folder).map_err(to_text)?;
         let config = json!({"name": name, "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
-            "limits": {"memory_mb": 512, "sockets": sockets}, "coordinator": coordinator.at.to_string(),
-            "known": coordinator.known(), "settings": settings});
+            "limits": {"memory_mb": 512, "sockets": sockets}, "coordinator": coordinator.address.to_string(),
+            "known": coordinator.snapshot(), "settings": settings});
         let (config_path, operator_path) =
             (folder.join("config.json"), folder.join("operator.json5"));
-        std::fs::write(&config_path, config.to_string()).map_err(why)?;
-        std::fs::write(&operator_path, operator).map_err(why)?;
-        let program = other.map_or_else(program, Ok)?;
+        std::fs::write(&config_path, config.to_string()).map_err(to_text)?;
+        std::fs::write(&operator_path, operator).map_err(to_text)?;
+        let program = other.map_or_else(default_program, Ok)?;
         let mut child = Command::new(program)
             .env("NODE_CONFIG", &config_path)
             .env("HALLMUX_OPERATOR", &operator_path)
             .envs(environment.iter().map(|(name, value)| (name, value)))
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(why)?;
-        let log = BufReader::new(child.stderr.take().ok_or("no log")?);
-        let found: Heard = Arc::default();
+            .map_err(to_text)?;
+        let log = BufReader::new(
+            child
+                .stderr
+                .take()
+                .ok_or("the stderr of the front is not captured")?,
+        );
+        let found: ReportedAddresses = Arc::default();
         let addresses = found.clone();
-        let kept = Log::default();
-        let keeps = kept.clone();
-        let shows = std::env::var("HALLMUX_LAB_LOG").is_ok();
+        let log_lines = Log::default();
+        let log_writer = log_lines.clone();
+        let echoes_log = std::env::var("HALLMUX_LAB_LOG").is_ok();
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                if shows {
+                if echoes_log {
                     eprintln!("{line}");
                 }
-                if let Ok(mut lines) = keeps.lock() {
+                if let Ok(mut lines) = log_writer.lock() {
                     lines.push((Instant::now(), line.clone()));
                 }
                 let address = line.rsplit(' ').next().and_then(|word| word.parse().ok());
@@ -120,11 +125,11 @@
             }
         });
         let all = found.0.lock().map_err(|e| e.to_string())?;
-        // Lines are taken on the port that it names last; sessions, where it takes them, on the one before.
-        let waits = found
-            .1
-            .wait_timeout_while(all, PATIENCE, |all| !all.iter().any(|(lines, _)| *lines));
-        let (all, _) = waits.map_err(|e| e.to_string())?;
+        // The statement port is logged last; the session port, if there is one, before it.
+        let wait_result = found.1.wait_timeout_while(all, PROCESS_TIMEOUT, |all| {
+            !all.iter().any(|(lines, _)| *lines)
+        });
+        let (all, _) = wait_result.map_err(|e| e.to_string())?;
         let lines = all.iter().find(|(lines, _)| *lines).map(|(_, at)| *at);
         let sessions = all
             .iter()
@@ -134,21 +139,21 @@
         match (sessions, lines) {
             (Some(sessions), Some(lines)) => Ok(Front {
                 child,
-                lines,
-                sessions,
+                statement_address: lines,
+                session_address: sessions,
                 folder,
                 config,
-                log: kept,
+                log: log_lines,
             }),
             _ => {
                 let _ = child.kill();
-                Err("the front did not start".to_string())
+                Err("the front logged no statement address in time; set HALLMUX_LAB_LOG to see its log".to_string())
             }
         }
     }
 
-    /// Writes its configuration anew, with so many descriptors granted, and tells it so by SIGHUP.
-    pub fn read_again(&self, sockets: usize) {
+    /// Rewrites the configuration file with a new socket limit and sends SIGHUP.
+    pub fn reload_config(&self, sockets: usize) {
         let mut config = self.config.clone();
         config["limits"]["sockets"] = json!(sockets);
         if std::fs::write(self.folder.join("config.json"), config.to_string()).is_ok() {
@@ -156,25 +161,25 @@
         }
     }
 
-    /// The last line of its log.
-    pub fn last(&self) -> Option<String> {
+    /// The last line of the front's log.
+    pub fn last_log_line(&self) -> Option<String> {
         self.log.lock().ok()?.last().map(|(_, line)| line.clone())
     }
 
-    /// The first line of its log that holds the text.
-    pub fn logged(&self, text: &str) -> Option<String> {
+    /// The first line of the front's log that contains the text.
+    pub fn find_log_line(&self, text: &str) -> Option<String> {
         let log = self.log.lock().ok()?;
         log.iter()
             .find(|(_, line)| line.contains(text))
             .map(|(_, line)| line.clone())
     }
 
-    /// Its log, which grows as long as it runs and stays when it is gone.
+    /// The front's log, which grows while the front runs and remains after it has exited.
     pub fn log(&self) -> Log {
         self.log.clone()
     }
 
-    /// Kilobytes of memory that it holds.
+    /// Resident memory of the process in kilobytes.
     pub fn memory_kb(&self) -> u64 {
         self.status("VmRSS:")
     }
@@ -192,7 +197,7 @@
             .unwrap_or(0)
     }
 
-    /// Microseconds of CPU that it has used.
+    /// CPU time used by the process in microseconds.
     pub fn cpu_micros(&self) -> u64 {
         let text =
             std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
@@ -206,29 +211,31 @@
         ticks * 10_000 // a tick is a hundredth of a second on Linux
     }
 
+    /// Whether the process is still running.
     pub fn is_up(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Asks for its end.
+    /// Requests a shutdown by SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Sends it a signal: to stop, go on, end or die.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits for its end after it was asked for; whether it ended well, and after how long.
-    pub fn ended(&mut self) -> Option<(bool, Duration)> {
+    /// Waits for the process to exit; returns whether it succeeded and how long the wait took,
+    /// `None` on a timeout.
+    pub fn wait_for_exit(&mut self) -> Option<(bool, Duration)> {
         let since = Instant::now();
-        while since.elapsed() < PATIENCE {
+        while since.elapsed() < PROCESS_TIMEOUT {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some((status.success(), since.elapsed()));
             }
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -1,4 +1,4 @@
-//! A front of the fleet while it runs and anew, and what all fronts of a run share.
+//! A front of the fleet over its restarts, and the settings that all fronts of a run share.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering::SeqCst};
@@ -16,47 +16,49 @@
 use crate::engine::Records;
 use crate::record::offered::Offered;
 
-/// Microseconds for which clients still come to a front that was asked to end: half of what its door stays open.
-const STILL_COME: i64 = 300_000;
-const LONGEST_END: i64 = 30_000_000; // microseconds until an end is no longer waited for
-const MOST_SEEDS: usize = 3; // fronts that each asks first, drawn: a few for all would be slow to answer them
-pub(crate) const SOCKETS: usize = 256; // descriptors each front may hold
+/// Microseconds for which clients still connect to a front that was asked to shut down: half of the
+/// time for which its listener stays open.
+const CLIENT_GRACE_US: i64 = 300_000;
+const SHUTDOWN_TIMEOUT_US: i64 = 30_000_000; // limit on the wait for a shutdown
+const SEED_COUNT: usize = 3; // random seed peers per front: the same few for all would be overloaded
+pub(crate) const SOCKETS: usize = 256; // file descriptors that each front may hold
 
-/// A front of the fleet: its process while it runs, its own links and list.
+/// A front of the fleet: its process while it runs, and its coordinator.
 pub(crate) struct Member {
     pub(crate) front: Mutex<Option<Front>>,
     pub(crate) coordinator: Coordinator,
     pub(crate) number: usize,
-    /// Milliseconds by which its clock is ahead of the machine's.
-    pub(crate) ahead_ms: i64,
-    /// It takes no statements from clients: stopped, killed or ending.
-    pub(crate) away: AtomicBool,
-    /// Until then clients come to it all the same.
-    pub(crate) until: AtomicI64,
-    /// The program that its next life is; none: the one beside the lab.
+    /// Milliseconds by which the front's clock is ahead of the machine's.
+    pub(crate) clock_ahead_ms: i64,
+    /// Whether the front accepts no statements: it is stalled, killed or shutting down.
+    pub(crate) unavailable: AtomicBool,
+    /// Time in microseconds until which clients connect even if the front is unavailable.
+    pub(crate) accepts_until: AtomicI64,
+    /// The executable of the next incarnation; `None`: the one beside the lab.
     pub(crate) program: Mutex<Option<PathBuf>>,
-    /// Its ends that were asked for.
+    /// The shutdowns that were requested.
     pub(crate) shutdowns: Mutex<Vec<Shutdown>>,
-    /// Spans, in microseconds since the rig began, in which it was stopped, killed or ending: a statement out at
-    /// it then may be late or lost by a fault of its own.
-    pub(crate) troubled: Mutex<Vec<(i64, i64)>>,
-    /// The logs of all its lives so far.
+    /// Spans, in microseconds since the rig started, in which the front was stalled, killed or
+    /// shutting down: a statement in flight then may be late or lost because of the fault.
+    pub(crate) disruptions: Mutex<Vec<(i64, i64)>>,
+    /// The logs of all incarnations.
     pub(crate) logs: Mutex<Vec<Log>>,
 }
 
-/// An end that a front was asked for.
+/// A requested shutdown of a front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shutdown {
     pub front: usize,
-    /// When it was asked, and when its process was gone.
+    /// Times of the request and of the exit of the process, in microseconds.
     pub asked: i64,
-    pub gone: i64,
-    /// It ended by itself, without an error.
-    pub well: bool,
+    pub exited: i64,
+    /// Whether the process exited by itself and without an error.
+    pub succeeded: bool,
 }
 
 impl Member {
-    /// One that has yet to start: its number, its clock's lead, and the program of its first life where it is another.
+    /// A front that has yet to start; `program` is the executable of its first incarnation, `None`
+    /// for the one beside the lab.
     pub(crate) fn new(
         number: usize,
         coordinator: Coordinator,
@@ -67,73 +69,87 @@
             front: Mutex::default(),
             coordinator,
             number,
-            ahead_ms,
-            away: AtomicBool::new(false),
-            until: AtomicI64::new(0),
+            clock_ahead_ms: ahead_ms,
+            unavailable: AtomicBool::new(false),
+            accepts_until: AtomicI64::new(0),
             program: Mutex::new(program),
             shutdowns: Mutex::default(),
-            troubled: Mutex::default(),
+            disruptions: Mutex::default(),
             logs: Mutex::default(),
         }
     }
 
-    /// Whether clients come to it now.
-    pub(crate) fn takes(&self, now: i64) -> bool {
-        !self.away.load(SeqCst) || now < self.until.load(SeqCst)
+    /// Whether clients may connect now.
+    pub(crate) fn accepts_statements(&self, now: i64) -> bool {
+        !self.unavailable.load(SeqCst) || now < self.accepts_until.load(SeqCst)
     }
 
-    /// Its next life is of this program; none: the one beside the lab.
-    pub(crate) fn becomes(&self, next: Option<PathBuf>) {
+    /// Sets the executable of the next incarnation; `None`: the one beside the lab.
+    pub(crate) fn set_next_program(&self, next: Option<PathBuf>) {
         if let Ok(mut program) = self.program.lock() {
             *program = next;
         }
     }
 
-    /// It is asked to end.
-    pub(crate) fn asked_to_end(&self, now: i64) {
-        self.until.store(now + STILL_COME, SeqCst);
+    /// Records that a shutdown was requested.
+    pub(crate) fn record_shutdown_request(&self, now: i64) {
+        self.accepts_until.store(now + CLIENT_GRACE_US, SeqCst);
         if let Ok(mut shutdowns) = self.shutdowns.lock() {
             shutdowns.push(Shutdown {
                 front: self.number,
                 asked: now,
-                gone: i64::MAX,
-                well: false,
+                exited: i64::MAX,
+                succeeded: false,
             });
         }
     }
 
-    /// When its end that was asked for last should long be over.
-    pub(crate) fn ends_by(&self) -> i64 {
+    /// The time in microseconds by which the last requested shutdown must have completed; 0 if
+    /// there was none.
+    pub(crate) fn shutdown_deadline(&self) -> i64 {
         let asked = self
             .shutdowns
             .lock()
             .ok()
             .and_then(|shutdowns| shutdowns.last().map(|end| end.asked));
-        asked.map_or(0, |asked| asked + LONGEST_END)
+        asked.map_or(0, |asked| asked + SHUTDOWN_TIMEOUT_US)
     }
 
-    /// Its process is gone, after an end that it was asked for where one is open.
-    pub(crate) fn has_ended(&self, now: i64, well: bool) {
+    /// Records the exit of the process in any open shutdown.
+    pub(crate) fn record_exit(&self, now: i64, well: bool) {
         if let Ok(mut shutdowns) = self.shutdowns.lock() {
-            let open = shutdowns.iter_mut().filter(|end| end.gone == i64::MAX);
-            open.for_each(|end| (end.gone, end.well) = (now, well));
+            let open = shutdowns.iter_mut().filter(|end| end.exited == i64::MAX);
+            open.for_each(|end| (end.exited, end.succeeded) = (now, well));
         }
     }
 
-    /// Starts its front, anew where it ran before; with gossip, the others it knows of are its seeds.
+    /// Starts or restarts the front and returns its process id; with gossip, the seed peers are
+    /// drawn at random.
     pub(crate) fn start(&self, config: &FleetConfig) -> Result<u32, String> {
-        let beside = config.beside.get(self.number).cloned().unwrap_or_default();
-        let ahead = format!("clock_ahead_ms: {}{}", self.ahead_ms, beside.operator);
+        let options = config
+            .member_options
+            .get(self.number)
+            .cloned()
+            .unwrap_or_default();
+        let ahead = format!(
+            "clock_ahead_ms: {}{}",
+            self.clock_ahead_ms, options.operator
+        );
         let operator = match &config.gossip {
             None => format!("{{ {ahead} }}"),
             Some((keys, relay)) => {
-                let mut chance = Pcg64Mcg::seed_from_u64(self.number as u64);
-                let seed = |_| format!("'{}'", relay.at[chance.random_range(0..relay.at.len())]);
-                let seeds: Vec<String> = (0..MOST_SEEDS).map(seed).collect();
+                let mut rng = Pcg64Mcg::seed_from_u64(self.number as u64);
+                let seed = |_| {
+                    format!(
+                        "'{}'",
+                        relay.addresses[rng.random_range(0..relay.addresses.len())]
+                    )
+                };
+                let seeds: Vec<String> = (0..SEED_COUNT).map(seed).collect();
                 let file = keys.folder.join(format!("secret{}", self.number));
                 let voters = |count: usize| {
                     (0..count)
-                        .map(|n| format!("f{n}: '{}'", relay.at[n]))
+                        .map(|n| format!("f{n}: '{}'", relay.addresses[n]))
                         .collect::<Vec<_>>()
                 };
                 let ownership = keys.voters.map(|(count, lease_ms)| {
@@ -145,7 +161,7 @@
                     )
                 });
                 let ownership = ownership.unwrap_or_default()
-                    + &keys.ledger(self.number, &relay.at, &beside.ledger)
+                    + &keys.ledger_settings(self.number, &relay.addresses, &options.ledger)
                     + &keys.overload;
                 let quorum = keys
                     .zone_quorum
@@ -154,7 +170,7 @@
                 format!(
                     "{{ {ahead}, gossip: {{ listen: '127.0.0.1:0', advertise: '{}', secret_file: '{}', {quorum}peers: {{ {} }}, \
                      seeds: [{}]{ownership} }} }}",
-                    relay.at[self.number],
+                    relay.addresses[self.number],
                     file.display(),
                     keys.peers,
                     seeds.join(", ")
@@ -163,22 +179,22 @@
         };
         let name = format!("f{}", self.number);
         let seed = Pcg64Mcg::seed_from_u64(config.seed ^ (self.number as u64) << 32).random();
-        let own = (operator.as_str(), beside.environment.as_slice());
+        let environment = (operator.as_str(), options.environment.as_slice());
         let program = self.program.lock().ok().and_then(|program| program.clone());
-        let started = Front::named(
+        let started = Front::start_named(
             (&name, seed),
             &config.settings,
-            own,
+            environment,
             &self.coordinator,
             (SOCKETS, program),
         )?;
         if let Ok(mut logs) = self.logs.lock() {
             logs.push(started.log());
         }
-        let at = started.logged("talks with other fronts");
+        let at = started.find_log_line("talks with other fronts");
         let at = at.and_then(|line| line.rsplit(' ').next().and_then(|word| word.parse().ok()));
         if let Some(((_, relay), at)) = config.gossip.as_ref().zip(at) {
-            relay.front(self.number, at);
+            relay.register_front(self.number, at);
         }
         let pid = started.pid();
         if let Ok(mut front) = self.front.lock() {
@@ -187,27 +203,27 @@
         Ok(pid)
     }
 
-    /// It takes no statements from now on, and what it had out then may be lost.
-    pub(crate) fn goes_away(&self, at: i64) {
-        self.away.store(true, SeqCst);
-        if let Ok(mut troubled) = self.troubled.lock() {
+    /// Marks the front unavailable from `at`; statements in flight may be lost from then on.
+    pub(crate) fn mark_unavailable(&self, at: i64) {
+        self.unavailable.store(true, SeqCst);
+        if let Ok(mut troubled) = self.disruptions.lock() {
             troubled.push((at, i64::MAX));
         }
     }
 
-    /// It takes statements again.
-    pub(crate) fn is_back(&self, at: i64) {
-        if let Ok(mut troubled) = self.troubled.lock() {
+    /// Marks the front available again.
+    pub(crate) fn mark_available(&self, at: i64) {
+        if let Ok(mut troubled) = self.disruptions.lock() {
             troubled
                 .iter_mut()
                 .filter(|(_, to)| *to == i64::MAX)
                 .for_each(|(_, to)| *to = at);
         }
-        self.away.store(false, SeqCst);
+        self.unavailable.store(false, SeqCst);
     }
 
-    /// Lines of its log that hold the text, of all its lives, each with when it was read.
-    pub(crate) fn said(&self, text: &str) -> Vec<(Instant, String)> {
+    /// Log lines of all incarnations that contain the text, each with the time when it was read.
+    pub(crate) fn log_lines(&self, text: &str) -> Vec<(Instant, String)> {
         let logs = self
             .logs
             .lock()
@@ -222,7 +238,7 @@
         logs.into_iter().flat_map(holds).collect()
     }
 
-    /// Sends its front a signal, where one runs.
+    /// Sends a signal to the front's process, if one runs.
     pub(crate) fn signal(&self, signal: Signal) {
         if let Ok(front) = self.front.lock() {
             front.iter().for_each(|f| f.signal(signal));
@@ -230,45 +246,49 @@
     }
 }
 
-/// What a front has beside what all have: rules, sites, drills.
+/// Options of one front beyond the common settings: rules, sites, disk faults.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberOptions {
-    /// Further keys of its operator's file and of the ledger's part of it, each with a comma before it.
+    /// Further keys of the operator's file and of its ledger section, each preceded by a comma.
     pub(crate) operator: String,
     pub(crate) ledger: String,
     pub(crate) environment: Vec<(String, String)>,
-    /// The file that says what befalls the disk of its copies, where the operator's file names one.
-    pub(crate) drill: Option<PathBuf>,
-    /// The program of its first life, where it is another build's.
+    /// The file that names the active fault of the replica disk, if the operator's file refers to
+    /// one.
+    pub(crate) disk_fault_file: Option<PathBuf>,
+    /// The executable of the first incarnation; `None`: the one beside the lab.
     pub(crate) program: Option<PathBuf>,
 }
 
-/// What all fronts of a run share.
+/// Settings that all fronts of a run share.
 pub(crate) struct FleetConfig {
     pub(crate) seed: u64,
     pub(crate) settings: serde_json::Value,
-    /// For each front; fronts beyond have nothing of their own.
-    pub(crate) beside: Vec<MemberOptions>,
-    /// With gossip, the fronts' keys and the way between them.
-    pub(crate) gossip: Option<(Keys, DatagramRelay)>,
+    /// Options by front; fronts without an entry have the defaults.
+    pub(crate) member_options: Vec<MemberOptions>,
+    /// The fronts' keys and the datagram relay, if the scenario has gossip.
+    pub(crate) gossip: Option<(FleetKeys, DatagramRelay)>,
 }
 
-/// The fronts' keys for gossip: secrets in files of a folder of the run's, public halves known to all.
-pub(crate) struct Keys {
+/// The gossip section of the operator's files: the fronts' secrets in files of a temporary folder
+/// and their public keys, which all fronts know.
+pub(crate) struct FleetKeys {
     folder: PathBuf,
     /// `name: 'public key', ...` for the operator's file.
     peers: String,
     zone_quorum: Option<usize>,
-    /// Promises stand on so many fronts; zones and fronts of the fleet.
+    /// The replication factor of ledger entries, and the number of zones.
     copies: Option<(usize, usize)>,
-    /// How many vote on who owns the fleet's work, and how long a lease lasts.
+    /// The number of voters on the ownership of the fleet's work, and the lease length in
+    /// milliseconds.
     voters: Option<(usize, u64)>,
-    /// That part of the operator's file.
+    /// The overload section of the operator's file.
     overload: String,
 }
 
-impl Keys {
-    pub(crate) fn new(shape: &FleetShape, seed: u64) -> std::io::Result<Keys> {
+impl FleetKeys {
+    /// Draws the fronts' keys from the seed and writes the secrets to files.
+    pub(crate) fn new(shape: &FleetShape, seed: u64) -> std::io::Result<FleetKeys> {
         let folder =
             std::env::temp_dir().join(format!("hallmux-fleet-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -296,7 +316,7 @@
             .filter(|_| shape.sheds_as_one)
             .unwrap_or_default();
         let voters = shape.voters.map(|voters| (voters, shape.lease_ms));
-        Ok(Keys {
+        Ok(FleetKeys {
             folder,
             peers: peers.join(", "),
             zone_quorum: shape.zone_quorum,
@@ -307,13 +327,13 @@
     }
 }
 
-impl Keys {
-    fn disk(&self, front: usize) -> PathBuf {
+impl FleetKeys {
+    fn ledger_directory(&self, front: usize) -> PathBuf {
         self.folder.join(format!("ledger{front}"))
     }
 
-    /// The ledger's part of the operator's file of a front.
-    fn ledger(&self, front: usize, at: &[std::net::SocketAddr], more: &str) -> String {
+    /// The ledger section of a front's operator file.
+    fn ledger_settings(&self, front: usize, at: &[std::net::SocketAddr], more: &str) -> String {
         let Some((copies, zones)) = self.copies else {
             return String::new();
         };
@@ -326,41 +346,41 @@
         let members: Vec<String> = at.iter().enumerate().map(member).collect();
         format!(
             ", ledger: {{ fleet: 'lab', directory: '{}', copies: {copies}{more}, members: {{ {} }} }}",
-            self.disk(front).display(),
+            self.ledger_directory(front).display(),
             members.join(", ")
         )
     }
 }
 
 impl FleetConfig {
-    /// What a front kept on disk is gone.
-    pub(crate) fn lose_disk(&self, front: usize) {
+    /// Removes what a front keeps on disk.
+    pub(crate) fn remove_ledger(&self, front: usize) {
         if let Some((keys, _)) = &self.gossip {
-            let _ = std::fs::remove_dir_all(keys.disk(front));
+            let _ = std::fs::remove_dir_all(keys.ledger_directory(front));
         }
     }
 
-    /// Says what befalls the disk of a front's copies from now on.
-    pub(crate) fn drill(&self, front: usize, what: &str) {
+    /// Sets the fault of the front's replica disk; an empty text ends it.
+    pub(crate) fn set_disk_fault(&self, front: usize, what: &str) {
         if let Some(drill) = self
-            .beside
+            .member_options
             .get(front)
-            .and_then(|beside| beside.drill.as_ref())
+            .and_then(|options| options.disk_fault_file.as_ref())
         {
             let _ = std::fs::write(drill, what);
         }
     }
 }
 
-impl Drop for Keys {
+impl Drop for FleetKeys {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// What clients saw, gathered while they run.
-pub(crate) struct Record {
+/// The clients' record of a run.
+pub(crate) struct ClientRecord {
     pub(crate) records: Arc<Records>,
-    /// Each statement with the front it was sent to.
-    pub(crate) asked: Mutex<Vec<Offered>>,
+    /// Each statement with the front that it was sent to.
+    pub(crate) offered: Mutex<Vec<Offered>>,
 }
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -1,6 +1,6 @@
-//! The fault relay: a port of the rig's own between one front and one engine, through which every byte
-//! passes, so that a link can be lost, cut one way, slowed or reset while both ends go on, and every
-//! statement sent through it is written down whether it passed or not.
+//! The fault relay: a local port between one front and one engine that passes all bytes. A link can
+//! lose traffic both ways or one way, be slowed or be reset while both ends keep running, and every
+//! statement sent through it is recorded whether it passed or not.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,11 +10,11 @@
 
 use crate::engine::{Lines, Records, WireEvent, WireEventKind};
 
-const CHUNK: usize = 16 << 10; // bytes read and passed on at once
+const CHUNK: usize = 16 << 10; // bytes read and forwarded at once
 
-/// What a link does now.
+/// The faults that are active on a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct State {
+pub struct LinkState {
     /// Nothing passes from the front towards the engine.
     pub out_lost: bool,
     /// Nothing passes from the engine back to the front.
@@ -23,7 +23,7 @@
     pub delay_ms: u64,
 }
 
-/// What went from a front towards an engine: microseconds since the rig began, statements and probes in it.
+/// Traffic from a front towards an engine, with its time in microseconds since the rig started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relayed {
     pub at: i64,
@@ -32,40 +32,40 @@
     pub zone: usize,
     pub statements: usize,
     pub probes: usize,
-    /// Connections that were made.
+    /// Connections that were opened.
     pub opened: usize,
     pub passed: bool,
 }
 
-/// One connection through the relay: the engine's side of it, and whether the link has been reset under it.
+/// One connection through the relay: the engine's side of it, and whether the link has been reset.
 struct Connection {
     engine_side: TcpStream,
     is_reset: Arc<AtomicBool>,
 }
 
-/// Which way bytes pass in one of a connection's two threads, and what both know of the connection.
+/// The direction of one of a connection's two threads, and the state that both threads share.
 struct Direction {
-    /// From the front towards the engine.
+    /// Whether bytes pass from the front to the engine.
     out: bool,
-    /// The relay's port at the engine.
+    /// The relay's local port on the engine's side.
     port: u16,
     is_reset: Arc<AtomicBool>,
 }
 
-/// One front's way to one engine.
+/// The connections of one front to one engine.
 pub struct Link {
     pub front: usize,
     pub engine: usize,
     pub zone: usize,
-    pub at: SocketAddr,
-    state: Mutex<State>,
+    pub address: SocketAddr,
+    state: Mutex<LinkState>,
     open: Mutex<Vec<Connection>>,
     records: Arc<Records>,
     relayed: Arc<Mutex<Vec<Relayed>>>,
 }
 
 impl Link {
-    /// Listens on a port of the system's and passes what comes to `to`.
+    /// Listens on a free local port and forwards connections to `to`.
     pub fn start(
         (front, engine, zone): (usize, usize, usize),
         to: SocketAddr,
@@ -79,33 +79,33 @@
             front,
             engine,
             zone,
-            at,
+            address: at,
             state,
             open,
             records,
             relayed,
         });
-        let takes = link.clone();
+        let accepting = link.clone();
         std::thread::spawn(move || {
             for near in listener.incoming().flatten() {
-                takes.notes((0, 0, 1), !takes.state().out_lost);
+                accepting.record_traffic((0, 0, 1), !accepting.state().out_lost);
                 let Ok(far) = TcpStream::connect(to) else {
                     continue;
                 };
                 let _ = (near.set_nodelay(true), far.set_nodelay(true));
                 let port = far.local_addr().map_or(0, |own| own.port());
                 if let Ok(own) = far.local_addr() {
-                    takes.records.opened(own, to, takes.front);
+                    accepting.records.opened(own, to, accepting.front);
                 }
                 let is_reset = Arc::new(AtomicBool::new(false));
-                if let (Ok(engine_side), Ok(mut open)) = (far.try_clone(), takes.open.lock()) {
+                if let (Ok(engine_side), Ok(mut open)) = (far.try_clone(), accepting.open.lock()) {
                     open.retain(|connection| connection.engine_side.peer_addr().is_ok());
                     open.push(Connection {
                         engine_side,
                         is_reset: is_reset.clone(),
                     });
                 }
-                let (out, back) = (takes.clone(), takes.clone());
+                let (out, back) = (accepting.clone(), accepting.clone());
                 let (near_r, far_r) = match (near.try_clone(), far.try_clone()) {
                     (Ok(n), Ok(f)) => (n, f),
                     _ => continue,
@@ -123,20 +123,23 @@
         Ok(link)
     }
 
-    pub fn set(&self, change: impl FnOnce(&mut State)) {
+    /// Changes the active faults of the link.
+    pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
         if let Ok(mut state) = self.state.lock() {
             change(&mut state);
         }
     }
 
-    pub fn state(&self) -> State {
+    /// The active faults of the link.
+    pub fn state(&self) -> LinkState {
         self.state.lock().map(|s| *s).unwrap_or_default()
     }
 
-    /// Resets every connection through it, as a network that drops them does, the engine's side first: an engine
-    /// stops what runs for a connection that ended and closes its own side, and only that close reaches the front.
-    /// An engine without a CPU may take long for that; were the front told after a fixed time, what it sends again
-    /// would run beside what the engine has not stopped yet, and the record would blame the front for it.
+    /// Resets every connection of the link, the engine's side first: the engine cancels what runs
+    /// for a closed connection and closes its own side, and only that close reaches the front. An
+    /// engine without a CPU may take long to do so. If the front saw the reset after a fixed time,
+    /// its retries would run beside executions that the engine has not stopped yet, and the record
+    /// would blame the front.
     pub fn reset(&self) {
         if let Ok(mut open) = self.open.lock() {
             for connection in open.drain(..) {
@@ -146,7 +149,7 @@
         }
     }
 
-    fn notes(&self, (statements, probes, opened): (usize, usize, usize), passed: bool) {
+    fn record_traffic(&self, (statements, probes, opened): (usize, usize, usize), passed: bool) {
         let Link {
             front,
             engine,
@@ -197,7 +200,7 @@
             let lost = cut || way.is_reset.load(SeqCst);
             if way.out {
                 let count = |word: &[u8]| chunk[..read].windows(5).filter(|w| *w == word).count();
-                self.notes((count(b"want "), count(b"busy "), 0), !lost);
+                self.record_traffic((count(b"want "), count(b"busy "), 0), !lost);
                 self.records.sends(self.front, &chunk[..read]);
             }
             for (verb, id) in lines.take(&chunk[..read]) {
@@ -216,7 +219,8 @@
             if state.delay_ms > 0 {
                 std::thread::sleep(Duration::from_millis(state.delay_ms));
             }
-            // A write that a reset overtakes fails; the front hears of the reset by the engine's close alone.
+            // A write that races with a reset fails; the front sees the reset only through the
+            // engine's close.
             if to.write_all(&chunk[..read]).is_err() && !way.is_reset.load(SeqCst) {
                 break;
             }
--- a/crates/lab/src/rig/relay_tests.rs
+++ b/crates/lab/src/rig/relay_tests.rs
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn a_lost_link_passes_nothing_but_writes_down_what_was_sent() {
+fn a_lost_link_drops_bytes_but_records_statements() {
     let relayed = Arc::default();
     let link = Link::start((0, 1, 2), echo(), Records::new(), Arc::clone(&relayed)).unwrap();
-    let mut s = TcpStream::connect(link.at).unwrap();
+    let mut s = TcpStream::connect(link.address).unwrap();
     s.set_read_timeout(Some(Duration::from_millis(300)))
         .unwrap();
     let mut b = [0; 16];
@@ -31,10 +31,7 @@
     assert_eq!(s.read(&mut b).unwrap(), 8);
     link.set(|s| s.out_lost = true);
     s.write_all(b"want b\r\n").unwrap();
-    assert!(
-        s.read(&mut b).is_err(),
-        "nothing may come back through a lost link"
-    );
+    assert!(s.read(&mut b).is_err(), "a lost link must not return bytes");
     let all = relayed.lock().unwrap().clone();
     assert_eq!(
         all.iter()
@@ -47,7 +44,7 @@
 }
 
 #[test]
-fn the_front_hears_of_a_reset_only_after_the_engine_has_closed_its_side() {
+fn the_front_sees_a_reset_only_after_the_engine_has_closed_its_side() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let stopped = Arc::new(AtomicBool::new(false));
@@ -56,13 +53,14 @@
         let (mut connection, _) = listener.accept().unwrap();
         let mut bytes = [0; 64];
         while let Ok(1..) = connection.read(&mut bytes) {}
-        // An engine that had no CPU for a while: it says what the front must not get, and stops late.
+        // An engine that had no CPU for a while: it sends an answer that must not reach the front,
+        // and closes late.
         let _ = connection.write_all(b"late");
         std::thread::sleep(Duration::from_millis(300));
         engine_stopped.store(true, SeqCst);
     });
     let link = Link::start((0, 0, 0), at, Records::new(), Arc::default()).unwrap();
-    let mut front = TcpStream::connect(link.at).unwrap();
+    let mut front = TcpStream::connect(link.address).unwrap();
     front
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
@@ -71,15 +69,15 @@
         std::thread::yield_now();
     }
     link.reset();
-    // Bytes that cross the reset end nothing.
+    // Bytes sent after the reset must not close the connection.
     front.write_all(b"want b\r\n").unwrap();
-    let heard = front.read(&mut [0; 16]).map_err(|e| e.kind());
+    let received = front.read(&mut [0; 16]).map_err(|e| e.kind());
     assert!(
-        matches!(heard, Ok(0) | Err(ErrorKind::ConnectionReset)),
-        "{heard:?}"
+        matches!(received, Ok(0) | Err(ErrorKind::ConnectionReset)),
+        "{received:?}"
     );
     assert!(
         stopped.load(SeqCst),
-        "the front was told while the engine still ran"
+        "the front saw the reset while the engine still ran"
     );
 }
--- a/crates/lab/src/rig/rules.rs
+++ b/crates/lab/src/rig/rules.rs
@@ -1,5 +1,5 @@
-//! Access rules on the fronts of a rig: a file of rules for each, written anew and told of by SIGHUP, and what the
-//! fronts' logs say of versions and hits.
+//! Access rules on the fronts of a rig: writes a rule file for each front, announces it by SIGHUP,
+//! and reads rule versions and hits from the fronts' logs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -10,29 +10,31 @@
 use super::fleet::Fleet;
 use super::member::MemberOptions;
 
-/// The customer that rules are about, and its workload that they deny.
-pub const RULED: &str = "ruled";
-pub const DENIED: &str = "audit";
+/// The customer that the rules restrict, and its workload that they deny.
+pub const RULED_CUSTOMER: &str = "ruled";
+pub const DENIED_WORKLOAD: &str = "audit";
+/// Lease of a rule version, in milliseconds.
 pub const LEASE_MS: u64 = 1_500;
 
-/// One set of rules: the zones where nothing of the customer may be read.
+/// One version of the rules: the zones where the customer may not read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set {
+pub struct RuleSet {
     pub version: u64,
-    pub barred: BTreeSet<usize>,
+    pub barred_zones: BTreeSet<usize>,
 }
 
-impl Set {
-    /// Its file: one rule decides for all that the customer asks, but for the workload that is denied; one only counts.
+impl RuleSet {
+    /// The text of the rule file: one rule bars zones for the customer, one denies a workload, and
+    /// one only counts hits.
     pub fn text(&self) -> String {
         let barred: Vec<String> = self
-            .barred
+            .barred_zones
             .iter()
             .map(|zone| format!("'{}'", zone_name(*zone)))
             .collect();
         format!(
-            "{{ version: {}, default: 'allow', rules: [\n  {{ name: 'bound', customer: '{RULED}', barred: [{}] }},\n  \
-             {{ name: 'denied', customer: '{RULED}', workload: '{DENIED}', then: 'deny', reason: 'closed' }},\n  \
+            "{{ version: {}, default: 'allow', rules: [\n  {{ name: 'bound', customer: '{RULED_CUSTOMER}', barred: [{}] }},\n  \
+             {{ name: 'denied', customer: '{RULED_CUSTOMER}', workload: '{DENIED_WORKLOAD}', then: 'deny', reason: 'closed' }},\n  \
              {{ name: 'counted', workload: 'report', then: 'count' }},\n] }}\n",
             self.version,
             barred.join(", ")
@@ -40,17 +42,18 @@
     }
 }
 
-/// The files of all fronts, in a folder of the run's.
-pub struct Files {
+/// The rule files of all fronts, in a temporary folder of the run.
+pub struct RuleFiles {
     folder: PathBuf,
 }
 
-impl Files {
-    pub fn new(fronts: usize, seed: u64, first: &Set) -> std::io::Result<Files> {
+impl RuleFiles {
+    /// Writes the first rule set for every front.
+    pub fn new(fronts: usize, seed: u64, first: &RuleSet) -> std::io::Result<RuleFiles> {
         let folder =
             std::env::temp_dir().join(format!("hallmux-rules-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let files = Files { folder };
+        let files = RuleFiles { folder };
         (0..fronts).try_for_each(|front| files.write(front, first))?;
         Ok(files)
     }
@@ -59,21 +62,21 @@
         self.folder.join(format!("rules{front}.json5"))
     }
 
-    /// Written beside and renamed: no front reads half of it.
-    pub fn write(&self, front: usize, set: &Set) -> std::io::Result<()> {
+    /// Writes to a temporary file and renames it, so that no front reads a partial file.
+    pub fn write(&self, front: usize, set: &RuleSet) -> std::io::Result<()> {
         let beside = self.folder.join(format!("rules{front}.new"));
         std::fs::write(&beside, set.text())?;
         std::fs::rename(beside, self.path(front))
     }
 
-    /// Each front's part of the operator's file; each stands in a region of its own.
-    pub fn beside(&self, fronts: usize, zones: usize) -> Vec<MemberOptions> {
+    /// The rule settings in each front's operator file; each front is in a region of its own.
+    pub fn member_options(&self, fronts: usize, zones: usize) -> Vec<MemberOptions> {
         let regions: Vec<String> = (0..fronts)
             .map(|n| format!("r{n}: ['{}']", zone_name(n % zones)))
             .collect();
         let part = |front: usize, path: &Path| {
             format!(
-                ", rules: {{ file: '{}', region: 'r{front}', regions: {{ {} }}, customers: ['{RULED}'], \
+                ", rules: {{ file: '{}', region: 'r{front}', regions: {{ {} }}, customers: ['{RULED_CUSTOMER}'], \
                  lease_ms: {LEASE_MS}, tell_every_ms: 3600000 }}",
                 path.display(),
                 regions.join(", ")
@@ -87,24 +90,25 @@
     }
 }
 
-impl Drop for Files {
+impl Drop for RuleFiles {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// When fronts said of a version first: that they judge by it, that it is in force, and who that its file is the fleet's.
+/// What the fronts' logs say of each version: when one first applied it, when it was first reported
+/// in force, and the fronts whose file was accepted as the fleet's.
 #[derive(Clone, Debug, Default)]
 pub struct RuleLogs {
-    pub judged: BTreeMap<u64, i64>,
-    pub in_force: BTreeMap<u64, i64>,
-    pub accepted: BTreeMap<u64, Vec<usize>>,
-    /// How often each front refused a file that was not above the fleet's.
-    pub old: BTreeMap<usize, usize>,
+    pub first_judged: BTreeMap<u64, i64>,
+    pub first_in_force: BTreeMap<u64, i64>,
+    pub accepted_by: BTreeMap<u64, Vec<usize>>,
+    /// How often each front refused a file whose version was not above the fleet's.
+    pub stale_refusals: BTreeMap<usize, usize>,
 }
 
-/// The number behind a text in a line.
-fn number(line: &str, before: &str) -> Option<u64> {
+/// The decimal number that follows `before` in the line.
+fn number_after(line: &str, before: &str) -> Option<u64> {
     let rest = &line[line.find(before)? + before.len()..];
     let end = rest
         .find(|c: char| !c.is_ascii_digit())
@@ -112,37 +116,38 @@
     rest[..end].parse().ok()
 }
 
-/// What the logs of all fronts have said so far.
+/// Rule versions in the logs of all fronts so far.
 pub fn read_logs(fleet: &Fleet) -> RuleLogs {
     let mut logs = RuleLogs::default();
     for member in &fleet.members {
-        for (at, line) in member.said("version") {
+        for (at, line) in member.log_lines("version") {
             let at = at.duration_since(fleet.records.since).as_micros() as i64;
             let first = |of: &mut BTreeMap<u64, i64>, version: u64| {
                 let known = of.entry(version).or_insert(at);
                 *known = at.min(*known);
             };
-            if let Some(version) = number(&line, "judges by version ") {
-                first(&mut logs.judged, version);
-            } else if let Some(version) = number(&line, "the fleet's: version ") {
-                logs.accepted
+            if let Some(version) = number_after(&line, "judges by version ") {
+                first(&mut logs.first_judged, version);
+            } else if let Some(version) = number_after(&line, "the fleet's: version ") {
+                logs.accepted_by
                     .entry(version)
                     .or_default()
                     .push(member.number);
             } else if line.contains(" is in force") {
-                number(&line, "version ")
+                number_after(&line, "version ")
                     .into_iter()
-                    .for_each(|version| first(&mut logs.in_force, version));
+                    .for_each(|version| first(&mut logs.first_in_force, version));
             } else if line.contains("is not above the fleet's") {
-                *logs.old.entry(member.number).or_default() += 1;
+                *logs.stale_refusals.entry(member.number).or_default() += 1;
             }
         }
     }
     logs
 }
 
-/// Asks a front for the fleet's hits: by rule and region. None while it says that fronts are missing from them.
-pub fn hits(
+/// Requests the fleet's hits from a front by SIGHUP: counts by rule and region. `None` if the
+/// report stays incomplete until the time limit.
+pub fn request_hits(
     fleet: &Fleet,
     front: usize,
     within: std::time::Duration,
@@ -154,28 +159,29 @@
         member.signal(Signal::SIGHUP);
         for _ in 0..50 {
             std::thread::sleep(std::time::Duration::from_millis(20));
-            let said = member.said("hits");
+            let said = member.log_lines("hits");
             let whole = |(at, line): &(std::time::Instant, String)| {
                 *at >= asked && line.contains("the fleet's hits") && line.ends_with("missing: none")
             };
             let Some(from) = said.iter().position(whole) else {
                 continue;
             };
-            // Its lines are written at once; what is read of them so far may still lack some.
+            // The report's lines are written together, but the last of them may not have been read
+            // yet.
             std::thread::sleep(std::time::Duration::from_millis(300));
-            let lines = member.said("hits");
+            let lines = member.log_lines("hits");
             let rows = lines
                 .iter()
                 .skip(from + 1)
-                .filter_map(|(_, line)| row(line));
+                .filter_map(|(_, line)| parse_hits_line(line));
             return Some(rows.collect());
         }
     }
     None
 }
 
-/// A line of the fleet's hits: rule and region, and their count.
-fn row(line: &str) -> Option<(String, i64)> {
+/// Parses a line of the fleet's hits: rule and region, and their count.
+fn parse_hits_line(line: &str) -> Option<(String, i64)> {
     let rest = line.split("hits of rule ").nth(1)?;
     let (rule, rest) = rest.split_once(" by customer ")?;
     let (_, rest) = rest.split_once(" in ")?;
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -1,5 +1,6 @@
-//! Sites of a rig: the rows behind each zone's engines, summaries of them signed by the site's key, in the directories
-//! that fronts read, and ones that are to be refused.
+//! The sites of a rig: the rows behind each zone's engines, and the summaries of them, signed with
+//! the site's key and written to the directories that fronts read. Defective summaries, which
+//! fronts must reject, are written there too.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -15,14 +16,15 @@
 use super::member::MemberOptions;
 use crate::engine::lines::RowStore;
 
-pub const GROUP: u32 = 17;
-const DAY_MS: u64 = 86_400_000;
+/// The table group of the rows.
+pub const TABLE_GROUP: u32 = 17;
+const STALE_AGE_MS: u64 = 86_400_000;
 
-/// What is wrong with a summary, and what the log of a front that was given it says.
-pub const BAD: [(&str, &str); 4] = [
-    ("forged", "signature does not hold"),
+/// Each kind of defective summary with the text that the front logs when it rejects one.
+pub const SUMMARY_DEFECTS: [(&str, &str); 4] = [
+    ("forged", "invalid signature"),
     ("altered", "scatter.directory"),
-    ("cut short", "cut short"),
+    ("cut short", "malformed or truncated summary"),
     ("yesterday's", "ms ago"),
 ];
 
@@ -33,17 +35,18 @@
     version: u64,
 }
 
+/// All sites of a run, with their keys and the folder of their summaries.
 pub struct Sites {
     sites: Vec<Mutex<Site>>,
     engines_per_zone: usize,
     keys: Vec<SigningKey>,
     folder: PathBuf,
-    /// Where each load has left its row.
-    pub landed: Mutex<HashMap<String, usize>>,
+    /// The site that received the row of each load, by the load's statement id.
+    pub row_sites: Mutex<HashMap<String, usize>>,
 }
 
-/// The number behind a text.
-fn number(statement: &str, before: &str) -> Option<i64> {
+/// The decimal number that follows `before` in the statement.
+fn number_after(statement: &str, before: &str) -> Option<i64> {
     let rest = statement[statement.find(before)? + before.len()..].trim_start();
     let end = rest
         .find(|c: char| !c.is_ascii_digit())
@@ -53,37 +56,42 @@
 
 impl RowStore for Sites {
     fn answer(&self, engine: usize, statement: &str) -> String {
-        let own = statement.find("id=").map_or("", |at| &statement[at + 3..]);
-        let own = own.split([',', ' ']).next().unwrap_or_default();
+        let statement_id = statement.find("id=").map_or("", |at| &statement[at + 3..]);
+        let statement_id = statement_id.split([',', ' ']).next().unwrap_or_default();
         let at = engine / self.engines_per_zone;
         let Ok(mut site) = self.sites[at].lock() else {
             return String::new();
         };
         if statement.contains("insert into") {
             if let (Some(value), Ok(mut landed)) =
-                (number(statement, "values ("), self.landed.lock())
+                (number_after(statement, "values ("), self.row_sites.lock())
             {
                 site.values.push(value);
-                landed.insert(own.to_string(), at);
+                landed.insert(statement_id.to_string(), at);
             }
-            if let Some(load) = number(statement, &format!("load {GROUP}:")) {
+            if let Some(load) = number_after(statement, &format!("load {TABLE_GROUP}:")) {
                 site.loads.insert(load as u64);
             }
-            return format!("{own}\t-\t-\n");
+            return format!("{statement_id}\t-\t-\n");
         }
-        let (Some(from), Some(to)) = (number(statement, "between "), number(statement, " and "))
-        else {
-            return format!("{own}\t-\t-\n");
+        let (Some(from), Some(to)) = (
+            number_after(statement, "between "),
+            number_after(statement, " and "),
+        ) else {
+            return format!("{statement_id}\t-\t-\n");
         };
-        let found = site
+        let matching_values = site
             .values
             .iter()
             .filter(|value| (from..=to).contains(*value));
-        found.map(|value| format!("{at}\t{value}\t-\n")).collect()
+        matching_values
+            .map(|value| format!("{at}\t{value}\t-\n"))
+            .collect()
     }
 }
 
 impl Sites {
+    /// Creates sites with their first values, and a summary directory for each front.
     pub fn new(
         first: Vec<Vec<i64>>,
         engines_per_zone: usize,
@@ -109,11 +117,12 @@
             engines_per_zone,
             keys,
             folder,
-            landed: Mutex::default(),
+            row_sites: Mutex::default(),
         })
     }
 
-    pub fn beside(&self, fronts: usize) -> Vec<MemberOptions> {
+    /// The scatter section of each front's operator file.
+    pub fn member_options(&self, fronts: usize) -> Vec<MemberOptions> {
         let hex = |key: &SigningKey| -> String {
             key.verifying_key()
                 .to_bytes()
@@ -142,8 +151,8 @@
             .collect()
     }
 
-    /// The summary of what a site holds now, under its next version.
-    fn summed(&self, at: usize) -> Option<Summary> {
+    /// Builds a summary of the site's current rows under its next version.
+    fn next_summary(&self, at: usize) -> Option<Summary> {
         let mut site = self.sites[at].lock().ok()?;
         site.version += 1;
         let mut table = TableBuilder::new("t", &[("v", Kind::Number { scale: 0 })]);
@@ -151,52 +160,56 @@
             .iter()
             .for_each(|value| table.add_row(&[Some(Value::Number(i128::from(*value)))]));
         let (site_name, loads, version) = (zone_name(at), site.loads.clone(), site.version);
-        let about = SummaryHeader {
+        let header = SummaryHeader {
             site: site_name,
-            group: GROUP,
+            group: TABLE_GROUP,
             schema: 1,
             version,
             made_ms: now_ms(),
             loads,
         };
-        Some(build_summary(about, vec![table], MAX_SUMMARY_BYTES))
+        Some(build_summary(header, vec![table], MAX_SUMMARY_BYTES))
     }
 
-    /// Written beside and renamed, into the directory of a front.
+    /// Writes to a temporary file and renames it into the front's directory, so that no partial
+    /// file is read.
     fn write(&self, front: usize, name: &str, bytes: &[u8]) {
-        let beside = self.folder.join(format!("new-{front}"));
+        let temporary = self.folder.join(format!("new-{front}"));
         let file = self.folder.join(format!("f{front}")).join(name);
-        let _ = std::fs::write(&beside, bytes).and_then(|()| std::fs::rename(&beside, file));
+        let _ = std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, file));
     }
 
-    /// Puts a site's summary as of now into the directory of a front.
-    pub fn tell(&self, at: usize, front: usize) {
-        if let Some(summary) = self.summed(at) {
+    /// Publishes a current summary of site `at` in the directory of a front.
+    pub fn publish_summary(&self, at: usize, front: usize) {
+        if let Some(summary) = self.next_summary(at) {
             self.write(front, &zone_name(at), &summary.sign(&self.keys[at]));
         }
     }
 
-    /// Puts one there that must count for nothing: it says that the site has no rows, or is no summary at all.
-    pub fn tell_badly(&self, at: usize, front: usize, what: &str) {
-        let Some(whole) = self.summed(at) else { return };
+    /// Publishes a defective summary for the front to reject: it claims that the site has no rows,
+    /// or does not decode.
+    pub fn publish_defective_summary(&self, at: usize, front: usize, what: &str) {
+        let Some(current) = self.next_summary(at) else {
+            return;
+        };
         let empty = Summary {
-            tables: vec![none()],
-            ..whole.clone()
+            tables: vec![empty_table()],
+            ..current.clone()
         };
         let bytes = match what {
             "forged" => empty.sign(&SigningKey::from_bytes(&[99; 32])),
             "altered" => {
-                let mut bytes = whole.sign(&self.keys[at]);
+                let mut bytes = current.sign(&self.keys[at]);
                 let middle = bytes.len() / 2;
                 bytes[middle] ^= 0x10;
                 bytes
             }
             "cut short" => {
-                let bytes = whole.sign(&self.keys[at]);
+                let bytes = current.sign(&self.keys[at]);
                 bytes[..bytes.len() * 2 / 3].to_vec()
             }
             _ => Summary {
-                made_ms: now_ms() - DAY_MS,
+                made_ms: now_ms() - STALE_AGE_MS,
                 ..empty
             }
             .sign(&self.keys[at]),
@@ -205,8 +218,8 @@
     }
 }
 
-/// The table without rows, of the same column.
-fn none() -> Table {
+/// An empty table with the same column.
+fn empty_table() -> Table {
     let column = Column {
         name: "v".to_string(),
         kind: Kind::Number { scale: 0 },
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -1,4 +1,4 @@
-//! What faults are played on, and how each begins and ends.
+//! Starts and ends faults on the processes and links of a fleet.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::Arc;
@@ -13,9 +13,9 @@
 use crate::engine::lines::Engine;
 use crate::engine::{Armed, Records};
 
-const STEP_WITHIN: std::time::Duration = std::time::Duration::from_secs(5); // for a front to come to a step, also one that has little CPU
+const STEP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5); // how long a front may take to reach a step; generous, for fronts short of CPU
 
-/// All that faults are played on.
+/// The records, links, fronts and engines that faults act on.
 pub(super) struct Stage<'a> {
     pub(super) records: &'a Records,
     pub(super) links: &'a [Vec<Arc<Link>>],
@@ -29,8 +29,8 @@
         self.links.iter().flatten().filter(move |l| l.zone == zone)
     }
 
-    /// The links of one front into the zone.
-    fn own(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Link>> {
+    /// The links of the fault's front into its zone.
+    fn front_links(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Link>> {
         let zone = fault.zone;
         self.links[fault.front]
             .iter()
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Waits until the front has died at the step of the fault, if it names one; when it did.
-    fn dies_at(&self, fault: &Fault, member: &Member) -> Option<i64> {
+    /// If the fault names a step, waits until the front has died there and returns the time of
+    /// death in microseconds.
+    fn wait_for_death(&self, fault: &Fault, member: &Member) -> Option<i64> {
         let pid = member
             .front
             .lock()
@@ -56,7 +57,7 @@
             death: DeathStep::new(step, fault.front, fault.at_ms),
             pid,
         }));
-        let until = std::time::Instant::now() + STEP_WITHIN;
+        let until = std::time::Instant::now() + STEP_TIMEOUT;
         while self.records.is_armed() && std::time::Instant::now() < until {
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
@@ -76,9 +77,11 @@
                 l.set(|s| (s.out_lost, s.back_lost) = (true, true));
             }),
             FaultKind::LinkCut => self
-                .own(fault)
+                .front_links(fault)
                 .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (true, true))),
-            FaultKind::LinkCutBack => self.own(fault).for_each(|l| l.set(|s| s.back_lost = true)),
+            FaultKind::LinkCutBack => self
+                .front_links(fault)
+                .for_each(|l| l.set(|s| s.back_lost = true)),
             FaultKind::ZoneSlow => self
                 .zone_links(fault.zone)
                 .for_each(|l| l.set(|s| s.delay_ms = fault.delay_ms)),
@@ -89,33 +92,36 @@
             }
             FaultKind::PostLossy => self.set_datagram_faults(|s| s.lost_percent = fault.percent),
             FaultKind::PostDoubled => {
-                self.set_datagram_faults(|s| s.doubled_ms = Some(fault.delay_ms))
+                self.set_datagram_faults(|s| s.duplicate_after_ms = Some(fault.delay_ms))
             }
             FaultKind::PostSlow => self.set_datagram_faults(|s| s.delay_ms = fault.delay_ms),
-            FaultKind::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = fault.delay_ms),
+            FaultKind::PostShuffled => {
+                self.set_datagram_faults(|s| s.max_jitter_ms = fault.delay_ms)
+            }
             FaultKind::Hup => {
                 if let Ok(front) = member.front.lock() {
-                    front.iter().for_each(|f| f.read_again(2 * SOCKETS));
+                    front.iter().for_each(|f| f.reload_config(2 * SOCKETS));
                 }
             }
-            FaultKind::StallOwner | FaultKind::KillOwner => {} // played as what it is on the owner
-            FaultKind::Release => self.released(fault).for_each(|member| {
-                member.goes_away(self.records.now());
+            FaultKind::StallOwner | FaultKind::KillOwner => {} // resolved to Stall or Kill before the fault starts
+            FaultKind::Release => self.released_members(fault).for_each(|member| {
+                member.mark_unavailable(self.records.now());
                 member.signal(Signal::SIGKILL);
             }),
-            FaultKind::DiskFull => self.config.drill(fault.front, "full"),
+            FaultKind::DiskFull => self.config.set_disk_fault(fault.front, "full"),
             FaultKind::DiskSlow => self
                 .config
-                .drill(fault.front, &format!("slow {}", fault.delay_ms)),
+                .set_disk_fault(fault.front, &format!("slow {}", fault.delay_ms)),
             FaultKind::Term => {
-                member.asked_to_end(self.records.now());
-                member.away.store(true, SeqCst);
+                member.record_shutdown_request(self.records.now());
+                member.unavailable.store(true, SeqCst);
                 member.signal(Signal::SIGTERM);
             }
             FaultKind::Stall | FaultKind::Kill | FaultKind::LoseDisk => {
-                let died = self.dies_at(fault, member);
-                // What it had out is lost from its death on, however late this hears of it.
-                member.goes_away(died.unwrap_or_else(|| self.records.now()));
+                let died = self.wait_for_death(fault, member);
+                // Statements in flight are lost from the time of death, even if it is noticed
+                // later.
+                member.mark_unavailable(died.unwrap_or_else(|| self.records.now()));
                 member.signal(if fault.what == FaultKind::Stall {
                     Signal::SIGSTOP
                 } else {
@@ -125,12 +131,14 @@
         }
     }
 
-    fn released(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Member>> {
-        self.members.iter().take(fault.released(self.members.len()))
+    fn released_members(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Member>> {
+        self.members
+            .iter()
+            .take(fault.released_count(self.members.len()))
     }
 
-    /// Starts fronts anew, all at once: it is the herd that is wanted.
-    fn start_all(&self, fault: &Fault) -> Result<Vec<u32>, String> {
+    /// Restarts all released fronts concurrently, to provoke a thundering herd.
+    fn restart_released(&self, fault: &Fault) -> Result<Vec<u32>, String> {
         std::thread::scope(|scope| {
             let start = |member: &'_ Arc<Member>| {
                 let member = member.clone();
@@ -139,14 +147,14 @@
                     old.ok()
                         .flatten()
                         .into_iter()
-                        .for_each(|mut old| _ = old.ended());
+                        .for_each(|mut old| _ = old.wait_for_exit());
                     let pid = member.start(self.config)?;
-                    member.is_back(self.records.now());
+                    member.mark_available(self.records.now());
                     Ok(pid)
                 })
             };
-            let started: Vec<_> = self.released(fault).map(start).collect();
-            let failed = |_| Err("a start panicked".to_string());
+            let started: Vec<_> = self.released_members(fault).map(start).collect();
+            let failed = |_| Err("restarting a front panicked".to_string());
             started
                 .into_iter()
                 .map(|start| start.join().unwrap_or_else(failed))
@@ -154,40 +162,43 @@
         })
     }
 
-    /// Whether the front of a fault was asked to end and has yet to.
-    pub(super) fn still_ends(&self, fault: &Fault) -> bool {
+    /// Whether the front of a `Term` fault has yet to exit.
+    pub(super) fn is_shutting_down(&self, fault: &Fault) -> bool {
         let member = &self.members[fault.front];
-        let runs = || {
+        let is_running = || {
             member
                 .front
                 .lock()
                 .is_ok_and(|mut front| front.as_mut().is_some_and(|f| f.is_up()))
         };
-        fault.what == FaultKind::Term && self.records.now() < member.ends_by() && runs()
+        fault.what == FaultKind::Term
+            && self.records.now() < member.shutdown_deadline()
+            && is_running()
     }
 
-    /// Ends a fault; gives the process ids of fronts that were started anew.
+    /// Ends a fault and returns the process ids of the fronts that it restarted.
     pub(super) fn end(&self, fault: &Fault) -> Result<Vec<u32>, String> {
         let member = &self.members[fault.front];
-        let mended = || member.is_back(self.records.now());
+        let mark_available = || member.mark_available(self.records.now());
         match fault.what {
             FaultKind::ZoneLost => {
-                // The zone comes back cold; discovery tells each front of the engines' new start, or does not.
-                let back = self
+                // The zone returns cold; the coordinator announces the restart only if the fault
+                // says so.
+                let zone_engines = self
                     .engines
                     .iter()
                     .filter(|e| self.links[0][e.number].zone == fault.zone);
-                back.for_each(|e| e.restart());
+                zone_engines.for_each(|e| e.restart());
                 if fault.told {
-                    self.tell_started(fault.zone);
+                    self.announce_restarts(fault.zone);
                 }
                 self.zone_links(fault.zone).for_each(|l| l.reset());
                 self.zone_links(fault.zone)
                     .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (false, false)));
             }
             FaultKind::LinkCut | FaultKind::LinkCutBack => {
-                self.own(fault).for_each(|l| l.reset());
-                self.own(fault)
+                self.front_links(fault).for_each(|l| l.reset());
+                self.front_links(fault)
                     .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (false, false)));
             }
             FaultKind::ZoneSlow => self
@@ -201,20 +212,20 @@
                 self.set_datagram_faults(|s| s.split = None)
             }
             FaultKind::PostLossy => self.set_datagram_faults(|s| s.lost_percent = 0),
-            FaultKind::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = None),
+            FaultKind::PostDoubled => self.set_datagram_faults(|s| s.duplicate_after_ms = None),
             FaultKind::PostSlow => self.set_datagram_faults(|s| s.delay_ms = 0),
-            FaultKind::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = 0),
+            FaultKind::PostShuffled => self.set_datagram_faults(|s| s.max_jitter_ms = 0),
             FaultKind::Stall => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.signal(Signal::SIGCONT));
                 }
-                mended();
+                mark_available();
             }
-            FaultKind::DiskSlow => self.config.drill(fault.front, ""),
-            FaultKind::Release => return self.start_all(fault),
+            FaultKind::DiskSlow => self.config.set_disk_fault(fault.front, ""),
+            FaultKind::Release => return self.restart_released(fault),
             FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk | FaultKind::DiskFull => {
                 if fault.what == FaultKind::DiskFull {
-                    self.config.drill(fault.front, "");
+                    self.config.set_disk_fault(fault.front, "");
                     self.begin(&Fault {
                         what: FaultKind::Kill,
                         step: None,
@@ -223,32 +234,40 @@
                 }
                 let front = member.front.lock().map(|mut f| f.take());
                 if let Ok(Some(mut old)) = front {
-                    let well = old.ended().is_some_and(|(well, _)| well);
-                    member.has_ended(self.records.now(), well);
+                    let succeeded = old.wait_for_exit().is_some_and(|(succeeded, _)| succeeded);
+                    member.record_exit(self.records.now(), succeeded);
                 }
                 if fault.what == FaultKind::LoseDisk {
-                    self.config.lose_disk(member.number);
+                    self.config.remove_ledger(member.number);
                 }
                 let pid = member.start(self.config)?;
-                mended();
+                mark_available();
                 return Ok(vec![pid]);
             }
         }
         Ok(Vec::new())
     }
 
-    /// Tells every front that the zone's engines have started now.
-    fn tell_started(&self, zone: usize) {
+    /// Announces to every front that the engines of the zone have restarted now.
+    fn announce_restarts(&self, zone: usize) {
         let wall_ms = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .map_or(0, |d| d.as_millis());
         let name = zone_name(zone);
-        for (own, member) in self.links.iter().zip(self.members) {
-            let back = own.iter().filter(|l| l.zone == zone);
-            let list: Vec<_> = back
-                .map(|l| (format!("e{}", l.engine), l.at, "lines", "up", name.as_str()))
+        for (front_links, member) in self.links.iter().zip(self.members) {
+            let zone_links = front_links.iter().filter(|l| l.zone == zone);
+            let list: Vec<_> = zone_links
+                .map(|l| {
+                    (
+                        format!("e{}", l.engine),
+                        l.address,
+                        "lines",
+                        "up",
+                        name.as_str(),
+                    )
+                })
                 .collect();
-            member.coordinator.tell_started(&list, wall_ms as f64);
+            member.coordinator.announce_restarts(&list, wall_ms as f64);
         }
     }
 }
--- a/crates/lab/src/rig/starvation_watch.rs
+++ b/crates/lab/src/rig/starvation_watch.rs
@@ -1,5 +1,6 @@
-//! How long fronts and the rig itself wanted a CPU and were not given one, by the kernel's own account: what a busy
-//! machine takes is no fault of a front's. A front that is slow by its own work has no share in it.
+//! Samples how long fronts and the rig itself waited for a CPU, as accounted by the kernel. Time
+//! taken by a busy machine is not a fault of the front; a front that is slow by its own work has no
+//! such waits.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
@@ -10,19 +11,20 @@
 use crate::engine::Records;
 use crate::record::starved::{Starved, StarvedSpan};
 
-const LOOK: Duration = Duration::from_millis(20); // between looks
-/// Microseconds that a thread has waited for a CPU, by the kernel's account; none where it keeps none.
-fn waited(thread: &str) -> Option<i64> {
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20); // time between samples
+/// Microseconds that a thread has waited for a CPU, from the kernel's schedstat; `None` if the
+/// kernel keeps none.
+fn cpu_wait_us(thread: &str) -> Option<i64> {
     let text = std::fs::read_to_string(format!("/proc/{thread}/schedstat")).ok()?;
     Some(text.split_whitespace().nth(1)?.parse::<i64>().ok()? / 1_000)
 }
 
-/// The same of the thread that asks.
-pub fn own_wait() -> i64 {
-    waited("thread-self").unwrap_or(0)
+/// Microseconds that the calling thread has waited for a CPU; 0 if the kernel keeps no account.
+pub fn thread_cpu_wait() -> i64 {
+    cpu_wait_us("thread-self").unwrap_or(0)
 }
 
-/// Looks on until it is ended.
+/// Samples CPU waits in a thread until `end` is called.
 pub struct StarvationWatch {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Starved>,
@@ -31,28 +33,29 @@
 impl StarvationWatch {
     pub(super) fn start(members: &[Arc<Member>], records: &Arc<Records>) -> StarvationWatch {
         let stop = Arc::new(AtomicBool::new(false));
-        let (members, records, over) = (members.to_vec(), records.clone(), stop.clone());
+        let (members, records, stopped) = (members.to_vec(), records.clone(), stop.clone());
         StarvationWatch {
             stop,
-            thread: std::thread::spawn(move || look(&members, &records, &over)),
+            thread: std::thread::spawn(move || sample_waits(&members, &records, &stopped)),
         }
     }
 
+    /// Stops sampling and returns the recorded waits.
     pub fn end(self) -> Starved {
         self.stop.store(true, SeqCst);
         self.thread.join().unwrap_or_default()
     }
 }
 
-fn look(members: &[Arc<Member>], records: &Records, over: &AtomicBool) -> Starved {
+fn sample_waits(members: &[Arc<Member>], records: &Records, stop: &AtomicBool) -> Starved {
     let (mut seen, mut last) = (Starved::default(), vec![(0, 0); members.len()]);
     let mut before = records.now();
-    while !over.load(SeqCst) {
+    while !stop.load(SeqCst) {
         let began = Instant::now();
-        std::thread::sleep(LOOK);
-        let late = began.elapsed().saturating_sub(LOOK).as_micros() as i64;
+        std::thread::sleep(SAMPLE_INTERVAL);
+        let late = began.elapsed().saturating_sub(SAMPLE_INTERVAL).as_micros() as i64;
         let now = records.now();
-        if late > LOOK.as_micros() as i64 {
+        if late > SAMPLE_INTERVAL.as_micros() as i64 {
             seen.push(StarvedSpan {
                 front: None,
                 from: before,
@@ -66,11 +69,11 @@
                 .lock()
                 .ok()
                 .and_then(|front| front.as_ref().map(|f| f.pid()));
-            let Some((pid, all)) = pid.and_then(|pid| Some((pid, waited(&pid.to_string())?)))
+            let Some((pid, all)) = pid.and_then(|pid| Some((pid, cpu_wait_us(&pid.to_string())?)))
             else {
                 continue;
             };
-            // Of another process nothing was seen before, and its start is its own affair.
+            // A new process has no earlier sample; its waits during startup are not counted.
             let since = if last[front].0 == pid {
                 last[front].1
             } else {
--- a/crates/lab/src/simulated/datagrams.rs
+++ b/crates/lab/src/simulated/datagrams.rs
@@ -9,27 +9,29 @@
 use crate::rig::scenario::Step;
 
 impl Simulation<'_> {
-    /// Sends what is to go out; what a voter has to save is lasting at once, the ledger's waits for the disk.
+    /// Sends the output of an exchange. A voter's saves are durable at once; the ledger's saves
+    /// wait for the disk.
     pub(super) fn send_output(&mut self, n: usize, out: Output) {
         self.send_datagrams(n, out.datagrams);
         for saved in out.voter_saves {
             if saved.bytes.is_some() {
-                self.members[n].saved = saved.bytes;
+                self.members[n].voter_state = saved.bytes;
             }
             self.send_datagrams(n, saved.datagrams);
         }
         self.save(n, out.ledger_saves);
     }
 
+    /// Sends datagrams through the active faults and records them; the sender may die at one.
     pub(super) fn send_datagrams(&mut self, from: usize, datagrams: Vec<Datagram>) {
         for Datagram { to, bytes } in datagrams {
             let Some(to) = front_at(to).filter(|to| *to < self.members.len()) else {
                 continue;
             };
-            let drawn = self.chance.random_range(0..100);
+            let drawn = self.rng.random_range(0..100);
             let passed = self.datagram_faults.passes(from, to, drawn);
-            if self.reached(Step::Copying, from) {
-                return; // it died of this one
+            if self.record_step(Step::Copying, from) {
+                return; // the front died at this datagram
             }
             self.account.datagrams.push(RelayedDatagram {
                 at: self.now,
@@ -41,18 +43,21 @@
             if !passed {
                 continue;
             }
-            let shuffled = match self.datagram_faults.shuffled_ms {
+            let shuffled = match self.datagram_faults.max_jitter_ms {
                 0 => 0,
-                ms => self.chance.random_range(0..=ms as i64 * 1000),
+                ms => self.rng.random_range(0..=ms as i64 * 1000),
             };
-            let at = self.now + self.way() + self.datagram_faults.delay_ms as i64 * 1000 + shuffled;
-            if let Some(ms) = self.datagram_faults.doubled_ms {
-                self.at(
+            let at = self.now
+                + self.draw_network_delay()
+                + self.datagram_faults.delay_ms as i64 * 1000
+                + shuffled;
+            if let Some(ms) = self.datagram_faults.duplicate_after_ms {
+                self.schedule_event(
                     at + ms as i64 * 1000,
                     Event::Datagram(from, to, bytes.clone()),
                 );
             }
-            self.at(at, Event::Datagram(from, to, bytes));
+            self.schedule_event(at, Event::Datagram(from, to, bytes));
         }
     }
 }
--- a/crates/lab/src/simulated/growth.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -1,14 +1,14 @@
-//! What fronts hold over a simulated day: looked at from time to time, so that growth without end is seen; and when
-//! all copies of promises stand again after a loss.
+//! Samples the resource usage of simulated fronts, to detect unbounded growth, and the time until
+//! all replicas of ledger entries exist again after a loss.
 
 use std::collections::BTreeMap;
 
 use super::simulation::{Event, Simulation};
 
-pub(super) const INTERVAL: i64 = 10_000_000; // microseconds between samples of what is held
-const COPIES_INTERVAL: i64 = 50_000; // microseconds from one check to the next whether all copies stand
+pub(super) const SAMPLE_INTERVAL_US: i64 = 10_000_000; // time between samples
+const REPLICA_CHECK_INTERVAL_US: i64 = 50_000; // time between checks for missing replicas
 
-/// Of one look, the most of any front.
+/// The maximum over all fronts in one sample.
 #[derive(Clone, Copy, Debug, Default)]
 struct ResourceSample {
     entries: i64,
@@ -17,19 +17,21 @@
     records: i64,
 }
 
+/// Resource samples and replica losses of a run.
 #[derive(Default)]
 pub(super) struct Growth {
     samples: Vec<ResourceSample>,
-    /// Since when copies are missing, of whose loss.
-    lost: Option<i64>,
-    /// Microseconds until all stood again, of each loss.
-    again: Vec<i64>,
-    /// Copies that each front holds now, and has held before the last loss.
-    most_copies: Option<usize>,
+    /// Since when replicas are missing.
+    loss_since: Option<i64>,
+    /// Microseconds until all replicas existed again, for each loss.
+    recovery_times: Vec<i64>,
+    /// The front that held most replicas in the last sample.
+    largest_holder: Option<usize>,
 }
 
 impl Growth {
-    pub(super) fn tell(&self, tallies: &mut BTreeMap<&'static str, i64>) {
+    /// Adds the first and last quarter's maxima and the recovery times to the tallies.
+    pub(super) fn add_tallies(&self, tallies: &mut BTreeMap<&'static str, i64>) {
         let quarter = self.samples.len().div_ceil(4);
         let most = |samples: &[ResourceSample], of: fn(&ResourceSample) -> i64| {
             samples.iter().map(of).max().unwrap_or(0)
@@ -44,23 +46,26 @@
         tallies.insert("ledger_bytes_early", most(early, |h| h.ledger_bytes));
         tallies.insert("ledger_bytes_late", most(late, |h| h.ledger_bytes));
         tallies.insert("entries_late", most(late, |h| h.entries));
-        if let Some(longest) = self.again.iter().max() {
+        if let Some(longest) = self.recovery_times.iter().max() {
             tallies.insert("copies_again_ms", longest / 1000);
-            tallies.insert("copies_made_again", self.again.len() as i64);
+            tallies.insert("copies_made_again", self.recovery_times.len() as i64);
         }
-        if let Some(front) = self.most_copies {
+        if let Some(front) = self.largest_holder {
             tallies.insert("keeps_most", front as i64);
         }
     }
 }
 
 impl Simulation<'_> {
-    /// Looks at what every front holds.
+    /// Samples the resource usage of all fronts.
     pub(super) fn sample_sizes(&mut self) {
-        let mut held = ResourceSample::default();
+        let mut sample = ResourceSample::default();
         let mut most = (0, None);
         for (n, member) in self.members.iter().enumerate() {
-            let exchange = member.life.as_ref().and_then(|life| life.exchange.as_ref());
+            let exchange = member
+                .running
+                .as_ref()
+                .and_then(|running| running.exchange.as_ref());
             let counters = exchange
                 .and_then(|exchange| exchange.ledger_counters())
                 .unwrap_or_default();
@@ -70,47 +75,48 @@
                 .iter()
                 .map(|(name, bytes)| name.len() + bytes.len())
                 .sum();
-            held.entries = held.entries.max(counters.entries as i64);
-            held.ledger_bytes = held.ledger_bytes.max(counters.bytes as i64);
-            held.disk_bytes = held.disk_bytes.max(disk as i64);
-            held.records = held.records.max(member.disk.records.len() as i64);
+            sample.entries = sample.entries.max(counters.entries as i64);
+            sample.ledger_bytes = sample.ledger_bytes.max(counters.bytes as i64);
+            sample.disk_bytes = sample.disk_bytes.max(disk as i64);
+            sample.records = sample.records.max(member.disk.records.len() as i64);
             if counters.replicas > most.0 {
                 most = (counters.replicas, Some(n));
             }
         }
-        self.growth.samples.push(held);
-        self.growth.most_copies = most.1;
-        self.at(self.now + INTERVAL, Event::SampleSizes);
+        self.growth.samples.push(sample);
+        self.growth.largest_holder = most.1;
+        self.schedule_event(self.now + SAMPLE_INTERVAL_US, Event::SampleSizes);
     }
 
-    /// A front is gone with its disk: from now on copies are missing.
-    pub(super) fn copies_lost(&mut self) {
+    /// A front has died with its disk: replicas are missing from now on.
+    pub(super) fn record_replica_loss(&mut self) {
         if self.scenario.fleet.copies.is_some() {
-            self.growth.lost.get_or_insert(self.now);
-            self.at(self.now + COPIES_INTERVAL, Event::Copies);
+            self.growth.loss_since.get_or_insert(self.now);
+            self.schedule_event(self.now + REPLICA_CHECK_INTERVAL_US, Event::CheckReplicas);
         }
     }
 
-    /// Whether every shard has an owner and all its copies, on fronts that run.
-    pub(super) fn copies(&mut self) {
-        let Some((since, copies)) = self.growth.lost.zip(self.scenario.fleet.copies) else {
+    /// Checks whether every shard has a leader and all its replicas on running fronts; if not,
+    /// schedules another check.
+    pub(super) fn check_replicas(&mut self) {
+        let Some((since, copies)) = self.growth.loss_since.zip(self.scenario.fleet.copies) else {
             return;
         };
         let (mut owned, mut kept, mut missing) = (0, 0, 0);
         let exchanges = self
             .members
             .iter()
-            .filter_map(|m| m.life.as_ref()?.exchange.as_ref());
+            .filter_map(|m| m.running.as_ref()?.exchange.as_ref());
         for counters in exchanges.filter_map(|exchange| exchange.ledger_counters()) {
             (owned, kept) = (owned + counters.led_shards, kept + counters.replicas);
             missing += counters.missing_replicas;
         }
         let shards = usize::from(self.shards);
         if owned >= shards && kept >= shards * copies && missing == 0 {
-            self.growth.again.push(self.now - since);
-            self.growth.lost = None;
+            self.growth.recovery_times.push(self.now - since);
+            self.growth.loss_since = None;
             return;
         }
-        self.at(self.now + COPIES_INTERVAL, Event::Copies);
+        self.schedule_event(self.now + REPLICA_CHECK_INTERVAL_US, Event::CheckReplicas);
     }
 }
--- a/crates/lab/src/simulated/mod.rs
+++ b/crates/lab/src/simulated/mod.rs
@@ -1,4 +1,5 @@
-//! The fleet rig in simulated time, for fleets beyond what one machine holds as processes.
+//! The fleet rig in simulated time, for fleets with more fronts than one machine can run as
+//! processes.
 
 mod clients;
 mod connections;
@@ -17,6 +18,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use least::smallest;
+pub use least::minimize;
 pub use run::{run, run_with};
 pub use simulation::Mutation;
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -1,6 +1,7 @@
-//! The fleet rig in simulated time: the same scenario, the same record, but fronts are dispatchers with their
-//! exchange of words driven by one clock that is a number, so that fleets beyond what one machine holds as
-//! processes can be played. Nothing here is a front of its own: all decisions come out of `crates/dispatcher`.
+//! The fleet rig in simulated time: the same scenario and record as for processes, but fronts are
+//! dispatchers whose exchange of datagrams is driven by one simulated clock, so that fleets can be
+//! run that are too large for one machine. All decisions are made by `crates/dispatcher`; nothing
+//! of a front is reimplemented here.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -23,164 +24,175 @@
 use crate::engine::lines::Warmth;
 use crate::record::account::Account;
 use crate::rig::datagrams::DatagramFaults;
-use crate::rig::relay::State as LinkState;
+use crate::rig::relay::LinkState;
 use crate::rig::scenario::{Fault, Scenario, Step};
 
-pub(super) const WAY: (i64, i64) = (200, 2_000); // microseconds that anything takes from one place to another, drawn evenly
-pub(super) const PROBED_WITHIN: i64 = 250_000; // microseconds until a probe without an answer counts as failed
-pub(super) const SETTLES: i64 = 10_000_000; // microseconds before the load, for the fronts to find each other
-pub(super) const AFTER: i64 = 10_000_000; // microseconds beyond the load and its last time-out
-pub(super) const SLACK: i64 = 50_000; // microseconds for a final answer: two looks of the module's
-pub(super) const WALL: i64 = 1_800_000_000_000_000; // Unix microseconds at time 0
-pub(super) const DRIFT_PPM: u32 = 10_000; // millionths; clocks here run alike
-pub(super) const MOST_SEEDS: usize = 3; // fronts that each asks first, drawn: a few for all would be slow to answer them
+pub(super) const NETWORK_DELAY_US: (i64, i64) = (200, 2_000); // microseconds of a network transfer, drawn evenly
+pub(super) const PROBE_TIMEOUT_US: i64 = 250_000; // a probe without an answer by then has failed
+pub(super) const SETTLE_TIME_US: i64 = 10_000_000; // lead time for the fronts to find each other before the load starts
+pub(super) const RUN_OUT_US: i64 = 10_000_000; // time that the run goes on after the load and its last timeout
+pub(super) const ANSWER_SLACK_US: i64 = 50_000; // extra time for a final answer: two check intervals of the dispatcher
+pub(super) const START_WALL_US: i64 = 1_800_000_000_000_000; // Unix time in microseconds at which the simulation starts
+pub(super) const DRIFT_PPM: u32 = 10_000; // clock drift bound in millionths; simulated clocks run at one rate
+pub(super) const SEED_COUNT: usize = 3; // random seed peers per front: the same few for all would be overloaded
 
-pub(super) type Sent = (Ticket, usize);
+/// An execution: the ticket of its statement and its number.
+pub(super) type ExecutionId = (Ticket, usize);
 
+/// The events of the simulation. Fields are front, incarnation, execution and engine, in this order.
 pub(super) enum Event {
-    /// The next statement of the load is due.
-    Offered,
-    /// A front's own clock is due.
+    /// The next statement of the load arrives.
+    StatementDue,
+    /// The front's next wake-up is due.
     Due(usize),
-    /// An execution has come to an engine, or its answer back to the front of that life.
-    Arrives(usize, u32, Sent, usize),
+    /// An execution of that incarnation arrives at an engine.
+    ExecutionArrives(usize, u32, ExecutionId, usize),
     EndedExecution(EndedExecution),
-    /// A repeat that an engine drops is answered.
-    Dropped(usize, u32, Sent, usize),
-    /// The last is its report of the statements in hand.
-    Answers(usize, u32, Sent, Ending, Option<usize>),
-    /// A probe likewise; its number tells which.
+    /// An engine answers a dropped duplicate.
+    DuplicateAnswered(usize, u32, ExecutionId, usize),
+    /// The engine's answer arrives at the front; the last field reports the engine's active
+    /// statements.
+    Answers(usize, u32, ExecutionId, Ending, Option<usize>),
+    /// A probe arrives at an engine, or its answer or timeout at the front; the number identifies
+    /// it.
     ProbeArrives(usize, u32, usize, u64),
     ProbeAnswers(usize, u32, EngineIndex, u64, Option<usize>),
     Datagram(usize, usize, Vec<u8>),
-    /// What the front of that life has written is lasting.
-    Lasting(usize, u32),
-    /// A client asks again, at another front.
-    Again(Client),
-    /// A step of a promise is reached at a front; and the time for that is over.
-    Reached(Step, usize),
-    Unarmed(usize),
-    /// A front of that life that is to end may close its listener.
-    Closes(usize, u32),
-    /// Time to look at what fronts hold; and at whether all copies stand.
+    /// A disk sync of the front of that incarnation has finished.
+    SyncFinished(usize, u32),
+    /// A client retries at another front.
+    ClientRetries(Client),
+    /// A step of a ledger entry is reached at a front; the time limit of a fault's step has passed.
+    StepReached(Step, usize),
+    StepTimedOut(usize),
+    /// Checks whether a front of that incarnation that is shutting down may exit.
+    CheckShutdown(usize, u32),
+    /// Samples resource usage; checks whether all replicas exist.
     SampleSizes,
-    Copies,
-    Begins(usize),
-    Ends(usize),
+    CheckReplicas,
+    FaultBegins(usize),
+    FaultEnds(usize),
 }
 
-/// An execution that has run on an engine.
+/// An execution that has finished on an engine.
 pub(super) struct EndedExecution {
     pub(super) front: usize,
-    pub(super) life: u32,
-    pub(super) sent: Sent,
+    pub(super) incarnation: u32,
+    pub(super) sent: ExecutionId,
     pub(super) engine: usize,
     pub(super) resets: u64,
-    /// Its own in the record.
+    /// The link number of this execution in the record.
     pub(super) link: u32,
 }
 
-/// A rule that promises rest on, taken out, to see that the checks find it missing.
+/// Rules that ledger entries depend on, removed on purpose to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mutation {
-    /// Executions leave before their promise stands.
-    pub acts_first: bool,
-    /// An emptied disk comes back under the identity that it had.
-    pub keeps_identity: bool,
-    /// Words leave before what they rest on is lasting.
-    pub sends_first: bool,
+    /// Executions are sent before their ledger entry is replicated.
+    pub skips_barrier: bool,
+    /// An emptied disk returns with its former identity.
+    pub reuses_disk_identity: bool,
+    /// Datagrams are sent before the state that they rely on is durable.
+    pub sends_before_sync: bool,
 }
 
-/// A front while it runs.
-pub(super) struct Life {
+/// The state of a front while it runs.
+pub(super) struct RunningFront {
     pub(super) dispatcher: Dispatcher,
     pub(super) exchange: Option<Exchange>,
-    pub(super) guard: Option<BarrierDriver>,
-    /// Answers of the ledger that have yet to be taken.
-    pub(super) done: Vec<LedgerAnswer>,
+    pub(super) barrier: Option<BarrierDriver>,
+    /// Ledger answers that have yet to be taken.
+    pub(super) ledger_answers: Vec<LedgerAnswer>,
     pub(super) probes: HashMap<u64, EngineIndex>,
     pub(super) connections: Connections,
 }
 
+/// A front over its incarnations.
 pub(super) struct Member {
-    pub(super) life: Option<Life>,
-    /// Counts its lives: what was meant for an earlier one means nothing.
-    pub(super) lives: u32,
-    pub(super) stopped: bool,
-    /// When it was asked to end.
-    pub(super) ending: Option<i64>,
-    /// What came while it was stopped, in order.
-    pub(super) waits: Vec<Event>,
-    pub(super) due: i64,
-    pub(super) ahead: i64,
+    pub(super) running: Option<RunningFront>,
+    /// The number of starts; events meant for an earlier incarnation are ignored.
+    pub(super) incarnation: u32,
+    pub(super) is_stalled: bool,
+    /// The time at which a shutdown was requested.
+    pub(super) shutdown_asked_at: Option<i64>,
+    /// Events received while the front was stalled, in order.
+    pub(super) pending_events: Vec<Event>,
+    pub(super) next_due: i64,
+    pub(super) clock_ahead: i64,
     pub(super) links: BTreeMap<usize, LinkState>,
-    /// What it saved as a voter.
-    pub(super) saved: Option<Vec<u8>>,
+    /// The state saved as a voter.
+    pub(super) voter_state: Option<Vec<u8>>,
     pub(super) disk: Disk,
-    /// Spans in which it was stopped, killed or ending.
-    pub(super) troubled: Vec<(i64, i64)>,
+    /// Spans in which the front was stalled, killed or shutting down.
+    pub(super) disruptions: Vec<(i64, i64)>,
 }
 
+/// A simulated engine and its load peaks.
 pub(super) struct Engine {
     pub(super) zone: usize,
-    pub(super) started: i64,
+    pub(super) started_at: i64,
     pub(super) running: usize,
-    /// Counts its connections' lives: a reset ends what is out.
-    pub(super) resets: u64,
-    pub(super) turned_away: i64,
+    /// Counts connection resets; the answers of executions that were in flight at a reset are
+    /// dropped.
+    pub(super) reset_count: u64,
+    pub(super) rejected: i64,
     pub(super) peak: f64,
     pub(super) peak_since_start: f64,
 }
 
+/// The state of a run in simulated time.
 pub(super) struct Simulation<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) settings: Settings,
     pub(super) warmth: Warmth,
     pub(super) now: i64,
-    pub(super) began: i64,
+    pub(super) load_began: i64,
     pub(super) queue: BinaryHeap<Reverse<(i64, u64)>>,
     pub(super) events: HashMap<u64, Event>,
-    pub(super) number: u64,
-    pub(super) chance: Pcg64Mcg,
+    pub(super) next_event: u64,
+    pub(super) rng: Pcg64Mcg,
     pub(super) members: Vec<Member>,
     pub(super) engines: Vec<Engine>,
     pub(super) keys: std::rc::Rc<Keys>,
     pub(super) datagram_faults: DatagramFaults,
     pub(super) account: Account,
-    /// Executions out at engines, for resets: by engine.
-    pub(super) out: BTreeMap<usize, Vec<(usize, u32, Sent)>>,
-    pub(super) statements: u64,
-    /// The statements by front, life and ticket: their place in the record.
-    pub(super) named: HashMap<(usize, u32, Ticket), usize>,
-    /// Whoever asked, beside what the record has of it.
+    /// Executions in flight, by engine, for resets.
+    pub(super) in_flight: BTreeMap<usize, Vec<(usize, u32, ExecutionId)>>,
+    pub(super) statement_count: u64,
+    /// Index in the record of each statement, by front, incarnation and ticket.
+    pub(super) statement_numbers: HashMap<(usize, u32, Ticket), usize>,
+    /// The client of each statement in the record, at the same index.
     pub(super) clients: Vec<Client>,
-    pub(super) links: u32,
-    /// When the first of each deduplicated statement of a front began and ends.
-    pub(super) firsts: HashMap<(usize, String), (i64, i64)>,
-    /// The fronts that keep copies, and where each is heard.
+    pub(super) link_count: u32,
+    /// Start and end of the first execution of each deduplicated statement, by front.
+    pub(super) first_executions: HashMap<(usize, String), (i64, i64)>,
+    /// The members of the ledger, and the address of each.
     pub(super) ledger_members: (
         Vec<hallmux_ledger::Member>,
         BTreeMap<hallmux_gossip::PeerId, SocketAddr>,
     ),
     pub(super) armed: Option<Armed>,
-    pub(super) spoil: Mutation,
+    pub(super) mutation: Mutation,
     pub(super) growth: Growth,
-    /// Of the ledger.
+    /// The number of shards of the ledger.
     pub(super) shards: u16,
-    /// Faults that are played now, by their place in the scenario.
-    pub(super) playing: BTreeMap<usize, Fault>,
+    /// Active faults by their index in the scenario.
+    pub(super) active_faults: BTreeMap<usize, Fault>,
 }
 
+/// The secret key of a front.
 pub(super) fn secret(n: usize) -> [u8; 32] {
     let mut secret = [7; 32];
     secret[..8].copy_from_slice(&(n as u64 + 1).to_be_bytes());
     secret
 }
 
+/// The gossip address of a front.
 pub(super) fn address(n: usize) -> SocketAddr {
     ([10, 0, (n / 250) as u8, (n % 250) as u8 + 1], 7946).into()
 }
 
+/// The front with that gossip address.
 pub(super) fn front_at(at: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(at) = at else { return None };
     let [_, _, high, low] = at.ip().octets();
@@ -188,16 +200,21 @@
 }
 
 impl Simulation<'_> {
-    pub(super) fn at(&mut self, when: i64, event: Event) {
-        self.number += 1;
-        self.queue.push(Reverse((when.max(self.now), self.number)));
-        self.events.insert(self.number, event);
+    /// Schedules an event, not before the current time.
+    pub(super) fn schedule_event(&mut self, when: i64, event: Event) {
+        self.next_event += 1;
+        self.queue
+            .push(Reverse((when.max(self.now), self.next_event)));
+        self.events.insert(self.next_event, event);
     }
 
-    pub(super) fn way(&mut self) -> i64 {
-        self.chance.random_range(WAY.0..=WAY.1)
+    /// Draws the delay of a network transfer in microseconds.
+    pub(super) fn draw_network_delay(&mut self) -> i64 {
+        self.rng
+            .random_range(NETWORK_DELAY_US.0..=NETWORK_DELAY_US.1)
     }
 
+    /// Handles all events up to time `over`.
     pub(super) fn run_until(&mut self, over: i64) {
         while let Some(Reverse((when, number))) =
             self.queue.pop().filter(|Reverse((when, _))| *when <= over)
@@ -210,76 +227,84 @@
         }
     }
 
+    /// Handles an event.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
-            Event::Offered => self.offer(),
-            Event::Due(n) if self.members[n].due <= self.now => self.turn(n),
+            Event::StatementDue => self.offer(),
+            Event::Due(n) if self.members[n].next_due <= self.now => self.run_front(n),
             Event::Due(_) => {}
-            Event::Arrives(front, life, sent, engine) => self.arrives(front, life, sent, engine),
-            Event::EndedExecution(ran) => self.ran(ran),
-            Event::Dropped(front, life, sent, e) => {
-                self.goes_back(front, life, sent, e, Ending::Answered)
+            Event::ExecutionArrives(front, incarnation, sent, engine) => {
+                self.receive_execution(front, incarnation, sent, engine)
+            }
+            Event::EndedExecution(ran) => self.end_execution(ran),
+            Event::DuplicateAnswered(front, incarnation, sent, e) => {
+                self.send_answer(front, incarnation, sent, e, Ending::Answered)
             }
-            Event::Again(client) => self.asks(client),
-            Event::Reached(step, front) => _ = self.reached(step, front),
-            Event::Unarmed(fault) => self.unarmed(fault),
-            Event::Closes(front, life) => self.closes(front, life),
+            Event::ClientRetries(client) => self.submit_statement(client),
+            Event::StepReached(step, front) => _ = self.record_step(step, front),
+            Event::StepTimedOut(fault) => self.step_timed_out(fault),
+            Event::CheckShutdown(front, incarnation) => self.try_shutdown(front, incarnation),
             Event::SampleSizes => self.sample_sizes(),
-            Event::Copies => self.copies(),
-            Event::Lasting(front, life) => {
-                if self.is_there(front, life, event).is_some() {
-                    self.lasting(front);
+            Event::CheckReplicas => self.check_replicas(),
+            Event::SyncFinished(front, incarnation) => {
+                if self.deliver_or_defer(front, incarnation, event).is_some() {
+                    self.finish_sync(front);
                 }
             }
-            Event::ProbeArrives(front, life, engine, probe) => {
-                if self.passes(front, engine, false) {
-                    let at = self.now + self.way();
+            Event::ProbeArrives(front, incarnation, engine, probe) => {
+                if self.link_passes(front, engine, false) {
+                    let at = self.now + self.draw_network_delay();
                     let active = self.engines[engine].running;
-                    self.at(
+                    self.schedule_event(
                         at,
-                        Event::ProbeAnswers(front, life, engine, probe, Some(active)),
+                        Event::ProbeAnswers(front, incarnation, engine, probe, Some(active)),
                     );
                 }
             }
-            Event::Answers(front, life, ..) | Event::ProbeAnswers(front, life, ..) => {
-                if let Some(event) = self.is_there(front, life, event) {
+            Event::Answers(front, incarnation, ..)
+            | Event::ProbeAnswers(front, incarnation, ..) => {
+                if let Some(event) = self.deliver_or_defer(front, incarnation, event) {
                     self.receive_answer(front, event);
                 }
             }
-            Event::Datagram(from, to, bytes) => self.datagram(from, to, bytes),
-            Event::Begins(n) => self.fault_begins(n),
-            Event::Ends(n) => self.fault_ends(n),
+            Event::Datagram(from, to, bytes) => self.receive_datagram(from, to, bytes),
+            Event::FaultBegins(n) => self.start_scenario_fault(n),
+            Event::FaultEnds(n) => self.end_scenario_fault(n),
         }
     }
 
-    /// The event, if the front of that life runs; if it is stopped, the event waits until it goes on.
-    fn is_there(&mut self, front: usize, life: u32, event: Event) -> Option<Event> {
+    /// Returns the event if the front of that incarnation runs; if the front is stalled, defers the
+    /// event until it continues.
+    fn deliver_or_defer(&mut self, front: usize, incarnation: u32, event: Event) -> Option<Event> {
         let member = &mut self.members[front];
-        if member.lives != life || member.life.is_none() {
+        if member.incarnation != incarnation || member.running.is_none() {
             return None;
         }
-        if member.stopped {
-            member.waits.push(event);
+        if member.is_stalled {
+            member.pending_events.push(event);
             return None;
         }
         Some(event)
     }
 
-    fn datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let moment = self.moment(to);
+    fn receive_datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let clock_reading = self.clock_reading(to);
         let member = &mut self.members[to];
-        if member.stopped {
-            member.waits.push(Event::Datagram(from, to, bytes));
-        } else if let Some(exchange) = member.life.as_mut().and_then(|life| life.exchange.as_mut())
+        if member.is_stalled {
+            member.pending_events.push(Event::Datagram(from, to, bytes));
+        } else if let Some(exchange) = member
+            .running
+            .as_mut()
+            .and_then(|running| running.exchange.as_mut())
         {
-            let out = exchange.receive(moment, address(from), &bytes);
+            let out = exchange.receive(clock_reading, address(from), &bytes);
             self.send_output(to, out);
-            self.promised(to);
+            self.take_ledger_answers(to);
         }
     }
 
-    /// A fault of the scenario begins.
-    fn fault_begins(&mut self, n: usize) {
+    /// Starts a fault of the scenario.
+    fn start_scenario_fault(&mut self, n: usize) {
         let probed = self
             .account
             .relayed
@@ -287,35 +312,36 @@
             .rev()
             .find(|r| r.probes > 0)
             .map(|r| r.front);
-        let fault = self.scenario.faults[n].on(probed);
-        self.playing.insert(n, fault.clone());
-        self.begin(n, &fault);
+        let fault = self.scenario.faults[n].resolve_owner(probed);
+        self.active_faults.insert(n, fault.clone());
+        self.start_fault(n, &fault);
     }
 
-    /// A fault of the scenario ends, unless it has to wait.
-    fn fault_ends(&mut self, n: usize) {
-        if let Some(later) = self.is_armed(n).or_else(|| self.still_ends(n)) {
-            return self.at(later, Event::Ends(n));
+    /// Ends a fault of the scenario, or schedules a later attempt if its front has yet to exit.
+    fn end_scenario_fault(&mut self, n: usize) {
+        if let Some(later) = self.death_retry_at(n).or_else(|| self.shutdown_retry_at(n)) {
+            return self.schedule_event(later, Event::FaultEnds(n));
         }
-        let Some(fault) = self.playing.remove(&n) else {
+        let Some(fault) = self.active_faults.remove(&n) else {
             return;
         };
-        self.end(&fault);
-        let from = self.began + fault.at_ms as i64 * 1000;
+        self.end_fault(&fault);
+        let from = self.load_began + fault.at_ms as i64 * 1000;
         self.account.played.push((fault, from, self.now));
     }
 
-    /// The Unix clock of a front, by which it decides.
-    pub(super) fn own(&self, n: usize) -> i64 {
-        self.now + self.members[n].ahead
+    /// The front's own clock in Unix microseconds, including its offset.
+    pub(super) fn local_time(&self, n: usize) -> i64 {
+        self.now + self.members[n].clock_ahead
     }
 
-    pub(super) fn moment(&self, n: usize) -> ClockReading {
-        let own = self.own(n);
+    /// The clock reading of a front.
+    pub(super) fn clock_reading(&self, n: usize) -> ClockReading {
+        let local_time = self.local_time(n);
         ClockReading {
-            now: own,
+            now: local_time,
             steady: self.now,
-            wall_ms: (own / 1000) as u64,
+            wall_ms: (local_time / 1000) as u64,
         }
     }
 }
--- a/crates/lab/src/simulated/tests.rs
+++ b/crates/lab/src/simulated/tests.rs
@@ -1,17 +1,18 @@
-//! Simulated days with a rule that promises rest on taken out: the checks must find it missing.
+//! Simulated runs with a rule that ledger entries depend on removed: the checks must detect it.
 
 use super::{run_with, Mutation};
 use crate::prove::deaths;
 use crate::prove::promises::{draw, RunOptions};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// Seeds of deaths, and whether the day is small: one meets promises that are not lasting yet; in the other an emptied
-/// disk that counts as the one before makes a majority that knows nothing of some.
+/// Seeds of death scenarios, and whether the scenario is small. In the first, a death meets entries
+/// that are not durable yet; in the second, an emptied disk that counts as its former self forms a
+/// quorum that lacks entries.
 const SLOW_DISKS: (u64, bool) = (2, true);
 const SECOND_LOSS: (u64, bool) = (5, false);
 
-/// How many of some drawn days break a rule.
-fn broken(copies: usize, spoil: Mutation) -> usize {
+/// How many of the drawn runs violate a rule.
+fn count_violating_runs(copies: usize, spoil: Mutation) -> usize {
     let day = |seed: &u64| {
         let way = RunOptions {
             small: true,
@@ -21,11 +22,11 @@
             mutation: spoil,
         };
         let mut scenario = draw(*seed, way);
-        // The first loss is of the front that has most to lose by now.
+        // A higher rate, so that the first front to lose its disk holds many entries by then.
         scenario.load.per_second = 40;
         let run = run_with(&scenario, *seed, spoil).unwrap();
-        let promises = ["order", "promise_lost", "second_run", "without_promise"];
-        promises
+        let ledger_rules = ["order", "promise_lost", "second_run", "without_promise"];
+        ledger_rules
             .iter()
             .any(|rule| run.violations.contains_key(rule))
     };
@@ -33,23 +34,27 @@
 }
 
 #[test]
-fn drawn_days_break_a_rule_only_where_one_is_taken_out() {
-    let whole = Mutation::default();
-    assert_eq!(broken(3, whole), 0);
-    assert_eq!(broken(0, whole), SEEDS.len(), "no ledger at all");
-    let acts_first = Mutation {
-        acts_first: true,
-        ..whole
+fn drawn_runs_violate_a_rule_only_with_a_mutation() {
+    let no_mutation = Mutation::default();
+    assert_eq!(count_violating_runs(3, no_mutation), 0);
+    assert_eq!(
+        count_violating_runs(0, no_mutation),
+        SEEDS.len(),
+        "fronts without a ledger"
+    );
+    let skips_barrier = Mutation {
+        skips_barrier: true,
+        ..no_mutation
     };
     assert_eq!(
-        broken(3, acts_first),
+        count_violating_runs(3, skips_barrier),
         SEEDS.len(),
-        "the act before its promise"
+        "executions sent before their ledger entry is replicated"
     );
 }
 
-/// The rules that the drawn deaths of a seed break.
-fn broken_by_deaths((seed, small): (u64, bool), spoil: Mutation) -> Vec<&'static str> {
+/// The rules that the drawn deaths of a seed violate.
+fn violations_of_deaths((seed, small): (u64, bool), spoil: Mutation) -> Vec<&'static str> {
     let way = RunOptions {
         simulated: true,
         small,
@@ -62,26 +67,26 @@
 }
 
 #[test]
-fn drawn_deaths_lose_a_promise_only_where_a_rule_is_taken_out() {
-    let whole = Mutation::default();
+fn drawn_deaths_lose_an_entry_only_with_a_mutation() {
+    let no_mutation = Mutation::default();
     for (day, spoil) in [
         (
             SLOW_DISKS,
             Mutation {
-                sends_first: true,
-                ..whole
+                sends_before_sync: true,
+                ..no_mutation
             },
         ),
         (
             SECOND_LOSS,
             Mutation {
-                keeps_identity: true,
-                ..whole
+                reuses_disk_identity: true,
+                ..no_mutation
             },
         ),
     ] {
-        assert_eq!(broken_by_deaths(day, whole), Vec::<&str>::new());
-        let found = broken_by_deaths(day, spoil);
+        assert_eq!(violations_of_deaths(day, no_mutation), Vec::<&str>::new());
+        let found = violations_of_deaths(day, spoil);
         assert!(
             found.contains(&"order") || found.contains(&"promise_lost"),
             "{spoil:?}: {found:?}"
