--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -10,18 +10,18 @@
 use self::answers::{answers, effects};
 use self::statements::Execution;
 pub use self::statements::{
-    Agreed, Drain, Outcome, Repeat, StatementRecord, Transaction, Violations,
+    Agreement, Drain, Outcome, Repeat, StatementRecord, Transaction, Violations,
 };
 use self::turns::{drains, order, placement, repeats};
 pub use self::waits::ProcessorWaits;
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 
 /// Checks all rules.
 pub fn check(
     asked: &[StatementRecord],
     transactions: &[Transaction],
     engine_events: &[EngineEvent],
-    agreed: &Agreed,
+    agreed: &Agreement,
 ) -> Violations {
     let mut wrong = Violations::new();
     let executions = executions(engine_events);
@@ -39,7 +39,7 @@
     let mut all: HashMap<String, Vec<Execution>> = HashMap::new();
     for event in engine_events {
         match &event.kind {
-            Kind::Began { id, key } => {
+            EngineEventKind::Began { id, key } => {
                 let (engine, link, from, key) = (event.engine, event.link, event.at, key.clone());
                 let execution = Execution {
                     engine,
@@ -50,7 +50,7 @@
                 };
                 all.entry(id.clone()).or_default().push(execution);
             }
-            Kind::Ended { id } => {
+            EngineEventKind::Ended { id } => {
                 let out = all.get_mut(id).into_iter().flatten();
                 let own = |x: &&mut Execution| {
                     x.engine == event.engine && x.link == event.link && x.to == i64::MAX
@@ -66,7 +66,7 @@
 fn kept(engine_events: &[EngineEvent]) -> HashMap<String, usize> {
     let mut all = HashMap::new();
     for event in engine_events {
-        if let Kind::Kept { id } = &event.kind {
+        if let EngineEventKind::Kept { id } = &event.kind {
             *all.entry(id.clone()).or_default() += 1;
         }
     }
--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -3,24 +3,26 @@
 use std::collections::{HashMap, HashSet};
 
 use super::statements::{
-    add, Agreed, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations,
+    add, Agreement, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations,
 };
 
 /// Exactly one final answer, whole and true, in time.
-pub(super) fn answers(wrong: &mut Violations, asked: &[StatementRecord], agreed: &Agreed) {
+pub(super) fn answers(wrong: &mut Violations, asked: &[StatementRecord], agreed: &Agreement) {
     let mut seen = HashSet::new();
     for a in asked {
         if !seen.insert(&a.id) {
             add(wrong, "answers", format!("{}: two final answers", a.id));
         }
         // What was waited before it was due is no excuse.
-        let waited = agreed.waited.between(a.sent + a.timeout, a.answered);
+        let waited = agreed
+            .processor_waits
+            .between(a.sent + a.timeout, a.answered);
         let late = a.answered - a.sent > a.timeout + agreed.slack + waited;
         match &a.outcome {
             Outcome::Nothing => add(wrong, "answers", format!("{}: no answer", a.id)),
             Outcome::Spoilt => add(wrong, "answers", format!("{}: another's rows", a.id)),
             Outcome::Lost if !a.may_be_lost => add(wrong, "answers", format!("{}: lost", a.id)),
-            Outcome::Completed { rows } if *rows != a.rows || a.fails.is_some() => {
+            Outcome::Completed { rows } if *rows != a.rows || a.expected_error.is_some() => {
                 add(
                     wrong,
                     "answers",
@@ -31,13 +33,13 @@
                 let known = [
                     "53000", "57014", "08007", "08006", "40001", "25P02", "25P03", "57P01",
                 ];
-                let own = [a.fails, a.may_fail].contains(&Some(code.as_str()));
+                let own = [a.expected_error, a.tolerated_error].contains(&Some(code.as_str()));
                 if !own && !known.contains(&code.as_str()) {
                     add(wrong, "answers", format!("{}: {code}", a.id));
                 }
                 // A cancel that was meant for another shows as one that nobody asked for.
                 let early = a.answered - a.sent < a.timeout - agreed.slack;
-                if code == "57014" && !a.cancels && early {
+                if code == "57014" && !a.cancel_requested && early {
                     add(wrong, "cancels", format!("{}: cancelled by nobody", a.id));
                 }
             }
--- a/crates/lab/src/check/statements.rs
+++ b/crates/lab/src/check/statements.rs
@@ -35,7 +35,7 @@
     pub sent: i64,
     pub answered: i64,
     /// When its client knew that the front had taken it, where it asked; else it knows by the answer.
-    pub taken: Option<i64>,
+    pub accepted_at: Option<i64>,
     pub timeout: i64,
     pub outcome: Outcome,
     pub rows: usize,
@@ -46,11 +46,11 @@
     /// The transaction it belongs to.
     pub transaction: Option<usize>,
     /// Its client asked for its end.
-    pub cancels: bool,
+    pub cancel_requested: bool,
     /// The error that the statement itself asked for.
-    pub fails: Option<&'static str>,
+    pub expected_error: Option<&'static str>,
     /// An error that an engine's fault may end it with.
-    pub may_fail: Option<&'static str>,
+    pub tolerated_error: Option<&'static str>,
     /// It only begins or ends a transaction.
     pub control: bool,
     /// The front may cut it off with its connection: an engine ended within a message, or the front ends.
@@ -64,7 +64,7 @@
             id,
             sent,
             answered: 0,
-            taken: None,
+            accepted_at: None,
             timeout,
             outcome: Outcome::Nothing,
             rows: 0,
@@ -72,9 +72,9 @@
             bound: false,
             key: String::new(),
             transaction: None,
-            cancels: false,
-            fails: None,
-            may_fail: None,
+            cancel_requested: false,
+            expected_error: None,
+            tolerated_error: None,
             control: false,
             may_be_lost: false,
         }
@@ -99,15 +99,15 @@
 
 /// What was agreed, and what happened around the front.
 #[derive(Clone, Debug, Default)]
-pub struct Agreed {
+pub struct Agreement {
     pub grace: i64,
     pub slack: i64,
     /// How long the machine let somebody wait: answers may be later by it.
-    pub waited: ProcessorWaits,
+    pub processor_waits: ProcessorWaits,
     /// Engines that bound statements may run on.
     pub bound_to: HashSet<usize>,
     /// Further executions: spare, share of the statements taken, window.
-    pub further: Option<(f64, f64, i64)>,
+    pub retry_budget: Option<(f64, f64, i64)>,
     pub drains: Vec<Drain>,
 }
 
--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -3,16 +3,16 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::statements::{
-    add, Agreed, Drain, Execution, Outcome, Repeat, StatementRecord, Violations,
+    add, Agreement, Drain, Execution, Outcome, Repeat, StatementRecord, Violations,
 };
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 
 /// Nothing twice that may not be, never two at once, and no more further executions than agreed.
 pub(super) fn repeats(
     wrong: &mut Violations,
     asked: &[StatementRecord],
     executions: &HashMap<String, Vec<Execution>>,
-    agreed: &Agreed,
+    agreed: &Agreement,
 ) {
     let mut further = Vec::new();
     for a in asked {
@@ -33,7 +33,7 @@
         }
         further.extend(ran.iter().skip(1).map(|x| x.from));
     }
-    let Some((spare, share, window)) = agreed.further else {
+    let Some((spare, share, window)) = agreed.retry_budget else {
         return;
     };
     further.sort_unstable();
@@ -55,9 +55,12 @@
 }
 
 /// Nothing new to an engine that drains.
-pub(super) fn drains(wrong: &mut Violations, engine_events: &[EngineEvent], agreed: &Agreed) {
+pub(super) fn drains(wrong: &mut Violations, engine_events: &[EngineEvent], agreed: &Agreement) {
     for event in engine_events {
-        let new = matches!(event.kind, Kind::Began { .. } | Kind::Control { .. });
+        let new = matches!(
+            event.kind,
+            EngineEventKind::Began { .. } | EngineEventKind::Control { .. }
+        );
         let drain = |d: &&Drain| {
             d.engine == event.engine && event.at > d.from + agreed.grace && event.at < d.to
         };
@@ -89,7 +92,7 @@
         let answered = matches!(a.outcome, Outcome::Completed { .. } | Outcome::Error(_));
         (
             a.sent,
-            a.taken
+            a.accepted_at
                 .or(answered.then_some(a.answered))
                 .unwrap_or(i64::MAX),
         )
@@ -130,7 +133,7 @@
     wrong: &mut Violations,
     asked: &[StatementRecord],
     executions: &HashMap<String, Vec<Execution>>,
-    agreed: &Agreed,
+    agreed: &Agreement,
 ) {
     for a in asked.iter().filter(|a| a.bound) {
         for x in executions.get(&a.id).into_iter().flatten() {
--- a/crates/lab/src/check_tests.rs
+++ b/crates/lab/src/check_tests.rs
@@ -24,23 +24,23 @@
     vec![
         event(
             from,
-            Kind::Began {
+            EngineEventKind::Began {
                 id: id.into(),
                 key: key.into(),
             },
         ),
-        event(to, Kind::Ended { id: id.into() }),
-        event(to, Kind::Kept { id: id.into() }),
+        event(to, EngineEventKind::Ended { id: id.into() }),
+        event(to, EngineEventKind::Kept { id: id.into() }),
     ]
 }
 
-fn agreed() -> Agreed {
-    Agreed {
+fn agreed() -> Agreement {
+    Agreement {
         grace: 2_000_000,
         slack: 100_000,
-        waited: ProcessorWaits::default(),
+        processor_waits: ProcessorWaits::default(),
         bound_to: HashSet::from([1]),
-        further: Some((1.0, 0.1, 10_000_000)),
+        retry_budget: Some((1.0, 0.1, 10_000_000)),
         drains: vec![Drain {
             engine: 2,
             from: 0,
@@ -72,7 +72,7 @@
     let all = [
         asked("a", DONE),
         StatementRecord {
-            fails: Some("23505"),
+            expected_error: Some("23505"),
             ..asked("b", error("23505"))
         },
     ];
@@ -175,8 +175,8 @@
             answered: sent + takes,
             ..asked("a", DONE)
         };
-        let agreed = Agreed {
-            waited: ProcessorWaits {
+        let agreed = Agreement {
+            processor_waits: ProcessorWaits {
                 samples: samples.clone(),
             },
             ..agreed()
@@ -192,7 +192,7 @@
 
 #[test]
 fn order_budget_and_transactions_are_checked_over_several_statements() {
-    // One that may have been taken after the other was sent may run after it; one between makes no difference.
+    // One that may have been accepted_at after the other was sent may run after it; one between makes no difference.
     let late = || StatementRecord {
         sent: 500_000,
         answered: 600_000,
@@ -204,16 +204,16 @@
         between,
         ran("a", "k", 0, 530_000, 540_000),
     ];
-    for (taken, wrong) in [(Some(499_999), true), (Some(500_000), false), (None, false)] {
+    for (accepted_at, wrong) in [(Some(499_999), true), (Some(500_000), false), (None, false)] {
         let early = StatementRecord {
             answered: 600_000,
-            taken,
+            accepted_at,
             ..asked("a", DONE)
         };
         assert_eq!(
             !found(&[early, late()], &[], &engine_events).is_empty(),
             wrong,
-            "{taken:?}"
+            "{accepted_at:?}"
         );
     }
     let again: Vec<Vec<EngineEvent>> = (0..5)
--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -12,7 +12,7 @@
 use hallmux_postgres::wire::{self, ClientMessage, Message};
 
 use super::portal::{Engine, Link};
-use super::record::Kind;
+use super::record::EngineEventKind;
 use super::task::{parameter, task, task_of_fields, Task};
 
 const CHUNK: usize = 32 << 10; // bytes read and written at once
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    fn note(&self, kind: Kind) {
+    fn note(&self, kind: EngineEventKind) {
         if self.engine.notes {
             self.engine
                 .records
--- a/crates/lab/src/engine/conversation/statements.rs
+++ b/crates/lab/src/engine/conversation/statements.rs
@@ -8,7 +8,7 @@
 use hallmux_postgres::wire;
 
 use super::{Conversation, Interruption, Portal, CHUNK};
-use crate::engine::record::Kind;
+use crate::engine::record::EngineEventKind;
 use crate::engine::task::Task;
 
 const GOOD_PART: usize = 200; // rows of a result that have gone before a fault may lose the rest
@@ -66,7 +66,7 @@
             _ => "SET",
         };
         wire::write_complete(&mut self.out, tag);
-        self.note(Kind::Control {
+        self.note(EngineEventKind::Control {
             text: text.trim().to_string(),
         });
         Ok(())
@@ -130,7 +130,7 @@
     /// The work of a statement: time, until its end is asked for.
     fn run(&mut self, task: &Task) -> Result<(), Interruption> {
         let faults = &self.engine.faults;
-        let takes = Duration::from_micros(task.ms * 1000 + faults.slower.load(SeqCst));
+        let takes = Duration::from_micros(task.ms * 1000 + faults.extra_latency_us.load(SeqCst));
         let reset = || Interruption::Connection(ErrorKind::ConnectionReset.into());
         let Some(link) = self.link.clone() else {
             return Ok(());
@@ -142,7 +142,7 @@
         if running.2 {
             return Err(reset());
         }
-        self.note(Kind::Began {
+        self.note(EngineEventKind::Began {
             id: task.id.clone(),
             key: task.key.clone(),
         });
@@ -173,7 +173,7 @@
 
     pub(super) fn keep(&mut self) {
         for id in std::mem::take(&mut self.pending) {
-            self.note(Kind::Kept { id });
+            self.note(EngineEventKind::Kept { id });
         }
     }
 }
--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-pub use self::client::{ask, ask_body, ask_told, Client};
-use crate::engine::{EngineEvent, Kind, Records};
+pub use self::client::{ask, ask_body, ask_with_retry_hint, Client};
+use crate::engine::{EngineEvent, EngineEventKind, Records};
 use crate::rig::scenario::Step;
 
 const MOST_BODY: usize = 1 << 20; // bytes of a statement that are read
@@ -39,7 +39,7 @@
 
 impl Warmth {
     /// What is borne at once so many microseconds after a start.
-    pub fn bears(self, since: i64) -> usize {
+    pub fn capacity_at(self, since: i64) -> usize {
         let Warmth {
             cold,
             warm,
@@ -69,7 +69,7 @@
     /// Counts executions: each has a link of its own in the record.
     next: AtomicU32,
     /// Statements turned away, and the most that were asked of it at once against what it bore then.
-    pub turned_away: AtomicUsize,
+    pub rejected: AtomicUsize,
     peak: Mutex<f64>,
     /// The same since its last start.
     peak_since_start: Mutex<f64>,
@@ -88,11 +88,11 @@
         records: Arc<Records>,
         warmth: Warmth,
     ) -> std::io::Result<Arc<Engine>> {
-        Engine::holding(number, records, warmth, None)
+        Engine::with_rows(number, records, warmth, None)
     }
 
     /// One that answers with rows; its statements say their fields in a comment that begins `/* id=`.
-    pub fn holding(
+    pub fn with_rows(
         number: usize,
         records: Arc<Records>,
         warmth: Warmth,
@@ -102,8 +102,7 @@
         let at = listener.local_addr()?;
         // Warm from the first: only a start anew is cold.
         let started = AtomicI64::new(records.now() - warmth.warm_us);
-        let (running, turned_away, peak) =
-            (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(0.0));
+        let (running, rejected, peak) = (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(0.0));
         let peak_since_start = Mutex::new(0.0);
         let engine = Arc::new(Engine {
             number,
@@ -113,7 +112,7 @@
             started,
             running,
             next: AtomicU32::new(1),
-            turned_away,
+            rejected,
             peak,
             peak_since_start,
             holds,
@@ -137,9 +136,9 @@
     }
 
     /// What it bears at once now.
-    pub fn bears(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.warmth
-            .bears(self.records.now() - self.started.load(SeqCst))
+            .capacity_at(self.records.now() - self.started.load(SeqCst))
     }
 
     /// The most asked of it at once against what it bore then.
@@ -152,8 +151,8 @@
         self.peak_since_start.lock().map(|p| *p).unwrap_or(0.0)
     }
 
-    fn note(&self, link: u32, kind: Kind) {
-        if let Ok(mut engine_events) = self.records.deeds.lock() {
+    fn note(&self, link: u32, kind: EngineEventKind) {
+        if let Ok(mut engine_events) = self.records.engine_events.lock() {
             engine_events.push(EngineEvent {
                 at: self.records.now(),
                 engine: self.number,
@@ -172,7 +171,7 @@
         if let Ok(mut runs) = runs.lock() {
             for (_, (own, link)) in runs.drain() {
                 self.running.fetch_sub(1, SeqCst);
-                self.note(link, Kind::Ended { id: own });
+                self.note(link, EngineEventKind::Ended { id: own });
             }
         }
         let _ = own_side.shutdown(Shutdown::Both);
@@ -218,7 +217,7 @@
     /// Whether it bears one statement more, which then counts as running; notes how much was asked of it at once.
     fn admits(&self) -> bool {
         let asked = self.running.fetch_add(1, SeqCst) + 1;
-        let bears = self.bears();
+        let bears = self.capacity();
         for peak in [&self.peak, &self.peak_since_start] {
             if let Ok(mut peak) = peak.lock() {
                 *peak = peak.max(asked as f64 / bears.max(1) as f64);
@@ -226,7 +225,7 @@
         }
         if asked > bears {
             self.running.fetch_sub(1, SeqCst);
-            self.turned_away.fetch_add(1, SeqCst);
+            self.rejected.fetch_add(1, SeqCst);
         }
         asked <= bears
     }
@@ -244,17 +243,17 @@
         if let (Some(front), Ok(mut sent_by)) = (front, self.records.sent_by.lock()) {
             sent_by.insert((self.number, link), front);
         }
-        self.records.runs(self.number, link, (peer, id));
+        self.records.note_arrival(self.number, link, (peer, id));
         self.note(
             link,
-            Kind::Began {
+            EngineEventKind::Began {
                 id: statement.id.clone(),
                 key: statement.key.clone(),
             },
         );
         let promised_at = front.filter(|_| statement.promised);
         if let Some(front) = promised_at {
-            self.records.reached(Step::Began, front);
+            self.records.step_reached(Step::Began, front);
         }
         if let Ok(mut runs) = runs.lock().map(|runs| (!statement.goes_on).then_some(runs)) {
             runs.iter_mut()
@@ -288,19 +287,19 @@
             }
             self.note(
                 link,
-                Kind::Ended {
+                EngineEventKind::Ended {
                     id: statement.id.clone(),
                 },
             );
         }
         self.note(
             link,
-            Kind::Kept {
+            EngineEventKind::Kept {
                 id: statement.id.clone(),
             },
         );
         if let Some(front) = promised_at {
-            self.records.reached(Step::Kept, front);
+            self.records.step_reached(Step::Kept, front);
         }
         self.running.fetch_sub(1, SeqCst);
         let row = match &self.holds {
--- a/crates/lab/src/engine/lines/client.rs
+++ b/crates/lab/src/engine/lines/client.rs
@@ -8,11 +8,11 @@
 
 /// Asks over a connection of its own; gives the outcome and whether its rows are the statement's.
 pub fn ask(front: SocketAddr, number: u64, fields: &[(&str, &str)], statement: &str) -> Outcome {
-    ask_told(front, number, fields, statement).0
+    ask_with_retry_hint(front, number, fields, statement).0
 }
 
 /// The same, with whether a refusal names a time to come back.
-pub fn ask_told(
+pub fn ask_with_retry_hint(
     front: SocketAddr,
     number: u64,
     fields: &[(&str, &str)],
--- a/crates/lab/src/engine/lines_tests.rs
+++ b/crates/lab/src/engine/lines_tests.rs
@@ -11,16 +11,16 @@
         memory: usize::MAX,
     };
     let engine = Engine::start(0, Records::new(), warmth).unwrap();
-    assert_eq!(engine.bears(), 8);
+    assert_eq!(engine.capacity(), 8);
     engine.restart();
-    assert_eq!(engine.bears(), 1);
+    assert_eq!(engine.capacity(), 1);
     // Memory runs out before its slots do.
     assert_eq!(
         (Warmth {
             memory: 5,
             ..warmth
         })
-        .bears(600_000_000),
+        .capacity_at(600_000_000),
         5
     );
     let mut s = TcpStream::connect(engine.at).unwrap();
@@ -31,7 +31,7 @@
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     assert_eq!(line, "2 AGAIN stats=inflight:1 0\r\n");
-    assert_eq!((engine.turned_away.load(SeqCst), engine.peak()), (1, 2.0));
+    assert_eq!((engine.rejected.load(SeqCst), engine.peak()), (1, 2.0));
     line.clear();
     reader.read_line(&mut line).unwrap();
     assert_eq!(line, "\r\n"); // the end of no bytes
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -10,5 +10,5 @@
 mod wire_events_tests;
 
 pub use portal::Engine;
-pub use record::{Armed, EngineEvent, Kind, Records};
+pub use record::{Armed, EngineEvent, EngineEventKind, Records};
 pub use wire_events::{Lines, WireEvent, WireEventKind};
--- a/crates/lab/src/engine/portal.rs
+++ b/crates/lab/src/engine/portal.rs
@@ -10,7 +10,7 @@
 use hallmux_postgres::wire::{self, CancelKey, InitialMessage};
 
 use super::conversation::Conversation;
-use super::record::{Kind, Records};
+use super::record::{EngineEventKind, Records};
 
 /// Faults of an engine, to be set while it runs.
 #[derive(Default)]
@@ -20,7 +20,7 @@
     /// Nothing is answered until then, in microseconds since the rig began.
     pub stalled_until: AtomicU64,
     /// Every statement takes so many microseconds longer.
-    pub slower: AtomicU64,
+    pub extra_latency_us: AtomicU64,
     /// So many of the next commits are lost with their connection; odd ones after they took effect.
     pub lost_commits: AtomicU32,
     /// So many of the next statements are lost with their connection.
@@ -119,7 +119,8 @@
     /// for a while, and to a front that has heard of it the statement may run elsewhere by then.
     pub(super) fn over(&self, link: u32, running: &mut Option<String>) {
         if let Some(id) = running.take().filter(|_| self.notes) {
-            self.records.note(self.number, link, Kind::Ended { id });
+            self.records
+                .note(self.number, link, EngineEventKind::Ended { id });
         }
     }
 
@@ -207,7 +208,7 @@
         self.records.note(
             self.number,
             process,
-            Kind::Cancelled {
+            EngineEventKind::Cancelled {
                 id: running.0.clone(),
             },
         );
--- a/crates/lab/src/engine/portal_tests.rs
+++ b/crates/lab/src/engine/portal_tests.rs
@@ -9,10 +9,10 @@
 #[test]
 fn what_is_reset_or_cancelled_is_over_in_the_record_before_anyone_hears_of_it() {
     let engine = Engine::start(0, Records::new(), true).unwrap();
-    let noted = |kind: Kind| {
+    let noted = |kind: EngineEventKind| {
         engine
             .records
-            .deeds
+            .engine_events
             .lock()
             .unwrap()
             .iter()
@@ -24,7 +24,7 @@
         s.query(&format!("select run('id={id},rows=1,ms=20000')"));
         s.send().unwrap();
         let (began, since) = (
-            Kind::Began {
+            EngineEventKind::Began {
                 id: id.clone(),
                 key: String::new(),
             },
@@ -38,7 +38,7 @@
         } else {
             s.cancel(engine.at).unwrap();
         }
-        assert!(noted(Kind::Ended { id }), "{n}");
+        assert!(noted(EngineEventKind::Ended { id }), "{n}");
         while engine.connections() > 0 && resets && since.elapsed() < PATIENCE {
             std::thread::yield_now();
         }
--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -18,11 +18,11 @@
     pub at: i64,
     pub engine: usize,
     pub link: u32,
-    pub kind: Kind,
+    pub kind: EngineEventKind,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum EngineEventKind {
     /// A statement by its id began to run, with its order key.
     Began { id: String, key: String },
     /// It is over on the engine, with or without effect.
@@ -39,14 +39,14 @@
 pub struct Records {
     pub since: Instant,
     /// What the engines did, in the order in which it was written down.
-    pub deeds: Mutex<Vec<EngineEvent>>,
+    pub engine_events: Mutex<Vec<EngineEvent>>,
     /// The front behind each connection to an engine, by the relay's end of it and the engine's: one port of the
     /// relay's side may lead to several engines.
     peers: Mutex<HashMap<(SocketAddr, SocketAddr), usize>>,
     /// The front that sent what an engine wrote down under this link.
     pub sent_by: Mutex<HashMap<(usize, u32), usize>>,
     /// What an engine wrote down under this link came over the connection from this port of the relay's, as this id.
-    pub came: Mutex<HashMap<(usize, u32), (u16, String)>>,
+    pub arrivals: Mutex<HashMap<(usize, u32), (u16, String)>>,
     /// What was said over the connections between fronts and engines.
     pub wire_events: Mutex<Vec<WireEvent>>,
     /// Statements that were sent to any engine, by their front and the client's name for them.
@@ -66,10 +66,10 @@
     pub fn new() -> Arc<Records> {
         Arc::new(Records {
             since: Instant::now(),
-            deeds: Mutex::default(),
+            engine_events: Mutex::default(),
             peers: Mutex::default(),
             sent_by: Mutex::default(),
-            came: Mutex::default(),
+            arrivals: Mutex::default(),
             wire_events: Mutex::default(),
             firsts: Mutex::default(),
             armed: Mutex::default(),
@@ -78,7 +78,7 @@
     }
 
     /// What a front sends towards an engine. One that is cut between two chunks counts as an attempt alone.
-    pub fn sends(&self, front: usize, chunk: &[u8]) {
+    pub fn note_dispatch(&self, front: usize, chunk: &[u8]) {
         const WORD: &[u8] = b"want ";
         let Ok(mut firsts) = self.firsts.lock() else {
             return;
@@ -97,7 +97,7 @@
     }
 
     /// Statements that were sent to any engine at least once, at each front.
-    pub fn first_tries(&self) -> i64 {
+    pub fn dispatched_statements(&self) -> i64 {
         self.firsts.lock().map_or(0, |firsts| firsts.len() as i64)
     }
 
@@ -113,14 +113,14 @@
     }
 
     /// An engine runs under this link what came over this connection.
-    pub fn runs(&self, engine: usize, link: u32, (at, id): (SocketAddr, &str)) {
-        if let Ok(mut came) = self.came.lock() {
+    pub fn note_arrival(&self, engine: usize, link: u32, (at, id): (SocketAddr, &str)) {
+        if let Ok(mut came) = self.arrivals.lock() {
             came.insert((engine, link), (at.port(), id.to_string()));
         }
     }
 
     /// A front's relay has opened this connection to an engine.
-    pub fn opened(&self, at: SocketAddr, engine: SocketAddr, front: usize) {
+    pub fn note_connection(&self, at: SocketAddr, engine: SocketAddr, front: usize) {
         if let Ok(mut peers) = self.peers.lock() {
             peers.insert((at, engine), front);
         }
@@ -143,7 +143,7 @@
     }
 
     /// A step of a promise is reached at a front: true if it has just died of that.
-    pub fn reached(&self, step: Step, front: usize) -> bool {
+    pub fn step_reached(&self, step: Step, front: usize) -> bool {
         let Ok(mut now) = self.armed.lock() else {
             return false;
         };
@@ -163,14 +163,14 @@
         true
     }
 
-    pub(super) fn note(&self, engine: usize, link: u32, kind: Kind) {
+    pub(super) fn note(&self, engine: usize, link: u32, kind: EngineEventKind) {
         let event = EngineEvent {
             at: self.now(),
             engine,
             link,
             kind,
         };
-        if let Ok(mut engine_events) = self.deeds.lock() {
+        if let Ok(mut engine_events) = self.engine_events.lock() {
             engine_events.push(event);
         }
     }
--- a/crates/lab/src/engine/record_tests.rs
+++ b/crates/lab/src/engine/record_tests.rs
@@ -7,8 +7,8 @@
     let (records, at) = (Records::new(), |port: u16| {
         SocketAddr::from(([127, 0, 0, 1], port))
     });
-    records.opened(at(9), at(1), 3);
-    records.opened(at(9), at(2), 4);
+    records.note_connection(at(9), at(1), 3);
+    records.note_connection(at(9), at(2), 4);
     assert_eq!(records.front_of(at(9), at(1)), Some(3));
     assert_eq!(
         (
@@ -31,10 +31,13 @@
         pid: child.id(),
     };
     records.arm(Some(armed(1)));
-    assert!(!records.reached(Step::Copying, 1), "nothing was asked yet");
-    assert!(!records.reached(Step::Taken, 0) && !records.reached(Step::Taken, 1));
-    assert!(!records.reached(Step::Copying, 0) && !records.reached(Step::Copying, 1));
-    assert!(records.reached(Step::Copying, 1) && !records.is_armed());
+    assert!(
+        !records.step_reached(Step::Copying, 1),
+        "nothing was asked yet"
+    );
+    assert!(!records.step_reached(Step::Taken, 0) && !records.step_reached(Step::Taken, 1));
+    assert!(!records.step_reached(Step::Copying, 0) && !records.step_reached(Step::Copying, 1));
+    assert!(records.step_reached(Step::Copying, 1) && !records.is_armed());
     assert!(!child.wait().unwrap().success());
     assert_eq!(records.steps.lock().unwrap()[0].0, Step::Copying);
 }
--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -96,7 +96,13 @@
         }
     }
 
-    fn ask(&self, member: &Member, address: SocketAddr, record: &Record, again: bool) -> Outcome {
+    fn ask(
+        &self,
+        member: &Member,
+        address: SocketAddr,
+        record: &Record,
+        is_retry: bool,
+    ) -> Outcome {
         let (class, load) = (&self.scenario.classes[self.class], &self.scenario.load);
         let id = format!("s{}", self.number);
         let timeout_ms = class.timeout_ms.unwrap_or(load.timeout_ms);
@@ -141,11 +147,12 @@
             let wait = Duration::from_micros(200 + self.seed % 400);
             std::thread::spawn(move || {
                 std::thread::sleep(wait);
-                records.reached(Step::Taken, front);
+                records.step_reached(Step::Taken, front);
             });
         }
         let before = own_wait();
-        let (outcome, later) = lines::ask_told(address, self.number, &fields, &statement);
+        let (outcome, later) =
+            lines::ask_with_retry_hint(address, self.number, &fields, &statement);
         asked.outcome = outcome;
         asked.answered = now();
         let starved = own_wait() - before;
@@ -160,7 +167,7 @@
                 class,
                 asked,
                 barred,
-                again,
+                is_retry,
                 starved,
             });
         }
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -18,7 +18,7 @@
 use self::notes::Notes;
 use self::sampling::Memory;
 use self::setup::{is_big, Setup, ENGINES};
-use crate::check::{check, Agreed, Outcome, StatementRecord, Transaction, Violations};
+use crate::check::{check, Agreement, Outcome, StatementRecord, Transaction, Violations};
 use crate::rig::Front;
 use crate::scripted;
 
@@ -62,7 +62,7 @@
     load.clients_ended();
     let told_of_end = open
         .into_iter()
-        .map(scripted::Open::was_told)
+        .map(scripted::OpenTransaction::was_notified)
         .filter(|told| *told)
         .count();
     let played = load.ended()?;
@@ -166,16 +166,16 @@
 ) -> Result<(), String> {
     let engine_events = notes
         .records
-        .deeds
+        .engine_events
         .lock()
         .map_err(|e| e.to_string())?
         .clone();
-    let agreed = Agreed {
+    let agreed = Agreement {
         grace: GRACE,
         slack: SLACK,
-        waited: played.waited.clone(),
+        processor_waits: played.waited.clone(),
         bound_to: (0..ENGINES).filter(|engine| is_big(*engine)).collect(),
-        further: Some(FURTHER),
+        retry_budget: Some(FURTHER),
         drains: played.drains.clone(),
     };
     for (rule, found) in check(&seen.asked, &seen.transactions, &engine_events, &agreed) {
@@ -190,7 +190,7 @@
     for a in asked {
         let outcome = match &a.outcome {
             Outcome::Completed { .. } => "completed".to_string(),
-            Outcome::Error(_) if a.fails.is_some() => "own_errors".to_string(),
+            Outcome::Error(_) if a.expected_error.is_some() => "own_errors".to_string(),
             Outcome::Error(code) => format!("e{code}"),
             other => format!("{other:?}").to_lowercase(),
         };
@@ -216,7 +216,7 @@
     let timed_out = seen
         .asked
         .iter()
-        .filter(|a| !a.cancels && ended_by(a, "57014"))
+        .filter(|a| !a.cancel_requested && ended_by(a, "57014"))
         .count();
     if timed_out * LEAST_PER_TIMEOUT > accepted {
         add(
--- a/crates/lab/src/prove/postgres/clients.rs
+++ b/crates/lab/src/prove/postgres/clients.rs
@@ -150,7 +150,7 @@
         }
         72..76 => {
             let asked = StatementRecord {
-                fails: Some("23505"),
+                expected_error: Some("23505"),
                 ..notes.fresh(Repeat::Idempotent)
             };
             one(client, "", asked, 0, notes).await;
@@ -195,13 +195,13 @@
 /// An engine may refuse to prepare what it is asked to, here by a code of its own.
 fn refused_parse(asked: StatementRecord) -> StatementRecord {
     StatementRecord {
-        may_fail: Some("42P01"),
+        tolerated_error: Some("42P01"),
         ..asked
     }
 }
 
 pub(super) fn text(label: &str, asked: &StatementRecord, ms: u64) -> String {
-    let fails = asked.fails.unwrap_or_default();
+    let fails = asked.expected_error.unwrap_or_default();
     format!(
         "{label}select run('id={},key={},rows={},ms={ms},fail={fails}')",
         asked.id, asked.key, asked.rows
--- a/crates/lab/src/prove/postgres/faults.rs
+++ b/crates/lab/src/prove/postgres/faults.rs
@@ -85,10 +85,10 @@
             }
             "slowed" => {
                 e.faults
-                    .slower
+                    .extra_latency_us
                     .store(chance.random_range(20_000..120_000), SeqCst);
                 sleep(chance.random_range(100..600));
-                e.faults.slower.store(0, SeqCst);
+                e.faults.extra_latency_us.store(0, SeqCst);
             }
             "lost_commits" => e
                 .faults
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -12,7 +12,7 @@
 use crate::lines;
 use crate::scripted::session;
 
-/// The same order keys from both protocols, each statement sent once the front is known to have taken the last.
+/// The same order keys from both protocols, each statement sent once the front is known to have accepted_at the last.
 pub(super) fn both_protocols(
     seed: u64,
     lines: SocketAddr,
@@ -52,10 +52,13 @@
                     .map(|()| notes.records.now()),
             ));
         }
-        for (wait, taken) in waits {
-            wait.join()
-                .into_iter()
-                .for_each(|asked| notes.note(StatementRecord { taken, ..asked }));
+        for (wait, accepted_at) in waits {
+            wait.join().into_iter().for_each(|asked| {
+                notes.note(StatementRecord {
+                    accepted_at,
+                    ..asked
+                })
+            });
         }
     }
 }
@@ -87,7 +90,7 @@
         "/*hallmux.workload='log-load',hallmux.key='{}',hallmux.dedup_key='d{}'*/ ",
         asked.key, asked.id
     );
-    let mut session = session::sent(at, &text(&label, asked, 15))?;
+    let mut session = session::open_with_query(at, &text(&label, asked, 15))?;
     let asked = asked.clone();
     Ok(Box::new(move || session::answer(&mut session, &asked)))
 }
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -26,8 +26,8 @@
 const LOOK_MS: u64 = 400; // milliseconds from a SIGTERM until its front is looked for: its door is open till then
 const MOST_SECONDS: u64 = 90; // within which a run ends by itself
 const TERMS: Terms = Terms {
-    most_wait: 1_000_000,
-    most_end: 8_000_000,
+    max_wait: 1_000_000,
+    max_shutdown: 8_000_000,
 };
 
 /// Fronts that end together, and whether each starts anew as the other build; and for how long all are there before.
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -13,7 +13,7 @@
 use super::played::{end, fault};
 use super::shape;
 use crate::check::{Outcome, Violations};
-use crate::engine::Kind;
+use crate::engine::EngineEventKind;
 use crate::record::account::{Account, Offered, Run};
 use crate::record::barred::{self, BarredZone};
 use crate::record::executions::executions;
@@ -427,7 +427,7 @@
     let second = |o: &Offered| (o.front, o.asked.answered / 1_000_000);
     let began: BTreeSet<&str> = (account.engine_events.iter())
         .filter_map(|event| match &event.kind {
-            Kind::Began { id, .. } => Some(id.as_str()),
+            EngineEventKind::Began { id, .. } => Some(id.as_str()),
             _ => None,
         })
         .collect();
--- a/crates/lab/src/prove/sites/seen.rs
+++ b/crates/lab/src/prove/sites/seen.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
 
-use crate::engine::Kind;
+use crate::engine::EngineEventKind;
 use crate::record::account::Account;
 use crate::record::rows::{Row, Scatter};
 use crate::rig::sites::Sites;
@@ -75,7 +75,7 @@
 pub(super) fn asked(whole: &[&Scatter], held: &[Row], account: &Account) -> (i64, i64) {
     let mut asked: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
     for event in &account.engine_events {
-        if let Kind::Began { id, .. } = &event.kind {
+        if let EngineEventKind::Began { id, .. } = &event.kind {
             asked.entry(id).or_default().insert(event.engine);
         }
     }
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -36,7 +36,7 @@
     /// The front that sent what an engine wrote down under a link.
     pub sent_by: HashMap<(usize, u32), usize>,
     /// The relay's port and the id that the same came over and under; what was said over all connections.
-    pub came: HashMap<(usize, u32), (u16, String)>,
+    pub arrivals: HashMap<(usize, u32), (u16, String)>,
     pub wire_events: Vec<WireEvent>,
     /// Warnings of fronts, with when they were read.
     pub warned: Vec<(usize, i64, String)>,
@@ -46,16 +46,16 @@
     pub played: Vec<(Fault, i64, i64)>,
     /// Ends that fronts were asked for.
     pub shutdowns: Vec<Shutdown>,
-    pub turned_away: i64,
+    pub rejected: i64,
     /// The most asked of any engine at once against what it bore then, and the same of each since its last start.
     pub peak: f64,
     pub peaks_since_start: Vec<f64>,
     /// Configuration files that fronts said they had read again.
-    pub read_again: i64,
+    pub config_reloads: i64,
     /// Fronts killed at a step of a promise, with the step and when.
     pub steps: Vec<(Step, usize, i64)>,
     /// Statements that were sent to any engine at least once, where that is known.
-    pub first_tries: Option<i64>,
+    pub dispatched_statements: Option<i64>,
     /// Microseconds that a final answer may take beyond its time.
     pub slack: i64,
     /// What the fronts and the rig wanted of the machine and were not given.
--- a/crates/lab/src/record/attempts.rs
+++ b/crates/lab/src/record/attempts.rs
@@ -5,7 +5,7 @@
 
 use super::account::Account;
 use crate::check::Violations;
-use crate::engine::{Kind, WireEvent, WireEventKind};
+use crate::engine::{EngineEventKind, WireEvent, WireEventKind};
 
 /// Rules whose statements are named with all that the rig saw of them.
 const RULES: [&str; 3] = ["repeats", "second_run", "promise_lost"];
@@ -48,15 +48,15 @@
     let (mut ports, mut ids) = (HashSet::new(), HashSet::new());
     for event in &account.engine_events {
         let (what, own) = match &event.kind {
-            Kind::Began { id, .. } => ("began", id),
-            Kind::Ended { id } => ("ended", id),
-            Kind::Kept { id } => ("lasting", id),
+            EngineEventKind::Began { id, .. } => ("began", id),
+            EngineEventKind::Ended { id } => ("ended", id),
+            EngineEventKind::Kept { id } => ("lasting", id),
             _ => continue,
         };
         if own != id {
             continue;
         }
-        let came = account.came.get(&(event.engine, event.link));
+        let came = account.arrivals.get(&(event.engine, event.link));
         if let Some((port, id)) = came {
             ports.insert((event.engine, *port));
             ids.insert(id.as_str());
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -4,7 +4,7 @@
 
 use super::account::{offered, Account};
 use super::judge::judge;
-use crate::engine::{EngineEvent, Kind, WireEvent, WireEventKind};
+use crate::engine::{EngineEvent, EngineEventKind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
 pub const TEXT: &str = "seconds = 1\n[fleet]\nfronts = 4\nzones = 1\nengines_per_zone = 3\n\
@@ -35,12 +35,12 @@
         kind,
     };
     let (began, ended, kept) = (
-        || Kind::Began {
+        || EngineEventKind::Began {
             id: "s7".into(),
             key: String::new(),
         },
-        || Kind::Ended { id: "s7".into() },
-        || Kind::Kept { id: "s7".into() },
+        || EngineEventKind::Ended { id: "s7".into() },
+        || EngineEventKind::Kept { id: "s7".into() },
     );
     let mut own = offered("s7", 3, 1_000);
     own.asked.answered = 160_000;
@@ -61,7 +61,7 @@
             event(140_000, 2, 11, kept()),
         ],
         sent_by: HashMap::from([((1, 10), 3), ((2, 11), 3)]),
-        came: HashMap::from([
+        arrivals: HashMap::from([
             ((1, 10), (501, "0007".into())),
             ((2, 11), (502, "0007".into())),
         ]),
--- a/crates/lab/src/record/executions.rs
+++ b/crates/lab/src/record/executions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 
 /// One run of a statement on an engine; times are microseconds since the rig began.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,7 +34,7 @@
     let mut at: HashMap<(usize, u32, &str), usize> = HashMap::new();
     for event in engine_events {
         let (id, ended, kept) = match &event.kind {
-            Kind::Began { id, key } => {
+            EngineEventKind::Began { id, key } => {
                 at.insert((event.engine, event.link, id), all.len());
                 let front = sent_by
                     .get(&(event.engine, event.link))
@@ -52,8 +52,8 @@
                 });
                 continue;
             }
-            Kind::Ended { id } => (id, true, false),
-            Kind::Kept { id } => (id, false, true),
+            EngineEventKind::Ended { id } => (id, true, false),
+            EngineEventKind::Kept { id } => (id, false, true),
             _ => continue,
         };
         let own = at
--- a/crates/lab/src/record/executions_tests.rs
+++ b/crates/lab/src/record/executions_tests.rs
@@ -11,13 +11,13 @@
         kind,
     };
     let (began, ended) = (
-        |id: &str| Kind::Began {
+        |id: &str| EngineEventKind::Began {
             id: id.into(),
             key: "k".into(),
         },
-        |id: &str| Kind::Ended { id: id.into() },
+        |id: &str| EngineEventKind::Ended { id: id.into() },
     );
-    let kept = Kind::Kept { id: "a".into() };
+    let kept = EngineEventKind::Kept { id: "a".into() };
     let engine_events = [
         event(1, 1, began("a")),
         event(2, 2, began("a")),
--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -5,7 +5,7 @@
 
 use super::account::Account;
 use crate::check::Repeat;
-use crate::engine::{EngineEvent, Kind, WireEvent, WireEventKind};
+use crate::engine::{EngineEvent, EngineEventKind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
 /// Microseconds between the word of one attempt's end and the next attempt, by the relays: half of what fronts wait.
@@ -28,7 +28,7 @@
         .map(|o| (o.asked.id.as_str(), Vec::new()))
         .collect();
     for event in &account.engine_events {
-        if let Kind::Began { id, .. } = &event.kind {
+        if let EngineEventKind::Began { id, .. } = &event.kind {
             runs.entry(id).and_modify(|runs| runs.push(event));
         }
     }
@@ -39,7 +39,7 @@
                 at => {
                     let ended = |at| EngineEvent {
                         at,
-                        kind: Kind::Ended {
+                        kind: EngineEventKind::Ended {
                             id: own.to_string(),
                         },
                         ..run.clone()
@@ -56,7 +56,7 @@
 /// When the relay had read that a run was given up, where the next attempt was read surely after that; or, where the
 /// rig was late, before the run began: then it was never out.
 fn given_up(account: &Account, run: &EngineEvent) -> Option<i64> {
-    let (port, id) = account.came.get(&(run.engine, run.link))?;
+    let (port, id) = account.arrivals.get(&(run.engine, run.link))?;
     let is_want = |w: &&WireEvent| match &w.kind {
         WireEventKind::Line {
             verb, id: other, ..
--- a/crates/lab/src/record/judge.rs
+++ b/crates/lab/src/record/judge.rs
@@ -13,7 +13,7 @@
 use self::zones::{link_cut, zone_lost};
 use super::account::{Account, Run, SECOND};
 use super::{attempts, given_up, herd, promises};
-use crate::check::{self, Agreed, Outcome, StatementRecord};
+use crate::check::{self, Agreement, Outcome, StatementRecord};
 use crate::engine::EngineEvent;
 use crate::rig::scenario::{FaultKind, Scenario};
 
@@ -25,9 +25,9 @@
         played,
         ..
     } = account;
-    let agreed = Agreed {
+    let agreed = Agreement {
         slack: account.slack,
-        ..Agreed::default()
+        ..Agreement::default()
     };
     let mut tallies = BTreeMap::new();
     let mut violations = promises::check(scenario, account, &mut tallies);
@@ -61,7 +61,7 @@
     );
     tallies.insert("faults", scenario.faults.len() as i64);
     tallies.insert("faults_played", played.len() as i64);
-    tallies.insert("turned_away_by_engines", account.turned_away);
+    tallies.insert("turned_away_by_engines", account.rejected);
     tallies.insert("starved_seconds", account.starved.spans().len() as i64);
     tallies.insert("start_seconds", account.began / SECOND);
     tallies.insert("probes", relayed.iter().map(|r| r.probes as i64).sum());
@@ -71,7 +71,7 @@
         .filter(|f| f.what == FaultKind::Hup)
         .count();
     if hups > 0 {
-        tallies.insert("read_again", account.read_again);
+        tallies.insert("read_again", account.config_reloads);
     }
     tallies.insert(
         "peak_load_over_bound_pct",
@@ -104,7 +104,7 @@
         }
     }
     shed(scenario, account.began, asked, &mut tallies);
-    if let Some(first) = account.first_tries {
+    if let Some(first) = account.dispatched_statements {
         let all: i64 = relayed.iter().map(|r| r.statements as i64).sum();
         tallies.insert("attempts_over_first_pct", all * 100 / first.max(1));
     }
--- a/crates/lab/src/record/judge/zones.rs
+++ b/crates/lab/src/record/judge/zones.rs
@@ -133,7 +133,7 @@
     let warmth = warmth(scenario);
     let steps = (from..to).step_by(STEP as usize);
     let slots: f64 = steps
-        .map(|since| warmth.bears(since) as f64 * (STEP.min(to - since)) as f64)
+        .map(|since| warmth.capacity_at(since) as f64 * (STEP.min(to - since)) as f64)
         .sum();
     slots * scenario.fleet.engines_per_zone as f64 / (scenario.load.work_ms.max(1) * 1000) as f64
 }
--- a/crates/lab/src/record/offered.rs
+++ b/crates/lab/src/record/offered.rs
@@ -14,7 +14,7 @@
     /// The rules deny it: a refusal is its right answer.
     pub barred: bool,
     /// It was asked before, at another front.
-    pub again: bool,
+    pub is_retry: bool,
     /// Microseconds for which its client wanted a CPU and had none.
     pub starved: i64,
 }
@@ -50,7 +50,7 @@
         class: 0,
         asked,
         barred: false,
-        again: false,
+        is_retry: false,
         starved: 0,
     }
 }
--- a/crates/lab/src/record/offered_tests.rs
+++ b/crates/lab/src/record/offered_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `offered` module.
 
 use super::*;
-use crate::check::{self, Agreed, Outcome};
+use crate::check::{self, Agreement, Outcome};
 
 #[test]
 fn a_late_or_lost_answer_is_excused_by_what_was_done_to_its_front_and_by_no_more_than_it_waited() {
@@ -9,9 +9,9 @@
         let mut own = offered("a", 1, 0);
         (own.asked.answered, own.asked.outcome) = (answered, outcome);
         own.excuse(troubled, starved);
-        let agreed = Agreed {
+        let agreed = Agreement {
             slack: 400_000,
-            ..Agreed::default()
+            ..Agreement::default()
         };
         check::check(&[own.asked], &[], &[], &agreed).contains_key("answers")
     };
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -3,7 +3,7 @@
 use hallmux_ledger::Setup;
 
 use crate::check::{Outcome, StatementRecord, Violations};
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 use crate::rig::agreed::settings;
 use crate::rig::scenario::{FaultKind, Scenario};
 
@@ -35,11 +35,13 @@
         .copied()
         .unwrap_or_default();
     match &mut event.kind {
-        Kind::Began { id, key } => {
+        EngineEventKind::Began { id, key } => {
             key.clear();
             *id = format!("{id} at front {front}");
         }
-        Kind::Ended { id } | Kind::Kept { id } => *id = format!("{id} at front {front}"),
+        EngineEventKind::Ended { id } | EngineEventKind::Kept { id } => {
+            *id = format!("{id} at front {front}")
+        }
         _ => {}
     }
     event
@@ -138,7 +140,7 @@
     if keyed().next().is_none() {
         return wrong;
     }
-    let runs = |o: &&Offered| !o.again && ran.iter().any(|x| x.id == o.asked.id);
+    let runs = |o: &&Offered| !o.is_retry && ran.iter().any(|x| x.id == o.asked.id);
     tallies.insert("promised_runs", keyed().filter(runs).count() as i64);
     let ran_keyed = ran.iter().filter(|x| !x.key.is_empty()).count() as i64;
     // What needs no promise is never to be delayed by those that others wait for.
@@ -162,7 +164,7 @@
     tallies.insert("keyed_runs", ran_keyed);
     tallies.insert(
         "asked_again",
-        account.asked.iter().filter(|o| o.again).count() as i64,
+        account.asked.iter().filter(|o| o.is_retry).count() as i64,
     );
     tallies.insert("steps_played", account.steps.len() as i64);
     if let Some(copies) = scenario.fleet.copies {
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
     /// Microseconds from when a statement is sent, or from when its key is free, until an engine begins it.
-    pub most_wait: i64,
+    pub max_wait: i64,
     /// Microseconds from when a front is asked to end until its process is gone.
-    pub most_end: i64,
+    pub max_shutdown: i64,
 }
 
 /// How long each statement that needs a promise waited, and until when: for its front and the ledger, not for its key.
@@ -80,7 +80,7 @@
     let near = |at: i64| {
         shutdowns
             .iter()
-            .any(|end| end.asked <= at && at <= end.gone + terms.most_wait)
+            .any(|end| end.asked <= at && at <= end.gone + terms.max_wait)
     };
     let ended: Vec<i64> = waited
         .iter()
@@ -88,7 +88,7 @@
         .map(|(_, wait, _)| *wait / 1000)
         .collect();
     for (o, wait, at) in &waited {
-        if *wait > terms.most_wait && !is_busy(o.asked.sent, *at) {
+        if *wait > terms.max_wait && !is_busy(o.asked.sent, *at) {
             let (id, ms) = (&o.asked.id, wait / 1000);
             add(
                 "long_wait",
@@ -98,7 +98,7 @@
     }
     for end in shutdowns {
         let took = end.gone.saturating_sub(end.asked);
-        if !end.well || took > terms.most_end && !is_busy(end.asked, end.gone) {
+        if !end.well || took > terms.max_shutdown && !is_busy(end.asked, end.gone) {
             let how = if end.well { "well" } else { "with an error" };
             add(
                 "end",
--- a/crates/lab/src/record/rolled_tests.rs
+++ b/crates/lab/src/record/rolled_tests.rs
@@ -1,13 +1,13 @@
 //! Unit tests of the `rolled` module.
 
 use super::*;
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 use crate::record::account::offered;
 use crate::rig::member::Shutdown;
 
 const TERMS: Terms = Terms {
-    most_wait: 500_000,
-    most_end: 3_000_000,
+    max_wait: 500_000,
+    max_shutdown: 3_000_000,
 };
 
 fn account(began: i64, outcome: Outcome, end: Shutdown) -> Account {
@@ -16,9 +16,9 @@
     let event = |at, id: &str, link, ends| {
         let id = id.to_string();
         let kind = if ends {
-            Kind::Ended { id }
+            EngineEventKind::Ended { id }
         } else {
-            Kind::Began {
+            EngineEventKind::Began {
                 id,
                 key: "k".into(),
             }
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -63,7 +63,7 @@
         let relayed: Arc<Mutex<Vec<Relayed>>> = Arc::default();
         let shape = &scenario.fleet;
         let engines: Vec<Arc<Engine>> = (0..shape.zones * shape.engines_per_zone)
-            .map(|n| Engine::holding(n, records.clone(), warmth(scenario), holds.clone()))
+            .map(|n| Engine::with_rows(n, records.clone(), warmth(scenario), holds.clone()))
             .collect::<Result<_, _>>()
             .map_err(why)?;
         let gossip = start_gossip(shape, seed, &records).map_err(why)?;
@@ -154,7 +154,7 @@
 
     /// Ends all fronts, and gives what was seen of them.
     fn account(&self, began: i64, played: Vec<(Fault, i64, i64)>, starved: Starved) -> Account {
-        let (mut read_again, mut warned) = (0, Vec::new());
+        let (mut config_reloads, mut warned) = (0, Vec::new());
         let mut asked = self
             .record
             .asked
@@ -174,7 +174,7 @@
             let said = member.said(" warn: ").into_iter();
             warned.extend(said.map(|(at, line)| (member.number, when(at), line)));
             if let Ok(mut front) = member.front.lock() {
-                read_again += front
+                config_reloads += front
                     .iter()
                     .filter(|f| f.logged("was read again").is_some())
                     .count() as i64;
@@ -190,9 +190,9 @@
                 .lock()
                 .map(|s| s.clone())
                 .unwrap_or_default(),
-            came: self
+            arrivals: self
                 .records
-                .came
+                .arrivals
                 .lock()
                 .map(|c| c.clone())
                 .unwrap_or_default(),
@@ -211,7 +211,7 @@
                 .unwrap_or_default(),
             engine_events: self
                 .records
-                .deeds
+                .engine_events
                 .lock()
                 .map(|d| d.clone())
                 .unwrap_or_default(),
@@ -228,15 +228,15 @@
                 .iter()
                 .flat_map(|m| m.shutdowns.lock().map(|e| e.clone()).unwrap_or_default())
                 .collect(),
-            turned_away: self
+            rejected: self
                 .engines
                 .iter()
-                .map(|e| e.turned_away.load(SeqCst) as i64)
+                .map(|e| e.rejected.load(SeqCst) as i64)
                 .sum(),
             peak: self.engines.iter().map(|e| e.peak()).fold(0.0, f64::max),
             peaks_since_start: self.engines.iter().map(|e| e.peak_since_start()).collect(),
-            read_again,
-            first_tries: Some(self.records.first_tries()),
+            config_reloads,
+            dispatched_statements: Some(self.records.dispatched_statements()),
             slack: SLACK_US,
             starved,
         }
@@ -253,7 +253,7 @@
         return Ok(None);
     }
     let (clock, steps) = (records.clone(), records.clone());
-    let left = move |front| steps.reached(Step::Copying, front);
+    let left = move |front| steps.step_reached(Step::Copying, front);
     let relay = DatagramRelay::start(shape.fronts, move || clock.now(), left)?;
     Ok(Some((Keys::new(shape, seed)?, relay)))
 }
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -95,7 +95,7 @@
                 let _ = (near.set_nodelay(true), far.set_nodelay(true));
                 let port = far.local_addr().map_or(0, |own| own.port());
                 if let Ok(own) = far.local_addr() {
-                    takes.records.opened(own, to, takes.front);
+                    takes.records.note_connection(own, to, takes.front);
                 }
                 let is_reset = Arc::new(AtomicBool::new(false));
                 if let (Ok(engine_side), Ok(mut open)) = (far.try_clone(), takes.open.lock()) {
@@ -198,7 +198,7 @@
             if way.out {
                 let count = |word: &[u8]| chunk[..read].windows(5).filter(|w| *w == word).count();
                 self.notes((count(b"want "), count(b"busy "), 0), !lost);
-                self.records.sends(self.front, &chunk[..read]);
+                self.records.note_dispatch(self.front, &chunk[..read]);
             }
             for (verb, id) in lines.take(&chunk[..read]) {
                 self.note_wire_event(
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -44,7 +44,7 @@
 fn fresh(notes: &Notes, rows: usize) -> StatementRecord {
     StatementRecord {
         rows,
-        may_fail: Some("42P01"),
+        tolerated_error: Some("42P01"),
         ..notes.fresh(Repeat::Idempotent)
     }
 }
@@ -145,7 +145,7 @@
             s.unit()?;
         }
         let asked = StatementRecord {
-            cancels: true,
+            cancel_requested: true,
             ..fresh(notes, 1)
         };
         let ms = chance.random_range(0..20);
@@ -203,13 +203,13 @@
     }
     for _ in 0..5 {
         let fails = StatementRecord {
-            fails: Some("23505"),
+            expected_error: Some("23505"),
             ..fresh(notes, 0)
         };
         let units = [fresh(notes, 2), fails, fresh(notes, 1)];
         for unit in &units {
             let fail = unit
-                .fails
+                .expected_error
                 .filter(|code| *code == "23505")
                 .unwrap_or_default();
             s.bind(
@@ -413,10 +413,10 @@
 }
 
 /// A session with an open transaction, for the end of a front.
-pub struct Open(Session);
+pub struct OpenTransaction(Session);
 
 /// Opens transactions that their clients never end.
-pub fn open_transactions(at: SocketAddr, notes: &Arc<Notes>, count: usize) -> Vec<Open> {
+pub fn open_transactions(at: SocketAddr, notes: &Arc<Notes>, count: usize) -> Vec<OpenTransaction> {
     let open = |_| {
         let mut s = Session::open(at, "portal", false).ok()?;
         let id = notes.id();
@@ -432,14 +432,14 @@
             statements: vec![id],
             commit: None,
         });
-        Some(Open(s))
+        Some(OpenTransaction(s))
     };
     (0..count).filter_map(open).collect()
 }
 
-impl Open {
+impl OpenTransaction {
     /// Whether the front said that it ends before it did.
-    pub fn was_told(mut self) -> bool {
+    pub fn was_notified(mut self) -> bool {
         loop {
             match self.0.read() {
                 Ok(message) if message.0 == b'E' => return code(&message) == "57P01",
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -203,7 +203,7 @@
 }
 
 /// A session of its own with one simple query on its way, all of which has left.
-pub fn sent(at: SocketAddr, text: &str) -> std::io::Result<Session> {
+pub fn open_with_query(at: SocketAddr, text: &str) -> std::io::Result<Session> {
     let mut session = Session::open(at, "portal", false)?;
     session.query(text);
     session.send()?;
--- a/crates/lab/src/session_cases/engines.rs
+++ b/crates/lab/src/session_cases/engines.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::stage::{ask, heard, run, stage, stage_among, until, LIMITS};
-use crate::engine::Kind;
+use crate::engine::EngineEventKind;
 
 #[test]
 fn an_engine_drains_while_a_portal_holds_an_open_transaction() {
@@ -23,7 +23,7 @@
         until("the engine is let go of", || {
             stage.engines[holder].connections() == 0
         });
-        let before = stage.deeds().len();
+        let before = stage.engine_events().len();
         if first == "fetch" {
             s.execute("c", 2);
             s.sync();
@@ -40,7 +40,7 @@
         } else {
             assert_eq!(ask(&mut s, "ROLLBACK"), ("CZ".into(), String::new(), 'I'));
         }
-        assert_eq!(stage.deeds().len(), before);
+        assert_eq!(stage.engine_events().len(), before);
         assert_eq!(ask(&mut s, &run("after", "")).0, "TDCZ");
         assert_ne!(stage.holder("after"), holder);
         assert!(!stage.kept("p"));
@@ -152,11 +152,11 @@
         ask(&mut b, &run(&format!("b{n}"), ""));
     }
     let told: Vec<String> = stage
-        .deeds()
+        .engine_events()
         .into_iter()
         .filter_map(|(_, _, kind)| match kind {
-            Kind::Began { id, .. } => Some(id),
-            Kind::Control { text } => Some(text),
+            EngineEventKind::Began { id, .. } => Some(id),
+            EngineEventKind::Control { text } => Some(text),
             _ => None,
         })
         .skip_while(|text| text != "ROLLBACK")
--- a/crates/lab/src/session_cases/keys.rs
+++ b/crates/lab/src/session_cases/keys.rs
@@ -4,7 +4,7 @@
 
 use super::stage::{ask, heard, run, stage, stands_still, until, LIMITS};
 use crate::check::Outcome;
-use crate::engine::Kind;
+use crate::engine::EngineEventKind;
 use crate::lines;
 use crate::scripted::session::Session;
 
@@ -27,11 +27,11 @@
         ask(&mut s, &format!("{label}{}", run("b", ",key=k"))).0,
         "TDCZ"
     );
-    let order: Vec<_> = stage.deeds().into_iter().map(|d| d.2).collect();
-    let at = |kind: Kind| order.iter().position(|k| *k == kind).unwrap();
+    let order: Vec<_> = stage.engine_events().into_iter().map(|d| d.2).collect();
+    let at = |kind: EngineEventKind| order.iter().position(|k| *k == kind).unwrap();
     assert!(
-        at(Kind::Ended { id: "a".into() })
-            < at(Kind::Began {
+        at(EngineEventKind::Ended { id: "a".into() })
+            < at(EngineEventKind::Began {
                 id: "b".into(),
                 key: "k".into()
             })
@@ -125,10 +125,12 @@
             .iter_mut()
             .for_each(|s| assert_eq!(heard(s).0, "TDCZ"));
         let ran: Vec<String> = stage
-            .deeds()
+            .engine_events()
             .into_iter()
             .filter_map(|(_, _, kind)| match kind {
-                Kind::Began { id, .. } if id.starts_with(&format!("{round}x")) => Some(id),
+                EngineEventKind::Began { id, .. } if id.starts_with(&format!("{round}x")) => {
+                    Some(id)
+                }
                 _ => None,
             })
             .collect();
--- a/crates/lab/src/session_cases/sessions.rs
+++ b/crates/lab/src/session_cases/sessions.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::stage::{ask, heard, run, stage, stage_with, until, LIMITS};
-use crate::engine::Kind;
+use crate::engine::EngineEventKind;
 use crate::scripted::session::{code, Session};
 
 #[test]
@@ -31,11 +31,11 @@
         assert_eq!(ask(&mut s, &run("d", ",ms=30")).0, "TDCZ");
     }
     let hit: Vec<_> = stage
-        .deeds()
+        .engine_events()
         .into_iter()
-        .filter(|d| matches!(d.2, Kind::Cancelled { .. }))
+        .filter(|d| matches!(d.2, EngineEventKind::Cancelled { .. }))
         .collect();
-    let ids = ["cfalse", "ctrue"].map(|id| Kind::Cancelled {
+    let ids = ["cfalse", "ctrue"].map(|id| EngineEventKind::Cancelled {
         id: Some(id.into()),
     });
     assert_eq!(hit.into_iter().map(|d| d.2).collect::<Vec<_>>(), ids);
@@ -139,8 +139,8 @@
     until("it runs", || !stage.began("b").is_empty());
     drop(leaves);
     until("its end was asked for", || {
-        stage.deeds().iter().any(|d| {
-            d.2 == Kind::Cancelled {
+        stage.engine_events().iter().any(|d| {
+            d.2 == EngineEventKind::Cancelled {
                 id: Some("b".into()),
             }
         })
--- a/crates/lab/src/session_cases/stage.rs
+++ b/crates/lab/src/session_cases/stage.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 
-use crate::engine::{Engine, Kind, Records};
+use crate::engine::{Engine, EngineEventKind, Records};
 use crate::lines;
 use crate::rig::{Coordinator, Front};
 use crate::scripted::session::{code, tags, Session};
@@ -24,9 +24,9 @@
             .tell(false, &[(format!("e{engine}"), e.at, "pg", state)]);
     }
 
-    pub(super) fn deeds(&self) -> Vec<(usize, u32, Kind)> {
+    pub(super) fn engine_events(&self) -> Vec<(usize, u32, EngineEventKind)> {
         self.records
-            .deeds
+            .engine_events
             .lock()
             .unwrap()
             .iter()
@@ -36,17 +36,17 @@
 
     /// Where a statement began, in order.
     pub(super) fn began(&self, wanted: &str) -> Vec<(usize, u32)> {
-        let own = |(engine, link, kind): (usize, u32, Kind)| match kind {
-            Kind::Began { id, .. } if id == wanted => Some((engine, link)),
+        let own = |(engine, link, kind): (usize, u32, EngineEventKind)| match kind {
+            EngineEventKind::Began { id, .. } if id == wanted => Some((engine, link)),
             _ => None,
         };
-        self.deeds().into_iter().filter_map(own).collect()
+        self.engine_events().into_iter().filter_map(own).collect()
     }
 
     pub(super) fn kept(&self, wanted: &str) -> bool {
-        self.deeds()
+        self.engine_events()
             .iter()
-            .any(|(_, _, kind)| *kind == Kind::Kept { id: wanted.into() })
+            .any(|(_, _, kind)| *kind == EngineEventKind::Kept { id: wanted.into() })
     }
 
     /// The engine that has the only transaction that is open.
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -92,14 +92,14 @@
                     .insert((front, lives, ticket), self.account.asked.len());
             }
         }
-        let again = !client.before.is_empty();
+        let is_retry = !client.before.is_empty();
         let place = client.class;
         self.account.asked.push(Offered {
             front,
             class: place,
             asked,
             barred: false,
-            again,
+            is_retry,
             starved: 0,
         });
         self.clients.push(Client {
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -4,7 +4,7 @@
 
 use super::simulation::{EndedExecution, Event, Sent, Simulation};
 use crate::check::Repeat;
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 use crate::record::account::Offered;
 use crate::rig::relay::{Relayed, State as LinkState};
 use crate::rig::scenario::Step;
@@ -48,7 +48,7 @@
 
     pub(super) fn arrives(&mut self, front: usize, life: u32, sent: Sent, e: usize) {
         let engine = &mut self.engines[e];
-        let bears = self.warmth.bears(self.now - engine.started);
+        let bears = self.warmth.capacity_at(self.now - engine.started);
         let load = (engine.running + 1) as f64 / bears.max(1) as f64;
         (engine.peak, engine.peak_since_start) =
             (engine.peak.max(load), engine.peak_since_start.max(load));
@@ -70,7 +70,7 @@
         if let Some(number) = self.named.get(&(front, life, sent.0)).copied() {
             let Offered { asked, class, .. } = &self.account.asked[number];
             work_ms = self.scenario.classes[*class].work_ms.unwrap_or(work_ms);
-            let kind = Kind::Began {
+            let kind = EngineEventKind::Began {
                 id: asked.id.clone(),
                 key: asked.key.clone(),
             };
@@ -137,7 +137,10 @@
         let number = self.named.get(&(front, life, sent.0)).copied();
         if let Some(number) = number {
             let id = self.account.asked[number].asked.id.clone();
-            for kind in [Kind::Ended { id: id.clone() }, Kind::Kept { id }] {
+            for kind in [
+                EngineEventKind::Ended { id: id.clone() },
+                EngineEventKind::Kept { id },
+            ] {
                 self.account.engine_events.push(EngineEvent {
                     at: self.now,
                     engine: e,
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -76,7 +76,7 @@
             FaultKind::DiskSlow => {
                 self.members[fault.front].disk.slow = fault.delay_ms as i64 * 1000
             }
-            FaultKind::Hup => self.account.read_again += 1, // nothing that is read again plays a part here
+            FaultKind::Hup => self.account.config_reloads += 1, // nothing that is read again plays a part here
             FaultKind::Stall => {
                 let member = &mut self.members[fault.front];
                 if member.life.is_some() {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -251,7 +251,7 @@
         }
         let opened = self.account.relayed.len() > before;
         self.relays((n, place), (1, 0, 0));
-        *self.account.first_tries.get_or_insert(0) += i64::from(sent.1 == 0);
+        *self.account.dispatched_statements.get_or_insert(0) += i64::from(sent.1 == 0);
         if self.passes(n, place, true) {
             self.out.entry(place).or_default().push((n, lives, sent));
             let there = if opened { self.way() + self.way() } else { 0 };
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -170,7 +170,7 @@
             growth,
             ..
         } = self;
-        account.turned_away = engines.iter().map(|e| e.turned_away).sum();
+        account.rejected = engines.iter().map(|e| e.turned_away).sum();
         account.peak = engines.iter().map(|e| e.peak).fold(0.0, f64::max);
         account.peaks_since_start = engines.iter().map(|e| e.peak_since_start).collect();
         for Offered { front, asked, .. } in &mut account.asked {
