--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use super::statements::{
-    add, Agreement, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations,
+    add_violation, Agreement, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations,
 };
 
 /// Exactly one final answer, whole and true, in time.
@@ -11,7 +11,7 @@
     let mut seen = HashSet::new();
     for a in asked {
         if !seen.insert(&a.id) {
-            add(wrong, "answers", format!("{}: two final answers", a.id));
+            add_violation(wrong, "answers", format!("{}: two final answers", a.id));
         }
         // What was waited before it was due is no excuse.
         let waited = agreed
@@ -19,11 +19,13 @@
             .between(a.sent + a.timeout, a.answered);
         let late = a.answered - a.sent > a.timeout + agreed.slack + waited;
         match &a.outcome {
-            Outcome::Nothing => add(wrong, "answers", format!("{}: no answer", a.id)),
-            Outcome::Spoilt => add(wrong, "answers", format!("{}: another's rows", a.id)),
-            Outcome::Lost if !a.may_be_lost => add(wrong, "answers", format!("{}: lost", a.id)),
+            Outcome::Nothing => add_violation(wrong, "answers", format!("{}: no answer", a.id)),
+            Outcome::Spoilt => add_violation(wrong, "answers", format!("{}: another's rows", a.id)),
+            Outcome::Lost if !a.may_be_lost => {
+                add_violation(wrong, "answers", format!("{}: lost", a.id))
+            }
             Outcome::Completed { rows } if *rows != a.rows || a.expected_error.is_some() => {
-                add(
+                add_violation(
                     wrong,
                     "answers",
                     format!("{}: {rows} rows of {}", a.id, a.rows),
@@ -35,19 +37,19 @@
                 ];
                 let own = [a.expected_error, a.tolerated_error].contains(&Some(code.as_str()));
                 if !own && !known.contains(&code.as_str()) {
-                    add(wrong, "answers", format!("{}: {code}", a.id));
+                    add_violation(wrong, "answers", format!("{}: {code}", a.id));
                 }
                 // A cancel that was meant for another shows as one that nobody asked for.
                 let early = a.answered - a.sent < a.timeout - agreed.slack;
                 if code == "57014" && !a.cancel_requested && early {
-                    add(wrong, "cancels", format!("{}: cancelled by nobody", a.id));
+                    add_violation(wrong, "cancels", format!("{}: cancelled by nobody", a.id));
                 }
             }
             _ => {}
         }
         if late && !matches!(a.outcome, Outcome::Nothing) {
             let ms = (a.answered - a.sent) / 1000;
-            add(
+            add_violation(
                 wrong,
                 "answers",
                 format!(
@@ -79,7 +81,7 @@
         );
         let completed = matches!(a.outcome, Outcome::Completed { .. });
         if completed && lasting == 0 {
-            add(
+            add_violation(
                 wrong,
                 "effects",
                 format!("{}: completed, but nothing has come of it", a.id),
@@ -87,7 +89,7 @@
         }
         let rejected = matches!(&a.outcome, Outcome::Error(code) if code == "53000");
         if rejected && a.repeat == Repeat::NonIdempotent && ran > 0 {
-            add(wrong, "effects", format!("{}: rejected, but it ran", a.id));
+            add_violation(wrong, "effects", format!("{}: rejected, but it ran", a.id));
         }
     }
     for (n, t) in transactions.iter().enumerate() {
@@ -96,27 +98,27 @@
             .iter()
             .filter(|id| kept.contains_key(*id))
             .count();
-        let whole = t.statements.len();
+        let total = t.statements.len();
         match &t.commit {
-            Some(Outcome::Completed { .. }) if lasting < whole => {
-                add(
+            Some(Outcome::Completed { .. }) if lasting < total => {
+                add_violation(
                     wrong,
                     "effects",
-                    format!("transaction {n}: committed, {lasting} of {whole} kept"),
+                    format!("transaction {n}: committed, {lasting} of {total} kept"),
                 );
             }
-            Some(Outcome::Error(code)) if code == "08007" && lasting != 0 && lasting != whole => {
-                add(
+            Some(Outcome::Error(code)) if code == "08007" && lasting != 0 && lasting != total => {
+                add_violation(
                     wrong,
                     "effects",
-                    format!("transaction {n}: {lasting} of {whole} kept"),
+                    format!("transaction {n}: {lasting} of {total} kept"),
                 );
             }
             Some(Outcome::Error(code)) if code == "08007" => {}
             Some(Outcome::Lost | Outcome::Nothing) => {}
             Some(Outcome::Completed { .. }) => {}
             _ if lasting > 0 => {
-                add(
+                add_violation(
                     wrong,
                     "effects",
                     format!("transaction {n}: {:?}, but {lasting} kept", t.commit),
--- a/crates/lab/src/check/statements.rs
+++ b/crates/lab/src/check/statements.rs
@@ -124,6 +124,6 @@
 }
 
 /// Notes a violation of a rule.
-pub(super) fn add(wrong: &mut Violations, rule: &'static str, what: String) {
+pub(super) fn add_violation(wrong: &mut Violations, rule: &'static str, what: String) {
     wrong.entry(rule).or_default().push(what);
 }
--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::statements::{
-    add, Agreement, Drain, Execution, Outcome, Repeat, StatementRecord, Violations,
+    add_violation, Agreement, Drain, Execution, Outcome, Repeat, StatementRecord, Violations,
 };
 use crate::engine::{EngineEvent, EngineEventKind};
 
@@ -20,7 +20,7 @@
             continue;
         };
         if ran.len() > 1 && (a.repeat == Repeat::NonIdempotent || a.transaction.is_some()) {
-            add(
+            add_violation(
                 wrong,
                 "repeats",
                 format!("{}: ran {} times", a.id, ran.len()),
@@ -28,7 +28,7 @@
         }
         for (n, x) in ran.iter().enumerate() {
             if ran[..n].iter().any(|y| y.from < x.to && x.from < y.to) {
-                add(wrong, "repeats", format!("{}: ran twice at once", a.id));
+                add_violation(wrong, "repeats", format!("{}: ran twice at once", a.id));
             }
         }
         further.extend(ran.iter().skip(1).map(|x| x.from));
@@ -45,7 +45,7 @@
         let taken = sent.partition_point(|t| t <= at) - sent.partition_point(|t| *t <= since);
         // What was taken and when is seen from outside: by 15 in 100 and one execution looser.
         if within > (spare + share * taken as f64) * 1.15 + 1.0 {
-            add(
+            add_violation(
                 wrong,
                 "budget",
                 format!("{within} further executions of {taken} statements at {at}"),
@@ -66,7 +66,7 @@
         };
         if let Some(drain) = agreed.drains.iter().find(drain).filter(|_| new) {
             let ms = (event.at - drain.from) / 1000;
-            add(
+            add_violation(
                 wrong,
                 "drains",
                 format!("engine {}: {:?} after {ms} ms", event.engine, event.kind),
@@ -104,7 +104,7 @@
         for pair in ran.windows(2) {
             let ((_, to, first), (from, _, second)) = (pair[0], pair[1]);
             if first != second && from < to {
-                add(
+                add_violation(
                     wrong,
                     "order",
                     format!("{key}: {second} began while {first} ran"),
@@ -118,7 +118,7 @@
                 continue;
             };
             if let Some((_, other)) = last.filter(|(at, _)| taken < *at) {
-                add(
+                add_violation(
                     wrong,
                     "order",
                     format!("{key}: {id} was taken before {other} was sent, but ran after it"),
@@ -138,7 +138,7 @@
     for a in asked.iter().filter(|a| a.bound) {
         for x in executions.get(&a.id).into_iter().flatten() {
             if !agreed.bound_to.contains(&x.engine) {
-                add(
+                add_violation(
                     wrong,
                     "placement",
                     format!("{}: ran on engine {}", a.id, x.engine),
--- a/crates/lab/src/check/waits.rs
+++ b/crates/lab/src/check/waits.rs
@@ -1,7 +1,7 @@
 //! How long the machine let the harness or the front wait for a processor: an answer may be later by as much, as
 //! neither could do anything about it.
 
-const MOST: i64 = 1_000_000; // microseconds: beyond them an answer is late, whatever the machine did
+const MAX_WAIT_US: i64 = 1_000_000; // microseconds: beyond them an answer is late, whatever the machine did
 
 /// Waiting so far, by the time it was looked at; all in microseconds.
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,7 @@
                 .or(self.samples.last())
                 .map_or(0, |(_, waited)| *waited)
         };
-        (at(after) - at(before)).clamp(0, MOST)
+        (at(after) - at(before)).clamp(0, MAX_WAIT_US)
     }
 }
 
--- a/crates/lab/src/check/waits_tests.rs
+++ b/crates/lab/src/check/waits_tests.rs
@@ -8,6 +8,9 @@
         samples: vec![(0, 0), (10, 0), (20, 300), (30, 300), (40, 2_000_300)],
     };
     assert_eq!((waited.between(0, 10), waited.between(5, 15)), (0, 300));
-    assert_eq!((waited.between(20, 30), waited.between(21, 99)), (0, MOST));
+    assert_eq!(
+        (waited.between(20, 30), waited.between(21, 99)),
+        (0, MAX_WAIT_US)
+    );
     assert_eq!(ProcessorWaits::default().between(0, 99), 0);
 }
--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -13,9 +13,9 @@
 
 use super::portal::{Engine, Link};
 use super::record::EngineEventKind;
-use super::task::{parameter, task, task_of_fields, Task};
+use super::task::{first_parameter, parse_task, task_from_fields, Task};
 
-const CHUNK: usize = 32 << 10; // bytes read and written at once
+const CHUNK_BYTES: usize = 32 << 10; // bytes read and written at once
 const TEXT_TYPE: u32 = 25; // PostgreSQL's number of the type `text`
 
 struct Portal {
@@ -23,7 +23,7 @@
     task: Option<Task>,
     /// Rows that were sent.
     sent: usize,
-    begun: bool,
+    started: bool,
 }
 
 /// An error that a statement ends with, or the end of the connection.
@@ -70,8 +70,8 @@
         }
     }
 
-    pub(super) fn fill(&mut self) -> std::io::Result<()> {
-        let mut chunk = [0; CHUNK];
+    pub(super) fn read_input(&mut self) -> std::io::Result<()> {
+        let mut chunk = [0; CHUNK_BYTES];
         match self.stream.read(&mut chunk)? {
             0 => Err(ErrorKind::UnexpectedEof.into()),
             n => {
@@ -92,15 +92,15 @@
         Ok(())
     }
 
-    fn note(&self, kind: EngineEventKind) {
-        if self.engine.notes {
+    fn record(&self, kind: EngineEventKind) {
+        if self.engine.records_statements {
             self.engine
                 .records
                 .note(self.engine.number, self.number, kind);
         }
     }
 
-    pub(super) fn talk(&mut self) -> std::io::Result<()> {
+    pub(super) fn serve_messages(&mut self) -> std::io::Result<()> {
         loop {
             let mut at = 0;
             let input = std::mem::take(&mut self.input);
@@ -110,21 +110,21 @@
                 if message == ClientMessage::Terminate {
                     return Ok(());
                 }
-                match self.take(message) {
+                match self.handle(message) {
                     Ok(()) => {}
                     Err(Interruption::Connection(e)) => return Err(e),
-                    Err(Interruption::Error(code)) => self.fail(&code),
+                    Err(Interruption::Error(code)) => self.write_error(&code),
                 }
             }
             self.input = input[at..].to_vec();
             if !self.out.is_empty() {
                 self.flush()?;
             }
-            self.fill()?;
+            self.read_input()?;
         }
     }
 
-    fn fail(&mut self, code: &str) {
+    fn write_error(&mut self, code: &str) {
         wire::write(&mut self.out, b'E', |out| {
             for (kind, value) in [
                 (b'S', "ERROR"),
@@ -143,7 +143,7 @@
     }
 
     /// Does what a message asks for.
-    fn take(&mut self, message: ClientMessage) -> Result<(), Interruption> {
+    fn handle(&mut self, message: ClientMessage) -> Result<(), Interruption> {
         if self.skipping && message != ClientMessage::Sync {
             return Ok(());
         }
@@ -188,10 +188,10 @@
             .filter(|part| !part.trim().is_empty())
             .try_for_each(|part| {
                 let mut portal = Portal {
-                    task: task(part),
+                    task: parse_task(part),
                     text: part.into(),
                     sent: 0,
-                    begun: false,
+                    started: false,
                 };
                 if portal.task.is_some() {
                     self.describe_row();
@@ -202,7 +202,7 @@
             self.out.extend_from_slice(wire::EMPTY_QUERY);
         }
         if let Err(Interruption::Error(code)) = &ended {
-            self.fail(code);
+            self.write_error(code);
             self.skipping = false;
         } else {
             ended?;
@@ -214,7 +214,7 @@
         if self
             .engine
             .faults
-            .strikes(&self.engine.faults.refused_parses)
+            .inject(&self.engine.faults.refused_parses)
         {
             return Err(Interruption::Error("42P01".into()));
         }
@@ -230,11 +230,12 @@
     fn bind(&mut self, portal: &[u8], statement: &[u8], rest: &[u8]) -> Result<(), Interruption> {
         let text = self.statements.get(statement).cloned();
         let text = text.ok_or_else(|| Interruption::Error("26000".into()))?;
-        let value = parameter(rest).map(|value| task_of_fields(&String::from_utf8_lossy(value)));
+        let value =
+            first_parameter(rest).map(|value| task_from_fields(&String::from_utf8_lossy(value)));
         let task = if text.contains("$1") {
             value
         } else {
-            task(&text)
+            parse_task(&text)
         };
         self.portals.insert(
             portal.to_vec(),
@@ -242,7 +243,7 @@
                 text,
                 task,
                 sent: 0,
-                begun: false,
+                started: false,
             },
         );
         self.out.extend_from_slice(wire::BIND_COMPLETE);
@@ -304,7 +305,7 @@
 
     fn sync(&mut self) -> Result<(), Interruption> {
         if self.status == b'I' {
-            self.keep();
+            self.record_lasting_effects();
             self.portals.clear();
         }
         wire::write_ready(&mut self.out, self.status);
--- a/crates/lab/src/engine/conversation/statements.rs
+++ b/crates/lab/src/engine/conversation/statements.rs
@@ -7,11 +7,11 @@
 
 use hallmux_postgres::wire;
 
-use super::{Conversation, Interruption, Portal, CHUNK};
+use super::{Conversation, Interruption, Portal, CHUNK_BYTES};
 use crate::engine::record::EngineEventKind;
 use crate::engine::task::Task;
 
-const GOOD_PART: usize = 200; // rows of a result that have gone before a fault may lose the rest
+const MIN_ROWS_BEFORE_LOSS: usize = 200; // rows of a result that have gone before a fault may lose the rest
 
 impl Conversation {
     /// Runs a statement, or goes on with one; true if rows are left when the limit is reached.
@@ -31,11 +31,11 @@
             return Err(Interruption::Error("25P02".into()));
         }
         let Some(task) = portal.task.clone() else {
-            self.control(&first, &portal.text)?;
+            self.run_control_statement(&first, &portal.text)?;
             return Ok(false);
         };
-        if !std::mem::replace(&mut portal.begun, true) {
-            self.run(&task)?;
+        if !std::mem::replace(&mut portal.started, true) {
+            self.run_task(&task)?;
         }
         self.send_rows(portal, &task, limit)?;
         if portal.sent < task.rows {
@@ -43,14 +43,14 @@
             return Ok(true);
         }
         wire::write_complete(&mut self.out, &format!("SELECT {}", task.rows));
-        if self.engine.notes {
+        if self.engine.records_statements {
             self.pending.push(task.id);
         }
         Ok(false)
     }
 
     /// A statement that controls a transaction, or a setting; `verb` is its first word.
-    fn control(&mut self, verb: &str, text: &str) -> Result<(), Interruption> {
+    fn run_control_statement(&mut self, verb: &str, text: &str) -> Result<(), Interruption> {
         let tag = match verb {
             "BEGIN" | "START" => {
                 self.status = b'T';
@@ -66,7 +66,7 @@
             _ => "SET",
         };
         wire::write_complete(&mut self.out, tag);
-        self.note(EngineEventKind::Control {
+        self.record(EngineEventKind::Control {
             text: text.trim().to_string(),
         });
         Ok(())
@@ -80,14 +80,14 @@
         if let Some(left) = left.filter(|_| !failed) {
             faults.played.fetch_add(1, SeqCst);
             if left % 2 == 1 {
-                self.keep();
+                self.record_lasting_effects();
             }
             return Err(self.lose_connection());
         }
         self.status = b'I';
         match failed {
             true => self.pending.clear(),
-            false => self.keep(),
+            false => self.record_lasting_effects(),
         }
         Ok(if failed { "ROLLBACK" } else { "COMMIT" })
     }
@@ -104,16 +104,16 @@
         while portal.sent < until {
             wire::write(&mut self.out, b'D', |out| {
                 out.extend_from_slice(&1u16.to_be_bytes());
-                let mark = format!("{}:{}:", task.id, portal.sent);
-                out.extend_from_slice(&((mark.len() + row.len()) as u32).to_be_bytes());
-                out.extend_from_slice(mark.as_bytes());
+                let prefix = format!("{}:{}:", task.id, portal.sent);
+                out.extend_from_slice(&((prefix.len() + row.len()) as u32).to_be_bytes());
+                out.extend_from_slice(prefix.as_bytes());
                 out.extend_from_slice(&row);
             });
             portal.sent += 1;
-            if self.out.len() > CHUNK {
+            if self.out.len() > CHUNK_BYTES {
                 self.flush()?;
                 let faults = &self.engine.faults;
-                if portal.sent > GOOD_PART && faults.strikes(&faults.lost_results) {
+                if portal.sent > MIN_ROWS_BEFORE_LOSS && faults.inject(&faults.lost_results) {
                     return Err(self.lose_connection());
                 }
             }
@@ -128,9 +128,9 @@
     }
 
     /// The work of a statement: time, until its end is asked for.
-    fn run(&mut self, task: &Task) -> Result<(), Interruption> {
+    fn run_task(&mut self, task: &Task) -> Result<(), Interruption> {
         let faults = &self.engine.faults;
-        let takes = Duration::from_micros(task.ms * 1000 + faults.extra_latency_us.load(SeqCst));
+        let duration = Duration::from_micros(task.ms * 1000 + faults.extra_latency_us.load(SeqCst));
         let reset = || Interruption::Connection(ErrorKind::ConnectionReset.into());
         let Some(link) = self.link.clone() else {
             return Ok(());
@@ -142,14 +142,14 @@
         if running.2 {
             return Err(reset());
         }
-        self.note(EngineEventKind::Began {
+        self.record(EngineEventKind::Began {
             id: task.id.clone(),
             key: task.key.clone(),
         });
         (running.0, running.1) = (Some(task.id.clone()), false);
         let waits = link
             .changed
-            .wait_timeout_while(running, takes, |r| !r.1 && !r.2);
+            .wait_timeout_while(running, duration, |r| !r.1 && !r.2);
         let Ok((mut running, _)) = waits else {
             return Ok(());
         };
@@ -159,8 +159,8 @@
             _ => None,
         };
         running.1 = false;
-        self.engine.over(self.number, &mut running.0);
-        if faults.strikes(&faults.lost_statements) {
+        self.engine.record_end(self.number, &mut running.0);
+        if faults.inject(&faults.lost_statements) {
             interruption = Some(self.lose_connection());
         }
         drop(running);
@@ -171,9 +171,9 @@
         }
     }
 
-    pub(super) fn keep(&mut self) {
+    pub(super) fn record_lasting_effects(&mut self) {
         for id in std::mem::take(&mut self.pending) {
-            self.note(EngineEventKind::Kept { id });
+            self.record(EngineEventKind::Kept { id });
         }
     }
 }
--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -14,7 +14,7 @@
 use crate::engine::{EngineEvent, EngineEventKind, Records};
 use crate::rig::scenario::Step;
 
-const MOST_BODY: usize = 1 << 20; // bytes of a statement that are read
+const MAX_STATEMENT_BYTES: usize = 1 << 20; // bytes of a statement that are read
 
 /// Starts an engine that speaks lines and is always warm; statements are `id=..,key=..,ms=..`.
 pub fn engine(number: usize, records: Arc<Records>) -> std::io::Result<SocketAddr> {
@@ -67,13 +67,13 @@
     started: AtomicI64,
     running: AtomicUsize,
     /// Counts executions: each has a link of its own in the record.
-    next: AtomicU32,
+    next_link: AtomicU32,
     /// Statements turned away, and the most that were asked of it at once against what it bore then.
     pub rejected: AtomicUsize,
     peak: Mutex<f64>,
     /// The same since its last start.
     peak_since_start: Mutex<f64>,
-    holds: Option<Arc<dyn RowStore>>,
+    row_store: Option<Arc<dyn RowStore>>,
 }
 
 /// The rows behind engines, where they hold any.
@@ -96,7 +96,7 @@
         number: usize,
         records: Arc<Records>,
         warmth: Warmth,
-        holds: Option<Arc<dyn RowStore>>,
+        row_store: Option<Arc<dyn RowStore>>,
     ) -> std::io::Result<Arc<Engine>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
@@ -111,16 +111,16 @@
             records,
             started,
             running,
-            next: AtomicU32::new(1),
+            next_link: AtomicU32::new(1),
             rejected,
             peak,
             peak_since_start,
-            holds,
+            row_store,
         });
-        let serves = engine.clone();
+        let acceptor = engine.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let engine = serves.clone();
+                let engine = acceptor.clone();
                 std::thread::spawn(move || _ = engine.serve(stream));
             }
         });
@@ -151,7 +151,7 @@
         self.peak_since_start.lock().map(|p| *p).unwrap_or(0.0)
     }
 
-    fn note(&self, link: u32, kind: EngineEventKind) {
+    fn record(&self, link: u32, kind: EngineEventKind) {
         if let Ok(mut engine_events) = self.records.engine_events.lock() {
             engine_events.push(EngineEvent {
                 at: self.records.now(),
@@ -166,20 +166,20 @@
     /// connection is closed after that is on the record, so that nobody can know of the close before.
     fn serve(self: &Arc<Self>, stream: TcpStream) -> std::io::Result<()> {
         let runs: Runs = Arc::default();
-        let own_side = stream.try_clone()?;
-        let served = self.converse(stream, &runs);
+        let socket = stream.try_clone()?;
+        let served = self.read_messages(stream, &runs);
         if let Ok(mut runs) = runs.lock() {
-            for (_, (own, link)) in runs.drain() {
+            for (_, (statement_id, link)) in runs.drain() {
                 self.running.fetch_sub(1, SeqCst);
-                self.note(link, EngineEventKind::Ended { id: own });
+                self.record(link, EngineEventKind::Ended { id: statement_id });
             }
         }
-        let _ = own_side.shutdown(Shutdown::Both);
+        let _ = socket.shutdown(Shutdown::Both);
         served
     }
 
     /// `runs` holds the statements that run for the connection, by the ids of their executions.
-    fn converse(self: &Arc<Self>, stream: TcpStream, runs: &Runs) -> std::io::Result<()> {
+    fn read_messages(self: &Arc<Self>, stream: TcpStream, runs: &Runs) -> std::io::Result<()> {
         let peer = stream.peer_addr()?;
         let mut reader = BufReader::new(stream.try_clone()?);
         let stream = Arc::new(stream);
@@ -199,11 +199,11 @@
             let ["want", id, _, len] = words[..] else {
                 continue;
             };
-            let mut body = vec![0; len.parse::<usize>().unwrap_or(0).min(MOST_BODY) + 2];
+            let mut body = vec![0; len.parse::<usize>().unwrap_or(0).min(MAX_STATEMENT_BYTES) + 2];
             reader.read_exact(&mut body)?;
             let statement = String::from_utf8_lossy(&body).trim().to_string();
             if self.admits() {
-                self.begin(Statement::read(statement), id, (peer, &stream), runs);
+                self.start_execution(Statement::read(statement), id, (peer, &stream), runs);
             } else {
                 write!(
                     &*stream,
@@ -216,53 +216,56 @@
 
     /// Whether it bears one statement more, which then counts as running; notes how much was asked of it at once.
     fn admits(&self) -> bool {
-        let asked = self.running.fetch_add(1, SeqCst) + 1;
-        let bears = self.capacity();
+        let requested = self.running.fetch_add(1, SeqCst) + 1;
+        let capacity = self.capacity();
         for peak in [&self.peak, &self.peak_since_start] {
             if let Ok(mut peak) = peak.lock() {
-                *peak = peak.max(asked as f64 / bears.max(1) as f64);
+                *peak = peak.max(requested as f64 / capacity.max(1) as f64);
             }
         }
-        if asked > bears {
+        if requested > capacity {
             self.running.fetch_sub(1, SeqCst);
             self.rejected.fetch_add(1, SeqCst);
         }
-        asked <= bears
+        requested <= capacity
     }
 
     /// Begins the execution of that id, which is on the record when this returns; a thread of its own ends it.
-    fn begin(
+    fn start_execution(
         self: &Arc<Self>,
         statement: Statement,
         id: &str,
         (peer, stream): (SocketAddr, &Arc<TcpStream>),
         runs: &Runs,
     ) {
-        let link = self.next.fetch_add(1, SeqCst);
+        let link = self.next_link.fetch_add(1, SeqCst);
         let front = self.records.front_of(peer, self.at);
         if let (Some(front), Ok(mut sent_by)) = (front, self.records.sent_by.lock()) {
             sent_by.insert((self.number, link), front);
         }
         self.records.note_arrival(self.number, link, (peer, id));
-        self.note(
+        self.record(
             link,
             EngineEventKind::Began {
                 id: statement.id.clone(),
                 key: statement.key.clone(),
             },
         );
-        let promised_at = front.filter(|_| statement.promised);
-        if let Some(front) = promised_at {
+        let step_front = front.filter(|_| statement.needs_ledger_entry);
+        if let Some(front) = step_front {
             self.records.step_reached(Step::Began, front);
         }
-        if let Ok(mut runs) = runs.lock().map(|runs| (!statement.goes_on).then_some(runs)) {
+        if let Ok(mut runs) = runs
+            .lock()
+            .map(|runs| (!statement.survives_disconnect).then_some(runs))
+        {
             runs.iter_mut()
                 .for_each(|runs| _ = runs.insert(id.to_string(), (statement.id.clone(), link)));
         }
         let execution = Execution {
             id: id.to_string(),
             link,
-            promised_at,
+            step_front,
             statement,
         };
         let (engine, stream, runs) = (self.clone(), stream.clone(), runs.clone());
@@ -277,33 +280,33 @@
         let Execution {
             id,
             link,
-            promised_at,
+            step_front,
             statement,
         } = execution;
         // Noted under the lock: once `serve` has it, every end that its close could tell of is on the record.
         if let Ok(mut runs) = runs.lock() {
-            if runs.remove(&id).is_none() && !statement.goes_on {
+            if runs.remove(&id).is_none() && !statement.survives_disconnect {
                 return; // stopped with its connection
             }
-            self.note(
+            self.record(
                 link,
                 EngineEventKind::Ended {
                     id: statement.id.clone(),
                 },
             );
         }
-        self.note(
+        self.record(
             link,
             EngineEventKind::Kept {
                 id: statement.id.clone(),
             },
         );
-        if let Some(front) = promised_at {
+        if let Some(front) = step_front {
             self.records.step_reached(Step::Kept, front);
         }
         self.running.fetch_sub(1, SeqCst);
-        let row = match &self.holds {
-            Some(holds) => holds.answer(self.number, &statement.text),
+        let row = match &self.row_store {
+            Some(row_store) => row_store.answer(self.number, &statement.text),
             None => format!("{}\t-\t-\n", statement.id),
         };
         let active = self.running.load(SeqCst);
@@ -323,9 +326,9 @@
     /// Milliseconds of its work.
     ms: u64,
     /// It has its effect also where its connection ends first.
-    goes_on: bool,
+    survives_disconnect: bool,
     /// It needs a promise.
-    promised: bool,
+    needs_ledger_entry: bool,
 }
 
 impl Statement {
@@ -339,14 +342,15 @@
             found.unwrap_or_default().to_string()
         };
         let (id, key, ms) = (field("id"), field("key"), field("ms").parse().unwrap_or(0));
-        let (goes_on, promised) = (field("on") == "1", field("promised") == "1");
+        let (survives_disconnect, needs_ledger_entry) =
+            (field("on") == "1", field("promised") == "1");
         Statement {
             text,
             id,
             key,
             ms,
-            goes_on,
-            promised,
+            survives_disconnect,
+            needs_ledger_entry,
         }
     }
 }
@@ -358,7 +362,7 @@
     /// Its own in the record.
     link: u32,
     /// The front that sent it, where it needs a promise.
-    promised_at: Option<usize>,
+    step_front: Option<usize>,
     statement: Statement,
 }
 
--- a/crates/lab/src/engine/lines/client.rs
+++ b/crates/lab/src/engine/lines/client.rs
@@ -24,7 +24,7 @@
     let outcome = client
         .send(number, fields, statement)
         .map_or(Outcome::Lost, |()| client.answer());
-    (outcome, client.later)
+    (outcome, client.has_retry_hint)
 }
 
 /// Asks, and gives the body of a completed answer as it came.
@@ -36,9 +36,9 @@
 ) -> std::io::Result<Option<Vec<u8>>> {
     let mut client = Client::open(front)?;
     client.send(number, fields, statement)?;
-    let reply = client.raw()?;
+    let reply = client.read_reply()?;
     // Behind the head: the field of a result, and in it that of its body, with the body's length.
-    let Some([12, 0, 0, 11, 0, 1, a, b, c, d, rest @ ..]) = reply.get(HEAD..) else {
+    let Some([12, 0, 0, 11, 0, 1, a, b, c, d, rest @ ..]) = reply.get(REPLY_HEADER_BYTES..) else {
         return Ok(None);
     };
     let len = u32::from_be_bytes([*a, *b, *c, *d]) as usize;
@@ -46,15 +46,15 @@
 }
 
 /// Bytes of a reply before its result: the kind, the name and the number.
-const HEAD: usize = 4 + 4 + 5 + 4;
+const REPLY_HEADER_BYTES: usize = 4 + 4 + 5 + 4;
 
 /// A client's connection, for one statement at a time.
 pub struct Client {
     stream: TcpStream,
     /// The id that the statement's rows bear.
-    own: String,
+    statement_id: String,
     /// The last answer named a time to come back.
-    later: bool,
+    has_retry_hint: bool,
 }
 
 impl Client {
@@ -64,8 +64,8 @@
         stream.set_read_timeout(Some(Duration::from_secs(20)))?;
         Ok(Client {
             stream,
-            own: String::new(),
-            later: false,
+            statement_id: String::new(),
+            has_retry_hint: false,
         })
     }
 
@@ -77,43 +77,43 @@
         statement: &str,
     ) -> std::io::Result<()> {
         let id = format!("{number:016x}");
-        let all: Vec<(&str, &str)> = fields
+        let all_fields: Vec<(&str, &str)> = fields
             .iter()
             .copied()
             .chain([("txn", id.as_str())])
             .collect();
-        let text = |out: &mut Vec<u8>, text: &str| {
+        let write_text = |out: &mut Vec<u8>, text: &str| {
             out.extend((text.len() as u32).to_be_bytes());
             out.extend(text.as_bytes());
         };
         let mut message = vec![0x80, 1, 0, 1];
-        text(&mut message, "serve");
+        write_text(&mut message, "serve");
         message.extend(1u32.to_be_bytes());
         message.extend([13, 0, 1, 11, 11]);
-        message.extend((all.len() as u32).to_be_bytes());
-        for (name, value) in all {
-            text(&mut message, name);
-            text(&mut message, value);
+        message.extend((all_fields.len() as u32).to_be_bytes());
+        for (name, value) in all_fields {
+            write_text(&mut message, name);
+            write_text(&mut message, value);
         }
         message.extend([11, 0, 2]);
-        text(&mut message, statement);
+        write_text(&mut message, statement);
         message.push(0);
         let mut frame = (message.len() as u32).to_be_bytes().to_vec();
         frame.extend(message);
-        let own = statement
+        let statement_id = statement
             .split(',')
             .next()
             .and_then(|pair| pair.strip_prefix("id="));
-        self.own = own.unwrap_or_default().to_string();
+        self.statement_id = statement_id.unwrap_or_default().to_string();
         self.stream.write_all(&frame)
     }
 
     /// Waits for the final answer to what was asked.
     pub fn answer(&mut self) -> Outcome {
-        self.reply().unwrap_or(Outcome::Lost)
+        self.read_outcome().unwrap_or(Outcome::Lost)
     }
 
-    fn raw(&mut self) -> std::io::Result<Vec<u8>> {
+    fn read_reply(&mut self) -> std::io::Result<Vec<u8>> {
         let mut len = [0; 4];
         self.stream.read_exact(&mut len)?;
         let mut reply = vec![0; u32::from_be_bytes(len) as usize];
@@ -121,15 +121,15 @@
         Ok(reply)
     }
 
-    fn reply(&mut self) -> std::io::Result<Outcome> {
-        let reply = self.raw()?;
-        self.later = reply.windows(5).any(|part| part == b"later");
+    fn read_outcome(&mut self) -> std::io::Result<Outcome> {
+        let reply = self.read_reply()?;
+        self.has_retry_hint = reply.windows(5).any(|part| part == b"later");
         // Behind the head, the name and the number stands the field that tells which kind of answer it is.
-        let holds = reply
-            .windows(self.own.len().max(1))
-            .any(|part| part == self.own.as_bytes());
-        Ok(match reply.get(HEAD..) {
-            Some([_, 0, 0, ..]) if holds => Outcome::Completed { rows: 1 },
+        let has_own_rows = reply
+            .windows(self.statement_id.len().max(1))
+            .any(|part| part == self.statement_id.as_bytes());
+        Ok(match reply.get(REPLY_HEADER_BYTES..) {
+            Some([_, 0, 0, ..]) if has_own_rows => Outcome::Completed { rows: 1 },
             Some([_, 0, 0, ..]) => Outcome::Spoilt,
             Some([_, 0, 1, ..]) => Outcome::Error("53000".into()),
             Some([_, 0, 2, ..]) => Outcome::Error("08007".into()),
--- a/crates/lab/src/engine/portal.rs
+++ b/crates/lab/src/engine/portal.rs
@@ -40,10 +40,10 @@
     }
 
     /// Whether a fault of the kind is left: it is taken, and counts as played.
-    pub(super) fn strikes(&self, left: &AtomicU32) -> bool {
-        let struck = self.take_one(left).is_some();
-        self.played.fetch_add(u32::from(struck), SeqCst);
-        struck
+    pub(super) fn inject(&self, left: &AtomicU32) -> bool {
+        let injected = self.take_one(left).is_some();
+        self.played.fetch_add(u32::from(injected), SeqCst);
+        injected
     }
 }
 
@@ -61,7 +61,7 @@
     pub faults: Faults,
     pub records: Arc<Records>,
     /// Whether statements are written down; a measurement leaves that.
-    pub notes: bool,
+    pub records_statements: bool,
     links: Mutex<HashMap<u32, Arc<Link>>>,
     next: AtomicU32,
 }
@@ -71,7 +71,7 @@
     pub fn start(
         number: usize,
         records: Arc<Records>,
-        notes: bool,
+        records_statements: bool,
     ) -> std::io::Result<Arc<Engine>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let engine = Arc::new(Engine {
@@ -79,17 +79,17 @@
             at: listener.local_addr()?,
             faults: Faults::default(),
             records,
-            notes,
+            records_statements,
             links: Mutex::default(),
             next: AtomicU32::new(1),
         });
-        let serves = engine.clone();
+        let acceptor = engine.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if serves.faults.down.load(SeqCst) {
+                if acceptor.faults.down.load(SeqCst) {
                     continue;
                 }
-                let engine = serves.clone();
+                let engine = acceptor.clone();
                 std::thread::spawn(move || _ = engine.serve(stream));
             }
         });
@@ -108,7 +108,7 @@
         for (number, link) in links.iter().take(count) {
             if let Ok(mut running) = link.running.lock() {
                 running.2 = true;
-                self.over(*number, &mut running.0);
+                self.record_end(*number, &mut running.0);
             }
             let _ = link.stream.shutdown(Shutdown::Both);
             link.changed.notify_all();
@@ -117,8 +117,8 @@
 
     /// What runs on a connection is over. Written down before anyone else can know it: its thread may have no CPU
     /// for a while, and to a front that has heard of it the statement may run elsewhere by then.
-    pub(super) fn over(&self, link: u32, running: &mut Option<String>) {
-        if let Some(id) = running.take().filter(|_| self.notes) {
+    pub(super) fn record_end(&self, link: u32, running: &mut Option<String>) {
+        if let Some(id) = running.take().filter(|_| self.records_statements) {
             self.records
                 .note(self.number, link, EngineEventKind::Ended { id });
         }
@@ -132,19 +132,19 @@
 
     fn serve(self: &Arc<Self>, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut at_door = Conversation::new(self.clone(), stream.try_clone()?, 0);
+        let mut conversation = Conversation::new(self.clone(), stream.try_clone()?, 0);
         loop {
-            at_door.fill()?;
-            let Ok(opening) = wire::initial_message(&at_door.input) else {
+            conversation.read_input()?;
+            let Ok(initial_message) = wire::initial_message(&conversation.input) else {
                 return Ok(());
             };
-            let Some((len, opening)) = opening else {
+            let Some((len, initial_message)) = initial_message else {
                 continue;
             };
-            let comes_in = match opening {
+            let is_startup = match initial_message {
                 InitialMessage::EncryptionRequest => {
-                    at_door.out.push(b'N');
-                    at_door.flush()?;
+                    conversation.out.push(b'N');
+                    conversation.flush()?;
                     false
                 }
                 InitialMessage::Cancel(CancelKey { process, secret }) => {
@@ -154,8 +154,8 @@
                 InitialMessage::UnsupportedVersion { .. } => return Ok(()),
                 InitialMessage::StartUp { .. } => true,
             };
-            at_door.input.drain(..len);
-            if comes_in {
+            conversation.input.drain(..len);
+            if is_startup {
                 break;
             }
         }
@@ -171,9 +171,9 @@
         if let Ok(mut links) = self.links.lock() {
             links.insert(number, link.clone());
         }
-        at_door.number = number;
-        at_door.link = Some(link);
-        let out = &mut at_door.out;
+        conversation.number = number;
+        conversation.link = Some(link);
+        let out = &mut conversation.out;
         wire::write(out, b'R', |out| out.extend_from_slice(&[0; 4]));
         wire::write_parameter(out, "server_version", "15.4");
         wire::write_parameter(out, "client_encoding", "UTF8");
@@ -185,7 +185,9 @@
             },
         );
         wire::write_ready(out, b'I');
-        let ended = at_door.flush().and_then(|()| at_door.talk());
+        let ended = conversation
+            .flush()
+            .and_then(|()| conversation.serve_messages());
         if let Ok(mut links) = self.links.lock() {
             links.remove(&number);
         }
@@ -212,7 +214,7 @@
                 id: running.0.clone(),
             },
         );
-        self.over(process, &mut running.0);
+        self.record_end(process, &mut running.0);
         link.changed.notify_all();
     }
 }
--- a/crates/lab/src/engine/portal_tests.rs
+++ b/crates/lab/src/engine/portal_tests.rs
@@ -4,12 +4,12 @@
 use crate::scripted::session::Session;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10); // for one thing to come about; a busy machine takes some
+const WAIT_LIMIT: Duration = Duration::from_secs(10); // for one thing to come about; a busy machine takes some
 
 #[test]
 fn what_is_reset_or_cancelled_is_over_in_the_record_before_anyone_hears_of_it() {
     let engine = Engine::start(0, Records::new(), true).unwrap();
-    let noted = |kind: EngineEventKind| {
+    let is_recorded = |kind: EngineEventKind| {
         engine
             .records
             .engine_events
@@ -30,7 +30,7 @@
             },
             Instant::now(),
         );
-        while !noted(began.clone()) && since.elapsed() < PATIENCE {
+        while !is_recorded(began.clone()) && since.elapsed() < WAIT_LIMIT {
             std::thread::yield_now();
         }
         if resets {
@@ -38,8 +38,8 @@
         } else {
             s.cancel(engine.at).unwrap();
         }
-        assert!(noted(EngineEventKind::Ended { id }), "{n}");
-        while engine.connections() > 0 && resets && since.elapsed() < PATIENCE {
+        assert!(is_recorded(EngineEventKind::Ended { id }), "{n}");
+        while engine.connections() > 0 && resets && since.elapsed() < WAIT_LIMIT {
             std::thread::yield_now();
         }
     }
--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -50,7 +50,7 @@
     /// What was said over the connections between fronts and engines.
     pub wire_events: Mutex<Vec<WireEvent>>,
     /// Statements that were sent to any engine, by their front and the client's name for them.
-    firsts: Mutex<HashSet<(usize, Vec<u8>)>>,
+    dispatched: Mutex<HashSet<(usize, Vec<u8>)>>,
     armed: Mutex<Option<Armed>>,
     /// Fronts killed at a step of a promise, with the step and when.
     pub steps: Mutex<Vec<(Step, usize, i64)>>,
@@ -71,7 +71,7 @@
             sent_by: Mutex::default(),
             arrivals: Mutex::default(),
             wire_events: Mutex::default(),
-            firsts: Mutex::default(),
+            dispatched: Mutex::default(),
             armed: Mutex::default(),
             steps: Mutex::default(),
         })
@@ -79,26 +79,28 @@
 
     /// What a front sends towards an engine. One that is cut between two chunks counts as an attempt alone.
     pub fn note_dispatch(&self, front: usize, chunk: &[u8]) {
-        const WORD: &[u8] = b"want ";
-        let Ok(mut firsts) = self.firsts.lock() else {
+        const VERB: &[u8] = b"want ";
+        let Ok(mut dispatched) = self.dispatched.lock() else {
             return;
         };
         for at in chunk
-            .windows(WORD.len())
+            .windows(VERB.len())
             .enumerate()
-            .filter(|(_, w)| *w == WORD)
+            .filter(|(_, w)| *w == VERB)
             .map(|(at, _)| at)
         {
-            let rest = &chunk[at + WORD.len()..];
+            let rest = &chunk[at + VERB.len()..];
             if let Some(end) = rest.iter().position(|byte| *byte == b' ') {
-                firsts.insert((front, rest[..end].to_vec()));
+                dispatched.insert((front, rest[..end].to_vec()));
             }
         }
     }
 
     /// Statements that were sent to any engine at least once, at each front.
     pub fn dispatched_statements(&self) -> i64 {
-        self.firsts.lock().map_or(0, |firsts| firsts.len() as i64)
+        self.dispatched
+            .lock()
+            .map_or(0, |dispatched| dispatched.len() as i64)
     }
 
     pub fn now(&self) -> i64 {
--- a/crates/lab/src/engine/task.rs
+++ b/crates/lab/src/engine/task.rs
@@ -11,13 +11,13 @@
     pub(super) fail: String,
 }
 
-pub(super) fn task(text: &str) -> Option<Task> {
+pub(super) fn parse_task(text: &str) -> Option<Task> {
     let at = text.find("run('")? + 5;
     let inner = &text[at..at + text[at..].find('\'')?];
-    Some(task_of_fields(inner))
+    Some(task_from_fields(inner))
 }
 
-pub(super) fn task_of_fields(inner: &str) -> Task {
+pub(super) fn task_from_fields(inner: &str) -> Task {
     let mut task = Task::default();
     for (name, value) in inner.split(',').filter_map(|pair| pair.split_once('=')) {
         match name {
@@ -34,7 +34,7 @@
 }
 
 /// The first parameter of a Bind, as text.
-pub(super) fn parameter(rest: &[u8]) -> Option<&[u8]> {
+pub(super) fn first_parameter(rest: &[u8]) -> Option<&[u8]> {
     let short = |at: usize| {
         rest.get(at..at + 2)
             .map(|n| u16::from_be_bytes([n[0], n[1]]) as usize)
--- a/crates/lab/src/engine/wire_events.rs
+++ b/crates/lab/src/engine/wire_events.rs
@@ -27,8 +27,8 @@
 }
 
 /// The words that are kept, of fronts and of engines.
-const WORDS: [&str; 6] = ["want", "never_mind", "ACK", "AGAIN", "EIO", "STALE"];
-const LONGEST: usize = 64 << 10; // bytes without the end of a line; no line or statement of the rig is as long
+const VERBS: [&str; 6] = ["want", "never_mind", "ACK", "AGAIN", "EIO", "STALE"];
+const MAX_LINE_BYTES: usize = 64 << 10; // bytes without the end of a line; no line or statement of the rig is as long
 
 /// Takes lines from what comes over a connection in one direction, wherever it is cut.
 #[derive(Default)]
@@ -39,26 +39,26 @@
     pub fn take(&mut self, chunk: &[u8]) -> Vec<(String, String)> {
         self.0.extend_from_slice(chunk);
         let Some(end) = self.0.iter().rposition(|byte| *byte == b'\n') else {
-            if self.0.len() > LONGEST {
+            if self.0.len() > MAX_LINE_BYTES {
                 self.0.clear();
             }
             return Vec::new();
         };
-        let whole: Vec<u8> = self.0.drain(..=end).collect();
-        let text = String::from_utf8_lossy(&whole);
-        let word = |line: &str| {
+        let complete: Vec<u8> = self.0.drain(..=end).collect();
+        let text = String::from_utf8_lossy(&complete);
+        let parse_line = |line: &str| {
             let mut words = line.split_whitespace();
             let (first, second) = words.next().zip(words.next())?;
             // A front names the word first, an engine the id.
-            let (word, id) = if WORDS.contains(&first) {
+            let (word, id) = if VERBS.contains(&first) {
                 (first, second)
             } else {
                 (second, first)
             };
-            WORDS
+            VERBS
                 .contains(&word)
                 .then(|| (word.to_string(), id.to_string()))
         };
-        text.lines().filter_map(word).collect()
+        text.lines().filter_map(parse_line).collect()
     }
 }
--- a/crates/lab/src/engine/wire_events_tests.rs
+++ b/crates/lab/src/engine/wire_events_tests.rs
@@ -19,19 +19,19 @@
 
 #[test]
 fn verbs_are_found_wherever_the_bytes_are_cut() {
-    let said =
+    let bytes =
         "want 1a class=x,wait=5 9\r\nid=s1,ms=1\r\nhurry 1a 2\r\nnever_mind 1a\r\nbusy p1\r\n";
     let all = verbs(&[("want", "1a"), ("never_mind", "1a")]);
-    assert_eq!(taken(&[said]), all);
-    for cut in 0..said.len() {
-        assert_eq!(taken(&[&said[..cut], &said[cut..]]), all, "{cut}");
+    assert_eq!(taken(&[bytes]), all);
+    for cut in 0..bytes.len() {
+        assert_eq!(taken(&[&bytes[..cut], &bytes[cut..]]), all, "{cut}");
     }
 }
 
 #[test]
 fn what_engines_answer_is_kept_with_its_id() {
-    let said = "2b ACK batches=1,stats=inflight:3 7\r\ns1\t-\t-\n\r\n3c AGAIN stats=inflight:9 0\r\n\r\np1 READY - 0\r\n\r\n";
-    assert_eq!(taken(&[said]), verbs(&[("ACK", "2b"), ("AGAIN", "3c")]));
+    let bytes = "2b ACK batches=1,stats=inflight:3 7\r\ns1\t-\t-\n\r\n3c AGAIN stats=inflight:9 0\r\n\r\np1 READY - 0\r\n\r\n";
+    assert_eq!(taken(&[bytes]), verbs(&[("ACK", "2b"), ("AGAIN", "3c")]));
 }
 
 #[test]
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -21,7 +21,7 @@
 pub type Tallies = BTreeMap<&'static str, i64>;
 
 /// Raises a tally to a value.
-pub(super) fn at_least(tallies: &mut Tallies, key: &'static str, value: i64) {
+pub(super) fn raise_to(tallies: &mut Tallies, key: &'static str, value: i64) {
     let entry = tallies.entry(key).or_insert(0);
     *entry = (*entry).max(value);
 }
@@ -35,7 +35,7 @@
     pub engine_events: Vec<EngineEvent>,
     /// The front that sent what an engine wrote down under a link.
     pub sent_by: HashMap<(usize, u32), usize>,
-    /// The relay's port and the id that the same came over and under; what was said over all connections.
+    /// The relay's port and the id that the same came over and under; what was finding over all connections.
     pub arrivals: HashMap<(usize, u32), (u16, String)>,
     pub wire_events: Vec<WireEvent>,
     /// Warnings of fronts, with when they were read.
@@ -50,7 +50,7 @@
     /// The most asked of any engine at once against what it bore then, and the same of each since its last start.
     pub peak: f64,
     pub peaks_since_start: Vec<f64>,
-    /// Configuration files that fronts said they had read again.
+    /// Configuration files that fronts finding they had read again.
     pub config_reloads: i64,
     /// Fronts killed at a step of a promise, with the step and when.
     pub steps: Vec<(Step, usize, i64)>,
--- a/crates/lab/src/record/attempts.rs
+++ b/crates/lab/src/record/attempts.rs
@@ -1,4 +1,4 @@
-//! The story of a statement that broke a rule of repeats: its client, each of its executions, what was said of them over
+//! The story of a statement that broke a rule of repeats: its client, each of its executions, what was finding of them over
 //! which connection, and what its front warned of, in the order of time.
 
 use std::collections::{BTreeSet, HashSet};
@@ -9,23 +9,28 @@
 
 /// Rules whose statements are named with all that the rig saw of them.
 const RULES: [&str; 3] = ["repeats", "second_run", "promise_lost"];
-const MOST: usize = 5; // statements of a rule; more are not printed either
-const AROUND: i64 = 1_000_000; // microseconds before and after it in which a front's warnings count
-const MOST_WARNINGS: usize = 12;
+const MAX_VIOLATIONS: usize = 5; // statements of a rule; more are not printed either
+const WARNING_MARGIN_US: i64 = 1_000_000; // microseconds before and after it in which a front's warnings count
+const MAX_WARNINGS: usize = 12;
 
 /// Adds to what was found against these rules the story of the statement.
-pub fn name(wrong: &mut Violations, account: &Account) {
+pub fn add_histories(wrong: &mut Violations, account: &Account) {
     for rule in RULES {
-        for found in wrong.get_mut(rule).into_iter().flatten().take(MOST) {
+        for found in wrong
+            .get_mut(rule)
+            .into_iter()
+            .flatten()
+            .take(MAX_VIOLATIONS)
+        {
             let id = found.split([' ', ':']).next().unwrap_or_default();
-            let story = story(account, id);
-            found.push_str(&format!(" [{story}]"));
+            let history = history(account, id);
+            found.push_str(&format!(" [{history}]"));
         }
     }
 }
 
 /// All that the rig saw of a statement, by its client's name for it.
-fn story(account: &Account, id: &str) -> String {
+fn history(account: &Account, id: &str) -> String {
     let mut seen: Vec<(i64, String)> = Vec::new();
     let mut fronts = BTreeSet::new();
     for offered in account.asked.iter().filter(|o| o.asked.id == id) {
@@ -56,12 +61,12 @@
         if own != id {
             continue;
         }
-        let came = account.arrivals.get(&(event.engine, event.link));
-        if let Some((port, id)) = came {
+        let arrival = account.arrivals.get(&(event.engine, event.link));
+        if let Some((port, id)) = arrival {
             ports.insert((event.engine, *port));
             ids.insert(id.as_str());
         }
-        let over = came.map_or(String::new(), |(port, _)| format!(" over {port}"));
+        let over = arrival.map_or(String::new(), |(port, _)| format!(" over {port}"));
         seen.push((
             event.at,
             format!("engine {} run {}{over}: {what}", event.engine, event.link),
@@ -88,7 +93,7 @@
         seen.iter().map(|s| s.0).max(),
     );
     let (first, last) = (first.unwrap_or(0), last.unwrap_or(0));
-    let around = |at: i64| at >= first - AROUND && at <= last + AROUND;
+    let around = |at: i64| at >= first - WARNING_MARGIN_US && at <= last + WARNING_MARGIN_US;
     let own = |w: &&WireEvent| ports.contains(&(w.engine, w.port)) && around(w.at);
     for event in account.wire_events.iter().filter(own) {
         match event.kind {
@@ -116,7 +121,7 @@
         .filter(|(front, at, _)| fronts.contains(front) && around(*at));
     seen.extend(
         warned
-            .take(MOST_WARNINGS)
+            .take(MAX_WARNINGS)
             .map(|(front, at, line)| (*at, format!("front {front} says: {line}"))),
     );
     seen.sort_by_key(|(at, _)| *at);
--- a/crates/lab/src/record/barred.rs
+++ b/crates/lab/src/record/barred.rs
@@ -1,4 +1,4 @@
-//! From the moment that a change of the rules is said to be in force, nothing that it bars begins anywhere.
+//! From the moment that a change of the rules is finding to be in force, nothing that it bars begins anywhere.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 use super::executions::Execution;
 use crate::check::Violations;
 
-/// A zone barred for a workload (all where none is named), from when a front said so until it was taken back.
+/// A zone barred for a workload (all where none is named), from when a front finding so until it was taken back.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BarredZone {
     pub class: Option<usize>,
@@ -34,11 +34,11 @@
         };
         if let Some(bar) = bars.iter().find(holds) {
             let ms = (x.from - bar.in_force) / 1000;
-            let said = format!(
+            let finding = format!(
                 "{}: read in zone {} {ms} ms after in force, front {}",
                 x.id, bar.zone, x.front
             );
-            wrong.entry("barred_read").or_default().push(said);
+            wrong.entry("barred_read").or_default().push(finding);
         }
     }
 }
--- a/crates/lab/src/record/budget.rs
+++ b/crates/lab/src/record/budget.rs
@@ -55,10 +55,10 @@
                 |o: &&Offered| o.front == front && o.asked.sent > since && o.asked.sent <= *at;
             let taken = asked.iter().filter(is_in_window).count();
             if within as f64 > budget.allows(taken) {
-                let said = format!(
+                let finding = format!(
                     "front {front}: {within} further executions of {taken} statements at {at}"
                 );
-                wrong.entry("budget").or_default().push(said);
+                wrong.entry("budget").or_default().push(finding);
             }
         }
     }
--- a/crates/lab/src/record/cuts.rs
+++ b/crates/lab/src/record/cuts.rs
@@ -1,4 +1,4 @@
-//! Who could hear whom: the cuts between fronts as they were played, and the fronts that were away.
+//! Who could hear whom: the cuts between fronts as they were played, and the fronts that were unavailable.
 
 /// A span in which fronts heard only those of their own group.
 #[derive(Clone, Debug, PartialEq)]
@@ -9,22 +9,22 @@
     pub groups: Vec<usize>,
 }
 
-/// What a run knows of its fronts' ways to each other.
+/// What a run knows of its fronts' connectivity to each other.
 #[derive(Clone, Debug, Default)]
 pub struct Connectivity {
     pub fronts: usize,
     pub cuts: Vec<Partition>,
     /// Fronts that were stopped, killed or ending, and when.
-    pub away: Vec<(usize, i64, i64)>,
+    pub unavailable: Vec<(usize, i64, i64)>,
     /// Spans in which words between fronts were lost, slowed or doubled, or a disk was in trouble.
-    pub troubled: Vec<(i64, i64)>,
+    pub disturbed: Vec<(i64, i64)>,
     /// Spans in which a front, or the rig, had no CPU for long.
     pub starved: Vec<(i64, i64)>,
 }
 
 impl Connectivity {
     /// The fewest fronts that `front` heard, itself among them, at any moment of a span.
-    pub fn least_heard(&self, front: usize, (from, to): (i64, i64)) -> usize {
+    pub fn min_reachable(&self, front: usize, (from, to): (i64, i64)) -> usize {
         let heard = |at: i64| {
             let own = |groups: &[usize], n: usize| groups.get(n) == groups.get(front);
             let cuts: Vec<&Partition> = self
@@ -32,13 +32,13 @@
                 .iter()
                 .filter(|c| c.from <= at && at < c.to)
                 .collect();
-            let away = |n: usize| {
-                self.away
+            let unavailable = |n: usize| {
+                self.unavailable
                     .iter()
                     .any(|(f, from, to)| *f == n && *from <= at && at < *to)
             };
             (0..self.fronts)
-                .filter(|n| !away(*n) && cuts.iter().all(|cut| own(&cut.groups, *n)))
+                .filter(|n| !unavailable(*n) && cuts.iter().all(|cut| own(&cut.groups, *n)))
                 .count()
         };
         let inside = |at: &i64| from <= *at && *at <= to;
@@ -46,7 +46,7 @@
             .cuts
             .iter()
             .map(|c| c.from)
-            .chain(self.away.iter().map(|a| a.1))
+            .chain(self.unavailable.iter().map(|a| a.1))
             .filter(inside);
         starts
             .chain([from, to])
@@ -56,35 +56,36 @@
     }
 
     /// The most that it heard.
-    pub fn most_heard(&self, front: usize, (from, to): (i64, i64)) -> usize {
+    pub fn max_reachable(&self, front: usize, (from, to): (i64, i64)) -> usize {
         let ends = self
             .cuts
             .iter()
             .map(|c| c.to)
-            .chain(self.away.iter().map(|a| a.2));
+            .chain(self.unavailable.iter().map(|a| a.2));
         let inside = ends.filter(|at| from <= *at && *at <= to);
         inside
             .chain([from, to])
-            .map(|at| self.least_heard(front, (at, at)))
+            .map(|at| self.min_reachable(front, (at, at)))
             .max()
             .unwrap_or(0)
     }
 
     /// Whether a front was itself away or without a CPU in a span.
-    pub fn is_amiss(&self, front: usize, (from, to): (i64, i64)) -> bool {
-        let away = self
-            .away
+    pub fn is_impaired(&self, front: usize, (from, to): (i64, i64)) -> bool {
+        let unavailable = self
+            .unavailable
             .iter()
             .filter(|(own, ..)| *own == front)
             .map(|(_, f, t)| (*f, *t));
-        away.chain(self.starved.iter().copied())
+        unavailable
+            .chain(self.starved.iter().copied())
             .any(|(f, t)| f <= to && from <= t)
     }
 
-    /// Whether anything between fronts was troubled in a span.
-    pub fn is_troubled(&self, (from, to): (i64, i64)) -> bool {
-        let troubled = self.troubled.iter().chain(&self.starved);
-        troubled.into_iter().any(|(f, t)| *f <= to && from <= *t)
+    /// Whether anything between fronts was disturbed in a span.
+    pub fn is_disturbed(&self, (from, to): (i64, i64)) -> bool {
+        let disturbed = self.disturbed.iter().chain(&self.starved);
+        disturbed.into_iter().any(|(f, t)| *f <= to && from <= *t)
     }
 }
 
--- a/crates/lab/src/record/cuts_tests.rs
+++ b/crates/lab/src/record/cuts_tests.rs
@@ -9,29 +9,44 @@
         to: 20,
         groups: vec![0, 0, 1, 1, 1],
     }];
-    let ways = Connectivity {
+    let connectivity = Connectivity {
         fronts: 5,
         cuts,
-        away: vec![(4, 15, 30)],
-        troubled: vec![(40, 50)],
+        unavailable: vec![(4, 15, 30)],
+        disturbed: vec![(40, 50)],
         starved: vec![(70, 80)],
     };
-    assert_eq!(ways.least_heard(0, (0, 9)), 5);
+    assert_eq!(connectivity.min_reachable(0, (0, 9)), 5);
     assert_eq!(
-        (ways.least_heard(0, (0, 10)), ways.least_heard(2, (10, 14))),
+        (
+            connectivity.min_reachable(0, (0, 10)),
+            connectivity.min_reachable(2, (10, 14))
+        ),
         (2, 3)
     );
     assert_eq!(
-        (ways.least_heard(2, (0, 40)), ways.most_heard(2, (15, 40))),
+        (
+            connectivity.min_reachable(2, (0, 40)),
+            connectivity.max_reachable(2, (15, 40))
+        ),
         (2, 5)
     );
     assert_eq!(
-        (ways.most_heard(0, (12, 19)), ways.most_heard(0, (12, 20))),
+        (
+            connectivity.max_reachable(0, (12, 19)),
+            connectivity.max_reachable(0, (12, 20))
+        ),
         (2, 4)
     );
-    assert!(ways.is_troubled((0, 40)) && !ways.is_troubled((51, 60)) && ways.is_troubled((60, 70)));
     assert!(
-        ways.is_amiss(4, (30, 35)) && !ways.is_amiss(4, (31, 69)) && !ways.is_amiss(0, (15, 20))
+        connectivity.is_disturbed((0, 40))
+            && !connectivity.is_disturbed((51, 60))
+            && connectivity.is_disturbed((60, 70))
     );
-    assert!(ways.is_amiss(0, (75, 76)));
+    assert!(
+        connectivity.is_impaired(4, (30, 35))
+            && !connectivity.is_impaired(4, (31, 69))
+            && !connectivity.is_impaired(0, (15, 20))
+    );
+    assert!(connectivity.is_impaired(0, (75, 76)));
 }
--- a/crates/lab/src/record/executions_tests.rs
+++ b/crates/lab/src/record/executions_tests.rs
@@ -25,9 +25,9 @@
         event(5, 2, kept),
     ];
     let found = executions(&engine_events, &HashMap::from([((3, 1), 0), ((3, 2), 4)]));
-    let told: Vec<_> = found
+    let recorded: Vec<_> = found
         .iter()
         .map(|x| (x.front, x.from, x.to, x.kept))
         .collect();
-    assert_eq!(told, [(0, 1, i64::MAX, false), (4, 2, 5, true)]);
+    assert_eq!(recorded, [(0, 1, i64::MAX, false), (4, 2, 5, true)]);
 }
--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -9,13 +9,13 @@
 use crate::rig::scenario::Scenario;
 
 /// Microseconds between the word of one attempt's end and the next attempt, by the relays: half of what fronts wait.
-const APART: i64 = 5_000;
+const MIN_GAP_US: i64 = 5_000;
 /// Microseconds before and after in which a rig without a CPU read its connections late, and in another order.
-const AROUND: i64 = 1_000_000;
+const REORDERING_US: i64 = 1_000_000;
 
 /// The engine events of the record, with the end of each attempt that was given up before the next one of its
 /// statement was sent, and without the start of those that were given up before it.
-pub fn ended(scenario: &Scenario, account: &Account) -> Vec<EngineEvent> {
+pub fn with_cancelled_ends(scenario: &Scenario, account: &Account) -> Vec<EngineEvent> {
     let mut engine_events = account.engine_events.clone();
     let repeated = |o: &&super::account::Offered| {
         o.asked.repeat == Repeat::Idempotent
@@ -34,7 +34,7 @@
     }
     for (own, runs) in runs.into_iter().filter(|(_, runs)| runs.len() > 1) {
         for run in runs {
-            match given_up(account, run) {
+            match cancelled_at(account, run) {
                 Some(at) if at < run.at => engine_events.retain(|event| event != run),
                 at => {
                     let ended = |at| EngineEvent {
@@ -55,7 +55,7 @@
 
 /// When the relay had read that a run was given up, where the next attempt was read surely after that; or, where the
 /// rig was late, before the run began: then it was never out.
-fn given_up(account: &Account, run: &EngineEvent) -> Option<i64> {
+fn cancelled_at(account: &Account, run: &EngineEvent) -> Option<i64> {
     let (port, id) = account.arrivals.get(&(run.engine, run.link))?;
     let is_want = |w: &&WireEvent| match &w.kind {
         WireEventKind::Line {
@@ -86,7 +86,12 @@
         WireEventKind::EngineClosed => false,
     };
     let at = here().filter(ends).map(|w| w.at).min()?;
-    let late = |until: i64| account.starved.rig((at - AROUND, until + AROUND)) > 0;
+    let late = |until: i64| {
+        account
+            .starved
+            .rig((at - REORDERING_US, until + REORDERING_US))
+            > 0
+    };
     if at < run.at {
         return late(run.at).then_some(at);
     }
@@ -98,5 +103,5 @@
         .filter(elsewhere)
         .map(|w| w.at)
         .min()?;
-    (next >= at + APART || next >= at && late(next)).then_some(at)
+    (next >= at + MIN_GAP_US || next >= at && late(next)).then_some(at)
 }
--- a/crates/lab/src/record/herd.rs
+++ b/crates/lab/src/record/herd.rs
@@ -7,7 +7,7 @@
 use crate::rig::scenario::{Fault, Scenario};
 
 const SECOND: i64 = 1_000_000; // microseconds
-const AFTER: i64 = 6 * SECOND; // microseconds of a start that count: budgets are handed out anew within some seconds
+const RELEASE_SPAN_US: i64 = 6 * SECOND; // microseconds of a start that count: budgets are handed out anew within some seconds
 
 /// `from`: when the fronts were killed.
 pub fn released(
@@ -18,14 +18,14 @@
 ) {
     let back = from + fault.for_ms as i64 * 1000;
     let engines = scenario.fleet.zones * scenario.fleet.engines_per_zone;
-    let after = |at: i64| (back..back + AFTER).contains(&at);
+    let after = |at: i64| (back..back + RELEASE_SPAN_US).contains(&at);
     let most = |count: fn(&Relayed) -> usize| {
         let each = (0..engines).map(|e| {
             let own = account
                 .relayed
                 .iter()
                 .filter(|r| r.engine == e && after(r.at));
-            most_in_a_second(own.flat_map(|r| vec![r.at; count(r)]).collect())
+            max_in_a_second(own.flat_map(|r| vec![r.at; count(r)]).collect())
         });
         each.max().unwrap_or(0) as i64
     };
@@ -52,11 +52,11 @@
     tallies.insert("released_in_time_pct", share as i64);
 }
 
-/// The most of these moments within any one second.
-fn most_in_a_second(mut moments: Vec<i64>) -> usize {
-    moments.sort_unstable();
-    let within = |(n, at): (usize, &i64)| moments.partition_point(|later| *later < at + SECOND) - n;
-    moments.iter().enumerate().map(within).max().unwrap_or(0)
+/// The most of these times within any one second.
+fn max_in_a_second(mut times: Vec<i64>) -> usize {
+    times.sort_unstable();
+    let within = |(n, at): (usize, &i64)| times.partition_point(|later| *later < at + SECOND) - n;
+    times.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
 #[cfg(test)]
--- a/crates/lab/src/record/herd_tests.rs
+++ b/crates/lab/src/record/herd_tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn the_most_within_a_second_is_found_wherever_that_begins() {
-    assert_eq!(most_in_a_second(vec![]), 0);
+    assert_eq!(max_in_a_second(vec![]), 0);
     assert_eq!(
-        most_in_a_second(vec![0, 900_000, 1_100_000, 1_800_000, 2_500_000]),
+        max_in_a_second(vec![0, 900_000, 1_100_000, 1_800_000, 2_500_000]),
         3
     );
-    assert_eq!(most_in_a_second(vec![0, SECOND]), 1);
+    assert_eq!(max_in_a_second(vec![0, SECOND]), 1);
 }
--- a/crates/lab/src/record/hits_tests.rs
+++ b/crates/lab/src/record/hits_tests.rs
@@ -7,12 +7,12 @@
 fn a_hit_lost_and_a_hit_doubled_are_found() {
     let mut all = [offered("a", 0, 0), offered("b", 0, 0), offered("c", 0, 0)];
     all[2].asked.outcome = Outcome::Lost;
-    let found = |told: i64| {
+    let found = |counted: i64| {
         let mut wrong = Violations::new();
         check(
             &mut wrong,
             &all,
-            &BTreeMap::from([("r".to_string(), told)]),
+            &BTreeMap::from([("r".to_string(), counted)]),
             &|_| Some("r".into()),
         );
         wrong.into_keys().collect::<Vec<_>>()
--- a/crates/lab/src/record/judge.rs
+++ b/crates/lab/src/record/judge.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeMap;
 
-use self::owners::owners;
-use self::shedding::shed;
+use self::owners::count_owners;
+use self::shedding::count_shed;
 use self::table::table;
 use self::zones::{link_cut, zone_lost};
 use super::account::{Account, Run, SECOND};
@@ -34,7 +34,7 @@
     // What was asked again is another statement to the front that it came to. Order keys are the fleet's here, and have
     // a check of their own.
     let statements: Vec<StatementRecord> = asked.iter().map(promises::at_its_front).collect();
-    let engine_events = given_up::ended(scenario, account);
+    let engine_events = given_up::with_cancelled_ends(scenario, account);
     let engine_events: Vec<EngineEvent> = engine_events
         .iter()
         .map(|event| promises::by_its_front(event, account))
@@ -42,7 +42,7 @@
     for (rule, found) in check::check(&statements, &[], &engine_events, &agreed) {
         violations.entry(rule).or_default().extend(found);
     }
-    attempts::name(&mut violations, account);
+    attempts::add_histories(&mut violations, account);
     let count =
         |f: &dyn Fn(&Outcome) -> bool| statements.iter().filter(|a| f(&a.outcome)).count() as i64;
     tallies.insert("statements", statements.len() as i64);
@@ -103,13 +103,13 @@
             _ => {}
         }
     }
-    shed(scenario, account.began, asked, &mut tallies);
+    count_shed(scenario, account.began, asked, &mut tallies);
     if let Some(first) = account.dispatched_statements {
         let all: i64 = relayed.iter().map(|r| r.statements as i64).sum();
         tallies.insert("attempts_over_first_pct", all * 100 / first.max(1));
     }
     if scenario.fleet.voters.is_some() {
-        owners(account, &mut tallies);
+        count_owners(account, &mut tallies);
     }
     let table = table(scenario, account.began, asked, relayed);
     Run {
--- a/crates/lab/src/record/judge/owners.rs
+++ b/crates/lab/src/record/judge/owners.rs
@@ -4,7 +4,7 @@
 
 /// Who probed for the fleet, in the order of the probes: how many fronts, how often that passed from one to another,
 /// how many probes a front sent after another had taken over, and the longest time without a probe in between.
-pub(super) fn owners(account: &Account, tallies: &mut Tallies) {
+pub(super) fn count_owners(account: &Account, tallies: &mut Tallies) {
     let mut probes: Vec<(i64, usize)> = account
         .relayed
         .iter()
--- a/crates/lab/src/record/judge/shedding.rs
+++ b/crates/lab/src/record/judge/shedding.rs
@@ -6,7 +6,12 @@
 
 /// What came in time, and which classes were refused: of each front its order by the share refused, held against the
 /// fleet's by Spearman's rank correlation; the mean over fronts that refused anything.
-pub(super) fn shed(scenario: &Scenario, began: i64, asked: &[Offered], tallies: &mut Tallies) {
+pub(super) fn count_shed(
+    scenario: &Scenario,
+    began: i64,
+    asked: &[Offered],
+    tallies: &mut Tallies,
+) {
     let in_time = |o: &Offered| {
         let slo = scenario.classes[o.class].slo_ms as i64 * 1000;
         matches!(o.asked.outcome, Outcome::Completed { .. })
--- a/crates/lab/src/record/judge/zones.rs
+++ b/crates/lab/src/record/judge/zones.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::record::account::{at_least, Account, Tallies, SECOND};
+use crate::record::account::{raise_to, Account, Tallies, SECOND};
 use crate::rig::agreed::warmth;
 use crate::rig::relay::Relayed;
 use crate::rig::scenario::{Fault, Scenario};
@@ -27,7 +27,7 @@
         .map(|r| r.at)
         .max()
         .map_or(0, |at| (at - from) / 1000);
-    at_least(tallies, "zone_lost_last_sent_ms", last);
+    raise_to(tallies, "zone_lost_last_sent_ms", last);
     *tallies.entry("zone_lost_sent").or_insert(0) +=
         sent().map(|r| r.statements as i64).sum::<i64>();
     // Probes while nothing is sent there any more: all of the loss but its first three seconds.
@@ -44,7 +44,7 @@
         });
         let all: i64 = seconds.values().sum();
         tallies.insert("probes_per_100s", all * 100 * SECOND / (to - probed_from));
-        at_least(
+        raise_to(
             tallies,
             "probes_most_in_a_second",
             seconds.values().copied().max().unwrap_or(0),
@@ -61,7 +61,7 @@
     *tallies.entry("returned_sent").or_insert(0) +=
         returned().map(|r| r.statements as i64).sum::<i64>();
     if let Some(first) = returned().map(|r| r.at).min() {
-        at_least(tallies, "returned_first_ms", (first - to) / 1000);
+        raise_to(tallies, "returned_first_ms", (first - to) / 1000);
     }
     let own = fault.zone * scenario.fleet.engines_per_zone;
     let back = account
@@ -69,7 +69,7 @@
         .iter()
         .skip(own)
         .take(scenario.fleet.engines_per_zone);
-    at_least(
+    raise_to(
         tallies,
         "return_peak_over_bound_pct",
         (back.copied().fold(0.0, f64::max) * 100.0).round() as i64,
@@ -82,8 +82,9 @@
             .filter(|r| r.at >= start && r.at < end)
             .map(|r| r.statements as i64)
             .sum();
-        let over = load as f64 / borne(scenario, second * SECOND, (second + 1) * SECOND).max(1e-9);
-        at_least(
+        let over =
+            load as f64 / zone_capacity(scenario, second * SECOND, (second + 1) * SECOND).max(1e-9);
+        raise_to(
             tallies,
             "return_load_over_bound_pct",
             (over * 100.0).round() as i64,
@@ -107,7 +108,7 @@
             .filter(|r| r.front == fault.front && !r.passed)
     };
     let last = own().map(|r| r.at).max().map_or(0, |at| (at - from) / 1000);
-    at_least(tallies, "link_cut_last_sent_ms", last);
+    raise_to(tallies, "link_cut_last_sent_ms", last);
     *tallies.entry("link_cut_sent").or_insert(0) += own().map(|r| r.statements as i64).sum::<i64>();
     // The others keep the zone: what they sent there while one front alone was cut off from it.
     let others = account
@@ -128,7 +129,7 @@
 }
 
 /// Statements that the engines of a zone bear in a span after their start, in statements of the load's work.
-pub(super) fn borne(scenario: &Scenario, from: i64, to: i64) -> f64 {
+pub(super) fn zone_capacity(scenario: &Scenario, from: i64, to: i64) -> f64 {
     const STEP: i64 = 10_000; // microseconds
     let warmth = warmth(scenario);
     let steps = (from..to).step_by(STEP as usize);
--- a/crates/lab/src/record/offered.rs
+++ b/crates/lab/src/record/offered.rs
@@ -3,7 +3,7 @@
 use super::starved::Starved;
 use crate::check::StatementRecord;
 
-const EXCUSED: i64 = 70_000_000; // microseconds; the longest that a client waits for any answer
+const MAX_ANSWER_WAIT_US: i64 = 70_000_000; // microseconds; the longest that a client waits for any answer
 
 /// A statement with the front it was sent to and its place among the scenario's classes.
 #[derive(Clone, Debug)]
@@ -22,13 +22,13 @@
 impl Offered {
     /// What it may be lost or late by through no fault of its front: by what was done to the front while it was out,
     /// and by the CPU that the front and the client wanted and were not given.
-    pub fn excuse(&mut self, troubled: &[(i64, i64)], starved: &Starved) {
+    pub fn excuse(&mut self, disturbed: &[(i64, i64)], starved: &Starved) {
         let StatementRecord { sent, answered, .. } = self.asked;
-        self.asked.may_be_lost = troubled
+        self.asked.may_be_lost = disturbed
             .iter()
             .any(|(from, to)| sent <= *to && answered >= *from);
         if self.asked.may_be_lost {
-            self.asked.timeout += EXCUSED;
+            self.asked.timeout += MAX_ANSWER_WAIT_US;
         }
         self.asked.timeout += self.starved + starved.front(self.front, (sent, answered));
     }
--- a/crates/lab/src/record/offered_tests.rs
+++ b/crates/lab/src/record/offered_tests.rs
@@ -5,10 +5,10 @@
 
 #[test]
 fn a_late_or_lost_answer_is_excused_by_what_was_done_to_its_front_and_by_no_more_than_it_waited() {
-    let late = |answered: i64, outcome: Outcome, troubled: &[(i64, i64)], starved: &Starved| {
+    let late = |answered: i64, outcome: Outcome, disturbed: &[(i64, i64)], starved: &Starved| {
         let mut own = offered("a", 1, 0);
         (own.asked.answered, own.asked.outcome) = (answered, outcome);
-        own.excuse(troubled, starved);
+        own.excuse(disturbed, starved);
         let agreed = Agreement {
             slack: 400_000,
             ..Agreement::default()
--- a/crates/lab/src/record/order.rs
+++ b/crates/lab/src/record/order.rs
@@ -8,7 +8,7 @@
 use crate::check::Violations;
 
 /// What must lie between two sends to one front for their order to be plain on a busy machine, in microseconds.
-const APART: i64 = 100_000;
+const MIN_SEND_GAP_US: i64 = 100_000;
 
 /// `lost`: fronts whose process ended without warning, and when.
 pub fn check(wrong: &mut Violations, ran: &[Execution], asked: &[Offered], lost: &[(usize, i64)]) {
@@ -27,7 +27,7 @@
                     *front == earlier.front && (earlier.from..=later.from).contains(at)
                 });
                 let rule = if forgot { "promise_lost" } else { "order" };
-                let said = format!(
+                let finding = format!(
                     "{key}: {} began at front {} while {} of front {} ran, by {} ms",
                     later.id,
                     later.front,
@@ -35,7 +35,7 @@
                     earlier.front,
                     (earlier.to.min(later.to) - later.from) / 1000
                 );
-                wrong.entry(rule).or_default().push(said);
+                wrong.entry(rule).or_default().push(finding);
             }
             // Of one front, with nothing between: a lost one's order went with its clients.
             let earlier = ran[..n]
@@ -47,12 +47,12 @@
             if let (Some((first, _)), Some((second, starved))) = (at(earlier), at(later)) {
                 let first_run = !ran[..n].iter().any(|x| x.id == later.id);
                 // A client that had no CPU sent it so much later than it meant to.
-                if second + APART + starved < first && first_run {
-                    let said = format!(
+                if second + MIN_SEND_GAP_US + starved < first && first_run {
+                    let finding = format!(
                         "{key}: {} was sent before {}, but ran after it",
                         later.id, earlier.id
                     );
-                    wrong.entry("order").or_default().push(said);
+                    wrong.entry("order").or_default().push(finding);
                 }
             }
         }
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -14,9 +14,9 @@
 use super::repeats::Repeats;
 use super::{order, refused, repeats, unpromised};
 
-const SETTLES: i64 = 6_000_000; // microseconds of quiet until every shard has an owner: two leases and an election
-const WANT: i64 = 1_000_000; // microseconds within which want of a promise is told
-const SPARE: usize = 0; // statements that engines may have turned away
+const SETTLE_US: i64 = 6_000_000; // microseconds of quiet until every shard has an owner: two leases and an election
+const MAX_REFUSAL_DELAY_US: i64 = 1_000_000; // microseconds within which want of a promise is told
+const TOLERATED_REFUSALS: usize = 0; // statements that engines may have turned away
 
 /// The statement as one of the front that it was asked of: each front is asked for it once.
 pub fn at_its_front(offered: &Offered) -> StatementRecord {
@@ -48,12 +48,12 @@
 }
 
 /// Who could hear whom, from the faults as they were played.
-pub fn ways(scenario: &Scenario, account: &Account) -> Connectivity {
+pub fn connectivity(scenario: &Scenario, account: &Account) -> Connectivity {
     let fronts = scenario.fleet.fronts;
     // Until the load began, shards had no owners yet.
-    let mut ways = Connectivity {
+    let mut connectivity = Connectivity {
         fronts,
-        troubled: vec![(0, account.began)],
+        disturbed: vec![(0, account.began)],
         ..Connectivity::default()
     };
     for (fault, from, to) in &account.played {
@@ -61,22 +61,22 @@
         match fault.what {
             FaultKind::FrontsSplit => {
                 let split = fault.split();
-                ways.cuts.push(Partition {
+                connectivity.cuts.push(Partition {
                     from,
                     to,
                     groups: (0..fronts).map(|n| split.group(n)).collect(),
                 });
-                ways.troubled.extend([(from, from), (to, to)]);
+                connectivity.disturbed.extend([(from, from), (to, to)]);
             }
             FaultKind::Stall | FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk => {
-                ways.away.push((fault.front, from, to));
-                ways.troubled.extend([(from, from), (to, to)]);
+                connectivity.unavailable.push((fault.front, from, to));
+                connectivity.disturbed.extend([(from, from), (to, to)]);
             }
-            _ => ways.troubled.push((from, to)),
+            _ => connectivity.disturbed.push((from, to)),
         }
     }
-    ways.starved = account.starved.spans();
-    ways
+    connectivity.starved = account.starved.spans();
+    connectivity
 }
 
 /// How long after the end of a cut the last statement was sent that needed a promise and was refused for want of it,
@@ -93,11 +93,11 @@
             .map(|(_, from, _)| *from)
             .filter(|from| *from > end)
             .min();
-        let soon = |o: &&Offered| o.asked.answered - o.asked.sent < WANT;
+        let soon = |o: &&Offered| o.asked.answered - o.asked.sent < MAX_REFUSAL_DELAY_US;
         let refused = account
             .asked
             .iter()
-            .filter(|o| unpromised::needs(o) && soon(o) && !o.barred);
+            .filter(|o| unpromised::needs_ledger_entry(o) && soon(o) && !o.barred);
         let refused =
             refused.filter(|o| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000"));
         let next = next.unwrap_or(i64::MAX);
@@ -111,7 +111,7 @@
 }
 
 /// How long an order key is kept after a statement that may be running on: as agreed, and for the fronts' clocks.
-fn rests(scenario: &Scenario) -> i64 {
+fn key_retention(scenario: &Scenario) -> i64 {
     let agreed = settings(scenario)["rules"]["turnGapMs"]
         .as_i64()
         .unwrap_or(0);
@@ -136,7 +136,12 @@
     let zone = |engine: usize| engine / scenario.fleet.engines_per_zone;
     order::check(&mut wrong, &ran, &account.asked, &lost);
     repeats::check(&mut wrong, &ran, &account.asked, (&agreed, &zone), &lost);
-    let keyed = || account.asked.iter().filter(|o| unpromised::needs(o));
+    let keyed = || {
+        account
+            .asked
+            .iter()
+            .filter(|o| unpromised::needs_ledger_entry(o))
+    };
     if keyed().next().is_none() {
         return wrong;
     }
@@ -147,7 +152,7 @@
     let plain = account
         .asked
         .iter()
-        .filter(|o| !unpromised::needs(o) && !o.asked.may_be_lost);
+        .filter(|o| !unpromised::needs_ledger_entry(o) && !o.asked.may_be_lost);
     let mut took: Vec<i64> = plain
         .map(|o| (o.asked.answered - o.asked.sent) / 1000)
         .collect();
@@ -168,7 +173,7 @@
     );
     tallies.insert("steps_played", account.steps.len() as i64);
     if let Some(copies) = scenario.fleet.copies {
-        let ways = ways(scenario, account);
+        let connectivity = connectivity(scenario, account);
         tallies.insert("refused_after_cut_ms", after_cuts(account));
         let majority = copies / 2 + 1;
         // Enough of the fleet for every shard's copies to have a majority, whichever fronts they lie on.
@@ -177,16 +182,16 @@
             &mut wrong,
             &ran,
             (&account.asked, &account.starved),
-            (&ways, majority),
+            (&connectivity, majority),
         );
-        let rests = rests(scenario);
+        let key_retention = key_retention(scenario);
         let terms = Terms {
             majority: enough,
-            settles: SETTLES,
-            rests,
-            spare: SPARE,
+            settle_time: SETTLE_US,
+            key_retention,
+            tolerated: TOLERATED_REFUSALS,
         };
-        refused::check(&mut wrong, &account.asked, (&ways, terms));
+        refused::check(&mut wrong, &account.asked, (&connectivity, terms));
     }
     wrong
 }
--- a/crates/lab/src/record/refused_tests.rs
+++ b/crates/lab/src/record/refused_tests.rs
@@ -11,31 +11,31 @@
         to: 9_000_000,
         groups: vec![1, 0, 0],
     };
-    let ways = Connectivity {
+    let connectivity = Connectivity {
         fronts: 3,
         cuts: vec![cut],
         ..Connectivity::default()
     };
     let terms = Terms {
         majority: 2,
-        settles: 3_000_000,
-        rests: 1_000_000,
-        spare: 0,
+        settle_time: 3_000_000,
+        key_retention: 1_000_000,
+        tolerated: 0,
     };
     let found = |key: &str, front: usize, sent: i64| {
         let mut own = offered("a", front, sent);
         (own.asked.key, own.asked.outcome) = (key.into(), Outcome::Error("53000".into()));
         let mut wrong = Violations::new();
-        check(&mut wrong, &[own], (&ways, terms));
+        check(&mut wrong, &[own], (&connectivity, terms));
         !wrong.is_empty()
     };
     // What needs no promise is refused at a front that was stopped, and without an excuse elsewhere.
     let stopped = Connectivity {
         fronts: 3,
-        away: vec![(0, 5_000_000, 6_000_000)],
+        unavailable: vec![(0, 5_000_000, 6_000_000)],
         ..Connectivity::default()
     };
-    for (front, sent, groundless) in [
+    for (front, sent, unexcused) in [
         (0, 5_500_000, false),
         (1, 5_500_000, true),
         (0, 8_000_000, true),
@@ -44,7 +44,7 @@
         own.asked.outcome = Outcome::Error("53000".into());
         let mut wrong = Violations::new();
         check(&mut wrong, &[own], (&stopped, terms));
-        assert_eq!(!wrong.is_empty(), groundless, "{front} {sent}");
+        assert_eq!(!wrong.is_empty(), unexcused, "{front} {sent}");
     }
     // Two of one key at once: either may have had to wait for the other.
     let both: Vec<Offered> = ["a", "b"]
@@ -56,7 +56,11 @@
         own
     });
     let mut wrong = Violations::new();
-    check(&mut wrong, &both.collect::<Vec<_>>(), (&ways, terms));
+    check(
+        &mut wrong,
+        &both.collect::<Vec<_>>(),
+        (&connectivity, terms),
+    );
     assert!(wrong.is_empty());
     assert!(found("k", 1, 6_000_000) && found("", 0, 6_000_000) && found("k", 0, 1_000_000));
     assert!(!found("k", 0, 6_000_000) && !found("k", 0, 11_000_000) && found("k", 0, 13_000_000));
@@ -64,15 +68,15 @@
 
 #[test]
 fn a_key_rests_after_a_statement_that_did_not_complete_and_not_after_one_that_did() {
-    let ways = Connectivity {
+    let connectivity = Connectivity {
         fronts: 3,
         ..Connectivity::default()
     };
     let terms = Terms {
         majority: 2,
-        settles: 3_000_000,
-        rests: 1_000_000,
-        spare: 0,
+        settle_time: 3_000_000,
+        key_retention: 1_000_000,
+        tolerated: 0,
     };
     let found = |key: &str, outcome: Outcome, sent: i64| {
         let mut before = offered("before", 0, 6_000_000);
@@ -85,10 +89,10 @@
         (own.asked.key, own.asked.outcome) = ("k".into(), Outcome::Error("53000".into()));
         own.asked.answered = sent + 500_000;
         let mut wrong = Violations::new();
-        check(&mut wrong, &[before, own], (&ways, terms));
+        check(&mut wrong, &[before, own], (&connectivity, terms));
         wrong
             .get("groundless_refusal")
-            .is_some_and(|all| all.iter().any(|said| said.starts_with("own")))
+            .is_some_and(|all| all.iter().any(|finding| finding.starts_with("own")))
     };
     let failed = || Outcome::Error("53000".into());
     assert!(!found("k", failed(), 8_500_000) && !found("k", Outcome::Lost, 8_999_999));
--- a/crates/lab/src/record/repeats.rs
+++ b/crates/lab/src/record/repeats.rs
@@ -62,8 +62,8 @@
             .iter()
             .any(|(front, at)| *front == first.front && (first.from..=x.from).contains(at));
         let rule = if forgot { "promise_lost" } else { "second_run" };
-        let said = format!("{}: {why}, at front {} then {}", x.id, first.front, x.front);
-        wrong.entry(rule).or_default().push(said);
+        let finding = format!("{}: {why}, at front {} then {}", x.id, first.front, x.front);
+        wrong.entry(rule).or_default().push(finding);
     }
 }
 
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -5,10 +5,10 @@
 
 use super::account::{Account, Offered, Tallies};
 use super::executions::{executions, Execution};
-use super::unpromised::needs;
+use super::unpromised::needs_ledger_entry;
 use crate::check::{Outcome, Violations};
 
-const STILL: i64 = 300_000; // microseconds without a CPU after which a client may come to a door that was closed meanwhile
+const MIN_CLIENT_STALL_US: i64 = 300_000; // microseconds without a CPU after which a client may come to a door that was closed meanwhile
 
 /// What is to hold.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,11 @@
         let free = before.map(|x| x.to).max().unwrap_or(0);
         Some((o, own.from - free.max(o.asked.sent), own.from))
     };
-    asked.iter().filter(|o| needs(o)).filter_map(wait).collect()
+    asked
+        .iter()
+        .filter(|o| needs_ledger_entry(o))
+        .filter_map(wait)
+        .collect()
 }
 
 pub fn check(wrong: &mut Violations, account: &Account, terms: Terms, tallies: &mut Tallies) {
@@ -53,7 +57,8 @@
         .filter(|o| !matches!(o.asked.outcome, Outcome::Completed { .. }))
     {
         let (sent, answered) = (o.asked.sent, o.asked.answered);
-        let late_client = o.starved >= STILL && matches!(o.asked.outcome, Outcome::Lost);
+        let late_client =
+            o.starved >= MIN_CLIENT_STALL_US && matches!(o.asked.outcome, Outcome::Lost);
         if late_client || is_busy(sent, answered) {
             continue;
         }
@@ -63,11 +68,11 @@
             _ => "unanswered_by_a_roll",
         };
         let ms = |at: i64| (at - account.began) / 1000;
-        let said = format!("{} {} at front {}", o.asked.id, o.asked.key, o.front);
+        let finding = format!("{} {} at front {}", o.asked.id, o.asked.key, o.front);
         add(
             rule,
             format!(
-                "{said}, sent at {} ms, answered at {} ms",
+                "{finding}, sent at {} ms, answered at {} ms",
                 ms(sent),
                 ms(answered)
             ),
@@ -110,7 +115,7 @@
     let out = |end: &&crate::rig::member::Shutdown| {
         let out = |o: &Offered| {
             o.front == end.front
-                && needs(o)
+                && needs_ledger_entry(o)
                 && o.asked.sent < end.asked
                 && end.asked < o.asked.answered
         };
--- a/crates/lab/src/record/rows.rs
+++ b/crates/lab/src/record/rows.rs
@@ -48,15 +48,15 @@
         for (row, least) in least {
             let received = received.get(&row).copied().unwrap_or(0);
             if received < least {
-                let said = format!("{}: {received} of {least} rows {row:?}", scatter.id);
-                wrong.entry("row_missing").or_default().push(said);
+                let finding = format!("{}: {received} of {least} rows {row:?}", scatter.id);
+                wrong.entry("row_missing").or_default().push(finding);
             }
         }
         for (row, received) in received {
             let most = most.get(&row).copied().unwrap_or(0);
             if received > most {
-                let said = format!("{}: {received} of {most} rows {row:?}", scatter.id);
-                wrong.entry("row_too_many").or_default().push(said);
+                let finding = format!("{}: {received} of {most} rows {row:?}", scatter.id);
+                wrong.entry("row_too_many").or_default().push(finding);
             }
         }
     }
--- a/crates/lab/src/record/starved.rs
+++ b/crates/lab/src/record/starved.rs
@@ -1,9 +1,9 @@
 //! How long fronts and the rig itself wanted a CPU and were not given one: what a busy machine takes is no fault of a
 //! front's. A front that is slow by its own work has no share in it.
 
-const SPAN: i64 = 1_000_000; // microseconds of a span that is looked at as one
+const SPAN_US: i64 = 1_000_000; // microseconds of a span that is looked at as one
 /// Microseconds without a CPU in a span that make fronts take each other for silent: less than an owner's election.
-const MUCH: i64 = 200_000;
+const MIN_STARVED_US: i64 = 200_000;
 
 /// Spans in which a front, or the rig itself, wanted a CPU and had none for some time.
 #[derive(Clone, Debug, Default)]
@@ -65,16 +65,16 @@
 
     /// Spans in which some front, or the rig, had none for so long that others could take it for silent.
     pub fn spans(&self) -> Vec<(i64, i64)> {
-        let mut much = std::collections::BTreeMap::<(i64, Option<usize>), i64>::new();
+        let mut by_span = std::collections::BTreeMap::<(i64, Option<usize>), i64>::new();
         for span in &self.0 {
-            *much.entry((span.to / SPAN, span.front)).or_default() += span.waited;
+            *by_span.entry((span.to / SPAN_US, span.front)).or_default() += span.waited;
         }
-        much.retain(|_, waited| *waited >= MUCH);
-        let mut spans: Vec<i64> = much.into_keys().map(|(span, _)| span).collect();
+        by_span.retain(|_, waited| *waited >= MIN_STARVED_US);
+        let mut spans: Vec<i64> = by_span.into_keys().map(|(span, _)| span).collect();
         spans.dedup();
         spans
             .into_iter()
-            .map(|span| ((span - 1) * SPAN, (span + 1) * SPAN))
+            .map(|span| ((span - 1) * SPAN_US, (span + 1) * SPAN_US))
             .collect()
     }
 }
--- a/crates/lab/src/record/unpromised_tests.rs
+++ b/crates/lab/src/record/unpromised_tests.rs
@@ -12,7 +12,7 @@
         to: 9_000_000,
         groups: vec![1, 0, 0],
     };
-    let ways = Connectivity {
+    let connectivity = Connectivity {
         fronts: 3,
         cuts: vec![cut],
         ..Connectivity::default()
@@ -26,7 +26,7 @@
             &mut wrong,
             &[ran("a", key, (0, front), (began, began + 5))],
             (&[own], &Starved::default()),
-            (&ways, 2),
+            (&connectivity, 2),
         );
         !wrong.is_empty()
     };
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -11,37 +11,37 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use self::session::{code, come_to, lost, tags, Session, PATIENCE};
+use self::session::{code, outcome_of, outcome_of_error, tags, Session, MESSAGE_TIMEOUT};
 use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
 use crate::prove::postgres::notes::Notes;
 
 /// Plays scripts in a drawn order until the run ends.
 pub fn play(seed: u64, at: SocketAddr, notes: &Arc<Notes>) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut turn = chance.random_range(0..SCRIPTS.len());
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let mut next_script = rng.random_range(0..SCRIPTS.len());
     while !notes.over() {
         // One that an engine's fault ends early has written down what it owed.
-        let _ = SCRIPTS[turn % SCRIPTS.len()](at, &mut chance, notes);
-        turn += 1;
-        std::thread::sleep(Duration::from_millis(chance.random_range(0..20)));
+        let _ = SCRIPTS[next_script % SCRIPTS.len()](at, &mut rng, notes);
+        next_script += 1;
+        std::thread::sleep(Duration::from_millis(rng.random_range(0..20)));
     }
 }
 
 type Script = fn(SocketAddr, &mut Pcg64Mcg, &Arc<Notes>) -> std::io::Result<()>;
 
 const SCRIPTS: [Script; 9] = [
-    bound_twice,
-    leaves,
+    binds_twice,
+    disconnects,
     cancels,
-    pipeline,
-    slow,
-    flushed,
+    pipelines_units,
+    reads_slowly,
+    flushes_before_sync,
     cancels,
-    refused,
-    nonsense,
+    sends_unsupported_requests,
+    sends_invalid_bytes,
 ];
 
-fn fresh(notes: &Notes, rows: usize) -> StatementRecord {
+fn new_record(notes: &Notes, rows: usize) -> StatementRecord {
     StatementRecord {
         rows,
         tolerated_error: Some("42P01"),
@@ -49,7 +49,7 @@
     }
 }
 
-fn note(notes: &Notes, asked: StatementRecord, outcome: Outcome) {
+fn record_outcome(notes: &Notes, asked: StatementRecord, outcome: Outcome) {
     notes.note(StatementRecord {
         outcome,
         answered: notes.records.now(),
@@ -58,8 +58,8 @@
 }
 
 /// Says that what came was not what had to come.
-fn spoilt(notes: &Notes, asked: StatementRecord, what: &str) {
-    note(
+fn record_mismatch(notes: &Notes, asked: StatementRecord, what: &str) {
+    record_outcome(
         notes,
         StatementRecord {
             id: format!("{} {what}", asked.id),
@@ -70,46 +70,46 @@
 }
 
 /// Prepares, binds twice, closes the first in the middle of its rows, and has the second whole.
-fn bound_twice(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+fn binds_twice(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", true)?;
     for _ in 0..5 {
-        let (first, second) = (fresh(notes, 2), fresh(notes, 3));
+        let (first, second) = (new_record(notes, 2), new_record(notes, 3));
         s.parse("s", "select run($1)");
         s.bind("p1", "s", &format!("id={},rows=5", first.id));
         s.bind("p2", "s", &format!("id={},rows=3", second.id));
         s.execute("p1", 2);
-        s.named(b'C', b'P', "p1");
+        s.write_name_message(b'C', b'P', "p1");
         s.execute("p2", 0);
-        s.named(b'C', b'S', "s");
+        s.write_name_message(b'C', b'S', "s");
         s.sync();
         s.send()?;
         let unit = match s.unit() {
             Ok(unit) => unit,
             Err(e) => {
-                note(notes, second, lost(&e));
+                record_outcome(notes, second, outcome_of_error(&e));
                 return Err(e);
             }
         };
         let seen = tags(&unit);
         if seen.contains('E') {
-            note(notes, second, come_to(&unit, ""));
+            record_outcome(notes, second, outcome_of(&unit, ""));
         } else if seen == "122DDs3DDDC3Z" {
             let (a, b) = (unit[3..5].to_vec(), unit[7..10].to_vec());
-            let own = come_to(&a, &first.id) == (Outcome::Completed { rows: 2 });
-            let outcome = come_to(&b, &second.id);
-            note(notes, second, if own { outcome } else { Outcome::Spoilt });
+            let own = outcome_of(&a, &first.id) == (Outcome::Completed { rows: 2 });
+            let outcome = outcome_of(&b, &second.id);
+            record_outcome(notes, second, if own { outcome } else { Outcome::Spoilt });
         } else {
-            spoilt(notes, second, &seen);
+            record_mismatch(notes, second, &seen);
         }
     }
     Ok(())
 }
 
 /// Goes away while a statement runs: nothing is owed, and nothing is left behind for others.
-fn leaves(at: SocketAddr, chance: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+fn disconnects(at: SocketAddr, rng: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
-    let within = chance.random_bool(0.5);
-    if within {
+    let in_transaction = rng.random_bool(0.5);
+    if in_transaction {
         s.query("BEGIN");
         s.send()?;
         if tags(&s.unit()?) != "CZ" {
@@ -119,11 +119,11 @@
     let id = notes.id();
     s.query(&format!(
         "select run('id={id},rows=2000,bytes=100,ms={}')",
-        chance.random_range(0..40)
+        rng.random_range(0..40)
     ));
     s.send()?;
-    std::thread::sleep(Duration::from_millis(chance.random_range(0..30)));
-    let statements = if within { vec![id] } else { Vec::new() };
+    std::thread::sleep(Duration::from_millis(rng.random_range(0..30)));
+    let statements = if in_transaction { vec![id] } else { Vec::new() };
     if let Ok(mut all) = notes.transactions.lock() {
         all.push(Transaction {
             statements,
@@ -135,34 +135,35 @@
 
 /// Asks for the end of statements, at once, in the middle and just past their end. When the front has taken
 /// the request, whatever the session asks next is untouched by it.
-fn cancels(at: SocketAddr, chance: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+fn cancels(at: SocketAddr, rng: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     for n in 0..8 {
-        let within = n % 4 == 3;
-        if within {
+        let in_transaction = n % 4 == 3;
+        if in_transaction {
             s.query("BEGIN");
             s.send()?;
             s.unit()?;
         }
         let asked = StatementRecord {
             cancel_requested: true,
-            ..fresh(notes, 1)
+            ..new_record(notes, 1)
         };
-        let ms = chance.random_range(0..20);
+        let ms = rng.random_range(0..20);
         s.query(&format!("select run('id={},rows=1,ms={ms}')", asked.id));
         s.send()?;
-        std::thread::sleep(Duration::from_micros(chance.random_range(0..25_000)));
+        std::thread::sleep(Duration::from_micros(rng.random_range(0..25_000)));
         s.cancel(at)?;
-        let next = fresh(notes, 1);
+        let next = new_record(notes, 1);
         s.query(&format!("select run('id={},rows=1,ms=5')", next.id));
         s.send()?;
-        let first = s
-            .unit()
-            .map_or_else(|e| lost(&e), |unit| come_to(&unit, &asked.id));
+        let first = s.unit().map_or_else(
+            |e| outcome_of_error(&e),
+            |unit| outcome_of(&unit, &asked.id),
+        );
         let failed = !matches!(first, Outcome::Completed { .. });
         // What is rolled back is not to last.
-        let transaction = within.then_some(usize::MAX);
-        note(
+        let transaction = in_transaction.then_some(usize::MAX);
+        record_outcome(
             notes,
             StatementRecord {
                 transaction,
@@ -172,9 +173,9 @@
         );
         let second = s
             .unit()
-            .map_or_else(|e| lost(&e), |unit| come_to(&unit, &next.id));
-        if !(within && failed) {
-            note(
+            .map_or_else(|e| outcome_of_error(&e), |unit| outcome_of(&unit, &next.id));
+        if !(in_transaction && failed) {
+            record_outcome(
                 notes,
                 StatementRecord {
                     transaction,
@@ -183,7 +184,7 @@
                 second,
             );
         }
-        if within {
+        if in_transaction {
             s.query("ROLLBACK");
             s.send()?;
             s.unit()?;
@@ -193,7 +194,7 @@
 }
 
 /// Three units at once, the second of which fails: the others are as if it were not there.
-fn pipeline(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+fn pipelines_units(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     s.parse("s", "select run($1)");
     s.sync();
@@ -204,9 +205,9 @@
     for _ in 0..5 {
         let fails = StatementRecord {
             expected_error: Some("23505"),
-            ..fresh(notes, 0)
+            ..new_record(notes, 0)
         };
-        let units = [fresh(notes, 2), fails, fresh(notes, 1)];
+        let units = [new_record(notes, 2), fails, new_record(notes, 1)];
         for unit in &units {
             let fail = unit
                 .expected_error
@@ -229,11 +230,11 @@
         for unit in units {
             match s.unit() {
                 Ok(messages) => {
-                    let outcome = come_to(&messages, &unit.id);
-                    note(notes, unit, outcome);
+                    let outcome = outcome_of(&messages, &unit.id);
+                    record_outcome(notes, unit, outcome);
                 }
                 Err(e) => {
-                    note(notes, unit, lost(&e));
+                    record_outcome(notes, unit, outcome_of_error(&e));
                     return Err(e);
                 }
             }
@@ -243,13 +244,13 @@
 }
 
 /// Takes its rows one by one with pauses: the engine waits with it, and nobody else does.
-fn slow(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+fn reads_slowly(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     let rows = 3000;
     // Within a row nothing can be said: an engine that ends there ends the connection.
     let asked = StatementRecord {
         may_be_lost: true,
-        ..fresh(notes, rows)
+        ..new_record(notes, rows)
     };
     s.query(&format!(
         "select run('id={},rows={rows},bytes=1000')",
@@ -267,7 +268,7 @@
                 }
             }
             Err(e) => {
-                note(notes, asked, lost(&e));
+                record_outcome(notes, asked, outcome_of_error(&e));
                 return Err(e);
             }
         }
@@ -275,17 +276,21 @@
             std::thread::sleep(Duration::from_millis(60));
         }
     }
-    let outcome = come_to(&seen, &asked.id);
-    note(notes, asked, outcome);
+    let outcome = outcome_of(&seen, &asked.id);
+    record_outcome(notes, asked, outcome);
     Ok(())
 }
 
 /// Asks for what has come so far before it sends the Sync.
-fn flushed(at: SocketAddr, chance: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+fn flushes_before_sync(
+    at: SocketAddr,
+    rng: &mut Pcg64Mcg,
+    notes: &Arc<Notes>,
+) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
-    let asked = fresh(notes, 2);
+    let asked = new_record(notes, 2);
     s.parse("", "select run($1)");
-    s.named(b'D', b'S', "");
+    s.write_name_message(b'D', b'S', "");
     s.out.extend_from_slice(wire::FLUSH);
     s.send()?;
     let mut seen = Vec::new();
@@ -302,23 +307,27 @@
         }
     };
     let described = read(&mut s, b"TE");
-    std::thread::sleep(Duration::from_millis(chance.random_range(0..5)));
+    std::thread::sleep(Duration::from_millis(rng.random_range(0..5)));
     s.bind("", "", &format!("id={},rows=2", asked.id));
     s.execute("", 0);
     s.sync();
     s.send()?;
     match described.and_then(|_| read(&mut s, b"Z")) {
         Ok(_) => {
-            let outcome = come_to(&seen, &asked.id);
-            note(notes, asked, outcome);
+            let outcome = outcome_of(&seen, &asked.id);
+            record_outcome(notes, asked, outcome);
         }
-        Err(e) => note(notes, asked, lost(&e)),
+        Err(e) => record_outcome(notes, asked, outcome_of_error(&e)),
     }
     Ok(())
 }
 
 /// What can't be done here is refused before anything runs, and the session lives on.
-fn refused(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+fn sends_unsupported_requests(
+    at: SocketAddr,
+    _: &mut Pcg64Mcg,
+    notes: &Arc<Notes>,
+) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     let call =
         |s: &mut Session| wire::write(&mut s.out, b'F', |out| out.extend_from_slice(&[0; 10]));
@@ -331,7 +340,7 @@
         ("/*hallmux.work_ms='x'*/ select 1", "22023"),
         ("set hallmux.nothing = 'x'", "22023"),
     ] {
-        let asked = fresh(notes, 0);
+        let asked = new_record(notes, 0);
         match text.is_empty() {
             true => call(&mut s),
             false => s.query(text),
@@ -340,7 +349,7 @@
         let unit = s.unit()?;
         match tags(&unit).as_str() {
             "EZ" if code(&unit[0]) == wanted => {}
-            seen => spoilt(notes, asked, &format!("{text}: {seen}")),
+            seen => record_mismatch(notes, asked, &format!("{text}: {seen}")),
         }
     }
     s.bind("", "never", "x");
@@ -350,9 +359,9 @@
     let unit = s.unit()?;
     // Where no engine can be had the answer is another one.
     if tags(&unit) != "EZ" || !["26000", "53000"].contains(&code(&unit[0]).as_str()) {
-        spoilt(
+        record_mismatch(
             notes,
-            fresh(notes, 0),
+            new_record(notes, 0),
             &format!("unknown statement: {}", tags(&unit)),
         );
     }
@@ -361,24 +370,28 @@
     nobody.send()?;
     let unit = nobody.unit()?;
     if tags(&unit) != "EZ" || code(&unit[0]) != "22023" {
-        spoilt(notes, fresh(notes, 0), "no workload");
+        record_mismatch(notes, new_record(notes, 0), "no workload");
     }
-    let asked = fresh(notes, 1);
+    let asked = new_record(notes, 1);
     s.query(&format!("select run('id={},rows=1')", asked.id));
     s.send()?;
     match s.unit() {
-        Ok(unit) => note(notes, asked.clone(), come_to(&unit, &asked.id)),
-        Err(e) => note(notes, asked, lost(&e)),
+        Ok(unit) => record_outcome(notes, asked.clone(), outcome_of(&unit, &asked.id)),
+        Err(e) => record_outcome(notes, asked, outcome_of_error(&e)),
     }
     Ok(())
 }
 
 /// Bytes that are no session: the connection ends, soon and alone.
-fn nonsense(at: SocketAddr, chance: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+fn sends_invalid_bytes(
+    at: SocketAddr,
+    rng: &mut Pcg64Mcg,
+    notes: &Arc<Notes>,
+) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    let bytes: Vec<u8> = match chance.random_range(0..3) {
-        0 => (0..200).map(|_| chance.random()).collect(),
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
+    let bytes: Vec<u8> = match rng.random_range(0..3) {
+        0 => (0..200).map(|_| rng.random()).collect(),
         1 => b"\xff\xff\xff\xff\0\x03\0\0".to_vec(),
         _ => b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(),
     };
@@ -388,9 +401,9 @@
     let mut chunk = [0; 1024];
     loop {
         match stream.read(&mut chunk) {
-            Ok(n) if n > 0 && since.elapsed() < PATIENCE => {}
+            Ok(n) if n > 0 && since.elapsed() < MESSAGE_TIMEOUT => {}
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                spoilt(notes, fresh(notes, 0), "nonsense that is kept");
+                record_mismatch(notes, new_record(notes, 0), "nonsense that is kept");
                 return Ok(());
             }
             _ => break,
@@ -404,7 +417,7 @@
         match s.read() {
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                spoilt(notes, fresh(notes, 0), "a length that can't be");
+                record_mismatch(notes, new_record(notes, 0), "a length that can't be");
                 return Ok(());
             }
             Err(_) => return Ok(()),
@@ -423,8 +436,8 @@
         s.query("BEGIN");
         s.query(&format!("select run('id={id},rows=1')"));
         s.send().ok()?;
-        let (begun, ran) = (s.unit().ok()?, s.unit().ok()?);
-        let open = tags(&begun) == "CZ" && !tags(&ran).contains('E');
+        let (began, ran) = (s.unit().ok()?, s.unit().ok()?);
+        let open = tags(&began) == "CZ" && !tags(&ran).contains('E');
         if !open {
             return None;
         }
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -8,21 +8,21 @@
 
 use crate::check::{Outcome, StatementRecord};
 
-pub(super) const PATIENCE: Duration = Duration::from_secs(8); // for one message: longer than any statement may take
+pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(8); // for one message: longer than any statement may take
 
 impl Session {
-    pub fn open(at: SocketAddr, user: &str, asks_first: bool) -> std::io::Result<Session> {
+    pub fn open(at: SocketAddr, user: &str, requests_encryption: bool) -> std::io::Result<Session> {
         let stream = TcpStream::connect(at)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
         let mut session = Session {
             stream,
             input: Vec::new(),
             out: Vec::new(),
             key: [0; 8],
         };
-        if asks_first {
-            refused_encryption(&mut session.stream)?;
+        if requests_encryption {
+            expect_refused_encryption(&mut session.stream)?;
         }
         wire::write_start_up(&mut session.out, &[("user", user), ("database", "x")]);
         session.send()?;
@@ -46,8 +46,8 @@
     /// The next message but notices and parameters.
     pub fn read(&mut self) -> std::io::Result<Message> {
         loop {
-            let whole = wire::message(&self.input, 1 << 24).map_err(std::io::Error::other)?;
-            if let Some(wire::Message { tag, body, len }) = whole {
+            let complete = wire::message(&self.input, 1 << 24).map_err(std::io::Error::other)?;
+            if let Some(wire::Message { tag, body, len }) = complete {
                 let message = (tag, body.to_vec());
                 self.input.drain(..len);
                 if !matches!(tag, b'N' | b'S') {
@@ -122,7 +122,7 @@
         });
     }
 
-    pub(super) fn named(&mut self, tag: u8, kind: u8, name: &str) {
+    pub(super) fn write_name_message(&mut self, tag: u8, kind: u8, name: &str) {
         wire::write(&mut self.out, tag, |out| {
             out.push(kind);
             wire::write_string(out, name.as_bytes());
@@ -136,7 +136,7 @@
     /// Asks for the end of what is out; returns when the front has taken the request.
     pub fn cancel(&self, at: SocketAddr) -> std::io::Result<()> {
         let mut cancel = TcpStream::connect(at)?;
-        cancel.set_read_timeout(Some(PATIENCE))?;
+        cancel.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
         let [a, b, c, d, e, f, g, h] = self.key;
         let (process, secret) = (
             u32::from_be_bytes([a, b, c, d]),
@@ -176,15 +176,15 @@
 
 /// Whether a row is the statement's own, the one that is due.
 fn is_row(message: &Message, id: &str, n: usize) -> bool {
-    let mark = format!("{id}:{n}:");
+    let prefix = format!("{id}:{n}:");
     message
         .1
         .get(6..)
-        .is_some_and(|text| text.starts_with(mark.as_bytes()))
+        .is_some_and(|text| text.starts_with(prefix.as_bytes()))
 }
 
 /// What the messages of one statement come to.
-pub(super) fn come_to(messages: &[Message], id: &str) -> Outcome {
+pub(super) fn outcome_of(messages: &[Message], id: &str) -> Outcome {
     if let Some(error) = messages.iter().find(|m| m.0 == b'E') {
         return Outcome::Error(code(error));
     }
@@ -195,7 +195,7 @@
     }
 }
 
-pub(super) fn lost(e: &std::io::Error) -> Outcome {
+pub(super) fn outcome_of_error(e: &std::io::Error) -> Outcome {
     match e.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => Outcome::Nothing,
         _ => Outcome::Lost,
@@ -212,21 +212,22 @@
 
 /// What the simple query that is on its way comes to.
 pub fn answer(session: &mut Session, asked: &StatementRecord) -> Outcome {
-    session
-        .unit()
-        .map_or_else(|e| lost(&e), |messages| come_to(&messages, &asked.id))
+    session.unit().map_or_else(
+        |e| outcome_of_error(&e),
+        |messages| outcome_of(&messages, &asked.id),
+    )
 }
 
 /// A round trip with the front: it has taken all that had left for it before, as it takes what it finds in the order
 /// in which that came.
 pub fn round_trip(at: SocketAddr) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    refused_encryption(&mut stream)
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
+    expect_refused_encryption(&mut stream)
 }
 
 /// Asks for encryption, which is not to be had.
-fn refused_encryption(stream: &mut TcpStream) -> std::io::Result<()> {
+fn expect_refused_encryption(stream: &mut TcpStream) -> std::io::Result<()> {
     stream.write_all(b"\0\0\0\x08\x04\xd2\x16\x2f")?;
     let mut no = [0];
     stream.read_exact(&mut no)?;
--- a/crates/lab/src/session_cases/engines.rs
+++ b/crates/lab/src/session_cases/engines.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-use super::stage::{ask, heard, run, stage, stage_among, until, LIMITS};
+use super::stage::{ask, read_answer, run, stage, stage_with_config, wait_until, LIMITS};
 use crate::engine::EngineEventKind;
 
 #[test]
@@ -17,10 +17,10 @@
         s.execute("c", 2);
         s.sync();
         s.send().unwrap();
-        assert_eq!(heard(&mut s), ("12DDsZ".into(), String::new(), 'T'));
+        assert_eq!(read_answer(&mut s), ("12DDsZ".into(), String::new(), 'T'));
         let holder = stage.holder("p");
-        stage.tell(holder, "draining");
-        until("the engine is let go of", || {
+        stage.set_engine_state(holder, "draining");
+        wait_until("the engine is let go of", || {
             stage.engines[holder].connections() == 0
         });
         let before = stage.engine_events().len();
@@ -28,7 +28,7 @@
             s.execute("c", 2);
             s.sync();
             s.send().unwrap();
-            assert_eq!(heard(&mut s), ("EZ".into(), "40001".into(), 'E'));
+            assert_eq!(read_answer(&mut s), ("EZ".into(), "40001".into(), 'E'));
             assert_eq!(
                 ask(&mut s, &run("x", "")),
                 ("EZ".into(), "25P02".into(), 'E')
@@ -75,8 +75,8 @@
     s.prepare("s", "select run($1)").unwrap();
     s.ask("s", "id=a,rows=1").unwrap();
     let (holder, other) = (stage.holder("a"), 1 - stage.holder("a"));
-    stage.tell(holder, "draining");
-    until("the engine is let go of", || {
+    stage.set_engine_state(holder, "draining");
+    wait_until("the engine is let go of", || {
         stage.engines[holder].connections() == 0
     });
     stage.engines[other].faults.refused_parses.store(1, SeqCst);
@@ -84,7 +84,7 @@
     s.execute("", 0);
     s.sync();
     s.send().unwrap();
-    assert_eq!(heard(&mut s), ("EZ".into(), "42P01".into(), 'I'));
+    assert_eq!(read_answer(&mut s), ("EZ".into(), "42P01".into(), 'I'));
     s.ask("s", "id=c,rows=1").unwrap();
     assert_eq!((stage.began("b").len(), stage.began("c").len()), (0, 1));
 }
@@ -134,7 +134,7 @@
         }
         s.sync();
         s.send().unwrap();
-        assert_eq!(heard(&mut s).1, fails);
+        assert_eq!(read_answer(&mut s).1, fails);
     }
     for n in 0..5 {
         s.ask(&format!("s{n}"), "id=z,rows=1").unwrap();
@@ -151,7 +151,7 @@
         ask(&mut a, &run(&format!("a{n}"), ""));
         ask(&mut b, &run(&format!("b{n}"), ""));
     }
-    let told: Vec<String> = stage
+    let recorded: Vec<String> = stage
         .engine_events()
         .into_iter()
         .filter_map(|(_, _, kind)| match kind {
@@ -164,7 +164,7 @@
         .collect();
     let (set, reset) = ("SET search_path = one", "RESET ALL");
     assert_eq!(
-        told,
+        recorded,
         [reset, set, "a0", reset, "b0", reset, set, "a1", reset, "b1"]
     );
 }
@@ -193,12 +193,12 @@
         let file = file.display();
         let part =
             format!("gossip: {{ listen: '127.0.0.1:0', secret_file: '{file}', {known}, seeds: [{seeds}] }},");
-        let stage = stage_among(1, LIMITS, 1024, &part);
+        let stage = stage_with_config(1, LIMITS, 1024, &part);
         let line = stage.front.logged("talks with other fronts").unwrap();
         seeds = format!("'{}'", line.rsplit(' ').next().unwrap());
         stages.push(stage);
     }
-    // The second hears of the first's engine, the first of the second's; the third is heard by nobody.
+    // The second hears of the first's engine, the first of the second's; the third is read_answer by nobody.
     for (n, stage) in stages.iter().enumerate().take(2) {
         let mut s = stage.open();
         stage.engines[0].crash();
@@ -206,13 +206,13 @@
             ask(&mut s, &run(&format!("{n}x{m}"), ""));
         }
     }
-    until("the second hears of it", || {
+    wait_until("the second hears of it", || {
         stages[1].front.logged("front one says of engine").is_some()
     });
-    until("the first hears of it", || {
+    wait_until("the first hears of it", || {
         stages[0].front.logged("front two says of engine").is_some()
     });
-    until("a stranger is refused", || {
+    wait_until("a stranger is refused", || {
         stages[1].front.logged("Stranger").is_some()
     });
     assert!(stages
--- a/crates/lab/src/session_cases/keys.rs
+++ b/crates/lab/src/session_cases/keys.rs
@@ -2,7 +2,7 @@
 
 use nix::sys::signal::Signal;
 
-use super::stage::{ask, heard, run, stage, stands_still, until, LIMITS};
+use super::stage::{ask, is_stopped, read_answer, run, stage, wait_until, LIMITS};
 use crate::check::Outcome;
 use crate::engine::EngineEventKind;
 use crate::lines;
@@ -21,7 +21,7 @@
     ];
     let lines_at = stage.front.lines;
     let first = std::thread::spawn(move || lines::ask(lines_at, 1, &fields, "id=a,key=k,ms=400"));
-    until("the first runs", || !stage.began("a").is_empty());
+    wait_until("the first runs", || !stage.began("a").is_empty());
     let mut s = stage.open();
     assert_eq!(
         ask(&mut s, &format!("{label}{}", run("b", ",key=k"))).0,
@@ -65,7 +65,7 @@
             "" => drop(s),
             end => assert_eq!(ask(&mut s, end).2, 'I'),
         }
-        assert_eq!(heard(&mut other).0, "TDCZ");
+        assert_eq!(read_answer(&mut other).0, "TDCZ");
         let kept = end == "COMMIT";
         assert_eq!(
             (stage.kept("a"), stage.kept("c"), stage.kept("b")),
@@ -91,7 +91,7 @@
             .iter_mut()
             .for_each(|s| assert_eq!(ask(s, &run("before", "")).0, "TDCZ"));
         stage.front.signal(Signal::SIGSTOP);
-        until("it stands still", || stands_still(&stage.front));
+        wait_until("it stands still", || is_stopped(&stage.front));
         let ids = [0, 1, 2].map(|n| format!("{round}x{n}"));
         for (n, id) in ids.iter().enumerate() {
             if n == if lines_first { 0 } else { 1 } {
@@ -123,7 +123,7 @@
         assert_eq!(client.unwrap().answer(), Outcome::Completed { rows: 1 });
         sessions
             .iter_mut()
-            .for_each(|s| assert_eq!(heard(s).0, "TDCZ"));
+            .for_each(|s| assert_eq!(read_answer(s).0, "TDCZ"));
         let ran: Vec<String> = stage
             .engine_events()
             .into_iter()
--- a/crates/lab/src/session_cases/sessions.rs
+++ b/crates/lab/src/session_cases/sessions.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::stage::{ask, heard, run, stage, stage_with, until, LIMITS};
+use super::stage::{ask, read_answer, run, stage, stage_with_sockets, wait_until, LIMITS};
 use crate::engine::EngineEventKind;
 use crate::scripted::session::{code, Session};
 
@@ -21,10 +21,10 @@
         let id = format!("c{within}");
         s.query(&run(&id, ",ms=6000"));
         s.send().unwrap();
-        until("it runs", || !stage.began(&id).is_empty());
+        wait_until("it runs", || !stage.began(&id).is_empty());
         s.cancel(stage.front.sessions).unwrap();
         let status = if within { 'E' } else { 'I' };
-        assert_eq!(heard(&mut s), ("TEZ".into(), "57014".into(), status));
+        assert_eq!(read_answer(&mut s), ("TEZ".into(), "57014".into(), status));
         if within {
             assert_eq!(ask(&mut s, "ROLLBACK").2, 'I');
         }
@@ -55,8 +55,8 @@
         s.sync();
     }
     s.send().unwrap();
-    let heard: Vec<_> = (0..4)
-        .map(|_| heard(&mut s))
+    let answers: Vec<_> = (0..4)
+        .map(|_| read_answer(&mut s))
         .map(|(tags, code, _)| (tags, code))
         .collect();
     let expected = [
@@ -66,7 +66,7 @@
         ("2DC2DCZ", ""),
     ];
     assert_eq!(
-        heard,
+        answers,
         expected.map(|(tags, code)| (tags.to_string(), code.to_string()))
     );
     assert_eq!(
@@ -115,10 +115,10 @@
     busy.query(&run("b", ",ms=1500"));
     busy.send().unwrap();
     let mut idle = stage.open();
-    until("it runs", || !stage.began("b").is_empty());
+    wait_until("it runs", || !stage.began("b").is_empty());
     stage.front.terminate();
     assert_eq!(code(&idle.read().unwrap()), "57P01");
-    assert_eq!(heard(&mut busy).0, "TDCZ");
+    assert_eq!(read_answer(&mut busy).0, "TDCZ");
     assert_eq!(code(&busy.read().unwrap()), "57P01");
     assert_eq!(code(&s.read().unwrap()), "57P01");
     let (well, took) = stage.front.ended().unwrap();
@@ -136,9 +136,9 @@
     let mut leaves = stage.open();
     leaves.query(&run("b", ",ms=6000"));
     leaves.send().unwrap();
-    until("it runs", || !stage.began("b").is_empty());
+    wait_until("it runs", || !stage.began("b").is_empty());
     drop(leaves);
-    until("its end was asked for", || {
+    wait_until("its end was asked for", || {
         stage.engine_events().iter().any(|d| {
             d.2 == EngineEventKind::Cancelled {
                 id: Some("b".into()),
@@ -181,7 +181,7 @@
 
 #[test]
 fn the_silent_go_first_when_descriptors_are_short_and_what_a_session_holds_is_bounded() {
-    let stage = stage_with(
+    let stage = stage_with_sockets(
         1,
         "start_up_ms: 400, statements: 2, portals: 2, message_bytes: 4096",
         64,
@@ -208,14 +208,14 @@
     s.bind("", "s2", "id=x");
     s.sync();
     s.send().unwrap();
-    assert_eq!(heard(&mut s).1, "26000");
+    assert_eq!(read_answer(&mut s).1, "26000");
     ask(&mut s, "BEGIN");
     for n in 0..3 {
         s.bind(&format!("p{n}"), "s0", "id=y");
     }
     s.sync();
     s.send().unwrap();
-    assert_eq!(heard(&mut s), ("22EZ".into(), "54000".into(), 'E'));
+    assert_eq!(read_answer(&mut s), ("22EZ".into(), "54000".into(), 'E'));
     s.query(&"x".repeat(8192));
     s.send().unwrap();
     assert_eq!(code(&s.read().unwrap()), "54000");
--- a/crates/lab/src/session_cases/stage.rs
+++ b/crates/lab/src/session_cases/stage.rs
@@ -10,7 +10,7 @@
 use crate::rig::{Coordinator, Front};
 use crate::scripted::session::{code, tags, Session};
 
-pub(super) const PATIENCE: Duration = Duration::from_secs(10); // for one thing to come about; a busy machine takes some
+pub(super) const WAIT_LIMIT: Duration = Duration::from_secs(10); // for one thing to come about; a busy machine takes some
 pub(super) const LIMITS: &str = "transaction_idle_ms: 3000, buffer_bytes: 32768";
 
 impl Stage {
@@ -18,7 +18,7 @@
         Session::open(self.front.sessions, "portal", false).unwrap()
     }
 
-    pub(super) fn tell(&self, engine: usize, state: &str) {
+    pub(super) fn set_engine_state(&self, engine: usize, state: &str) {
         let e = &self.engines[engine];
         self.coordinator
             .tell(false, &[(format!("e{engine}"), e.at, "pg", state)]);
@@ -64,15 +64,15 @@
 
 /// A front among so many engines, and one that speaks lines.
 pub(super) fn stage(count: usize, limits: &str) -> Stage {
-    stage_with(count, limits, 1024)
+    stage_with_sockets(count, limits, 1024)
 }
 
-pub(super) fn stage_with(count: usize, limits: &str, sockets: usize) -> Stage {
-    stage_among(count, limits, sockets, "")
+pub(super) fn stage_with_sockets(count: usize, limits: &str, sockets: usize) -> Stage {
+    stage_with_config(count, limits, sockets, "")
 }
 
 /// The same with a further part of the operator's file.
-pub(super) fn stage_among(count: usize, limits: &str, sockets: usize, part: &str) -> Stage {
+pub(super) fn stage_with_config(count: usize, limits: &str, sockets: usize, part: &str) -> Stage {
     let records = Records::new();
     let engines: Vec<_> = (0..count)
         .map(|n| Engine::start(n, records.clone(), true).unwrap())
@@ -111,10 +111,10 @@
     }
 }
 
-pub(super) fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub(super) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let since = Instant::now();
     while !holds() {
-        assert!(since.elapsed() < PATIENCE, "{what}");
+        assert!(since.elapsed() < WAIT_LIMIT, "{what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -123,10 +123,10 @@
 pub(super) fn ask(s: &mut Session, text: &str) -> (String, String, char) {
     s.query(text);
     s.send().unwrap();
-    heard(s)
+    read_answer(s)
 }
 
-pub(super) fn heard(s: &mut Session) -> (String, String, char) {
+pub(super) fn read_answer(s: &mut Session) -> (String, String, char) {
     let unit = s.unit().unwrap();
     let error = unit
         .iter()
@@ -145,7 +145,7 @@
 }
 
 /// Whether its process is stopped, as the system has it.
-pub(super) fn stands_still(front: &Front) -> bool {
+pub(super) fn is_stopped(front: &Front) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", front.pid())).unwrap_or_default();
     stat.rsplit(") ")
         .next()
