--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -1,4 +1,5 @@
-//! The rules, checked on what clients and engines wrote down, never on what a front says of itself.
+//! The rules, checked on what clients and engines recorded, never on what a front reports of
+//! itself.
 
 mod answers;
 mod statements;
@@ -16,7 +17,7 @@
 pub use self::waits::ProcessorWaits;
 use crate::engine::{EngineEvent, EngineEventKind};
 
-/// Checks all rules.
+/// Checks all rules and returns the violations.
 pub fn check(
     asked: &[StatementRecord],
     transactions: &[Transaction],
--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -1,4 +1,4 @@
-//! Exactly one final answer for each statement, and what was answered has come to pass.
+//! Each statement has exactly one final answer, and the answers match the effects.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,14 +6,14 @@
     add_violation, Agreement, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations,
 };
 
-/// Exactly one final answer, whole and true, in time.
+/// Checks that each statement has exactly one final answer that is complete, correct and in time.
 pub(super) fn answers(wrong: &mut Violations, asked: &[StatementRecord], agreed: &Agreement) {
     let mut seen = HashSet::new();
     for a in asked {
         if !seen.insert(&a.id) {
             add_violation(wrong, "answers", format!("{}: two final answers", a.id));
         }
-        // What was waited before it was due is no excuse.
+        // Waiting before the answer was due does not excuse its delay.
         let waited = agreed
             .processor_waits
             .between(a.sent + a.timeout, a.answered);
@@ -39,7 +39,8 @@
                 if !own && !known.contains(&code.as_str()) {
                     add_violation(wrong, "answers", format!("{}: {code}", a.id));
                 }
-                // A cancel that was meant for another shows as one that nobody asked for.
+                // A cancel request meant for another statement shows as a cancellation that its
+                // client did not request.
                 let early = a.answered - a.sent < a.timeout - agreed.slack;
                 if code == "57014" && !a.cancel_requested && early {
                     add_violation(wrong, "cancels", format!("{}: cancelled by nobody", a.id));
@@ -63,7 +64,7 @@
     }
 }
 
-/// What was answered is what has come to pass.
+/// Checks that the effects of statements and transactions are those that were answered.
 pub(super) fn effects(
     wrong: &mut Violations,
     asked: &[StatementRecord],
--- a/crates/lab/src/check/statements.rs
+++ b/crates/lab/src/check/statements.rs
@@ -1,4 +1,4 @@
-//! What clients and engines wrote down, as the rules are checked on it.
+//! What clients and engines recorded, in the form in which the rules are checked.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -7,20 +7,20 @@
 /// How a unit ended for its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// Whole, with so many rows, all of them this statement's own.
+    /// All rows arrived, and all of them belong to this statement.
     Completed {
         rows: usize,
     },
-    /// Something else than this statement's rows came.
+    /// Something other than this statement's rows arrived.
     Spoilt,
     Error(String),
     /// The connection ended first.
     Lost,
-    /// Nothing came in time.
+    /// Nothing arrived in time.
     Nothing,
 }
 
-/// What may be done with a statement again.
+/// Whether a statement may be run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     Idempotent,
@@ -34,31 +34,33 @@
     pub id: String,
     pub sent: i64,
     pub answered: i64,
-    /// When its client knew that the front had taken it, where it asked; else it knows by the answer.
+    /// When the client knew that the front had accepted the statement, if it asked; otherwise the
+    /// answer is the first sign.
     pub accepted_at: Option<i64>,
     pub timeout: i64,
     pub outcome: Outcome,
     pub rows: usize,
     pub repeat: Repeat,
-    /// It may run only on engines of this place in the list of kinds.
+    /// The statement may run only on engines of one kind, listed in `Agreement::bound_to`.
     pub bound: bool,
     pub key: String,
-    /// The transaction it belongs to.
+    /// The transaction that the statement belongs to.
     pub transaction: Option<usize>,
-    /// Its client asked for its end.
+    /// The client requested its cancellation.
     pub cancel_requested: bool,
-    /// The error that the statement itself asked for.
+    /// The error that the statement itself requests.
     pub expected_error: Option<&'static str>,
     /// An error that an engine's fault may end it with.
     pub tolerated_error: Option<&'static str>,
-    /// It only begins or ends a transaction.
+    /// The statement only begins or ends a transaction.
     pub control: bool,
-    /// The front may cut it off with its connection: an engine ended within a message, or the front ends.
+    /// The front may drop it with its connection: an engine was lost within a message, or the front
+    /// shuts down.
     pub may_be_lost: bool,
 }
 
 impl StatementRecord {
-    /// A plain statement that has just been sent, with no answer yet.
+    /// Creates the record of a plain statement that has just been sent and has no answer yet.
     pub fn new(id: String, sent: i64, timeout: i64, repeat: Repeat) -> StatementRecord {
         StatementRecord {
             id,
@@ -85,11 +87,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
     pub statements: Vec<String>,
-    /// What the commit came to; None where it was never asked for.
+    /// The outcome of the commit; `None` if it was never requested.
     pub commit: Option<Outcome>,
 }
 
-/// An engine that takes nothing new: told at, taken back at.
+/// An engine that accepts no new statements between the announcement and its withdrawal.
 #[derive(Clone, Debug)]
 pub struct Drain {
     pub engine: usize,
@@ -97,24 +99,25 @@
     pub to: i64,
 }
 
-/// What was agreed, and what happened around the front.
+/// The settings as agreed, and what happened around the front.
 #[derive(Clone, Debug, Default)]
 pub struct Agreement {
     pub grace: i64,
     pub slack: i64,
-    /// How long the machine let somebody wait: answers may be later by it.
+    /// How long the harness or the front waited for a CPU: answers may be later by as much.
     pub processor_waits: ProcessorWaits,
-    /// Engines that bound statements may run on.
+    /// Engines that statements with `bound` may run on.
     pub bound_to: HashSet<usize>,
-    /// Further executions: spare, share of the statements taken, window.
+    /// Retry budget: spare executions, share of the accepted statements, and window in
+    /// microseconds.
     pub retry_budget: Option<(f64, f64, i64)>,
     pub drains: Vec<Drain>,
 }
 
-/// Violations by rule, each with what was seen.
+/// Violations by rule, each with a description of what was seen.
 pub type Violations = BTreeMap<&'static str, Vec<String>>;
 
-/// An execution as its engine wrote it down; times are microseconds since the rig began.
+/// An execution as its engine recorded it; times are microseconds since the rig began.
 pub(super) struct Execution {
     pub(super) engine: usize,
     pub(super) link: u32,
@@ -123,7 +126,7 @@
     pub(super) key: String,
 }
 
-/// Notes a violation of a rule.
+/// Adds a violation of a rule.
 pub(super) fn add_violation(wrong: &mut Violations, rule: &'static str, what: String) {
     wrong.entry(rule).or_default().push(what);
 }
--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -7,7 +7,8 @@
 };
 use crate::engine::{EngineEvent, EngineEventKind};
 
-/// Nothing twice that may not be, never two at once, and no more further executions than agreed.
+/// Checks that nothing runs twice that must not, nothing runs twice at once, and retries stay
+/// within the budget.
 pub(super) fn repeats(
     wrong: &mut Violations,
     asked: &[StatementRecord],
@@ -43,7 +44,8 @@
         let since = at - window;
         let within = further[..=n].iter().filter(|t| **t > since).count() as f64;
         let taken = sent.partition_point(|t| t <= at) - sent.partition_point(|t| *t <= since);
-        // What was taken and when is seen from outside: by 15 in 100 and one execution looser.
+        // The time of acceptance is known only from outside; the limit is relaxed by 15 % and one
+        // execution.
         if within > (spare + share * taken as f64) * 1.15 + 1.0 {
             add_violation(
                 wrong,
@@ -54,7 +56,7 @@
     }
 }
 
-/// Nothing new to an engine that drains.
+/// Checks that nothing new starts on an engine that drains.
 pub(super) fn drains(wrong: &mut Violations, engine_events: &[EngineEvent], agreed: &Agreement) {
     for event in engine_events {
         let new = matches!(
@@ -75,7 +77,8 @@
     }
 }
 
-/// Statements of one order key one at a time, in the order in which they were taken.
+/// Checks that statements of one order key run one at a time, in the order in which they were
+/// accepted.
 pub(super) fn order(
     wrong: &mut Violations,
     asked: &[StatementRecord],
@@ -87,7 +90,7 @@
             by_key.entry(&x.key).or_default().push((x.from, x.to, id));
         }
     }
-    // Between these the front took a statement, whatever the machine gave each of the processes to run.
+    // The front accepted the statement within this span, however late each process got a CPU.
     let within = |a: &StatementRecord| {
         let answered = matches!(a.outcome, Outcome::Completed { .. } | Outcome::Error(_));
         (
@@ -111,7 +114,7 @@
                 );
             }
         }
-        // The one that was sent last of those that have run.
+        // The statement that was sent last among those that have run.
         let mut last: Option<(i64, &str)> = None;
         for (_, _, id) in ran {
             let Some((sent, taken)) = took.get(id).copied() else {
--- a/crates/lab/src/check/waits.rs
+++ b/crates/lab/src/check/waits.rs
@@ -1,17 +1,18 @@
-//! How long the machine let the harness or the front wait for a processor: an answer may be later by as much, as
-//! neither could do anything about it.
+//! How long the harness or the front waited for a CPU. An answer may be later by as much, as
+//! neither could prevent it.
 
-const MAX_WAIT_US: i64 = 1_000_000; // microseconds: beyond them an answer is late, whatever the machine did
+const MAX_WAIT_US: i64 = 1_000_000; // beyond this an answer is late, however busy the machine was
 
-/// Waiting so far, by the time it was looked at; all in microseconds.
+/// Samples of the accumulated waiting time; all times are in microseconds.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessorWaits {
-    /// When, and how long the harness and the front had waited by then.
+    /// Time of the sample, and how long the harness and the front had waited by then.
     pub samples: Vec<(i64, i64)>,
 }
 
 impl ProcessorWaits {
-    /// How long at most somebody waited between two moments: from the last look before to the first one after.
+    /// Returns an upper bound of the waiting between two times: from the last sample before the
+    /// first to the first sample after the second, at most `MAX_WAIT_US`.
     pub fn between(&self, from: i64, to: i64) -> i64 {
         let before = self
             .samples
--- a/crates/lab/src/check_tests.rs
+++ b/crates/lab/src/check_tests.rs
@@ -165,7 +165,8 @@
         (0, ends, false),
         (0, ends + 33_000, false),
         (0, ends + 33_001, true),
-        // What was waited before it was due is no excuse, and more than a second is none for any.
+        // Waiting before the answer was due is no excuse, and no more than a second excuses any
+        // answer.
         (100_000, ends + 1, true),
         (2_000_000, ends + 1_000_000, false),
         (2_000_000, ends + 1_000_001, true),
@@ -192,7 +193,8 @@
 
 #[test]
 fn order_budget_and_transactions_are_checked_over_several_statements() {
-    // One that may have been accepted_at after the other was sent may run after it; one between makes no difference.
+    // A statement that may have been accepted after another was sent may run after it; one between
+    // makes no difference.
     let late = || StatementRecord {
         sent: 500_000,
         answered: 600_000,
--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -1,4 +1,5 @@
-//! One connection of an engine that speaks PostgreSQL: what it says to each message. `statements` runs what is asked.
+//! One connection to an engine that speaks PostgreSQL: how each client message is answered. The
+//! submodule `statements` executes the statements.
 
 mod statements;
 
@@ -15,18 +16,19 @@
 use super::record::EngineEventKind;
 use super::task::{first_parameter, parse_task, task_from_fields, Task};
 
-const CHUNK_BYTES: usize = 32 << 10; // bytes read and written at once
-const TEXT_TYPE: u32 = 25; // PostgreSQL's number of the type `text`
+const CHUNK_BYTES: usize = 32 << 10; // read and written at once
+const TEXT_TYPE: u32 = 25; // PostgreSQL's type OID of `text`
 
 struct Portal {
     text: String,
     task: Option<Task>,
-    /// Rows that were sent.
+    /// Rows sent so far.
     sent: usize,
     started: bool,
 }
 
-/// An error that a statement ends with, or the end of the connection.
+/// Why a message could not be completed: an SQLSTATE to send to the client, or the loss of the
+/// connection.
 enum Interruption {
     Error(String),
     Connection(std::io::Error),
@@ -49,7 +51,7 @@
     portals: HashMap<Vec<u8>, Portal>,
     status: u8,
     skipping: bool,
-    /// What takes effect with the transaction.
+    /// Ids of statements whose effects become lasting when the transaction commits.
     pending: Vec<String>,
 }
 
@@ -142,7 +144,7 @@
         self.status = if self.status == b'I' { b'I' } else { b'E' };
     }
 
-    /// Does what a message asks for.
+    /// Handles one client message. After an error, all messages up to the next Sync are skipped.
     fn handle(&mut self, message: ClientMessage) -> Result<(), Interruption> {
         if self.skipping && message != ClientMessage::Sync {
             return Ok(());
@@ -181,7 +183,7 @@
         }
     }
 
-    /// A simple query: its statements one after the other, until one fails.
+    /// Runs a simple query: its statements one after another, until one fails.
     fn query(&mut self, text: &str) -> Result<(), Interruption> {
         let ended = text
             .split(';')
@@ -279,7 +281,7 @@
         }
     }
 
-    /// Executes a portal up to `rows`; 0: all of them.
+    /// Executes a portal and sends at most `rows` rows; 0 means all of them.
     fn execute_portal(&mut self, name: &[u8], rows: usize) -> Result<(), Interruption> {
         let portal = self.portals.remove(name);
         let mut portal = portal.ok_or_else(|| Interruption::Error("34000".into()))?;
--- a/crates/lab/src/engine/conversation/statements.rs
+++ b/crates/lab/src/engine/conversation/statements.rs
@@ -1,4 +1,4 @@
-//! The statements of a connection: their work, their rows, and the transactions that they are part of.
+//! Execution of the statements of one connection: their work, their rows and their transactions.
 
 use std::io::ErrorKind;
 use std::net::Shutdown;
@@ -11,10 +11,12 @@
 use crate::engine::record::EngineEventKind;
 use crate::engine::task::Task;
 
-const MIN_ROWS_BEFORE_LOSS: usize = 200; // rows of a result that have gone before a fault may lose the rest
+/// Rows sent before an injected fault may lose the remainder of a result.
+const MIN_ROWS_BEFORE_LOSS: usize = 200;
 
 impl Conversation {
-    /// Runs a statement, or goes on with one; true if rows are left when the limit is reached.
+    /// Starts a statement or continues a suspended one; returns true if rows remain when the limit
+    /// is reached.
     pub(super) fn execute(
         &mut self,
         portal: &mut Portal,
@@ -49,7 +51,7 @@
         Ok(false)
     }
 
-    /// A statement that controls a transaction, or a setting; `verb` is its first word.
+    /// Runs a statement that controls a transaction or a setting; `verb` is its first keyword.
     fn run_control_statement(&mut self, verb: &str, text: &str) -> Result<(), Interruption> {
         let tag = match verb {
             "BEGIN" | "START" => {
@@ -72,7 +74,8 @@
         Ok(())
     }
 
-    /// Ends the transaction: what it did is kept, unless it has failed; its answer may be lost by a fault.
+    /// Ends the transaction. Its effects become lasting unless it has failed. An injected fault may
+    /// lose the answer.
     fn commit(&mut self) -> Result<&'static str, Interruption> {
         let failed = self.status == b'E';
         let faults = &self.engine.faults;
@@ -92,7 +95,8 @@
         Ok(if failed { "ROLLBACK" } else { "COMMIT" })
     }
 
-    /// Sends the next rows of a portal, `limit` at most; a fault may lose the rest with the connection.
+    /// Sends at most `limit` further rows of a portal; an injected fault may lose the remainder
+    /// with the connection.
     fn send_rows(
         &mut self,
         portal: &mut Portal,
@@ -121,13 +125,14 @@
         Ok(())
     }
 
-    /// Resets the connection, as a fault asks for.
+    /// Resets the connection, as an injected fault requires.
     fn lose_connection(&self) -> Interruption {
         let _ = self.stream.shutdown(Shutdown::Both);
         Interruption::Connection(ErrorKind::ConnectionReset.into())
     }
 
-    /// The work of a statement: time, until its end is asked for.
+    /// Simulates the work of a statement by waiting for its duration, until it is cancelled or its
+    /// connection is reset.
     fn run_task(&mut self, task: &Task) -> Result<(), Interruption> {
         let faults = &self.engine.faults;
         let duration = Duration::from_micros(task.ms * 1000 + faults.extra_latency_us.load(SeqCst));
@@ -138,7 +143,7 @@
         let Ok(mut running) = link.running.lock() else {
             return Ok(());
         };
-        // What was reset begins nothing any more.
+        // A connection that was reset starts no statement.
         if running.2 {
             return Err(reset());
         }
--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -1,5 +1,5 @@
-//! The other protocol of the front, as far as the rig needs it: an engine that speaks lines and writes down
-//! what it runs, and in `client` a client that asks over Thrift.
+//! The front's line protocol and Thrift, as far as the rig needs them: a stand-in engine that
+//! speaks the line protocol and records what it runs, and, in `client`, a Thrift client.
 
 mod client;
 
@@ -14,9 +14,10 @@
 use crate::engine::{EngineEvent, EngineEventKind, Records};
 use crate::rig::scenario::Step;
 
-const MAX_STATEMENT_BYTES: usize = 1 << 20; // bytes of a statement that are read
+const MAX_STATEMENT_BYTES: usize = 1 << 20; // a longer statement is cut off
 
-/// Starts an engine that speaks lines and is always warm; statements are `id=..,key=..,ms=..`.
+/// Starts an engine that speaks the line protocol and is always warm; statements are
+/// `id=..,key=..,ms=..`.
 pub fn engine(number: usize, records: Arc<Records>) -> std::io::Result<SocketAddr> {
     let warmth = Warmth {
         cold: usize::MAX,
@@ -27,18 +28,19 @@
     Ok(Engine::start(number, records, warmth)?.at)
 }
 
-/// How many statements an engine bears at once: `cold` right after its start, growing evenly to `warm`.
+/// How many statements an engine can run at once: `cold` right after its start, growing linearly to
+/// `warm` over `warm_us` microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmth {
     pub cold: usize,
     pub warm: usize,
     pub warm_us: i64,
-    /// How many statements its memory holds at once, warm or cold.
+    /// How many statements fit into its memory at once, whether warm or cold.
     pub memory: usize,
 }
 
 impl Warmth {
-    /// What is borne at once so many microseconds after a start.
+    /// Returns how many statements can run at once `since` microseconds after a start.
     pub fn capacity_at(self, since: i64) -> usize {
         let Warmth {
             cold,
@@ -54,31 +56,35 @@
     }
 }
 
-/// The statements that run for a connection, by the ids of their executions: their own, and their links.
+/// The statements running for a connection, by execution id: each statement's own id, and its link
+/// number in the record.
 type Runs = Arc<Mutex<HashMap<String, (String, u32)>>>;
 
-/// An engine that speaks lines; what it bears over its warmth it turns away with `AGAIN`.
+/// An engine that speaks the line protocol; it rejects statements beyond its current capacity with
+/// `AGAIN`.
 pub struct Engine {
     pub number: usize,
     pub at: SocketAddr,
     warmth: Warmth,
     records: Arc<Records>,
-    /// Microseconds since the rig began at its last start, and how many statements run.
+    /// When the engine last started, in microseconds since the rig began; and how many statements
+    /// are running.
     started: AtomicI64,
     running: AtomicUsize,
-    /// Counts executions: each has a link of its own in the record.
+    /// The next link number: each execution has a link number of its own in the record.
     next_link: AtomicU32,
-    /// Statements turned away, and the most that were asked of it at once against what it bore then.
+    /// The number of rejected statements, and the highest ratio of statements requested at once to
+    /// the capacity at that time.
     pub rejected: AtomicUsize,
     peak: Mutex<f64>,
-    /// The same since its last start.
+    /// The same ratio since the last start.
     peak_since_start: Mutex<f64>,
     row_store: Option<Arc<dyn RowStore>>,
 }
 
-/// The rows behind engines, where they hold any.
+/// The rows that a group of engines serves.
 pub trait RowStore: Send + Sync {
-    /// What the statement comes to on an engine, at the end of its work.
+    /// Returns the rows that the statement yields on the engine, at the end of its work.
     fn answer(&self, engine: usize, statement: &str) -> String;
 }
 
@@ -91,7 +97,8 @@
         Engine::with_rows(number, records, warmth, None)
     }
 
-    /// One that answers with rows; its statements say their fields in a comment that begins `/* id=`.
+    /// Starts an engine that answers with rows from `row_store`; its statements carry their fields
+    /// in a comment that begins with `/* id=`.
     pub fn with_rows(
         number: usize,
         records: Arc<Records>,
@@ -100,7 +107,7 @@
     ) -> std::io::Result<Arc<Engine>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
-        // Warm from the first: only a start anew is cold.
+        // The engine is warm at first; only a restart makes it cold.
         let started = AtomicI64::new(records.now() - warmth.warm_us);
         let (running, rejected, peak) = (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(0.0));
         let peak_since_start = Mutex::new(0.0);
@@ -127,7 +134,7 @@
         Ok(engine)
     }
 
-    /// Starts anew, cold.
+    /// Simulates a restart: the engine is cold again.
     pub fn restart(&self) {
         self.started.store(self.records.now(), SeqCst);
         if let Ok(mut peak) = self.peak_since_start.lock() {
@@ -135,18 +142,18 @@
         }
     }
 
-    /// What it bears at once now.
+    /// Returns how many statements the engine can run at once now.
     pub fn capacity(&self) -> usize {
         self.warmth
             .capacity_at(self.records.now() - self.started.load(SeqCst))
     }
 
-    /// The most asked of it at once against what it bore then.
+    /// Returns the highest ratio of statements requested at once to the capacity at that time.
     pub fn peak(&self) -> f64 {
         self.peak.lock().map(|p| *p).unwrap_or(0.0)
     }
 
-    /// The same since its last start.
+    /// Returns the same ratio since the last start.
     pub fn peak_since_start(&self) -> f64 {
         self.peak_since_start.lock().map(|p| *p).unwrap_or(0.0)
     }
@@ -162,8 +169,9 @@
         }
     }
 
-    /// Serves a connection; what still runs when it ends is stopped, as engines do that can't answer any more. The
-    /// connection is closed after that is on the record, so that nobody can know of the close before.
+    /// Serves a connection. Statements still running when it ends are stopped, as engines stop
+    /// those that can no longer be answered. The connection is closed only after their ends are
+    /// recorded, so that no front learns of the close before.
     fn serve(self: &Arc<Self>, stream: TcpStream) -> std::io::Result<()> {
         let runs: Runs = Arc::default();
         let socket = stream.try_clone()?;
@@ -178,7 +186,8 @@
         served
     }
 
-    /// `runs` holds the statements that run for the connection, by the ids of their executions.
+    /// Reads requests until the connection ends. `runs` holds the statements running for the
+    /// connection, by execution id.
     fn read_messages(self: &Arc<Self>, stream: TcpStream, runs: &Runs) -> std::io::Result<()> {
         let peer = stream.peer_addr()?;
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -214,7 +223,8 @@
         }
     }
 
-    /// Whether it bears one statement more, which then counts as running; notes how much was asked of it at once.
+    /// Returns whether the engine has capacity for one more statement, which then counts as
+    /// running; records the ratio of requested statements to capacity.
     fn admits(&self) -> bool {
         let requested = self.running.fetch_add(1, SeqCst) + 1;
         let capacity = self.capacity();
@@ -230,7 +240,8 @@
         requested <= capacity
     }
 
-    /// Begins the execution of that id, which is on the record when this returns; a thread of its own ends it.
+    /// Starts the execution with this id. Its start is recorded when this function returns; a
+    /// separate thread ends it.
     fn start_execution(
         self: &Arc<Self>,
         statement: Statement,
@@ -275,7 +286,8 @@
         });
     }
 
-    /// Ends an execution whose work is done, and answers it, unless it was stopped with its connection.
+    /// Ends an execution whose work is done and answers it, unless it was stopped with its
+    /// connection.
     fn finish(&self, execution: Execution, stream: &TcpStream, runs: &Runs) {
         let Execution {
             id,
@@ -283,10 +295,11 @@
             step_front,
             statement,
         } = execution;
-        // Noted under the lock: once `serve` has it, every end that its close could tell of is on the record.
+        // Recorded under the lock: once `serve` holds it, every end that the close could reveal is
+        // recorded.
         if let Ok(mut runs) = runs.lock() {
             if runs.remove(&id).is_none() && !statement.survives_disconnect {
-                return; // stopped with its connection
+                return; // was stopped with its connection
             }
             self.record(
                 link,
@@ -318,16 +331,16 @@
     }
 }
 
-/// A statement, and what it says of itself: `id=..,key=..,ms=..`.
+/// A statement and the fields in its text: `id=..,key=..,ms=..`.
 struct Statement {
     text: String,
     id: String,
     key: String,
-    /// Milliseconds of its work.
+    /// Duration of its work in milliseconds.
     ms: u64,
-    /// It has its effect also where its connection ends first.
+    /// The statement takes effect even if its connection ends first.
     survives_disconnect: bool,
-    /// It needs a promise.
+    /// The statement needs a ledger entry.
     needs_ledger_entry: bool,
 }
 
@@ -355,13 +368,13 @@
     }
 }
 
-/// A statement that runs.
+/// A running statement.
 struct Execution {
-    /// As the front calls it.
+    /// The id that the front uses.
     id: String,
-    /// Its own in the record.
+    /// The link number in the record.
     link: u32,
-    /// The front that sent it, where it needs a promise.
+    /// The front that sent the statement, if the statement needs a ledger entry.
     step_front: Option<usize>,
     statement: Statement,
 }
--- a/crates/lab/src/engine/lines/client.rs
+++ b/crates/lab/src/engine/lines/client.rs
@@ -1,4 +1,4 @@
-//! A client that asks a front over Thrift.
+//! A client that sends statements to a front over Thrift.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,12 +6,13 @@
 
 use crate::check::Outcome;
 
-/// Asks over a connection of its own; gives the outcome and whether its rows are the statement's.
+/// Sends a statement over a new connection and returns its outcome; rows of another statement count
+/// as `Spoilt`.
 pub fn ask(front: SocketAddr, number: u64, fields: &[(&str, &str)], statement: &str) -> Outcome {
     ask_with_retry_hint(front, number, fields, statement).0
 }
 
-/// The same, with whether a refusal names a time to come back.
+/// Like `ask`; also returns whether a rejection names a time to retry.
 pub fn ask_with_retry_hint(
     front: SocketAddr,
     number: u64,
@@ -27,7 +28,8 @@
     (outcome, client.has_retry_hint)
 }
 
-/// Asks, and gives the body of a completed answer as it came.
+/// Sends a statement and returns the body of a completed answer unchanged; `None` for any other
+/// answer.
 pub fn ask_body(
     front: SocketAddr,
     number: u64,
@@ -37,7 +39,7 @@
     let mut client = Client::open(front)?;
     client.send(number, fields, statement)?;
     let reply = client.read_reply()?;
-    // Behind the head: the field of a result, and in it that of its body, with the body's length.
+    // After the header: the result field and, inside it, the body field with the body's length.
     let Some([12, 0, 0, 11, 0, 1, a, b, c, d, rest @ ..]) = reply.get(REPLY_HEADER_BYTES..) else {
         return Ok(None);
     };
@@ -45,15 +47,15 @@
     Ok(rest.get(..len).map(<[u8]>::to_vec))
 }
 
-/// Bytes of a reply before its result: the kind, the name and the number.
+/// Bytes of a reply before its result: message type, method name and sequence number.
 const REPLY_HEADER_BYTES: usize = 4 + 4 + 5 + 4;
 
-/// A client's connection, for one statement at a time.
+/// A client connection that carries one statement at a time.
 pub struct Client {
     stream: TcpStream,
-    /// The id that the statement's rows bear.
+    /// The id that every row of the statement carries.
     statement_id: String,
-    /// The last answer named a time to come back.
+    /// Whether the last answer named a time to retry.
     has_retry_hint: bool,
 }
 
@@ -69,7 +71,7 @@
         })
     }
 
-    /// Asks; all of it has left when this returns.
+    /// Sends a statement; all of its bytes are written when this function returns.
     pub fn send(
         &mut self,
         number: u64,
@@ -108,7 +110,7 @@
         self.stream.write_all(&frame)
     }
 
-    /// Waits for the final answer to what was asked.
+    /// Waits for the final answer to the statement that was sent.
     pub fn answer(&mut self) -> Outcome {
         self.read_outcome().unwrap_or(Outcome::Lost)
     }
@@ -124,7 +126,7 @@
     fn read_outcome(&mut self) -> std::io::Result<Outcome> {
         let reply = self.read_reply()?;
         self.has_retry_hint = reply.windows(5).any(|part| part == b"later");
-        // Behind the head, the name and the number stands the field that tells which kind of answer it is.
+        // The field after the header tells which kind of answer it is.
         let has_own_rows = reply
             .windows(self.statement_id.len().max(1))
             .any(|part| part == self.statement_id.as_bytes());
--- a/crates/lab/src/engine/lines_tests.rs
+++ b/crates/lab/src/engine/lines_tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(engine.capacity(), 8);
     engine.restart();
     assert_eq!(engine.capacity(), 1);
-    // Memory runs out before its slots do.
+    // Memory limits the capacity below the warm limit.
     assert_eq!(
         (Warmth {
             memory: 5,
@@ -34,7 +34,7 @@
     assert_eq!((engine.rejected.load(SeqCst), engine.peak()), (1, 2.0));
     line.clear();
     reader.read_line(&mut line).unwrap();
-    assert_eq!(line, "\r\n"); // the end of no bytes
+    assert_eq!(line, "\r\n"); // the end of an empty body
     line.clear();
     reader.read_line(&mut line).unwrap();
     assert!(line.starts_with("1 ACK"), "{line}");
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for engines, of both protocols: each writes down all that it did.
+//! Stand-ins for engines of both protocols; each records everything it does.
 
 mod conversation;
 pub mod lines;
--- a/crates/lab/src/engine/portal.rs
+++ b/crates/lab/src/engine/portal.rs
@@ -1,6 +1,7 @@
-//! A stand-in for an engine that speaks PostgreSQL, after the published protocol: one thread a connection, a
-//! record of all that it did, and faults on demand. Its statements carry what they are to do in a string:
-//! `run('id=7,rows=3,bytes=20,ms=5')`, in the text or as the one parameter.
+//! A stand-in for an engine that speaks PostgreSQL, written after the published protocol: one
+//! thread per connection, a record of everything it did, and faults on demand. Its statements
+//! describe their work in a string, `run('id=7,rows=3,bytes=20,ms=5')`, in the text or as the only
+//! parameter.
 
 use std::collections::HashMap;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,34 +13,36 @@
 use super::conversation::Conversation;
 use super::record::{EngineEventKind, Records};
 
-/// Faults of an engine, to be set while it runs.
+/// Faults of an engine that can be set while it runs.
 #[derive(Default)]
 pub struct Faults {
-    /// It is gone: no connection is taken, those that were are reset.
+    /// The engine is down: it accepts no connections, and existing ones are reset.
     pub down: AtomicBool,
-    /// Nothing is answered until then, in microseconds since the rig began.
+    /// Nothing is answered until this time, in microseconds since the rig began.
     pub stalled_until: AtomicU64,
-    /// Every statement takes so many microseconds longer.
+    /// Microseconds added to the duration of every statement.
     pub extra_latency_us: AtomicU64,
-    /// So many of the next commits are lost with their connection; odd ones after they took effect.
+    /// How many of the next commits are lost with their connection. Those that find an odd number
+    /// left are lost after they took effect.
     pub lost_commits: AtomicU32,
-    /// So many of the next statements are lost with their connection.
+    /// How many of the next statements are lost with their connection.
     pub lost_statements: AtomicU32,
-    /// So many of the next results are lost with their connection once a good part of them has gone.
+    /// How many of the next results are lost with their connection after `MIN_ROWS_BEFORE_LOSS`
+    /// rows.
     pub lost_results: AtomicU32,
-    /// So many of the next statements to be prepared are refused.
+    /// How many of the next requests to prepare a statement are rejected.
     pub refused_parses: AtomicU32,
-    /// How often each of the last was played.
+    /// How many of the counted faults above have been injected.
     pub played: AtomicU32,
 }
 
 impl Faults {
-    /// Takes one of the faults that are left of a kind; how many were left before.
+    /// Uses up one fault of a kind and returns how many were left before; `None` if none was left.
     pub(super) fn take_one(&self, left: &AtomicU32) -> Option<u32> {
         left.fetch_update(SeqCst, SeqCst, |n| n.checked_sub(1)).ok()
     }
 
-    /// Whether a fault of the kind is left: it is taken, and counts as played.
+    /// Returns whether a fault of this kind was left; it is used up and counts as injected.
     pub(super) fn inject(&self, left: &AtomicU32) -> bool {
         let injected = self.take_one(left).is_some();
         self.played.fetch_add(u32::from(injected), SeqCst);
@@ -49,7 +52,8 @@
 
 pub(super) struct Link {
     pub(super) stream: TcpStream,
-    /// The statement that runs, whether its end was asked for, and whether the connection was reset.
+    /// The running statement, whether its cancellation was requested, and whether the connection
+    /// was reset.
     pub(super) running: Mutex<(Option<String>, bool, bool)>,
     pub(super) changed: Condvar,
     secret: u32,
@@ -60,14 +64,14 @@
     pub at: SocketAddr,
     pub faults: Faults,
     pub records: Arc<Records>,
-    /// Whether statements are written down; a measurement leaves that.
+    /// Whether statements are recorded; measurements turn this off.
     pub records_statements: bool,
     links: Mutex<HashMap<u32, Arc<Link>>>,
     next: AtomicU32,
 }
 
 impl Engine {
-    /// Starts to listen on a port of the system's.
+    /// Starts an engine that listens on a port assigned by the system.
     pub fn start(
         number: usize,
         records: Arc<Records>,
@@ -96,13 +100,13 @@
         Ok(engine)
     }
 
-    /// Resets all connections, as a process that dies does.
+    /// Resets all connections, as the death of a process does.
     pub fn crash(&self) {
         self.faults.down.store(true, SeqCst);
         self.reset(usize::MAX);
     }
 
-    /// Resets so many connections.
+    /// Resets up to `count` connections.
     pub fn reset(&self, count: usize) {
         let Ok(links) = self.links.lock() else { return };
         for (number, link) in links.iter().take(count) {
@@ -115,8 +119,9 @@
         }
     }
 
-    /// What runs on a connection is over. Written down before anyone else can know it: its thread may have no CPU
-    /// for a while, and to a front that has heard of it the statement may run elsewhere by then.
+    /// Records that the statement running on a connection has ended. This happens before anyone
+    /// else can learn of it: the connection's thread may get no CPU for a while, and a front that
+    /// has learned of the end may already run the statement elsewhere.
     pub(super) fn record_end(&self, link: u32, running: &mut Option<String>) {
         if let Some(id) = running.take().filter(|_| self.records_statements) {
             self.records
@@ -124,7 +129,7 @@
         }
     }
 
-    /// Connections that are up.
+    /// Returns the number of open connections.
     #[cfg(test)]
     pub fn connections(&self) -> usize {
         self.links.lock().map_or(0, |links| links.len())
--- a/crates/lab/src/engine/portal_tests.rs
+++ b/crates/lab/src/engine/portal_tests.rs
@@ -4,7 +4,8 @@
 use crate::scripted::session::Session;
 use std::time::{Duration, Instant};
 
-const WAIT_LIMIT: Duration = Duration::from_secs(10); // for one thing to come about; a busy machine takes some
+/// For one condition; a busy machine needs part of it.
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
 #[test]
 fn what_is_reset_or_cancelled_is_over_in_the_record_before_anyone_hears_of_it() {
--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -1,4 +1,4 @@
-//! What engines did, written down as it happens.
+//! What engines did, recorded as it happens.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::rig::death::DeathStep;
 use crate::rig::scenario::Step;
 
-/// What an engine did; times are microseconds since the rig began.
+/// Something an engine did; times are microseconds since the rig began.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineEvent {
     pub at: i64,
@@ -23,40 +23,41 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEventKind {
-    /// A statement by its id began to run, with its order key.
+    /// The statement with this id and order key started.
     Began { id: String, key: String },
-    /// It is over on the engine, with or without effect.
+    /// The statement ended on the engine, with or without effect.
     Ended { id: String },
-    /// Its effect is lasting.
+    /// The effect of the statement became lasting.
     Kept { id: String },
-    /// A request to cancel found this statement, or none, running.
+    /// A cancel request found this statement running, or none.
     Cancelled { id: Option<String> },
-    /// A statement ran that only changes settings, or a transaction's state.
+    /// A statement ran that only changes settings or the state of a transaction.
     Control { text: String },
 }
 
 /// The records of all engines of a rig.
 pub struct Records {
     pub since: Instant,
-    /// What the engines did, in the order in which it was written down.
+    /// What the engines did, in the order in which it was recorded.
     pub engine_events: Mutex<Vec<EngineEvent>>,
-    /// The front behind each connection to an engine, by the relay's end of it and the engine's: one port of the
-    /// relay's side may lead to several engines.
+    /// The front behind each connection to an engine, by the relay's address and the engine's: one
+    /// port of the relay may lead to several engines.
     peers: Mutex<HashMap<(SocketAddr, SocketAddr), usize>>,
-    /// The front that sent what an engine wrote down under this link.
+    /// The front that sent what an engine recorded under this link number.
     pub sent_by: Mutex<HashMap<(usize, u32), usize>>,
-    /// What an engine wrote down under this link came over the connection from this port of the relay's, as this id.
+    /// The relay's port and the statement id under which the execution with this link number
+    /// arrived.
     pub arrivals: Mutex<HashMap<(usize, u32), (u16, String)>>,
-    /// What was said over the connections between fronts and engines.
+    /// The messages on the connections between fronts and engines.
     pub wire_events: Mutex<Vec<WireEvent>>,
-    /// Statements that were sent to any engine, by their front and the client's name for them.
+    /// Statements sent to any engine, by front and by the id that the front used.
     dispatched: Mutex<HashSet<(usize, Vec<u8>)>>,
     armed: Mutex<Option<Armed>>,
-    /// Fronts killed at a step of a promise, with the step and when.
+    /// Fronts killed at a step of a ledger entry, with the step and the time.
     pub steps: Mutex<Vec<(Step, usize, i64)>>,
 }
 
-/// A front that is to die at a step of a promise.
+/// A front that is to be killed at a step of a ledger entry.
 pub struct Armed {
     pub death: DeathStep,
     pub pid: u32,
@@ -77,7 +78,8 @@
         })
     }
 
-    /// What a front sends towards an engine. One that is cut between two chunks counts as an attempt alone.
+    /// Records the statements in a chunk that a front sends towards an engine. A statement whose
+    /// request is split between two chunks counts as an attempt only.
     pub fn note_dispatch(&self, front: usize, chunk: &[u8]) {
         const VERB: &[u8] = b"want ";
         let Ok(mut dispatched) = self.dispatched.lock() else {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Statements that were sent to any engine at least once, at each front.
+    /// Returns the number of statements sent to any engine at least once, counted per front.
     pub fn dispatched_statements(&self) -> i64 {
         self.dispatched
             .lock()
@@ -107,33 +109,33 @@
         self.since.elapsed().as_micros() as i64
     }
 
-    /// A relay has read this.
+    /// Records what a relay has read.
     pub fn note_wire_event(&self, event: WireEvent) {
         if let Ok(mut events) = self.wire_events.lock() {
             events.push(event);
         }
     }
 
-    /// An engine runs under this link what came over this connection.
+    /// Records the connection and the statement id under which an execution arrived.
     pub fn note_arrival(&self, engine: usize, link: u32, (at, id): (SocketAddr, &str)) {
         if let Ok(mut came) = self.arrivals.lock() {
             came.insert((engine, link), (at.port(), id.to_string()));
         }
     }
 
-    /// A front's relay has opened this connection to an engine.
+    /// Records that a front's relay opened this connection to an engine.
     pub fn note_connection(&self, at: SocketAddr, engine: SocketAddr, front: usize) {
         if let Ok(mut peers) = self.peers.lock() {
             peers.insert((at, engine), front);
         }
     }
 
-    /// The front behind a connection.
+    /// Returns the front behind a connection.
     pub fn front_of(&self, at: SocketAddr, engine: SocketAddr) -> Option<usize> {
         self.peers.lock().ok()?.get(&(at, engine)).copied()
     }
 
-    /// Lets a front die at a step, or takes that back.
+    /// Sets the front to be killed at a step, or clears it.
     pub fn arm(&self, armed: Option<Armed>) {
         if let Ok(mut now) = self.armed.lock() {
             *now = armed;
@@ -144,7 +146,8 @@
         self.armed.lock().is_ok_and(|armed| armed.is_some())
     }
 
-    /// A step of a promise is reached at a front: true if it has just died of that.
+    /// Reports that a front has reached a step of a ledger entry; returns true if the front was
+    /// killed at it.
     pub fn step_reached(&self, step: Step, front: usize) -> bool {
         let Ok(mut now) = self.armed.lock() else {
             return false;
@@ -155,7 +158,7 @@
         if !armed.death.is_reached(step, front) {
             return false;
         }
-        // Before it dies: what its clients lose by that is lost after this.
+        // The time is taken before the kill: everything its clients lose by it is lost later.
         let at = self.now();
         let _ = kill(Pid::from_raw(armed.pid as i32), Signal::SIGKILL);
         *now = None;
--- a/crates/lab/src/engine/task.rs
+++ b/crates/lab/src/engine/task.rs
@@ -1,6 +1,7 @@
-//! What a statement asks of an engine that speaks PostgreSQL.
+//! The work that a statement asks of a stand-in engine that speaks PostgreSQL.
 
-/// What a statement is to do.
+/// What a statement is to do: its id and order key, the number and size of its rows, its duration
+/// in milliseconds, and the SQLSTATE to fail with (empty for none).
 #[derive(Clone, Default)]
 pub(super) struct Task {
     pub(super) id: String,
@@ -33,7 +34,7 @@
     task
 }
 
-/// The first parameter of a Bind, as text.
+/// Returns the first parameter of a Bind message as text; `None` if there is none.
 pub(super) fn first_parameter(rest: &[u8]) -> Option<&[u8]> {
     let short = |at: usize| {
         rest.get(at..at + 2)
--- a/crates/lab/src/engine/wire_events.rs
+++ b/crates/lab/src/engine/wire_events.rs
@@ -1,10 +1,10 @@
-//! What fronts and engines say over each of their connections, as the relay between them reads it: so that a statement
-//! which broke a rule can be followed from its client to its engines.
+//! The messages that fronts and engines exchange on each connection, as the relay between them
+//! reads them, so that a statement which broke a rule can be traced from its client to its engines.
 
-/// Something said, or the end of one; times are microseconds since the rig began.
+/// A message or the close of a connection; times are microseconds since the rig began.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireEvent {
-    /// When the relay had read it, which on a busy machine may be long after it was written.
+    /// When the relay had read it; on a busy machine this may be long after it was written.
     pub at: i64,
     pub front: usize,
     pub engine: usize,
@@ -15,27 +15,28 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireEventKind {
-    /// The first word of a line, and the id in it.
+    /// The verb of a line and the id in it; `passed` is false if the relay dropped the line.
     Line {
         verb: String,
         id: String,
         passed: bool,
     },
-    /// The front has closed the connection, or the engine has.
+    /// The front, or the engine, has closed the connection.
     FrontClosed,
     EngineClosed,
 }
 
-/// The words that are kept, of fronts and of engines.
+/// The verbs that are recorded, of fronts and of engines.
 const VERBS: [&str; 6] = ["want", "never_mind", "ACK", "AGAIN", "EIO", "STALE"];
-const MAX_LINE_BYTES: usize = 64 << 10; // bytes without the end of a line; no line or statement of the rig is as long
+/// Without a line end; no line or statement of the rig is as long.
+const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// Takes lines from what comes over a connection in one direction, wherever it is cut.
+/// Extracts lines from the bytes of one direction of a connection, wherever the chunks are cut.
 #[derive(Default)]
 pub struct Lines(Vec<u8>);
 
 impl Lines {
-    /// The kept words of lines that are whole by now, each with its id.
+    /// Returns verb and id of each recorded line that is complete by now.
     pub fn take(&mut self, chunk: &[u8]) -> Vec<(String, String)> {
         self.0.extend_from_slice(chunk);
         let Some(end) = self.0.iter().rposition(|byte| *byte == b'\n') else {
@@ -49,7 +50,7 @@
         let parse_line = |line: &str| {
             let mut words = line.split_whitespace();
             let (first, second) = words.next().zip(words.next())?;
-            // A front names the word first, an engine the id.
+            // A front writes the verb first, an engine the id.
             let (word, id) = if VERBS.contains(&first) {
                 (first, second)
             } else {
--- a/crates/lab/src/engine/wire_events_tests.rs
+++ b/crates/lab/src/engine/wire_events_tests.rs
@@ -1,4 +1,4 @@
-//! Lines taken from what a relay reads.
+//! Unit tests of the extraction of lines from what a relay reads.
 
 use super::wire_events::Lines;
 
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -1,5 +1,5 @@
-//! What happened in a run of a fleet, as the rig saw it, and what the run came to. The record is the same for front
-//! processes and for simulated time.
+//! What happened in a run of a fleet as the rig saw it, and the result of the run. The record is
+//! the same for front processes and for simulated time.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,57 +20,59 @@
 /// Counts of a run, by name.
 pub type Tallies = BTreeMap<&'static str, i64>;
 
-/// Raises a tally to a value.
+/// Raises a tally to a value if it is lower.
 pub(super) fn raise_to(tallies: &mut Tallies, key: &'static str, value: i64) {
     let entry = tallies.entry(key).or_insert(0);
     *entry = (*entry).max(value);
 }
 
-/// What happened, as the rig saw it; times are microseconds since the rig began.
+/// What happened as the rig saw it; times are microseconds since the rig began.
 #[derive(Default)]
 pub struct Account {
     /// When the load began.
     pub began: i64,
     pub asked: Vec<Offered>,
     pub engine_events: Vec<EngineEvent>,
-    /// The front that sent what an engine wrote down under a link.
+    /// The front that sent what an engine recorded under a link number.
     pub sent_by: HashMap<(usize, u32), usize>,
-    /// The relay's port and the id that the same came over and under; what was finding over all connections.
+    /// The relay's port and the statement id under which each execution arrived; and the messages
+    /// on all connections.
     pub arrivals: HashMap<(usize, u32), (u16, String)>,
     pub wire_events: Vec<WireEvent>,
-    /// Warnings of fronts, with when they were read.
+    /// Warnings of fronts, with the time at which they were read.
     pub warned: Vec<(usize, i64, String)>,
     pub relayed: Vec<Relayed>,
     pub datagrams: Vec<RelayedDatagram>,
-    /// Faults as played: what, from, to.
+    /// Faults as injected: fault, start, end.
     pub played: Vec<(Fault, i64, i64)>,
-    /// Ends that fronts were asked for.
+    /// Shutdowns that were requested of fronts.
     pub shutdowns: Vec<Shutdown>,
     pub rejected: i64,
-    /// The most asked of any engine at once against what it bore then, and the same of each since its last start.
+    /// The highest ratio of statements requested at once to the capacity of an engine at that time;
+    /// and the same ratio of each engine since its last start.
     pub peak: f64,
     pub peaks_since_start: Vec<f64>,
-    /// Configuration files that fronts finding they had read again.
+    /// Configuration files that fronts reported to have reloaded.
     pub config_reloads: i64,
-    /// Fronts killed at a step of a promise, with the step and when.
+    /// Fronts killed at a step of a ledger entry, with the step and the time.
     pub steps: Vec<(Step, usize, i64)>,
-    /// Statements that were sent to any engine at least once, where that is known.
+    /// Statements sent to any engine at least once, where that is known.
     pub dispatched_statements: Option<i64>,
-    /// Microseconds that a final answer may take beyond its time.
+    /// Microseconds by which a final answer may exceed its time limit.
     pub slack: i64,
-    /// What the fronts and the rig wanted of the machine and were not given.
+    /// CPU time that the fronts and the rig waited for.
     pub starved: Starved,
 }
 
-/// Tallies, the check's findings and the table by the second.
+/// The result of a run: tallies, violations and the table by the second.
 pub struct Run {
     pub tallies: BTreeMap<&'static str, i64>,
     pub violations: check::Violations,
     pub table: String,
-    /// Faults as played: what, from, to.
+    /// Faults as injected: fault, start, end.
     pub played: Vec<(Fault, i64, i64)>,
     pub asked: Vec<Offered>,
-    /// The ids of every front process that was started, to be looked for afterwards.
+    /// The process ids of all fronts that were started, to look for survivors afterwards.
     pub pids: Vec<u32>,
 }
 
--- a/crates/lab/src/record/attempts.rs
+++ b/crates/lab/src/record/attempts.rs
@@ -1,5 +1,5 @@
-//! The story of a statement that broke a rule of repeats: its client, each of its executions, what was finding of them over
-//! which connection, and what its front warned of, in the order of time.
+//! The history of a statement that broke a rule about repeats: its client, each of its executions,
+//! the messages about them on each connection, and the warnings of its front, in the order of time.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -7,13 +7,14 @@
 use crate::check::Violations;
 use crate::engine::{EngineEventKind, WireEvent, WireEventKind};
 
-/// Rules whose statements are named with all that the rig saw of them.
+/// Rules whose violations get the history of their statement.
 const RULES: [&str; 3] = ["repeats", "second_run", "promise_lost"];
-const MAX_VIOLATIONS: usize = 5; // statements of a rule; more are not printed either
-const WARNING_MARGIN_US: i64 = 1_000_000; // microseconds before and after it in which a front's warnings count
+const MAX_VIOLATIONS: usize = 5; // per rule; further ones are not printed either
+/// Before and after the statement, within which warnings of its front are included.
+const WARNING_MARGIN_US: i64 = 1_000_000;
 const MAX_WARNINGS: usize = 12;
 
-/// Adds to what was found against these rules the story of the statement.
+/// Appends the history of the statement to each violation of these rules.
 pub fn add_histories(wrong: &mut Violations, account: &Account) {
     for rule in RULES {
         for found in wrong
@@ -29,7 +30,7 @@
     }
 }
 
-/// All that the rig saw of a statement, by its client's name for it.
+/// Returns everything that the rig saw of a statement, given its client's id.
 fn history(account: &Account, id: &str) -> String {
     let mut seen: Vec<(i64, String)> = Vec::new();
     let mut fronts = BTreeSet::new();
@@ -49,7 +50,7 @@
             format!("front {front} answered {:?}", a.outcome),
         ));
     }
-    // The connections that it came over, and the ids that it had there.
+    // The connections over which the statement arrived, and the ids that it had there.
     let (mut ports, mut ids) = (HashSet::new(), HashSet::new());
     for event in &account.engine_events {
         let (what, own) = match &event.kind {
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -1,4 +1,4 @@
-//! A statement that broke a rule is named with all that the rig saw of it.
+//! A violation names everything that the rig saw of its statement.
 
 use std::collections::HashMap;
 
@@ -26,7 +26,8 @@
     }
 }
 
-/// Sent to engine 1, given up by closing its connection, and sent to engine 2 before engine 1 has read so.
+/// A statement sent to engine 1, cancelled by closing the connection, and sent to engine 2 before
+/// engine 1 has read the close.
 pub fn account() -> Account {
     let event = |at, engine, link, kind| EngineEvent {
         at,
@@ -71,7 +72,7 @@
             line(39_000, (2, 502), ("want", "0007")),
             closed,
             line(150_000, (2, 502), ("ACK", "0007")),
-            // Another connection's end, and the same one's long after.
+            // The close of another connection, and a close of the same connection long after.
             WireEvent {
                 at: 60_000,
                 front: 3,
--- a/crates/lab/src/record/barred.rs
+++ b/crates/lab/src/record/barred.rs
@@ -1,4 +1,5 @@
-//! From the moment that a change of the rules is finding to be in force, nothing that it bars begins anywhere.
+//! From the time at which a change of the access rules is reported to be in force, nothing that it
+//! bars starts anywhere.
 
 use std::collections::HashMap;
 
@@ -6,17 +7,19 @@
 use super::executions::Execution;
 use crate::check::Violations;
 
-/// A zone barred for a workload (all where none is named), from when a front finding so until it was taken back.
+/// A zone barred for a workload (for all if none is named), from the report of a front until the
+/// rule was withdrawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BarredZone {
     pub class: Option<usize>,
     pub zone: usize,
     pub in_force: i64,
-    /// When a file without it was first written: from then on, nothing is held against it.
+    /// When a rule file without this rule was first written; executions from then on are not
+    /// violations.
     pub until: i64,
 }
 
-/// `zone` gives an engine's.
+/// Checks all executions; `zone` returns the zone of an engine.
 pub fn check(
     wrong: &mut Violations,
     ran: &[Execution],
--- a/crates/lab/src/record/budget.rs
+++ b/crates/lab/src/record/budget.rs
@@ -1,4 +1,4 @@
-//! Further executions of one front stay within the agreed budget, counted from each of its starts.
+//! Retries of one front stay within the agreed budget, counted from each of its starts.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -6,25 +6,25 @@
 use super::executions::Execution;
 use crate::check::Violations;
 
-/// What is agreed of further executions.
+/// The agreed retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     pub spare: f64,
-    /// Of the statements taken in a window.
+    /// Share of the statements accepted in a window.
     pub share: f64,
-    /// Microseconds of a window.
+    /// Length of the window in microseconds.
     pub window: i64,
 }
 
 impl Budget {
-    /// What is seen from outside is looser by 15 in 100 and one execution: when a statement was taken, and when an
-    /// execution left, is known no better.
+    /// Returns how many retries are allowed. The limit is relaxed by 15 % and one execution, as the
+    /// times of acceptance and of dispatch are known only from outside.
     fn allows(&self, taken: usize) -> f64 {
         (self.spare + self.share * taken as f64) * 1.15 + 1.0
     }
 }
 
-/// `starts`: fronts that were started anew, and when.
+/// Checks all executions; `starts` lists restarted fronts and the time of each restart.
 pub fn check(
     wrong: &mut Violations,
     ran: &[Execution],
--- a/crates/lab/src/record/budget_tests.rs
+++ b/crates/lab/src/record/budget_tests.rs
@@ -10,7 +10,8 @@
     window: 10_000_000,
 };
 
-/// Whether so many further executions of as many statements, one each 100 ms, are found at a front.
+/// Returns whether `count` retries of as many statements, one every 100 ms, are reported as a
+/// violation.
 fn is_found(count: i64, starts: &[(usize, i64)]) -> bool {
     let ids: Vec<String> = (0..count).map(|n| format!("s{n}")).collect();
     let asked: Vec<Offered> = ids
--- a/crates/lab/src/record/cuts.rs
+++ b/crates/lab/src/record/cuts.rs
@@ -1,6 +1,7 @@
-//! Who could hear whom: the cuts between fronts as they were played, and the fronts that were unavailable.
+//! Which fronts could reach each other: the partitions as injected, and the fronts that were
+//! unavailable.
 
-/// A span in which fronts heard only those of their own group.
+/// A span in which fronts reached only those of their own group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Partition {
     pub from: i64,
@@ -9,21 +10,23 @@
     pub groups: Vec<usize>,
 }
 
-/// What a run knows of its fronts' connectivity to each other.
+/// The connectivity of the fronts over a run.
 #[derive(Clone, Debug, Default)]
 pub struct Connectivity {
     pub fronts: usize,
     pub cuts: Vec<Partition>,
-    /// Fronts that were stopped, killed or ending, and when.
+    /// Fronts that were stopped, killed or shutting down, and the span of each.
     pub unavailable: Vec<(usize, i64, i64)>,
-    /// Spans in which words between fronts were lost, slowed or doubled, or a disk was in trouble.
+    /// Spans in which messages between fronts were lost, delayed or duplicated, or a disk was
+    /// faulty.
     pub disturbed: Vec<(i64, i64)>,
-    /// Spans in which a front, or the rig, had no CPU for long.
+    /// Spans in which a front or the rig had no CPU for long.
     pub starved: Vec<(i64, i64)>,
 }
 
 impl Connectivity {
-    /// The fewest fronts that `front` heard, itself among them, at any moment of a span.
+    /// Returns the smallest number of fronts, including itself, that `front` could reach at any
+    /// time of a span.
     pub fn min_reachable(&self, front: usize, (from, to): (i64, i64)) -> usize {
         let heard = |at: i64| {
             let own = |groups: &[usize], n: usize| groups.get(n) == groups.get(front);
@@ -55,7 +58,7 @@
             .unwrap_or(self.fronts)
     }
 
-    /// The most that it heard.
+    /// Returns the largest number of fronts that it could reach.
     pub fn max_reachable(&self, front: usize, (from, to): (i64, i64)) -> usize {
         let ends = self
             .cuts
@@ -70,7 +73,7 @@
             .unwrap_or(0)
     }
 
-    /// Whether a front was itself away or without a CPU in a span.
+    /// Returns whether the front itself was unavailable or without a CPU in a span.
     pub fn is_impaired(&self, front: usize, (from, to): (i64, i64)) -> bool {
         let unavailable = self
             .unavailable
@@ -82,7 +85,7 @@
             .any(|(f, t)| f <= to && from <= t)
     }
 
-    /// Whether anything between fronts was disturbed in a span.
+    /// Returns whether communication between fronts was disturbed in a span.
     pub fn is_disturbed(&self, (from, to): (i64, i64)) -> bool {
         let disturbed = self.disturbed.iter().chain(&self.starved);
         disturbed.into_iter().any(|(f, t)| *f <= to && from <= *t)
--- a/crates/lab/src/record/executions.rs
+++ b/crates/lab/src/record/executions.rs
@@ -1,4 +1,4 @@
-//! Executions as engines wrote them down: what began where, for which front, and until when it ran.
+//! Executions as engines recorded them: what started where, for which front, and when it ended.
 
 use std::collections::HashMap;
 
@@ -10,12 +10,12 @@
     pub id: String,
     pub key: String,
     pub engine: usize,
-    /// The front that sent it, by the connection that it came over.
+    /// The front that sent it, according to its connection.
     pub front: usize,
     pub from: i64,
-    /// `i64::MAX` where it ran to the end of the record.
+    /// `i64::MAX` if it ran to the end of the record.
     pub to: i64,
-    /// Its effect is lasting.
+    /// Whether its effect is lasting.
     pub kept: bool,
 }
 
@@ -25,7 +25,8 @@
     }
 }
 
-/// All executions in the order of their starts; `sent_by` says which front an engine's link number stands for.
+/// Returns all executions in the order of their starts; `sent_by` maps an engine's link number to a
+/// front.
 pub fn executions(
     engine_events: &[EngineEvent],
     sent_by: &HashMap<(usize, u32), usize>,
@@ -68,7 +69,7 @@
     all
 }
 
-/// For the checks' own tests: an execution from its name, key, front and span.
+/// Creates an execution for unit tests from its id, key, front and span.
 #[cfg(test)]
 pub fn ran(
     id: &str,
--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -1,5 +1,5 @@
-//! Attempts that their front gave up are out no more from then on, as the protocol has it, though a stand-in engine that
-//! had no CPU wrote their end down later.
+//! A cancelled attempt no longer counts as in flight, as the protocol has it, even if a stand-in
+//! engine without a CPU recorded its end later.
 
 use std::collections::HashMap;
 
@@ -8,13 +8,16 @@
 use crate::engine::{EngineEvent, EngineEventKind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
-/// Microseconds between the word of one attempt's end and the next attempt, by the relays: half of what fronts wait.
+/// Microseconds that must lie between the cancellation of one attempt and the next attempt, as read
+/// by the relays: half of what fronts wait.
 const MIN_GAP_US: i64 = 5_000;
-/// Microseconds before and after in which a rig without a CPU read its connections late, and in another order.
+/// Microseconds before and after, within which a rig without a CPU may have read its connections
+/// late and in another order.
 const REORDERING_US: i64 = 1_000_000;
 
-/// The engine events of the record, with the end of each attempt that was given up before the next one of its
-/// statement was sent, and without the start of those that were given up before it.
+/// Returns the engine events of the record, with an end added for each attempt that was cancelled
+/// before the next attempt of its statement was sent, and without the starts of attempts that were
+/// cancelled before they started.
 pub fn with_cancelled_ends(scenario: &Scenario, account: &Account) -> Vec<EngineEvent> {
     let mut engine_events = account.engine_events.clone();
     let repeated = |o: &&super::account::Offered| {
@@ -53,8 +56,9 @@
     engine_events
 }
 
-/// When the relay had read that a run was given up, where the next attempt was read surely after that; or, where the
-/// rig was late, before the run began: then it was never out.
+/// Returns when the relay had read that a run was cancelled, if it certainly read the next attempt
+/// later. If the rig was late, the cancellation may also precede the start; such an attempt never
+/// counted as in flight.
 fn cancelled_at(account: &Account, run: &EngineEvent) -> Option<i64> {
     let (port, id) = account.arrivals.get(&(run.engine, run.link))?;
     let is_want = |w: &&WireEvent| match &w.kind {
@@ -72,7 +76,8 @@
             .filter(is_here)
             .filter(|w| w.at >= since)
     };
-    // A relay closes both sides: the front's is its own doing only where the engine's was open.
+    // A relay closes both sides: the front closed its side itself only if the engine's side was
+    // still open.
     let lost = here()
         .find(|w| w.kind == WireEventKind::EngineClosed)
         .map_or(i64::MAX, |w| w.at);
--- a/crates/lab/src/record/given_up_tests.rs
+++ b/crates/lab/src/record/given_up_tests.rs
@@ -1,4 +1,5 @@
-//! Two runs at once are none where the first was given up before the second was sent; any other are found.
+//! Two runs at once are no violation if the first was cancelled before the second was sent; all
+//! others are reported.
 
 use super::account::Account;
 use super::attempts_tests::{account, line, TEXT};
@@ -10,7 +11,8 @@
 
 fn broken(change: impl FnOnce(&mut Account)) -> bool {
     let mut account = account();
-    // Engine 1 tells the end of what was given up a second late; the next is sent at 39 ms and begins at 40.
+    // Engine 1 records the end of the cancelled run a second late; the next is sent at 39 ms and
+    // starts at 40 ms.
     account.engine_events[2].at = 1_040_000;
     account.engine_events.sort_by_key(|event| event.at);
     account.wire_events[3].at = 30_000;
@@ -91,7 +93,8 @@
 
 #[test]
 fn what_was_given_up_before_its_late_engine_read_it_was_never_out() {
-    // The relay reads the statement and its end together, once the next already runs elsewhere.
+    // The relay reads the statement and its cancellation together, when the next attempt already
+    // runs elsewhere.
     let stuck = |a: &mut Account| {
         let run = |event: &&mut crate::engine::EngineEvent| event.link == 10;
         a.engine_events
--- a/crates/lab/src/record/herd.rs
+++ b/crates/lab/src/record/herd.rs
@@ -1,15 +1,16 @@
-//! What a release of many fronts puts on engines: connections and probes in the seconds after they have started anew,
-//! and what of that which was asked then came in time.
+//! The load that a release of many fronts puts on engines: connections and probes in the seconds
+//! after the fronts have restarted, and how many statements of that time were answered in time.
 
 use super::account::{Account, Tallies};
 use crate::check::Outcome;
 use crate::rig::relay::Relayed;
 use crate::rig::scenario::{Fault, Scenario};
 
-const SECOND: i64 = 1_000_000; // microseconds
-const RELEASE_SPAN_US: i64 = 6 * SECOND; // microseconds of a start that count: budgets are handed out anew within some seconds
+const SECOND: i64 = 1_000_000; // in microseconds
+/// After a start that count; budgets are reassigned within some seconds.
+const RELEASE_SPAN_US: i64 = 6 * SECOND;
 
-/// `from`: when the fronts were killed.
+/// Adds the tallies of a release; `from` is when the fronts were killed.
 pub fn released(
     scenario: &Scenario,
     account: &Account,
@@ -52,7 +53,7 @@
     tallies.insert("released_in_time_pct", share as i64);
 }
 
-/// The most of these times within any one second.
+/// Returns the largest number of these times within any one second.
 fn max_in_a_second(mut times: Vec<i64>) -> usize {
     times.sort_unstable();
     let within = |(n, at): (usize, &i64)| times.partition_point(|later| *later < at + SECOND) - n;
--- a/crates/lab/src/record/hits.rs
+++ b/crates/lab/src/record/hits.rs
@@ -1,12 +1,13 @@
-//! The fleet's count of each rule against the clients' record: a statement with a final answer counts once, one whose
-//! front died before its answer once or not at all.
+//! The fleet's hit count of each rule against the clients' record: a statement with a final answer
+//! counts once, one whose front died before its answer once or not at all.
 
 use std::collections::BTreeMap;
 
 use super::account::Offered;
 use crate::check::{Outcome, Violations};
 
-/// `told`: the fleet's count of each rule, as asked of a front; `rule` says which rule decides a statement, if any.
+/// Checks the hit counts. `counted` is the fleet's count of each rule, as read from a front; `rule`
+/// returns the rule that decides a statement, if any.
 pub fn check(
     wrong: &mut Violations,
     asked: &[Offered],
--- a/crates/lab/src/record/judge.rs
+++ b/crates/lab/src/record/judge.rs
@@ -1,4 +1,4 @@
-//! The rules checked on the record of a run, the run's tallies and its table.
+//! The checks of a run's record, the run's tallies and its table.
 
 mod owners;
 mod shedding;
@@ -17,7 +17,7 @@
 use crate::engine::EngineEvent;
 use crate::rig::scenario::{FaultKind, Scenario};
 
-/// Checks the rules over the record and draws up the tallies and the table.
+/// Checks the rules over the record and computes the tallies and the table.
 pub fn judge(scenario: &Scenario, account: &Account, pids: Vec<u32>) -> Run {
     let Account {
         asked,
@@ -31,8 +31,8 @@
     };
     let mut tallies = BTreeMap::new();
     let mut violations = promises::check(scenario, account, &mut tallies);
-    // What was asked again is another statement to the front that it came to. Order keys are the fleet's here, and have
-    // a check of their own.
+    // A retry by the client counts as a separate statement of the front that received it. Order
+    // keys span the fleet here and have a separate check.
     let statements: Vec<StatementRecord> = asked.iter().map(promises::at_its_front).collect();
     let engine_events = given_up::with_cancelled_ends(scenario, account);
     let engine_events: Vec<EngineEvent> = engine_events
--- a/crates/lab/src/record/judge/owners.rs
+++ b/crates/lab/src/record/judge/owners.rs
@@ -1,9 +1,10 @@
-//! Who owned the work that one front does for the fleet.
+//! Which front owned the work that one front does for the fleet.
 
 use crate::record::account::{Account, Tallies};
 
-/// Who probed for the fleet, in the order of the probes: how many fronts, how often that passed from one to another,
-/// how many probes a front sent after another had taken over, and the longest time without a probe in between.
+/// Counts the owners of the fleet's probing, in the order of the probes: how many fronts probed,
+/// how often the ownership passed to another, how many probes a front sent after another had taken
+/// over, and the longest time without a probe in between.
 pub(super) fn count_owners(account: &Account, tallies: &mut Tallies) {
     let mut probes: Vec<(i64, usize)> = account
         .relayed
--- a/crates/lab/src/record/judge/shedding.rs
+++ b/crates/lab/src/record/judge/shedding.rs
@@ -1,11 +1,12 @@
-//! What a fleet shed under overload, and how much its fronts agreed on it.
+//! What a fleet shed under overload, and how far its fronts agreed on the order of shedding.
 
 use crate::check::Outcome;
 use crate::record::account::{Offered, Tallies, SECOND};
 use crate::rig::scenario::Scenario;
 
-/// What came in time, and which classes were refused: of each front its order by the share refused, held against the
-/// fleet's by Spearman's rank correlation; the mean over fronts that refused anything.
+/// Counts statements answered in time and rejected classes. Each front's ranking of classes by the
+/// share rejected is compared with the fleet's by Spearman's rank correlation; the tally is the
+/// mean over fronts that rejected anything.
 pub(super) fn count_shed(
     scenario: &Scenario,
     began: i64,
@@ -17,7 +18,8 @@
         matches!(o.asked.outcome, Outcome::Completed { .. })
             && o.asked.answered - o.asked.sent <= slo
     };
-    // While the load was on: what waits when it ends is served after it by engines that have nothing else.
+    // Only answers during the load count: statements queued at its end are served by otherwise idle
+    // engines.
     let over = began + scenario.seconds as i64 * SECOND;
     let served = || {
         asked
@@ -57,7 +59,7 @@
     tallies.insert("shed_order_agreed_pct", (mean * 100.0).round() as i64);
 }
 
-/// The rank of each value, those that are alike sharing the mean of theirs.
+/// Returns the rank of each value; equal values share the mean of their ranks.
 fn ranks(values: &[f64]) -> Vec<f64> {
     let rank = |value: &f64| {
         let below = values.iter().filter(|other| *other < value).count();
--- a/crates/lab/src/record/judge/table.rs
+++ b/crates/lab/src/record/judge/table.rs
@@ -5,8 +5,8 @@
 use crate::rig::relay::Relayed;
 use crate::rig::scenario::Scenario;
 
-/// A line a second: statements sent, completed, refused and unanswered; statements relayed into each zone, and of
-/// them those that were lost on the way; probes into each.
+/// Returns a line per second: statements sent, completed, refused and unanswered; for each zone,
+/// statements relayed into it, how many of those were lost on the way, and probes.
 pub(super) fn table(
     scenario: &Scenario,
     began: i64,
--- a/crates/lab/src/record/judge/zones.rs
+++ b/crates/lab/src/record/judge/zones.rs
@@ -1,4 +1,4 @@
-//! How a fleet used a zone that was lost or cut off, and how it came back.
+//! How a fleet used a zone that was lost or cut off, and how the zone returned to use.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,8 @@
 use crate::rig::relay::Relayed;
 use crate::rig::scenario::{Fault, Scenario};
 
-/// How long after its loss a zone was still sent to, how it was probed meanwhile, and how it was used again.
+/// Adds tallies of how long statements were sent to a zone after its loss, how it was probed
+/// meanwhile, and how it was used again.
 pub(super) fn zone_lost(
     scenario: &Scenario,
     account: &Account,
@@ -30,7 +31,8 @@
     raise_to(tallies, "zone_lost_last_sent_ms", last);
     *tallies.entry("zone_lost_sent").or_insert(0) +=
         sent().map(|r| r.statements as i64).sum::<i64>();
-    // Probes while nothing is sent there any more: all of the loss but its first three seconds.
+    // Probes while no statements are sent there any more: the whole loss except its first three
+    // seconds.
     let probed_from = from + 3 * SECOND;
     if to > probed_from + SECOND {
         let probes = account
@@ -74,7 +76,8 @@
         "return_peak_over_bound_pct",
         (back.copied().fold(0.0, f64::max) * 100.0).round() as i64,
     );
-    // What was sent into it in each second until it was warm, against what its engines bore in that second.
+    // Statements sent into the zone in each second until it was warm, relative to the capacity of
+    // its engines in that second.
     let warm = (scenario.engine.warm_ms as i64 * 1000 + SECOND - 1) / SECOND;
     for second in 0..warm {
         let (start, end) = (to + second * SECOND, to + (second + 1) * SECOND);
@@ -92,7 +95,8 @@
     }
 }
 
-/// How long a front that was cut from a zone alone still sent there, and what the others sent meanwhile.
+/// Adds tallies of how long a front that was cut off from a zone still sent there, and what the
+/// other fronts sent meanwhile.
 pub(super) fn link_cut(
     account: &Account,
     (fault, from, to): (&Fault, i64, i64),
@@ -110,7 +114,8 @@
     let last = own().map(|r| r.at).max().map_or(0, |at| (at - from) / 1000);
     raise_to(tallies, "link_cut_last_sent_ms", last);
     *tallies.entry("link_cut_sent").or_insert(0) += own().map(|r| r.statements as i64).sum::<i64>();
-    // The others keep the zone: what they sent there while one front alone was cut off from it.
+    // The other fronts must keep using the zone: what they sent there while only one front was cut
+    // off from it.
     let others = account
         .relayed
         .iter()
@@ -128,7 +133,8 @@
     *tallies.entry("link_cut_others_sent_after").or_insert(0) += after.sum::<i64>();
 }
 
-/// Statements that the engines of a zone bear in a span after their start, in statements of the load's work.
+/// Returns how many statements of the load's duration the engines of a zone can run in a span after
+/// their start.
 pub(super) fn zone_capacity(scenario: &Scenario, from: i64, to: i64) -> f64 {
     const STEP: i64 = 10_000; // microseconds
     let warmth = warmth(scenario);
--- a/crates/lab/src/record/judge_tests.rs
+++ b/crates/lab/src/record/judge_tests.rs
@@ -25,7 +25,8 @@
 #[test]
 fn the_load_into_a_returning_zone_is_held_against_what_it_bore_in_that_second() {
     let scenario = Scenario::parse(TEXT, false, None).unwrap();
-    // Two engines grow from 2 to 8 slots in 2 s, whole slots: 2, 3 and 4 in the first second, ten times a second each.
+    // Two engines grow from 2 to 8 slots in 2 s, in whole slots: 2, 3 and 4 in the first second,
+    // each used ten times a second.
     let first = zone_capacity(&scenario, 0, SECOND);
     assert!((59.0..61.0).contains(&first), "{first}");
     let fault = scenario.faults[0].clone();
--- a/crates/lab/src/record/mod.rs
+++ b/crates/lab/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! The record of a run, the checks of it, each with a file of its own, and what the run came to.
+//! The record of a run, its checks (one file each), and the result of the run.
 
 pub mod account;
 mod attempts;
--- a/crates/lab/src/record/offered.rs
+++ b/crates/lab/src/record/offered.rs
@@ -3,25 +3,25 @@
 use super::starved::Starved;
 use crate::check::StatementRecord;
 
-const MAX_ANSWER_WAIT_US: i64 = 70_000_000; // microseconds; the longest that a client waits for any answer
+const MAX_ANSWER_WAIT_US: i64 = 70_000_000; // the longest that a client waits for any answer
 
-/// A statement with the front it was sent to and its place among the scenario's classes.
+/// A statement with the front it was sent to and the index of its class in the scenario.
 #[derive(Clone, Debug)]
 pub struct Offered {
     pub front: usize,
     pub class: usize,
     pub asked: StatementRecord,
-    /// The rules deny it: a refusal is its right answer.
+    /// The access rules deny it: a rejection is the correct answer.
     pub barred: bool,
-    /// It was asked before, at another front.
+    /// The client sent it to another front before.
     pub is_retry: bool,
-    /// Microseconds for which its client wanted a CPU and had none.
+    /// Microseconds for which the client waited for a CPU.
     pub starved: i64,
 }
 
 impl Offered {
-    /// What it may be lost or late by through no fault of its front: by what was done to the front while it was out,
-    /// and by the CPU that the front and the client wanted and were not given.
+    /// Excuses a loss or a delay that is not the front's fault: faults of the front while the
+    /// statement was in flight, and the time that the front and the client waited for a CPU.
     pub fn excuse(&mut self, disturbed: &[(i64, i64)], starved: &Starved) {
         let StatementRecord { sent, answered, .. } = self.asked;
         self.asked.may_be_lost = disturbed
@@ -34,7 +34,7 @@
     }
 }
 
-/// For the checks' own tests: a completed statement without an order key.
+/// Creates a completed statement without an order key for unit tests.
 #[cfg(test)]
 pub fn offered(id: &str, front: usize, sent: i64) -> Offered {
     let asked = StatementRecord::new(id.into(), sent, 1_000_000, crate::check::Repeat::Idempotent);
--- a/crates/lab/src/record/offered_tests.rs
+++ b/crates/lab/src/record/offered_tests.rs
@@ -22,7 +22,7 @@
     );
     assert!(late(1_500_000, done(), &[], &none) && !late(1_300_000, done(), &[], &none));
     assert!(!late(1_500_000, done(), &[], &busy) && late(1_800_000, done(), &[], &busy));
-    // Another's trouble, or trouble at another time, excuses nothing.
+    // Faults of another front, or at another time, excuse nothing.
     assert!(late(
         1_500_000,
         done(),
--- a/crates/lab/src/record/order.rs
+++ b/crates/lab/src/record/order.rs
@@ -1,5 +1,6 @@
-//! Statements of one order key run one at a time over all fronts, and those of one front in the order in which it
-//! took them. Where the earlier one's front was lost meanwhile, what is broken is a promise that outlives it.
+//! Statements of one order key run one at a time over all fronts, and those of one front in the
+//! order in which it accepted them. If the front of the earlier statement was lost in between, the
+//! violation is counted as a lost ledger entry, which should outlive the front.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,10 +8,10 @@
 use super::executions::Execution;
 use crate::check::Violations;
 
-/// What must lie between two sends to one front for their order to be plain on a busy machine, in microseconds.
+/// Microseconds between two sends to one front that make their order certain on a busy machine.
 const MIN_SEND_GAP_US: i64 = 100_000;
 
-/// `lost`: fronts whose process ended without warning, and when.
+/// Checks all executions; `lost` lists fronts whose process ended without warning, and when.
 pub fn check(wrong: &mut Violations, ran: &[Execution], asked: &[Offered], lost: &[(usize, i64)]) {
     let mut by_key: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
     ran.iter()
@@ -37,7 +38,8 @@
                 );
                 wrong.entry(rule).or_default().push(finding);
             }
-            // Of one front, with nothing between: a lost one's order went with its clients.
+            // Only consecutive executions of one front: the order of a lost front's statements is
+            // lost with its clients.
             let earlier = ran[..n]
                 .iter()
                 .rev()
@@ -46,7 +48,7 @@
             let at = |x: &Execution| sent.get(&(x.id.as_str(), x.front)).copied();
             if let (Some((first, _)), Some((second, starved))) = (at(earlier), at(later)) {
                 let first_run = !ran[..n].iter().any(|x| x.id == later.id);
-                // A client that had no CPU sent it so much later than it meant to.
+                // A client that had no CPU sent the statement later than it intended by this time.
                 if second + MIN_SEND_GAP_US + starved < first && first_run {
                     let finding = format!(
                         "{key}: {} was sent before {}, but ran after it",
--- a/crates/lab/src/record/order_tests.rs
+++ b/crates/lab/src/record/order_tests.rs
@@ -22,9 +22,9 @@
     let both = [first.clone(), ran("b", "k", (1, 1), (99, 200))];
     assert_eq!(found(&both, &[], &[]), ["order"]);
     assert_eq!(found(&both, &[], &[(0, 50)]), ["promise_lost"]);
-    // Lost before it began anything, or after: no excuse.
+    // Lost before it started anything, or afterwards: no excuse.
     assert_eq!(found(&both, &[], &[(0, 150)]), ["order"]);
-    // A third that runs into the first, past one that has ended.
+    // A third statement that overlaps the first, past one that has ended.
     let far = [
         ran("a", "k", (0, 0), (0, 900)),
         ran("b", "k", (1, 1), (950, 960)),
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -1,4 +1,4 @@
-//! All checks of what fronts promise for each other, put to a fleet's record.
+//! All checks of the ledger entries that fronts keep for each other, applied to a fleet's record.
 
 use hallmux_ledger::Setup;
 
@@ -14,11 +14,13 @@
 use super::repeats::Repeats;
 use super::{order, refused, repeats, unpromised};
 
-const SETTLE_US: i64 = 6_000_000; // microseconds of quiet until every shard has an owner: two leases and an election
-const MAX_REFUSAL_DELAY_US: i64 = 1_000_000; // microseconds within which want of a promise is told
-const TOLERATED_REFUSALS: usize = 0; // statements that engines may have turned away
+/// Of quiet until every shard has an owner: two leases and an election.
+const SETTLE_US: i64 = 6_000_000;
+const MAX_REFUSAL_DELAY_US: i64 = 1_000_000; // within which a missing ledger entry is reported
+const TOLERATED_REFUSALS: usize = 0; // statements that engines may have rejected
 
-/// The statement as one of the front that it was asked of: each front is asked for it once.
+/// Returns the record of the statement as one of the front that received it: each front receives it
+/// once.
 pub fn at_its_front(offered: &Offered) -> StatementRecord {
     StatementRecord {
         id: format!("{} at front {}", offered.asked.id, offered.front),
@@ -26,7 +28,7 @@
     }
 }
 
-/// The event as one of the front that sent it, without its order key.
+/// Returns the event as one of the front that sent the statement, without the order key.
 pub fn by_its_front(event: &EngineEvent, account: &Account) -> EngineEvent {
     let mut event = event.clone();
     let front = account
@@ -47,10 +49,10 @@
     event
 }
 
-/// Who could hear whom, from the faults as they were played.
+/// Returns which fronts could reach each other, from the faults as injected.
 pub fn connectivity(scenario: &Scenario, account: &Account) -> Connectivity {
     let fronts = scenario.fleet.fronts;
-    // Until the load began, shards had no owners yet.
+    // Shards had no owners until the load began.
     let mut connectivity = Connectivity {
         fronts,
         disturbed: vec![(0, account.began)],
@@ -79,8 +81,9 @@
     connectivity
 }
 
-/// How long after the end of a cut the last statement was sent that needed a promise and was refused for want of it,
-/// in milliseconds: soon, so not for having waited for its key, and before the next fault began.
+/// Returns how long after the end of a partition the last statement was sent that needed a ledger
+/// entry and was rejected for want of it, in milliseconds. Only quick rejections count, as others
+/// waited for their key, and only those before the next fault.
 fn after_cuts(account: &Account) -> i64 {
     let cuts = account
         .played
@@ -110,7 +113,8 @@
     cuts.map(|(.., end)| last(*end)).max().unwrap_or(0)
 }
 
-/// How long an order key is kept after a statement that may be running on: as agreed, and for the fronts' clocks.
+/// Returns for how many microseconds an order key is kept after a statement that may still be
+/// running: the agreed time plus the allowed clock skew of the fronts.
 fn key_retention(scenario: &Scenario) -> i64 {
     let agreed = settings(scenario)["rules"]["turnGapMs"]
         .as_i64()
@@ -148,7 +152,7 @@
     let runs = |o: &&Offered| !o.is_retry && ran.iter().any(|x| x.id == o.asked.id);
     tallies.insert("promised_runs", keyed().filter(runs).count() as i64);
     let ran_keyed = ran.iter().filter(|x| !x.key.is_empty()).count() as i64;
-    // What needs no promise is never to be delayed by those that others wait for.
+    // Statements that need no ledger entry must not be delayed by those that wait for one.
     let plain = account
         .asked
         .iter()
@@ -176,7 +180,7 @@
         let connectivity = connectivity(scenario, account);
         tallies.insert("refused_after_cut_ms", after_cuts(account));
         let majority = copies / 2 + 1;
-        // Enough of the fleet for every shard's copies to have a majority, whichever fronts they lie on.
+        // Enough fronts for every shard's copies to have a majority, whichever fronts hold them.
         let enough = scenario.fleet.fronts - (copies - majority);
         unpromised::check(
             &mut wrong,
--- a/crates/lab/src/record/refused.rs
+++ b/crates/lab/src/record/refused.rs
@@ -1,5 +1,5 @@
-//! Nothing is refused that needed no refusal: what needs no promise never for want of one, and what needs one not on
-//! a side that has the majority and has had it for long enough to agree.
+//! No statement is rejected without need: one that needs no ledger entry never for want of one, and
+//! one that needs an entry not on a side that has had the majority for long enough to agree.
 
 use std::collections::HashMap;
 
@@ -8,19 +8,20 @@
 use super::unpromised::needs_ledger_entry;
 use crate::check::{Outcome, Violations};
 
-const RESUME_US: i64 = 1_000_000; // microseconds until a front that stood still knows its engines again
+/// Until a front that was stalled knows the state of its engines again.
+const RESUME_US: i64 = 1_000_000;
 
-/// What a majority needs before a refusal has no excuse.
+/// The conditions under which a rejection has no excuse.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// Fronts that have to hear each other.
+    /// Fronts that have to reach each other.
     pub majority: usize,
     /// Microseconds of quiet until every shard has an owner again.
     pub settle_time: i64,
-    /// Microseconds for which a key may be kept from others after a statement that did not complete, as it may
-    /// be running on.
+    /// Microseconds for which a key may be kept after a statement that did not complete, as it may
+    /// still be running.
     pub key_retention: i64,
-    /// Statements that must be refused without an excuse before it counts: engines turn away, too.
+    /// Unexcused rejections that are tolerated, as engines reject statements too.
     pub tolerated: usize,
 }
 
@@ -39,7 +40,7 @@
         let span = (o.asked.sent - terms.settle_time, o.asked.answered);
         let sound = connectivity.min_reachable(o.front, span) >= terms.majority
             && !connectivity.is_disturbed(span);
-        // Whoever waits for a key that others have may be refused for the time that it takes.
+        // A statement that waits for a key in use may be rejected as long as the key is kept.
         let waits = |p: &&Offered| {
             let own = p.asked.id == o.asked.id && p.front == o.front;
             let completed = matches!(p.asked.outcome, Outcome::Completed { .. });
@@ -51,7 +52,8 @@
             || !by_key
                 .get(o.asked.key.as_str())
                 .is_some_and(|all| all.iter().any(waits));
-        // A front that wakes, or had no CPU, turns away by what it holds of its engines, not for want of a promise.
+        // A front that resumes, or had no CPU, rejects by outdated knowledge of its engines, not
+        // for want of a ledger entry.
         let plain = !needs_ledger_entry(o)
             && !connectivity.is_impaired(
                 o.front,
--- a/crates/lab/src/record/refused_tests.rs
+++ b/crates/lab/src/record/refused_tests.rs
@@ -29,7 +29,8 @@
         check(&mut wrong, &[own], (&connectivity, terms));
         !wrong.is_empty()
     };
-    // What needs no promise is refused at a front that was stopped, and without an excuse elsewhere.
+    // A statement that needs no ledger entry is rejected at a stopped front, which is excused, and
+    // elsewhere without an excuse.
     let stopped = Connectivity {
         fronts: 3,
         unavailable: vec![(0, 5_000_000, 6_000_000)],
@@ -46,7 +47,7 @@
         check(&mut wrong, &[own], (&stopped, terms));
         assert_eq!(!wrong.is_empty(), unexcused, "{front} {sent}");
     }
-    // Two of one key at once: either may have had to wait for the other.
+    // Two statements of one key at once: either may have had to wait for the other.
     let both: Vec<Offered> = ["a", "b"]
         .map(|id| offered(id, 1, 6_000_000))
         .into_iter()
--- a/crates/lab/src/record/repeats.rs
+++ b/crates/lab/src/record/repeats.rs
@@ -1,4 +1,5 @@
-//! A non-idempotent statement runs once; a deduplicated one again only inside its group of engines and its window.
+//! A non-idempotent statement runs once; a deduplicated one runs again only inside its
+//! deduplication group and window.
 
 use std::collections::HashMap;
 
@@ -6,16 +7,18 @@
 use super::executions::Execution;
 use crate::check::{Repeat, Violations};
 
-/// What is agreed of one workload's repeats.
+/// The agreement on repeats of one workload.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeats {
-    /// Microseconds for which engines drop a repeat; from the start of the first run here, which is after its send.
+    /// Microseconds for which engines drop a repeat; counted here from the start of the first run,
+    /// which is after its dispatch.
     pub window: i64,
-    /// All engines drop a repeat; otherwise those of its own zone.
+    /// All engines drop a repeat; otherwise only those of the same zone.
     pub all: bool,
 }
 
-/// `lost`: fronts whose process ended without warning, and when. `zone` gives an engine's.
+/// Checks all executions; `lost` lists fronts whose process ended without warning, and when; `zone`
+/// returns the zone of an engine.
 pub fn check(
     wrong: &mut Violations,
     ran: &[Execution],
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -1,5 +1,6 @@
-//! While fronts end one after the other as they are asked to, nothing is refused, lost or aborted for it; and whoever
-//! needs a promise waits for no more than a stated time before an engine begins.
+//! While fronts are shut down one after another, no statement is rejected, lost or aborted because
+//! of it, and a statement that needs a ledger entry waits no longer than a stated time before an
+//! engine starts it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,18 +9,21 @@
 use super::unpromised::needs_ledger_entry;
 use crate::check::{Outcome, Violations};
 
-const MIN_CLIENT_STALL_US: i64 = 300_000; // microseconds without a CPU after which a client may come to a door that was closed meanwhile
+/// Without a CPU, after which a client may connect to a port that was closed meanwhile.
+const MIN_CLIENT_STALL_US: i64 = 300_000;
 
-/// What is to hold.
+/// The limits that must hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// Microseconds from when a statement is sent, or from when its key is free, until an engine begins it.
+    /// Microseconds from the send of a statement, or from when its key is free, until an engine
+    /// starts it.
     pub max_wait: i64,
-    /// Microseconds from when a front is asked to end until its process is gone.
+    /// Microseconds from the request to shut a front down until its process has ended.
     pub max_shutdown: i64,
 }
 
-/// How long each statement that needs a promise waited, and until when: for its front and the ledger, not for its key.
+/// Returns how long each statement that needs a ledger entry waited for its front and the ledger,
+/// but not for its key, and when the wait ended.
 fn waits<'a>(asked: &'a [Offered], ran: &[Execution]) -> Vec<(&'a Offered, i64, i64)> {
     let mut by_key: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
     ran.iter()
@@ -111,7 +115,8 @@
             );
         }
     }
-    // Statements that needed a promise and were out at a front when it was asked to end.
+    // Statements that needed a ledger entry and were in flight at a front when its shutdown was
+    // requested.
     let out = |end: &&crate::rig::member::Shutdown| {
         let out = |o: &Offered| {
             o.front == end.front
--- a/crates/lab/src/record/rolled_tests.rs
+++ b/crates/lab/src/record/rolled_tests.rs
@@ -89,7 +89,8 @@
         found(&account(1_300_000, Outcome::Lost, well.clone())).0,
         ["unanswered_by_a_roll"]
     );
-    // A machine that gave a front no CPU excuses, and an end with an error or one that takes too long does not.
+    // A front without a CPU is excused; a shutdown with an error, or one that takes too long, is
+    // not.
     let mut busy = account(1_700_001, Outcome::Lost, well.clone());
     busy.starved = crate::record::starved::Starved::of(0, (1_000_000, 1_300_000), 250_000);
     assert!(found(&busy).0.is_empty());
--- a/crates/lab/src/record/rows.rs
+++ b/crates/lab/src/record/rows.rs
@@ -1,31 +1,32 @@
-//! A scatter's answer has every row that matches: those held from the first, and those of each load that any front
-//! had acknowledged before the scatter was asked. Rows of a load still out may be there or not; no others may.
+//! A scatter-gather answer has every matching row: those held from the start, and those of each
+//! load that any front had acknowledged before the scatter was sent. Rows of a load still in flight
+//! may be present or not; no other rows may be.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::check::Violations;
 
-/// A row by its site and value, with when it was asked to be there and when a front had acknowledged it.
+/// A row by its site and value, with when its load was sent and when a front had acknowledged it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub site: usize,
     pub value: i64,
     pub asked: i64,
-    /// `i64::MAX` where no front has.
+    /// `i64::MAX` if no front has.
     pub acknowledged: i64,
 }
 
-/// A scatter as its client saw it.
+/// A scattered statement as its client saw it.
 #[derive(Clone, Debug)]
 pub struct Scatter {
     pub id: String,
-    /// What it asks for: values from the first to the second, both inside.
+    /// The requested range of values, both ends inclusive.
     pub between: (i64, i64),
     pub sent: i64,
     pub answered: i64,
-    /// Rows by site and value; nothing where it had no whole answer.
+    /// Rows by site and value; `None` if there was no complete answer.
     pub rows: Option<Vec<(usize, i64)>>,
-    /// Sites that the rules bar, or that the answer names as missing.
+    /// Sites that the access rules bar, or that the answer names as missing.
     pub without: BTreeSet<usize>,
 }
 
--- a/crates/lab/src/record/rows_tests.rs
+++ b/crates/lab/src/record/rows_tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(found(&[(0, 5)], 100, &[]), ["row_missing"]);
     assert!(found(&[(0, 5)], 100, &[1]).is_empty());
     assert_eq!(found(&[(0, 5), (1, 7), (1, 7)], 100, &[]), ["row_too_many"]);
-    // Before the load was asked at all, its row can't be there; one of another range never.
+    // Before its load was sent, a row can't be present; a row of another range never.
     assert_eq!(found(&[(0, 5), (1, 7), (1, 8)], 20, &[]), ["row_too_many"]);
     assert_eq!(
         found(&[(0, 5), (1, 7), (0, 99)], 100, &[]),
--- a/crates/lab/src/record/starved.rs
+++ b/crates/lab/src/record/starved.rs
@@ -1,22 +1,23 @@
-//! How long fronts and the rig itself wanted a CPU and were not given one: what a busy machine takes is no fault of a
-//! front's. A front that is slow by its own work has no share in it.
+//! How long fronts and the rig itself waited for a CPU. A front is not at fault for what a busy
+//! machine delays; a front that is slow by its own work gets no credit here.
 
-const SPAN_US: i64 = 1_000_000; // microseconds of a span that is looked at as one
-/// Microseconds without a CPU in a span that make fronts take each other for silent: less than an owner's election.
+const SPAN_US: i64 = 1_000_000; // of a span that is evaluated as a unit
+/// Microseconds without a CPU in a span after which fronts may take each other for failed: less
+/// than an owner's election.
 const MIN_STARVED_US: i64 = 200_000;
 
-/// Spans in which a front, or the rig itself, wanted a CPU and had none for some time.
+/// Spans in which a front, or the rig itself, waited for a CPU.
 #[derive(Clone, Debug, Default)]
 pub struct Starved(Vec<StarvedSpan>);
 
-/// Times are microseconds since the rig began.
+/// One such span; times are microseconds since the rig began.
 #[derive(Clone, Copy, Debug)]
 pub struct StarvedSpan {
-    /// None is the rig itself.
+    /// `None` is the rig itself.
     pub front: Option<usize>,
     pub from: i64,
     pub to: i64,
-    /// How long of the span there was no CPU.
+    /// Microseconds of waiting within the span.
     pub waited: i64,
 }
 
@@ -53,17 +54,18 @@
         spans.map(|span| span.waited).sum()
     }
 
-    /// Microseconds for which a front had no CPU in a span.
+    /// Returns for how many microseconds a front waited for a CPU in a span.
     pub fn front(&self, front: usize, span: (i64, i64)) -> i64 {
         self.waited(Some(front), span)
     }
 
-    /// The same of the rig, which carries all messages.
+    /// Returns the same for the rig, which carries all messages.
     pub fn rig(&self, span: (i64, i64)) -> i64 {
         self.waited(None, span)
     }
 
-    /// Spans in which some front, or the rig, had none for so long that others could take it for silent.
+    /// Returns the spans in which a front, or the rig, waited so long that others could take it for
+    /// failed.
     pub fn spans(&self) -> Vec<(i64, i64)> {
         let mut by_span = std::collections::BTreeMap::<(i64, Option<usize>), i64>::new();
         for span in &self.0 {
--- a/crates/lab/src/record/unpromised.rs
+++ b/crates/lab/src/record/unpromised.rs
@@ -1,4 +1,5 @@
-//! What needs a promise never begins at a front that has long heard too few others for one to stand.
+//! A statement that needs a ledger entry never starts at a front that has long reached too few
+//! others to replicate one.
 
 use std::collections::HashMap;
 
@@ -8,15 +9,15 @@
 use super::starved::Starved;
 use crate::check::{Repeat, Violations};
 
-/// Microseconds from a cut until what left before it has come to its engine.
+/// Microseconds from a partition until everything sent before has arrived at its engine.
 const MAX_TRANSIT_US: i64 = 300_000;
 
-/// Whether a statement of this record depends on a promise.
+/// Returns whether a statement of this record depends on a ledger entry.
 pub fn needs_ledger_entry(offered: &Offered) -> bool {
     !offered.asked.key.is_empty() || offered.asked.repeat != Repeat::Idempotent
 }
 
-/// `quorum`: the fronts that a promise has to stand on.
+/// Checks all executions; `quorum` is the number of fronts on which an entry must be replicated.
 pub fn check(
     wrong: &mut Violations,
     ran: &[Execution],
@@ -32,7 +33,8 @@
         let Some(offered) = known.get(&(x.id.as_str(), x.front)) else {
             continue;
         };
-        // All the time from its being taken, or from well before it began, it heard too few.
+        // From its acceptance, or from well before its start, the front reached too few others all
+        // the time.
         let busy = (x.from - MAX_TRANSIT_US, x.from);
         let way = MAX_TRANSIT_US + starved.front(x.front, busy) + starved.rig(busy);
         let since = offered.asked.sent.max(x.from - way);
--- a/crates/lab/src/record/unpromised_tests.rs
+++ b/crates/lab/src/record/unpromised_tests.rs
@@ -32,6 +32,6 @@
     };
     assert!(found("k", 0, 2_000_000) && !found("", 0, 2_000_000));
     assert!(!found("k", 1, 2_000_000) && !found("k", 0, 500_000));
-    // Taken just before the cut: it may have been promised by then.
+    // Accepted just before the partition: its ledger entry may have been replicated by then.
     assert!(!found("k", 0, 995_000));
 }
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -1,4 +1,5 @@
-//! Sessions byte by byte: what no library does, and what some do at the wrong moment.
+//! Sessions scripted byte by byte: sequences that client libraries never produce, or only at other
+//! times.
 
 pub mod session;
 
@@ -15,12 +16,12 @@
 use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
 use crate::prove::postgres::notes::Notes;
 
-/// Plays scripts in a drawn order until the run ends.
+/// Plays scripts, starting with a drawn one, until the run ends.
 pub fn play(seed: u64, at: SocketAddr, notes: &Arc<Notes>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut next_script = rng.random_range(0..SCRIPTS.len());
     while !notes.over() {
-        // One that an engine's fault ends early has written down what it owed.
+        // A script that an engine's fault ends early has already recorded its statements.
         let _ = SCRIPTS[next_script % SCRIPTS.len()](at, &mut rng, notes);
         next_script += 1;
         std::thread::sleep(Duration::from_millis(rng.random_range(0..20)));
@@ -57,7 +58,7 @@
     });
 }
 
-/// Says that what came was not what had to come.
+/// Records that the front's answer was not the required one.
 fn record_mismatch(notes: &Notes, asked: StatementRecord, what: &str) {
     record_outcome(
         notes,
@@ -69,7 +70,8 @@
     );
 }
 
-/// Prepares, binds twice, closes the first in the middle of its rows, and has the second whole.
+/// Prepares a statement, binds it twice, closes the first portal in the middle of its rows, and
+/// reads the second one completely.
 fn binds_twice(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", true)?;
     for _ in 0..5 {
@@ -105,7 +107,8 @@
     Ok(())
 }
 
-/// Goes away while a statement runs: nothing is owed, and nothing is left behind for others.
+/// Disconnects while a statement runs: no answer is due, and nothing must be left behind for other
+/// sessions.
 fn disconnects(at: SocketAddr, rng: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     let in_transaction = rng.random_bool(0.5);
@@ -133,8 +136,8 @@
     s.stream.shutdown(Shutdown::Both)
 }
 
-/// Asks for the end of statements, at once, in the middle and just past their end. When the front has taken
-/// the request, whatever the session asks next is untouched by it.
+/// Cancels statements immediately, in the middle, and just after their end. Once the front has
+/// accepted the cancel request, the next statement of the session must not be affected by it.
 fn cancels(at: SocketAddr, rng: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     for n in 0..8 {
@@ -161,7 +164,7 @@
             |unit| outcome_of(&unit, &asked.id),
         );
         let failed = !matches!(first, Outcome::Completed { .. });
-        // What is rolled back is not to last.
+        // A statement that is rolled back must not have a lasting effect.
         let transaction = in_transaction.then_some(usize::MAX);
         record_outcome(
             notes,
@@ -193,7 +196,8 @@
     Ok(())
 }
 
-/// Three units at once, the second of which fails: the others are as if it were not there.
+/// Sends three units at once, of which the second fails; the others must be answered as if it were
+/// not there.
 fn pipelines_units(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     s.parse("s", "select run($1)");
@@ -219,7 +223,7 @@
                 &format!("id={},rows={},ms=1,fail={fail}", unit.id, unit.rows),
             );
             s.execute("", 0);
-            // Behind the failing step nothing of its unit runs.
+            // After the failing step, nothing of its unit may run.
             if !fail.is_empty() {
                 s.bind("", "s", &format!("id={}-never,rows=1", unit.id));
                 s.execute("", 0);
@@ -243,11 +247,12 @@
     Ok(())
 }
 
-/// Takes its rows one by one with pauses: the engine waits with it, and nobody else does.
+/// Reads its rows one by one with pauses: the engine waits for this session, and no other session
+/// does.
 fn reads_slowly(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     let rows = 3000;
-    // Within a row nothing can be said: an engine that ends there ends the connection.
+    // An engine that is lost within a row ends the connection, as no error can be sent there.
     let asked = StatementRecord {
         may_be_lost: true,
         ..new_record(notes, rows)
@@ -281,7 +286,7 @@
     Ok(())
 }
 
-/// Asks for what has come so far before it sends the Sync.
+/// Requests the answers so far with Flush before it sends Sync.
 fn flushes_before_sync(
     at: SocketAddr,
     rng: &mut Pcg64Mcg,
@@ -322,7 +327,8 @@
     Ok(())
 }
 
-/// What can't be done here is refused before anything runs, and the session lives on.
+/// Sends requests that the front does not support: each must be rejected before anything runs, and
+/// the session must stay usable.
 fn sends_unsupported_requests(
     at: SocketAddr,
     _: &mut Pcg64Mcg,
@@ -357,7 +363,7 @@
     s.sync();
     s.send()?;
     let unit = s.unit()?;
-    // Where no engine can be had the answer is another one.
+    // If no engine is available, the answer is a different error.
     if tags(&unit) != "EZ" || !["26000", "53000"].contains(&code(&unit[0]).as_str()) {
         record_mismatch(
             notes,
@@ -382,7 +388,8 @@
     Ok(())
 }
 
-/// Bytes that are no session: the connection ends, soon and alone.
+/// Sends bytes that are not a valid session: the front must close this connection soon, and no
+/// other.
 fn sends_invalid_bytes(
     at: SocketAddr,
     rng: &mut Pcg64Mcg,
@@ -409,7 +416,7 @@
             _ => break,
         }
     }
-    // One that is in, and then sends a length that can't be.
+    // A session that is open and then sends an impossible message length.
     let mut s = Session::open(at, "portal", false)?;
     s.out.extend_from_slice(b"Q\x7f\xff\xff\xff");
     s.send()?;
@@ -425,7 +432,7 @@
     }
 }
 
-/// A session with an open transaction, for the end of a front.
+/// A session with an open transaction, used when a front is shut down.
 pub struct OpenTransaction(Session);
 
 /// Opens transactions that their clients never end.
@@ -451,7 +458,8 @@
 }
 
 impl OpenTransaction {
-    /// Whether the front said that it ends before it did.
+    /// Returns whether the front announced its shutdown (SQLSTATE 57P01) before the connection
+    /// ended.
     pub fn was_notified(mut self) -> bool {
         loop {
             match self.0.read() {
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -1,4 +1,5 @@
-//! A session over a socket: messages out, messages in, what they come to.
+//! A PostgreSQL session over a socket: sends messages, reads messages, and derives the outcome of a
+//! statement.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +9,8 @@
 
 use crate::check::{Outcome, StatementRecord};
 
-pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(8); // for one message: longer than any statement may take
+/// For one message; longer than any statement may take.
+pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Session {
     pub fn open(at: SocketAddr, user: &str, requests_encryption: bool) -> std::io::Result<Session> {
@@ -43,7 +45,7 @@
         Ok(())
     }
 
-    /// The next message but notices and parameters.
+    /// Reads the next message, skipping notices and parameter reports.
     pub fn read(&mut self) -> std::io::Result<Message> {
         loop {
             let complete = wire::message(&self.input, 1 << 24).map_err(std::io::Error::other)?;
@@ -63,7 +65,7 @@
         }
     }
 
-    /// All up to the end of the unit.
+    /// Reads all messages up to the end of the unit.
     pub fn unit(&mut self) -> std::io::Result<Vec<Message>> {
         let mut all = Vec::new();
         loop {
@@ -84,7 +86,7 @@
         self.unit().map(|_| ())
     }
 
-    /// Runs a prepared statement; an error unless it completes.
+    /// Runs a prepared statement; returns an error unless it completes.
     pub fn ask(&mut self, statement: &str, value: &str) -> std::io::Result<()> {
         self.bind("", statement, value);
         self.execute("", 0);
@@ -133,7 +135,8 @@
         self.out.extend_from_slice(wire::SYNC);
     }
 
-    /// Asks for the end of what is out; returns when the front has taken the request.
+    /// Requests the cancellation of the running statement; returns when the front has accepted the
+    /// request.
     pub fn cancel(&self, at: SocketAddr) -> std::io::Result<()> {
         let mut cancel = TcpStream::connect(at)?;
         cancel.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
@@ -145,7 +148,7 @@
         let mut packet = Vec::new();
         wire::write_cancel(&mut packet, wire::CancelKey { process, secret });
         cancel.write_all(&packet)?;
-        // As the servers do, the front ends the connection then.
+        // The front then closes the connection, as PostgreSQL servers do.
         let _ = cancel.read(&mut [0]);
         Ok(())
     }
@@ -155,12 +158,12 @@
     }
 }
 
-/// A session over a socket.
+/// A PostgreSQL session over a socket.
 pub struct Session {
     pub(super) stream: TcpStream,
     pub(super) input: Vec<u8>,
     pub(super) out: Vec<u8>,
-    /// What a request to cancel has to tell.
+    /// The process number and secret for a cancel request.
     pub(super) key: [u8; 8],
 }
 
@@ -174,7 +177,7 @@
     messages.iter().map(|(tag, _)| *tag as char).collect()
 }
 
-/// Whether a row is the statement's own, the one that is due.
+/// Returns whether a row belongs to the statement and is its `n`th row.
 fn is_row(message: &Message, id: &str, n: usize) -> bool {
     let prefix = format!("{id}:{n}:");
     message
@@ -183,7 +186,7 @@
         .is_some_and(|text| text.starts_with(prefix.as_bytes()))
 }
 
-/// What the messages of one statement come to.
+/// Derives the outcome of a statement from the messages of its answer.
 pub(super) fn outcome_of(messages: &[Message], id: &str) -> Outcome {
     if let Some(error) = messages.iter().find(|m| m.0 == b'E') {
         return Outcome::Error(code(error));
@@ -202,7 +205,8 @@
     }
 }
 
-/// A session of its own with one simple query on its way, all of which has left.
+/// Opens a session and sends one simple query; all of its bytes are written when this function
+/// returns.
 pub fn open_with_query(at: SocketAddr, text: &str) -> std::io::Result<Session> {
     let mut session = Session::open(at, "portal", false)?;
     session.query(text);
@@ -210,7 +214,7 @@
     Ok(session)
 }
 
-/// What the simple query that is on its way comes to.
+/// Waits for the outcome of the simple query that was sent.
 pub fn answer(session: &mut Session, asked: &StatementRecord) -> Outcome {
     session.unit().map_or_else(
         |e| outcome_of_error(&e),
@@ -218,15 +222,15 @@
     )
 }
 
-/// A round trip with the front: it has taken all that had left for it before, as it takes what it finds in the order
-/// in which that came.
+/// Makes a round trip to the front. The front reads its input in the order of arrival, so it has
+/// accepted everything sent to it before.
 pub fn round_trip(at: SocketAddr) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(at)?;
     stream.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
     expect_refused_encryption(&mut stream)
 }
 
-/// Asks for encryption, which is not to be had.
+/// Requests encryption, which the server must refuse.
 fn expect_refused_encryption(stream: &mut TcpStream) -> std::io::Result<()> {
     stream.write_all(b"\0\0\0\x08\x04\xd2\x16\x2f")?;
     let mut no = [0];
--- a/crates/lab/src/session_cases/engines.rs
+++ b/crates/lab/src/session_cases/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that drain, die, hang, refuse, or are replaced.
+//! Engines that drain, die, hang, reject, or are replaced.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
@@ -35,7 +35,7 @@
             );
             assert_eq!(ask(&mut s, "COMMIT"), ("CZ".into(), String::new(), 'I'));
         } else if first == "COMMIT" {
-            // It has not come to pass, and is not to seem so.
+            // The commit has not taken effect and must not seem to.
             assert_eq!(ask(&mut s, "COMMIT"), ("EZ".into(), "40001".into(), 'I'));
         } else {
             assert_eq!(ask(&mut s, "ROLLBACK"), ("CZ".into(), String::new(), 'I'));
@@ -49,7 +49,7 @@
 
 #[test]
 fn an_engine_dies_during_commit() {
-    // After it took effect, and before.
+    // The commit is lost after it took effect, and before.
     for (lost, kept) in [(1, true), (2, false)] {
         let stage = stage(1, LIMITS);
         let mut s = stage.open();
@@ -93,7 +93,7 @@
 fn a_long_statement_is_waited_for_and_a_hung_engine_is_not() {
     let stage = stage(2, LIMITS);
     let mut s = stage.open();
-    // Nothing else is out, and nothing is known of how long such statements take.
+    // Nothing else is in flight, and the duration of such statements is unknown.
     let long = format!("/*hallmux.workload='pay'*/ {}", run("long", ",ms=2500"));
     assert_eq!(ask(&mut s, &long).0, "TDCZ");
     assert_eq!(stage.began("long").len(), 1);
@@ -102,7 +102,8 @@
     hung.faults
         .stalled_until
         .store((stage.records.now() + 30_000_000) as u64, SeqCst);
-    // Some of these land there; each is tried elsewhere, long before its time is up.
+    // Some of these are sent to the hung engine; each is retried elsewhere, long before its
+    // deadline.
     for n in 0..6 {
         let since = Instant::now();
         assert_eq!(ask(&mut s, &run(&format!("h{n}"), "")).0, "TDCZ");
@@ -125,7 +126,7 @@
     for n in (0..20).map(|n| n * 3 % 5) {
         s.ask(&format!("s{n}"), &format!("id=x{n},rows=1")).unwrap();
     }
-    // All in one unit, and one of them fails in the middle.
+    // All in one unit, once without and once with a failure in the middle.
     for fails in ["", "23505"] {
         for n in 0..5 {
             let fail = if n == 2 { fails } else { "" };
@@ -180,7 +181,7 @@
             .collect::<String>()
     };
     let secret = |n: usize| [n as u8 + 1; 32];
-    // Two that know each other, and a third that both do not know.
+    // Two fronts that know each other, and a third that neither knows.
     let keys: Vec<String> = (0..2)
         .map(|n| hex(&hallmux_gossip::seal::Identity::new(&secret(n), 0).public_key()))
         .collect();
@@ -198,7 +199,8 @@
         seeds = format!("'{}'", line.rsplit(' ').next().unwrap());
         stages.push(stage);
     }
-    // The second hears of the first's engine, the first of the second's; the third is read_answer by nobody.
+    // The second learns of the first's engine, and the first of the second's; nobody accepts
+    // reports of the third.
     for (n, stage) in stages.iter().enumerate().take(2) {
         let mut s = stage.open();
         stage.engines[0].crash();
--- a/crates/lab/src/session_cases/keys.rs
+++ b/crates/lab/src/session_cases/keys.rs
@@ -1,4 +1,4 @@
-//! Order keys across protocols, turns and transactions.
+//! Order keys across protocols, loop iterations and transactions.
 
 use nix::sys::signal::Signal;
 
@@ -55,7 +55,7 @@
         let mut other = stage.open();
         other.query(&format!("{}{}", load(2), run("b", ",key=k")));
         other.send().unwrap();
-        // Its own further statement goes ahead of the one that waits.
+        // A further statement of the same transaction runs before the one that waits.
         assert_eq!(
             ask(&mut s, &format!("{}{}", load(3), run("c", ",key=k,ms=50"))).0,
             "TDCZ"
@@ -75,18 +75,20 @@
     }
 }
 
-/// A front that had no CPU for a while finds in one turn what came one after the other: it takes it in that order,
-/// whatever the protocol and whether the connection is new.
+/// A front that had no CPU for a while finds several arrivals in one iteration of its loop. It
+/// accepts them in the order of arrival, whatever the protocol and whether or not the connection is
+/// new.
 #[test]
 fn what_is_found_in_one_turn_is_taken_in_the_order_in_which_it_came() {
     const LABEL: &str = "/*hallmux.workload='load',hallmux.key='k',hallmux.dedup_key='d";
     let stage = stage(1, LIMITS);
     for round in 0..4 {
-        // Each of both protocols first once, over connections that are open; then over one that comes with it.
+        // Each protocol is first once over open connections, and once with a new line-protocol
+        // connection.
         let (lines_first, new) = (round % 2 == 0, round / 2 == 1);
         let mut client = (!new).then(|| lines::Client::open(stage.front.lines).unwrap());
         let mut sessions: Vec<Session> = (0..2).map(|_| stage.open()).collect();
-        // Served before, so that none of them is new to the front.
+        // Each session is served once before, so that none of them is new to the front.
         sessions
             .iter_mut()
             .for_each(|s| assert_eq!(ask(s, &run("before", "")).0, "TDCZ"));
--- a/crates/lab/src/session_cases/mod.rs
+++ b/crates/lab/src/session_cases/mod.rs
@@ -1,4 +1,4 @@
-//! Cases of PostgreSQL sessions, one by one: each test causes the very thing it is named after.
+//! Tests of PostgreSQL sessions: each test causes the one situation in its name.
 
 mod engines;
 mod keys;
--- a/crates/lab/src/session_cases/sessions.rs
+++ b/crates/lab/src/session_cases/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions that cancel, pipeline, read slowly, leave, stand idle, or are too many.
+//! Sessions that cancel, pipeline, read slowly, disconnect, are idle, or are too many.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
     assert_eq!(ask(&mut s, &run("a", "")).0, "TDCZ");
     s.cancel(stage.front.sessions).unwrap();
     assert_eq!(ask(&mut s, &run("b", ",ms=50")).0, "TDCZ");
-    // And one that meets its statement ends it alone.
+    // A cancel request that arrives in time ends only its statement.
     for within in [false, true] {
         if within {
             ask(&mut s, "BEGIN");
@@ -90,10 +90,10 @@
             assert_eq!(ask(&mut other, &run(&format!("o{row}"), "")).0, "TDCZ");
         }
     }
-    // Forty megabytes wait on the engine, not here.
+    // The forty megabytes wait on the engine, not in the front.
     let grown = stage.front.memory_kb().saturating_sub(before);
     assert!(grown < 8_192, "{grown} kB");
-    // Within its time it has all of them.
+    // All rows arrive within the statement's deadline.
     let mut rows = 3;
     loop {
         match slow.read().unwrap().0 {
@@ -186,7 +186,7 @@
         "start_up_ms: 400, statements: 2, portals: 2, message_bytes: 4096",
         64,
     );
-    // Half of the descriptors are clients'. These say nothing, and are closed.
+    // Half of the descriptors are for clients. These connections send nothing and are closed.
     let silent: Vec<_> = (0..32)
         .map(|_| std::net::TcpStream::connect(stage.front.sessions).unwrap())
         .collect();
@@ -195,9 +195,9 @@
     assert_eq!(ask(&mut first, &run("a", "")).0, "TDCZ");
     let mut busy = stage.open();
     assert_eq!(ask(&mut busy, "BEGIN").2, 'T');
-    std::thread::sleep(Duration::from_millis(1200)); // until both rest
+    std::thread::sleep(Duration::from_millis(1200)); // until both are idle
     let mut others: Vec<Session> = (0..31).map(|_| stage.open()).collect();
-    // The one that rested went, the one with a transaction did not.
+    // The idle session was closed; the one with an open transaction was not.
     assert_eq!(code(&first.read().unwrap()), "57P01");
     assert_eq!(ask(&mut busy, &run("b", "")).0, "TDCZ");
     let mut s = others.remove(0);
@@ -229,12 +229,13 @@
         for rows in [1_000, 3_000, 8_000, 16_000] {
             s.query(&format!("select run('id=a,rows={rows},bytes=1000')"));
             s.send().unwrap();
-            // So that the engine has sent all it can, and nothing more comes from it that would wake the front.
+            // By now the engine has sent all it can, and no further input from it would wake the
+            // front.
             std::thread::sleep(Duration::from_millis(150));
             let had = s.unit().unwrap().iter().filter(|m| m.0 == b'D').count();
             assert_eq!(had, rows, "{buffer}");
         }
-        // And a unit of the largest size, sent in one go.
+        // A unit of the largest size, sent at once.
         let long = format!("select run('id=b,rows=1') /* {} */", "x".repeat(1_000_000));
         assert_eq!(ask(&mut s, &long).0, "TDCZ", "{buffer}");
     }
--- a/crates/lab/src/session_cases/stage.rs
+++ b/crates/lab/src/session_cases/stage.rs
@@ -1,4 +1,4 @@
-//! The setup of a session case: a front among engines, and how it is asked.
+//! The setup of a session test: a front with its engines, and helpers to query it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,7 +10,8 @@
 use crate::rig::{Coordinator, Front};
 use crate::scripted::session::{code, tags, Session};
 
-pub(super) const WAIT_LIMIT: Duration = Duration::from_secs(10); // for one thing to come about; a busy machine takes some
+/// For one condition; a busy machine needs part of it.
+pub(super) const WAIT_LIMIT: Duration = Duration::from_secs(10);
 pub(super) const LIMITS: &str = "transaction_idle_ms: 3000, buffer_bytes: 32768";
 
 impl Stage {
@@ -34,7 +35,7 @@
             .collect()
     }
 
-    /// Where a statement began, in order.
+    /// Returns the engine and link number of each start of a statement, in order.
     pub(super) fn began(&self, wanted: &str) -> Vec<(usize, u32)> {
         let own = |(engine, link, kind): (usize, u32, EngineEventKind)| match kind {
             EngineEventKind::Began { id, .. } if id == wanted => Some((engine, link)),
@@ -49,7 +50,7 @@
             .any(|(_, _, kind)| *kind == EngineEventKind::Kept { id: wanted.into() })
     }
 
-    /// The engine that has the only transaction that is open.
+    /// Returns the engine that first started the statement.
     pub(super) fn holder(&self, id: &str) -> usize {
         self.began(id)[0].0
     }
@@ -62,7 +63,7 @@
     pub(super) front: Front,
 }
 
-/// A front among so many engines, and one that speaks lines.
+/// Starts a front with `count` PostgreSQL engines and one that speaks the line protocol.
 pub(super) fn stage(count: usize, limits: &str) -> Stage {
     stage_with_sockets(count, limits, 1024)
 }
@@ -71,7 +72,7 @@
     stage_with_config(count, limits, sockets, "")
 }
 
-/// The same with a further part of the operator's file.
+/// Like `stage_with_sockets`, with a further part of the operator's file.
 pub(super) fn stage_with_config(count: usize, limits: &str, sockets: usize, part: &str) -> Stage {
     let records = Records::new();
     let engines: Vec<_> = (0..count)
@@ -94,7 +95,7 @@
         "bounds": {"cancelling": true, "mostTries": 3, "retryAfter": true},
         "extra": {"sizeCores": [8, 8], "memoryByKindMb": [16384, 16384]},
         "requestClasses": [class("lookup", "repeatable"), load, class("pay", "once")]});
-    // For the password 'example'.
+    // Verifier for the password 'example'.
     let verifier = postgres_protocol::password::scram_sha_256(b"example");
     let operator = format!(
         "{{ {part} postgres: {{ listen: '127.0.0.1:0', engines: [{{ kinds: ['pg'] }}],
@@ -119,7 +120,8 @@
     }
 }
 
-/// The tags of one simple query's answer, the code of its error, and the status behind it.
+/// Sends a simple query and returns the tags of its answer, its error code, and the transaction
+/// status after it.
 pub(super) fn ask(s: &mut Session, text: &str) -> (String, String, char) {
     s.query(text);
     s.send().unwrap();
@@ -144,7 +146,7 @@
     format!("select run('id={id},rows=1{more}')")
 }
 
-/// Whether its process is stopped, as the system has it.
+/// Returns whether the front's process is stopped, according to the system.
 pub(super) fn is_stopped(front: &Front) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", front.pid())).unwrap_or_default();
     stat.rsplit(") ")
