--- a/crates/lab/src/check/waits_tests.rs
+++ b/crates/lab/src/check/waits_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn only_what_was_waited_meanwhile_counts_and_no_more_than_a_second() {
+fn waits_count_only_within_the_span_and_up_to_a_second() {
     let waited = ProcessorWaits {
         samples: vec![(0, 0), (10, 0), (20, 300), (30, 300), (40, 2_000_300)],
     };
--- a/crates/lab/src/check_tests.rs
+++ b/crates/lab/src/check_tests.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn an_answer_is_late_but_for_what_the_machine_let_it_wait() {
+fn a_late_answer_is_excused_only_by_cpu_waits_after_it_was_due() {
     let ends = 1_100_000; // the timeout and the slack
     let samples = vec![
         (0, 0),
--- a/crates/lab/src/engine/lines_tests.rs
+++ b/crates/lab/src/engine/lines_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_cold_engine_turns_away_what_it_does_not_bear_yet() {
+fn a_cold_engine_rejects_statements_beyond_its_capacity() {
     let warmth = Warmth {
         cold: 1,
         warm: 8,
--- a/crates/lab/src/engine/portal_tests.rs
+++ b/crates/lab/src/engine/portal_tests.rs
@@ -8,7 +8,7 @@
 const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
 #[test]
-fn what_is_reset_or_cancelled_is_over_in_the_record_before_anyone_hears_of_it() {
+fn the_end_of_a_reset_or_cancelled_statement_is_recorded_before_it_is_visible() {
     let engine = Engine::start(0, Records::new(), true).unwrap();
     let is_recorded = |kind: EngineEventKind| {
         engine
--- a/crates/lab/src/engine/record_tests.rs
+++ b/crates/lab/src/engine/record_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn two_connections_from_one_port_to_two_engines_are_of_their_own_fronts() {
+fn connections_from_one_port_to_two_engines_belong_to_separate_fronts() {
     let (records, at) = (Records::new(), |port: u16| {
         SocketAddr::from(([127, 0, 0, 1], port))
     });
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_front_dies_at_its_own_step_of_a_statement_that_came_since() {
+fn a_front_is_killed_only_at_its_step_of_a_statement_received_since() {
     let records = Records::new();
     let mut child = std::process::Command::new("sleep")
         .arg("60")
--- a/crates/lab/src/engine/wire_events_tests.rs
+++ b/crates/lab/src/engine/wire_events_tests.rs
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn what_engines_answer_is_kept_with_its_id() {
+fn answers_of_engines_are_recorded_with_their_id() {
     let bytes = "2b ACK batches=1,stats=inflight:3 7\r\ns1\t-\t-\n\r\n3c AGAIN stats=inflight:9 0\r\n\r\np1 READY - 0\r\n\r\n";
     assert_eq!(taken(&[bytes]), verbs(&[("ACK", "2b"), ("AGAIN", "3c")]));
 }
 
 #[test]
-fn bytes_without_a_line_are_not_kept_for_ever() {
+fn bytes_without_a_line_end_are_not_kept_for_ever() {
     let mut lines = Lines::default();
     for _ in 0..64 {
         assert!(lines.take(&[b'x'; 4096]).is_empty());
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_statement_that_ran_twice_at_once_is_named_with_each_attempt_in_the_order_of_time() {
+fn a_statement_that_ran_twice_at_once_is_reported_with_its_history_in_order_of_time() {
     let scenario = Scenario::parse(TEXT, false, None).unwrap();
     let run = judge(&scenario, &account(), Vec::new());
     let rules: Vec<_> = run
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn what_was_lost_on_the_way_is_told_as_lost() {
+fn a_message_dropped_by_the_relay_is_reported_as_lost() {
     let mut account = account();
     let WireEventKind::Line { passed, .. } = &mut account.wire_events[0].kind else {
         panic!()
--- a/crates/lab/src/record/barred_tests.rs
+++ b/crates/lab/src/record/barred_tests.rs
@@ -5,7 +5,7 @@
 use crate::record::executions::ran;
 
 #[test]
-fn a_read_in_a_barred_zone_after_in_force_is_found() {
+fn a_read_in_a_barred_zone_is_reported_while_the_rule_is_in_force() {
     let bar = BarredZone {
         class: Some(0),
         zone: 1,
--- a/crates/lab/src/record/budget_tests.rs
+++ b/crates/lab/src/record/budget_tests.rs
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn further_executions_beyond_the_budget_of_a_window_are_found() {
+fn retries_beyond_the_budget_of_a_window_are_reported() {
     // Two of two statements are within 1.15 * (1 + 0.2) + 1, three of three are not.
     assert!(!is_found(2, &[]));
     assert!(is_found(3, &[]));
 }
 
 #[test]
-fn a_front_that_was_started_anew_has_its_budget_anew_and_others_have_not() {
+fn a_restart_renews_the_retry_budget_of_that_front_only() {
     assert!(!is_found(4, &[(0, 180_000)]));
     assert!(is_found(4, &[(1, 180_000)]));
 }
--- a/crates/lab/src/record/cuts_tests.rs
+++ b/crates/lab/src/record/cuts_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_front_hears_its_own_group_less_those_away() {
+fn a_front_reaches_its_group_except_unavailable_fronts() {
     let cuts = vec![Partition {
         from: 10,
         to: 20,
--- a/crates/lab/src/record/executions_tests.rs
+++ b/crates/lab/src/record/executions_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_start_and_its_end_are_one_execution_also_where_the_statement_ran_twice() {
+fn start_and_end_form_one_execution_even_if_the_statement_ran_twice() {
     let event = |at, link, kind| EngineEvent {
         at,
         engine: 3,
--- a/crates/lab/src/record/given_up_tests.rs
+++ b/crates/lab/src/record/given_up_tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_was_given_up_before_the_next_was_sent_is_out_no_more() {
+fn an_attempt_cancelled_before_the_next_is_no_longer_in_flight() {
     assert!(!broken(|_| {}), "its connection was closed");
     assert!(!broken(
         |a| a.wire_events[3] = line(30_000, (1, 501), ("never_mind", "0007"))
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_was_not_given_up_or_only_later_is_found_whatever_the_machine() {
+fn an_attempt_not_cancelled_in_time_is_reported_even_on_a_starved_rig() {
     assert!(
         broken(|a| _ = a.wire_events.remove(3)),
         "nothing was given up"
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_front_that_sends_the_next_at_once_is_excused_by_nothing_but_a_rig_without_a_cpu() {
+fn an_immediate_next_attempt_is_excused_only_by_a_starved_rig() {
     assert!(broken(|a| a.wire_events[3].at = 38_000));
     assert!(!broken(|a| (a.wire_events[3].at = 38_000, starved(a)).1));
     let long_before =
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_was_given_up_before_its_late_engine_read_it_was_never_out() {
+fn an_attempt_cancelled_before_its_engine_read_it_was_never_in_flight() {
     // The relay reads the statement and its cancellation together, when the next attempt already
     // runs elsewhere.
     let stuck = |a: &mut Account| {
--- a/crates/lab/src/record/herd_tests.rs
+++ b/crates/lab/src/record/herd_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_most_within_a_second_is_found_wherever_that_begins() {
+fn the_maximum_per_second_does_not_depend_on_second_boundaries() {
     assert_eq!(max_in_a_second(vec![]), 0);
     assert_eq!(
         max_in_a_second(vec![0, 900_000, 1_100_000, 1_800_000, 2_500_000]),
--- a/crates/lab/src/record/hits_tests.rs
+++ b/crates/lab/src/record/hits_tests.rs
@@ -4,7 +4,7 @@
 use crate::record::account::offered;
 
 #[test]
-fn a_hit_lost_and_a_hit_doubled_are_found() {
+fn lost_and_doubled_hits_are_reported() {
     let mut all = [offered("a", 0, 0), offered("b", 0, 0), offered("c", 0, 0)];
     all[2].asked.outcome = Outcome::Lost;
     let found = |counted: i64| {
--- a/crates/lab/src/record/judge/shedding_tests.rs
+++ b/crates/lab/src/record/judge/shedding_tests.rs
@@ -3,7 +3,7 @@
 use super::{correlation, ranks};
 
 #[test]
-fn the_order_that_fronts_shed_in_is_held_against_the_fleets() {
+fn the_shedding_order_of_a_front_is_correlated_with_the_fleets() {
     assert_eq!(ranks(&[0.5, 0.1, 0.5, 0.9]), [1.5, 0.0, 1.5, 3.0]);
     let (one, same, turned) = (
         ranks(&[0.1, 0.2, 0.3]),
--- a/crates/lab/src/record/judge_tests.rs
+++ b/crates/lab/src/record/judge_tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_load_into_a_returning_zone_is_held_against_what_it_bore_in_that_second() {
+fn the_load_into_a_returning_zone_is_compared_with_its_capacity_in_that_second() {
     let scenario = Scenario::parse(TEXT, false, None).unwrap();
     // Two engines grow from 2 to 8 slots in 2 s, in whole slots: 2, 3 and 4 in the first second,
     // each used ten times a second.
--- a/crates/lab/src/record/offered_tests.rs
+++ b/crates/lab/src/record/offered_tests.rs
@@ -4,7 +4,7 @@
 use crate::check::{self, Agreement, Outcome};
 
 #[test]
-fn a_late_or_lost_answer_is_excused_by_what_was_done_to_its_front_and_by_no_more_than_it_waited() {
+fn a_late_or_lost_answer_is_excused_only_by_faults_and_cpu_waits_of_its_front() {
     let late = |answered: i64, outcome: Outcome, disturbed: &[(i64, i64)], starved: &Starved| {
         let mut own = offered("a", 1, 0);
         (own.asked.answered, own.asked.outcome) = (answered, outcome);
--- a/crates/lab/src/record/order_tests.rs
+++ b/crates/lab/src/record/order_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn two_fronts_with_one_key_at_once_are_found_and_one_after_the_other_are_not() {
+fn overlapping_executions_of_one_key_on_two_fronts_are_reported() {
     let first = ran("a", "k", (0, 0), (0, 100));
     let clean = [
         first.clone(),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_one_front_took_in_order_runs_in_order() {
+fn statements_of_one_key_and_front_must_run_in_order_of_acceptance() {
     let all = [
         ran("b", "k", (0, 0), (300_000, 400_000)),
         ran("a", "k", (0, 0), (500_000, 600_000)),
--- a/crates/lab/src/record/refused_tests.rs
+++ b/crates/lab/src/record/refused_tests.rs
@@ -5,7 +5,7 @@
 use crate::record::cuts::Partition;
 
 #[test]
-fn a_refusal_without_an_excuse_is_found() {
+fn a_rejection_without_an_excuse_is_reported() {
     let cut = Partition {
         from: 5_000_000,
         to: 9_000_000,
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_key_rests_after_a_statement_that_did_not_complete_and_not_after_one_that_did() {
+fn a_key_is_retained_only_after_a_statement_that_did_not_complete() {
     let connectivity = Connectivity {
         fronts: 3,
         ..Connectivity::default()
--- a/crates/lab/src/record/repeats_tests.rs
+++ b/crates/lab/src/record/repeats_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_second_run_is_found_where_it_may_not_be() {
+fn a_second_run_is_reported_where_it_is_not_allowed() {
     let again = |engine, from| ran("a", "", (engine, 1), (from, from + 5));
     assert!(found(Repeat::Idempotent, true, again(3, 5_000), &[]).is_empty());
     assert_eq!(
--- a/crates/lab/src/record/rolled_tests.rs
+++ b/crates/lab/src/record/rolled_tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_refusal_a_loss_and_a_wait_beyond_that_for_the_key_are_found() {
+fn a_rejection_a_loss_and_a_long_wait_during_shutdowns_are_reported() {
     let well = Shutdown {
         front: 1,
         asked: 1_100_000,
--- a/crates/lab/src/record/rows_tests.rs
+++ b/crates/lab/src/record/rows_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_row_missing_and_a_row_that_is_none_are_found() {
+fn missing_and_surplus_rows_are_reported() {
     let row = |site, value, asked, acknowledged| Row {
         site,
         value,
--- a/crates/lab/src/record/starved_tests.rs
+++ b/crates/lab/src/record/starved_tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_was_waited_counts_in_its_span_and_much_of_it_marks_the_seconds_around() {
+fn waits_count_in_their_span_and_long_ones_mark_the_adjacent_seconds() {
     let seen = Starved(vec![
         span(Some(0), 2_000_000, 2_020_000, 15_000),
         span(Some(0), 5_100_000, 5_300_000, 190_000),
--- a/crates/lab/src/record/unpromised_tests.rs
+++ b/crates/lab/src/record/unpromised_tests.rs
@@ -6,7 +6,7 @@
 use crate::record::executions::ran;
 
 #[test]
-fn a_keyed_start_on_a_minority_side_is_found_and_a_plain_one_is_not() {
+fn a_keyed_start_on_a_minority_side_is_reported_and_a_plain_one_is_not() {
     let cut = Partition {
         from: 1_000_000,
         to: 9_000_000,
--- a/crates/lab/src/session_cases/engines.rs
+++ b/crates/lab/src/session_cases/engines.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_new_engine_refuses_to_prepare_again() {
+fn a_new_engine_rejects_preparing_a_statement_again() {
     let stage = stage(2, LIMITS);
     let mut s = stage.open();
     s.prepare("s", "select run($1)").unwrap();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn statements_beyond_what_a_connection_keeps_are_prepared_again() {
+fn statements_evicted_from_a_connection_are_prepared_again() {
     let stage = stage(1, "prepared: 2, engine_connections: 1");
     let mut s = stage.open();
     for n in 0..5 {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn settings_follow_their_session_and_no_other() {
+fn settings_apply_to_their_session_only() {
     let stage = stage(1, "engine_connections: 1");
     let (mut a, mut b) = (stage.open(), stage.open());
     assert_eq!(ask(&mut a, "SET search_path = one").0, "CZ");
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn fronts_tell_each_other_of_an_engine_that_dies_and_believe_no_stranger() {
+fn fronts_report_a_dead_engine_to_peers_and_reject_strangers() {
     let folder = std::env::temp_dir().join(format!("hallmux-lab-keys-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let hex = |bytes: &[u8]| {
--- a/crates/lab/src/session_cases/keys.rs
+++ b/crates/lab/src/session_cases/keys.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_transaction_keeps_the_turn_of_its_key_until_it_ends() {
+fn a_transaction_holds_its_order_key_until_it_ends() {
     for end in ["COMMIT", "ROLLBACK", ""] {
         let stage = stage(2, LIMITS);
         let load = |n: usize| {
@@ -79,7 +79,7 @@
 /// accepts them in the order of arrival, whatever the protocol and whether or not the connection is
 /// new.
 #[test]
-fn what_is_found_in_one_turn_is_taken_in_the_order_in_which_it_came() {
+fn arrivals_of_one_loop_iteration_are_accepted_in_their_order() {
     const LABEL: &str = "/*hallmux.workload='load',hallmux.key='k',hallmux.dedup_key='d";
     let stage = stage(1, LIMITS);
     for round in 0..4 {
--- a/crates/lab/src/session_cases/sessions.rs
+++ b/crates/lab/src/session_cases/sessions.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_end_of_a_front_with_transactions_open() {
+fn a_front_shuts_down_with_open_transactions() {
     let mut stage = stage(1, "transaction_idle_ms: 8000");
     let mut s = stage.open();
     ask(&mut s, "BEGIN");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_transaction_that_stands_idle_ends_and_a_client_that_leaves_leaves_nothing() {
+fn an_idle_transaction_is_ended_and_a_disconnect_cancels_its_statement() {
     let stage = stage(1, "transaction_idle_ms: 200");
     let mut s = stage.open();
     ask(&mut s, "BEGIN");
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn the_silent_go_first_when_descriptors_are_short_and_what_a_session_holds_is_bounded() {
+fn idle_sessions_close_first_when_descriptors_run_short_and_session_state_is_limited() {
     let stage = stage_with_sockets(
         1,
         "start_up_ms: 400, statements: 2, portals: 2, message_bytes: 4096",
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_long_result_goes_through_whatever_the_buffer() {
+fn a_long_result_is_delivered_with_any_buffer_size() {
     for buffer in [1024, 65536, 1 << 20] {
         let stage = stage(1, &format!("buffer_bytes: {buffer}"));
         let mut s = stage.open();
