--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -20,7 +20,11 @@
         let late = a.answered - a.sent > a.timeout + agreed.slack + waited;
         match &a.outcome {
             Outcome::Nothing => add_violation(wrong, "answers", format!("{}: no answer", a.id)),
-            Outcome::Spoilt => add_violation(wrong, "answers", format!("{}: another's rows", a.id)),
+            Outcome::Spoilt => add_violation(
+                wrong,
+                "answers",
+                format!("{}: rows of another statement", a.id),
+            ),
             Outcome::Lost if !a.may_be_lost => {
                 add_violation(wrong, "answers", format!("{}: lost", a.id))
             }
@@ -43,7 +47,11 @@
                 // client did not request.
                 let early = a.answered - a.sent < a.timeout - agreed.slack;
                 if code == "57014" && !a.cancel_requested && early {
-                    add_violation(wrong, "cancels", format!("{}: cancelled by nobody", a.id));
+                    add_violation(
+                        wrong,
+                        "cancels",
+                        format!("{}: cancelled without a request of its client", a.id),
+                    );
                 }
             }
             _ => {}
@@ -54,7 +62,7 @@
                 wrong,
                 "answers",
                 format!(
-                    "{}: after {ms} ms of {}, {} of them the machine's",
+                    "{}: after {ms} ms of {}, {} of them waiting for a CPU",
                     a.id,
                     a.timeout / 1000,
                     waited / 1000
@@ -85,7 +93,7 @@
             add_violation(
                 wrong,
                 "effects",
-                format!("{}: completed, but nothing has come of it", a.id),
+                format!("{}: completed, but has no lasting effect", a.id),
             );
         }
         let rejected = matches!(&a.outcome, Outcome::Error(code) if code == "53000");
--- a/crates/lab/src/engine/record_tests.rs
+++ b/crates/lab/src/engine/record_tests.rs
@@ -33,7 +33,7 @@
     records.arm(Some(armed(1)));
     assert!(
         !records.step_reached(Step::Copying, 1),
-        "nothing was asked yet"
+        "no statement was sent yet"
     );
     assert!(!records.step_reached(Step::Taken, 0) && !records.step_reached(Step::Taken, 1));
     assert!(!records.step_reached(Step::Copying, 0) && !records.step_reached(Step::Copying, 1));
--- a/crates/lab/src/record/attempts.rs
+++ b/crates/lab/src/record/attempts.rs
@@ -123,7 +123,7 @@
     seen.extend(
         warned
             .take(MAX_WARNINGS)
-            .map(|(front, at, line)| (*at, format!("front {front} says: {line}"))),
+            .map(|(front, at, line)| (*at, format!("front {front} logged: {line}"))),
     );
     seen.sort_by_key(|(at, _)| *at);
     let first = seen.first().map_or(0, |(at, _)| *at);
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -110,13 +110,13 @@
     assert_eq!(
         rules,
         [("repeats", 1)],
-        "the story adds no finding and takes none away"
+        "the history neither adds nor removes a violation"
     );
     let expected = "s7 at front 3: ran twice at once [\
         0.000 ms asked of front 3, Idempotent, 1000 ms; \
         1.000 ms relay 501 between front 3 and engine 1: want; \
         2.000 ms engine 1 run 10 over 501: began; \
-        26.000 ms front 3 says: f3 warn: engine e1: a line of 5 words; \
+        26.000 ms front 3 logged: f3 warn: engine e1: a line of 5 words; \
         38.000 ms relay 502 between front 3 and engine 2: want; \
         39.000 ms engine 2 run 11 over 502: began; \
         40.000 ms relay 501 between front 3 and engine 1: closed by the front; \
--- a/crates/lab/src/record/given_up_tests.rs
+++ b/crates/lab/src/record/given_up_tests.rs
@@ -41,7 +41,7 @@
 fn an_attempt_not_cancelled_in_time_is_reported_even_on_a_starved_rig() {
     assert!(
         broken(|a| _ = a.wire_events.remove(3)),
-        "nothing was given up"
+        "nothing was cancelled"
     );
     assert!(broken(|a| (_ = a.wire_events.remove(3), starved(a)).1));
     assert!(
@@ -50,11 +50,11 @@
     );
     assert!(
         broken(|a| a.wire_events[3] = line(30_000, (1, 501), ("never_mind", "0008"))),
-        "another's end"
+        "the cancellation of another statement"
     );
     assert!(
         broken(|a| a.wire_events[3].port = 509),
-        "another connection's"
+        "on another connection"
     );
     let lost = WireEventKind::Line {
         verb: "never_mind".into(),
@@ -63,7 +63,7 @@
     };
     assert!(
         broken(|a| a.wire_events[3].kind = lost),
-        "its engine was not told"
+        "the cancellation did not reach its engine"
     );
     let closed = |at| WireEvent {
         at,
@@ -78,7 +78,7 @@
     );
     assert!(
         broken(|a| a.asked[0].asked.repeat = Repeat::Deduplicated),
-        "that may not be repeated anywhere"
+        "a deduplicated statement may not be repeated anywhere"
     );
 }
 
@@ -107,13 +107,13 @@
         a.wire_events[3].at = 41_600;
     };
     assert!(!broken(|a| (stuck(a), starved(a)).1));
-    assert!(broken(stuck), "the machine let nobody wait");
+    assert!(broken(stuck), "no process waited for a CPU");
     assert!(
         broken(|a| (stuck(a), starved(a), _ = a.wire_events.remove(3)).2),
-        "nothing was given up"
+        "nothing was cancelled"
     );
     assert!(
         broken(|a| (stuck(a), starved(a), a.wire_events[3].at = 50_050).2),
-        "only once it ran"
+        "cancelled only after it started"
     );
 }
--- a/crates/lab/src/record/hits.rs
+++ b/crates/lab/src/record/hits.rs
@@ -39,13 +39,13 @@
             wrong
                 .entry("hit_lost")
                 .or_default()
-                .push(format!("{rule}: {counted} told, {least} answered"));
+                .push(format!("{rule}: {counted} counted, {least} answered"));
         }
         if counted > most {
             wrong
                 .entry("hit_doubled")
                 .or_default()
-                .push(format!("{rule}: {counted} told, {most} asked"));
+                .push(format!("{rule}: {counted} counted, {most} sent"));
         }
     }
 }
--- a/crates/lab/src/record/unpromised.rs
+++ b/crates/lab/src/record/unpromised.rs
@@ -41,7 +41,7 @@
         let heard = connectivity.max_reachable(x.front, (since, x.from));
         if heard < quorum && offered.asked.sent <= x.from {
             let finding = format!(
-                "{}: began at front {}, which heard {heard} of {quorum}",
+                "{}: began at front {}, which reached {heard} of {quorum} fronts",
                 x.id, x.front
             );
             wrong.entry("without_promise").or_default().push(finding);
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -410,7 +410,11 @@
         match stream.read(&mut chunk) {
             Ok(n) if n > 0 && since.elapsed() < MESSAGE_TIMEOUT => {}
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                record_mismatch(notes, new_record(notes, 0), "nonsense that is kept");
+                record_mismatch(
+                    notes,
+                    new_record(notes, 0),
+                    "a connection with invalid bytes stays open",
+                );
                 return Ok(());
             }
             _ => break,
@@ -424,7 +428,11 @@
         match s.read() {
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                record_mismatch(notes, new_record(notes, 0), "a length that can't be");
+                record_mismatch(
+                    notes,
+                    new_record(notes, 0),
+                    "a connection with an impossible message length stays open",
+                );
                 return Ok(());
             }
             Err(_) => return Ok(()),
--- a/crates/lab/src/session_cases/engines.rs
+++ b/crates/lab/src/session_cases/engines.rs
@@ -20,7 +20,7 @@
         assert_eq!(read_answer(&mut s), ("12DDsZ".into(), String::new(), 'T'));
         let holder = stage.holder("p");
         stage.set_engine_state(holder, "draining");
-        wait_until("the engine is let go of", || {
+        wait_until("the connections to the engine are closed", || {
             stage.engines[holder].connections() == 0
         });
         let before = stage.engine_events().len();
@@ -61,7 +61,7 @@
         assert_eq!(
             stage.engines[0].faults.played.load(SeqCst),
             1,
-            "asked for once"
+            "the commit is sent once"
         );
         stage.engines[0].faults.lost_commits.store(0, SeqCst);
         assert_eq!(ask(&mut s, &run("b", "")).0, "TDCZ");
@@ -76,7 +76,7 @@
     s.ask("s", "id=a,rows=1").unwrap();
     let (holder, other) = (stage.holder("a"), 1 - stage.holder("a"));
     stage.set_engine_state(holder, "draining");
-    wait_until("the engine is let go of", || {
+    wait_until("the connections to the engine are closed", || {
         stage.engines[holder].connections() == 0
     });
     stage.engines[other].faults.refused_parses.store(1, SeqCst);
@@ -208,13 +208,13 @@
             ask(&mut s, &run(&format!("{n}x{m}"), ""));
         }
     }
-    wait_until("the second hears of it", || {
+    wait_until("the second front receives the report", || {
         stages[1].front.logged("front one says of engine").is_some()
     });
-    wait_until("the first hears of it", || {
+    wait_until("the first front receives the report", || {
         stages[0].front.logged("front two says of engine").is_some()
     });
-    wait_until("a stranger is refused", || {
+    wait_until("a stranger is rejected", || {
         stages[1].front.logged("Stranger").is_some()
     });
     assert!(stages
--- a/crates/lab/src/session_cases/keys.rs
+++ b/crates/lab/src/session_cases/keys.rs
@@ -21,7 +21,7 @@
     ];
     let lines_at = stage.front.lines;
     let first = std::thread::spawn(move || lines::ask(lines_at, 1, &fields, "id=a,key=k,ms=400"));
-    wait_until("the first runs", || !stage.began("a").is_empty());
+    wait_until("the first statement runs", || !stage.began("a").is_empty());
     let mut s = stage.open();
     assert_eq!(
         ask(&mut s, &format!("{label}{}", run("b", ",key=k"))).0,
@@ -93,7 +93,7 @@
             .iter_mut()
             .for_each(|s| assert_eq!(ask(s, &run("before", "")).0, "TDCZ"));
         stage.front.signal(Signal::SIGSTOP);
-        wait_until("it stands still", || is_stopped(&stage.front));
+        wait_until("the front is stopped", || is_stopped(&stage.front));
         let ids = [0, 1, 2].map(|n| format!("{round}x{n}"));
         for (n, id) in ids.iter().enumerate() {
             if n == if lines_first { 0 } else { 1 } {
--- a/crates/lab/src/session_cases/sessions.rs
+++ b/crates/lab/src/session_cases/sessions.rs
@@ -21,7 +21,7 @@
         let id = format!("c{within}");
         s.query(&run(&id, ",ms=6000"));
         s.send().unwrap();
-        wait_until("it runs", || !stage.began(&id).is_empty());
+        wait_until("the statement runs", || !stage.began(&id).is_empty());
         s.cancel(stage.front.sessions).unwrap();
         let status = if within { 'E' } else { 'I' };
         assert_eq!(read_answer(&mut s), ("TEZ".into(), "57014".into(), status));
@@ -115,7 +115,7 @@
     busy.query(&run("b", ",ms=1500"));
     busy.send().unwrap();
     let mut idle = stage.open();
-    wait_until("it runs", || !stage.began("b").is_empty());
+    wait_until("the statement runs", || !stage.began("b").is_empty());
     stage.front.terminate();
     assert_eq!(code(&idle.read().unwrap()), "57P01");
     assert_eq!(read_answer(&mut busy).0, "TDCZ");
@@ -136,9 +136,9 @@
     let mut leaves = stage.open();
     leaves.query(&run("b", ",ms=6000"));
     leaves.send().unwrap();
-    wait_until("it runs", || !stage.began("b").is_empty());
+    wait_until("the statement runs", || !stage.began("b").is_empty());
     drop(leaves);
-    wait_until("its end was asked for", || {
+    wait_until("its cancellation is requested", || {
         stage.engine_events().iter().any(|d| {
             d.2 == EngineEventKind::Cancelled {
                 id: Some("b".into()),
