--- a/crates/config/src/operator_file/rules.rs
+++ b/crates/config/src/operator_file/rules.rs
@@ -13,15 +13,15 @@
 const DEFAULT_LEASE_MS: f64 = 3_000.0;
 const MIN_LEASE_MS: f64 = 500.0;
 const MAX_LEASE_MS: f64 = 60_000.0;
-/// Millionths: far more than a quartz drifts, for machines that are throttled.
+/// Parts per million: far more than the drift of a quartz clock, to allow for throttled machines.
 const DEFAULT_DRIFT_PPM: u32 = 10_000;
 const MAX_DRIFT_PPM: u32 = 200_000;
 const DEFAULT_WHAT_IF_HOURS: f64 = 6.0;
 const MAX_WHAT_IF_HOURS: f64 = 168.0;
 const MS_PER_HOUR: f64 = 3_600_000.0;
-const DEFAULT_TELL_EVERY_MS: f64 = 60_000.0;
-const MIN_TELL_EVERY_MS: f64 = 1_000.0;
-const MAX_TELL_EVERY_MS: f64 = 86_400_000.0;
+const DEFAULT_LOG_INTERVAL_MS: f64 = 60_000.0;
+const MIN_LOG_INTERVAL_MS: f64 = 1_000.0;
+const MAX_LOG_INTERVAL_MS: f64 = 86_400_000.0;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -54,38 +54,40 @@
 }
 
 fn default_tell_every_ms() -> f64 {
-    DEFAULT_TELL_EVERY_MS
+    DEFAULT_LOG_INTERVAL_MS
 }
 
-/// Where the rules are, and all that they may be about.
+/// The file of access rules, the names that the rules may use, and the terms under which they
+/// apply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rules {
-    /// The file of rules; SIGHUP reads it again.
+    /// The path of the file of rules; it is read again on SIGHUP.
     pub file: String,
-    /// Where this front stands, for rules about where a statement is asked.
+    /// This front's region, for rules about the region in which a statement arrives.
     pub region: String,
-    /// Names for some of the settings' locations together.
+    /// Named groups of the settings' locations.
     pub regions: BTreeMap<String, Vec<String>>,
-    /// The customers that rules may be about; None: all.
+    /// The customers to which rules may refer; None: all.
     pub customers: Option<Vec<String>>,
-    /// How long a front may go on by the rules it has without hearing from their owner.
+    /// How long a front may apply its rules without a message from their owner.
     pub lease: Micros,
-    /// Millionths that a clock may gain or lose.
+    /// Maximum drift of a clock in parts per million.
     pub drift_ppm: u32,
-    /// Between lines of the log with the fleet's counts.
-    pub tell_every: Micros,
-    /// How long requests are remembered, by kind, to tell what other rules would change; 0: not at all.
-    pub remembers: Micros,
+    /// The interval between log lines with the fleet's counts.
+    pub log_interval: Micros,
+    /// How long requests are recorded, by kind, to report what proposed rules would change; 0: not
+    /// at all.
+    pub record_window: Micros,
 }
 
 /// Checks the section against the settings.
-pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
+pub fn check_rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
     let check = Checker {
         text,
         section: "rules",
     };
     if file.file.is_empty() {
-        return check.refuse("file", "names none; give the path of the file of rules");
+        return check.reject("file", "is empty; give the path of the file of rules");
     }
     check_regions(&check, &file, &settings.names)?;
     check_customers(&check, &file, &settings.names)?;
@@ -97,51 +99,52 @@
         customers: file.customers,
         lease: micros(file.lease_ms),
         drift_ppm: file.drift_ppm,
-        tell_every: micros(file.tell_every_ms),
-        remembers: micros(file.what_if_hours * MS_PER_HOUR),
+        log_interval: micros(file.tell_every_ms),
+        record_window: micros(file.what_if_hours * MS_PER_HOUR),
     })
 }
 
-/// Regions hold locations of the settings, and this front's region is one of them.
+/// Checks that each region holds only locations of the settings, and that this front's region is
+/// defined.
 fn check_regions(check: &Checker, file: &RulesFile, names: &Names) -> Result<(), Error> {
     for (region, locations) in &file.regions {
         for (index, location) in locations.iter().enumerate() {
             let key = format!("regions.{region}[{index}]");
-            check.known(&key, location, "the settings' locations", &names.locations)?;
+            check.require_known(&key, location, "the settings' locations", &names.locations)?;
         }
         if locations.is_empty() {
-            return check.refuse(&format!("regions.{region}"), "holds no location; name one");
+            return check.reject(&format!("regions.{region}"), "holds no location; name one");
         }
     }
     let named = file.regions.keys();
     let regions: Vec<String> = named.chain(&names.locations).cloned().collect();
-    check.known("region", &file.region, "the regions", &regions)
+    check.require_known("region", &file.region, "the regions", &regions)
 }
 
-/// Customers are those of the settings, where these name any.
+/// Checks that the customers are in the settings, if these name any customer.
 fn check_customers(check: &Checker, file: &RulesFile, names: &Names) -> Result<(), Error> {
     if names.customers.is_empty() {
         return Ok(());
     }
     for (index, customer) in file.customers.iter().flatten().enumerate() {
         let key = format!("customers[{index}]");
-        check.known(&key, customer, "the settings' customers", &names.customers)?;
+        check.require_known(&key, customer, "the settings' customers", &names.customers)?;
     }
     Ok(())
 }
 
 fn check_ranges(check: &Checker, file: &RulesFile) -> Result<(), Error> {
-    check.range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
+    check.require_range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
     if file.drift_ppm > MAX_DRIFT_PPM {
-        return check.refuse("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
+        return check.reject("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
     }
-    check.range(
+    check.require_range(
         "tell_every_ms",
         file.tell_every_ms,
-        MIN_TELL_EVERY_MS,
-        MAX_TELL_EVERY_MS,
+        MIN_LOG_INTERVAL_MS,
+        MAX_LOG_INTERVAL_MS,
     )?;
-    check.range("what_if_hours", file.what_if_hours, 0.0, MAX_WHAT_IF_HOURS)
+    check.require_range("what_if_hours", file.what_if_hours, 0.0, MAX_WHAT_IF_HOURS)
 }
 
 #[cfg(test)]
--- a/crates/config/src/operator_file/scatter.rs
+++ b/crates/config/src/operator_file/scatter.rs
@@ -1,4 +1,4 @@
-//! The section `scatter`: statements over data at several sites.
+//! The section `scatter`: statements over data that is spread over several sites.
 
 mod file;
 
@@ -13,78 +13,84 @@
 use super::peers::{parse_key, PublicKey};
 use crate::error::{Error, KeyProblem};
 
-const MIN_OLDEST_MS: u64 = 1_000;
-const MAX_OLDEST_MS: u64 = 604_800_000;
-const MAX_AHEAD_MS: u64 = 600_000;
+const MIN_SUMMARY_AGE_MS: u64 = 1_000;
+const MAX_SUMMARY_AGE_MS: u64 = 604_800_000;
+const MAX_SUMMARY_AHEAD_MS: u64 = 600_000;
 const MAX_SUMMARIES: usize = 65_536;
-const MAX_AT_ONCE: usize = 1_000;
-/// The part by which a number of distinct values may be wrong.
+const MAX_PARALLEL_PARTS: usize = 1_000;
+/// Maximum relative error of a number of distinct values.
 const MAX_DISTINCT_ERROR: f64 = 0.5;
 const MIN_ANSWER_BYTES: usize = 1_000;
 const MAX_ANSWER_BYTES: usize = 1 << 26;
 
-/// Which statements are asked of several sites, and what holds for them.
+/// The statements that are sent to several sites, and the rules for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scatter {
-    /// Workloads whose statements are, by name.
+    /// Names of the workloads whose statements are sent to several sites.
     pub workloads: Vec<String>,
-    /// Locations whose engines hold a part of the data, and the keys that sign their summaries.
+    /// Locations whose engines hold a part of the data, each with the public key that verifies its
+    /// summaries.
     pub sites: BTreeMap<String, PublicKey>,
-    /// Where summaries are read from, at start and by SIGHUP.
+    /// The directory from which summaries are read at start and on SIGHUP.
     pub directory: Option<String>,
-    /// The schema that summaries of a group must be of.
+    /// The schema number that summaries of a table group must have.
     pub schemas: BTreeMap<u32, u32>,
-    /// Loads go through fronts and are marked. False: no load goes through any.
-    pub marked: bool,
-    /// Workloads whose statements may write: those that are not idempotent, and those named.
-    pub writes: Vec<String>,
-    /// Has all rows: what parts can't make up is asked there.
+    /// Whether loads go through fronts, which mark them. False: no load goes through a front.
+    pub marks_loads: bool,
+    /// Workloads whose statements may write: those that are not idempotent, and those that the file
+    /// names.
+    pub writing_workloads: Vec<String>,
+    /// The site with all rows; statements that can't be answered from parts are sent there.
     pub whole_site: Option<String>,
-    /// Customers that take an answer which says what is missing in it.
-    pub partial: Vec<String>,
-    /// Customers that take a number of distinct values by sketches, and how far it may be wrong, in
-    /// millionths of it.
+    /// Customers that accept a partial answer, which names the missing sites.
+    pub partial_answer_customers: Vec<String>,
+    /// Customers that accept a number of distinct values estimated from sketches, with the maximum
+    /// relative error in parts per million.
     pub distinct_error: BTreeMap<String, u32>,
-    /// Groups whose rows with equal keys lie at one site, so that they may be joined there.
-    pub together: Vec<Vec<u32>>,
-    /// Milliseconds after which a summary is too old.
-    pub oldest_ms: u64,
-    /// Milliseconds that a summary may come from the future, as clocks differ.
-    pub ahead_ms: u64,
-    /// Summaries that are held.
-    pub most: usize,
-    /// Parts of a statement with LIMIT that are in flight at once.
-    pub at_once: usize,
-    /// Bytes of an answer at the most.
-    pub answer_bytes: usize,
-    /// Summaries are held as far as they earn their bytes; None: all that come.
-    pub keep: Option<SummaryBudget>,
-    /// Sites that their summaries rule out are asked now and then all the same; None: never.
+    /// Sets of table groups whose rows with equal keys are at the same site, so that they can be
+    /// joined there.
+    pub colocated_groups: Vec<Vec<u32>>,
+    /// Maximum age of a summary in milliseconds.
+    pub max_summary_age_ms: u64,
+    /// Milliseconds by which a summary may be ahead of this front's clock, as clocks differ.
+    pub max_summary_ahead_ms: u64,
+    /// Maximum number of summaries held.
+    pub max_summaries: usize,
+    /// Maximum number of parts in flight at once of a statement with LIMIT.
+    pub max_parallel_parts: usize,
+    /// Maximum size of an answer in bytes.
+    pub max_answer_bytes: usize,
+    /// The budget for which summaries compete by their benefit; None: every received summary is
+    /// held.
+    pub summary_budget: Option<SummaryBudget>,
+    /// How often a statement is sent to a site that its summaries exclude, to verify them; None:
+    /// never.
     pub audits: Option<Audits>,
 }
 
-/// How often sites that their summaries rule out are asked all the same.
+/// The rate of audits: statements sent to a site that its summaries exclude, to verify them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Audits {
-    /// One statement of so many.
-    pub one_in: u64,
-    /// At the most in a minute, by the whole fleet.
-    pub a_minute: u64,
+    /// One of this many statements is audited.
+    pub statements_per_audit: u64,
+    /// Maximum number of audits a minute, over the whole fleet.
+    pub max_per_minute: u64,
 }
 
-/// The budget under which summaries are held.
+/// The budget for holding and exchanging summaries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SummaryBudget {
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory_bytes: u64,
-    /// Bytes a second for exchanging them with other fronts.
-    pub bytes_a_second: u64,
-    /// Where what was learned outlives the front.
+    /// Bytes a second for exchanging summaries with other fronts.
+    pub bytes_per_s: u64,
+    /// The file in which the learned benefits of summaries are kept across restarts; None: not
+    /// kept.
     pub file: Option<String>,
 }
 
 /// Checks the section against the settings.
-pub fn scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
+pub fn check_scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
     let check = Checker {
         text,
         section: "scatter",
@@ -95,41 +101,41 @@
     check_whole_site(&check, &file, &sites)?;
     check_customers(&check, &file, settings)?;
     check_writes(&check, &file, settings)?;
-    let marked = loads_are_marked(&check, &file)?;
+    let marks_loads = marks_loads(&check, &file)?;
     check_ranges(&check, &file)?;
-    let writes = writing_workloads(&file, settings);
+    let writing_workloads = writing_workloads(&file, settings);
     let distinct_error = file.distinct_error.into_iter();
     Ok(Scatter {
         workloads: file.workloads,
         sites,
         directory: file.directory,
         schemas,
-        marked,
-        writes,
+        marks_loads,
+        writing_workloads,
         whole_site: file.whole_site,
-        partial: file.partial,
+        partial_answer_customers: file.partial,
         distinct_error: distinct_error
-            .map(|(name, error)| (name, millionths(error)))
+            .map(|(name, error)| (name, to_millionths(error)))
             .collect(),
-        together: file.together,
-        oldest_ms: file.oldest_ms,
-        ahead_ms: file.ahead_ms,
-        most: file.most,
-        at_once: file.at_once,
-        answer_bytes: file.answer_bytes,
-        keep: file.keep.map(|keep| SummaryBudget {
+        colocated_groups: file.together,
+        max_summary_age_ms: file.oldest_ms,
+        max_summary_ahead_ms: file.ahead_ms,
+        max_summaries: file.most,
+        max_parallel_parts: file.at_once,
+        max_answer_bytes: file.answer_bytes,
+        summary_budget: file.keep.map(|keep| SummaryBudget {
             memory_bytes: keep.memory_kb * 1024,
-            bytes_a_second: keep.bytes_a_second,
+            bytes_per_s: keep.bytes_a_second,
             file: keep.file,
         }),
         audits: file.audits.map(|audits| Audits {
-            one_in: audits.one_in,
-            a_minute: audits.a_minute,
+            statements_per_audit: audits.one_in,
+            max_per_minute: audits.a_minute,
         }),
     })
 }
 
-fn millionths(part: f64) -> u32 {
+fn to_millionths(part: f64) -> u32 {
     (part * 1e6) as u32
 }
 
@@ -142,30 +148,31 @@
         return Ok(());
     };
     let known: Vec<String> = sites.keys().cloned().collect();
-    check.known("whole_site", site, "scatter.sites", &known)
+    check.require_known("whole_site", site, "scatter.sites", &known)
 }
 
 fn check_writes(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.workloads;
     for (index, name) in file.writes.iter().enumerate() {
         let key = format!("writes[{index}]");
-        check.known(&key, name, "the settings' workloads", known)?;
+        check.require_known(&key, name, "the settings' workloads", known)?;
     }
     Ok(())
 }
 
-fn loads_are_marked(check: &Checker, file: &ScatterFile) -> Result<bool, Error> {
+fn marks_loads(check: &Checker, file: &ScatterFile) -> Result<bool, Error> {
     match file.loads.as_deref() {
         None | Some("marked") => Ok(true),
         Some("none") => Ok(false),
         Some(other) => {
             let problem = format!("'{other}' is neither 'marked' nor 'none'; give one of them");
-            check.refuse("loads", problem)
+            check.reject("loads", problem)
         }
     }
 }
 
-/// Workloads whose statements may write: those that are not idempotent, and those that the file names.
+/// Workloads whose statements may write: those that are not idempotent, and those that the file
+/// names.
 fn writing_workloads(file: &ScatterFile, settings: &Settings) -> Vec<String> {
     let names = settings.names.workloads.iter();
     names
@@ -177,25 +184,26 @@
         .collect()
 }
 
-/// Workloads are known and only read.
+/// Checks that the workloads are defined and idempotent.
 fn check_workloads(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.workloads;
     for (n, name) in file.workloads.iter().enumerate() {
         let key = format!("workloads[{n}]");
-        check.known(&key, name, "the settings' workloads", known)?;
-        let at = known.iter().position(|other| other == name);
-        let effect = at
-            .and_then(|at| settings.agreement.workloads.get(at))
+        check.require_known(&key, name, "the settings' workloads", known)?;
+        let index = known.iter().position(|other| other == name);
+        let effect = index
+            .and_then(|index| settings.agreement.workloads.get(index))
             .map(|w| w.effect);
         if effect != Some(Effect::Idempotent) {
             let problem = format!("'{name}' is not idempotent; name workloads that only read");
-            return check.refuse(&key, problem);
+            return check.reject(&key, problem);
         }
     }
     Ok(())
 }
 
-/// Sites are locations, each with a key; there is one at least, and a workload.
+/// Reads the sites: locations, each with a valid public key. At least one site and one workload are
+/// required.
 fn sites(
     check: &Checker,
     file: &ScatterFile,
@@ -204,7 +212,7 @@
     let mut sites = BTreeMap::new();
     for (name, key) in &file.sites {
         let path = format!("sites.{name}");
-        check.known(
+        check.require_known(
             &path,
             name,
             "the settings' areas",
@@ -212,13 +220,13 @@
         )?;
         match parse_key(key) {
             Some(key) => _ = sites.insert(name.clone(), key),
-            None => return check.refuse(&path, KeyProblem::InvalidPublicKey),
+            None => return check.reject(&path, KeyProblem::InvalidPublicKey),
         }
     }
     if file.workloads.is_empty() || sites.is_empty() {
-        return check.refuse(
+        return check.reject(
             "sites",
-            "names none, or no workloads; leave 'scatter' out to switch it off",
+            "names no site, or scatter.workloads is empty; name both, or leave 'scatter' out to switch it off",
         );
     }
     Ok(sites)
@@ -231,18 +239,21 @@
             Ok(number) => _ = schemas.insert(number, *schema),
             Err(_) => {
                 let key = format!("schemas.{group}");
-                return check.refuse(&key, "is no number of a table group; give one");
+                return check.reject(
+                    &key,
+                    "is not the number of a table group; give a number from 0 to 4294967295",
+                );
             }
         }
     }
     Ok(schemas)
 }
 
-/// Customers with terms of their own are known, and the terms make sense.
+/// Checks that the customers with special terms are defined, and that the terms are in range.
 fn check_customers(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.customers;
     for (n, name) in file.partial.iter().enumerate() {
-        check.known(
+        check.require_known(
             &format!("partial[{n}]"),
             name,
             "the settings' customers",
@@ -251,11 +262,13 @@
     }
     for (name, error) in &file.distinct_error {
         let key = format!("distinct_error.{name}");
-        check.known(&key, name, "the settings' customers", known)?;
+        check.require_known(&key, name, "the settings' customers", known)?;
         if !(0.0..=MAX_DISTINCT_ERROR).contains(error) {
-            return check.refuse(
+            return check.reject(
                 &key,
-                format!("is not from 0 to {MAX_DISTINCT_ERROR}, a part of the number"),
+                format!(
+                    "is not from 0 to {MAX_DISTINCT_ERROR}; give the relative error as a fraction"
+                ),
             );
         }
     }
@@ -263,23 +276,28 @@
 }
 
 fn check_ranges(check: &Checker, file: &ScatterFile) -> Result<(), Error> {
-    check.range("oldest_ms", file.oldest_ms, MIN_OLDEST_MS, MAX_OLDEST_MS)?;
-    check.range("ahead_ms", file.ahead_ms, 0, MAX_AHEAD_MS)?;
-    check.range("most", file.most, 1, MAX_SUMMARIES)?;
-    check.range("at_once", file.at_once, 1, MAX_AT_ONCE)?;
-    check.range(
+    check.require_range(
+        "oldest_ms",
+        file.oldest_ms,
+        MIN_SUMMARY_AGE_MS,
+        MAX_SUMMARY_AGE_MS,
+    )?;
+    check.require_range("ahead_ms", file.ahead_ms, 0, MAX_SUMMARY_AHEAD_MS)?;
+    check.require_range("most", file.most, 1, MAX_SUMMARIES)?;
+    check.require_range("at_once", file.at_once, 1, MAX_PARALLEL_PARTS)?;
+    check.require_range(
         "answer_bytes",
         file.answer_bytes,
         MIN_ANSWER_BYTES,
         MAX_ANSWER_BYTES,
     )?;
     if let Some(keep) = &file.keep {
-        check.range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
-        check.range("keep.bytes_a_second", keep.bytes_a_second, 100, 1 << 24)?;
+        check.require_range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
+        check.require_range("keep.bytes_a_second", keep.bytes_a_second, 100, 1 << 24)?;
     }
     if let Some(audits) = &file.audits {
-        check.range("audits.one_in", audits.one_in, 1, 1_000_000)?;
-        check.range("audits.a_minute", audits.a_minute, 1, 60_000)?;
+        check.require_range("audits.one_in", audits.one_in, 1, 1_000_000)?;
+        check.require_range("audits.a_minute", audits.a_minute, 1, 60_000)?;
     }
     Ok(())
 }
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -6,7 +6,7 @@
 use hallmux_native_codec::tables;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Transaction, UnitPart};
-use hallmux_scatter::marks::numbers;
+use hallmux_scatter::load_markers::load_numbers;
 
 use super::Gateway;
 use crate::postgres::sessions::OpenSession;
@@ -44,8 +44,11 @@
             open_session.touched_groups.extend(named);
         }
         let [part, ..] = &parts[..] else { return None };
-        let alone = !held && !part.begins && parts.len() == 1;
-        let simple = part.simple().filter(|_| alone).map(<[u8]>::to_vec);
+        let alone = !held && !part.begins_transaction && parts.len() == 1;
+        let simple = part
+            .simple_query_text()
+            .filter(|_| alone)
+            .map(<[u8]>::to_vec);
         let groups: Vec<u32> = open_session.touched_groups.iter().copied().collect();
         (!groups.is_empty()).then_some(Load::Unit { groups, simple })
     }
@@ -89,7 +92,7 @@
 /// Whether a unit's text begins like a load that a front has numbered. Always false if loads are
 /// not marked.
 pub(super) fn has_reserved_prefix(writes: &[String], part: &UnitPart) -> bool {
-    !writes.is_empty() && part.texts().any(|text| !numbers(text).is_empty())
+    !writes.is_empty() && part.texts().any(|text| !load_numbers(text).is_empty())
 }
 
 fn may_write(workloads: &[String], open_session: &OpenSession, part: &UnitPart) -> bool {
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -67,7 +67,7 @@
                 let suits = |id: u64| {
                     self.connections
                         .get(&id)
-                        .map_or(0, |server| u32::from(server.engine.suits(&settings)))
+                        .map_or(0, |server| u32::from(server.engine.has_settings(&settings)))
                 };
                 let action = self
                     .pools
@@ -95,11 +95,8 @@
                 {
                     return
                 }
-                PoolAction::Dial {
-                    account,
-                    instead_of,
-                } => {
-                    instead_of.into_iter().for_each(|id| self.close(id));
+                PoolAction::Dial { account, replacing } => {
+                    replacing.into_iter().for_each(|id| self.close(id));
                     if self.connections.len() + self.cancels.len() >= self.max_connections {
                         match self.pools.oldest_idle() {
                             Some(id) => self.close(id),
@@ -166,7 +163,8 @@
                 return Err(dial_ending(&e));
             }
         };
-        let engine = EngineConnection::new(who, self.limits.prepared, link.output());
+        let engine =
+            EngineConnection::new(who, self.limits.engine_prepared_statements, link.output());
         let dial_by = now + self.network.dial_timeout;
         self.pools.connecting(now, engine_index, account, id);
         self.connecting.insert(id, dial_by);
@@ -250,7 +248,10 @@
             {
                 // While the settings are being transferred nothing of the unit was sent. Guards
                 // against reporting a commit that was never sent as one in doubt.
-                if left && execution.stage == Stage::Writing && !server.engine.is_setting() {
+                if left
+                    && execution.stage == Stage::Writing
+                    && !server.engine.is_applying_settings()
+                {
                     execution.stage = Stage::Sent;
                     let once = execution.unit.no_retry || execution.unit.pin.is_some();
                     self.events
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -139,7 +139,7 @@
     pub fn new(users: &std::collections::BTreeMap<String, User>) -> Users {
         let access = |user: &User| match &user.verifier {
             None => Some(Authentication::Trust),
-            Some(text) => hallmux_postgres::scram::Verifier::read(text).map(Authentication::Scram),
+            Some(text) => hallmux_postgres::scram::Verifier::parse(text).map(Authentication::Scram),
         };
         let known = |(name, user): (&String, &User)| {
             Some((name.clone(), (Rc::new(user.clone()), access(user)?)))
@@ -152,7 +152,7 @@
     /// No sessions yet, within the limits of the operator's file.
     pub fn new(limits: &hallmux_config::SessionLimits) -> Self {
         let bounds = Bounds {
-            statements: limits.statements,
+            statements: limits.prepared_statements,
             portals: limits.portals,
             settings: limits.settings,
             bytes: limits.message_bytes,
@@ -162,8 +162,8 @@
             tickets: HashMap::new(),
             catalogue: Catalogue::default(),
             bounds,
-            login_timeout: limits.start_up,
-            transaction_idle_timeout: limits.transaction_idle,
+            login_timeout: limits.login_timeout,
+            transaction_idle_timeout: limits.transaction_idle_timeout,
             buffer_bytes: limits.buffer_bytes,
             held_bytes: 0,
             last_id: 0,
--- a/crates/front/src/postgres/sessions/answers.rs
+++ b/crates/front/src/postgres/sessions/answers.rs
@@ -26,7 +26,7 @@
         let bytes = part.raw.len();
         open_session.running = Some(RunningUnit {
             ticket,
-            commits: part.commits,
+            commits: part.commits_transaction,
             parts: vec![part],
             may_have_run: false,
             time_up: false,
@@ -52,7 +52,7 @@
         };
         open_session
             .session
-            .fails(&[part], why, connection.link.output());
+            .fail_unit(&[part], why, connection.link.output());
         open_session.skipping_to_sync = open_session.session.is_in_unit();
         self.release_transaction(id, false);
         self.changed.insert(id);
@@ -87,7 +87,7 @@
             return;
         };
         // A unit in flight gets an ending of its own later.
-        open_session.session.lose();
+        open_session.session.lose_transaction();
         open_session.pin = None;
         let keys = std::mem::take(&mut open_session.held_order_keys);
         self.events.push(Event::TransactionEnded {
@@ -148,7 +148,7 @@
         };
         open_session
             .session
-            .done(&running.parts, done, &mut self.catalogue, &self.bounds);
+            .apply_outcome(&running.parts, done, &mut self.catalogue, &self.bounds);
         open_session.pin = pin;
         if done.status == b'I' && !open_session.held_order_keys.is_empty() {
             let keys = std::mem::take(&mut open_session.held_order_keys);
@@ -190,7 +190,7 @@
             let mut front_error = Vec::new();
             open_session
                 .session
-                .fails(&running.parts, why, &mut front_error);
+                .fail_unit(&running.parts, why, &mut front_error);
             match engine_error.and_then(|engine_error| {
                 Some((engine_error, wire::header(&front_error).ok()??.len))
             }) {
--- a/crates/front/tests/scatter/site.rs
+++ b/crates/front/tests/scatter/site.rs
@@ -8,15 +8,15 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use ed25519_dalek::{SigningKey, VerifyingKey};
-use hallmux_scatter::build::{layered, summary, SummaryHeader, TableBuilder};
-use hallmux_scatter::marks::numbers;
-use hallmux_scatter::summary::{Loads, MOST_BYTES};
+use hallmux_scatter::build::{build_layered_summary, build_summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::load_markers::load_numbers;
+use hallmux_scatter::summary::{LoadNumbers, MAX_SUMMARY_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
 #[derive(Default)]
 pub struct SiteState {
     rows: Vec<i64>,
-    loads: Loads,
+    loads: LoadNumbers,
     query_count: usize,
     is_failing: bool,
 }
@@ -82,18 +82,18 @@
     /// Writes a summary of the site's rows into a directory.
     pub fn write_summary(&self, directory: &Path, version: u64) {
         let (header, table) = self.build_summary(version);
-        let bytes =
-            summary(header, vec![table], MOST_BYTES).sign(&SigningKey::from_bytes(&[self.key; 32]));
+        let bytes = build_summary(header, vec![table], MAX_SUMMARY_BYTES)
+            .sign(&SigningKey::from_bytes(&[self.key; 32]));
         std::fs::write(directory.join(self.name), bytes).unwrap();
     }
 
     /// Like `write_summary`, in separately signed sheets of which fronts may hold only some.
     pub fn write_layered_summary(&self, directory: &Path, version: u64) {
         let (header, table) = self.build_summary(version);
-        let bytes = layered(
+        let bytes = build_layered_summary(
             header,
             vec![table],
-            MOST_BYTES,
+            MAX_SUMMARY_BYTES,
             &SigningKey::from_bytes(&[self.key; 32]),
         );
         std::fs::write(directory.join(self.name), bytes).unwrap();
@@ -156,7 +156,7 @@
     /// Adds rows loaded by a statement, and the load numbers that its text carries, if any.
     pub fn load(&mut self, text: &str, rows: Vec<i64>) {
         self.rows.extend(rows);
-        numbers(text.as_bytes())
+        load_numbers(text.as_bytes())
             .iter()
             .for_each(|(_, n)| self.loads.insert(*n));
     }
--- a/crates/front/tests/scripted/wall_clock.rs
+++ b/crates/front/tests/scripted/wall_clock.rs
@@ -30,7 +30,7 @@
     /// step.
     fn step_wall_clock(&mut self, ms: i64) {
         self.machine_faults()
-            .set_wall_clock_ahead(ms * 1000)
+            .set_wall_clock_offset(ms * 1000)
             .unwrap();
         self.run_line("logs the wall clock was stepped by");
     }
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -26,7 +26,7 @@
         if requests_encryption {
             expect_refused_encryption(&mut session.stream)?;
         }
-        wire::write_start_up(&mut session.out, &[("user", user), ("database", "x")]);
+        wire::write_startup(&mut session.out, &[("user", user), ("database", "x")]);
         session.send()?;
         loop {
             let (tag, body) = session.read()?;
--- a/crates/native-codec/src/tables.rs
+++ b/crates/native-codec/src/tables.rs
@@ -1,28 +1,28 @@
-//! The table groups that a statement reads or writes, from the names of its schemas: group 17 of
-//! `sales_17.orders`. Strings and comments are passed over.
+//! Finds the table groups that a statement reads or writes, by the names of its schemas:
+//! `sales_17.orders` is in group 17. Strings and comments are skipped.
 
-/// The schema whose tables belong to no group.
+/// The schema, without its number, whose tables belong to no group.
 const UNGROUPED_SCHEMA: &[u8] = b"staging";
 
-/// A table group in a statement.
+/// A table group found in a statement.
 struct FoundGroup<'a> {
     number: u32,
-    /// The text behind its schema.
+    /// The text after the schema name.
     rest: &'a [u8],
 }
 
-/// The first table group that a statement names, if it names any.
+/// Returns the first table group in a statement, if there is one.
 pub fn group(statement: &[u8]) -> Option<u32> {
-    next(statement).map(|found| found.number)
+    next_group(statement).map(|found| found.number)
 }
 
-/// All table groups that a statement names, each once, in the order in which they come. The search ends at
-/// `most + 1` of them, so that a caller can tell that there are more.
-pub fn groups(statement: &[u8], most: usize) -> Vec<u32> {
+/// Returns the table groups in a statement, each once, in order of first use. The search ends after
+/// `max + 1` groups, so that a caller can tell that there are more than `max`.
+pub fn groups(statement: &[u8], max: usize) -> Vec<u32> {
     let mut groups = Vec::new();
     let mut rest = statement;
-    while groups.len() <= most {
-        let Some(found) = next(rest) else { break };
+    while groups.len() <= max {
+        let Some(found) = next_group(rest) else { break };
         if !groups.contains(&found.number) {
             groups.push(found.number);
         }
@@ -31,8 +31,8 @@
     groups
 }
 
-/// The first table group.
-fn next(statement: &[u8]) -> Option<FoundGroup<'_>> {
+/// Returns the next table group in the text.
+fn next_group(statement: &[u8]) -> Option<FoundGroup<'_>> {
     let mut rest = statement;
     while let Some(&first) = rest.first() {
         rest = match first {
@@ -40,27 +40,30 @@
             b'-' if rest.starts_with(b"--") => after(rest, b"\n", 2),
             b'/' if rest.starts_with(b"/*") => after_comment(rest),
             b'"' | b'`' => {
-                let behind = after_quote(rest, first);
-                let quoted = &rest[1..rest.len() - behind.len()];
+                let after_name = after_quote(rest, first);
+                let quoted = &rest[1..rest.len() - after_name.len()];
                 let name = quoted.strip_suffix(&[first]).unwrap_or(quoted);
-                if let Some(number) = group_of_schema(name, behind) {
+                if let Some(number) = group_of_schema(name, after_name) {
                     return Some(FoundGroup {
                         number,
-                        rest: behind,
+                        rest: after_name,
                     });
                 }
-                behind
+                after_name
             }
-            c if in_name(c) => {
-                let len = rest.iter().position(|c| !in_name(*c)).unwrap_or(rest.len());
-                let (name, behind) = rest.split_at(len);
-                if let Some(number) = group_of_schema(name, behind) {
+            c if is_name_char(c) => {
+                let len = rest
+                    .iter()
+                    .position(|c| !is_name_char(*c))
+                    .unwrap_or(rest.len());
+                let (name, after_name) = rest.split_at(len);
+                if let Some(number) = group_of_schema(name, after_name) {
                     return Some(FoundGroup {
                         number,
-                        rest: behind,
+                        rest: after_name,
                     });
                 }
-                behind
+                after_name
             }
             _ => &rest[1..],
         };
@@ -68,16 +71,17 @@
     None
 }
 
-/// Whether a byte may stand in a name without quotes.
-fn in_name(c: u8) -> bool {
+/// Whether a byte may occur in an unquoted name.
+fn is_name_char(c: u8) -> bool {
     c.is_ascii_alphanumeric() || c == b'_' || c == b'$' || c >= 0x80
 }
 
-/// The number behind the last underscore of a name, if what follows makes the name a schema's.
-fn group_of_schema(name: &[u8], behind: &[u8]) -> Option<u32> {
-    let behind_dot = behind.trim_ascii_start().strip_prefix(b".")?;
-    let next = behind_dot.trim_ascii_start().first()?;
-    let qualifies = in_name(*next) || matches!(next, b'"' | b'`');
+/// Returns the number after the last underscore of a name, if the text after the name shows that it
+/// is a schema name.
+fn group_of_schema(name: &[u8], after_name: &[u8]) -> Option<u32> {
+    let after_dot = after_name.trim_ascii_start().strip_prefix(b".")?;
+    let first = after_dot.trim_ascii_start().first()?;
+    let qualifies = is_name_char(*first) || matches!(first, b'"' | b'`');
     let underscore = name.iter().rposition(|c| *c == b'_')?;
     let digits = std::str::from_utf8(&name[underscore + 1..]).ok()?;
     let is_number = !digits.is_empty() && digits.bytes().all(|c| c.is_ascii_digit());
@@ -88,13 +92,13 @@
     digits.parse().ok()
 }
 
-/// The text behind the first `end` from a place on; empty where there is none.
+/// Returns the text after the first `end` from an offset on; empty if there is none.
 fn after<'a>(text: &'a [u8], end: &[u8], from: usize) -> &'a [u8] {
     let found = text[from..].windows(end.len()).position(|w| w == end);
     found.map_or(&[], |at| &text[from + at + end.len()..])
 }
 
-/// Behind a quoted part; a quote within it is written twice.
+/// Returns the text after a quoted part; a quote within it is doubled.
 fn after_quote(text: &[u8], quote: u8) -> &[u8] {
     let mut rest = after(text, &[quote], 1);
     while rest.first() == Some(&quote) {
@@ -103,7 +107,7 @@
     rest
 }
 
-/// Behind a comment; comments stand within comments.
+/// Returns the text after a comment; comments may be nested.
 fn after_comment(text: &[u8]) -> &[u8] {
     let (mut rest, mut depth) = (&text[2..], 1);
     while depth > 0 && !rest.is_empty() {
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -1,5 +1,5 @@
-//! Messages of an engine: each answer is matched with the operation that it belongs to, and passed on to the
-//! client or kept back.
+//! Reads an engine's messages: each answer is matched with the operation it belongs to, and
+//! forwarded to the client or dropped.
 
 use super::{EngineConnection, EngineEvent, Expected, Stage, WaitingPart};
 use crate::client_error::is_engine_fault;
@@ -7,29 +7,31 @@
 use crate::wire::{self, Header};
 use crate::ProtocolError;
 
-/// The longest message, in bytes, that is read as one; errors take some hundred.
+/// The maximum length of a message that is buffered as a whole, in bytes; error messages take some
+/// hundred bytes.
 const MAX_BUFFERED_MESSAGE: usize = 64 << 10;
 
 impl EngineConnection {
-    /// Reads what the engine has sent, up to the first message that means something beyond an answer. What is
-    /// for the client goes to `back`, `room` bytes and the rest of a message at most; what is for the engine
-    /// goes to `out`. Returns how many bytes of `input` were used up, and the event.
+    /// Reads the engine's bytes up to the first message that causes an event. Messages for the
+    /// client are appended to `to_client`, of which reading stops once it exceeds `client_capacity`
+    /// bytes; messages for the engine are appended to `out`. Returns the number of bytes of `input`
+    /// that were consumed, and the event.
     pub fn read(
         &mut self,
         input: &[u8],
         out: &mut Vec<u8>,
-        back: &mut Vec<u8>,
-        room: usize,
+        to_client: &mut Vec<u8>,
+        client_capacity: usize,
     ) -> Result<(usize, Option<EngineEvent>), ProtocolError> {
         let mut at = 0;
-        while back.len() <= room {
+        while to_client.len() <= client_capacity {
             let rest = &input[at..];
             if self.remaining_bytes > 0 {
                 let len = self.remaining_bytes.min(rest.len());
                 if len == 0 {
                     break;
                 }
-                back.extend_from_slice(&rest[..len]);
+                to_client.extend_from_slice(&rest[..len]);
                 self.remaining_bytes -= len;
                 at += len;
                 continue;
@@ -38,7 +40,8 @@
                 break;
             };
             let login_or_settings = self.stage != Stage::Ready;
-            // Rows and their like have no limit; they go on as they come.
+            // Rows, descriptions and notices have no length limit; they are forwarded in pieces as
+            // they arrive.
             if matches!(tag, b'D' | b'd' | b'T' | b't' | b'N')
                 && !login_or_settings
                 && rest.len() < len
@@ -46,15 +49,15 @@
                 if rest.len() < MAX_BUFFERED_MESSAGE {
                     break;
                 }
-                self.begin_long_message(tag)?;
+                self.start_long_message(tag)?;
                 self.remaining_bytes = len;
                 continue;
             }
             if len > MAX_BUFFERED_MESSAGE && rest.len() < len {
-                return Err(ProtocolError::EngineTooLong {
+                return Err(ProtocolError::EngineMessageTooLong {
                     tag,
                     bytes: len,
-                    most: MAX_BUFFERED_MESSAGE,
+                    limit: MAX_BUFFERED_MESSAGE,
                 });
             }
             let Some(message) = rest.get(..len) else {
@@ -63,8 +66,8 @@
             at += len;
             let event = match self.stage {
                 Stage::Login => self.login(tag, &message[5..], message, out)?,
-                Stage::BringingSettings => self.settings_answer(tag, message, out, back),
-                Stage::Ready => self.unit_answer(tag, message, back)?,
+                Stage::ApplyingSettings => self.settings_answer(tag, message, out, to_client),
+                Stage::Ready => self.unit_answer(tag, message, to_client)?,
             };
             if event.is_some() {
                 return Ok((at, event));
@@ -73,13 +76,14 @@
         Ok((at, None))
     }
 
-    /// The answer to bringing settings over: none of it is a client's, but why it failed.
+    /// Handles an answer while settings are being applied. Nothing is forwarded to the client; only
+    /// an error is kept, for the event.
     fn settings_answer(
         &mut self,
         tag: u8,
         message: &[u8],
         out: &mut Vec<u8>,
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) -> Option<EngineEvent> {
         match tag {
             b'E' => _ = self.settings_error.get_or_insert(message.to_vec()),
@@ -95,7 +99,7 @@
                 }
                 self.settings = waiting.first().map(|first| first.settings.clone());
                 for WaitingPart { part, settings } in waiting {
-                    self.send(&part, &settings, true, out, back);
+                    self.send(&part, &settings, true, out, to_client);
                 }
             }
             _ => {}
@@ -103,53 +107,53 @@
         None
     }
 
-    /// A message that goes on in pieces begins: it must be one that is due.
-    fn begin_long_message(&mut self, tag: u8) -> Result<(), ProtocolError> {
-        let described = matches!(self.expected.front(), Some(Expected::Described));
-        let running = matches!(
+    /// Starts to forward a message in pieces; an error if no message of its kind is expected.
+    fn start_long_message(&mut self, tag: u8) -> Result<(), ProtocolError> {
+        let describe_expected = matches!(self.expected.front(), Some(Expected::Described));
+        let rows_expected = matches!(
             self.expected.front(),
             Some(Expected::Executed | Expected::Query)
         );
         match tag {
             b'N' => {}
-            b'T' if described => _ = self.expected.pop_front(),
-            b't' if described => {}
-            b'T' | b'D' | b'd' if running => {}
+            b'T' if describe_expected => _ = self.expected.pop_front(),
+            b't' if describe_expected => {}
+            b'T' | b'D' | b'd' if rows_expected => {}
             other => {
-                return Err(ProtocolError::NotDue {
+                return Err(ProtocolError::UnexpectedMessage {
                     tag: other,
-                    when: "in answer to what was asked",
+                    when: "in response to the pending operation",
                 })
             }
         }
         Ok(())
     }
 
-    /// An answer to a unit or a health check.
+    /// Handles an answer to a unit or a health check.
     fn unit_answer(
         &mut self,
         tag: u8,
         message: &[u8],
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) -> Result<Option<EngineEvent>, ProtocolError> {
-        let mut passes = true;
+        let mut forward = true;
         match (tag, self.expected.front()) {
-            (b'N', _) => passes = !self.expected.is_empty(),
-            (b'S', _) => passes = !self.expected.is_empty(),
-            // Nobody listens through a front.
-            (b'A', _) => passes = false,
-            (b'E', _) => return self.unit_error(message, back),
+            (b'N', _) => forward = !self.expected.is_empty(),
+            (b'S', _) => forward = !self.expected.is_empty(),
+            // LISTEN is rejected by the front, so no client expects a notification.
+            (b'A', _) => forward = false,
+            (b'E', _) => return self.unit_error(message, to_client),
             (b'1', Some(Expected::Parsed { number, hidden })) => {
                 if let Some(number) = *number {
                     self.unconfirmed.remove(&number);
                     self.prepared.put(number, ());
                 }
-                passes = !*hidden;
-                self.outcome.parsed += usize::from(passes);
+                forward = !*hidden;
+                self.outcome.parsed_count += usize::from(forward);
                 self.expected.pop_front();
             }
             (b'3', Some(Expected::Closed { hidden })) => {
-                passes = hidden.is_none();
+                forward = hidden.is_none();
                 self.expected.pop_front();
             }
             (b'2', Some(Expected::Bound)) | (b'n', Some(Expected::Described)) => {
@@ -168,47 +172,50 @@
             (b'I' | b's', Some(Expected::Executed)) => _ = self.expected.pop_front(),
             (b'Z', Some(Expected::Ping)) => {
                 self.expected.pop_front();
-                self.write_due_answers(back);
+                self.write_local_answers(to_client);
                 return Ok(Some(EngineEvent::PingAnswered));
             }
             (b'Z', Some(Expected::Sync | Expected::Query)) => {
                 self.expected.pop_front();
-                return self.unit_ended(message, back).map(Some);
+                return self.finish_unit(message, to_client).map(Some);
             }
             (other, _) => {
-                return Err(ProtocolError::NotDue {
+                return Err(ProtocolError::UnexpectedMessage {
                     tag: other,
-                    when: "in answer to what was asked",
+                    when: "in response to the pending operation",
                 });
             }
         }
-        if passes {
-            back.extend_from_slice(message);
+        if forward {
+            to_client.extend_from_slice(message);
         }
-        self.write_due_answers(back);
+        self.write_local_answers(to_client);
         Ok(None)
     }
 
     fn unit_error(
         &mut self,
         message: &[u8],
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) -> Result<Option<EngineEvent>, ProtocolError> {
         let code = wire::field(&message[5..], b'C').unwrap_or(b"XX000");
         let fatal = wire::field(&message[5..], b'S') == Some(b"FATAL")
             || wire::field(&message[5..], b'V') == Some(b"FATAL");
         if fatal || self.expected.is_empty() {
-            // It is the connection's end, not a statement's answer, and nothing for a client of the front.
-            return Err(ProtocolError::Gone(String::from_utf8_lossy(code).into()));
+            // The error ends the connection; it is not the answer to a statement and is not
+            // forwarded.
+            return Err(ProtocolError::ConnectionEnded(
+                String::from_utf8_lossy(code).into(),
+            ));
         }
         match self.expected.front() {
             Some(Expected::Fail(why)) => {
-                why.write(back, false);
+                why.write(to_client, false);
                 self.outcome.error = Some(why.code().to_string());
             }
             _ => {
-                back.extend_from_slice(message);
-                self.outcome.fault |= is_engine_fault(code);
+                to_client.extend_from_slice(message);
+                self.outcome.engine_fault |= is_engine_fault(code);
                 self.outcome
                     .error
                     .get_or_insert(String::from_utf8_lossy(code).into());
@@ -220,8 +227,8 @@
         Ok(None)
     }
 
-    /// After an error an engine passes over what was sent, up to the Sync: no answers will come to that. A
-    /// simple query ends by itself.
+    /// Drops the answers expected up to the next Sync, as an engine skips all messages up to it
+    /// after an error. Not called for a simple query, which ends by itself.
     fn skip_to_sync(&mut self) {
         loop {
             match self.expected.pop_front() {
@@ -245,18 +252,18 @@
         }
     }
 
-    /// The engine is ready for the next unit: how this one ended.
-    fn unit_ended(
+    /// Handles ReadyForQuery: returns the outcome of the unit that has ended.
+    fn finish_unit(
         &mut self,
         message: &[u8],
-        back: &mut Vec<u8>,
+        to_client: &mut Vec<u8>,
     ) -> Result<EngineEvent, ProtocolError> {
-        back.extend_from_slice(message);
+        to_client.extend_from_slice(message);
         self.unnamed = None;
         let outcome = std::mem::take(&mut self.outcome);
         let status = message.get(5).copied().unwrap_or(b'I');
         if !matches!(status, b'I' | b'T' | b'E') {
-            return Err(ProtocolError::Malformed("a transaction in no known state"));
+            return Err(ProtocolError::Malformed("an unknown transaction status"));
         }
         Ok(EngineEvent::UnitDone(UnitOutcome { status, ..outcome }))
     }
--- a/crates/scatter/src/layers.rs
+++ b/crates/scatter/src/layers.rs
@@ -1,5 +1,6 @@
-//! A summary in layers: what its site signs holds rows and bounds, and the hashes of two layers behind it: small filters, and
-//! full ones. A front may hold as much of it as earns its bytes, and hand on what it holds: any of it proves itself.
+//! Summaries in layers. The part that the site signs holds rows and bounds, and the hashes of the
+//! two layers that follow: small filters and full filters. A front may hold as many layers as are
+//! worth their bytes and pass them on, since each layer can be verified on its own.
 
 use ed25519_dalek::SigningKey;
 use serde::{Deserialize, Serialize};
@@ -7,35 +8,37 @@
 
 use crate::filter::Members;
 use crate::runs;
-use crate::summary::{signed, Extension, Signed, Summary, Table, MOST_BYTES};
+use crate::summary::{signed, Extension, Signed, Summary, Table, MAX_SUMMARY_BYTES};
 
-pub(crate) const LAYERED: u16 = 2; // the format of summaries in layers; a front of an earlier version refuses them
-pub(crate) const LAYERED_EXTENDED: u16 = 4;
-const SIGNATURE_BYTES: usize = 256; // bytes for the signature, the hashes and lengths
+// The format of layered summaries; fronts of earlier versions reject it.
+pub(crate) const LAYERED_FORMAT: u16 = 2;
+pub(crate) const LAYERED_EXTENDED_FORMAT: u16 = 4;
+// For the signature, the hashes and the lengths.
+const RESERVED_SIGNATURE_BYTES: usize = 256;
 
-/// How much of a summary there is.
+/// How much of a summary is held or wanted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Detail {
-    /// Rows, nulls, distinct values and bounds.
+    /// Numbers of rows, nulls and distinct values, and bounds.
     Bounds,
-    /// And filters of four bits a value.
+    /// Also filters of four bits per value.
     Small,
-    /// And those of some ten.
+    /// Also the full filters, of some ten bits per value.
     #[default]
     Full,
 }
 
-/// All of them, the coarsest first.
+/// All levels of detail, the coarsest first.
 pub const ALL: [Detail; 3] = [Detail::Bounds, Detail::Small, Detail::Full];
 
-/// A layer that stands behind what is signed.
+/// The length and the hash of a layer that follows the signed part.
 #[derive(Serialize, Deserialize)]
 struct LayerDigest {
     bytes: u32,
     hash: [u8; 32],
 }
 
-/// Members of columns, by the places of their tables and of themselves.
+/// Filters with the positions of their tables and columns.
 pub(crate) type Layer = Vec<(u16, u16, Members)>;
 
 fn digest(layer: &[u8]) -> LayerDigest {
@@ -45,12 +48,13 @@
     }
 }
 
-/// The bytes of a summary without members whose members are on the layers; the largest go until it is not too long.
+/// Encodes and signs a summary whose filters are in the layers. The largest filters are removed
+/// until it is not longer than `max_bytes`.
 pub(crate) fn sign(
     mut summary: Summary,
     mut small: Layer,
     mut full: Layer,
-    most: usize,
+    max_bytes: usize,
     key: &SigningKey,
 ) -> Vec<u8> {
     for column in summary
@@ -58,20 +62,24 @@
         .iter_mut()
         .flat_map(|table| &mut table.columns)
     {
-        column.runs = runs::coarser(std::mem::take(&mut column.runs), runs::FEWER);
+        column.runs = runs::merge_closest(std::mem::take(&mut column.runs), runs::MAX_LAYERED_RUNS);
     }
-    summary.cut(most.min(MOST_BYTES) / 2, LAYERED, LAYERED_EXTENDED);
+    summary.drop_extensions(
+        max_bytes.min(MAX_SUMMARY_BYTES) / 2,
+        LAYERED_FORMAT,
+        LAYERED_EXTENDED_FORMAT,
+    );
     let size = |layer: &Layer| {
         layer
             .iter()
             .map(|(_, _, members)| members.size() + 8)
             .sum::<usize>()
     };
-    let core = summary.encoded(LAYERED, LAYERED_EXTENDED);
-    let most = most
-        .min(MOST_BYTES)
-        .saturating_sub(core.len() + SIGNATURE_BYTES);
-    while size(&small) + size(&full) > most {
+    let core = summary.encoded(LAYERED_FORMAT, LAYERED_EXTENDED_FORMAT);
+    let max_bytes = max_bytes
+        .min(MAX_SUMMARY_BYTES)
+        .saturating_sub(core.len() + RESERVED_SIGNATURE_BYTES);
+    while size(&small) + size(&full) > max_bytes {
         let layer = if full.is_empty() {
             &mut small
         } else {
@@ -92,7 +100,8 @@
     [signed([core, digests].concat(), key), small, full].concat()
 }
 
-/// Puts the members of what layers there are into the tables. None: what is there is none of them, or cut within one.
+/// Sets the filters of the columns from the layers that are present. Returns the detail reached, or
+/// None if the layers do not match their hashes or are truncated.
 pub(crate) fn apply(tables: &mut [Table], digests: &[u8], layers: &[u8]) -> Option<Detail> {
     let ((small, full), rest) =
         postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
@@ -129,19 +138,22 @@
     layers.is_empty().then_some(present)
 }
 
-/// Where in its bytes each fineness ends, the coarsest first; from its beginning alone, once that is there. Nothing is checked.
+/// The end of each level of detail in the summary's bytes, the coarsest first. The signed part
+/// alone is sufficient; nothing is verified.
 pub fn layer_ends(bytes: &[u8]) -> Option<[usize; 3]> {
     let (signed, rest) = postcard::take_from_bytes::<Signed>(bytes).ok()?;
     let (format, _) = postcard::take_from_bytes::<u16>(&signed.summary).ok()?;
     let (_, mut digests) = postcard::take_from_bytes::<Summary>(&signed.summary).ok()?;
     match format {
-        LAYERED => {}
-        LAYERED_EXTENDED => digests = postcard::take_from_bytes::<Extension>(digests).ok()?.1,
+        LAYERED_FORMAT => {}
+        LAYERED_EXTENDED_FORMAT => {
+            digests = postcard::take_from_bytes::<Extension>(digests).ok()?.1
+        }
         _ => return None,
     }
     let ((small, full), _) =
         postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
     let core = bytes.len() - rest.len();
     let small = core + small.bytes as usize;
-    Some([core, small, small + full.bytes as usize]).filter(|ends| ends[2] <= MOST_BYTES)
+    Some([core, small, small + full.bytes as usize]).filter(|ends| ends[2] <= MAX_SUMMARY_BYTES)
 }
--- a/crates/scatter/src/sql.rs
+++ b/crates/scatter/src/sql.rs
@@ -1,12 +1,12 @@
-//! What a statement asks for, taken from it by `sqlparser`: one table, a condition, a bound on rows. Dialects read some text
-//! in two ways; such text is not understood here, so that no reading of an engine's is missed.
+//! Reads what a statement selects, by means of `sqlparser`: a table, a condition and a limit. Text
+//! that dialects read in different ways is rejected, so that no engine's reading of it is missed.
 
 mod names;
 
 use sqlparser::ast::{
     Distinct, DuplicateTreatment, Expr, FunctionArguments, GroupByExpr, Ident, LimitClause,
     ObjectName, Query as Parsed, Select, SelectFlavor, SelectItem, SetExpr, Statement,
-    TableWithJoins, Value as Word,
+    TableWithJoins, Value as SqlValue,
 };
 use sqlparser::dialect::GenericDialect;
 use sqlparser::parser::Parser;
@@ -16,57 +16,60 @@
 use crate::combine::{self, Aggregate};
 use crate::condition::Condition;
 use crate::join::{self, Join};
-use crate::row::{beyond_one_row, is_of_one_reading, selects_beyond_one_row};
+use crate::row::{is_unambiguous, non_row_expression, selected_non_row_expression};
 
 use names::alias_of;
 
-const LONGEST: usize = 16 << 10; // bytes of a statement that is looked at; conditions nest by its length
+// The nesting depth of conditions is bounded by the statement's length.
+const MAX_STATEMENT_BYTES: usize = 16 << 10;
 
-/// A statement whose rows can be put together from those of its sites.
+/// A statement whose answer can be built from those of its sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
     /// The table group, from the number in the schema's name.
     pub group: u32,
     /// The table's name, without its schema; in lower case unless it is quoted.
     pub table: String,
-    /// What the statement asks of the rows of this table.
+    /// The condition on the rows of this table.
     pub condition: Condition,
     /// The statement's LIMIT, if it has one.
     pub limit: Option<u64>,
-    /// Its answer is one row of aggregates, put together from those of the parts.
+    /// The aggregates of the answer, which is one row computed from those of the parts; None if
+    /// rows are selected.
     pub combine: Option<Vec<Aggregate>>,
-    /// It asks for the number of distinct values of this column in all rows, and for nothing else.
+    /// The column whose distinct values in all rows are counted, if the statement asks for nothing
+    /// else.
     pub distinct: Option<String>,
-    /// The rows are joined with those of another table at the same site.
+    /// The second table of a join, whose matching rows are at the same site.
     pub join: Option<Join>,
 }
 
-/// Why the rows of a statement can't be put together from parts.
+/// Why the answer to a statement can't be built from parts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unsupported {
-    /// Too long to be parsed; holds its length in bytes.
+    /// The statement is too long to be parsed; holds its length in bytes.
     #[error(
-        "a statement of {0} bytes, over {LONGEST}: shorten it, or name a scatter.whole_site for it"
+        "a statement of {0} bytes, over {MAX_STATEMENT_BYTES}: shorten it, or name a scatter.whole_site for it"
     )]
     Long(usize),
-    /// Text that dialects read in different ways; holds what makes it so.
+    /// Dialects read the text in different ways; holds the part that causes it.
     #[error(
         "text that dialects read in different ways ({0}): write it without, or name a scatter.whole_site"
     )]
     Ambiguous(&'static str),
-    /// Not parsed, or several statements; holds the parser's message.
+    /// The statement can't be parsed, or there are several; holds the parser's message.
     #[error("not understood ({0}): write it plainer, or name a scatter.whole_site")]
     Syntax(String),
-    /// A clause that can't be computed from the sites' answers; holds its name.
+    /// A clause can't be computed from the sites' answers; holds its name.
     #[error("{0} can't be put together from the sites' parts: leave it out, or name a scatter.whole_site")]
     NotDivisible(String),
-    /// A join of two table groups that may lie at different sites; holds their numbers.
+    /// The join is of two table groups that may lie at different sites; holds their numbers.
     #[error(
         "a join of groups {0} and {1}, which scatter.together does not name: name them where equal keys lie \
          at one site, or name a scatter.whole_site"
     )]
     NotColocated(u32, u32),
-    /// A table whose name does not tell its group.
+    /// The table's name does not contain its group.
     #[error("names no table as SCHEMA_NUMBER.TABLE: name the group's schema, or name a scatter.whole_site")]
     NoGroup,
 }
@@ -75,18 +78,18 @@
     Err(Unsupported::NotDivisible(what.into()))
 }
 
-/// Text that begins or ends strings and comments in one dialect and not in another.
+/// Finds text that begins or ends strings or comments in some dialects only.
 fn ambiguous(text: &str) -> Option<&'static str> {
-    let dashes = |(at, _): (usize, &str)| {
+    let is_ambiguous_comment = |(at, _): (usize, &str)| {
         text[at + 2..]
             .chars()
             .next()
             .is_some_and(|c| !c.is_whitespace())
     };
-    let nested = || {
+    let has_ambiguous_comment = || {
         let mut rest = text;
-        while let Some((_, behind)) = rest.split_once("/*") {
-            let Some((comment, after)) = behind.split_once("*/") else {
+        while let Some((_, after_start)) = rest.split_once("/*") {
+            let Some((comment, after)) = after_start.split_once("*/") else {
                 return true;
             };
             if comment.contains("/*") || comment.starts_with(['!', '+', 'M']) {
@@ -100,14 +103,16 @@
         () if text.contains('\\') => Some("a backslash"),
         () if text.contains('#') => Some("#"),
         () if text.contains('$') => Some("$"),
-        () if text.match_indices("--").any(dashes) => Some("-- without a space behind"),
-        () if nested() => Some("a comment within a comment, or one with orders"),
+        () if text.match_indices("--").any(is_ambiguous_comment) => {
+            Some("-- without a space behind")
+        }
+        () if has_ambiguous_comment() => Some("a comment within a comment, or one with orders"),
         () => None,
     }
 }
 
 pub(crate) fn parse(statement: &[u8]) -> Result<Statement, Unsupported> {
-    if statement.len() > LONGEST {
+    if statement.len() > MAX_STATEMENT_BYTES {
         return Err(Unsupported::Long(statement.len()));
     }
     let Ok(text) = std::str::from_utf8(statement) else {
@@ -118,7 +123,7 @@
     }
     match Parser::parse_sql(&GenericDialect {}, text) {
         Ok(mut all) => match (all.pop(), all.is_empty()) {
-            (Some(one), true) => Ok(one),
+            (Some(statement), true) => Ok(statement),
             (Some(_), false) => Err(Unsupported::Syntax("several statements".to_string())),
             (None, _) => Err(Unsupported::Syntax("no statement".to_string())),
         },
@@ -126,13 +131,13 @@
     }
 }
 
-/// Takes a statement apart, if its rows can be put together from parts.
+/// Reads a statement whose answer can be built from parts.
 pub fn read(statement: &[u8]) -> Result<Query, Unsupported> {
-    of(parse(statement)?)
+    query_of_statement(parse(statement)?)
 }
 
-/// The same of `SELECT COUNT(DISTINCT column)` over all rows of a table, which sketches may answer. None: it
-/// is another.
+/// Reads a `SELECT COUNT(DISTINCT column)` over all rows of a table, which sketches may answer.
+/// None for other statements.
 pub fn read_distinct(statement: &[u8]) -> Option<Query> {
     let mut statement = parse(statement).ok()?;
     let Statement::Query(query) = &mut statement else {
@@ -156,10 +161,9 @@
     if !counts || list.duplicate_treatment.take() != Some(DuplicateTreatment::Distinct) {
         return None;
     }
-    // What holds for the greatest of a column's values holds for this: one column by its name, nothing beside
-    // it.
+    // The rules for `max(column)` apply here too: a single column, and no other clause.
     f.name = ObjectName::from(vec![Ident::new("max")]);
-    let query = of(statement).ok()?;
+    let query = query_of_statement(statement).ok()?;
     let [Aggregate {
         column: Some(column),
         ..
@@ -167,8 +171,8 @@
     else {
         return None;
     };
-    let all = query.condition == Condition::Constant(true);
-    let distinct = Some(column.clone()).filter(|_| all)?;
+    let selects_all_rows = query.condition == Condition::Constant(true);
+    let distinct = Some(column.clone()).filter(|_| selects_all_rows)?;
     Some(Query {
         combine: None,
         distinct: Some(distinct),
@@ -176,11 +180,12 @@
     })
 }
 
-fn of(statement: Statement) -> Result<Query, Unsupported> {
+fn query_of_statement(statement: Statement) -> Result<Query, Unsupported> {
     let Statement::Query(query) = statement else {
         return not_divisible("what is no SELECT");
     };
-    // Named one by one: a clause that a later version of the crate knows of must be looked at here.
+    // Each field is named, so that a clause added by a later version of `sqlparser` is noticed
+    // here.
     let Parsed {
         with,
         body,
@@ -193,7 +198,7 @@
         format_clause,
         pipe_operators,
     } = *query;
-    for (there, what) in [
+    for (is_present, what) in [
         (with.is_some(), "WITH"),
         (order_by.is_some(), "ORDER BY"),
         (fetch.is_some(), "FETCH"),
@@ -204,7 +209,7 @@
         ),
         (!pipe_operators.is_empty(), "a pipe"),
     ] {
-        if there {
+        if is_present {
             return not_divisible(what);
         }
     }
@@ -217,16 +222,16 @@
             limit,
             offset: None,
             limit_by,
-        }) if limit_by.is_empty() => limit.map(|limit| rows(&limit)).transpose()?,
+        }) if limit_by.is_empty() => limit.map(|limit| row_limit(&limit)).transpose()?,
         Some(_) => return not_divisible("OFFSET"),
     };
     select_from(*select, limit)
 }
 
-fn rows(limit: &Expr) -> Result<u64, Unsupported> {
+fn row_limit(limit: &Expr) -> Result<u64, Unsupported> {
     let count = match limit {
         Expr::Value(value) => match &value.value {
-            Word::Number(digits, false) => digits.parse().ok(),
+            SqlValue::Number(digits, false) => digits.parse().ok(),
             _ => None,
         },
         _ => None,
@@ -263,7 +268,7 @@
     } = select;
     let grouped = !matches!(&group_by, GroupByExpr::Expressions(by, with) if by.is_empty() && with.is_empty());
     let sorted = !cluster_by.is_empty() || !distribute_by.is_empty() || !sort_by.is_empty();
-    for (there, what) in [
+    for (is_present, what) in [
         (
             distinct.is_some_and(|d| !matches!(d, Distinct::All)),
             "DISTINCT",
@@ -286,15 +291,15 @@
             "a SELECT of another form",
         ),
     ] {
-        if there {
+        if is_present {
             return not_divisible(what);
         }
     }
-    of_tables(&from, &projection, selection.as_ref(), limit)
+    query_of_tables(&from, &projection, selection.as_ref(), limit)
 }
 
-/// The query of a SELECT without other clauses.
-fn of_tables(
+/// Reads a SELECT without other clauses.
+fn query_of_tables(
     from: &[TableWithJoins],
     projection: &[SelectItem],
     selection: Option<&Expr>,
@@ -309,7 +314,7 @@
         alias,
     } = table_reference(&from.relation)?;
     let aliases: Vec<String> = projection.iter().filter_map(alias_of).collect();
-    let (first, other) = (
+    let (first, joins) = (
         ColumnScope {
             table: alias,
             aliases,
@@ -317,7 +322,7 @@
         },
         &from.joins[..],
     );
-    let (names, joined) = match other {
+    let (names, joined) = match joins {
         [] => (first, None),
         [other] => join::read(other, first, selection).map(|(names, join)| (names, Some(join)))?,
         _ => return not_divisible("a join of more than two tables"),
@@ -326,11 +331,11 @@
     if combine.is_some() && limit.is_some() {
         return not_divisible("LIMIT beside aggregates");
     }
-    let beyond = projection
+    let unsupported = projection
         .iter()
         .filter(|_| combine.is_none())
-        .find_map(selects_beyond_one_row);
-    if let Some(what) = beyond.or_else(|| selection.and_then(beyond_one_row)) {
+        .find_map(selected_non_row_expression);
+    if let Some(what) = unsupported.or_else(|| selection.and_then(non_row_expression)) {
         return not_divisible(what);
     }
     let condition = condition(selection, &names);
@@ -349,12 +354,13 @@
     })
 }
 
-/// What a row of a table is asked for.
+/// The condition on the rows of a table.
 pub(crate) fn condition(selection: Option<&Expr>, names: &ColumnScope) -> Condition {
     match selection {
         None => Condition::Constant(true),
-        // MySQL reads some operators as AND and OR: then the whole falls apart otherwise.
-        Some(e) if !is_of_one_reading(e) => Condition::Other,
+        // MySQL reads some operators as AND and OR, which changes the structure of the whole
+        // condition.
+        Some(e) if !is_unambiguous(e) => Condition::Other,
         Some(e) => crate::from_sql::condition(e, names),
     }
 }
