--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -132,6 +132,7 @@
     }
 }
 
+/// Checks that statements with `bound` run only on the engines in `Agreement::bound_to`.
 pub(super) fn placement(
     wrong: &mut Violations,
     asked: &[StatementRecord],
--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -19,6 +19,7 @@
 const CHUNK_BYTES: usize = 32 << 10; // read and written at once
 const TEXT_TYPE: u32 = 25; // PostgreSQL's type OID of `text`
 
+/// A portal: the statement bound to it and how far its rows have been sent.
 struct Portal {
     text: String,
     task: Option<Task>,
@@ -40,6 +41,7 @@
     }
 }
 
+/// The state of one connection: its buffers, prepared statements, portals and transaction.
 pub(super) struct Conversation {
     engine: Arc<Engine>,
     stream: TcpStream,
--- a/crates/lab/src/engine/portal.rs
+++ b/crates/lab/src/engine/portal.rs
@@ -50,6 +50,7 @@
     }
 }
 
+/// An open connection of a client to the engine.
 pub(super) struct Link {
     pub(super) stream: TcpStream,
     /// The running statement, whether its cancellation was requested, and whether the connection
@@ -59,6 +60,7 @@
     secret: u32,
 }
 
+/// A stand-in engine that speaks PostgreSQL, with its faults and its open connections.
 pub struct Engine {
     pub number: usize,
     pub at: SocketAddr,
--- a/crates/lab/src/engine/task.rs
+++ b/crates/lab/src/engine/task.rs
@@ -12,12 +12,14 @@
     pub(super) fail: String,
 }
 
+/// Parses the task in `run('...')`; `None` if the text has none.
 pub(super) fn parse_task(text: &str) -> Option<Task> {
     let at = text.find("run('")? + 5;
     let inner = &text[at..at + text[at..].find('\'')?];
     Some(task_from_fields(inner))
 }
 
+/// Parses `name=value` pairs separated by commas; unknown names are ignored.
 pub(super) fn task_from_fields(inner: &str) -> Task {
     let mut task = Task::default();
     for (name, value) in inner.split(',').filter_map(|pair| pair.split_once('=')) {
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -77,11 +77,13 @@
 }
 
 impl Run {
+    /// Returns whether no rule was violated and all faults were injected.
     pub fn passed(&self) -> bool {
         self.violations.is_empty()
             && self.tallies.get("faults_played") == self.tallies.get("faults")
     }
 
+    /// Formats the tallies and the number of violations by rule as one result line.
     pub fn line(&self) -> String {
         let tallies = self.tallies.iter().map(|(k, v)| format!("{k}={v}"));
         let violations = self
--- a/crates/lab/src/record/cuts.rs
+++ b/crates/lab/src/record/cuts.rs
@@ -29,7 +29,7 @@
     /// time of a span.
     pub fn min_reachable(&self, front: usize, (from, to): (i64, i64)) -> usize {
         let heard = |at: i64| {
-            let own = |groups: &[usize], n: usize| groups.get(n) == groups.get(front);
+            let is_same_group = |groups: &[usize], n: usize| groups.get(n) == groups.get(front);
             let cuts: Vec<&Partition> = self
                 .cuts
                 .iter()
@@ -41,7 +41,9 @@
                     .any(|(f, from, to)| *f == n && *from <= at && at < *to)
             };
             (0..self.fronts)
-                .filter(|n| !unavailable(*n) && cuts.iter().all(|cut| own(&cut.groups, *n)))
+                .filter(|n| {
+                    !unavailable(*n) && cuts.iter().all(|cut| is_same_group(&cut.groups, *n))
+                })
                 .count()
         };
         let inside = |at: &i64| from <= *at && *at <= to;
@@ -78,7 +80,7 @@
         let unavailable = self
             .unavailable
             .iter()
-            .filter(|(own, ..)| *own == front)
+            .filter(|(unavailable_front, ..)| *unavailable_front == front)
             .map(|(_, f, t)| (*f, *t));
         unavailable
             .chain(self.starved.iter().copied())
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -123,6 +123,7 @@
     (agreed + skew) * 1000
 }
 
+/// Runs all these checks and adds their tallies.
 pub fn check(scenario: &Scenario, account: &Account, tallies: &mut Tallies) -> Violations {
     let mut wrong = Violations::new();
     let ran = executions(&account.engine_events, &account.sent_by);
--- a/crates/lab/src/record/refused.rs
+++ b/crates/lab/src/record/refused.rs
@@ -25,6 +25,7 @@
     pub tolerated: usize,
 }
 
+/// Reports rejections without an excuse, if there are more than tolerated.
 pub fn check(
     wrong: &mut Violations,
     asked: &[Offered],
@@ -42,11 +43,11 @@
             && !connectivity.is_disturbed(span);
         // A statement that waits for a key in use may be rejected as long as the key is kept.
         let waits = |p: &&Offered| {
-            let own = p.asked.id == o.asked.id && p.front == o.front;
+            let is_same = p.asked.id == o.asked.id && p.front == o.front;
             let completed = matches!(p.asked.outcome, Outcome::Completed { .. });
             let key_retention = if completed { 0 } else { terms.key_retention };
             let until = p.asked.answered.saturating_add(key_retention);
-            !own && p.asked.sent < o.asked.answered && o.asked.sent < until
+            !is_same && p.asked.sent < o.asked.answered && o.asked.sent < until
         };
         let alone = o.asked.key.is_empty()
             || !by_key
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -33,11 +33,12 @@
     ran.iter()
         .for_each(|x| _ = first.entry((x.id.as_str(), x.front)).or_insert(x));
     let wait = |o: &'a Offered| {
-        let own = first.get(&(o.asked.id.as_str(), o.front))?;
-        let others = by_key.get(own.key.as_str()).into_iter().flatten();
-        let before = others.filter(|x| x.id != own.id && x.from < own.from && x.to <= own.from);
+        let execution = first.get(&(o.asked.id.as_str(), o.front))?;
+        let others = by_key.get(execution.key.as_str()).into_iter().flatten();
+        let before = others
+            .filter(|x| x.id != execution.id && x.from < execution.from && x.to <= execution.from);
         let free = before.map(|x| x.to).max().unwrap_or(0);
-        Some((o, own.from - free.max(o.asked.sent), own.from))
+        Some((o, execution.from - free.max(o.asked.sent), execution.from))
     };
     asked
         .iter()
@@ -46,6 +47,7 @@
         .collect()
 }
 
+/// Checks the limits over a run with shutdowns and adds the tallies of waits and shutdowns.
 pub fn check(wrong: &mut Violations, account: &Account, terms: Terms, tallies: &mut Tallies) {
     let Account {
         asked,
@@ -106,12 +108,16 @@
         }
     }
     for end in shutdowns {
-        let took = end.gone.saturating_sub(end.asked);
-        if !end.well || took > terms.max_shutdown && !is_busy(end.asked, end.gone) {
+        let duration = end.gone.saturating_sub(end.asked);
+        if !end.well || duration > terms.max_shutdown && !is_busy(end.asked, end.gone) {
             let how = if end.well { "well" } else { "with an error" };
             add(
                 "end",
-                format!("front {} ended {how} after {} ms", end.front, took / 1000),
+                format!(
+                    "front {} ended {how} after {} ms",
+                    end.front,
+                    duration / 1000
+                ),
             );
         }
     }
--- a/crates/lab/src/record/rows.rs
+++ b/crates/lab/src/record/rows.rs
@@ -30,6 +30,7 @@
     pub without: BTreeSet<usize>,
 }
 
+/// Reports missing and surplus rows of each scatter that has a complete answer.
 pub fn check(wrong: &mut Violations, scatters: &[Scatter], held: &[Row]) {
     for scatter in scatters {
         let Some(rows) = &scatter.rows else { continue };
--- a/crates/lab/src/record/unpromised.rs
+++ b/crates/lab/src/record/unpromised.rs
@@ -36,12 +36,12 @@
         // From its acceptance, or from well before its start, the front reached too few others all
         // the time.
         let busy = (x.from - MAX_TRANSIT_US, x.from);
-        let way = MAX_TRANSIT_US + starved.front(x.front, busy) + starved.rig(busy);
-        let since = offered.asked.sent.max(x.from - way);
-        let heard = connectivity.max_reachable(x.front, (since, x.from));
-        if heard < quorum && offered.asked.sent <= x.from {
+        let transit = MAX_TRANSIT_US + starved.front(x.front, busy) + starved.rig(busy);
+        let since = offered.asked.sent.max(x.from - transit);
+        let reached = connectivity.max_reachable(x.front, (since, x.from));
+        if reached < quorum && offered.asked.sent <= x.from {
             let finding = format!(
-                "{}: began at front {}, which reached {heard} of {quorum} fronts",
+                "{}: began at front {}, which reached {reached} of {quorum} fronts",
                 x.id, x.front
             );
             wrong.entry("without_promise").or_default().push(finding);
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -167,12 +167,15 @@
     pub(super) key: [u8; 8],
 }
 
+/// The tag and the body of a message.
 pub type Message = (u8, Vec<u8>);
 
+/// Returns the SQLSTATE of an error message; empty if there is none.
 pub fn code(message: &Message) -> String {
     String::from_utf8_lossy(wire::field(&message.1, b'C').unwrap_or_default()).into_owned()
 }
 
+/// Returns the tags of the messages, one character each.
 pub fn tags(messages: &[Message]) -> String {
     messages.iter().map(|(tag, _)| *tag as char).collect()
 }
@@ -198,6 +201,7 @@
     }
 }
 
+/// Derives the outcome from an error of the connection: `Nothing` after a timeout, else `Lost`.
 pub(super) fn outcome_of_error(e: &std::io::Error) -> Outcome {
     match e.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => Outcome::Nothing,
