--- a/crates/lab/src/engine/portal_tests.rs
+++ b/crates/lab/src/engine/portal_tests.rs
@@ -4,7 +4,7 @@
 use crate::scripted::session::Session;
 use std::time::{Duration, Instant};
 
-/// For one condition; a busy machine needs part of it.
+/// Time limit for one condition; a busy machine needs part of it.
 const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
 #[test]
--- a/crates/lab/src/engine/wire_events.rs
+++ b/crates/lab/src/engine/wire_events.rs
@@ -28,7 +28,7 @@
 
 /// The verbs that are recorded, of fronts and of engines.
 const VERBS: [&str; 6] = ["want", "never_mind", "ACK", "AGAIN", "EIO", "STALE"];
-/// Without a line end; no line or statement of the rig is as long.
+/// Bytes without a line end after which they are dropped; no line or statement of the rig is as long.
 const MAX_LINE_BYTES: usize = 64 << 10;
 
 /// Extracts lines from the bytes of one direction of a connection, wherever the chunks are cut.
--- a/crates/lab/src/record/attempts.rs
+++ b/crates/lab/src/record/attempts.rs
@@ -10,7 +10,7 @@
 /// Rules whose violations get the history of their statement.
 const RULES: [&str; 3] = ["repeats", "second_run", "promise_lost"];
 const MAX_VIOLATIONS: usize = 5; // per rule; further ones are not printed either
-/// Before and after the statement, within which warnings of its front are included.
+/// Microseconds before and after the statement, within which warnings of its front are included.
 const WARNING_MARGIN_US: i64 = 1_000_000;
 const MAX_WARNINGS: usize = 12;
 
--- a/crates/lab/src/record/herd.rs
+++ b/crates/lab/src/record/herd.rs
@@ -7,7 +7,7 @@
 use crate::rig::scenario::{Fault, Scenario};
 
 const SECOND: i64 = 1_000_000; // in microseconds
-/// After a start that count; budgets are reassigned within some seconds.
+/// Microseconds after a start that count; budgets are reassigned within some seconds.
 const RELEASE_SPAN_US: i64 = 6 * SECOND;
 
 /// Adds the tallies of a release; `from` is when the fronts were killed.
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -14,7 +14,7 @@
 use super::repeats::Repeats;
 use super::{order, refused, repeats, unpromised};
 
-/// Of quiet until every shard has an owner: two leases and an election.
+/// Microseconds of quiet until every shard has an owner: two leases and an election.
 const SETTLE_US: i64 = 6_000_000;
 const MAX_REFUSAL_DELAY_US: i64 = 1_000_000; // within which a missing ledger entry is reported
 const TOLERATED_REFUSALS: usize = 0; // statements that engines may have rejected
--- a/crates/lab/src/record/refused.rs
+++ b/crates/lab/src/record/refused.rs
@@ -8,7 +8,7 @@
 use super::unpromised::needs_ledger_entry;
 use crate::check::{Outcome, Violations};
 
-/// Until a front that was stalled knows the state of its engines again.
+/// Microseconds until a front that was stalled knows the state of its engines again.
 const RESUME_US: i64 = 1_000_000;
 
 /// The conditions under which a rejection has no excuse.
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -9,7 +9,7 @@
 use super::unpromised::needs_ledger_entry;
 use crate::check::{Outcome, Violations};
 
-/// Without a CPU, after which a client may connect to a port that was closed meanwhile.
+/// Microseconds without a CPU after which a client may connect to a port that was closed meanwhile.
 const MIN_CLIENT_STALL_US: i64 = 300_000;
 
 /// The limits that must hold.
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -9,7 +9,7 @@
 
 use crate::check::{Outcome, StatementRecord};
 
-/// For one message; longer than any statement may take.
+/// Time limit for one message; longer than any statement may take.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Session {
--- a/crates/lab/src/session_cases/stage.rs
+++ b/crates/lab/src/session_cases/stage.rs
@@ -10,7 +10,7 @@
 use crate::rig::{Coordinator, Front};
 use crate::scripted::session::{code, tags, Session};
 
-/// For one condition; a busy machine needs part of it.
+/// Time limit for one condition; a busy machine needs part of it.
 pub(super) const WAIT_LIMIT: Duration = Duration::from_secs(10);
 pub(super) const LIMITS: &str = "transaction_idle_ms: 3000, buffer_bytes: 32768";
 
