--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -1,27 +1,35 @@
-//! Exactly one final answer for each statement, and what was answered has come to pass.
+//! Each statement has exactly one final answer, and the answers match the effects.
 
 use std::collections::{HashMap, HashSet};
 
 use super::statements::{
-    add, Agreed, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations,
+    add_violation, Agreement, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations,
 };
 
-/// Exactly one final answer, whole and true, in time.
-pub(super) fn answers(wrong: &mut Violations, asked: &[StatementRecord], agreed: &Agreed) {
+/// Checks that each statement has exactly one final answer that is complete, correct and in time.
+pub(super) fn answers(wrong: &mut Violations, asked: &[StatementRecord], agreed: &Agreement) {
     let mut seen = HashSet::new();
     for a in asked {
         if !seen.insert(&a.id) {
-            add(wrong, "answers", format!("{}: two final answers", a.id));
+            add_violation(wrong, "answers", format!("{}: two final answers", a.id));
         }
-        // What was waited before it was due is no excuse.
-        let waited = agreed.waited.between(a.sent + a.timeout, a.answered);
+        // Waiting before the answer was due does not excuse its delay.
+        let waited = agreed
+            .processor_waits
+            .between(a.sent + a.timeout, a.answered);
         let late = a.answered - a.sent > a.timeout + agreed.slack + waited;
         match &a.outcome {
-            Outcome::Nothing => add(wrong, "answers", format!("{}: no answer", a.id)),
-            Outcome::Spoilt => add(wrong, "answers", format!("{}: another's rows", a.id)),
-            Outcome::Lost if !a.may_be_lost => add(wrong, "answers", format!("{}: lost", a.id)),
-            Outcome::Completed { rows } if *rows != a.rows || a.fails.is_some() => {
-                add(
+            Outcome::Nothing => add_violation(wrong, "answers", format!("{}: no answer", a.id)),
+            Outcome::Spoilt => add_violation(
+                wrong,
+                "answers",
+                format!("{}: rows of another statement", a.id),
+            ),
+            Outcome::Lost if !a.may_be_lost => {
+                add_violation(wrong, "answers", format!("{}: lost", a.id))
+            }
+            Outcome::Completed { rows } if *rows != a.rows || a.expected_error.is_some() => {
+                add_violation(
                     wrong,
                     "answers",
                     format!("{}: {rows} rows of {}", a.id, a.rows),
@@ -31,25 +39,30 @@
                 let known = [
                     "53000", "57014", "08007", "08006", "40001", "25P02", "25P03", "57P01",
                 ];
-                let own = [a.fails, a.may_fail].contains(&Some(code.as_str()));
+                let own = [a.expected_error, a.tolerated_error].contains(&Some(code.as_str()));
                 if !own && !known.contains(&code.as_str()) {
-                    add(wrong, "answers", format!("{}: {code}", a.id));
+                    add_violation(wrong, "answers", format!("{}: {code}", a.id));
                 }
-                // A cancel that was meant for another shows as one that nobody asked for.
+                // A cancel request meant for another statement shows as a cancellation that its
+                // client did not request.
                 let early = a.answered - a.sent < a.timeout - agreed.slack;
-                if code == "57014" && !a.cancels && early {
-                    add(wrong, "cancels", format!("{}: cancelled by nobody", a.id));
+                if code == "57014" && !a.cancel_requested && early {
+                    add_violation(
+                        wrong,
+                        "cancels",
+                        format!("{}: cancelled without a request of its client", a.id),
+                    );
                 }
             }
             _ => {}
         }
         if late && !matches!(a.outcome, Outcome::Nothing) {
             let ms = (a.answered - a.sent) / 1000;
-            add(
+            add_violation(
                 wrong,
                 "answers",
                 format!(
-                    "{}: after {ms} ms of {}, {} of them the machine's",
+                    "{}: after {ms} ms of {}, {} of them waiting for a CPU",
                     a.id,
                     a.timeout / 1000,
                     waited / 1000
@@ -59,7 +72,7 @@
     }
 }
 
-/// What was answered is what has come to pass.
+/// Checks that the effects of statements and transactions are those that were answered.
 pub(super) fn effects(
     wrong: &mut Violations,
     asked: &[StatementRecord],
@@ -77,15 +90,15 @@
         );
         let completed = matches!(a.outcome, Outcome::Completed { .. });
         if completed && lasting == 0 {
-            add(
+            add_violation(
                 wrong,
                 "effects",
-                format!("{}: completed, but nothing has come of it", a.id),
+                format!("{}: completed, but has no lasting effect", a.id),
             );
         }
         let rejected = matches!(&a.outcome, Outcome::Error(code) if code == "53000");
         if rejected && a.repeat == Repeat::NonIdempotent && ran > 0 {
-            add(wrong, "effects", format!("{}: rejected, but it ran", a.id));
+            add_violation(wrong, "effects", format!("{}: rejected, but it ran", a.id));
         }
     }
     for (n, t) in transactions.iter().enumerate() {
@@ -94,27 +107,27 @@
             .iter()
             .filter(|id| kept.contains_key(*id))
             .count();
-        let whole = t.statements.len();
+        let total = t.statements.len();
         match &t.commit {
-            Some(Outcome::Completed { .. }) if lasting < whole => {
-                add(
+            Some(Outcome::Completed { .. }) if lasting < total => {
+                add_violation(
                     wrong,
                     "effects",
-                    format!("transaction {n}: committed, {lasting} of {whole} kept"),
+                    format!("transaction {n}: committed, {lasting} of {total} kept"),
                 );
             }
-            Some(Outcome::Error(code)) if code == "08007" && lasting != 0 && lasting != whole => {
-                add(
+            Some(Outcome::Error(code)) if code == "08007" && lasting != 0 && lasting != total => {
+                add_violation(
                     wrong,
                     "effects",
-                    format!("transaction {n}: {lasting} of {whole} kept"),
+                    format!("transaction {n}: {lasting} of {total} kept"),
                 );
             }
             Some(Outcome::Error(code)) if code == "08007" => {}
             Some(Outcome::Lost | Outcome::Nothing) => {}
             Some(Outcome::Completed { .. }) => {}
             _ if lasting > 0 => {
-                add(
+                add_violation(
                     wrong,
                     "effects",
                     format!("transaction {n}: {:?}, but {lasting} kept", t.commit),
--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -1,5 +1,5 @@
-//! The other protocol of the front, as far as the rig needs it: an engine that speaks lines and writes down
-//! what it runs, and in `client` a client that asks over Thrift.
+//! The front's line protocol and Thrift, as far as the rig needs them: a stand-in engine that
+//! speaks the line protocol and records what it runs, and, in `client`, a Thrift client.
 
 mod client;
 
@@ -10,13 +10,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-pub use self::client::{ask, ask_body, ask_told, Client};
-use crate::engine::{EngineEvent, Kind, Records};
+pub use self::client::{ask, ask_body, ask_with_retry_hint, Client};
+use crate::engine::{EngineEvent, EngineEventKind, Records};
 use crate::rig::scenario::Step;
 
-const MOST_BODY: usize = 1 << 20; // bytes of a statement that are read
+const MAX_STATEMENT_BYTES: usize = 1 << 20; // a longer statement is cut off
 
-/// Starts an engine that speaks lines and is always warm; statements are `id=..,key=..,ms=..`.
+/// Starts an engine that speaks the line protocol and is always warm; statements are
+/// `id=..,key=..,ms=..`.
 pub fn engine(number: usize, records: Arc<Records>) -> std::io::Result<SocketAddr> {
     let warmth = Warmth {
         cold: usize::MAX,
@@ -27,19 +28,20 @@
     Ok(Engine::start(number, records, warmth)?.at)
 }
 
-/// How many statements an engine bears at once: `cold` right after its start, growing evenly to `warm`.
+/// How many statements an engine can run at once: `cold` right after its start, growing linearly to
+/// `warm` over `warm_us` microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmth {
     pub cold: usize,
     pub warm: usize,
     pub warm_us: i64,
-    /// How many statements its memory holds at once, warm or cold.
+    /// How many statements fit into its memory at once, whether warm or cold.
     pub memory: usize,
 }
 
 impl Warmth {
-    /// What is borne at once so many microseconds after a start.
-    pub fn bears(self, since: i64) -> usize {
+    /// Returns how many statements can run at once `since` microseconds after a start.
+    pub fn capacity_at(self, since: i64) -> usize {
         let Warmth {
             cold,
             warm,
@@ -54,31 +56,35 @@
     }
 }
 
-/// The statements that run for a connection, by the ids of their executions: their own, and their links.
+/// The statements running for a connection, by execution id: each statement's own id, and its link
+/// number in the record.
 type Runs = Arc<Mutex<HashMap<String, (String, u32)>>>;
 
-/// An engine that speaks lines; what it bears over its warmth it turns away with `AGAIN`.
+/// An engine that speaks the line protocol; it rejects statements beyond its current capacity with
+/// `AGAIN`.
 pub struct Engine {
     pub number: usize,
     pub at: SocketAddr,
     warmth: Warmth,
     records: Arc<Records>,
-    /// Microseconds since the rig began at its last start, and how many statements run.
+    /// When the engine last started, in microseconds since the rig began; and how many statements
+    /// are running.
     started: AtomicI64,
     running: AtomicUsize,
-    /// Counts executions: each has a link of its own in the record.
-    next: AtomicU32,
-    /// Statements turned away, and the most that were asked of it at once against what it bore then.
-    pub turned_away: AtomicUsize,
+    /// The next link number: each execution has a link number of its own in the record.
+    next_link: AtomicU32,
+    /// The number of rejected statements, and the highest ratio of statements requested at once to
+    /// the capacity at that time.
+    pub rejected: AtomicUsize,
     peak: Mutex<f64>,
-    /// The same since its last start.
+    /// The same ratio since the last start.
     peak_since_start: Mutex<f64>,
-    holds: Option<Arc<dyn RowStore>>,
+    row_store: Option<Arc<dyn RowStore>>,
 }
 
-/// The rows behind engines, where they hold any.
+/// The rows that a group of engines serves.
 pub trait RowStore: Send + Sync {
-    /// What the statement comes to on an engine, at the end of its work.
+    /// Returns the rows that the statement yields on the engine, at the end of its work.
     fn answer(&self, engine: usize, statement: &str) -> String;
 }
 
@@ -88,22 +94,22 @@
         records: Arc<Records>,
         warmth: Warmth,
     ) -> std::io::Result<Arc<Engine>> {
-        Engine::holding(number, records, warmth, None)
+        Engine::with_rows(number, records, warmth, None)
     }
 
-    /// One that answers with rows; its statements say their fields in a comment that begins `/* id=`.
-    pub fn holding(
+    /// Starts an engine that answers with rows from `row_store`; its statements carry their fields
+    /// in a comment that begins with `/* id=`.
+    pub fn with_rows(
         number: usize,
         records: Arc<Records>,
         warmth: Warmth,
-        holds: Option<Arc<dyn RowStore>>,
+        row_store: Option<Arc<dyn RowStore>>,
     ) -> std::io::Result<Arc<Engine>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
-        // Warm from the first: only a start anew is cold.
+        // The engine is warm at first; only a restart makes it cold.
         let started = AtomicI64::new(records.now() - warmth.warm_us);
-        let (running, turned_away, peak) =
-            (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(0.0));
+        let (running, rejected, peak) = (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(0.0));
         let peak_since_start = Mutex::new(0.0);
         let engine = Arc::new(Engine {
             number,
@@ -112,23 +118,23 @@
             records,
             started,
             running,
-            next: AtomicU32::new(1),
-            turned_away,
+            next_link: AtomicU32::new(1),
+            rejected,
             peak,
             peak_since_start,
-            holds,
+            row_store,
         });
-        let serves = engine.clone();
+        let acceptor = engine.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let engine = serves.clone();
+                let engine = acceptor.clone();
                 std::thread::spawn(move || _ = engine.serve(stream));
             }
         });
         Ok(engine)
     }
 
-    /// Starts anew, cold.
+    /// Simulates a restart: the engine is cold again.
     pub fn restart(&self) {
         self.started.store(self.records.now(), SeqCst);
         if let Ok(mut peak) = self.peak_since_start.lock() {
@@ -136,24 +142,24 @@
         }
     }
 
-    /// What it bears at once now.
-    pub fn bears(&self) -> usize {
+    /// Returns how many statements the engine can run at once now.
+    pub fn capacity(&self) -> usize {
         self.warmth
-            .bears(self.records.now() - self.started.load(SeqCst))
+            .capacity_at(self.records.now() - self.started.load(SeqCst))
     }
 
-    /// The most asked of it at once against what it bore then.
+    /// Returns the highest ratio of statements requested at once to the capacity at that time.
     pub fn peak(&self) -> f64 {
         self.peak.lock().map(|p| *p).unwrap_or(0.0)
     }
 
-    /// The same since its last start.
+    /// Returns the same ratio since the last start.
     pub fn peak_since_start(&self) -> f64 {
         self.peak_since_start.lock().map(|p| *p).unwrap_or(0.0)
     }
 
-    fn note(&self, link: u32, kind: Kind) {
-        if let Ok(mut engine_events) = self.records.deeds.lock() {
+    fn record(&self, link: u32, kind: EngineEventKind) {
+        if let Ok(mut engine_events) = self.records.engine_events.lock() {
             engine_events.push(EngineEvent {
                 at: self.records.now(),
                 engine: self.number,
@@ -163,24 +169,26 @@
         }
     }
 
-    /// Serves a connection; what still runs when it ends is stopped, as engines do that can't answer any more. The
-    /// connection is closed after that is on the record, so that nobody can know of the close before.
+    /// Serves a connection. Statements still running when it ends are stopped, as engines stop
+    /// those that can no longer be answered. The connection is closed only after their ends are
+    /// recorded, so that no front learns of the close before.
     fn serve(self: &Arc<Self>, stream: TcpStream) -> std::io::Result<()> {
         let runs: Runs = Arc::default();
-        let own_side = stream.try_clone()?;
-        let served = self.converse(stream, &runs);
+        let socket = stream.try_clone()?;
+        let served = self.read_messages(stream, &runs);
         if let Ok(mut runs) = runs.lock() {
-            for (_, (own, link)) in runs.drain() {
+            for (_, (statement_id, link)) in runs.drain() {
                 self.running.fetch_sub(1, SeqCst);
-                self.note(link, Kind::Ended { id: own });
+                self.record(link, EngineEventKind::Ended { id: statement_id });
             }
         }
-        let _ = own_side.shutdown(Shutdown::Both);
+        let _ = socket.shutdown(Shutdown::Both);
         served
     }
 
-    /// `runs` holds the statements that run for the connection, by the ids of their executions.
-    fn converse(self: &Arc<Self>, stream: TcpStream, runs: &Runs) -> std::io::Result<()> {
+    /// Reads requests until the connection ends. `runs` holds the statements running for the
+    /// connection, by execution id.
+    fn read_messages(self: &Arc<Self>, stream: TcpStream, runs: &Runs) -> std::io::Result<()> {
         let peer = stream.peer_addr()?;
         let mut reader = BufReader::new(stream.try_clone()?);
         let stream = Arc::new(stream);
@@ -200,11 +208,11 @@
             let ["want", id, _, len] = words[..] else {
                 continue;
             };
-            let mut body = vec![0; len.parse::<usize>().unwrap_or(0).min(MOST_BODY) + 2];
+            let mut body = vec![0; len.parse::<usize>().unwrap_or(0).min(MAX_STATEMENT_BYTES) + 2];
             reader.read_exact(&mut body)?;
             let statement = String::from_utf8_lossy(&body).trim().to_string();
             if self.admits() {
-                self.begin(Statement::read(statement), id, (peer, &stream), runs);
+                self.start_execution(Statement::read(statement), id, (peer, &stream), runs);
             } else {
                 write!(
                     &*stream,
@@ -215,55 +223,60 @@
         }
     }
 
-    /// Whether it bears one statement more, which then counts as running; notes how much was asked of it at once.
+    /// Returns whether the engine has capacity for one more statement, which then counts as
+    /// running; records the ratio of requested statements to capacity.
     fn admits(&self) -> bool {
-        let asked = self.running.fetch_add(1, SeqCst) + 1;
-        let bears = self.bears();
+        let requested = self.running.fetch_add(1, SeqCst) + 1;
+        let capacity = self.capacity();
         for peak in [&self.peak, &self.peak_since_start] {
             if let Ok(mut peak) = peak.lock() {
-                *peak = peak.max(asked as f64 / bears.max(1) as f64);
+                *peak = peak.max(requested as f64 / capacity.max(1) as f64);
             }
         }
-        if asked > bears {
+        if requested > capacity {
             self.running.fetch_sub(1, SeqCst);
-            self.turned_away.fetch_add(1, SeqCst);
+            self.rejected.fetch_add(1, SeqCst);
         }
-        asked <= bears
+        requested <= capacity
     }
 
-    /// Begins the execution of that id, which is on the record when this returns; a thread of its own ends it.
-    fn begin(
+    /// Starts the execution with this id. Its start is recorded when this function returns; a
+    /// separate thread ends it.
+    fn start_execution(
         self: &Arc<Self>,
         statement: Statement,
         id: &str,
         (peer, stream): (SocketAddr, &Arc<TcpStream>),
         runs: &Runs,
     ) {
-        let link = self.next.fetch_add(1, SeqCst);
+        let link = self.next_link.fetch_add(1, SeqCst);
         let front = self.records.front_of(peer, self.at);
         if let (Some(front), Ok(mut sent_by)) = (front, self.records.sent_by.lock()) {
             sent_by.insert((self.number, link), front);
         }
-        self.records.runs(self.number, link, (peer, id));
-        self.note(
+        self.records.note_arrival(self.number, link, (peer, id));
+        self.record(
             link,
-            Kind::Began {
+            EngineEventKind::Began {
                 id: statement.id.clone(),
                 key: statement.key.clone(),
             },
         );
-        let promised_at = front.filter(|_| statement.promised);
-        if let Some(front) = promised_at {
-            self.records.reached(Step::Began, front);
+        let step_front = front.filter(|_| statement.needs_ledger_entry);
+        if let Some(front) = step_front {
+            self.records.step_reached(Step::Began, front);
         }
-        if let Ok(mut runs) = runs.lock().map(|runs| (!statement.goes_on).then_some(runs)) {
+        if let Ok(mut runs) = runs
+            .lock()
+            .map(|runs| (!statement.survives_disconnect).then_some(runs))
+        {
             runs.iter_mut()
                 .for_each(|runs| _ = runs.insert(id.to_string(), (statement.id.clone(), link)));
         }
         let execution = Execution {
             id: id.to_string(),
             link,
-            promised_at,
+            step_front,
             statement,
         };
         let (engine, stream, runs) = (self.clone(), stream.clone(), runs.clone());
@@ -273,38 +286,40 @@
         });
     }
 
-    /// Ends an execution whose work is done, and answers it, unless it was stopped with its connection.
+    /// Ends an execution whose work is done and answers it, unless it was stopped with its
+    /// connection.
     fn finish(&self, execution: Execution, stream: &TcpStream, runs: &Runs) {
         let Execution {
             id,
             link,
-            promised_at,
+            step_front,
             statement,
         } = execution;
-        // Noted under the lock: once `serve` has it, every end that its close could tell of is on the record.
+        // Recorded under the lock: once `serve` holds it, every end that the close could reveal is
+        // recorded.
         if let Ok(mut runs) = runs.lock() {
-            if runs.remove(&id).is_none() && !statement.goes_on {
-                return; // stopped with its connection
+            if runs.remove(&id).is_none() && !statement.survives_disconnect {
+                return; // was stopped with its connection
             }
-            self.note(
+            self.record(
                 link,
-                Kind::Ended {
+                EngineEventKind::Ended {
                     id: statement.id.clone(),
                 },
             );
         }
-        self.note(
+        self.record(
             link,
-            Kind::Kept {
+            EngineEventKind::Kept {
                 id: statement.id.clone(),
             },
         );
-        if let Some(front) = promised_at {
-            self.records.reached(Step::Kept, front);
+        if let Some(front) = step_front {
+            self.records.step_reached(Step::Kept, front);
         }
         self.running.fetch_sub(1, SeqCst);
-        let row = match &self.holds {
-            Some(holds) => holds.answer(self.number, &statement.text),
+        let row = match &self.row_store {
+            Some(row_store) => row_store.answer(self.number, &statement.text),
             None => format!("{}\t-\t-\n", statement.id),
         };
         let active = self.running.load(SeqCst);
@@ -316,17 +331,17 @@
     }
 }
 
-/// A statement, and what it says of itself: `id=..,key=..,ms=..`.
+/// A statement and the fields in its text: `id=..,key=..,ms=..`.
 struct Statement {
     text: String,
     id: String,
     key: String,
-    /// Milliseconds of its work.
+    /// Duration of its work in milliseconds.
     ms: u64,
-    /// It has its effect also where its connection ends first.
-    goes_on: bool,
-    /// It needs a promise.
-    promised: bool,
+    /// The statement takes effect even if its connection ends first.
+    survives_disconnect: bool,
+    /// The statement needs a ledger entry.
+    needs_ledger_entry: bool,
 }
 
 impl Statement {
@@ -340,26 +355,27 @@
             found.unwrap_or_default().to_string()
         };
         let (id, key, ms) = (field("id"), field("key"), field("ms").parse().unwrap_or(0));
-        let (goes_on, promised) = (field("on") == "1", field("promised") == "1");
+        let (survives_disconnect, needs_ledger_entry) =
+            (field("on") == "1", field("promised") == "1");
         Statement {
             text,
             id,
             key,
             ms,
-            goes_on,
-            promised,
+            survives_disconnect,
+            needs_ledger_entry,
         }
     }
 }
 
-/// A statement that runs.
+/// A running statement.
 struct Execution {
-    /// As the front calls it.
+    /// The id that the front uses.
     id: String,
-    /// Its own in the record.
+    /// The link number in the record.
     link: u32,
-    /// The front that sent it, where it needs a promise.
-    promised_at: Option<usize>,
+    /// The front that sent the statement, if the statement needs a ledger entry.
+    step_front: Option<usize>,
     statement: Statement,
 }
 
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for engines, of both protocols: each writes down all that it did.
+//! Stand-ins for engines of both protocols; each records everything it does.
 
 mod conversation;
 pub mod lines;
@@ -10,5 +10,5 @@
 mod wire_events_tests;
 
 pub use portal::Engine;
-pub use record::{Armed, EngineEvent, Kind, Records};
+pub use record::{Armed, EngineEvent, EngineEventKind, Records};
 pub use wire_events::{Lines, WireEvent, WireEventKind};
--- a/crates/lab/src/engine/portal_tests.rs
+++ b/crates/lab/src/engine/portal_tests.rs
@@ -4,15 +4,16 @@
 use crate::scripted::session::Session;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10); // for one thing to come about; a busy machine takes some
+/// Time limit for one condition; a busy machine needs part of it.
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
 #[test]
-fn what_is_reset_or_cancelled_is_over_in_the_record_before_anyone_hears_of_it() {
+fn the_end_of_a_reset_or_cancelled_statement_is_recorded_before_it_is_visible() {
     let engine = Engine::start(0, Records::new(), true).unwrap();
-    let noted = |kind: Kind| {
+    let is_recorded = |kind: EngineEventKind| {
         engine
             .records
-            .deeds
+            .engine_events
             .lock()
             .unwrap()
             .iter()
@@ -24,13 +25,13 @@
         s.query(&format!("select run('id={id},rows=1,ms=20000')"));
         s.send().unwrap();
         let (began, since) = (
-            Kind::Began {
+            EngineEventKind::Began {
                 id: id.clone(),
                 key: String::new(),
             },
             Instant::now(),
         );
-        while !noted(began.clone()) && since.elapsed() < PATIENCE {
+        while !is_recorded(began.clone()) && since.elapsed() < WAIT_LIMIT {
             std::thread::yield_now();
         }
         if resets {
@@ -38,8 +39,8 @@
         } else {
             s.cancel(engine.at).unwrap();
         }
-        assert!(noted(Kind::Ended { id }), "{n}");
-        while engine.connections() > 0 && resets && since.elapsed() < PATIENCE {
+        assert!(is_recorded(EngineEventKind::Ended { id }), "{n}");
+        while engine.connections() > 0 && resets && since.elapsed() < WAIT_LIMIT {
             std::thread::yield_now();
         }
     }
--- a/crates/lab/src/engine/task.rs
+++ b/crates/lab/src/engine/task.rs
@@ -1,6 +1,7 @@
-//! What a statement asks of an engine that speaks PostgreSQL.
+//! The work that a statement asks of a stand-in engine that speaks PostgreSQL.
 
-/// What a statement is to do.
+/// What a statement is to do: its id and order key, the number and size of its rows, its duration
+/// in milliseconds, and the SQLSTATE to fail with (empty for none).
 #[derive(Clone, Default)]
 pub(super) struct Task {
     pub(super) id: String,
@@ -11,13 +12,15 @@
     pub(super) fail: String,
 }
 
-pub(super) fn task(text: &str) -> Option<Task> {
+/// Parses the task in `run('...')`; `None` if the text has none.
+pub(super) fn parse_task(text: &str) -> Option<Task> {
     let at = text.find("run('")? + 5;
     let inner = &text[at..at + text[at..].find('\'')?];
-    Some(task_of_fields(inner))
+    Some(task_from_fields(inner))
 }
 
-pub(super) fn task_of_fields(inner: &str) -> Task {
+/// Parses `name=value` pairs separated by commas; unknown names are ignored.
+pub(super) fn task_from_fields(inner: &str) -> Task {
     let mut task = Task::default();
     for (name, value) in inner.split(',').filter_map(|pair| pair.split_once('=')) {
         match name {
@@ -33,8 +36,8 @@
     task
 }
 
-/// The first parameter of a Bind, as text.
-pub(super) fn parameter(rest: &[u8]) -> Option<&[u8]> {
+/// Returns the first parameter of a Bind message as text; `None` if there is none.
+pub(super) fn first_parameter(rest: &[u8]) -> Option<&[u8]> {
     let short = |at: usize| {
         rest.get(at..at + 2)
             .map(|n| u16::from_be_bytes([n[0], n[1]]) as usize)
--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -107,7 +107,7 @@
         member: &Member,
         address: SocketAddr,
         record: &ClientRecord,
-        again: bool,
+        is_retry: bool,
     ) -> Outcome {
         let (class, load) = (&self.scenario.classes[self.class], &self.scenario.load);
         let id = format!("s{}", self.number);
@@ -157,11 +157,12 @@
             let wait = Duration::from_micros(200 + self.seed % 400);
             std::thread::spawn(move || {
                 std::thread::sleep(wait);
-                records.reached(Step::Taken, front);
+                records.step_reached(Step::Taken, front);
             });
         }
         let before = thread_cpu_wait();
-        let (outcome, later) = lines::ask_told(address, self.number, &fields, &statement);
+        let (outcome, later) =
+            lines::ask_with_retry_hint(address, self.number, &fields, &statement);
         asked.outcome = outcome;
         asked.answered = now();
         let starved = thread_cpu_wait() - before;
@@ -177,7 +178,7 @@
                 class,
                 asked,
                 barred,
-                again,
+                is_retry,
                 starved,
             });
         }
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -19,7 +19,7 @@
 use self::notes::Notes;
 use self::sampling::FrontMemory;
 use self::setup::{is_big, Setup, ENGINES};
-use crate::check::{check, Agreed, Outcome, StatementRecord, Transaction, Violations};
+use crate::check::{check, Agreement, Outcome, StatementRecord, Transaction, Violations};
 use crate::rig::Front;
 use crate::scripted;
 
@@ -75,7 +75,7 @@
     load.join_clients();
     let notified_sessions = open
         .into_iter()
-        .map(scripted::Open::was_told)
+        .map(scripted::OpenTransaction::was_notified)
         .filter(|notified| *notified)
         .count();
     let played = load.join()?;
@@ -183,16 +183,16 @@
 ) -> Result<(), String> {
     let engine_events = notes
         .records
-        .deeds
+        .engine_events
         .lock()
         .map_err(|e| e.to_string())?
         .clone();
-    let agreed = Agreed {
+    let agreed = Agreement {
         grace: DRAIN_GRACE_US,
         slack: ANSWER_SLACK_US,
-        waited: played.waited.clone(),
+        processor_waits: played.waited.clone(),
         bound_to: (0..ENGINES).filter(|engine| is_big(*engine)).collect(),
-        further: Some(RETRY_BUDGET),
+        retry_budget: Some(RETRY_BUDGET),
         drains: played.drains.clone(),
     };
     for (rule, found) in check(
@@ -212,7 +212,7 @@
     for a in asked {
         let outcome = match &a.outcome {
             Outcome::Completed { .. } => "completed".to_string(),
-            Outcome::Error(_) if a.fails.is_some() => "own_errors".to_string(),
+            Outcome::Error(_) if a.expected_error.is_some() => "own_errors".to_string(),
             Outcome::Error(code) => format!("e{code}"),
             other => format!("{other:?}").to_lowercase(),
         };
@@ -241,7 +241,7 @@
     let timed_out = client_records
         .asked
         .iter()
-        .filter(|a| !a.cancels && ended_by(a, "57014"))
+        .filter(|a| !a.cancel_requested && ended_by(a, "57014"))
         .count();
     if timed_out * MIN_ACCEPTED_PER_TIMEOUT > accepted {
         add(
--- a/crates/lab/src/prove/postgres/clients.rs
+++ b/crates/lab/src/prove/postgres/clients.rs
@@ -158,7 +158,7 @@
         }
         72..76 => {
             let asked = StatementRecord {
-                fails: Some("23505"),
+                expected_error: Some("23505"),
                 ..notes.new_statement(Repeat::Idempotent)
             };
             simple_query_statement(client, "", asked, 0, notes).await;
@@ -204,14 +204,14 @@
 /// An engine may fail to prepare a statement, here with a code of its own.
 fn may_fail_to_parse(asked: StatementRecord) -> StatementRecord {
     StatementRecord {
-        may_fail: Some("42P01"),
+        tolerated_error: Some("42P01"),
         ..asked
     }
 }
 
 /// Builds the text of a statement that works for `ms` milliseconds.
 pub(super) fn text(label: &str, asked: &StatementRecord, ms: u64) -> String {
-    let fails = asked.fails.unwrap_or_default();
+    let fails = asked.expected_error.unwrap_or_default();
     format!(
         "{label}select run('id={},key={},rows={},ms={ms},fail={fails}')",
         asked.id, asked.key, asked.rows
--- a/crates/lab/src/prove/postgres/faults.rs
+++ b/crates/lab/src/prove/postgres/faults.rs
@@ -86,10 +86,10 @@
             }
             "slowed" => {
                 e.faults
-                    .slower
+                    .extra_latency_us
                     .store(rng.random_range(20_000..120_000), SeqCst);
                 sleep(rng.random_range(100..600));
-                e.faults.slower.store(0, SeqCst);
+                e.faults.extra_latency_us.store(0, SeqCst);
             }
             "lost_commits" => e.faults.lost_commits.store(rng.random_range(1..5), SeqCst),
             "lost_results" => e.faults.lost_results.store(rng.random_range(2..6), SeqCst),
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -53,10 +53,13 @@
                     .map(|()| notes.records.now()),
             ));
         }
-        for (wait, taken) in pending {
-            wait.join()
-                .into_iter()
-                .for_each(|asked| notes.record(StatementRecord { taken, ..asked }));
+        for (wait, accepted_at) in pending {
+            wait.join().into_iter().for_each(|asked| {
+                notes.record(StatementRecord {
+                    accepted_at,
+                    ..asked
+                })
+            });
         }
     }
 }
@@ -88,7 +91,7 @@
         "/*hallmux.workload='log-load',hallmux.key='{}',hallmux.dedup_key='d{}'*/ ",
         asked.key, asked.id
     );
-    let mut session = session::sent(at, &text(&label, asked, 15))?;
+    let mut session = session::open_with_query(at, &text(&label, asked, 15))?;
     let asked = asked.clone();
     Ok(Box::new(move || session::answer(&mut session, &asked)))
 }
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -28,8 +28,8 @@
 const RESTART_CHECK_DELAY_MS: u64 = 400;
 const MAX_SECONDS: u64 = 90; // time limit of a run
 const TERMS: Terms = Terms {
-    most_wait: 1_000_000,
-    most_end: 8_000_000,
+    max_wait: 1_000_000,
+    max_shutdown: 8_000_000,
 };
 
 /// Fronts that are restarted together, whether they restart as the other build, and for how many
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -1,10 +1,10 @@
-//! A statement that broke a rule is named with all that the rig saw of it.
+//! A violation names everything that the rig saw of its statement.
 
 use std::collections::HashMap;
 
 use super::account::{offered, Account};
 use super::judge::judge;
-use crate::engine::{EngineEvent, Kind, WireEvent, WireEventKind};
+use crate::engine::{EngineEvent, EngineEventKind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
 pub const TEXT: &str = "seconds = 1\n[fleet]\nfronts = 4\nzones = 1\nengines_per_zone = 3\n\
@@ -26,7 +26,8 @@
     }
 }
 
-/// Sent to engine 1, given up by closing its connection, and sent to engine 2 before engine 1 has read so.
+/// A statement sent to engine 1, cancelled by closing the connection, and sent to engine 2 before
+/// engine 1 has read the close.
 pub fn account() -> Account {
     let event = |at, engine, link, kind| EngineEvent {
         at,
@@ -35,12 +36,12 @@
         kind,
     };
     let (began, ended, kept) = (
-        || Kind::Began {
+        || EngineEventKind::Began {
             id: "s7".into(),
             key: String::new(),
         },
-        || Kind::Ended { id: "s7".into() },
-        || Kind::Kept { id: "s7".into() },
+        || EngineEventKind::Ended { id: "s7".into() },
+        || EngineEventKind::Kept { id: "s7".into() },
     );
     let mut own = offered("s7", 3, 1_000);
     own.asked.answered = 160_000;
@@ -61,7 +62,7 @@
             event(140_000, 2, 11, kept()),
         ],
         sent_by: HashMap::from([((1, 10), 3), ((2, 11), 3)]),
-        came: HashMap::from([
+        arrivals: HashMap::from([
             ((1, 10), (501, "0007".into())),
             ((2, 11), (502, "0007".into())),
         ]),
@@ -71,7 +72,7 @@
             line(39_000, (2, 502), ("want", "0007")),
             closed,
             line(150_000, (2, 502), ("ACK", "0007")),
-            // Another connection's end, and the same one's long after.
+            // The close of another connection, and a close of the same connection long after.
             WireEvent {
                 at: 60_000,
                 front: 3,
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_statement_that_ran_twice_at_once_is_named_with_each_attempt_in_the_order_of_time() {
+fn a_statement_that_ran_twice_at_once_is_reported_with_its_history_in_order_of_time() {
     let scenario = Scenario::parse(TEXT, false, None).unwrap();
     let run = judge(&scenario, &account(), Vec::new());
     let rules: Vec<_> = run
@@ -109,13 +110,13 @@
     assert_eq!(
         rules,
         [("repeats", 1)],
-        "the story adds no finding and takes none away"
+        "the history neither adds nor removes a violation"
     );
     let expected = "s7 at front 3: ran twice at once [\
         0.000 ms asked of front 3, Idempotent, 1000 ms; \
         1.000 ms relay 501 between front 3 and engine 1: want; \
         2.000 ms engine 1 run 10 over 501: began; \
-        26.000 ms front 3 says: f3 warn: engine e1: a line of 5 words; \
+        26.000 ms front 3 logged: f3 warn: engine e1: a line of 5 words; \
         38.000 ms relay 502 between front 3 and engine 2: want; \
         39.000 ms engine 2 run 11 over 502: began; \
         40.000 ms relay 501 between front 3 and engine 1: closed by the front; \
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn what_was_lost_on_the_way_is_told_as_lost() {
+fn a_message_dropped_by_the_relay_is_reported_as_lost() {
     let mut account = account();
     let WireEventKind::Line { passed, .. } = &mut account.wire_events[0].kind else {
         panic!()
--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -1,21 +1,24 @@
-//! Attempts that their front gave up are out no more from then on, as the protocol has it, though a stand-in engine that
-//! had no CPU wrote their end down later.
+//! A cancelled attempt no longer counts as in flight, as the protocol has it, even if a stand-in
+//! engine without a CPU recorded its end later.
 
 use std::collections::HashMap;
 
 use super::account::Account;
 use crate::check::Repeat;
-use crate::engine::{EngineEvent, Kind, WireEvent, WireEventKind};
+use crate::engine::{EngineEvent, EngineEventKind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
-/// Microseconds between the word of one attempt's end and the next attempt, by the relays: half of what fronts wait.
-const APART: i64 = 5_000;
-/// Microseconds before and after in which a rig without a CPU read its connections late, and in another order.
-const AROUND: i64 = 1_000_000;
+/// Microseconds that must lie between the cancellation of one attempt and the next attempt, as read
+/// by the relays: half of what fronts wait.
+const MIN_GAP_US: i64 = 5_000;
+/// Microseconds before and after, within which a rig without a CPU may have read its connections
+/// late and in another order.
+const REORDERING_US: i64 = 1_000_000;
 
-/// The engine events of the record, with the end of each attempt that was given up before the next one of its
-/// statement was sent, and without the start of those that were given up before it.
-pub fn ended(scenario: &Scenario, account: &Account) -> Vec<EngineEvent> {
+/// Returns the engine events of the record, with an end added for each attempt that was cancelled
+/// before the next attempt of its statement was sent, and without the starts of attempts that were
+/// cancelled before they started.
+pub fn with_cancelled_ends(scenario: &Scenario, account: &Account) -> Vec<EngineEvent> {
     let mut engine_events = account.engine_events.clone();
     let repeated = |o: &&super::account::Offered| {
         o.asked.repeat == Repeat::Idempotent
@@ -28,18 +31,18 @@
         .map(|o| (o.asked.id.as_str(), Vec::new()))
         .collect();
     for event in &account.engine_events {
-        if let Kind::Began { id, .. } = &event.kind {
+        if let EngineEventKind::Began { id, .. } = &event.kind {
             runs.entry(id).and_modify(|runs| runs.push(event));
         }
     }
     for (own, runs) in runs.into_iter().filter(|(_, runs)| runs.len() > 1) {
         for run in runs {
-            match given_up(account, run) {
+            match cancelled_at(account, run) {
                 Some(at) if at < run.at => engine_events.retain(|event| event != run),
                 at => {
                     let ended = |at| EngineEvent {
                         at,
-                        kind: Kind::Ended {
+                        kind: EngineEventKind::Ended {
                             id: own.to_string(),
                         },
                         ..run.clone()
@@ -53,10 +56,11 @@
     engine_events
 }
 
-/// When the relay had read that a run was given up, where the next attempt was read surely after that; or, where the
-/// rig was late, before the run began: then it was never out.
-fn given_up(account: &Account, run: &EngineEvent) -> Option<i64> {
-    let (port, id) = account.came.get(&(run.engine, run.link))?;
+/// Returns when the relay had read that a run was cancelled, if it certainly read the next attempt
+/// later. If the rig was late, the cancellation may also precede the start; such an attempt never
+/// counted as in flight.
+fn cancelled_at(account: &Account, run: &EngineEvent) -> Option<i64> {
+    let (port, id) = account.arrivals.get(&(run.engine, run.link))?;
     let is_want = |w: &&WireEvent| match &w.kind {
         WireEventKind::Line {
             verb, id: other, ..
@@ -72,7 +76,8 @@
             .filter(is_here)
             .filter(|w| w.at >= since)
     };
-    // A relay closes both sides: the front's is its own doing only where the engine's was open.
+    // A relay closes both sides: the front closed its side itself only if the engine's side was
+    // still open.
     let lost = here()
         .find(|w| w.kind == WireEventKind::EngineClosed)
         .map_or(i64::MAX, |w| w.at);
@@ -86,7 +91,12 @@
         WireEventKind::EngineClosed => false,
     };
     let at = here().filter(ends).map(|w| w.at).min()?;
-    let late = |until: i64| account.starved.rig((at - AROUND, until + AROUND)) > 0;
+    let late = |until: i64| {
+        account
+            .starved
+            .rig((at - REORDERING_US, until + REORDERING_US))
+            > 0
+    };
     if at < run.at {
         return late(run.at).then_some(at);
     }
@@ -98,5 +108,5 @@
         .filter(elsewhere)
         .map(|w| w.at)
         .min()?;
-    (next >= at + APART || next >= at && late(next)).then_some(at)
+    (next >= at + MIN_GAP_US || next >= at && late(next)).then_some(at)
 }
--- a/crates/lab/src/record/given_up_tests.rs
+++ b/crates/lab/src/record/given_up_tests.rs
@@ -1,4 +1,5 @@
-//! Two runs at once are none where the first was given up before the second was sent; any other are found.
+//! Two runs at once are no violation if the first was cancelled before the second was sent; all
+//! others are reported.
 
 use super::account::Account;
 use super::attempts_tests::{account, line, TEXT};
@@ -10,7 +11,8 @@
 
 fn broken(change: impl FnOnce(&mut Account)) -> bool {
     let mut account = account();
-    // Engine 1 tells the end of what was given up a second late; the next is sent at 39 ms and begins at 40.
+    // Engine 1 records the end of the cancelled run a second late; the next is sent at 39 ms and
+    // starts at 40 ms.
     account.engine_events[2].at = 1_040_000;
     account.engine_events.sort_by_key(|event| event.at);
     account.wire_events[3].at = 30_000;
@@ -28,7 +30,7 @@
 }
 
 #[test]
-fn what_was_given_up_before_the_next_was_sent_is_out_no_more() {
+fn an_attempt_cancelled_before_the_next_is_no_longer_in_flight() {
     assert!(!broken(|_| {}), "its connection was closed");
     assert!(!broken(
         |a| a.wire_events[3] = line(30_000, (1, 501), ("never_mind", "0007"))
@@ -36,10 +38,10 @@
 }
 
 #[test]
-fn what_was_not_given_up_or_only_later_is_found_whatever_the_machine() {
+fn an_attempt_not_cancelled_in_time_is_reported_even_on_a_starved_rig() {
     assert!(
         broken(|a| _ = a.wire_events.remove(3)),
-        "nothing was given up"
+        "nothing was cancelled"
     );
     assert!(broken(|a| (_ = a.wire_events.remove(3), starved(a)).1));
     assert!(
@@ -48,11 +50,11 @@
     );
     assert!(
         broken(|a| a.wire_events[3] = line(30_000, (1, 501), ("never_mind", "0008"))),
-        "another's end"
+        "the cancellation of another statement"
     );
     assert!(
         broken(|a| a.wire_events[3].port = 509),
-        "another connection's"
+        "on another connection"
     );
     let lost = WireEventKind::Line {
         verb: "never_mind".into(),
@@ -61,7 +63,7 @@
     };
     assert!(
         broken(|a| a.wire_events[3].kind = lost),
-        "its engine was not told"
+        "the cancellation did not reach its engine"
     );
     let closed = |at| WireEvent {
         at,
@@ -76,12 +78,12 @@
     );
     assert!(
         broken(|a| a.asked[0].asked.repeat = Repeat::Deduplicated),
-        "that may not be repeated anywhere"
+        "a deduplicated statement may not be repeated anywhere"
     );
 }
 
 #[test]
-fn a_front_that_sends_the_next_at_once_is_excused_by_nothing_but_a_rig_without_a_cpu() {
+fn an_immediate_next_attempt_is_excused_only_by_a_starved_rig() {
     assert!(broken(|a| a.wire_events[3].at = 38_000));
     assert!(!broken(|a| (a.wire_events[3].at = 38_000, starved(a)).1));
     let long_before =
@@ -90,8 +92,9 @@
 }
 
 #[test]
-fn what_was_given_up_before_its_late_engine_read_it_was_never_out() {
-    // The relay reads the statement and its end together, once the next already runs elsewhere.
+fn an_attempt_cancelled_before_its_engine_read_it_was_never_in_flight() {
+    // The relay reads the statement and its cancellation together, when the next attempt already
+    // runs elsewhere.
     let stuck = |a: &mut Account| {
         let run = |event: &&mut crate::engine::EngineEvent| event.link == 10;
         a.engine_events
@@ -104,13 +107,13 @@
         a.wire_events[3].at = 41_600;
     };
     assert!(!broken(|a| (stuck(a), starved(a)).1));
-    assert!(broken(stuck), "the machine let nobody wait");
+    assert!(broken(stuck), "no process waited for a CPU");
     assert!(
         broken(|a| (stuck(a), starved(a), _ = a.wire_events.remove(3)).2),
-        "nothing was given up"
+        "nothing was cancelled"
     );
     assert!(
         broken(|a| (stuck(a), starved(a), a.wire_events[3].at = 50_050).2),
-        "only once it ran"
+        "cancelled only after it started"
     );
 }
--- a/crates/lab/src/record/judge.rs
+++ b/crates/lab/src/record/judge.rs
@@ -1,4 +1,4 @@
-//! The rules checked on the record of a run, the run's tallies and its table.
+//! The checks of a run's record, the run's tallies and its table.
 
 mod owners;
 mod shedding;
@@ -7,17 +7,17 @@
 
 use std::collections::BTreeMap;
 
-use self::owners::owners;
-use self::shedding::shed;
+use self::owners::count_owners;
+use self::shedding::count_shed;
 use self::table::table;
 use self::zones::{link_cut, zone_lost};
 use super::account::{Account, Run, SECOND};
 use super::{attempts, given_up, herd, promises};
-use crate::check::{self, Agreed, Outcome, StatementRecord};
+use crate::check::{self, Agreement, Outcome, StatementRecord};
 use crate::engine::EngineEvent;
 use crate::rig::scenario::{FaultKind, Scenario};
 
-/// Checks the rules over the record and draws up the tallies and the table.
+/// Checks the rules over the record and computes the tallies and the table.
 pub fn judge(scenario: &Scenario, account: &Account, pids: Vec<u32>) -> Run {
     let Account {
         asked,
@@ -25,16 +25,16 @@
         played,
         ..
     } = account;
-    let agreed = Agreed {
+    let agreed = Agreement {
         slack: account.slack,
-        ..Agreed::default()
+        ..Agreement::default()
     };
     let mut tallies = BTreeMap::new();
     let mut violations = promises::check(scenario, account, &mut tallies);
-    // What was asked again is another statement to the front that it came to. Order keys are the fleet's here, and have
-    // a check of their own.
+    // A retry by the client counts as a separate statement of the front that received it. Order
+    // keys span the fleet here and have a separate check.
     let statements: Vec<StatementRecord> = asked.iter().map(promises::at_its_front).collect();
-    let engine_events = given_up::ended(scenario, account);
+    let engine_events = given_up::with_cancelled_ends(scenario, account);
     let engine_events: Vec<EngineEvent> = engine_events
         .iter()
         .map(|event| promises::by_its_front(event, account))
@@ -42,7 +42,7 @@
     for (rule, found) in check::check(&statements, &[], &engine_events, &agreed) {
         violations.entry(rule).or_default().extend(found);
     }
-    attempts::name(&mut violations, account);
+    attempts::add_histories(&mut violations, account);
     let count =
         |f: &dyn Fn(&Outcome) -> bool| statements.iter().filter(|a| f(&a.outcome)).count() as i64;
     tallies.insert("statements", statements.len() as i64);
@@ -61,7 +61,7 @@
     );
     tallies.insert("faults", scenario.faults.len() as i64);
     tallies.insert("faults_played", played.len() as i64);
-    tallies.insert("turned_away_by_engines", account.turned_away);
+    tallies.insert("turned_away_by_engines", account.rejected);
     tallies.insert("starved_seconds", account.starved.spans().len() as i64);
     tallies.insert("start_seconds", account.began / SECOND);
     tallies.insert("probes", relayed.iter().map(|r| r.probes as i64).sum());
@@ -71,7 +71,7 @@
         .filter(|f| f.what == FaultKind::Hup)
         .count();
     if hups > 0 {
-        tallies.insert("read_again", account.read_again);
+        tallies.insert("read_again", account.config_reloads);
     }
     tallies.insert(
         "peak_load_over_bound_pct",
@@ -103,13 +103,13 @@
             _ => {}
         }
     }
-    shed(scenario, account.began, asked, &mut tallies);
-    if let Some(first) = account.first_tries {
+    count_shed(scenario, account.began, asked, &mut tallies);
+    if let Some(first) = account.dispatched_statements {
         let all: i64 = relayed.iter().map(|r| r.statements as i64).sum();
         tallies.insert("attempts_over_first_pct", all * 100 / first.max(1));
     }
     if scenario.fleet.voters.is_some() {
-        owners(account, &mut tallies);
+        count_owners(account, &mut tallies);
     }
     let table = table(scenario, account.began, asked, relayed);
     Run {
--- a/crates/lab/src/record/offered_tests.rs
+++ b/crates/lab/src/record/offered_tests.rs
@@ -1,17 +1,17 @@
 //! Unit tests of the `offered` module.
 
 use super::*;
-use crate::check::{self, Agreed, Outcome};
+use crate::check::{self, Agreement, Outcome};
 
 #[test]
-fn a_late_or_lost_answer_is_excused_by_what_was_done_to_its_front_and_by_no_more_than_it_waited() {
-    let late = |answered: i64, outcome: Outcome, troubled: &[(i64, i64)], starved: &Starved| {
+fn a_late_or_lost_answer_is_excused_only_by_faults_and_cpu_waits_of_its_front() {
+    let late = |answered: i64, outcome: Outcome, disturbed: &[(i64, i64)], starved: &Starved| {
         let mut own = offered("a", 1, 0);
         (own.asked.answered, own.asked.outcome) = (answered, outcome);
-        own.excuse(troubled, starved);
-        let agreed = Agreed {
+        own.excuse(disturbed, starved);
+        let agreed = Agreement {
             slack: 400_000,
-            ..Agreed::default()
+            ..Agreement::default()
         };
         check::check(&[own.asked], &[], &[], &agreed).contains_key("answers")
     };
@@ -22,7 +22,7 @@
     );
     assert!(late(1_500_000, done(), &[], &none) && !late(1_300_000, done(), &[], &none));
     assert!(!late(1_500_000, done(), &[], &busy) && late(1_800_000, done(), &[], &busy));
-    // Another's trouble, or trouble at another time, excuses nothing.
+    // Faults of another front, or at another time, excuse nothing.
     assert!(late(
         1_500_000,
         done(),
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -1,9 +1,9 @@
-//! All checks of what fronts promise for each other, put to a fleet's record.
+//! All checks of the ledger entries that fronts keep for each other, applied to a fleet's record.
 
 use hallmux_ledger::Setup;
 
 use crate::check::{Outcome, StatementRecord, Violations};
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 use crate::rig::agreed::settings;
 use crate::rig::scenario::{FaultKind, Scenario};
 
@@ -14,11 +14,13 @@
 use super::repeats::Repeats;
 use super::{order, refused, repeats, unpromised};
 
-const SETTLES: i64 = 6_000_000; // microseconds of quiet until every shard has an owner: two leases and an election
-const WANT: i64 = 1_000_000; // microseconds within which want of a promise is told
-const SPARE: usize = 0; // statements that engines may have turned away
+/// Microseconds of quiet until every shard has an owner: two leases and an election.
+const SETTLE_US: i64 = 6_000_000;
+const MAX_REFUSAL_DELAY_US: i64 = 1_000_000; // within which a missing ledger entry is reported
+const TOLERATED_REFUSALS: usize = 0; // statements that engines may have rejected
 
-/// The statement as one of the front that it was asked of: each front is asked for it once.
+/// Returns the record of the statement as one of the front that received it: each front receives it
+/// once.
 pub fn at_its_front(offered: &Offered) -> StatementRecord {
     StatementRecord {
         id: format!("{} at front {}", offered.asked.id, offered.front),
@@ -26,7 +28,7 @@
     }
 }
 
-/// The event as one of the front that sent it, without its order key.
+/// Returns the event as one of the front that sent the statement, without the order key.
 pub fn by_its_front(event: &EngineEvent, account: &Account) -> EngineEvent {
     let mut event = event.clone();
     let front = account
@@ -35,23 +37,25 @@
         .copied()
         .unwrap_or_default();
     match &mut event.kind {
-        Kind::Began { id, key } => {
+        EngineEventKind::Began { id, key } => {
             key.clear();
             *id = format!("{id} at front {front}");
         }
-        Kind::Ended { id } | Kind::Kept { id } => *id = format!("{id} at front {front}"),
+        EngineEventKind::Ended { id } | EngineEventKind::Kept { id } => {
+            *id = format!("{id} at front {front}")
+        }
         _ => {}
     }
     event
 }
 
-/// Who could hear whom, from the faults as they were played.
-pub fn ways(scenario: &Scenario, account: &Account) -> Connectivity {
+/// Returns which fronts could reach each other, from the faults as injected.
+pub fn connectivity(scenario: &Scenario, account: &Account) -> Connectivity {
     let fronts = scenario.fleet.fronts;
-    // Until the load began, shards had no owners yet.
-    let mut ways = Connectivity {
+    // Shards had no owners until the load began.
+    let mut connectivity = Connectivity {
         fronts,
-        troubled: vec![(0, account.began)],
+        disturbed: vec![(0, account.began)],
         ..Connectivity::default()
     };
     for (fault, from, to) in &account.played {
@@ -59,26 +63,27 @@
         match fault.what {
             FaultKind::FrontsSplit => {
                 let split = fault.split();
-                ways.cuts.push(Partition {
+                connectivity.cuts.push(Partition {
                     from,
                     to,
                     groups: (0..fronts).map(|n| split.group(n)).collect(),
                 });
-                ways.troubled.extend([(from, from), (to, to)]);
+                connectivity.disturbed.extend([(from, from), (to, to)]);
             }
             FaultKind::Stall | FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk => {
-                ways.away.push((fault.front, from, to));
-                ways.troubled.extend([(from, from), (to, to)]);
+                connectivity.unavailable.push((fault.front, from, to));
+                connectivity.disturbed.extend([(from, from), (to, to)]);
             }
-            _ => ways.troubled.push((from, to)),
+            _ => connectivity.disturbed.push((from, to)),
         }
     }
-    ways.starved = account.starved.spans();
-    ways
+    connectivity.starved = account.starved.spans();
+    connectivity
 }
 
-/// How long after the end of a cut the last statement was sent that needed a promise and was refused for want of it,
-/// in milliseconds: soon, so not for having waited for its key, and before the next fault began.
+/// Returns how long after the end of a partition the last statement was sent that needed a ledger
+/// entry and was rejected for want of it, in milliseconds. Only quick rejections count, as others
+/// waited for their key, and only those before the next fault.
 fn after_cuts(account: &Account) -> i64 {
     let cuts = account
         .played
@@ -91,11 +96,11 @@
             .map(|(_, from, _)| *from)
             .filter(|from| *from > end)
             .min();
-        let soon = |o: &&Offered| o.asked.answered - o.asked.sent < WANT;
+        let soon = |o: &&Offered| o.asked.answered - o.asked.sent < MAX_REFUSAL_DELAY_US;
         let refused = account
             .asked
             .iter()
-            .filter(|o| unpromised::needs(o) && soon(o) && !o.barred);
+            .filter(|o| unpromised::needs_ledger_entry(o) && soon(o) && !o.barred);
         let refused =
             refused.filter(|o| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000"));
         let next = next.unwrap_or(i64::MAX);
@@ -108,8 +113,9 @@
     cuts.map(|(.., end)| last(*end)).max().unwrap_or(0)
 }
 
-/// How long an order key is kept after a statement that may be running on: as agreed, and for the fronts' clocks.
-fn rests(scenario: &Scenario) -> i64 {
+/// Returns for how many microseconds an order key is kept after a statement that may still be
+/// running: the agreed time plus the allowed clock skew of the fronts.
+fn key_retention(scenario: &Scenario) -> i64 {
     let agreed = settings(scenario)["rules"]["turnGapMs"]
         .as_i64()
         .unwrap_or(0);
@@ -117,6 +123,7 @@
     (agreed + skew) * 1000
 }
 
+/// Runs all these checks and adds their tallies.
 pub fn check(scenario: &Scenario, account: &Account, tallies: &mut Tallies) -> Violations {
     let mut wrong = Violations::new();
     let ran = executions(&account.engine_events, &account.sent_by);
@@ -134,18 +141,23 @@
     let zone = |engine: usize| engine / scenario.fleet.engines_per_zone;
     order::check(&mut wrong, &ran, &account.asked, &lost);
     repeats::check(&mut wrong, &ran, &account.asked, (&agreed, &zone), &lost);
-    let keyed = || account.asked.iter().filter(|o| unpromised::needs(o));
+    let keyed = || {
+        account
+            .asked
+            .iter()
+            .filter(|o| unpromised::needs_ledger_entry(o))
+    };
     if keyed().next().is_none() {
         return wrong;
     }
-    let runs = |o: &&Offered| !o.again && ran.iter().any(|x| x.id == o.asked.id);
+    let runs = |o: &&Offered| !o.is_retry && ran.iter().any(|x| x.id == o.asked.id);
     tallies.insert("promised_runs", keyed().filter(runs).count() as i64);
     let ran_keyed = ran.iter().filter(|x| !x.key.is_empty()).count() as i64;
-    // What needs no promise is never to be delayed by those that others wait for.
+    // Statements that need no ledger entry must not be delayed by those that wait for one.
     let plain = account
         .asked
         .iter()
-        .filter(|o| !unpromised::needs(o) && !o.asked.may_be_lost);
+        .filter(|o| !unpromised::needs_ledger_entry(o) && !o.asked.may_be_lost);
     let mut took: Vec<i64> = plain
         .map(|o| (o.asked.answered - o.asked.sent) / 1000)
         .collect();
@@ -162,29 +174,29 @@
     tallies.insert("keyed_runs", ran_keyed);
     tallies.insert(
         "asked_again",
-        account.asked.iter().filter(|o| o.again).count() as i64,
+        account.asked.iter().filter(|o| o.is_retry).count() as i64,
     );
     tallies.insert("steps_played", account.steps.len() as i64);
     if let Some(copies) = scenario.fleet.copies {
-        let ways = ways(scenario, account);
+        let connectivity = connectivity(scenario, account);
         tallies.insert("refused_after_cut_ms", after_cuts(account));
         let majority = copies / 2 + 1;
-        // Enough of the fleet for every shard's copies to have a majority, whichever fronts they lie on.
+        // Enough fronts for every shard's copies to have a majority, whichever fronts hold them.
         let enough = scenario.fleet.fronts - (copies - majority);
         unpromised::check(
             &mut wrong,
             &ran,
             (&account.asked, &account.starved),
-            (&ways, majority),
+            (&connectivity, majority),
         );
-        let rests = rests(scenario);
+        let key_retention = key_retention(scenario);
         let terms = Terms {
             majority: enough,
-            settles: SETTLES,
-            rests,
-            spare: SPARE,
+            settle_time: SETTLE_US,
+            key_retention,
+            tolerated: TOLERATED_REFUSALS,
         };
-        refused::check(&mut wrong, &account.asked, (&ways, terms));
+        refused::check(&mut wrong, &account.asked, (&connectivity, terms));
     }
     wrong
 }
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -1,25 +1,29 @@
-//! While fronts end one after the other as they are asked to, nothing is refused, lost or aborted for it; and whoever
-//! needs a promise waits for no more than a stated time before an engine begins.
+//! While fronts are shut down one after another, no statement is rejected, lost or aborted because
+//! of it, and a statement that needs a ledger entry waits no longer than a stated time before an
+//! engine starts it.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::account::{Account, Offered, Tallies};
 use super::executions::{executions, Execution};
-use super::unpromised::needs;
+use super::unpromised::needs_ledger_entry;
 use crate::check::{Outcome, Violations};
 
-const STILL: i64 = 300_000; // microseconds without a CPU after which a client may come to a door that was closed meanwhile
+/// Microseconds without a CPU after which a client may connect to a port that was closed meanwhile.
+const MIN_CLIENT_STALL_US: i64 = 300_000;
 
-/// What is to hold.
+/// The limits that must hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// Microseconds from when a statement is sent, or from when its key is free, until an engine begins it.
-    pub most_wait: i64,
-    /// Microseconds from when a front is asked to end until its process is gone.
-    pub most_end: i64,
+    /// Microseconds from the send of a statement, or from when its key is free, until an engine
+    /// starts it.
+    pub max_wait: i64,
+    /// Microseconds from the request to shut a front down until its process has ended.
+    pub max_shutdown: i64,
 }
 
-/// How long each statement that needs a promise waited, and until when: for its front and the ledger, not for its key.
+/// Returns how long each statement that needs a ledger entry waited for its front and the ledger,
+/// but not for its key, and when the wait ended.
 fn waits<'a>(asked: &'a [Offered], ran: &[Execution]) -> Vec<(&'a Offered, i64, i64)> {
     let mut by_key: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
     ran.iter()
@@ -29,15 +33,21 @@
     ran.iter()
         .for_each(|x| _ = first.entry((x.id.as_str(), x.front)).or_insert(x));
     let wait = |o: &'a Offered| {
-        let own = first.get(&(o.asked.id.as_str(), o.front))?;
-        let others = by_key.get(own.key.as_str()).into_iter().flatten();
-        let before = others.filter(|x| x.id != own.id && x.from < own.from && x.to <= own.from);
+        let execution = first.get(&(o.asked.id.as_str(), o.front))?;
+        let others = by_key.get(execution.key.as_str()).into_iter().flatten();
+        let before = others
+            .filter(|x| x.id != execution.id && x.from < execution.from && x.to <= execution.from);
         let free = before.map(|x| x.to).max().unwrap_or(0);
-        Some((o, own.from - free.max(o.asked.sent), own.from))
+        Some((o, execution.from - free.max(o.asked.sent), execution.from))
     };
-    asked.iter().filter(|o| needs(o)).filter_map(wait).collect()
+    asked
+        .iter()
+        .filter(|o| needs_ledger_entry(o))
+        .filter_map(wait)
+        .collect()
 }
 
+/// Checks the limits over a run with shutdowns and adds the tallies of waits and shutdowns.
 pub fn check(wrong: &mut Violations, account: &Account, terms: Terms, tallies: &mut Tallies) {
     let Account {
         asked,
@@ -53,7 +63,8 @@
         .filter(|o| !matches!(o.asked.outcome, Outcome::Completed { .. }))
     {
         let (sent, answered) = (o.asked.sent, o.asked.answered);
-        let late_client = o.starved >= STILL && matches!(o.asked.outcome, Outcome::Lost);
+        let late_client =
+            o.starved >= MIN_CLIENT_STALL_US && matches!(o.asked.outcome, Outcome::Lost);
         if late_client || is_busy(sent, answered) {
             continue;
         }
@@ -63,11 +74,11 @@
             _ => "unanswered_by_a_roll",
         };
         let ms = |at: i64| (at - account.began) / 1000;
-        let said = format!("{} {} at front {}", o.asked.id, o.asked.key, o.front);
+        let finding = format!("{} {} at front {}", o.asked.id, o.asked.key, o.front);
         add(
             rule,
             format!(
-                "{said}, sent at {} ms, answered at {} ms",
+                "{finding}, sent at {} ms, answered at {} ms",
                 ms(sent),
                 ms(answered)
             ),
@@ -80,7 +91,7 @@
     let near = |at: i64| {
         shutdowns
             .iter()
-            .any(|end| end.asked <= at && at <= end.exited + terms.most_wait)
+            .any(|end| end.asked <= at && at <= end.exited + terms.max_wait)
     };
     let ended: Vec<i64> = waited
         .iter()
@@ -88,7 +99,7 @@
         .map(|(_, wait, _)| *wait / 1000)
         .collect();
     for (o, wait, at) in &waited {
-        if *wait > terms.most_wait && !is_busy(o.asked.sent, *at) {
+        if *wait > terms.max_wait && !is_busy(o.asked.sent, *at) {
             let (id, ms) = (&o.asked.id, wait / 1000);
             add(
                 "long_wait",
@@ -97,8 +108,8 @@
         }
     }
     for end in shutdowns {
-        let took = end.exited.saturating_sub(end.asked);
-        if !end.succeeded || took > terms.most_end && !is_busy(end.asked, end.exited) {
+        let duration = end.exited.saturating_sub(end.asked);
+        if !end.succeeded || duration > terms.max_shutdown && !is_busy(end.asked, end.exited) {
             let how = if end.succeeded {
                 "well"
             } else {
@@ -106,15 +117,20 @@
             };
             add(
                 "end",
-                format!("front {} ended {how} after {} ms", end.front, took / 1000),
+                format!(
+                    "front {} ended {how} after {} ms",
+                    end.front,
+                    duration / 1000
+                ),
             );
         }
     }
-    // Statements that needed a promise and were out at a front when it was asked to end.
+    // Statements that needed a ledger entry and were in flight at a front when its shutdown was
+    // requested.
     let out = |end: &&crate::rig::member::Shutdown| {
         let out = |o: &Offered| {
             o.front == end.front
-                && needs(o)
+                && needs_ledger_entry(o)
                 && o.asked.sent < end.asked
                 && end.asked < o.asked.answered
         };
--- a/crates/lab/src/record/rolled_tests.rs
+++ b/crates/lab/src/record/rolled_tests.rs
@@ -1,13 +1,13 @@
 //! Unit tests of the `rolled` module.
 
 use super::*;
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 use crate::record::account::offered;
 use crate::rig::member::Shutdown;
 
 const TERMS: Terms = Terms {
-    most_wait: 500_000,
-    most_end: 3_000_000,
+    max_wait: 500_000,
+    max_shutdown: 3_000_000,
 };
 
 fn account(began: i64, outcome: Outcome, end: Shutdown) -> Account {
@@ -16,9 +16,9 @@
     let event = |at, id: &str, link, ends| {
         let id = id.to_string();
         let kind = if ends {
-            Kind::Ended { id }
+            EngineEventKind::Ended { id }
         } else {
-            Kind::Began {
+            EngineEventKind::Began {
                 id,
                 key: "k".into(),
             }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_refusal_a_loss_and_a_wait_beyond_that_for_the_key_are_found() {
+fn a_rejection_a_loss_and_a_long_wait_during_shutdowns_are_reported() {
     let well = Shutdown {
         front: 1,
         asked: 1_100_000,
@@ -89,7 +89,8 @@
         found(&account(1_300_000, Outcome::Lost, well.clone())).0,
         ["unanswered_by_a_roll"]
     );
-    // A machine that gave a front no CPU excuses, and an end with an error or one that takes too long does not.
+    // A front without a CPU is excused; a shutdown with an error, or one that takes too long, is
+    // not.
     let mut busy = account(1_700_001, Outcome::Lost, well.clone());
     busy.starved = crate::record::starved::Starved::of(0, (1_000_000, 1_300_000), 250_000);
     assert!(found(&busy).0.is_empty());
--- a/crates/lab/src/record/unpromised.rs
+++ b/crates/lab/src/record/unpromised.rs
@@ -1,4 +1,5 @@
-//! What needs a promise never begins at a front that has long heard too few others for one to stand.
+//! A statement that needs a ledger entry never starts at a front that has long reached too few
+//! others to replicate one.
 
 use std::collections::HashMap;
 
@@ -8,41 +9,42 @@
 use super::starved::Starved;
 use crate::check::{Repeat, Violations};
 
-/// Microseconds from a cut until what left before it has come to its engine.
-const ON_ITS_WAY: i64 = 300_000;
+/// Microseconds from a partition until everything sent before has arrived at its engine.
+const MAX_TRANSIT_US: i64 = 300_000;
 
-/// Whether a statement of this record depends on a promise.
-pub fn needs(offered: &Offered) -> bool {
+/// Returns whether a statement of this record depends on a ledger entry.
+pub fn needs_ledger_entry(offered: &Offered) -> bool {
     !offered.asked.key.is_empty() || offered.asked.repeat != Repeat::Idempotent
 }
 
-/// `stands_on`: the fronts that a promise has to stand on.
+/// Checks all executions; `quorum` is the number of fronts on which an entry must be replicated.
 pub fn check(
     wrong: &mut Violations,
     ran: &[Execution],
     (asked, starved): (&[Offered], &Starved),
-    (ways, stands_on): (&Connectivity, usize),
+    (connectivity, quorum): (&Connectivity, usize),
 ) {
     let known: HashMap<(&str, usize), &Offered> = asked
         .iter()
-        .filter(|o| needs(o))
+        .filter(|o| needs_ledger_entry(o))
         .map(|o| ((o.asked.id.as_str(), o.front), o))
         .collect();
     for x in ran {
         let Some(offered) = known.get(&(x.id.as_str(), x.front)) else {
             continue;
         };
-        // All the time from its being taken, or from well before it began, it heard too few.
-        let busy = (x.from - ON_ITS_WAY, x.from);
-        let way = ON_ITS_WAY + starved.front(x.front, busy) + starved.rig(busy);
-        let since = offered.asked.sent.max(x.from - way);
-        let heard = ways.most_heard(x.front, (since, x.from));
-        if heard < stands_on && offered.asked.sent <= x.from {
-            let said = format!(
-                "{}: began at front {}, which heard {heard} of {stands_on}",
+        // From its acceptance, or from well before its start, the front reached too few others all
+        // the time.
+        let busy = (x.from - MAX_TRANSIT_US, x.from);
+        let transit = MAX_TRANSIT_US + starved.front(x.front, busy) + starved.rig(busy);
+        let since = offered.asked.sent.max(x.from - transit);
+        let reached = connectivity.max_reachable(x.front, (since, x.from));
+        if reached < quorum && offered.asked.sent <= x.from {
+            let finding = format!(
+                "{}: began at front {}, which reached {reached} of {quorum} fronts",
                 x.id, x.front
             );
-            wrong.entry("without_promise").or_default().push(said);
+            wrong.entry("without_promise").or_default().push(finding);
         }
     }
 }
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -95,7 +95,7 @@
                 let _ = (near.set_nodelay(true), far.set_nodelay(true));
                 let port = far.local_addr().map_or(0, |own| own.port());
                 if let Ok(own) = far.local_addr() {
-                    accepting.records.opened(own, to, accepting.front);
+                    accepting.records.note_connection(own, to, accepting.front);
                 }
                 let is_reset = Arc::new(AtomicBool::new(false));
                 if let (Ok(engine_side), Ok(mut open)) = (far.try_clone(), accepting.open.lock()) {
@@ -201,7 +201,7 @@
             if way.out {
                 let count = |word: &[u8]| chunk[..read].windows(5).filter(|w| *w == word).count();
                 self.record_traffic((count(b"want "), count(b"busy "), 0), !lost);
-                self.records.sends(self.front, &chunk[..read]);
+                self.records.note_dispatch(self.front, &chunk[..read]);
             }
             for (verb, id) in lines.take(&chunk[..read]) {
                 self.note_wire_event(
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -1,4 +1,5 @@
-//! Sessions byte by byte: what no library does, and what some do at the wrong moment.
+//! Sessions scripted byte by byte: sequences that client libraries never produce, or only at other
+//! times.
 
 pub mod session;
 
@@ -11,45 +12,45 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use self::session::{code, come_to, lost, tags, Session, PATIENCE};
+use self::session::{code, outcome_of, outcome_of_error, tags, Session, MESSAGE_TIMEOUT};
 use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
 use crate::prove::postgres::notes::Notes;
 
-/// Plays scripts in a drawn order until the run ends.
+/// Plays scripts, starting with a drawn one, until the run ends.
 pub fn play(seed: u64, at: SocketAddr, notes: &Arc<Notes>) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut turn = chance.random_range(0..SCRIPTS.len());
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let mut next_script = rng.random_range(0..SCRIPTS.len());
     while !notes.is_stopping() {
-        // One that an engine's fault ends early has written down what it owed.
-        let _ = SCRIPTS[turn % SCRIPTS.len()](at, &mut chance, notes);
-        turn += 1;
-        std::thread::sleep(Duration::from_millis(chance.random_range(0..20)));
+        // A script that an engine's fault ends early has already recorded its statements.
+        let _ = SCRIPTS[next_script % SCRIPTS.len()](at, &mut rng, notes);
+        next_script += 1;
+        std::thread::sleep(Duration::from_millis(rng.random_range(0..20)));
     }
 }
 
 type Script = fn(SocketAddr, &mut Pcg64Mcg, &Arc<Notes>) -> std::io::Result<()>;
 
 const SCRIPTS: [Script; 9] = [
-    bound_twice,
-    leaves,
+    binds_twice,
+    disconnects,
     cancels,
-    pipeline,
-    slow,
-    flushed,
+    pipelines_units,
+    reads_slowly,
+    flushes_before_sync,
     cancels,
-    refused,
-    nonsense,
+    sends_unsupported_requests,
+    sends_invalid_bytes,
 ];
 
-fn fresh(notes: &Notes, rows: usize) -> StatementRecord {
+fn new_record(notes: &Notes, rows: usize) -> StatementRecord {
     StatementRecord {
         rows,
-        may_fail: Some("42P01"),
+        tolerated_error: Some("42P01"),
         ..notes.new_statement(Repeat::Idempotent)
     }
 }
 
-fn note(notes: &Notes, asked: StatementRecord, outcome: Outcome) {
+fn record_outcome(notes: &Notes, asked: StatementRecord, outcome: Outcome) {
     notes.record(StatementRecord {
         outcome,
         answered: notes.records.now(),
@@ -57,9 +58,9 @@
     });
 }
 
-/// Says that what came was not what had to come.
-fn spoilt(notes: &Notes, asked: StatementRecord, what: &str) {
-    note(
+/// Records that the front's answer was not the required one.
+fn record_mismatch(notes: &Notes, asked: StatementRecord, what: &str) {
+    record_outcome(
         notes,
         StatementRecord {
             id: format!("{} {what}", asked.id),
@@ -69,47 +70,49 @@
     );
 }
 
-/// Prepares, binds twice, closes the first in the middle of its rows, and has the second whole.
-fn bound_twice(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+/// Prepares a statement, binds it twice, closes the first portal in the middle of its rows, and
+/// reads the second one completely.
+fn binds_twice(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", true)?;
     for _ in 0..5 {
-        let (first, second) = (fresh(notes, 2), fresh(notes, 3));
+        let (first, second) = (new_record(notes, 2), new_record(notes, 3));
         s.parse("s", "select run($1)");
         s.bind("p1", "s", &format!("id={},rows=5", first.id));
         s.bind("p2", "s", &format!("id={},rows=3", second.id));
         s.execute("p1", 2);
-        s.named(b'C', b'P', "p1");
+        s.write_name_message(b'C', b'P', "p1");
         s.execute("p2", 0);
-        s.named(b'C', b'S', "s");
+        s.write_name_message(b'C', b'S', "s");
         s.sync();
         s.send()?;
         let unit = match s.unit() {
             Ok(unit) => unit,
             Err(e) => {
-                note(notes, second, lost(&e));
+                record_outcome(notes, second, outcome_of_error(&e));
                 return Err(e);
             }
         };
         let seen = tags(&unit);
         if seen.contains('E') {
-            note(notes, second, come_to(&unit, ""));
+            record_outcome(notes, second, outcome_of(&unit, ""));
         } else if seen == "122DDs3DDDC3Z" {
             let (a, b) = (unit[3..5].to_vec(), unit[7..10].to_vec());
-            let own = come_to(&a, &first.id) == (Outcome::Completed { rows: 2 });
-            let outcome = come_to(&b, &second.id);
-            note(notes, second, if own { outcome } else { Outcome::Spoilt });
+            let own = outcome_of(&a, &first.id) == (Outcome::Completed { rows: 2 });
+            let outcome = outcome_of(&b, &second.id);
+            record_outcome(notes, second, if own { outcome } else { Outcome::Spoilt });
         } else {
-            spoilt(notes, second, &seen);
+            record_mismatch(notes, second, &seen);
         }
     }
     Ok(())
 }
 
-/// Goes away while a statement runs: nothing is owed, and nothing is left behind for others.
-fn leaves(at: SocketAddr, chance: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+/// Disconnects while a statement runs: no answer is due, and nothing must be left behind for other
+/// sessions.
+fn disconnects(at: SocketAddr, rng: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
-    let within = chance.random_bool(0.5);
-    if within {
+    let in_transaction = rng.random_bool(0.5);
+    if in_transaction {
         s.query("BEGIN");
         s.send()?;
         if tags(&s.unit()?) != "CZ" {
@@ -119,11 +122,11 @@
     let id = notes.id();
     s.query(&format!(
         "select run('id={id},rows=2000,bytes=100,ms={}')",
-        chance.random_range(0..40)
+        rng.random_range(0..40)
     ));
     s.send()?;
-    std::thread::sleep(Duration::from_millis(chance.random_range(0..30)));
-    let statements = if within { vec![id] } else { Vec::new() };
+    std::thread::sleep(Duration::from_millis(rng.random_range(0..30)));
+    let statements = if in_transaction { vec![id] } else { Vec::new() };
     if let Ok(mut all) = notes.transactions.lock() {
         all.push(Transaction {
             statements,
@@ -133,36 +136,37 @@
     s.stream.shutdown(Shutdown::Both)
 }
 
-/// Asks for the end of statements, at once, in the middle and just past their end. When the front has taken
-/// the request, whatever the session asks next is untouched by it.
-fn cancels(at: SocketAddr, chance: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+/// Cancels statements immediately, in the middle, and just after their end. Once the front has
+/// accepted the cancel request, the next statement of the session must not be affected by it.
+fn cancels(at: SocketAddr, rng: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     for n in 0..8 {
-        let within = n % 4 == 3;
-        if within {
+        let in_transaction = n % 4 == 3;
+        if in_transaction {
             s.query("BEGIN");
             s.send()?;
             s.unit()?;
         }
         let asked = StatementRecord {
-            cancels: true,
-            ..fresh(notes, 1)
+            cancel_requested: true,
+            ..new_record(notes, 1)
         };
-        let ms = chance.random_range(0..20);
+        let ms = rng.random_range(0..20);
         s.query(&format!("select run('id={},rows=1,ms={ms}')", asked.id));
         s.send()?;
-        std::thread::sleep(Duration::from_micros(chance.random_range(0..25_000)));
+        std::thread::sleep(Duration::from_micros(rng.random_range(0..25_000)));
         s.cancel(at)?;
-        let next = fresh(notes, 1);
+        let next = new_record(notes, 1);
         s.query(&format!("select run('id={},rows=1,ms=5')", next.id));
         s.send()?;
-        let first = s
-            .unit()
-            .map_or_else(|e| lost(&e), |unit| come_to(&unit, &asked.id));
+        let first = s.unit().map_or_else(
+            |e| outcome_of_error(&e),
+            |unit| outcome_of(&unit, &asked.id),
+        );
         let failed = !matches!(first, Outcome::Completed { .. });
-        // What is rolled back is not to last.
-        let transaction = within.then_some(usize::MAX);
-        note(
+        // A statement that is rolled back must not have a lasting effect.
+        let transaction = in_transaction.then_some(usize::MAX);
+        record_outcome(
             notes,
             StatementRecord {
                 transaction,
@@ -172,9 +176,9 @@
         );
         let second = s
             .unit()
-            .map_or_else(|e| lost(&e), |unit| come_to(&unit, &next.id));
-        if !(within && failed) {
-            note(
+            .map_or_else(|e| outcome_of_error(&e), |unit| outcome_of(&unit, &next.id));
+        if !(in_transaction && failed) {
+            record_outcome(
                 notes,
                 StatementRecord {
                     transaction,
@@ -183,7 +187,7 @@
                 second,
             );
         }
-        if within {
+        if in_transaction {
             s.query("ROLLBACK");
             s.send()?;
             s.unit()?;
@@ -192,8 +196,9 @@
     Ok(())
 }
 
-/// Three units at once, the second of which fails: the others are as if it were not there.
-fn pipeline(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+/// Sends three units at once, of which the second fails; the others must be answered as if it were
+/// not there.
+fn pipelines_units(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     s.parse("s", "select run($1)");
     s.sync();
@@ -203,13 +208,13 @@
     }
     for _ in 0..5 {
         let fails = StatementRecord {
-            fails: Some("23505"),
-            ..fresh(notes, 0)
+            expected_error: Some("23505"),
+            ..new_record(notes, 0)
         };
-        let units = [fresh(notes, 2), fails, fresh(notes, 1)];
+        let units = [new_record(notes, 2), fails, new_record(notes, 1)];
         for unit in &units {
             let fail = unit
-                .fails
+                .expected_error
                 .filter(|code| *code == "23505")
                 .unwrap_or_default();
             s.bind(
@@ -218,7 +223,7 @@
                 &format!("id={},rows={},ms=1,fail={fail}", unit.id, unit.rows),
             );
             s.execute("", 0);
-            // Behind the failing step nothing of its unit runs.
+            // After the failing step, nothing of its unit may run.
             if !fail.is_empty() {
                 s.bind("", "s", &format!("id={}-never,rows=1", unit.id));
                 s.execute("", 0);
@@ -229,11 +234,11 @@
         for unit in units {
             match s.unit() {
                 Ok(messages) => {
-                    let outcome = come_to(&messages, &unit.id);
-                    note(notes, unit, outcome);
+                    let outcome = outcome_of(&messages, &unit.id);
+                    record_outcome(notes, unit, outcome);
                 }
                 Err(e) => {
-                    note(notes, unit, lost(&e));
+                    record_outcome(notes, unit, outcome_of_error(&e));
                     return Err(e);
                 }
             }
@@ -242,14 +247,15 @@
     Ok(())
 }
 
-/// Takes its rows one by one with pauses: the engine waits with it, and nobody else does.
-fn slow(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+/// Reads its rows one by one with pauses: the engine waits for this session, and no other session
+/// does.
+fn reads_slowly(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     let rows = 3000;
-    // Within a row nothing can be said: an engine that ends there ends the connection.
+    // An engine that is lost within a row ends the connection, as no error can be sent there.
     let asked = StatementRecord {
         may_be_lost: true,
-        ..fresh(notes, rows)
+        ..new_record(notes, rows)
     };
     s.query(&format!(
         "select run('id={},rows={rows},bytes=1000')",
@@ -267,7 +273,7 @@
                 }
             }
             Err(e) => {
-                note(notes, asked, lost(&e));
+                record_outcome(notes, asked, outcome_of_error(&e));
                 return Err(e);
             }
         }
@@ -275,17 +281,21 @@
             std::thread::sleep(Duration::from_millis(60));
         }
     }
-    let outcome = come_to(&seen, &asked.id);
-    note(notes, asked, outcome);
+    let outcome = outcome_of(&seen, &asked.id);
+    record_outcome(notes, asked, outcome);
     Ok(())
 }
 
-/// Asks for what has come so far before it sends the Sync.
-fn flushed(at: SocketAddr, chance: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+/// Requests the answers so far with Flush before it sends Sync.
+fn flushes_before_sync(
+    at: SocketAddr,
+    rng: &mut Pcg64Mcg,
+    notes: &Arc<Notes>,
+) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
-    let asked = fresh(notes, 2);
+    let asked = new_record(notes, 2);
     s.parse("", "select run($1)");
-    s.named(b'D', b'S', "");
+    s.write_name_message(b'D', b'S', "");
     s.out.extend_from_slice(wire::FLUSH);
     s.send()?;
     let mut seen = Vec::new();
@@ -302,23 +312,28 @@
         }
     };
     let described = read(&mut s, b"TE");
-    std::thread::sleep(Duration::from_millis(chance.random_range(0..5)));
+    std::thread::sleep(Duration::from_millis(rng.random_range(0..5)));
     s.bind("", "", &format!("id={},rows=2", asked.id));
     s.execute("", 0);
     s.sync();
     s.send()?;
     match described.and_then(|_| read(&mut s, b"Z")) {
         Ok(_) => {
-            let outcome = come_to(&seen, &asked.id);
-            note(notes, asked, outcome);
+            let outcome = outcome_of(&seen, &asked.id);
+            record_outcome(notes, asked, outcome);
         }
-        Err(e) => note(notes, asked, lost(&e)),
+        Err(e) => record_outcome(notes, asked, outcome_of_error(&e)),
     }
     Ok(())
 }
 
-/// What can't be done here is refused before anything runs, and the session lives on.
-fn refused(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+/// Sends requests that the front does not support: each must be rejected before anything runs, and
+/// the session must stay usable.
+fn sends_unsupported_requests(
+    at: SocketAddr,
+    _: &mut Pcg64Mcg,
+    notes: &Arc<Notes>,
+) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
     let call =
         |s: &mut Session| wire::write(&mut s.out, b'F', |out| out.extend_from_slice(&[0; 10]));
@@ -331,7 +346,7 @@
         ("/*hallmux.work_ms='x'*/ select 1", "22023"),
         ("set hallmux.nothing = 'x'", "22023"),
     ] {
-        let asked = fresh(notes, 0);
+        let asked = new_record(notes, 0);
         match text.is_empty() {
             true => call(&mut s),
             false => s.query(text),
@@ -340,7 +355,7 @@
         let unit = s.unit()?;
         match tags(&unit).as_str() {
             "EZ" if code(&unit[0]) == wanted => {}
-            seen => spoilt(notes, asked, &format!("{text}: {seen}")),
+            seen => record_mismatch(notes, asked, &format!("{text}: {seen}")),
         }
     }
     s.bind("", "never", "x");
@@ -348,11 +363,11 @@
     s.sync();
     s.send()?;
     let unit = s.unit()?;
-    // Where no engine can be had the answer is another one.
+    // If no engine is available, the answer is a different error.
     if tags(&unit) != "EZ" || !["26000", "53000"].contains(&code(&unit[0]).as_str()) {
-        spoilt(
+        record_mismatch(
             notes,
-            fresh(notes, 0),
+            new_record(notes, 0),
             &format!("unknown statement: {}", tags(&unit)),
         );
     }
@@ -361,24 +376,29 @@
     nobody.send()?;
     let unit = nobody.unit()?;
     if tags(&unit) != "EZ" || code(&unit[0]) != "22023" {
-        spoilt(notes, fresh(notes, 0), "no workload");
+        record_mismatch(notes, new_record(notes, 0), "no workload");
     }
-    let asked = fresh(notes, 1);
+    let asked = new_record(notes, 1);
     s.query(&format!("select run('id={},rows=1')", asked.id));
     s.send()?;
     match s.unit() {
-        Ok(unit) => note(notes, asked.clone(), come_to(&unit, &asked.id)),
-        Err(e) => note(notes, asked, lost(&e)),
+        Ok(unit) => record_outcome(notes, asked.clone(), outcome_of(&unit, &asked.id)),
+        Err(e) => record_outcome(notes, asked, outcome_of_error(&e)),
     }
     Ok(())
 }
 
-/// Bytes that are no session: the connection ends, soon and alone.
-fn nonsense(at: SocketAddr, chance: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
+/// Sends bytes that are not a valid session: the front must close this connection soon, and no
+/// other.
+fn sends_invalid_bytes(
+    at: SocketAddr,
+    rng: &mut Pcg64Mcg,
+    notes: &Arc<Notes>,
+) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    let bytes: Vec<u8> = match chance.random_range(0..3) {
-        0 => (0..200).map(|_| chance.random()).collect(),
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
+    let bytes: Vec<u8> = match rng.random_range(0..3) {
+        0 => (0..200).map(|_| rng.random()).collect(),
         1 => b"\xff\xff\xff\xff\0\x03\0\0".to_vec(),
         _ => b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(),
     };
@@ -388,15 +408,19 @@
     let mut chunk = [0; 1024];
     loop {
         match stream.read(&mut chunk) {
-            Ok(n) if n > 0 && since.elapsed() < PATIENCE => {}
+            Ok(n) if n > 0 && since.elapsed() < MESSAGE_TIMEOUT => {}
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                spoilt(notes, fresh(notes, 0), "nonsense that is kept");
+                record_mismatch(
+                    notes,
+                    new_record(notes, 0),
+                    "a connection with invalid bytes stays open",
+                );
                 return Ok(());
             }
             _ => break,
         }
     }
-    // One that is in, and then sends a length that can't be.
+    // A session that is open and then sends an impossible message length.
     let mut s = Session::open(at, "portal", false)?;
     s.out.extend_from_slice(b"Q\x7f\xff\xff\xff");
     s.send()?;
@@ -404,7 +428,11 @@
         match s.read() {
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                spoilt(notes, fresh(notes, 0), "a length that can't be");
+                record_mismatch(
+                    notes,
+                    new_record(notes, 0),
+                    "a connection with an impossible message length stays open",
+                );
                 return Ok(());
             }
             Err(_) => return Ok(()),
@@ -412,19 +440,19 @@
     }
 }
 
-/// A session with an open transaction, for the end of a front.
-pub struct Open(Session);
+/// A session with an open transaction, used when a front is shut down.
+pub struct OpenTransaction(Session);
 
 /// Opens transactions that their clients never end.
-pub fn open_transactions(at: SocketAddr, notes: &Arc<Notes>, count: usize) -> Vec<Open> {
+pub fn open_transactions(at: SocketAddr, notes: &Arc<Notes>, count: usize) -> Vec<OpenTransaction> {
     let open = |_| {
         let mut s = Session::open(at, "portal", false).ok()?;
         let id = notes.id();
         s.query("BEGIN");
         s.query(&format!("select run('id={id},rows=1')"));
         s.send().ok()?;
-        let (begun, ran) = (s.unit().ok()?, s.unit().ok()?);
-        let open = tags(&begun) == "CZ" && !tags(&ran).contains('E');
+        let (began, ran) = (s.unit().ok()?, s.unit().ok()?);
+        let open = tags(&began) == "CZ" && !tags(&ran).contains('E');
         if !open {
             return None;
         }
@@ -432,14 +460,15 @@
             statements: vec![id],
             commit: None,
         });
-        Some(Open(s))
+        Some(OpenTransaction(s))
     };
     (0..count).filter_map(open).collect()
 }
 
-impl Open {
-    /// Whether the front said that it ends before it did.
-    pub fn was_told(mut self) -> bool {
+impl OpenTransaction {
+    /// Returns whether the front announced its shutdown (SQLSTATE 57P01) before the connection
+    /// ended.
+    pub fn was_notified(mut self) -> bool {
         loop {
             match self.0.read() {
                 Ok(message) if message.0 == b'E' => return code(&message) == "57P01",
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -1,4 +1,5 @@
-//! A session over a socket: messages out, messages in, what they come to.
+//! A PostgreSQL session over a socket: sends messages, reads messages, and derives the outcome of a
+//! statement.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,21 +9,22 @@
 
 use crate::check::{Outcome, StatementRecord};
 
-pub(super) const PATIENCE: Duration = Duration::from_secs(8); // for one message: longer than any statement may take
+/// Time limit for one message; longer than any statement may take.
+pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Session {
-    pub fn open(at: SocketAddr, user: &str, asks_first: bool) -> std::io::Result<Session> {
+    pub fn open(at: SocketAddr, user: &str, requests_encryption: bool) -> std::io::Result<Session> {
         let stream = TcpStream::connect(at)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
         let mut session = Session {
             stream,
             input: Vec::new(),
             out: Vec::new(),
             key: [0; 8],
         };
-        if asks_first {
-            refused_encryption(&mut session.stream)?;
+        if requests_encryption {
+            expect_refused_encryption(&mut session.stream)?;
         }
         wire::write_startup(&mut session.out, &[("user", user), ("database", "x")]);
         session.send()?;
@@ -43,11 +45,11 @@
         Ok(())
     }
 
-    /// The next message but notices and parameters.
+    /// Reads the next message, skipping notices and parameter reports.
     pub fn read(&mut self) -> std::io::Result<Message> {
         loop {
-            let whole = wire::message(&self.input, 1 << 24).map_err(std::io::Error::other)?;
-            if let Some(wire::Message { tag, body, len }) = whole {
+            let complete = wire::message(&self.input, 1 << 24).map_err(std::io::Error::other)?;
+            if let Some(wire::Message { tag, body, len }) = complete {
                 let message = (tag, body.to_vec());
                 self.input.drain(..len);
                 if !matches!(tag, b'N' | b'S') {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// All up to the end of the unit.
+    /// Reads all messages up to the end of the unit.
     pub fn unit(&mut self) -> std::io::Result<Vec<Message>> {
         let mut all = Vec::new();
         loop {
@@ -84,7 +86,7 @@
         self.unit().map(|_| ())
     }
 
-    /// Runs a prepared statement; an error unless it completes.
+    /// Runs a prepared statement; returns an error unless it completes.
     pub fn ask(&mut self, statement: &str, value: &str) -> std::io::Result<()> {
         self.bind("", statement, value);
         self.execute("", 0);
@@ -122,7 +124,7 @@
         });
     }
 
-    pub(super) fn named(&mut self, tag: u8, kind: u8, name: &str) {
+    pub(super) fn write_name_message(&mut self, tag: u8, kind: u8, name: &str) {
         wire::write(&mut self.out, tag, |out| {
             out.push(kind);
             wire::write_string(out, name.as_bytes());
@@ -133,10 +135,11 @@
         self.out.extend_from_slice(wire::SYNC);
     }
 
-    /// Asks for the end of what is out; returns when the front has taken the request.
+    /// Requests the cancellation of the running statement; returns when the front has accepted the
+    /// request.
     pub fn cancel(&self, at: SocketAddr) -> std::io::Result<()> {
         let mut cancel = TcpStream::connect(at)?;
-        cancel.set_read_timeout(Some(PATIENCE))?;
+        cancel.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
         let [a, b, c, d, e, f, g, h] = self.key;
         let (process, secret) = (
             u32::from_be_bytes([a, b, c, d]),
@@ -145,7 +148,7 @@
         let mut packet = Vec::new();
         wire::write_cancel(&mut packet, wire::CancelKey { process, secret });
         cancel.write_all(&packet)?;
-        // As the servers do, the front ends the connection then.
+        // The front then closes the connection, as PostgreSQL servers do.
         let _ = cancel.read(&mut [0]);
         Ok(())
     }
@@ -155,36 +158,39 @@
     }
 }
 
-/// A session over a socket.
+/// A PostgreSQL session over a socket.
 pub struct Session {
     pub(super) stream: TcpStream,
     pub(super) input: Vec<u8>,
     pub(super) out: Vec<u8>,
-    /// What a request to cancel has to tell.
+    /// The process number and secret for a cancel request.
     pub(super) key: [u8; 8],
 }
 
+/// The tag and the body of a message.
 pub type Message = (u8, Vec<u8>);
 
+/// Returns the SQLSTATE of an error message; empty if there is none.
 pub fn code(message: &Message) -> String {
     String::from_utf8_lossy(wire::field(&message.1, b'C').unwrap_or_default()).into_owned()
 }
 
+/// Returns the tags of the messages, one character each.
 pub fn tags(messages: &[Message]) -> String {
     messages.iter().map(|(tag, _)| *tag as char).collect()
 }
 
-/// Whether a row is the statement's own, the one that is due.
+/// Returns whether a row belongs to the statement and is its `n`th row.
 fn is_row(message: &Message, id: &str, n: usize) -> bool {
-    let mark = format!("{id}:{n}:");
+    let prefix = format!("{id}:{n}:");
     message
         .1
         .get(6..)
-        .is_some_and(|text| text.starts_with(mark.as_bytes()))
+        .is_some_and(|text| text.starts_with(prefix.as_bytes()))
 }
 
-/// What the messages of one statement come to.
-pub(super) fn come_to(messages: &[Message], id: &str) -> Outcome {
+/// Derives the outcome of a statement from the messages of its answer.
+pub(super) fn outcome_of(messages: &[Message], id: &str) -> Outcome {
     if let Some(error) = messages.iter().find(|m| m.0 == b'E') {
         return Outcome::Error(code(error));
     }
@@ -195,38 +201,41 @@
     }
 }
 
-pub(super) fn lost(e: &std::io::Error) -> Outcome {
+/// Derives the outcome from an error of the connection: `Nothing` after a timeout, else `Lost`.
+pub(super) fn outcome_of_error(e: &std::io::Error) -> Outcome {
     match e.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => Outcome::Nothing,
         _ => Outcome::Lost,
     }
 }
 
-/// A session of its own with one simple query on its way, all of which has left.
-pub fn sent(at: SocketAddr, text: &str) -> std::io::Result<Session> {
+/// Opens a session and sends one simple query; all of its bytes are written when this function
+/// returns.
+pub fn open_with_query(at: SocketAddr, text: &str) -> std::io::Result<Session> {
     let mut session = Session::open(at, "portal", false)?;
     session.query(text);
     session.send()?;
     Ok(session)
 }
 
-/// What the simple query that is on its way comes to.
+/// Waits for the outcome of the simple query that was sent.
 pub fn answer(session: &mut Session, asked: &StatementRecord) -> Outcome {
-    session
-        .unit()
-        .map_or_else(|e| lost(&e), |messages| come_to(&messages, &asked.id))
+    session.unit().map_or_else(
+        |e| outcome_of_error(&e),
+        |messages| outcome_of(&messages, &asked.id),
+    )
 }
 
-/// A round trip with the front: it has taken all that had left for it before, as it takes what it finds in the order
-/// in which that came.
+/// Makes a round trip to the front. The front reads its input in the order of arrival, so it has
+/// accepted everything sent to it before.
 pub fn round_trip(at: SocketAddr) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    refused_encryption(&mut stream)
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT))?;
+    expect_refused_encryption(&mut stream)
 }
 
-/// Asks for encryption, which is not to be had.
-fn refused_encryption(stream: &mut TcpStream) -> std::io::Result<()> {
+/// Requests encryption, which the server must refuse.
+fn expect_refused_encryption(stream: &mut TcpStream) -> std::io::Result<()> {
     stream.write_all(b"\0\0\0\x08\x04\xd2\x16\x2f")?;
     let mut no = [0];
     stream.read_exact(&mut no)?;
--- a/crates/lab/src/session_cases/engines.rs
+++ b/crates/lab/src/session_cases/engines.rs
@@ -1,10 +1,10 @@
-//! Engines that drain, die, hang, refuse, or are replaced.
+//! Engines that drain, die, hang, reject, or are replaced.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-use super::stage::{ask, heard, run, stage, stage_among, until, LIMITS};
-use crate::engine::Kind;
+use super::stage::{ask, read_answer, run, stage, stage_with_config, wait_until, LIMITS};
+use crate::engine::EngineEventKind;
 
 #[test]
 fn an_engine_drains_while_a_portal_holds_an_open_transaction() {
@@ -17,30 +17,30 @@
         s.execute("c", 2);
         s.sync();
         s.send().unwrap();
-        assert_eq!(heard(&mut s), ("12DDsZ".into(), String::new(), 'T'));
+        assert_eq!(read_answer(&mut s), ("12DDsZ".into(), String::new(), 'T'));
         let holder = stage.holder("p");
-        stage.tell(holder, "draining");
-        until("the engine is let go of", || {
+        stage.set_engine_state(holder, "draining");
+        wait_until("the connections to the engine are closed", || {
             stage.engines[holder].connections() == 0
         });
-        let before = stage.deeds().len();
+        let before = stage.engine_events().len();
         if first == "fetch" {
             s.execute("c", 2);
             s.sync();
             s.send().unwrap();
-            assert_eq!(heard(&mut s), ("EZ".into(), "40001".into(), 'E'));
+            assert_eq!(read_answer(&mut s), ("EZ".into(), "40001".into(), 'E'));
             assert_eq!(
                 ask(&mut s, &run("x", "")),
                 ("EZ".into(), "25P02".into(), 'E')
             );
             assert_eq!(ask(&mut s, "COMMIT"), ("CZ".into(), String::new(), 'I'));
         } else if first == "COMMIT" {
-            // It has not come to pass, and is not to seem so.
+            // The commit has not taken effect and must not seem to.
             assert_eq!(ask(&mut s, "COMMIT"), ("EZ".into(), "40001".into(), 'I'));
         } else {
             assert_eq!(ask(&mut s, "ROLLBACK"), ("CZ".into(), String::new(), 'I'));
         }
-        assert_eq!(stage.deeds().len(), before);
+        assert_eq!(stage.engine_events().len(), before);
         assert_eq!(ask(&mut s, &run("after", "")).0, "TDCZ");
         assert_ne!(stage.holder("after"), holder);
         assert!(!stage.kept("p"));
@@ -49,7 +49,7 @@
 
 #[test]
 fn an_engine_dies_during_commit() {
-    // After it took effect, and before.
+    // The commit is lost after it took effect, and before.
     for (lost, kept) in [(1, true), (2, false)] {
         let stage = stage(1, LIMITS);
         let mut s = stage.open();
@@ -61,7 +61,7 @@
         assert_eq!(
             stage.engines[0].faults.played.load(SeqCst),
             1,
-            "asked for once"
+            "the commit is sent once"
         );
         stage.engines[0].faults.lost_commits.store(0, SeqCst);
         assert_eq!(ask(&mut s, &run("b", "")).0, "TDCZ");
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn a_new_engine_refuses_to_prepare_again() {
+fn a_new_engine_rejects_preparing_a_statement_again() {
     let stage = stage(2, LIMITS);
     let mut s = stage.open();
     s.prepare("s", "select run($1)").unwrap();
     s.ask("s", "id=a,rows=1").unwrap();
     let (holder, other) = (stage.holder("a"), 1 - stage.holder("a"));
-    stage.tell(holder, "draining");
-    until("the engine is let go of", || {
+    stage.set_engine_state(holder, "draining");
+    wait_until("the connections to the engine are closed", || {
         stage.engines[holder].connections() == 0
     });
     stage.engines[other].faults.refused_parses.store(1, SeqCst);
@@ -84,7 +84,7 @@
     s.execute("", 0);
     s.sync();
     s.send().unwrap();
-    assert_eq!(heard(&mut s), ("EZ".into(), "42P01".into(), 'I'));
+    assert_eq!(read_answer(&mut s), ("EZ".into(), "42P01".into(), 'I'));
     s.ask("s", "id=c,rows=1").unwrap();
     assert_eq!((stage.began("b").len(), stage.began("c").len()), (0, 1));
 }
@@ -93,7 +93,7 @@
 fn a_long_statement_is_waited_for_and_a_hung_engine_is_not() {
     let stage = stage(2, LIMITS);
     let mut s = stage.open();
-    // Nothing else is out, and nothing is known of how long such statements take.
+    // Nothing else is in flight, and the duration of such statements is unknown.
     let long = format!("/*hallmux.workload='pay'*/ {}", run("long", ",ms=2500"));
     assert_eq!(ask(&mut s, &long).0, "TDCZ");
     assert_eq!(stage.began("long").len(), 1);
@@ -102,7 +102,8 @@
     hung.faults
         .stalled_until
         .store((stage.records.now() + 30_000_000) as u64, SeqCst);
-    // Some of these land there; each is tried elsewhere, long before its time is up.
+    // Some of these are sent to the hung engine; each is retried elsewhere, long before its
+    // deadline.
     for n in 0..6 {
         let since = Instant::now();
         assert_eq!(ask(&mut s, &run(&format!("h{n}"), "")).0, "TDCZ");
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn statements_beyond_what_a_connection_keeps_are_prepared_again() {
+fn statements_evicted_from_a_connection_are_prepared_again() {
     let stage = stage(1, "prepared: 2, engine_connections: 1");
     let mut s = stage.open();
     for n in 0..5 {
@@ -125,7 +126,7 @@
     for n in (0..20).map(|n| n * 3 % 5) {
         s.ask(&format!("s{n}"), &format!("id=x{n},rows=1")).unwrap();
     }
-    // All in one unit, and one of them fails in the middle.
+    // All in one unit, once without and once with a failure in the middle.
     for fails in ["", "23505"] {
         for n in 0..5 {
             let fail = if n == 2 { fails } else { "" };
@@ -134,7 +135,7 @@
         }
         s.sync();
         s.send().unwrap();
-        assert_eq!(heard(&mut s).1, fails);
+        assert_eq!(read_answer(&mut s).1, fails);
     }
     for n in 0..5 {
         s.ask(&format!("s{n}"), "id=z,rows=1").unwrap();
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn settings_follow_their_session_and_no_other() {
+fn settings_apply_to_their_session_only() {
     let stage = stage(1, "engine_connections: 1");
     let (mut a, mut b) = (stage.open(), stage.open());
     assert_eq!(ask(&mut a, "SET search_path = one").0, "CZ");
@@ -151,12 +152,12 @@
         ask(&mut a, &run(&format!("a{n}"), ""));
         ask(&mut b, &run(&format!("b{n}"), ""));
     }
-    let told: Vec<String> = stage
-        .deeds()
+    let recorded: Vec<String> = stage
+        .engine_events()
         .into_iter()
         .filter_map(|(_, _, kind)| match kind {
-            Kind::Began { id, .. } => Some(id),
-            Kind::Control { text } => Some(text),
+            EngineEventKind::Began { id, .. } => Some(id),
+            EngineEventKind::Control { text } => Some(text),
             _ => None,
         })
         .skip_while(|text| text != "ROLLBACK")
@@ -164,13 +165,13 @@
         .collect();
     let (set, reset) = ("SET search_path = one", "RESET ALL");
     assert_eq!(
-        told,
+        recorded,
         [reset, set, "a0", reset, "b0", reset, set, "a1", reset, "b1"]
     );
 }
 
 #[test]
-fn fronts_tell_each_other_of_an_engine_that_dies_and_believe_no_stranger() {
+fn fronts_report_a_dead_engine_to_peers_and_reject_strangers() {
     let folder = std::env::temp_dir().join(format!("hallmux-lab-keys-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let hex = |bytes: &[u8]| {
@@ -180,7 +181,7 @@
             .collect::<String>()
     };
     let secret = |n: usize| [n as u8 + 1; 32];
-    // Two that know each other, and a third that both do not know.
+    // Two fronts that know each other, and a third that neither knows.
     let keys: Vec<String> = (0..2)
         .map(|n| hex(&hallmux_gossip::seal::Identity::new(&secret(n), 0).public_key()))
         .collect();
@@ -193,7 +194,7 @@
         let file = file.display();
         let part =
             format!("gossip: {{ listen: '127.0.0.1:0', secret_file: '{file}', {known}, seeds: [{seeds}] }},");
-        let stage = stage_among(1, LIMITS, 1024, &part);
+        let stage = stage_with_config(1, LIMITS, 1024, &part);
         let line = stage
             .front
             .find_log_line("talks with other fronts")
@@ -201,7 +202,8 @@
         seeds = format!("'{}'", line.rsplit(' ').next().unwrap());
         stages.push(stage);
     }
-    // The second hears of the first's engine, the first of the second's; the third is heard by nobody.
+    // The second learns of the first's engine, and the first of the second's; nobody accepts
+    // reports of the third.
     for (n, stage) in stages.iter().enumerate().take(2) {
         let mut s = stage.open();
         stage.engines[0].crash();
@@ -209,19 +211,19 @@
             ask(&mut s, &run(&format!("{n}x{m}"), ""));
         }
     }
-    until("the second hears of it", || {
+    wait_until("the second front receives the report", || {
         stages[1]
             .front
             .find_log_line("front one says of engine")
             .is_some()
     });
-    until("the first hears of it", || {
+    wait_until("the first front receives the report", || {
         stages[0]
             .front
             .find_log_line("front two says of engine")
             .is_some()
     });
-    until("a stranger is refused", || {
+    wait_until("a stranger is rejected", || {
         stages[1].front.find_log_line("Stranger").is_some()
     });
     assert!(stages
--- a/crates/lab/src/session_cases/keys.rs
+++ b/crates/lab/src/session_cases/keys.rs
@@ -1,10 +1,10 @@
-//! Order keys across protocols, turns and transactions.
+//! Order keys across protocols, loop iterations and transactions.
 
 use nix::sys::signal::Signal;
 
-use super::stage::{ask, heard, run, stage, stands_still, until, LIMITS};
+use super::stage::{ask, is_stopped, read_answer, run, stage, wait_until, LIMITS};
 use crate::check::Outcome;
-use crate::engine::Kind;
+use crate::engine::EngineEventKind;
 use crate::lines;
 use crate::scripted::session::Session;
 
@@ -21,17 +21,17 @@
     ];
     let lines_at = stage.front.statement_address;
     let first = std::thread::spawn(move || lines::ask(lines_at, 1, &fields, "id=a,key=k,ms=400"));
-    until("the first runs", || !stage.began("a").is_empty());
+    wait_until("the first statement runs", || !stage.began("a").is_empty());
     let mut s = stage.open();
     assert_eq!(
         ask(&mut s, &format!("{label}{}", run("b", ",key=k"))).0,
         "TDCZ"
     );
-    let order: Vec<_> = stage.deeds().into_iter().map(|d| d.2).collect();
-    let at = |kind: Kind| order.iter().position(|k| *k == kind).unwrap();
+    let order: Vec<_> = stage.engine_events().into_iter().map(|d| d.2).collect();
+    let at = |kind: EngineEventKind| order.iter().position(|k| *k == kind).unwrap();
     assert!(
-        at(Kind::Ended { id: "a".into() })
-            < at(Kind::Began {
+        at(EngineEventKind::Ended { id: "a".into() })
+            < at(EngineEventKind::Began {
                 id: "b".into(),
                 key: "k".into()
             })
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_transaction_keeps_the_turn_of_its_key_until_it_ends() {
+fn a_transaction_holds_its_order_key_until_it_ends() {
     for end in ["COMMIT", "ROLLBACK", ""] {
         let stage = stage(2, LIMITS);
         let load = |n: usize| {
@@ -55,7 +55,7 @@
         let mut other = stage.open();
         other.query(&format!("{}{}", load(2), run("b", ",key=k")));
         other.send().unwrap();
-        // Its own further statement goes ahead of the one that waits.
+        // A further statement of the same transaction runs before the one that waits.
         assert_eq!(
             ask(&mut s, &format!("{}{}", load(3), run("c", ",key=k,ms=50"))).0,
             "TDCZ"
@@ -65,7 +65,7 @@
             "" => drop(s),
             end => assert_eq!(ask(&mut s, end).2, 'I'),
         }
-        assert_eq!(heard(&mut other).0, "TDCZ");
+        assert_eq!(read_answer(&mut other).0, "TDCZ");
         let kept = end == "COMMIT";
         assert_eq!(
             (stage.kept("a"), stage.kept("c"), stage.kept("b")),
@@ -75,24 +75,26 @@
     }
 }
 
-/// A front that had no CPU for a while finds in one turn what came one after the other: it takes it in that order,
-/// whatever the protocol and whether the connection is new.
+/// A front that had no CPU for a while finds several arrivals in one iteration of its loop. It
+/// accepts them in the order of arrival, whatever the protocol and whether or not the connection is
+/// new.
 #[test]
-fn what_is_found_in_one_turn_is_taken_in_the_order_in_which_it_came() {
+fn arrivals_of_one_loop_iteration_are_accepted_in_their_order() {
     const LABEL: &str = "/*hallmux.workload='load',hallmux.key='k',hallmux.dedup_key='d";
     let stage = stage(1, LIMITS);
     for round in 0..4 {
-        // Each of both protocols first once, over connections that are open; then over one that comes with it.
+        // Each protocol is first once over open connections, and once with a new line-protocol
+        // connection.
         let (lines_first, new) = (round % 2 == 0, round / 2 == 1);
         let mut client =
             (!new).then(|| lines::Client::open(stage.front.statement_address).unwrap());
         let mut sessions: Vec<Session> = (0..2).map(|_| stage.open()).collect();
-        // Served before, so that none of them is new to the front.
+        // Each session is served once before, so that none of them is new to the front.
         sessions
             .iter_mut()
             .for_each(|s| assert_eq!(ask(s, &run("before", "")).0, "TDCZ"));
         stage.front.signal(Signal::SIGSTOP);
-        until("it stands still", || stands_still(&stage.front));
+        wait_until("the front is stopped", || is_stopped(&stage.front));
         let ids = [0, 1, 2].map(|n| format!("{round}x{n}"));
         for (n, id) in ids.iter().enumerate() {
             if n == if lines_first { 0 } else { 1 } {
@@ -124,12 +126,14 @@
         assert_eq!(client.unwrap().answer(), Outcome::Completed { rows: 1 });
         sessions
             .iter_mut()
-            .for_each(|s| assert_eq!(heard(s).0, "TDCZ"));
+            .for_each(|s| assert_eq!(read_answer(s).0, "TDCZ"));
         let ran: Vec<String> = stage
-            .deeds()
+            .engine_events()
             .into_iter()
             .filter_map(|(_, _, kind)| match kind {
-                Kind::Began { id, .. } if id.starts_with(&format!("{round}x")) => Some(id),
+                EngineEventKind::Began { id, .. } if id.starts_with(&format!("{round}x")) => {
+                    Some(id)
+                }
                 _ => None,
             })
             .collect();
--- a/crates/lab/src/session_cases/sessions.rs
+++ b/crates/lab/src/session_cases/sessions.rs
@@ -1,9 +1,9 @@
-//! Sessions that cancel, pipeline, read slowly, leave, stand idle, or are too many.
+//! Sessions that cancel, pipeline, read slowly, disconnect, are idle, or are too many.
 
 use std::time::{Duration, Instant};
 
-use super::stage::{ask, heard, run, stage, stage_with, until, LIMITS};
-use crate::engine::Kind;
+use super::stage::{ask, read_answer, run, stage, stage_with_sockets, wait_until, LIMITS};
+use crate::engine::EngineEventKind;
 use crate::scripted::session::{code, Session};
 
 #[test]
@@ -13,7 +13,7 @@
     assert_eq!(ask(&mut s, &run("a", "")).0, "TDCZ");
     s.cancel(stage.front.session_address).unwrap();
     assert_eq!(ask(&mut s, &run("b", ",ms=50")).0, "TDCZ");
-    // And one that meets its statement ends it alone.
+    // A cancel request that arrives in time ends only its statement.
     for within in [false, true] {
         if within {
             ask(&mut s, "BEGIN");
@@ -21,21 +21,21 @@
         let id = format!("c{within}");
         s.query(&run(&id, ",ms=6000"));
         s.send().unwrap();
-        until("it runs", || !stage.began(&id).is_empty());
+        wait_until("the statement runs", || !stage.began(&id).is_empty());
         s.cancel(stage.front.session_address).unwrap();
         let status = if within { 'E' } else { 'I' };
-        assert_eq!(heard(&mut s), ("TEZ".into(), "57014".into(), status));
+        assert_eq!(read_answer(&mut s), ("TEZ".into(), "57014".into(), status));
         if within {
             assert_eq!(ask(&mut s, "ROLLBACK").2, 'I');
         }
         assert_eq!(ask(&mut s, &run("d", ",ms=30")).0, "TDCZ");
     }
     let hit: Vec<_> = stage
-        .deeds()
+        .engine_events()
         .into_iter()
-        .filter(|d| matches!(d.2, Kind::Cancelled { .. }))
+        .filter(|d| matches!(d.2, EngineEventKind::Cancelled { .. }))
         .collect();
-    let ids = ["cfalse", "ctrue"].map(|id| Kind::Cancelled {
+    let ids = ["cfalse", "ctrue"].map(|id| EngineEventKind::Cancelled {
         id: Some(id.into()),
     });
     assert_eq!(hit.into_iter().map(|d| d.2).collect::<Vec<_>>(), ids);
@@ -55,8 +55,8 @@
         s.sync();
     }
     s.send().unwrap();
-    let heard: Vec<_> = (0..4)
-        .map(|_| heard(&mut s))
+    let answers: Vec<_> = (0..4)
+        .map(|_| read_answer(&mut s))
         .map(|(tags, code, _)| (tags, code))
         .collect();
     let expected = [
@@ -66,7 +66,7 @@
         ("2DC2DCZ", ""),
     ];
     assert_eq!(
-        heard,
+        answers,
         expected.map(|(tags, code)| (tags.to_string(), code.to_string()))
     );
     assert_eq!(
@@ -90,10 +90,10 @@
             assert_eq!(ask(&mut other, &run(&format!("o{row}"), "")).0, "TDCZ");
         }
     }
-    // Forty megabytes wait on the engine, not here.
+    // The forty megabytes wait on the engine, not in the front.
     let grown = stage.front.memory_kb().saturating_sub(before);
     assert!(grown < 8_192, "{grown} kB");
-    // Within its time it has all of them.
+    // All rows arrive within the statement's deadline.
     let mut rows = 3;
     loop {
         match slow.read().unwrap().0 {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_end_of_a_front_with_transactions_open() {
+fn a_front_shuts_down_with_open_transactions() {
     let mut stage = stage(1, "transaction_idle_ms: 8000");
     let mut s = stage.open();
     ask(&mut s, "BEGIN");
@@ -115,10 +115,10 @@
     busy.query(&run("b", ",ms=1500"));
     busy.send().unwrap();
     let mut idle = stage.open();
-    until("it runs", || !stage.began("b").is_empty());
+    wait_until("the statement runs", || !stage.began("b").is_empty());
     stage.front.terminate();
     assert_eq!(code(&idle.read().unwrap()), "57P01");
-    assert_eq!(heard(&mut busy).0, "TDCZ");
+    assert_eq!(read_answer(&mut busy).0, "TDCZ");
     assert_eq!(code(&busy.read().unwrap()), "57P01");
     assert_eq!(code(&s.read().unwrap()), "57P01");
     let (well, took) = stage.front.wait_for_exit().unwrap();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_transaction_that_stands_idle_ends_and_a_client_that_leaves_leaves_nothing() {
+fn an_idle_transaction_is_ended_and_a_disconnect_cancels_its_statement() {
     let stage = stage(1, "transaction_idle_ms: 200");
     let mut s = stage.open();
     ask(&mut s, "BEGIN");
@@ -136,11 +136,11 @@
     let mut leaves = stage.open();
     leaves.query(&run("b", ",ms=6000"));
     leaves.send().unwrap();
-    until("it runs", || !stage.began("b").is_empty());
+    wait_until("the statement runs", || !stage.began("b").is_empty());
     drop(leaves);
-    until("its end was asked for", || {
-        stage.deeds().iter().any(|d| {
-            d.2 == Kind::Cancelled {
+    wait_until("its cancellation is requested", || {
+        stage.engine_events().iter().any(|d| {
+            d.2 == EngineEventKind::Cancelled {
                 id: Some("b".into()),
             }
         })
@@ -180,13 +180,13 @@
 }
 
 #[test]
-fn the_silent_go_first_when_descriptors_are_short_and_what_a_session_holds_is_bounded() {
-    let stage = stage_with(
+fn idle_sessions_close_first_when_descriptors_run_short_and_session_state_is_limited() {
+    let stage = stage_with_sockets(
         1,
         "start_up_ms: 400, statements: 2, portals: 2, message_bytes: 4096",
         64,
     );
-    // Half of the descriptors are clients'. These say nothing, and are closed.
+    // Half of the descriptors are for clients. These connections send nothing and are closed.
     let silent: Vec<_> = (0..32)
         .map(|_| std::net::TcpStream::connect(stage.front.session_address).unwrap())
         .collect();
@@ -195,9 +195,9 @@
     assert_eq!(ask(&mut first, &run("a", "")).0, "TDCZ");
     let mut busy = stage.open();
     assert_eq!(ask(&mut busy, "BEGIN").2, 'T');
-    std::thread::sleep(Duration::from_millis(1200)); // until both rest
+    std::thread::sleep(Duration::from_millis(1200)); // until both are idle
     let mut others: Vec<Session> = (0..31).map(|_| stage.open()).collect();
-    // The one that rested went, the one with a transaction did not.
+    // The idle session was closed; the one with an open transaction was not.
     assert_eq!(code(&first.read().unwrap()), "57P01");
     assert_eq!(ask(&mut busy, &run("b", "")).0, "TDCZ");
     let mut s = others.remove(0);
@@ -208,33 +208,34 @@
     s.bind("", "s2", "id=x");
     s.sync();
     s.send().unwrap();
-    assert_eq!(heard(&mut s).1, "26000");
+    assert_eq!(read_answer(&mut s).1, "26000");
     ask(&mut s, "BEGIN");
     for n in 0..3 {
         s.bind(&format!("p{n}"), "s0", "id=y");
     }
     s.sync();
     s.send().unwrap();
-    assert_eq!(heard(&mut s), ("22EZ".into(), "54000".into(), 'E'));
+    assert_eq!(read_answer(&mut s), ("22EZ".into(), "54000".into(), 'E'));
     s.query(&"x".repeat(8192));
     s.send().unwrap();
     assert_eq!(code(&s.read().unwrap()), "54000");
 }
 
 #[test]
-fn a_long_result_goes_through_whatever_the_buffer() {
+fn a_long_result_is_delivered_with_any_buffer_size() {
     for buffer in [1024, 65536, 1 << 20] {
         let stage = stage(1, &format!("buffer_bytes: {buffer}"));
         let mut s = stage.open();
         for rows in [1_000, 3_000, 8_000, 16_000] {
             s.query(&format!("select run('id=a,rows={rows},bytes=1000')"));
             s.send().unwrap();
-            // So that the engine has sent all it can, and nothing more comes from it that would wake the front.
+            // By now the engine has sent all it can, and no further input from it would wake the
+            // front.
             std::thread::sleep(Duration::from_millis(150));
             let had = s.unit().unwrap().iter().filter(|m| m.0 == b'D').count();
             assert_eq!(had, rows, "{buffer}");
         }
-        // And a unit of the largest size, sent in one go.
+        // A unit of the largest size, sent at once.
         let long = format!("select run('id=b,rows=1') /* {} */", "x".repeat(1_000_000));
         assert_eq!(ask(&mut s, &long).0, "TDCZ", "{buffer}");
     }
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -101,14 +101,14 @@
                     .insert((front, incarnation, ticket), self.account.asked.len());
             }
         }
-        let again = !client.previous_fronts.is_empty();
+        let is_retry = !client.previous_fronts.is_empty();
         let place = client.class;
         self.account.asked.push(Offered {
             front,
             class: place,
             asked,
             barred: false,
-            again,
+            is_retry,
             starved: 0,
         });
         self.clients.push(Client {
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -4,7 +4,7 @@
 
 use super::simulation::{EndedExecution, Event, ExecutionId, Simulation};
 use crate::check::Repeat;
-use crate::engine::{EngineEvent, Kind};
+use crate::engine::{EngineEvent, EngineEventKind};
 use crate::record::account::Offered;
 use crate::rig::relay::{LinkState, Relayed};
 use crate::rig::scenario::Step;
@@ -59,7 +59,7 @@
         e: usize,
     ) {
         let engine = &mut self.engines[e];
-        let capacity = self.warmth.bears(self.now - engine.started_at);
+        let capacity = self.warmth.capacity_at(self.now - engine.started_at);
         let load = (engine.running + 1) as f64 / capacity.max(1) as f64;
         (engine.peak, engine.peak_since_start) =
             (engine.peak.max(load), engine.peak_since_start.max(load));
@@ -89,7 +89,7 @@
         {
             let Offered { asked, class, .. } = &self.account.asked[number];
             work_ms = self.scenario.classes[*class].work_ms.unwrap_or(work_ms);
-            let kind = Kind::Began {
+            let kind = EngineEventKind::Began {
                 id: asked.id.clone(),
                 key: asked.key.clone(),
             };
@@ -166,7 +166,10 @@
             .copied();
         if let Some(number) = number {
             let id = self.account.asked[number].asked.id.clone();
-            for kind in [Kind::Ended { id: id.clone() }, Kind::Kept { id }] {
+            for kind in [
+                EngineEventKind::Ended { id: id.clone() },
+                EngineEventKind::Kept { id },
+            ] {
                 self.account.engine_events.push(EngineEvent {
                     at: self.now,
                     engine: e,
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -85,7 +85,7 @@
             FaultKind::DiskSlow => {
                 self.members[fault.front].disk.extra_sync_us = fault.delay_ms as i64 * 1000
             }
-            FaultKind::Hup => self.account.read_again += 1, // no configuration that is read again matters in the simulation
+            FaultKind::Hup => self.account.config_reloads += 1, // no configuration that is read again matters in the simulation
             FaultKind::Stall => {
                 let member = &mut self.members[fault.front];
                 if member.running.is_some() {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -267,7 +267,7 @@
         }
         let opened = self.account.relayed.len() > before;
         self.record_traffic((n, place), (1, 0, 0));
-        *self.account.first_tries.get_or_insert(0) += i64::from(sent.1 == 0);
+        *self.account.dispatched_statements.get_or_insert(0) += i64::from(sent.1 == 0);
         if self.link_passes(n, place, true) {
             self.in_flight
                 .entry(place)
