--- a/crates/config/src/operator_file/scatter.rs
+++ b/crates/config/src/operator_file/scatter.rs
@@ -60,7 +60,7 @@
     pub max_parallel_parts: usize,
     /// Maximum size of an answer in bytes.
     pub max_answer_bytes: usize,
-    /// The budget within which summaries are held, chosen by their benefit; None: every received
+    /// The budget within which summaries are held, picked by their benefit; None: every received
     /// summary is held.
     pub summary_budget: Option<SummaryBudget>,
     /// How often a statement is sent to a site that its summaries exclude, to verify them; None:
